--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -13,7 +13,7 @@
         Demand {
             tokens: size.tokens,
             items: size.items,
-            short: size.short,
+            short: size.unplaced_items,
             model,
         }
     };
--- a/crates/pinereel/src/hosted/duty/call.rs
+++ b/crates/pinereel/src/hosted/duty/call.rs
@@ -55,7 +55,7 @@
         let spec = match serde_json::to_value(Stored {
             lease,
             demand: size.tokens,
-            short: size.short,
+            short: size.unplaced_items,
             items: size.items,
         }) {
             Ok(spec) => spec,
--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    batch::Size,
+    batch::LotDemand,
     hash,
     lease::{Event, Glance, Lease, Looks},
 };
@@ -123,7 +123,7 @@
     }
 
     /// What a lot of a duty needs, as its holder says; nothing if that is not known.
-    pub fn demand(&self, duty: &str) -> Size {
+    pub fn demand(&self, duty: &str) -> LotDemand {
         if self.acts(duty).is_some() {
             return self.demands.borrow().get(duty).copied().unwrap_or_default();
         }
@@ -133,9 +133,9 @@
             let number = object.and_then(|object| object.spec.get(field)?.as_u64());
             number.unwrap_or_default()
         };
-        Size {
+        LotDemand {
             tokens: number("demand"),
-            short: number("short"),
+            unplaced_items: number("short"),
             items: number("items"),
         }
     }
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -15,7 +15,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    batch::Size,
+    batch::LotDemand,
     hash,
     lease::{Action, Clear, Event, Holder, Limits, Place, unplaced_delay},
 };
@@ -102,7 +102,7 @@
     /// When that was looked at.
     looked_at: Cell<Option<Time>>,
     /// What a lot needs, by duty of this instance; told in their leases.
-    demands: RefCell<BTreeMap<CompactString, Size>>,
+    demands: RefCell<BTreeMap<CompactString, LotDemand>>,
     /// How long after a renewal this instance acts at most, by duty.
     acts: RefCell<BTreeMap<CompactString, Duration>>,
     /// Until when acts must rest after this holder, by duty: its own next start's, and others'.
@@ -204,7 +204,7 @@
     }
 
     /// Tells in the lease of a duty, from its next renewal on, what its lots need.
-    pub fn set_demand(&self, duty: CompactString, size: Size) {
+    pub fn set_demand(&self, duty: CompactString, size: LotDemand) {
         self.demands.borrow_mut().insert(duty, size);
     }
 
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    batch::{Asked, Lot, USUAL_LENGTH},
+    batch::{DemandWindow, Lot, USUAL_LENGTH},
 };
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -168,7 +168,7 @@
         let hints = items.iter().map(|item| item.length_hint);
         let tokens = hints.map(|hint| u64::from(hint.unwrap_or(USUAL_LENGTH)));
         self.add_demand(state, &open.model, |asked, now| {
-            asked.add(now, items.len() as u64, tokens.sum());
+            asked.record_lot(now, items.len() as u64, tokens.sum());
         });
     }
 
@@ -181,7 +181,7 @@
         };
         let (model, waiting) = (open.model.clone(), open.lot.waiting());
         self.add_demand(&mut state, &model, |asked, now| {
-            asked.add_short(now, waiting as u64);
+            asked.record_unplaced(now, waiting as u64);
         });
     }
 
@@ -189,13 +189,13 @@
         &self,
         state: &mut State,
         model: &CompactString,
-        add: impl FnOnce(&mut Asked, Time),
+        add: impl FnOnce(&mut DemandWindow, Time),
     ) {
         let now = self.parts.clock.now();
         let asked = state.asked.entry(model.clone()).or_default();
         add(asked, now);
         let duties = &self.parts.duties;
-        duties.set_demand(runner::duty(model), asked.size(now));
+        duties.set_demand(runner::duty(model), asked.demand(now));
     }
 
     /// What is committed of a lot, and the texts that earlier runners left.
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -6,7 +6,7 @@
     sweep::Ages,
 };
 use compact_str::CompactString;
-use pinereel_core::batch::{Asked, Fleet, Lot};
+use pinereel_core::batch::{DemandWindow, Fleet, Lot};
 use pinereel_port::{
     live::Caller,
     lot::{Event, Submission},
@@ -28,7 +28,7 @@
     /// Ended lots that lie in the store as they were sent.
     pub(super) ended: BTreeMap<CompactString, Ended>,
     /// What was asked for lately, by model.
-    pub(super) asked: BTreeMap<CompactString, Asked>,
+    pub(super) asked: BTreeMap<CompactString, DemandWindow>,
     /// When each lot was first seen.
     pub(super) ages: Ages,
     /// Engines by service and model.
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -5,13 +5,13 @@
 //! many instances believe that they run the lot. [`Ledger`] holds what is committed; [`Lot`] holds
 //! what is still to be done; [`Fleet`] picks the engines that do it.
 
-mod asked;
+mod demand;
 mod engine;
 mod fleet;
 mod ledger;
 mod lot;
 
-pub use asked::{Asked, Size};
+pub use demand::{DemandWindow, LotDemand};
 pub use engine::{Engine, Halt, Listed};
 pub use fleet::{Fleet, Key};
 pub use ledger::{Gap, Ledger};
