--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -8,7 +8,7 @@
     stream::{Place, identity},
 };
 use pinereel_core::{
-    batch::{Fleet, Key, Listed},
+    batch::{Fleet, Key, Listing},
     crash::{LAST_CHANCE, Standing, Start},
     hash, table,
 };
@@ -63,7 +63,7 @@
                 continue;
             }
             let fleet = state.fleets.entry(name.clone()).or_default();
-            let read = |entry: &Entry| Listed {
+            let read = |entry: &Entry| Listing {
                 id: entry.id.clone(),
                 incarnation: entry.incarnation,
                 address: entry.address,
@@ -174,10 +174,10 @@
             let place = Place {
                 key,
                 start: Start {
-                    endpoint: engine.listed.id.clone(),
-                    incarnation: engine.listed.incarnation,
+                    endpoint: engine.listing.id.clone(),
+                    incarnation: engine.listing.incarnation,
                 },
-                address: engine.listed.address,
+                address: engine.listing.address,
                 doubts,
             };
             fleet.started(self.parts.clock.now(), key, doubts);
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -15,7 +15,7 @@
 
 /// What the endpoint list says of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct Listing {
     /// Id of the engine.
     pub id: CompactString,
     /// Differs between its starts.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// What the list says of it.
-    pub listed: Listed,
+    pub listing: Listing,
     /// Runs there.
     pub runs: u32,
     /// Moving average of the time between two events of a run, in milliseconds; none before the first.
@@ -75,9 +75,9 @@
 }
 
 impl Engine {
-    pub(super) const fn new(listed: Listed) -> Self {
+    pub(super) const fn new(listing: Listing) -> Self {
         Self {
-            listed,
+            listing,
             runs: 0,
             pace: None,
             gaps: 0,
@@ -104,10 +104,10 @@
     }
 
     pub(super) fn takes(&self, now: Time, oldest_version: u64) -> bool {
-        let fits = self.listed.version.is_some_and(|v| v >= oldest_version);
-        let slots = if self.suspect { 1 } else { self.listed.slots };
+        let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
+        let slots = if self.suspect { 1 } else { self.listing.slots };
         let free = self.runs < slots;
-        !self.gone && !self.listed.leaving && fits && free && now >= self.not_before
+        !self.gone && !self.listing.leaving && fits && free && now >= self.not_before
     }
 
     /// Whether an item that so many endpoints have crashed under may run beside those that run there. One in doubt is the
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn cost(&self, usual: Option<f64>) -> f64 {
-        let used = f64::from(self.runs) / f64::from(self.listed.slots.max(1));
+        let used = f64::from(self.runs) / f64::from(self.listing.slots.max(1));
         self.pace(usual) * (1.0 + FULL_COST * used)
     }
 }
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -5,7 +5,7 @@
 //! fastest engine with a free slot comes first, and a run on a slow engine is moved to a fast one
 //! as soon as that has a slot that nothing waits for.
 
-use super::{Engine, Halt, Listed};
+use super::{Engine, Halt, Listing};
 use crate::{Time, crash::LAST_CHANCE};
 use compact_str::CompactString;
 use slotmap::SlotMap;
@@ -60,14 +60,14 @@
 
 impl Fleet {
     /// Takes over the endpoint list; says whether an engine has started again, so that runs are lost.
-    pub fn sync(&mut self, listed: impl IntoIterator<Item = Listed>) -> bool {
+    pub fn sync(&mut self, listing: impl IntoIterator<Item = Listing>) -> bool {
         let mut left = std::mem::take(&mut self.ids);
         let mut lost = false;
-        for listed in listed {
-            let id = listed.id.clone();
+        for listing in listing {
+            let id = listing.id.clone();
             let known = left.remove(&id);
             let same =
-                known.filter(|key| self.arena[*key].listed.incarnation == listed.incarnation);
+                known.filter(|key| self.arena[*key].listing.incarnation == listing.incarnation);
             if let Some(before) = known.filter(|key| same != Some(*key)) {
                 self.arena[before].restarted = true;
                 lost |= self.arena[before].runs > 0;
@@ -75,9 +75,9 @@
             }
             let key = match same {
                 Some(key) => key,
-                None => self.arena.insert(Engine::new(listed.clone())),
+                None => self.arena.insert(Engine::new(listing.clone())),
             };
-            self.arena[key].listed = listed;
+            self.arena[key].listing = listing;
             self.ids.insert(id, key);
         }
         for key in left.into_values() {
@@ -89,7 +89,7 @@
     /// Ids of the engines with runs.
     pub fn busy(&self) -> Vec<CompactString> {
         let busy = self.arena.values().filter(|engine| engine.runs > 0);
-        busy.map(|engine| engine.listed.id.clone()).collect()
+        busy.map(|engine| engine.listing.id.clone()).collect()
     }
 
     /// An engine is not listed any more.
@@ -115,9 +115,9 @@
 
     /// Slots of all engines that may get work, and those that are in use.
     pub fn usage(&self) -> (u32, u32) {
-        let open = self.iter().filter(|(_, engine)| !engine.listed.leaving);
+        let open = self.iter().filter(|(_, engine)| !engine.listing.leaving);
         open.fold((0, 0), |(slots, runs), (_, engine)| {
-            (slots + engine.listed.slots, runs + engine.runs)
+            (slots + engine.listing.slots, runs + engine.runs)
         })
     }
 
@@ -144,9 +144,9 @@
         if self.iter().any(|(_, engine)| waits(engine)) {
             return;
         }
-        let fits = |engine: &Engine| engine.listed.version.is_some_and(|v| v >= oldest_version);
+        let fits = |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
         let open = self.iter().filter(|(_, engine)| {
-            fits(engine) && !engine.listed.leaving && now >= engine.not_before
+            fits(engine) && !engine.listing.leaving && now >= engine.not_before
         });
         let idle = open.filter(|(_, engine)| engine.doubted == 0);
         let first = idle.min_by_key(|(_, engine)| engine.last_began);
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -12,7 +12,7 @@
 mod lot;
 
 pub use demand::{DemandWindow, LotDemand};
-pub use engine::{Engine, Halt, Listed};
+pub use engine::{Engine, Halt, Listing};
 pub use fleet::{Fleet, Key};
 pub use ledger::{Gap, Ledger};
 pub use lot::{Failure, Fate, Lot, USUAL_LENGTH};
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -2,14 +2,14 @@
 
 use pinereel_core::{
     Time,
-    batch::{Fleet, Halt, Key, Listed},
+    batch::{Fleet, Halt, Key, Listing},
 };
 use std::time::Duration;
 
 const NOW: Time = Time::from_millis(1_000);
 
-fn listed(number: u16, version: u64) -> Listed {
-    Listed {
+fn listing(number: u16, version: u64) -> Listing {
+    Listing {
         incarnation: 1,
         id: format!("engine-{number}").into(),
         address: ([127, 0, 0, 1], 9_000 + number).into(),
@@ -21,13 +21,13 @@
 
 fn fleet(count: u16) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.sync((0..count).map(|number| listed(number, 5)));
+    fleet.sync((0..count).map(|number| listing(number, 5)));
     fleet
 }
 
 fn key(fleet: &Fleet, id: &str) -> Key {
     let mut engines = fleet.iter();
-    let (key, _) = engines.find(|(_, e)| e.listed.id == id).expect("listed");
+    let (key, _) = engines.find(|(_, e)| e.listing.id == id).expect("listed");
     key
 }
 
@@ -70,11 +70,11 @@
 #[test]
 fn old_weights_and_leaving_engines_get_nothing() {
     let mut fleet = Fleet::default();
-    let leaving = Listed {
+    let leaving = Listing {
         leaving: true,
-        ..listed(1, 9)
+        ..listing(1, 9)
     };
-    fleet.sync([listed(0, 3), leaving]);
+    fleet.sync([listing(0, 3), leaving]);
     assert_eq!(fleet.pick(NOW, 4, None), None);
     assert_eq!(fleet.pick(NOW, 3, None), Some(key(&fleet, "engine-0")));
 }
@@ -131,7 +131,7 @@
     let mut fleet = fleet(1);
     let gone = key(&fleet, "engine-0");
     fleet.started(NOW, gone, 0);
-    fleet.sync([listed(1, 5)]);
+    fleet.sync([listing(1, 5)]);
     assert!(fleet.get(gone).is_some());
     assert_eq!(fleet.pick(NOW, 5, None), Some(key(&fleet, "engine-1")));
     fleet.ended(NOW, gone, Halt::Finished);
@@ -147,12 +147,12 @@
     fleet.started(NOW, before, 0);
     fleet.ended(NOW, before, Halt::Broken);
     assert!(fleet.get(before).expect("listed").is_suspect());
-    let again = Listed {
+    let again = Listing {
         incarnation: 2,
-        ..listed(0, 5)
+        ..listing(0, 5)
     };
     assert!(!fleet.has_lost(before));
-    assert!(fleet.sync([again.clone(), listed(1, 5)]), "a run is lost");
+    assert!(fleet.sync([again.clone(), listing(1, 5)]), "a run is lost");
     assert!(fleet.has_lost(before));
     let after = key(&fleet, "engine-0");
     assert_ne!(before, after);
@@ -161,7 +161,7 @@
     // What ends late there says nothing about it.
     fleet.ended(NOW, before, Halt::Broken);
     assert!(!fleet.get(after).expect("listed").is_suspect());
-    assert!(!fleet.sync([again, listed(1, 5)]), "nothing new");
+    assert!(!fleet.sync([again, listing(1, 5)]), "nothing new");
 }
 
 /// Load pattern: an engine crashed and took 8 items along; they come again beside others. When they ran together, the next
