--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -8,7 +8,7 @@
     stream::{Place, identity},
 };
 use pinereel_core::{
-    batch::{Fleet, Key, Listing},
+    batch::{Fleet, EngineKey, Listing},
     crash::{LAST_CHANCE, Standing, Start},
     hash, table,
 };
@@ -118,7 +118,7 @@
 
     /// The next item of a lot, its engine, and how many endpoints have crashed under it. One that may not run now is
     /// held back, and the next one is looked at.
-    fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, Key, usize)> {
+    fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, EngineKey, usize)> {
         let now = self.parts.clock.now();
         let oldest_version = open.submission.oldest_version;
         if !fleet.has_room(now, oldest_version) {
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -5,7 +5,7 @@
     runner::Runner,
     state::{Draft, FleetName, Work},
 };
-use pinereel_core::batch::{Failure, Fate, Halt, Key};
+use pinereel_core::batch::{Failure, Fate, Halt, EngineKey};
 use pinereel_port::lot::{Event, Item, Sample};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -65,7 +65,7 @@
     }
 
     /// A run made an event; says whether it should go on at another engine.
-    pub(super) fn progressed(&self, work: &Work, key: Key, gap: Option<Duration>) -> bool {
+    pub(super) fn progressed(&self, work: &Work, key: EngineKey, gap: Option<Duration>) -> bool {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -94,14 +94,14 @@
     }
 
     /// How long a run waits for the next event.
-    pub(super) fn patience(&self, work: &Work, key: Key) -> Duration {
+    pub(super) fn patience(&self, work: &Work, key: EngineKey) -> Duration {
         let state = self.state.borrow();
         let fleet = state.fleets.get(&work.fleet);
         fleet.map_or(Duration::MAX, |fleet| fleet.patience(key))
     }
 
     /// Waits until a run at an engine is lost, since that has started again.
-    pub(super) async fn lost(&self, fleet: &FleetName, key: Key) {
+    pub(super) async fn lost(&self, fleet: &FleetName, key: EngineKey) {
         let mut restarts = self.restarts.subscribe();
         loop {
             let lost = {
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(super) fn run_ended(&self, fleet: &FleetName, key: Key, halt: Halt) {
+    pub(super) fn run_ended(&self, fleet: &FleetName, key: EngineKey, halt: Halt) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
@@ -126,7 +126,7 @@
     }
 
     /// A run that began in doubt ended.
-    pub(super) fn doubt_ended(&self, fleet: &FleetName, key: Key) {
+    pub(super) fn doubt_ended(&self, fleet: &FleetName, key: EngineKey) {
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
             fleet.doubt_ended(key);
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -8,7 +8,7 @@
 };
 use bytes::BytesMut;
 use pinereel_core::{
-    batch::Key,
+    batch::EngineKey,
     crash::{Content, Identity, Parts, Start},
 };
 use pinereel_port::{
@@ -90,7 +90,7 @@
 /// The engine that a run goes to.
 #[derive(Clone, Debug)]
 pub(super) struct Place {
-    pub(super) key: Key,
+    pub(super) key: EngineKey,
     pub(super) start: Start,
     pub(super) address: SocketAddr,
     /// How many endpoints have crashed under the item.
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -13,7 +13,7 @@
 
 slotmap::new_key_type! {
     /// One start of one engine in a [`Fleet`].
-    pub struct Key;
+    pub struct EngineKey;
 }
 
 /// Share of a new gap between events in the moving average of an engine's pace.
@@ -52,8 +52,8 @@
 /// The engines of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    arena: SlotMap<Key, Engine>,
-    ids: BTreeMap<CompactString, Key>,
+    arena: SlotMap<EngineKey, Engine>,
+    ids: BTreeMap<CompactString, EngineKey>,
     /// Moving average of the time between two events of a run at any engine, in milliseconds; none before the first.
     pace: Option<f64>,
 }
@@ -93,23 +93,23 @@
     }
 
     /// An engine is not listed any more.
-    fn drop(&mut self, key: Key) {
+    fn drop(&mut self, key: EngineKey) {
         self.arena[key].gone = true;
         self.forget_if_idle(key);
     }
 
     /// Whether a run at the engine is lost, since that has started again.
-    pub fn has_lost(&self, key: Key) -> bool {
+    pub fn has_lost(&self, key: EngineKey) -> bool {
         self.arena.get(key).is_none_or(|engine| engine.restarted)
     }
 
     /// The engine, if it is still known.
-    pub fn get(&self, key: Key) -> Option<&Engine> {
+    pub fn get(&self, key: EngineKey) -> Option<&Engine> {
         self.arena.get(key)
     }
 
     /// All listed engines.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Engine)> {
+    pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         self.ids.values().map(|key| (*key, &self.arena[*key]))
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// The engine for a run that needs weights of `oldest_version` or newer.
-    pub fn pick(&self, now: Time, oldest_version: u64, except: Option<Key>) -> Option<Key> {
+    pub fn pick(&self, now: Time, oldest_version: u64, except: Option<EngineKey>) -> Option<EngineKey> {
         let admits = |key, engine: &Engine| Some(key) != except && engine.admits(now, 0);
         self.best(now, oldest_version, admits)
     }
@@ -133,7 +133,7 @@
     }
 
     /// The engine for a run of an item that so many endpoints have crashed under.
-    pub fn pick_in_doubt(&self, now: Time, oldest_version: u64, doubts: usize) -> Option<Key> {
+    pub fn pick_in_doubt(&self, now: Time, oldest_version: u64, doubts: usize) -> Option<EngineKey> {
         self.best(now, oldest_version, |_, engine| engine.admits(now, doubts))
     }
 
@@ -159,8 +159,8 @@
         &self,
         now: Time,
         oldest_version: u64,
-        admits: impl Fn(Key, &Engine) -> bool,
-    ) -> Option<Key> {
+        admits: impl Fn(EngineKey, &Engine) -> bool,
+    ) -> Option<EngineKey> {
         let open = self
             .iter()
             .filter(|(key, engine)| engine.takes(now, oldest_version) && admits(*key, engine));
@@ -169,7 +169,7 @@
     }
 
     /// Where a run at `from`, which has made so many events, should go instead if that is faster.
-    pub fn better(&self, now: Time, from: Key, oldest_version: u64, events: u64) -> Option<Key> {
+    pub fn better(&self, now: Time, from: EngineKey, oldest_version: u64, events: u64) -> Option<EngineKey> {
         let engine = self.arena.get(from)?;
         let pace = engine.pace.filter(|_| engine.gaps >= MOVE_GAPS)?;
         let to = self.pick(now, oldest_version, Some(from))?;
@@ -183,7 +183,7 @@
 
     /// How long a run at an engine that has made events waits for the next one. The longest texts decide about a step and have
     /// less than a second to spare: 1.5 s at an engine that fell silent made them late.
-    pub fn patience(&self, key: Key) -> Duration {
+    pub fn patience(&self, key: EngineKey) -> Duration {
         let engine = self
             .arena
             .get(key)
@@ -196,7 +196,7 @@
     }
 
     /// A run begins at the engine, of an item that so many endpoints have crashed under.
-    pub fn started(&mut self, now: Time, key: Key, doubts: usize) {
+    pub fn started(&mut self, now: Time, key: EngineKey, doubts: usize) {
         let Some(engine) = self.arena.get_mut(key) else {
             return;
         };
@@ -212,7 +212,7 @@
     }
 
     /// A run that began in doubt ends.
-    pub fn doubt_ended(&mut self, key: Key) {
+    pub fn doubt_ended(&mut self, key: EngineKey) {
         if let Some(engine) = self.arena.get_mut(key) {
             engine.doubted = engine.doubted.saturating_sub(1);
             engine.last_chance &= engine.doubted > 0;
@@ -220,7 +220,7 @@
     }
 
     /// A run at the engine made its first event: the engine takes work.
-    pub fn began(&mut self, key: Key) {
+    pub fn began(&mut self, key: EngineKey) {
         if let Some(engine) = self.arena.get_mut(key) {
             engine.breaks = 0;
             engine.suspect = false;
@@ -228,7 +228,7 @@
     }
 
     /// A run at the engine made an event, `gap` after the one before.
-    pub fn made(&mut self, key: Key, gap: Duration) {
+    pub fn made(&mut self, key: EngineKey, gap: Duration) {
         let Some(engine) = self.arena.get_mut(key) else {
             return;
         };
@@ -239,7 +239,7 @@
     }
 
     /// A run ended. Every `started` needs exactly one.
-    pub fn ended(&mut self, now: Time, key: Key, halt: Halt) {
+    pub fn ended(&mut self, now: Time, key: EngineKey, halt: Halt) {
         let Some(engine) = self.arena.get_mut(key) else {
             return;
         };
@@ -265,7 +265,7 @@
         self.forget_if_idle(key);
     }
 
-    fn forget_if_idle(&mut self, key: Key) {
+    fn forget_if_idle(&mut self, key: EngineKey) {
         let idle = self.arena.get(key).is_some_and(|e| e.gone && e.runs == 0);
         if idle {
             self.arena.remove(key);
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -13,6 +13,6 @@
 
 pub use demand::{DemandWindow, LotDemand};
 pub use engine::{Engine, Halt, Listing};
-pub use fleet::{Fleet, Key};
+pub use fleet::{Fleet, EngineKey};
 pub use ledger::{Gap, Ledger};
 pub use lot::{Failure, Fate, Lot, USUAL_LENGTH};
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    batch::{Fleet, Halt, Key, Listing},
+    batch::{Fleet, Halt, EngineKey, Listing},
 };
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     fleet
 }
 
-fn key(fleet: &Fleet, id: &str) -> Key {
+fn key(fleet: &Fleet, id: &str) -> EngineKey {
     let mut engines = fleet.iter();
     let (key, _) = engines.find(|(_, e)| e.listing.id == id).expect("listed");
     key
