--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -5,7 +5,7 @@
     runner::Runner,
     state::{Draft, FleetName, Work},
 };
-use pinereel_core::batch::{Failure, Fate, Halt, EngineKey};
+use pinereel_core::batch::{Failure, Fate, RunOutcome, EngineKey};
 use pinereel_port::lot::{Event, Item, Sample};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(super) fn run_ended(&self, fleet: &FleetName, key: EngineKey, halt: Halt) {
+    pub(super) fn run_ended(&self, fleet: &FleetName, key: EngineKey, halt: RunOutcome) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -7,7 +7,7 @@
     stream::{Break, End, Place, identity, stream},
 };
 use pinereel_core::{
-    batch::{Failure, Fate, Halt},
+    batch::{Failure, Fate, RunOutcome},
     crash::LAST_CHANCE,
 };
 use pinereel_port::{
@@ -22,7 +22,7 @@
     runner: Rc<Runner>,
     fleet: FleetName,
     place: Place,
-    halt: Halt,
+    halt: RunOutcome,
 }
 
 impl Drop for Running {
@@ -49,17 +49,17 @@
         runner: Rc::clone(runner),
         fleet: work.fleet.clone(),
         place: place.clone(),
-        halt: Halt::Cancelled,
+        halt: RunOutcome::Cancelled,
     };
     let end = tokio::select! {
         end = stream(runner, work, item, route, place) => end,
         () = runner.lost(&work.fleet, place.key) => End::Broken(Break::Restarted),
     };
     running.halt = match end {
-        End::Complete | End::Failed | End::Impossible => Halt::Finished,
-        End::Left => Halt::Cancelled,
-        End::Refused | End::Outdated => Halt::Full,
-        End::Broken(_) => Halt::Broken,
+        End::Complete | End::Failed | End::Impossible => RunOutcome::Finished,
+        End::Left => RunOutcome::Cancelled,
+        End::Refused | End::Outdated => RunOutcome::Rejected,
+        End::Broken(_) => RunOutcome::Failed,
     };
     drop(running);
     let metrics = &runner.parts.metrics;
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -32,15 +32,15 @@
 
 /// How a run at an engine ended, as far as it speaks about the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halt {
+pub enum RunOutcome {
     /// Finished, or an answer that is not the engine's fault.
     Finished,
     /// Given up here.
     Cancelled,
     /// The engine did not take it now: full, or loading weights.
-    Full,
+    Rejected,
     /// Broken off, silent, or out of reach.
-    Broken,
+    Failed,
 }
 
 /// One engine.
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -5,7 +5,7 @@
 //! fastest engine with a free slot comes first, and a run on a slow engine is moved to a fast one
 //! as soon as that has a slot that nothing waits for.
 
-use super::{Engine, Halt, Listing};
+use super::{Engine, RunOutcome, Listing};
 use crate::{Time, crash::LAST_CHANCE};
 use compact_str::CompactString;
 use slotmap::SlotMap;
@@ -239,22 +239,22 @@
     }
 
     /// A run ended. Every `started` needs exactly one.
-    pub fn ended(&mut self, now: Time, key: EngineKey, halt: Halt) {
+    pub fn ended(&mut self, now: Time, key: EngineKey, outcome: RunOutcome) {
         let Some(engine) = self.arena.get_mut(key) else {
             return;
         };
         engine.runs = engine.runs.saturating_sub(1);
-        match halt {
-            Halt::Finished => {
+        match outcome {
+            RunOutcome::Finished => {
                 engine.breaks = 0;
                 engine.suspect = false;
             }
-            Halt::Cancelled => {}
-            Halt::Full => {
+            RunOutcome::Cancelled => {}
+            RunOutcome::Rejected => {
                 engine.suspect = true;
                 engine.not_before = engine.not_before.max(now + FULL_PAUSE);
             }
-            Halt::Broken => {
+            RunOutcome::Failed => {
                 engine.suspect = true;
                 let pause = FIRST_PAUSE * 2u32.pow(engine.breaks.min(8));
                 engine.breaks += 1;
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    batch::{Fleet, Halt, EngineKey, Listing},
+    batch::{Fleet, RunOutcome, EngineKey, Listing},
 };
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
     let mut fleet = fleet(1);
     let only = key(&fleet, "engine-0");
     fleet.started(NOW, only, 0);
-    fleet.ended(NOW, only, Halt::Full);
+    fleet.ended(NOW, only, RunOutcome::Rejected);
     assert_eq!(fleet.pick(NOW, 5, None), None);
     let later = NOW + Duration::from_millis(200);
     assert_eq!(fleet.pick(later, 5, None), Some(only));
@@ -115,7 +115,7 @@
     let mut pauses = Vec::new();
     for _ in 0..5 {
         fleet.started(now, only, 0);
-        fleet.ended(now, only, Halt::Broken);
+        fleet.ended(now, only, RunOutcome::Failed);
         let mut pause = 0;
         while fleet.pick(now, 5, None).is_none() {
             now = now + Duration::from_millis(100);
@@ -134,7 +134,7 @@
     fleet.sync([listing(1, 5)]);
     assert!(fleet.get(gone).is_some());
     assert_eq!(fleet.pick(NOW, 5, None), Some(key(&fleet, "engine-1")));
-    fleet.ended(NOW, gone, Halt::Finished);
+    fleet.ended(NOW, gone, RunOutcome::Finished);
     assert!(fleet.get(gone).is_none());
 }
 
@@ -145,7 +145,7 @@
     let before = key(&fleet, "engine-0");
     fleet.started(NOW, before, 0);
     fleet.started(NOW, before, 0);
-    fleet.ended(NOW, before, Halt::Broken);
+    fleet.ended(NOW, before, RunOutcome::Failed);
     assert!(fleet.get(before).expect("listed").is_suspect());
     let again = Listing {
         incarnation: 2,
@@ -159,7 +159,7 @@
     assert_eq!(fleet.get(after).map(|e| (e.runs, e.pace)), Some((0, None)));
     assert!(!fleet.get(after).expect("listed").is_suspect());
     // What ends late there says nothing about it.
-    fleet.ended(NOW, before, Halt::Broken);
+    fleet.ended(NOW, before, RunOutcome::Failed);
     assert!(!fleet.get(after).expect("listed").is_suspect());
     assert!(!fleet.sync([again, listing(1, 5)]), "nothing new");
 }
@@ -194,7 +194,7 @@
     let later = NOW + Duration::from_millis(400);
     let keys: Vec<_> = fleet.iter().map(|(key, _)| key).collect();
     for key in &keys {
-        fleet.ended(later, *key, Halt::Finished);
+        fleet.ended(later, *key, RunOutcome::Finished);
     }
     let others = fleet.pick(later, 5, None).expect("the other engine");
     fleet.started(later, others, 0);
@@ -202,7 +202,7 @@
     let alone = fleet.pick_in_doubt(later, 5, 2).expect("the one kept free");
     assert_ne!(alone, others);
     fleet.started(later, alone, 2);
-    fleet.ended(later, alone, Halt::Finished);
+    fleet.ended(later, alone, RunOutcome::Finished);
     assert_eq!(fleet.pick(later, 5, None), None, "nothing begins beside it");
     fleet.doubt_ended(alone);
     assert_eq!(fleet.pick(later, 5, None), Some(alone));
