--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 
 /// Pace of engines before any of the fleet has made an event, in milliseconds an event.
-const FIRST_PACE: f64 = 40.0;
+const DEFAULT_EVENT_INTERVAL_MS: f64 = 40.0;
 /// What a full engine costs against an empty one of the same pace: enough to spread runs over equal
 /// engines, too little to prefer a slow one.
-const FULL_COST: f64 = 0.25;
+const FULL_LOAD_PENALTY: f64 = 0.25;
 
 /// What the endpoint list says of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,9 +51,9 @@
     /// Runs there.
     pub runs: u32,
     /// Moving average of the time between two events of a run, in milliseconds; none before the first.
-    pub pace: Option<f64>,
+    pub event_interval_ms: Option<f64>,
     /// Gaps that the pace rests on.
-    pub(super) gaps: u32,
+    pub(super) interval_samples: u32,
     /// Breaks in a row.
     pub(super) breaks: u32,
     /// No new run before.
@@ -79,8 +79,8 @@
         Self {
             listing,
             runs: 0,
-            pace: None,
-            gaps: 0,
+            event_interval_ms: None,
+            interval_samples: 0,
             breaks: 0,
             not_before: Time::ZERO,
             suspect: false,
@@ -94,8 +94,8 @@
     }
 
     /// Milliseconds an event; of an engine that has made none yet, what is `usual` in its fleet.
-    pub(super) fn pace(&self, usual: Option<f64>) -> f64 {
-        self.pace.or(usual).unwrap_or(FIRST_PACE)
+    pub(super) fn estimated_interval_ms(&self, fleet_average: Option<f64>) -> f64 {
+        self.event_interval_ms.or(fleet_average).unwrap_or(DEFAULT_EVENT_INTERVAL_MS)
     }
 
     /// Whether one run has to try it before others follow.
@@ -123,8 +123,8 @@
         }
     }
 
-    pub(super) fn cost(&self, usual: Option<f64>) -> f64 {
-        let used = f64::from(self.runs) / f64::from(self.listing.slots.max(1));
-        self.pace(usual) * (1.0 + FULL_COST * used)
+    pub(super) fn cost(&self, fleet_average: Option<f64>) -> f64 {
+        let load = f64::from(self.runs) / f64::from(self.listing.slots.max(1));
+        self.estimated_interval_ms(fleet_average) * (1.0 + FULL_LOAD_PENALTY * load)
     }
 }
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -17,21 +17,21 @@
 }
 
 /// Share of a new gap between events in the moving average of an engine's pace.
-const PACE_GAIN: f64 = 0.06;
+const ENGINE_AVERAGE_WEIGHT: f64 = 0.06;
 /// The same in the moving average of all engines.
-const FLEET_PACE_GAIN: f64 = 0.01;
+const FLEET_AVERAGE_WEIGHT: f64 = 0.01;
 /// A run is moved if its engine takes so many times as long as the one that it would go to. Engines
 /// differ by 1.3 (47 ms and 60 ms an event, measured), and reading the prompt and the
 /// text again takes less than an event.
-const MOVE_FACTOR: f64 = 1.2;
+const LONG_RUN_MOVE_RATIO: f64 = 1.2;
 /// Events that a run must have made before it is moved for less than [`FAR_SLOWER`]: it is then one
 /// of the long ones, which hold up their step.
-const LONG_RUN: u64 = 10;
+const LONG_RUN_EVENTS: u64 = 10;
 /// A run moves at once if its engine takes so many times as long.
-const FAR_SLOWER: f64 = 2.0;
+const SHORT_RUN_MOVE_RATIO: f64 = 2.0;
 /// Gaps that an engine's pace must rest on before it decides about a move: the arrival of single
 /// events depends on this process as well.
-const MOVE_GAPS: u32 = 12;
+const MIN_INTERVAL_SAMPLES: u32 = 12;
 /// First wait after an engine broke a run off or could not be reached; doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
 /// Longest such wait: an engine that is back is found again soon.
@@ -55,7 +55,7 @@
     arena: SlotMap<EngineKey, Engine>,
     ids: BTreeMap<CompactString, EngineKey>,
     /// Moving average of the time between two events of a run at any engine, in milliseconds; none before the first.
-    pace: Option<f64>,
+    event_interval_ms: Option<f64>,
 }
 
 impl Fleet {
@@ -164,21 +164,21 @@
         let open = self
             .iter()
             .filter(|(key, engine)| engine.takes(now, oldest_version) && admits(*key, engine));
-        let best = open.min_by(|(_, a), (_, b)| a.cost(self.pace).total_cmp(&b.cost(self.pace)));
+        let best = open.min_by(|(_, a), (_, b)| a.cost(self.event_interval_ms).total_cmp(&b.cost(self.event_interval_ms)));
         best.map(|(key, _)| key)
     }
 
     /// Where a run at `from`, which has made so many events, should go instead if that is faster.
     pub fn better(&self, now: Time, from: EngineKey, oldest_version: u64, events: u64) -> Option<EngineKey> {
         let engine = self.arena.get(from)?;
-        let pace = engine.pace.filter(|_| engine.gaps >= MOVE_GAPS)?;
+        let interval_ms = engine.event_interval_ms.filter(|_| engine.interval_samples >= MIN_INTERVAL_SAMPLES)?;
         let to = self.pick(now, oldest_version, Some(from))?;
-        let factor = if events < LONG_RUN {
-            FAR_SLOWER
+        let ratio = if events < LONG_RUN_EVENTS {
+            SHORT_RUN_MOVE_RATIO
         } else {
-            MOVE_FACTOR
+            LONG_RUN_MOVE_RATIO
         };
-        (pace > factor * self.arena[to].pace(self.pace)).then_some(to)
+        (interval_ms > ratio * self.arena[to].estimated_interval_ms(self.event_interval_ms)).then_some(to)
     }
 
     /// How long a run at an engine that has made events waits for the next one. The longest texts decide about a step and have
@@ -187,11 +187,11 @@
         let engine = self
             .arena
             .get(key)
-            .filter(|engine| engine.gaps >= MOVE_GAPS);
-        let Some(pace) = engine.and_then(|engine| engine.pace) else {
+            .filter(|engine| engine.interval_samples >= MIN_INTERVAL_SAMPLES);
+        let Some(interval_ms) = engine.and_then(|engine| engine.event_interval_ms) else {
             return MOST_SILENCE;
         };
-        let silence = Duration::from_secs_f64(SILENT_GAPS * pace / 1_000.0);
+        let silence = Duration::from_secs_f64(SILENT_GAPS * interval_ms / 1_000.0);
         silence.clamp(LEAST_SILENCE, MOST_SILENCE)
     }
 
@@ -228,14 +228,14 @@
     }
 
     /// A run at the engine made an event, `gap` after the one before.
-    pub fn made(&mut self, key: EngineKey, gap: Duration) {
+    pub fn made(&mut self, key: EngineKey, interval: Duration) {
         let Some(engine) = self.arena.get_mut(key) else {
             return;
         };
-        let gap = gap.as_secs_f64() * 1_000.0;
-        engine.gaps = engine.gaps.saturating_add(1);
-        engine.pace = Some(averaged(engine.pace, gap, PACE_GAIN));
-        self.pace = Some(averaged(self.pace, gap, FLEET_PACE_GAIN));
+        let interval = interval.as_secs_f64() * 1_000.0;
+        engine.interval_samples = engine.interval_samples.saturating_add(1);
+        engine.event_interval_ms = Some(moving_average(engine.event_interval_ms, interval, ENGINE_AVERAGE_WEIGHT));
+        self.event_interval_ms = Some(moving_average(self.event_interval_ms, interval, FLEET_AVERAGE_WEIGHT));
     }
 
     /// A run ended. Every `started` needs exactly one.
@@ -274,6 +274,6 @@
 }
 
 /// A moving average with one more value in it.
-fn averaged(average: Option<f64>, value: f64, gain: f64) -> f64 {
-    average.map_or(value, |average| average + gain * (value - average))
+fn moving_average(average: Option<f64>, value: f64, weight: f64) -> f64 {
+    average.map_or(value, |average| average + weight * (value - average))
 }
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -32,7 +32,7 @@
 }
 
 /// Lets a run at the engine show its pace.
-fn pace(fleet: &mut Fleet, id: &str, millis: u64) {
+fn set_interval(fleet: &mut Fleet, id: &str, millis: u64) {
     let key = key(fleet, id);
     for _ in 0..80 {
         fleet.made(key, Duration::from_millis(millis));
@@ -55,9 +55,9 @@
 fn a_slow_engine_is_used_last() {
     let mut fleet = fleet(3);
     for id in ["engine-0", "engine-2"] {
-        pace(&mut fleet, id, 40);
+        set_interval(&mut fleet, id, 40);
     }
-    pace(&mut fleet, "engine-1", 140);
+    set_interval(&mut fleet, "engine-1", 140);
     let slow = key(&fleet, "engine-1");
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
@@ -82,13 +82,13 @@
 #[test]
 fn a_run_moves_only_where_it_is_much_faster() {
     let mut fleet = fleet(2);
-    pace(&mut fleet, "engine-0", 60);
-    pace(&mut fleet, "engine-1", 46);
+    set_interval(&mut fleet, "engine-0", 60);
+    set_interval(&mut fleet, "engine-1", 46);
     let (slow, fast) = (key(&fleet, "engine-0"), key(&fleet, "engine-1"));
     assert_eq!(fleet.better(NOW, slow, 5, 3), None, "it may be over soon");
     assert_eq!(fleet.better(NOW, slow, 5, 30), Some(fast), "a long run");
     assert_eq!(fleet.better(NOW, fast, 5, 30), None);
-    pace(&mut fleet, "engine-0", 160);
+    set_interval(&mut fleet, "engine-0", 160);
     assert_eq!(fleet.better(NOW, slow, 5, 3), Some(fast), "far slower");
 }
 
@@ -156,7 +156,7 @@
     assert!(fleet.has_lost(before));
     let after = key(&fleet, "engine-0");
     assert_ne!(before, after);
-    assert_eq!(fleet.get(after).map(|e| (e.runs, e.pace)), Some((0, None)));
+    assert_eq!(fleet.get(after).map(|e| (e.runs, e.event_interval_ms)), Some((0, None)));
     assert!(!fleet.get(after).expect("listed").is_suspect());
     // What ends late there says nothing about it.
     fleet.ended(NOW, before, RunOutcome::Failed);
@@ -212,8 +212,8 @@
 #[test]
 fn a_silent_engine_is_left_after_some_of_its_usual_gaps() {
     let mut fleet = fleet(3);
-    pace(&mut fleet, "engine-0", 46);
-    pace(&mut fleet, "engine-1", 150);
+    set_interval(&mut fleet, "engine-0", 46);
+    set_interval(&mut fleet, "engine-1", 150);
     let patience = |id: &str| fleet.patience(key(&fleet, id));
     assert_eq!(patience("engine-0"), Duration::from_millis(500));
     let slow = patience("engine-1").as_millis();
