--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -8,7 +8,7 @@
     stream::{Place, identity},
 };
 use pinereel_core::{
-    batch::{Fleet, EngineKey, Listing},
+    batch::{EngineKey, Fleet, Listing},
     crash::{LAST_CHANCE, Standing, Start},
     hash, table,
 };
@@ -74,8 +74,8 @@
             // A run goes on at an engine that is not in the set any more.
             let listed = parts
                 .endpoints
-                .first(&name.service, count, fleet.busy(), read);
-            lost |= fleet.sync(listed);
+                .first(&name.service, count, fleet.busy_ids(), read);
+            lost |= fleet.update(listed);
         }
         drop(state);
         if lost {
@@ -121,13 +121,13 @@
     fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, EngineKey, usize)> {
         let now = self.parts.clock.now();
         let oldest_version = open.submission.oldest_version;
-        if !fleet.has_room(now, oldest_version) {
+        if !fleet.has_free_slot(now, oldest_version) {
             return None;
         }
         loop {
             let at = open.lot.start()?;
             let doubts = self.doubts(open, at);
-            let pick = |doubts| fleet.pick_in_doubt(now, oldest_version, doubts);
+            let pick = |doubts| fleet.pick_for_item(now, oldest_version, doubts);
             match doubts.zip(doubts.and_then(pick)) {
                 Some((doubts, key)) => return Some((at, key, doubts)),
                 None => open.lot.hold(at),
@@ -180,7 +180,7 @@
                 address: engine.listing.address,
                 doubts,
             };
-            fleet.started(self.parts.clock.now(), key, doubts);
+            fleet.run_started(self.parts.clock.now(), key, doubts);
             let work = Work {
                 caller: open.caller.clone(),
                 item: open.submission.items[at].id.clone(),
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -5,7 +5,7 @@
     runner::Runner,
     state::{Draft, FleetName, Work},
 };
-use pinereel_core::batch::{Failure, Fate, RunOutcome, EngineKey};
+use pinereel_core::batch::{EngineKey, Failure, Fate, RunOutcome};
 use pinereel_port::lot::{Event, Item, Sample};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -73,8 +73,8 @@
             return false;
         };
         match gap {
-            Some(gap) => fleet.made(key, gap),
-            None => fleet.began(key),
+            Some(gap) => fleet.event_received(key, gap),
+            None => fleet.first_event_received(key),
         }
         let waiting = state.lots.values().any(|open| open.lot.waiting() > 0);
         let Some(open) = state.lots.get_mut(&work.lot) else {
@@ -82,7 +82,7 @@
         };
         let events = open.drafts[work.at].last.unwrap_or_default();
         let oldest = work.oldest_version;
-        if waiting || fleet.better(now, key, oldest, events).is_none() {
+        if waiting || fleet.move_target(now, key, oldest, events).is_none() {
             return false;
         }
         let recent = open.moved.get(&work.at);
@@ -97,7 +97,7 @@
     pub(super) fn patience(&self, work: &Work, key: EngineKey) -> Duration {
         let state = self.state.borrow();
         let fleet = state.fleets.get(&work.fleet);
-        fleet.map_or(Duration::MAX, |fleet| fleet.patience(key))
+        fleet.map_or(Duration::MAX, |fleet| fleet.stall_timeout(key))
     }
 
     /// Waits until a run at an engine is lost, since that has started again.
@@ -107,7 +107,7 @@
             let lost = {
                 let state = self.state.borrow();
                 let fleet = state.fleets.get(fleet);
-                fleet.is_some_and(|fleet| fleet.has_lost(key))
+                fleet.is_some_and(|fleet| fleet.has_restarted(key))
             };
             if lost || restarts.changed().await.is_err() {
                 return;
@@ -119,7 +119,7 @@
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
-            fleet.ended(now, key, halt);
+            fleet.run_ended(now, key, halt);
         }
         drop(state);
         self.wake.notify_one();
@@ -129,7 +129,7 @@
     pub(super) fn doubt_ended(&self, fleet: &FleetName, key: EngineKey) {
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
-            fleet.doubt_ended(key);
+            fleet.suspect_run_ended(key);
         }
     }
 
--- a/crates/pinereel_core/src/batch/demand.rs
+++ b/crates/pinereel_core/src/batch/demand.rs
@@ -58,7 +58,9 @@
 }
 
 fn recent(samples: &VecDeque<(Time, u64)>, now: Time) -> impl Iterator<Item = u64> + Clone {
-    let recent = samples.iter().filter(move |(at, _)| now.since(*at) < WINDOW_LENGTH);
+    let recent = samples
+        .iter()
+        .filter(move |(at, _)| now.since(*at) < WINDOW_LENGTH);
     recent.map(|(_, value)| *value)
 }
 
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -49,27 +49,27 @@
     /// What the list says of it.
     pub listing: Listing,
     /// Runs there.
-    pub runs: u32,
+    pub active_runs: u32,
     /// Moving average of the time between two events of a run, in milliseconds; none before the first.
     pub event_interval_ms: Option<f64>,
     /// Gaps that the pace rests on.
     pub(super) interval_samples: u32,
     /// Breaks in a row.
-    pub(super) breaks: u32,
+    pub(super) consecutive_failures: u32,
     /// No new run before.
-    pub(super) not_before: Time,
+    pub(super) backoff_until: Time,
     /// Its last run was refused or broke: one run tries it before others follow.
-    pub(super) suspect: bool,
+    pub(super) probe_needed: bool,
     /// No longer listed; kept until its last run ends.
-    pub(super) gone: bool,
+    pub(super) delisted: bool,
     /// It has started again: its runs are lost.
     pub(super) restarted: bool,
     /// Runs there of items that endpoints may have crashed under.
-    pub(super) doubted: u32,
+    pub(super) suspect_runs: u32,
     /// Whether one of them has a last chance.
-    pub(super) last_chance: bool,
+    pub(super) has_isolated_run: bool,
     /// When a run last began there.
-    pub(super) last_began: Time,
+    pub(super) last_run_started: Time,
     /// Kept free until then for an item with a last chance.
     pub(super) reserved_until: Time,
 }
@@ -78,53 +78,59 @@
     pub(super) const fn new(listing: Listing) -> Self {
         Self {
             listing,
-            runs: 0,
+            active_runs: 0,
             event_interval_ms: None,
             interval_samples: 0,
-            breaks: 0,
-            not_before: Time::ZERO,
-            suspect: false,
-            gone: false,
+            consecutive_failures: 0,
+            backoff_until: Time::ZERO,
+            probe_needed: false,
+            delisted: false,
             restarted: false,
-            doubted: 0,
-            last_chance: false,
-            last_began: Time::ZERO,
+            suspect_runs: 0,
+            has_isolated_run: false,
+            last_run_started: Time::ZERO,
             reserved_until: Time::ZERO,
         }
     }
 
     /// Milliseconds an event; of an engine that has made none yet, what is `usual` in its fleet.
     pub(super) fn estimated_interval_ms(&self, fleet_average: Option<f64>) -> f64 {
-        self.event_interval_ms.or(fleet_average).unwrap_or(DEFAULT_EVENT_INTERVAL_MS)
+        self.event_interval_ms
+            .or(fleet_average)
+            .unwrap_or(DEFAULT_EVENT_INTERVAL_MS)
     }
 
     /// Whether one run has to try it before others follow.
-    pub const fn is_suspect(&self) -> bool {
-        self.suspect
+    pub const fn needs_probe(&self) -> bool {
+        self.probe_needed
     }
 
-    pub(super) fn takes(&self, now: Time, oldest_version: u64) -> bool {
+    pub(super) fn accepts(&self, now: Time, oldest_version: u64) -> bool {
         let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
-        let slots = if self.suspect { 1 } else { self.listing.slots };
-        let free = self.runs < slots;
-        !self.gone && !self.listing.leaving && fits && free && now >= self.not_before
+        let slots = if self.probe_needed {
+            1
+        } else {
+            self.listing.slots
+        };
+        let free = self.active_runs < slots;
+        !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
     }
 
     /// Whether an item that so many endpoints have crashed under may run beside those that run there. One in doubt is the
     /// only such one, and with a last chance nothing else begins beside it: so a crash tells which was to blame.
-    pub(super) fn admits(&self, now: Time, doubts: usize) -> bool {
-        let is_kept_free = self.last_chance || now < self.reserved_until;
-        match doubts {
-            0 => !is_kept_free,
-            doubts if doubts >= LAST_CHANCE => {
-                self.doubted == 0 && now.since(self.last_began) >= FRESH_RUN
+    pub(super) fn admits(&self, now: Time, crash_count: usize) -> bool {
+        let is_reserved = self.has_isolated_run || now < self.reserved_until;
+        match crash_count {
+            0 => !is_reserved,
+            crash_count if crash_count >= LAST_CHANCE => {
+                self.suspect_runs == 0 && now.since(self.last_run_started) >= FRESH_RUN
             }
-            _ => self.doubted == 0 && !is_kept_free,
+            _ => self.suspect_runs == 0 && !is_reserved,
         }
     }
 
     pub(super) fn cost(&self, fleet_average: Option<f64>) -> f64 {
-        let load = f64::from(self.runs) / f64::from(self.listing.slots.max(1));
+        let load = f64::from(self.active_runs) / f64::from(self.listing.slots.max(1));
         self.estimated_interval_ms(fleet_average) * (1.0 + FULL_LOAD_PENALTY * load)
     }
 }
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -12,7 +12,7 @@
 mod lot;
 
 pub use demand::{DemandWindow, LotDemand};
-pub use engine::{Engine, RunOutcome, Listing};
-pub use fleet::{Fleet, EngineKey};
+pub use engine::{Engine, Listing, RunOutcome};
+pub use fleet::{EngineKey, Fleet};
 pub use ledger::{Gap, Ledger};
 pub use lot::{Failure, Fate, Lot, USUAL_LENGTH};
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    batch::{Fleet, RunOutcome, EngineKey, Listing},
+    batch::{EngineKey, Fleet, Listing, RunOutcome},
 };
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 
 fn fleet(count: u16) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.sync((0..count).map(|number| listing(number, 5)));
+    fleet.update((0..count).map(|number| listing(number, 5)));
     fleet
 }
 
@@ -35,7 +35,7 @@
 fn set_interval(fleet: &mut Fleet, id: &str, millis: u64) {
     let key = key(fleet, id);
     for _ in 0..80 {
-        fleet.made(key, Duration::from_millis(millis));
+        fleet.event_received(key, Duration::from_millis(millis));
     }
 }
 
@@ -44,9 +44,9 @@
     let mut fleet = fleet(4);
     for _ in 0..32 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
-    let runs: Vec<_> = fleet.iter().map(|(_, e)| e.runs).collect();
+    let runs: Vec<_> = fleet.iter().map(|(_, e)| e.active_runs).collect();
     assert_eq!(runs, [8, 8, 8, 8]);
     assert_eq!(fleet.pick(NOW, 5, None), None);
 }
@@ -62,7 +62,7 @@
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
         assert_ne!(key, slow);
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
     assert_eq!(fleet.pick(NOW, 5, None), Some(slow));
 }
@@ -74,7 +74,7 @@
         leaving: true,
         ..listing(1, 9)
     };
-    fleet.sync([listing(0, 3), leaving]);
+    fleet.update([listing(0, 3), leaving]);
     assert_eq!(fleet.pick(NOW, 4, None), None);
     assert_eq!(fleet.pick(NOW, 3, None), Some(key(&fleet, "engine-0")));
 }
@@ -85,25 +85,33 @@
     set_interval(&mut fleet, "engine-0", 60);
     set_interval(&mut fleet, "engine-1", 46);
     let (slow, fast) = (key(&fleet, "engine-0"), key(&fleet, "engine-1"));
-    assert_eq!(fleet.better(NOW, slow, 5, 3), None, "it may be over soon");
-    assert_eq!(fleet.better(NOW, slow, 5, 30), Some(fast), "a long run");
-    assert_eq!(fleet.better(NOW, fast, 5, 30), None);
+    assert_eq!(
+        fleet.move_target(NOW, slow, 5, 3),
+        None,
+        "it may be over soon"
+    );
+    assert_eq!(
+        fleet.move_target(NOW, slow, 5, 30),
+        Some(fast),
+        "a long run"
+    );
+    assert_eq!(fleet.move_target(NOW, fast, 5, 30), None);
     set_interval(&mut fleet, "engine-0", 160);
-    assert_eq!(fleet.better(NOW, slow, 5, 3), Some(fast), "far slower");
+    assert_eq!(fleet.move_target(NOW, slow, 5, 3), Some(fast), "far slower");
 }
 
 #[test]
 fn an_engine_that_refused_is_tried_by_one_run_after_a_pause() {
     let mut fleet = fleet(1);
     let only = key(&fleet, "engine-0");
-    fleet.started(NOW, only, 0);
-    fleet.ended(NOW, only, RunOutcome::Rejected);
+    fleet.run_started(NOW, only, 0);
+    fleet.run_ended(NOW, only, RunOutcome::Rejected);
     assert_eq!(fleet.pick(NOW, 5, None), None);
     let later = NOW + Duration::from_millis(200);
     assert_eq!(fleet.pick(later, 5, None), Some(only));
-    fleet.started(NOW, only, 0);
+    fleet.run_started(NOW, only, 0);
     assert_eq!(fleet.pick(later, 5, None), None);
-    fleet.began(only);
+    fleet.first_event_received(only);
     assert_eq!(fleet.pick(later, 5, None), Some(only));
 }
 
@@ -114,8 +122,8 @@
     let mut now = NOW;
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        fleet.started(now, only, 0);
-        fleet.ended(now, only, RunOutcome::Failed);
+        fleet.run_started(now, only, 0);
+        fleet.run_ended(now, only, RunOutcome::Failed);
         let mut pause = 0;
         while fleet.pick(now, 5, None).is_none() {
             now = now + Duration::from_millis(100);
@@ -130,11 +138,11 @@
 fn an_engine_that_left_the_list_is_forgotten_with_its_last_run() {
     let mut fleet = fleet(1);
     let gone = key(&fleet, "engine-0");
-    fleet.started(NOW, gone, 0);
-    fleet.sync([listing(1, 5)]);
+    fleet.run_started(NOW, gone, 0);
+    fleet.update([listing(1, 5)]);
     assert!(fleet.get(gone).is_some());
     assert_eq!(fleet.pick(NOW, 5, None), Some(key(&fleet, "engine-1")));
-    fleet.ended(NOW, gone, RunOutcome::Finished);
+    fleet.run_ended(NOW, gone, RunOutcome::Finished);
     assert!(fleet.get(gone).is_none());
 }
 
@@ -143,25 +151,33 @@
 fn an_engine_that_starts_again_is_a_new_one() {
     let mut fleet = fleet(2);
     let before = key(&fleet, "engine-0");
-    fleet.started(NOW, before, 0);
-    fleet.started(NOW, before, 0);
-    fleet.ended(NOW, before, RunOutcome::Failed);
-    assert!(fleet.get(before).expect("listed").is_suspect());
+    fleet.run_started(NOW, before, 0);
+    fleet.run_started(NOW, before, 0);
+    fleet.run_ended(NOW, before, RunOutcome::Failed);
+    assert!(fleet.get(before).expect("listed").needs_probe());
     let again = Listing {
         incarnation: 2,
         ..listing(0, 5)
     };
-    assert!(!fleet.has_lost(before));
-    assert!(fleet.sync([again.clone(), listing(1, 5)]), "a run is lost");
-    assert!(fleet.has_lost(before));
+    assert!(!fleet.has_restarted(before));
+    assert!(
+        fleet.update([again.clone(), listing(1, 5)]),
+        "a run is lost"
+    );
+    assert!(fleet.has_restarted(before));
     let after = key(&fleet, "engine-0");
     assert_ne!(before, after);
-    assert_eq!(fleet.get(after).map(|e| (e.runs, e.event_interval_ms)), Some((0, None)));
-    assert!(!fleet.get(after).expect("listed").is_suspect());
+    assert_eq!(
+        fleet
+            .get(after)
+            .map(|e| (e.active_runs, e.event_interval_ms)),
+        Some((0, None))
+    );
+    assert!(!fleet.get(after).expect("listed").needs_probe());
     // What ends late there says nothing about it.
-    fleet.ended(NOW, before, RunOutcome::Failed);
-    assert!(!fleet.get(after).expect("listed").is_suspect());
-    assert!(!fleet.sync([again, listing(1, 5)]), "nothing new");
+    fleet.run_ended(NOW, before, RunOutcome::Failed);
+    assert!(!fleet.get(after).expect("listed").needs_probe());
+    assert!(!fleet.update([again, listing(1, 5)]), "nothing new");
 }
 
 /// Load pattern: an engine crashed and took 8 items along; they come again beside others. When they ran together, the next
@@ -169,15 +185,15 @@
 #[test]
 fn one_item_in_doubt_runs_at_an_engine() {
     let mut fleet = fleet(2);
-    let first = fleet.pick_in_doubt(NOW, 5, 1).expect("a free slot");
-    fleet.started(NOW, first, 1);
-    let second = fleet.pick_in_doubt(NOW, 5, 1).expect("a free slot");
+    let first = fleet.pick_for_item(NOW, 5, 1).expect("a free slot");
+    fleet.run_started(NOW, first, 1);
+    let second = fleet.pick_for_item(NOW, 5, 1).expect("a free slot");
     assert_ne!(first, second);
-    fleet.started(NOW, second, 1);
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 1), None);
+    fleet.run_started(NOW, second, 1);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 1), None);
     assert!(fleet.pick(NOW, 5, None).is_some(), "others run beside it");
-    fleet.doubt_ended(first);
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 1), Some(first));
+    fleet.suspect_run_ended(first);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 1), Some(first));
 }
 
 /// Load pattern: engines are full, and an item has a last chance. An engine is kept free for it, and nothing begins beside
@@ -187,24 +203,24 @@
     let mut fleet = fleet(2);
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 2), None);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 2), None);
     fleet.reserve(NOW, 5);
     let later = NOW + Duration::from_millis(400);
     let keys: Vec<_> = fleet.iter().map(|(key, _)| key).collect();
     for key in &keys {
-        fleet.ended(later, *key, RunOutcome::Finished);
+        fleet.run_ended(later, *key, RunOutcome::Finished);
     }
     let others = fleet.pick(later, 5, None).expect("the other engine");
-    fleet.started(later, others, 0);
+    fleet.run_started(later, others, 0);
     assert_eq!(fleet.pick(later, 5, None), None, "one is kept free");
-    let alone = fleet.pick_in_doubt(later, 5, 2).expect("the one kept free");
+    let alone = fleet.pick_for_item(later, 5, 2).expect("the one kept free");
     assert_ne!(alone, others);
-    fleet.started(later, alone, 2);
-    fleet.ended(later, alone, RunOutcome::Finished);
+    fleet.run_started(later, alone, 2);
+    fleet.run_ended(later, alone, RunOutcome::Finished);
     assert_eq!(fleet.pick(later, 5, None), None, "nothing begins beside it");
-    fleet.doubt_ended(alone);
+    fleet.suspect_run_ended(alone);
     assert_eq!(fleet.pick(later, 5, None), Some(alone));
 }
 
@@ -214,12 +230,12 @@
     let mut fleet = fleet(3);
     set_interval(&mut fleet, "engine-0", 46);
     set_interval(&mut fleet, "engine-1", 150);
-    let patience = |id: &str| fleet.patience(key(&fleet, id));
-    assert_eq!(patience("engine-0"), Duration::from_millis(500));
-    let slow = patience("engine-1").as_millis();
+    let stall_timeout = |id: &str| fleet.stall_timeout(key(&fleet, id));
+    assert_eq!(stall_timeout("engine-0"), Duration::from_millis(500));
+    let slow = stall_timeout("engine-1").as_millis();
     assert!((1_000..=1_200).contains(&slow), "{slow}");
     assert_eq!(
-        patience("engine-2"),
+        stall_timeout("engine-2"),
         Duration::from_millis(1_500),
         "nothing known"
     );
@@ -235,18 +251,18 @@
         let runs: Vec<_> = (0..engines / 4)
             .map(|_| {
                 let key = fleet.pick(now, 1, None).expect("there is room");
-                fleet.started(now, key, 0);
+                fleet.run_started(now, key, 0);
                 key
             })
             .collect();
         for _ in 0..20 {
             for key in &runs {
-                fleet.made(*key, Duration::from_millis(74));
+                fleet.event_received(*key, Duration::from_millis(74));
             }
         }
         let moves = runs
             .iter()
-            .filter(|key| fleet.better(now, **key, 1, 20).is_some());
+            .filter(|key| fleet.move_target(now, **key, 1, 20).is_some());
         assert_eq!(moves.count(), 0, "of {engines} engines");
     }
 }
