--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -123,7 +123,7 @@
         log::info!(
             id = id.as_str(),
             items = submission.items.len(),
-            listed = lot.ledger().next(),
+            listed = lot.committed().next_position(),
             oldest_version = oldest,
             texts_reused = reused;
             "lot opened"
@@ -227,7 +227,7 @@
         let drafts = std::mem::take(&mut open.drafts);
         for (at, draft) in drafts.into_iter().enumerate() {
             let item = &open.submission.items[at];
-            if open.lot.ledger().contains(&item.id) {
+            if open.lot.committed().contains(&item.id) {
                 continue;
             }
             let name = record::name(&open.caller, &item.id);
@@ -243,7 +243,7 @@
         log::info!(
             id = id.as_str(),
             why,
-            listed = open.lot.ledger().next(),
+            listed = open.lot.committed().next_position(),
             items = open.lot.total(),
             running = open.tasks.len(),
             ms = open.opened.elapsed().as_millis() as u64;
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -165,9 +165,10 @@
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
         let samples = first_segment(open.lot.unlisted());
-        let all = open.lot.ledger().next() + open.lot.unlisted().len() >= open.lot.total();
+        let all =
+            open.lot.committed().next_position() + open.lot.unlisted().len() >= open.lot.total();
         Some(Pending {
-            from: open.lot.ledger().next(),
+            from: open.lot.committed().next_position(),
             total: open.lot.total(),
             urgent: self.draining.get()
                 || all
--- a/crates/pinereel_core/src/batch/ledger.rs
+++ b/crates/pinereel_core/src/batch/committed.rs
@@ -6,10 +6,10 @@
 
 /// A segment came before one that it follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a segment came for position {given} while {expected} is the next")]
+#[error("a segment came for position {found} while {expected} is the next")]
 pub struct Gap {
     /// Position of the segment's first sample.
-    pub given: usize,
+    pub found: usize,
     /// The first position that is not known yet.
     pub expected: usize,
 }
@@ -19,19 +19,19 @@
 /// A segment is named by the position of its first sample. Two writers that know the same
 /// committed results use the same name, so that only one of them can create it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ledger {
+pub struct Committed {
     samples: Vec<Sample>,
     positions: BTreeMap<CompactString, usize>,
 }
 
-impl Ledger {
+impl Committed {
     /// The committed samples, by position.
     pub fn samples(&self) -> &[Sample] {
         &self.samples
     }
 
     /// The first position that is not committed; the next segment begins there.
-    pub fn next(&self) -> usize {
+    pub fn next_position(&self) -> usize {
         self.samples.len()
     }
 
@@ -44,14 +44,14 @@
     ///
     /// # Errors
     /// A segment before it is missing: read that one first.
-    pub fn adopt(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
-        if from < self.next() {
+    pub fn append(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
+        if from < self.next_position() {
             return Ok(());
         }
-        if from > self.next() {
+        if from > self.next_position() {
             return Err(Gap {
-                given: from,
-                expected: self.next(),
+                found: from,
+                expected: self.next_position(),
             });
         }
         for sample in samples {
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -1,6 +1,6 @@
 //! What is still to be done of a lot.
 
-use super::{Gap, Ledger};
+use super::{Committed, Gap};
 use compact_str::CompactString;
 use pinereel_port::lot::{Sample, Submission};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
     index: BTreeMap<CompactString, usize>,
     groups: Vec<Group>,
     wanted_groups: usize,
-    ledger: Ledger,
+    committed: Committed,
     /// Finished and not committed, in order of their ends.
     unlisted: Vec<Sample>,
 }
@@ -106,7 +106,7 @@
             index,
             groups,
             wanted_groups: submission.wanted_groups,
-            ledger: Ledger::default(),
+            committed: Committed::default(),
             unlisted: Vec::new(),
         }
     }
@@ -117,8 +117,8 @@
     }
 
     /// What is committed.
-    pub const fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub const fn committed(&self) -> &Committed {
+        &self.committed
     }
 
     /// Items that wait for an engine.
@@ -186,18 +186,18 @@
     /// # Errors
     /// A segment before it is missing.
     pub fn list(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
-        let known = from < self.ledger.next();
+        let known = from < self.committed.next_position();
         let ids: Vec<_> = samples.iter().map(|s| s.item.clone()).collect();
-        self.ledger.adopt(from, samples)?;
+        self.committed.append(from, samples)?;
         if known {
             return Ok(());
         }
         for id in ids {
             self.note_listed(&id);
         }
-        let ledger = &self.ledger;
+        let committed = &self.committed;
         self.unlisted
-            .retain(|sample| !ledger.contains(&sample.item));
+            .retain(|sample| !committed.contains(&sample.item));
         Ok(())
     }
 
@@ -219,7 +219,7 @@
 
     /// Whether every item is listed.
     pub fn is_complete(&self) -> bool {
-        self.ledger.samples().len() >= self.items.len()
+        self.committed.samples().len() >= self.items.len()
     }
 
     /// Whether the trainer has all that it waits for once `unlisted` is committed: then it should
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -5,14 +5,14 @@
 //! many instances believe that they run the lot. [`Ledger`] holds what is committed; [`Lot`] holds
 //! what is still to be done; [`Fleet`] picks the engines that do it.
 
+mod committed;
 mod demand;
 mod engine;
 mod fleet;
-mod ledger;
 mod lot;
 
+pub use committed::{Committed, Gap};
 pub use demand::{DemandWindow, LotDemand};
 pub use engine::{Engine, Listing, RunOutcome};
 pub use fleet::{EngineKey, Fleet};
-pub use ledger::{Gap, Ledger};
 pub use lot::{Failure, Fate, Lot, USUAL_LENGTH};
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -1,7 +1,7 @@
 //! A lot's items on their way to fixed positions, with one runner and with several.
 
 use compact_str::{CompactString, format_compact};
-use pinereel_core::batch::{Failure, Fate, Ledger, Lot};
+use pinereel_core::batch::{Committed, Failure, Fate, Lot};
 use pinereel_port::lot::{Item, Made, Sample, Submission};
 use proptest::{prelude::*, test_runner::Config};
 use rand::{Rng as _, SeedableRng as _};
@@ -95,12 +95,15 @@
 
 #[test]
 fn a_segment_that_leaves_a_gap_is_refused() {
-    let mut ledger = Ledger::default();
-    ledger.adopt(0, vec![sample("a", "x")]).unwrap();
-    assert!(ledger.adopt(2, vec![sample("b", "x")]).is_err());
+    let mut committed = Committed::default();
+    committed.append(0, vec![sample("a", "x")]).unwrap();
+    assert!(committed.append(2, vec![sample("b", "x")]).is_err());
     // Seen again, it changes nothing.
-    ledger.adopt(0, vec![sample("c", "x")]).unwrap();
-    assert_eq!((ledger.next(), ledger.contains("c")), (1, false));
+    committed.append(0, vec![sample("c", "x")]).unwrap();
+    assert_eq!(
+        (committed.next_position(), committed.contains("c")),
+        (1, false)
+    );
 }
 
 /// The store's side of a lot: segments that are created only if they do not exist.
@@ -158,7 +161,7 @@
         }
         let count = rng.random_range(1..=unlisted.len().min(4));
         let samples = unlisted[..count].to_vec();
-        let from = self.lot.ledger().next();
+        let from = self.lot.committed().next_position();
         match rng.random_range(0..10) {
             // The request is lost, or carried out at some later time.
             0 => {}
@@ -176,7 +179,7 @@
     }
 
     fn look(&mut self, store: &Store) {
-        let from = self.lot.ledger().next();
+        let from = self.lot.committed().next_position();
         if let Some(samples) = store.segments.get(&from) {
             self.lot
                 .list(from, samples.clone())
