--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -5,7 +5,7 @@
     runner::Runner,
     state::{Draft, FleetName, Work},
 };
-use pinereel_core::batch::{EngineKey, Failure, Fate, RunOutcome};
+use pinereel_core::batch::{EngineKey, Failure, RetryDecision, RunOutcome};
 use pinereel_port::lot::{Event, Item, Sample};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -133,22 +133,32 @@
         }
     }
 
-    pub(super) fn run_failed(&self, work: &Work, failure: Failure, max_attempts: u32) -> Fate {
+    pub(super) fn run_failed(
+        &self,
+        work: &Work,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
         let fate = match state.lots.get_mut(&work.lot) {
             Some(open) => open.lot.run_failed(work.at, failure, max_attempts),
-            None => Fate::Again,
+            None => RetryDecision::Retry,
         };
         drop(state);
         self.wake.notify_one();
         fate
     }
 
-    pub(super) fn score_failed(&self, work: &Work, failure: Failure, max_attempts: u32) -> Fate {
+    pub(super) fn score_failed(
+        &self,
+        work: &Work,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
         match state.lots.get_mut(&work.lot) {
             Some(open) => open.lot.score_failed(work.at, failure, max_attempts),
-            None => Fate::Again,
+            None => RetryDecision::Retry,
         }
     }
 
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -7,7 +7,7 @@
     stream::{Break, End, Place, identity, stream},
 };
 use pinereel_core::{
-    batch::{Failure, Fate, RunOutcome},
+    batch::{Failure, RetryDecision, RunOutcome},
     crash::LAST_CHANCE,
 };
 use pinereel_port::{
@@ -75,7 +75,7 @@
         End::Impossible => Failure::Impossible,
         End::Refused | End::Broken(_) | End::Left | End::Outdated => Failure::Interrupted,
     };
-    if runner.run_failed(work, failure, route.max_attempts) == Fate::GivenUp {
+    if runner.run_failed(work, failure, route.max_attempts) == RetryDecision::GiveUp {
         give_up(runner, work, item, "its engine refuses it or fails on it");
     }
 }
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -7,7 +7,7 @@
     header::{HOST, HeaderMap, HeaderValue},
 };
 use compact_str::CompactString;
-use pinereel_core::batch::{Failure, Fate};
+use pinereel_core::batch::{Failure, RetryDecision};
 use pinereel_port::lot::Scorer;
 use std::{
     cell::{Cell, OnceCell},
@@ -83,7 +83,7 @@
             Outcome::Answer(answer) if answer.status.as_u16() == 500 => Failure::Failed,
             _ => Failure::Interrupted,
         };
-        if runner.score_failed(work, failure, max_attempts) == Fate::GivenUp {
+        if runner.score_failed(work, failure, max_attempts) == RetryDecision::GiveUp {
             return None;
         }
         if failure == Failure::Interrupted {
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -18,11 +18,11 @@
 
 /// What becomes of an item after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RetryDecision {
     /// It is tried again.
-    Again,
+    Retry,
     /// It is given up and listed so.
-    GivenUp,
+    GiveUp,
 }
 
 /// Where an item stands.
@@ -149,21 +149,26 @@
     }
 
     /// A run ended without a result.
-    pub fn run_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> Fate {
+    pub fn run_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> RetryDecision {
         let item = &mut self.items[at];
         if item.phase != Phase::Running {
-            return Fate::Again;
+            return RetryDecision::Retry;
         }
         item.failed_runs += u32::from(failure == Failure::Failed);
         item.phase = Phase::Waiting;
-        fate(failure, item.failed_runs, max_attempts)
+        retry_decision(failure, item.failed_runs, max_attempts)
     }
 
     /// A scoring ended without a score.
-    pub fn score_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> Fate {
+    pub fn score_failed(
+        &mut self,
+        at: usize,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
         let item = &mut self.items[at];
         item.failed_scores += u32::from(failure == Failure::Failed);
-        fate(failure, item.failed_scores, max_attempts)
+        retry_decision(failure, item.failed_scores, max_attempts)
     }
 
     /// An item is done, with a text or given up.
@@ -240,10 +245,10 @@
     }
 }
 
-const fn fate(failure: Failure, failures: u32, max_attempts: u32) -> Fate {
+const fn retry_decision(failure: Failure, failures: u32, max_attempts: u32) -> RetryDecision {
     match failure {
-        Failure::Impossible => Fate::GivenUp,
-        Failure::Failed if failures >= max_attempts => Fate::GivenUp,
-        Failure::Failed | Failure::Interrupted => Fate::Again,
+        Failure::Impossible => RetryDecision::GiveUp,
+        Failure::Failed if failures >= max_attempts => RetryDecision::GiveUp,
+        Failure::Failed | Failure::Interrupted => RetryDecision::Retry,
     }
 }
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -1,7 +1,7 @@
 //! A lot's items on their way to fixed positions, with one runner and with several.
 
 use compact_str::{CompactString, format_compact};
-use pinereel_core::batch::{Committed, Failure, Fate, Lot};
+use pinereel_core::batch::{Committed, Failure, Lot, RetryDecision};
 use pinereel_port::lot::{Item, Made, Sample, Submission};
 use proptest::{prelude::*, test_runner::Config};
 use rand::{Rng as _, SeedableRng as _};
@@ -55,12 +55,18 @@
     let mut lot = Lot::new(&submission(1, 3, 1), &BTreeSet::new());
     let at = lot.start().unwrap();
     for failure in [Failure::Interrupted, Failure::Failed, Failure::Interrupted] {
-        assert_eq!(lot.run_failed(at, failure, 2), Fate::Again);
+        assert_eq!(lot.run_failed(at, failure, 2), RetryDecision::Retry);
         assert_eq!(lot.start(), Some(at));
     }
-    assert_eq!(lot.run_failed(at, Failure::Failed, 2), Fate::GivenUp);
+    assert_eq!(
+        lot.run_failed(at, Failure::Failed, 2),
+        RetryDecision::GiveUp
+    );
     let other = lot.start().unwrap();
-    assert_eq!(lot.run_failed(other, Failure::Impossible, 2), Fate::GivenUp);
+    assert_eq!(
+        lot.run_failed(other, Failure::Impossible, 2),
+        RetryDecision::GiveUp
+    );
 }
 
 #[test]
