--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    batch::{DemandWindow, Lot, USUAL_LENGTH},
+    batch::{DEFAULT_LENGTH_TOKENS, DemandWindow, Lot},
 };
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -104,7 +104,8 @@
         let again = again.filter(|id| state.known.contains(&record::name(&caller, id)));
         let mut lot = Lot::new(&submission, &again.cloned().collect());
         for object in &objects {
-            let adopted = segment(object).map(|(from, segment)| lot.list(from, segment.samples));
+            let adopted =
+                segment(object).map(|(from, segment)| lot.add_segment(from, segment.samples));
             match adopted {
                 Ok(Ok(())) => {}
                 Ok(Err(gap)) => log::error!(id = id.as_str(); "{gap}"),
@@ -166,7 +167,7 @@
     fn note_demand(&self, state: &mut State, open: &Open) {
         let items = &open.submission.items;
         let hints = items.iter().map(|item| item.length_hint);
-        let tokens = hints.map(|hint| u64::from(hint.unwrap_or(USUAL_LENGTH)));
+        let tokens = hints.map(|hint| u64::from(hint.unwrap_or(DEFAULT_LENGTH_TOKENS)));
         self.add_demand(state, &open.model, |asked, now| {
             asked.record_lot(now, items.len() as u64, tokens.sum());
         });
@@ -179,7 +180,7 @@
         let Some(open) = state.lots.get(&id) else {
             return;
         };
-        let (model, waiting) = (open.model.clone(), open.lot.waiting());
+        let (model, waiting) = (open.model.clone(), open.lot.queued());
         self.add_demand(&mut state, &model, |asked, now| {
             asked.record_unplaced(now, waiting as u64);
         });
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -103,7 +103,10 @@
     /// Items that could not be started at the last look may be now.
     fn release(&self) {
         let mut state = self.state.borrow_mut();
-        state.lots.values_mut().for_each(|open| open.lot.release());
+        state
+            .lots
+            .values_mut()
+            .for_each(|open| open.lot.requeue_deferred());
     }
 
     /// How many endpoints have crashed under an item; none if it must not run any more.
@@ -130,7 +133,7 @@
             let pick = |doubts| fleet.pick_for_item(now, oldest_version, doubts);
             match doubts.zip(doubts.and_then(pick)) {
                 Some((doubts, key)) => return Some((at, key, doubts)),
-                None => open.lot.hold(at),
+                None => open.lot.defer(at),
             }
             if doubts.is_some_and(|doubts| doubts >= LAST_CHANCE) {
                 fleet.reserve(now, oldest_version);
@@ -155,7 +158,7 @@
             let Some(open) = state.lots.get_mut(&id) else {
                 continue;
             };
-            if open.lot.waiting() == 0 {
+            if open.lot.queued() == 0 {
                 continue;
             }
             let (Some(route), Some(name)) = (self.route(open), self.fleet(open)) else {
@@ -210,7 +213,7 @@
                 continue;
             }
             for at in 0..open.lot.total() {
-                if !open.lot.is_done(at) {
+                if !open.lot.is_finished(at) {
                     let item = open.submission.items[at].id.clone();
                     open.lot.finish(at, Sample { item, made: None });
                     ended.extend(open.tasks.remove(&at));
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -76,7 +76,7 @@
             Some(gap) => fleet.event_received(key, gap),
             None => fleet.first_event_received(key),
         }
-        let waiting = state.lots.values().any(|open| open.lot.waiting() > 0);
+        let waiting = state.lots.values().any(|open| open.lot.queued() > 0);
         let Some(open) = state.lots.get_mut(&work.lot) else {
             return false;
         };
@@ -174,16 +174,16 @@
     pub(super) fn pending(&self, lot: &str) -> Option<Pending> {
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
-        let samples = first_segment(open.lot.unlisted());
+        let samples = first_segment(open.lot.uncommitted());
         let all =
-            open.lot.committed().next_position() + open.lot.unlisted().len() >= open.lot.total();
+            open.lot.committed().next_position() + open.lot.uncommitted().len() >= open.lot.total();
         Some(Pending {
             from: open.lot.committed().next_position(),
             total: open.lot.total(),
             urgent: self.draining.get()
                 || all
-                || open.lot.satisfies()
-                || samples.len() < open.lot.unlisted().len(),
+                || open.lot.will_satisfy_trainer()
+                || samples.len() < open.lot.uncommitted().len(),
             samples,
         })
     }
@@ -197,13 +197,13 @@
             let Some(open) = state.lots.get_mut(lot) else {
                 return;
             };
-            if let Err(gap) = open.lot.list(from, samples) {
+            if let Err(gap) = open.lot.add_segment(from, samples) {
                 log::error!(id = lot; "{gap}");
             }
             // Another runner may have finished what still runs here.
             let done: Vec<_> = open.tasks.keys().copied().collect();
             for at in done {
-                if open.lot.is_done(at) {
+                if open.lot.is_finished(at) {
                     ended.extend(open.tasks.remove(&at));
                 }
             }
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -28,13 +28,13 @@
 /// Where an item stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Waiting,
+    Queued,
     /// Waits, and is not to be started now.
-    Held,
+    Deferred,
     Running,
     /// Finished, not committed yet.
-    Made,
-    Listed,
+    Finished,
+    Committed,
 }
 
 #[derive(Clone, Debug)]
@@ -46,68 +46,68 @@
     /// Scorings that ended in a failure of the scorer.
     failed_scores: u32,
     /// The smaller, the sooner.
-    rank: (bool, u32, usize),
+    priority: (bool, u32, usize),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Group {
     items: usize,
-    listed: usize,
+    committed_items: usize,
     /// Came again from an earlier step: the trainer waits for it in any case.
-    carried: bool,
+    resubmitted: bool,
 }
 
 /// One lot as its runner sees it.
 #[derive(Clone, Debug)]
 pub struct Lot {
     items: Vec<Item>,
-    index: BTreeMap<CompactString, usize>,
+    index_by_id: BTreeMap<CompactString, usize>,
     groups: Vec<Group>,
     wanted_groups: usize,
     committed: Committed,
     /// Finished and not committed, in order of their ends.
-    unlisted: Vec<Sample>,
+    uncommitted: Vec<Sample>,
 }
 
 /// Tokens of an item without an estimate of its length: about the middle.
-pub const USUAL_LENGTH: u32 = 500;
+pub const DEFAULT_LENGTH_TOKENS: u32 = 500;
 
 impl Lot {
     /// A lot of which nothing is done. `known` are ids of items of earlier lots.
-    pub fn new(submission: &Submission, known: &BTreeSet<CompactString>) -> Self {
-        let mut names: BTreeMap<&str, usize> = BTreeMap::new();
+    pub fn new(submission: &Submission, known_items: &BTreeSet<CompactString>) -> Self {
+        let mut group_by_name: BTreeMap<&str, usize> = BTreeMap::new();
         let mut groups: Vec<Group> = Vec::new();
         let mut items = Vec::new();
-        let mut index = BTreeMap::new();
-        for (at, item) in submission.items.iter().enumerate() {
-            let group = *names.entry(&item.group).or_insert_with(|| {
+        let mut index_by_id = BTreeMap::new();
+        for (index, item) in submission.items.iter().enumerate() {
+            let group = *group_by_name.entry(&item.group).or_insert_with(|| {
                 groups.push(Group::default());
                 groups.len() - 1
             });
             groups[group].items += 1;
-            groups[group].carried |= known.contains(&item.id);
-            index.insert(item.id.clone(), at);
+            groups[group].resubmitted |= known_items.contains(&item.id);
+            index_by_id.insert(item.id.clone(), index);
             items.push(Item {
                 group,
-                phase: Phase::Waiting,
+                phase: Phase::Queued,
                 failed_runs: 0,
                 failed_scores: 0,
-                rank: (true, 0, at),
+                priority: (true, 0, index),
             });
         }
-        for (item, sent) in items.iter_mut().zip(&submission.items) {
+        for (item, submitted) in items.iter_mut().zip(&submission.items) {
             // The longest first: what begins last should be short.
-            let length = sent.length_hint.unwrap_or(USUAL_LENGTH);
-            item.rank.0 = !groups[item.group].carried;
-            item.rank.1 = u32::MAX - length;
+            let length = submitted.length_hint.unwrap_or(DEFAULT_LENGTH_TOKENS);
+            item.priority.0 = !groups[item.group].resubmitted;
+            item.priority.1 = u32::MAX - length;
         }
         Self {
             items,
-            index,
+            index_by_id,
             groups,
             wanted_groups: submission.wanted_groups,
             committed: Committed::default(),
-            unlisted: Vec::new(),
+            uncommitted: Vec::new(),
         }
     }
 
@@ -122,75 +122,80 @@
     }
 
     /// Items that wait for an engine.
-    pub fn waiting(&self) -> usize {
-        let waiting = self.items.iter().filter(|i| i.phase == Phase::Waiting);
-        waiting.count()
+    pub fn queued(&self) -> usize {
+        let queued = self.items.iter().filter(|i| i.phase == Phase::Queued);
+        queued.count()
     }
 
     /// The item to start next, which counts as running from now on.
     pub fn start(&mut self) -> Option<usize> {
-        let waiting = self.items.iter().enumerate();
-        let (at, _) = waiting
-            .filter(|(_, item)| item.phase == Phase::Waiting)
-            .min_by_key(|(_, item)| item.rank)?;
-        self.items[at].phase = Phase::Running;
-        Some(at)
+        let queued = self.items.iter().enumerate();
+        let (index, _) = queued
+            .filter(|(_, item)| item.phase == Phase::Queued)
+            .min_by_key(|(_, item)| item.priority)?;
+        self.items[index].phase = Phase::Running;
+        Some(index)
     }
 
     /// An item that was to be started must wait until [`Lot::release`]: others go first.
-    pub fn hold(&mut self, at: usize) {
-        self.items[at].phase = Phase::Held;
+    pub fn defer(&mut self, index: usize) {
+        self.items[index].phase = Phase::Deferred;
     }
 
     /// Items that had to wait may be started again.
-    pub fn release(&mut self) {
-        let held = self.items.iter_mut().filter(|i| i.phase == Phase::Held);
-        held.for_each(|item| item.phase = Phase::Waiting);
+    pub fn requeue_deferred(&mut self) {
+        let deferred = self.items.iter_mut().filter(|i| i.phase == Phase::Deferred);
+        deferred.for_each(|item| item.phase = Phase::Queued);
     }
 
     /// A run ended without a result.
-    pub fn run_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> RetryDecision {
-        let item = &mut self.items[at];
+    pub fn run_failed(
+        &mut self,
+        index: usize,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
+        let item = &mut self.items[index];
         if item.phase != Phase::Running {
             return RetryDecision::Retry;
         }
         item.failed_runs += u32::from(failure == Failure::Failed);
-        item.phase = Phase::Waiting;
+        item.phase = Phase::Queued;
         retry_decision(failure, item.failed_runs, max_attempts)
     }
 
     /// A scoring ended without a score.
     pub fn score_failed(
         &mut self,
-        at: usize,
+        index: usize,
         failure: Failure,
         max_attempts: u32,
     ) -> RetryDecision {
-        let item = &mut self.items[at];
+        let item = &mut self.items[index];
         item.failed_scores += u32::from(failure == Failure::Failed);
         retry_decision(failure, item.failed_scores, max_attempts)
     }
 
     /// An item is done, with a text or given up.
-    pub fn finish(&mut self, at: usize, sample: Sample) {
-        let item = &mut self.items[at];
-        if matches!(item.phase, Phase::Made | Phase::Listed) {
+    pub fn finish(&mut self, index: usize, sample: Sample) {
+        let item = &mut self.items[index];
+        if matches!(item.phase, Phase::Finished | Phase::Committed) {
             return;
         }
-        item.phase = Phase::Made;
-        self.unlisted.push(sample);
+        item.phase = Phase::Finished;
+        self.uncommitted.push(sample);
     }
 
     /// What the next segment should hold.
-    pub fn unlisted(&self) -> &[Sample] {
-        &self.unlisted
+    pub fn uncommitted(&self) -> &[Sample] {
+        &self.uncommitted
     }
 
     /// Takes over a segment that stands in the store, of this runner or of another one.
     ///
     /// # Errors
     /// A segment before it is missing.
-    pub fn list(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
+    pub fn add_segment(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
         let known = from < self.committed.next_position();
         let ids: Vec<_> = samples.iter().map(|s| s.item.clone()).collect();
         self.committed.append(from, samples)?;
@@ -198,28 +203,28 @@
             return Ok(());
         }
         for id in ids {
-            self.note_listed(&id);
+            self.mark_committed(&id);
         }
         let committed = &self.committed;
-        self.unlisted
+        self.uncommitted
             .retain(|sample| !committed.contains(&sample.item));
         Ok(())
     }
 
-    fn note_listed(&mut self, id: &str) {
-        let Some(at) = self.index.get(id) else {
+    fn mark_committed(&mut self, id: &str) {
+        let Some(index) = self.index_by_id.get(id) else {
             return;
         };
-        let item = &mut self.items[*at];
-        if item.phase != Phase::Listed {
-            item.phase = Phase::Listed;
-            self.groups[item.group].listed += 1;
+        let item = &mut self.items[*index];
+        if item.phase != Phase::Committed {
+            item.phase = Phase::Committed;
+            self.groups[item.group].committed_items += 1;
         }
     }
 
     /// Whether the item is listed or waits only for its commit.
-    pub fn is_done(&self, at: usize) -> bool {
-        matches!(self.items[at].phase, Phase::Made | Phase::Listed)
+    pub fn is_finished(&self, index: usize) -> bool {
+        matches!(self.items[index].phase, Phase::Finished | Phase::Committed)
     }
 
     /// Whether every item is listed.
@@ -229,19 +234,23 @@
 
     /// Whether the trainer has all that it waits for once `unlisted` is committed: then it should
     /// not wait for more to be committed together.
-    pub fn satisfies(&self) -> bool {
-        let mut done: Vec<_> = self.groups.iter().map(|group| group.listed).collect();
-        for sample in &self.unlisted {
-            if let Some(at) = self.index.get(&sample.item) {
-                done[self.items[*at].group] += 1;
+    pub fn will_satisfy_trainer(&self) -> bool {
+        let mut done: Vec<_> = self
+            .groups
+            .iter()
+            .map(|group| group.committed_items)
+            .collect();
+        for sample in &self.uncommitted {
+            if let Some(index) = self.index_by_id.get(&sample.item) {
+                done[self.items[*index].group] += 1;
             }
         }
-        let whole = |(group, done): &(&Group, &usize)| **done >= group.items;
+        let is_complete = |(group, done): &(&Group, &usize)| **done >= group.items;
         let groups = || self.groups.iter().zip(&done);
-        let carried = groups()
-            .filter(|(group, _)| group.carried)
-            .all(|g| whole(&g));
-        carried && groups().filter(whole).count() >= self.wanted_groups
+        let resubmitted = groups()
+            .filter(|(group, _)| group.resubmitted)
+            .all(|g| is_complete(&g));
+        resubmitted && groups().filter(is_complete).count() >= self.wanted_groups
     }
 }
 
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -15,4 +15,4 @@
 pub use demand::{DemandWindow, LotDemand};
 pub use engine::{Engine, Listing, RunOutcome};
 pub use fleet::{EngineKey, Fleet};
-pub use lot::{Failure, Lot, RetryDecision, USUAL_LENGTH};
+pub use lot::{DEFAULT_LENGTH_TOKENS, Failure, Lot, RetryDecision};
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -78,11 +78,14 @@
     for at in 0..4 {
         lot.finish(at, sample(&format!("item-{at}"), "x"));
     }
-    assert!(!lot.satisfies(), "the group that came again is missing");
+    assert!(
+        !lot.will_satisfy_trainer(),
+        "the group that came again is missing"
+    );
     lot.finish(4, sample("item-4", "x"));
-    assert!(!lot.satisfies());
+    assert!(!lot.will_satisfy_trainer());
     lot.finish(5, sample("item-5", "x"));
-    assert!(lot.satisfies());
+    assert!(lot.will_satisfy_trainer());
 }
 
 #[test]
@@ -93,10 +96,10 @@
         lot.finish(at, sample(&format!("item-{at}"), "mine"));
     }
     let theirs = vec![sample("item-1", "theirs"), sample("item-3", "theirs")];
-    lot.list(0, theirs).unwrap();
-    let left: Vec<_> = lot.unlisted().iter().map(|s| s.item.as_str()).collect();
+    lot.add_segment(0, theirs).unwrap();
+    let left: Vec<_> = lot.uncommitted().iter().map(|s| s.item.as_str()).collect();
     assert_eq!(left, ["item-0", "item-2"]);
-    assert!(lot.is_done(3));
+    assert!(lot.is_finished(3));
 }
 
 #[test]
@@ -150,7 +153,7 @@
     fn new(name: usize, submission: &Submission, store: &Store) -> Self {
         let mut lot = Lot::new(submission, &BTreeSet::new());
         for (from, samples) in &store.segments {
-            lot.list(*from, samples.clone())
+            lot.add_segment(*from, samples.clone())
                 .expect("segments come in order");
         }
         Self {
@@ -161,12 +164,12 @@
     }
 
     fn commit(&mut self, rng: &mut ChaCha8Rng, store: &mut Store) {
-        let unlisted = self.lot.unlisted();
-        if unlisted.is_empty() {
+        let uncommitted = self.lot.uncommitted();
+        if uncommitted.is_empty() {
             return;
         }
-        let count = rng.random_range(1..=unlisted.len().min(4));
-        let samples = unlisted[..count].to_vec();
+        let count = rng.random_range(1..=uncommitted.len().min(4));
+        let samples = uncommitted[..count].to_vec();
         let from = self.lot.committed().next_position();
         match rng.random_range(0..10) {
             // The request is lost, or carried out at some later time.
@@ -178,7 +181,9 @@
                 self.look(store);
             }
             _ if store.create(from, &samples) => {
-                self.lot.list(from, samples).expect("it is the next one");
+                self.lot
+                    .add_segment(from, samples)
+                    .expect("it is the next one");
             }
             _ => self.look(store),
         }
@@ -188,7 +193,7 @@
         let from = self.lot.committed().next_position();
         if let Some(samples) = store.segments.get(&from) {
             self.lot
-                .list(from, samples.clone())
+                .add_segment(from, samples.clone())
                 .expect("segments come in order");
         }
     }
@@ -202,7 +207,7 @@
                     .swap_remove(rng.random_range(0..self.running.len()));
                 if rng.random_bool(0.2) {
                     self.lot.run_failed(at, Failure::Interrupted, 3);
-                } else if !self.lot.is_done(at) {
+                } else if !self.lot.is_finished(at) {
                     // Two runners make different texts of one item.
                     let text = format!("{}-{}", self.name, rng.random::<u32>());
                     self.lot.finish(at, sample(&format!("item-{at}"), &text));
