--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -124,7 +124,7 @@
         log::info!(
             id = id.as_str(),
             items = submission.items.len(),
-            listed = lot.committed().next_position(),
+            listed = lot.commit_log().next_position(),
             oldest_version = oldest,
             texts_reused = reused;
             "lot opened"
@@ -228,7 +228,7 @@
         let drafts = std::mem::take(&mut open.drafts);
         for (at, draft) in drafts.into_iter().enumerate() {
             let item = &open.submission.items[at];
-            if open.lot.committed().contains(&item.id) {
+            if open.lot.commit_log().contains(&item.id) {
                 continue;
             }
             let name = record::name(&open.caller, &item.id);
@@ -244,7 +244,7 @@
         log::info!(
             id = id.as_str(),
             why,
-            listed = open.lot.committed().next_position(),
+            listed = open.lot.commit_log().next_position(),
             items = open.lot.total(),
             running = open.tasks.len(),
             ms = open.opened.elapsed().as_millis() as u64;
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -175,10 +175,10 @@
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
         let samples = first_segment(open.lot.uncommitted());
-        let all =
-            open.lot.committed().next_position() + open.lot.uncommitted().len() >= open.lot.total();
+        let all = open.lot.commit_log().next_position() + open.lot.uncommitted().len()
+            >= open.lot.total();
         Some(Pending {
-            from: open.lot.committed().next_position(),
+            from: open.lot.commit_log().next_position(),
             total: open.lot.total(),
             urgent: self.draining.get()
                 || all
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -73,7 +73,8 @@
     pub(super) fn unlisted(&self, least: u64) -> Left {
         let items = self.submission.items.iter().zip(&self.drafts);
         let unlisted = items.filter(|(item, draft)| {
-            draft.last.is_some_and(|last| last >= least) && !self.lot.committed().contains(&item.id)
+            draft.last.is_some_and(|last| last >= least)
+                && !self.lot.commit_log().contains(&item.id)
         });
         Left {
             texts: fitting(unlisted.map(|(item, draft)| (&item.id, draft))),
--- a/crates/pinereel_core/src/batch/committed.rs
+++ b/crates/pinereel_core/src/batch/commit_log.rs
@@ -19,12 +19,12 @@
 /// A segment is named by the position of its first sample. Two writers that know the same
 /// committed results use the same name, so that only one of them can create it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Committed {
+pub struct CommitLog {
     samples: Vec<Sample>,
     positions: BTreeMap<CompactString, usize>,
 }
 
-impl Committed {
+impl CommitLog {
     /// The committed samples, by position.
     pub fn samples(&self) -> &[Sample] {
         &self.samples
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -1,6 +1,6 @@
 //! What is still to be done of a lot.
 
-use super::{Committed, Gap};
+use super::{CommitLog, Gap};
 use compact_str::CompactString;
 use pinereel_port::lot::{Sample, Submission};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
     index_by_id: BTreeMap<CompactString, usize>,
     groups: Vec<Group>,
     wanted_groups: usize,
-    committed: Committed,
+    commit_log: CommitLog,
     /// Finished and not committed, in order of their ends.
     uncommitted: Vec<Sample>,
 }
@@ -106,7 +106,7 @@
             index_by_id,
             groups,
             wanted_groups: submission.wanted_groups,
-            committed: Committed::default(),
+            commit_log: CommitLog::default(),
             uncommitted: Vec::new(),
         }
     }
@@ -117,8 +117,8 @@
     }
 
     /// What is committed.
-    pub const fn committed(&self) -> &Committed {
-        &self.committed
+    pub const fn commit_log(&self) -> &CommitLog {
+        &self.commit_log
     }
 
     /// Items that wait for an engine.
@@ -196,18 +196,18 @@
     /// # Errors
     /// A segment before it is missing.
     pub fn add_segment(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
-        let known = from < self.committed.next_position();
+        let is_known = from < self.commit_log.next_position();
         let ids: Vec<_> = samples.iter().map(|s| s.item.clone()).collect();
-        self.committed.append(from, samples)?;
-        if known {
+        self.commit_log.append(from, samples)?;
+        if is_known {
             return Ok(());
         }
         for id in ids {
             self.mark_committed(&id);
         }
-        let committed = &self.committed;
+        let commit_log = &self.commit_log;
         self.uncommitted
-            .retain(|sample| !committed.contains(&sample.item));
+            .retain(|sample| !commit_log.contains(&sample.item));
         Ok(())
     }
 
@@ -229,7 +229,7 @@
 
     /// Whether every item is listed.
     pub fn is_complete(&self) -> bool {
-        self.committed.samples().len() >= self.items.len()
+        self.commit_log.samples().len() >= self.items.len()
     }
 
     /// Whether the trainer has all that it waits for once `unlisted` is committed: then it should
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -5,13 +5,13 @@
 //! many instances believe that they run the lot. [`Ledger`] holds what is committed; [`Lot`] holds
 //! what is still to be done; [`Fleet`] picks the engines that do it.
 
-mod committed;
+mod commit_log;
 mod demand;
 mod engine;
 mod fleet;
 mod lot;
 
-pub use committed::{Committed, Gap};
+pub use commit_log::{CommitLog, Gap};
 pub use demand::{DemandWindow, LotDemand};
 pub use engine::{Engine, Listing, RunOutcome};
 pub use fleet::{EngineKey, Fleet};
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -1,7 +1,7 @@
 //! A lot's items on their way to fixed positions, with one runner and with several.
 
 use compact_str::{CompactString, format_compact};
-use pinereel_core::batch::{Committed, Failure, Lot, RetryDecision};
+use pinereel_core::batch::{CommitLog, Failure, Lot, RetryDecision};
 use pinereel_port::lot::{Item, Made, Sample, Submission};
 use proptest::{prelude::*, test_runner::Config};
 use rand::{Rng as _, SeedableRng as _};
@@ -104,13 +104,13 @@
 
 #[test]
 fn a_segment_that_leaves_a_gap_is_refused() {
-    let mut committed = Committed::default();
-    committed.append(0, vec![sample("a", "x")]).unwrap();
-    assert!(committed.append(2, vec![sample("b", "x")]).is_err());
+    let mut commit_log = CommitLog::default();
+    commit_log.append(0, vec![sample("a", "x")]).unwrap();
+    assert!(commit_log.append(2, vec![sample("b", "x")]).is_err());
     // Seen again, it changes nothing.
-    committed.append(0, vec![sample("c", "x")]).unwrap();
+    commit_log.append(0, vec![sample("c", "x")]).unwrap();
     assert_eq!(
-        (committed.next_position(), committed.contains("c")),
+        (commit_log.next_position(), commit_log.contains("c")),
         (1, false)
     );
 }
@@ -170,7 +170,7 @@
         }
         let count = rng.random_range(1..=uncommitted.len().min(4));
         let samples = uncommitted[..count].to_vec();
-        let from = self.lot.committed().next_position();
+        let from = self.lot.commit_log().next_position();
         match rng.random_range(0..10) {
             // The request is lost, or carried out at some later time.
             0 => {}
@@ -190,7 +190,7 @@
     }
 
     fn look(&mut self, store: &Store) {
-        let from = self.lot.committed().next_position();
+        let from = self.lot.commit_log().next_position();
         if let Some(samples) = store.segments.get(&from) {
             self.lot
                 .add_segment(from, samples.clone())
