--- a/crates/pinereel_core/src/batch/commit_log.rs
+++ b/crates/pinereel_core/src/batch/commit_log.rs
@@ -1,23 +1,23 @@
-//! What is committed of a lot.
+//! The committed results of one lot, in the order of their positions.
+//!
+//! A segment is named by the position of its first sample. Two writers that have read the same
+//! committed results use the same name, so that only one of them can create the segment.
 
 use compact_str::CompactString;
 use pinereel_port::lot::Sample;
 use std::collections::BTreeMap;
 
-/// A segment came before one that it follows.
+/// A segment does not follow directly on the results known so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a segment came for position {found} while {expected} is the next")]
+#[error("segment starts at position {found}, expected position {expected}")]
 pub struct Gap {
     /// Position of the segment's first sample.
     pub found: usize,
-    /// The first position that is not known yet.
+    /// The first position without a known sample.
     pub expected: usize,
 }
 
-/// The committed results of one lot: positions never change and never go away.
-///
-/// A segment is named by the position of its first sample. Two writers that know the same
-/// committed results use the same name, so that only one of them can create it.
+/// Append-only log of the committed samples of one lot; a position never changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CommitLog {
     samples: Vec<Sample>,
@@ -25,25 +25,26 @@
 }
 
 impl CommitLog {
-    /// The committed samples, by position.
+    /// The committed samples, indexed by position.
     pub fn samples(&self) -> &[Sample] {
         &self.samples
     }
 
-    /// The first position that is not committed; the next segment begins there.
+    /// The first position without a committed sample, where the next segment begins.
     pub fn next_position(&self) -> usize {
         self.samples.len()
     }
 
-    /// Whether the item has its position.
+    /// Whether the item has a committed sample.
     pub fn contains(&self, item: &str) -> bool {
         self.positions.contains_key(item)
     }
 
-    /// Takes over a segment that stands in the store. One that is known already changes nothing.
+    /// Appends a segment read from the store, whose first sample has position `from`. A segment that
+    /// is known already changes nothing.
     ///
     /// # Errors
-    /// A segment before it is missing: read that one first.
+    /// [`Gap`] if a segment before it is missing; the caller reads that one first.
     pub fn append(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
         if from < self.next_position() {
             return Ok(());
--- a/crates/pinereel_core/src/batch/demand.rs
+++ b/crates/pinereel_core/src/batch/demand.rs
@@ -1,48 +1,51 @@
-//! How much work trainers have asked for lately.
+//! Recent demand of a model's lots, over a sliding window.
+//!
+//! The instance that runs a model's lots records each of them here and publishes the result, by
+//! which endpoints are scaled and assigned.
 
 use crate::Time;
 use std::{collections::VecDeque, time::Duration};
 
-/// What was asked within this time counts: three to four steps of a trainer that asks for one every
-/// four seconds.
+/// Age at which a record no longer counts. Covers three to four steps of a trainer that submits one
+/// lot every four seconds.
 const WINDOW_LENGTH: Duration = Duration::from_secs(15);
 
-/// What a model's lots need.
+/// Demand of one model's lots within the window; all zero if there were none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LotDemand {
-    /// Tokens of a lot, as far as its trainer can tell.
+    /// Mean number of output tokens of a lot, by its length hints.
     pub tokens: u64,
-    /// Items of a lot that found no slot in time.
+    /// Mean number of items of a lot that were still queued at the check after it was opened.
     pub unplaced_items: u64,
-    /// Items of the largest lot.
+    /// Number of items of the largest lot.
     pub items: u64,
 }
 
-/// The work asked for one model.
+/// Sliding window over the lots of one model.
 #[derive(Clone, Debug, Default)]
 pub struct DemandWindow {
-    /// When a lot was opened, and its tokens; oldest first.
+    /// Time at which each lot was opened, and its estimated tokens; oldest first.
     lot_tokens: VecDeque<(Time, u64)>,
-    /// When a lot was opened, and its items.
+    /// Time at which each lot was opened, and its number of items.
     lot_items: VecDeque<(Time, u64)>,
-    /// When it was looked at again, and its items that had found no slot.
+    /// Time at which each lot was checked, and its number of items that were still queued.
     unplaced: VecDeque<(Time, u64)>,
 }
 
 impl DemandWindow {
-    /// A lot of so many `items` and about `tokens` was opened.
+    /// Records a lot of `items` items and an estimated `tokens` output tokens when it is opened.
     pub fn record_lot(&mut self, now: Time, items: u64, tokens: u64) {
         push(&mut self.lot_items, now, items);
         push(&mut self.lot_tokens, now, tokens);
     }
 
-    /// So many items of a lot found no slot in time.
+    /// Records that `items` items of a lot were still queued when it was checked.
     pub fn record_unplaced(&mut self, now: Time, items: u64) {
         push(&mut self.unplaced, now, items);
     }
 
-    /// What a lot needs, by those opened lately; nothing if there are none. A step's lot comes
-    /// at once, so that its size says more of the slots that it needs than its trainer's pace.
+    /// Demand within the window before `now`. A trainer submits all items of a step at once, so the
+    /// size of a lot predicts the slots that it needs better than the rate of its trainer does.
     pub fn demand(&self, now: Time) -> LotDemand {
         LotDemand {
             tokens: mean(&self.lot_tokens, now),
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, as the runner of its lots sees it.
+//! State of one engine as seen by the scheduler of its lots: load, speed, health and reservations.
 
 use crate::{
     Time,
@@ -7,70 +7,70 @@
 use compact_str::CompactString;
 use std::net::SocketAddr;
 
-/// Pace of engines before any of the fleet has made an event, in milliseconds an event.
+/// Assumed interval between two events of a run, before any engine of the fleet has sent one.
 const DEFAULT_EVENT_INTERVAL_MS: f64 = 40.0;
-/// What a full engine costs against an empty one of the same pace: enough to spread runs over equal
-/// engines, too little to prefer a slow one.
+/// Share by which a full engine costs more than an empty one of the same speed. Spreads runs over
+/// equally fast engines without preferring a slow one.
 const FULL_LOAD_PENALTY: f64 = 0.25;
 
-/// What the endpoint list says of an engine.
+/// Entry of the endpoint list for one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// Id of the engine.
+    /// Id of the engine; stays the same over restarts.
     pub id: CompactString,
-    /// Differs between its starts.
+    /// Identifies one process of the engine; changes with each restart.
     pub incarnation: u64,
-    /// Where it serves.
+    /// Address on which the engine takes requests.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether it is being shut down and gets no new runs.
     pub leaving: bool,
-    /// Version of the model's weights that it serves; none if it does not serve the model.
+    /// Version of the model's weights that it serves; `None` if it does not serve the model.
     pub version: Option<u64>,
 }
 
-/// How a run at an engine ended, as far as it speaks about the engine.
+/// How a run on an engine ended, as far as it matters for the engine's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// Finished, or an answer that is not the engine's fault.
+    /// The run finished, or failed through no fault of the engine.
     Finished,
-    /// Given up here.
+    /// The run was cancelled by the scheduler.
     Cancelled,
-    /// The engine did not take it now: full, or loading weights.
+    /// The engine refused the run for now: it is full or loads weights.
     Rejected,
-    /// Broken off, silent, or out of reach.
+    /// The stream broke off or stalled, or the engine could not be reached.
     Failed,
 }
 
-/// One engine.
+/// One process of an engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// What the list says of it.
+    /// Its latest entry in the endpoint list.
     pub listing: Listing,
-    /// Runs there.
+    /// Number of runs in progress on it.
     pub active_runs: u32,
-    /// Moving average of the time between two events of a run, in milliseconds; none before the first.
+    /// Moving average of the interval between two events of a run; `None` before the first interval.
     pub event_interval_ms: Option<f64>,
-    /// Gaps that the pace rests on.
+    /// Number of intervals in the average.
     pub(super) interval_samples: u32,
-    /// Breaks in a row.
+    /// Failed runs in a row.
     pub(super) consecutive_failures: u32,
-    /// No new run before.
+    /// No new run starts before this time.
     pub(super) backoff_until: Time,
-    /// Its last run was refused or broke: one run tries it before others follow.
+    /// Its last run was rejected or failed: a single run must succeed before others may start.
     pub(super) probe_needed: bool,
-    /// No longer listed; kept until its last run ends.
+    /// It is no longer in the endpoint list; the state is kept until its last run ends.
     pub(super) delisted: bool,
-    /// It has started again: its runs are lost.
+    /// The engine has restarted: the runs on this process are lost.
     pub(super) restarted: bool,
-    /// Runs there of items that endpoints may have crashed under.
+    /// Runs on it of items that are suspected of crashing engines.
     pub(super) suspect_runs: u32,
-    /// Whether one of them has a last chance.
+    /// Whether one of them is on its last attempt before it is refused, and so runs isolated.
     pub(super) has_isolated_run: bool,
-    /// When a run last began there.
+    /// Time at which a run last started on it.
     pub(super) last_run_started: Time,
-    /// Kept free until then for an item with a last chance.
+    /// Until this time only an item on its last attempt may start on it.
     pub(super) reserved_until: Time,
 }
 
@@ -93,18 +93,20 @@
         }
     }
 
-    /// Milliseconds an event; of an engine that has made none yet, what is `usual` in its fleet.
+    /// Expected interval between two events of a run: the engine's own average, or that of the fleet
+    /// while it has none.
     pub(super) fn estimated_interval_ms(&self, fleet_average: Option<f64>) -> f64 {
         self.event_interval_ms
             .or(fleet_average)
             .unwrap_or(DEFAULT_EVENT_INTERVAL_MS)
     }
 
-    /// Whether one run has to try it before others follow.
+    /// Whether a single run must succeed on it before others may start.
     pub const fn needs_probe(&self) -> bool {
         self.probe_needed
     }
 
+    /// Whether the engine is healthy, serves `oldest_version` or newer and has a free slot.
     pub(super) fn accepts(&self, now: Time, oldest_version: u64) -> bool {
         let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
         let slots = if self.probe_needed {
@@ -116,8 +118,9 @@
         !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
     }
 
-    /// Whether an item that so many endpoints have crashed under may run beside those that run there. One in doubt is the
-    /// only such one, and with a last chance nothing else begins beside it: so a crash tells which was to blame.
+    /// Whether an item under which `crash_count` engines have crashed may run beside the current runs.
+    /// An engine runs at most one suspect item, and starts nothing else beside one on its last
+    /// attempt, so that a crash can be attributed to a single item.
     pub(super) fn admits(&self, now: Time, crash_count: usize) -> bool {
         let is_reserved = self.has_isolated_run || now < self.reserved_until;
         match crash_count {
@@ -129,6 +132,7 @@
         }
     }
 
+    /// Cost of placing a run on it: the expected interval, weighted by the load. Lower is better.
     pub(super) fn cost(&self, fleet_average: Option<f64>) -> f64 {
         let load = f64::from(self.active_runs) / f64::from(self.listing.slots.max(1));
         self.estimated_interval_ms(fleet_average) * (1.0 + FULL_LOAD_PENALTY * load)
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -1,9 +1,10 @@
-//! The engines of one service, as the runner of its lots sees them.
+//! Selection of engines for the runs of a model's lots.
 //!
-//! One instance runs all lots of a model, so it knows the runs at each engine exactly. What counts
-//! for a step is its last sample: engines differ in pace, and some turn slow for seconds. So the
-//! fastest engine with a free slot comes first, and a run on a slow engine is moved to a fast one
-//! as soon as that has a slot that nothing waits for.
+//! A single instance runs all lots of a model, so the load of each engine is known exactly. A step
+//! completes with its last sample, engines differ in speed, and some become slow for seconds.
+//! Therefore a run goes to the fastest engine with a free slot, and a run on a slow engine moves
+//! to a fast one that has a free slot while nothing is queued. Callers must pair each
+//! [`Fleet::run_started`] with one [`Fleet::run_ended`].
 
 use super::{Engine, Listing, RunOutcome};
 use crate::{Time, crash::LAST_CHANCE};
@@ -12,54 +13,55 @@
 use std::{collections::BTreeMap, time::Duration};
 
 slotmap::new_key_type! {
-    /// One start of one engine in a [`Fleet`].
+    /// Key of one process of an engine in a [`Fleet`]; a restarted engine gets a new key.
     pub struct EngineKey;
 }
 
-/// Share of a new gap between events in the moving average of an engine's pace.
+/// Weight of a new interval in the moving average of one engine.
 const ENGINE_AVERAGE_WEIGHT: f64 = 0.06;
-/// The same in the moving average of all engines.
+/// Weight of a new interval in the moving average over all engines.
 const FLEET_AVERAGE_WEIGHT: f64 = 0.01;
-/// A run is moved if its engine takes so many times as long as the one that it would go to. Engines
-/// differ by 1.3 (47 ms and 60 ms an event, measured), and reading the prompt and the
-/// text again takes less than an event.
+/// A long run moves if its engine's interval exceeds that of the target by this factor. Engines
+/// differ by a factor of 1.3 (47 ms and 60 ms an event), and processing the prompt and the text
+/// again on the target takes less than one event.
 const LONG_RUN_MOVE_RATIO: f64 = 1.2;
-/// Events that a run must have made before it is moved for less than [`FAR_SLOWER`]: it is then one
-/// of the long ones, which hold up their step.
+/// Number of events from which a run counts as long. Long runs delay their step, so they move for
+/// less than [`SHORT_RUN_MOVE_RATIO`].
 const LONG_RUN_EVENTS: u64 = 10;
-/// A run moves at once if its engine takes so many times as long.
+/// A shorter run moves if its engine's interval exceeds that of the target by this factor.
 const SHORT_RUN_MOVE_RATIO: f64 = 2.0;
-/// Gaps that an engine's pace must rest on before it decides about a move: the arrival of single
-/// events depends on this process as well.
+/// Number of intervals before an engine's average is used to move a run or to time it out: the
+/// arrival of single events also depends on the load of this process.
 const MIN_INTERVAL_SAMPLES: u32 = 12;
-/// First wait after an engine broke a run off or could not be reached; doubles with each further one.
+/// Backoff after an engine's first failed run; doubles with each further one in a row.
 const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(300);
-/// Longest such wait: an engine that is back is found again soon.
+/// Upper bound of that backoff, so that a recovered engine is used again soon.
 const MAX_FAILURE_BACKOFF: Duration = Duration::from_millis(2_400);
-/// Wait after an engine said that it is full or loads weights: a load takes about a second.
+/// Backoff after an engine is full or loads weights; loading takes about a second.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(120);
 
-/// An engine is kept free for an item with a last chance for so long: the runs that are there leave a slot by then.
+/// Time after which a reservation lapses; the runs in progress free a slot by then.
 const RESERVATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A run whose engine makes no event for so many of its usual gaps has lost it.
+/// Stall timeout of a run, in average intervals of its engine.
 const STALL_TIMEOUT_INTERVALS: f64 = 8.0;
-/// But not sooner: a slow engine takes up to eight times its usual gap from one event to the next.
+/// Lower bound of the stall timeout: a slow engine takes up to eight times its usual interval
+/// from one event to the next.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Nor later.
+/// Upper bound of the stall timeout, and its value while the average has too few intervals.
 const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The engines of one service.
+/// The engines of one service, with their load and health.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: SlotMap<EngineKey, Engine>,
     keys_by_id: BTreeMap<CompactString, EngineKey>,
-    /// Moving average of the time between two events of a run at any engine, in milliseconds; none before the first.
+    /// Moving average of the interval over all engines; `None` before the first interval.
     event_interval_ms: Option<f64>,
 }
 
 impl Fleet {
-    /// Takes over the endpoint list; says whether an engine has started again, so that runs are lost.
+    /// Applies a new endpoint list. Returns `true` if an engine has restarted and its runs are lost.
     pub fn update(&mut self, listings: impl IntoIterator<Item = Listing>) -> bool {
         let mut left = std::mem::take(&mut self.keys_by_id);
         let mut lost = false;
@@ -86,7 +88,7 @@
         lost
     }
 
-    /// Ids of the engines with runs.
+    /// Ids of the engines with runs in progress.
     pub fn busy_ids(&self) -> Vec<CompactString> {
         let busy = self
             .engines
@@ -95,30 +97,29 @@
         busy.map(|engine| engine.listing.id.clone()).collect()
     }
 
-    /// An engine is not listed any more.
     fn delist(&mut self, key: EngineKey) {
         self.engines[key].delisted = true;
         self.remove_if_idle(key);
     }
 
-    /// Whether a run at the engine is lost, since that has started again.
+    /// Whether the engine has restarted, or is unknown, so that a run on it is lost.
     pub fn has_restarted(&self, key: EngineKey) -> bool {
         self.engines.get(key).is_none_or(|engine| engine.restarted)
     }
 
-    /// The engine, if it is still known.
+    /// The engine; `None` if it left the list and its last run has ended.
     pub fn get(&self, key: EngineKey) -> Option<&Engine> {
         self.engines.get(key)
     }
 
-    /// All listed engines.
+    /// All engines in the endpoint list, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         self.keys_by_id
             .values()
             .map(|key| (*key, &self.engines[*key]))
     }
 
-    /// Slots of all engines that may get work, and those that are in use.
+    /// Number of slots of all engines that may get new runs, and how many are in use.
     pub fn slot_usage(&self) -> (u32, u32) {
         let open = self.iter().filter(|(_, engine)| !engine.listing.leaving);
         open.fold((0, 0), |(slots, runs), (_, engine)| {
@@ -126,7 +127,7 @@
         })
     }
 
-    /// The engine for a run that needs weights of `oldest_version` or newer.
+    /// The engine for a run that needs weights of `oldest_version` or newer, other than `except`.
     pub fn pick(
         &self,
         now: Time,
@@ -137,12 +138,13 @@
         self.cheapest(now, oldest_version, is_allowed)
     }
 
-    /// Whether any engine takes a run that needs weights of `oldest_version` or newer, of whatever item.
+    /// Whether any engine has a free slot for a run that needs weights of `oldest_version` or newer,
+    /// regardless of reservations.
     pub fn has_free_slot(&self, now: Time, oldest_version: u64) -> bool {
         self.cheapest(now, oldest_version, |_, _| true).is_some()
     }
 
-    /// The engine for a run of an item that so many endpoints have crashed under.
+    /// The engine for a run of an item under which `crash_count` engines have crashed.
     pub fn pick_for_item(
         &self,
         now: Time,
@@ -154,8 +156,8 @@
         })
     }
 
-    /// Keeps an engine free for an item with a last chance: nothing begins there until that item can run alone. One engine at a
-    /// time, the one whose last run began first.
+    /// Reserves an engine for an item on its last attempt: nothing else starts there until that item
+    /// can run. At most one engine is reserved at a time, the one with the oldest last start.
     pub fn reserve(&mut self, now: Time, oldest_version: u64) {
         let waits = |engine: &Engine| engine.has_isolated_run || now < engine.reserved_until;
         if self.iter().any(|(_, engine)| waits(engine)) {
@@ -188,7 +190,7 @@
         cheapest.map(|(key, _)| key)
     }
 
-    /// Where a run at `from`, which has made so many events, should go instead if that is faster.
+    /// A faster engine to which a run on `from` with this number of events should move.
     pub fn move_target(
         &self,
         now: Time,
@@ -210,8 +212,9 @@
             .then_some(to)
     }
 
-    /// How long a run at an engine that has made events waits for the next one. The longest texts decide about a step and have
-    /// less than a second to spare: 1.5 s at an engine that fell silent made them late.
+    /// How long a run waits for its next event before it is taken for lost. The longest texts decide
+    /// when a step completes and have less than a second to spare: waiting 1.5 s for a silent engine
+    /// made them late.
     pub fn stall_timeout(&self, key: EngineKey) -> Duration {
         let engine = self
             .engines
@@ -224,7 +227,7 @@
         timeout.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
-    /// A run begins at the engine, of an item that so many endpoints have crashed under.
+    /// Records that a run starts, of an item under which `crash_count` engines have crashed.
     pub fn run_started(&mut self, now: Time, key: EngineKey, crash_count: usize) {
         let Some(engine) = self.engines.get_mut(key) else {
             return;
@@ -240,7 +243,7 @@
         }
     }
 
-    /// A run that began in doubt ends.
+    /// Records that a run with a `crash_count` above zero ended, in addition to [`Fleet::run_ended`].
     pub fn suspect_run_ended(&mut self, key: EngineKey) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.suspect_runs = engine.suspect_runs.saturating_sub(1);
@@ -248,7 +251,7 @@
         }
     }
 
-    /// A run at the engine made its first event: the engine takes work.
+    /// Records the first event of a run: the engine is healthy.
     pub fn first_event_received(&mut self, key: EngineKey) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.consecutive_failures = 0;
@@ -256,7 +259,7 @@
         }
     }
 
-    /// A run at the engine made an event, `gap` after the one before.
+    /// Records a further event of a run, `interval` after the one before.
     pub fn event_received(&mut self, key: EngineKey, interval: Duration) {
         let Some(engine) = self.engines.get_mut(key) else {
             return;
@@ -275,7 +278,7 @@
         ));
     }
 
-    /// A run ended. Every `started` needs exactly one.
+    /// Records that a run ended. Each [`Fleet::run_started`] needs exactly one call.
     pub fn run_ended(&mut self, now: Time, key: EngineKey, outcome: RunOutcome) {
         let Some(engine) = self.engines.get_mut(key) else {
             return;
@@ -313,7 +316,7 @@
     }
 }
 
-/// A moving average with one more value in it.
+/// The exponential moving average after one more value.
 fn moving_average(average: Option<f64>, value: f64, weight: f64) -> f64 {
     average.map_or(value, |average| average + weight * (value - average))
 }
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -1,38 +1,42 @@
-//! What is still to be done of a lot.
+//! Item states of one lot, from the queue to the commit.
+//!
+//! The scheduler takes the next item with [`Lot::start`], reports its end with [`Lot::finish`] or
+//! [`Lot::run_failed`], writes [`Lot::uncommitted`] samples to the store and feeds each segment
+//! that it finds there back through [`Lot::add_segment`].
 
 use super::{CommitLog, Gap};
 use compact_str::CompactString;
 use pinereel_port::lot::{Sample, Submission};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why an item's run or its scoring brought nothing.
+/// Why a run or a scoring of an item gave no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The endpoint answered that it failed.
+    /// The endpoint answered with a failure; counts as an attempt.
     Failed,
-    /// The endpoint answered that this can never be done.
+    /// The endpoint answered that the item can never succeed; it is not retried.
     Impossible,
-    /// It broke off, or there was no place for it: says nothing about the item.
+    /// It broke off or found no slot; does not count as an attempt of the item.
     Interrupted,
 }
 
-/// What becomes of an item after a failure.
+/// Whether an item is retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It is tried again.
+    /// The item runs again.
     Retry,
-    /// It is given up and listed so.
+    /// The item is committed without a result.
     GiveUp,
 }
 
-/// Where an item stands.
+/// Lifecycle of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Queued,
-    /// Waits, and is not to be started now.
+    /// Queued, but skipped until [`Lot::requeue_deferred`].
     Deferred,
     Running,
-    /// Finished, not committed yet.
+    /// It has a result, or is given up, and is not committed yet.
     Finished,
     Committed,
 }
@@ -41,11 +45,11 @@
 struct Item {
     group: usize,
     phase: Phase,
-    /// Runs that ended in a failure of the engine.
+    /// Runs that ended in [`Failure::Failed`].
     failed_runs: u32,
-    /// Scorings that ended in a failure of the scorer.
+    /// Scorings that ended in [`Failure::Failed`].
     failed_scores: u32,
-    /// The smaller, the sooner.
+    /// Order of starts, smallest first: resubmitted groups, then longest items, then input order.
     priority: (bool, u32, usize),
 }
 
@@ -53,11 +57,11 @@
 struct Group {
     items: usize,
     committed_items: usize,
-    /// Came again from an earlier step: the trainer waits for it in any case.
+    /// Has items of an earlier lot: the trainer waits for this group in any case.
     resubmitted: bool,
 }
 
-/// One lot as its runner sees it.
+/// One lot on the instance that runs it.
 #[derive(Clone, Debug)]
 pub struct Lot {
     items: Vec<Item>,
@@ -65,15 +69,15 @@
     groups: Vec<Group>,
     wanted_groups: usize,
     commit_log: CommitLog,
-    /// Finished and not committed, in order of their ends.
+    /// Finished samples that are not committed, in the order in which they finished.
     uncommitted: Vec<Sample>,
 }
 
-/// Tokens of an item without an estimate of its length: about the middle.
+/// Assumed output tokens of an item without a length hint; near the middle of the usual lengths.
 pub const DEFAULT_LENGTH_TOKENS: u32 = 500;
 
 impl Lot {
-    /// A lot of which nothing is done. `known` are ids of items of earlier lots.
+    /// Creates a lot with all items queued. `known_items` are the ids of items of earlier lots.
     pub fn new(submission: &Submission, known_items: &BTreeSet<CompactString>) -> Self {
         let mut group_by_name: BTreeMap<&str, usize> = BTreeMap::new();
         let mut groups: Vec<Group> = Vec::new();
@@ -96,7 +100,7 @@
             });
         }
         for (item, submitted) in items.iter_mut().zip(&submission.items) {
-            // The longest first: what begins last should be short.
+            // Longest first, so that the items that start last are short.
             let length = submitted.length_hint.unwrap_or(DEFAULT_LENGTH_TOKENS);
             item.priority.0 = !groups[item.group].resubmitted;
             item.priority.1 = u32::MAX - length;
@@ -111,23 +115,23 @@
         }
     }
 
-    /// Items of the lot.
+    /// Number of items of the lot.
     pub fn total(&self) -> usize {
         self.items.len()
     }
 
-    /// What is committed.
+    /// The committed results.
     pub const fn commit_log(&self) -> &CommitLog {
         &self.commit_log
     }
 
-    /// Items that wait for an engine.
+    /// Number of items that wait for an engine; deferred ones are not counted.
     pub fn queued(&self) -> usize {
         let queued = self.items.iter().filter(|i| i.phase == Phase::Queued);
         queued.count()
     }
 
-    /// The item to start next, which counts as running from now on.
+    /// Takes the next item from the queue and marks it as running. Returns its index.
     pub fn start(&mut self) -> Option<usize> {
         let queued = self.items.iter().enumerate();
         let (index, _) = queued
@@ -137,18 +141,19 @@
         Some(index)
     }
 
-    /// An item that was to be started must wait until [`Lot::release`]: others go first.
+    /// Puts an item that could not be placed aside until [`Lot::requeue_deferred`], so that others go
+    /// first.
     pub fn defer(&mut self, index: usize) {
         self.items[index].phase = Phase::Deferred;
     }
 
-    /// Items that had to wait may be started again.
+    /// Puts all deferred items back into the queue.
     pub fn requeue_deferred(&mut self) {
         let deferred = self.items.iter_mut().filter(|i| i.phase == Phase::Deferred);
         deferred.for_each(|item| item.phase = Phase::Queued);
     }
 
-    /// A run ended without a result.
+    /// Records that a run ended without a result, and queues the item again.
     pub fn run_failed(
         &mut self,
         index: usize,
@@ -164,7 +169,7 @@
         retry_decision(failure, item.failed_runs, max_attempts)
     }
 
-    /// A scoring ended without a score.
+    /// Records that a scoring ended without a score; the caller scores the same text again.
     pub fn score_failed(
         &mut self,
         index: usize,
@@ -176,7 +181,7 @@
         retry_decision(failure, item.failed_scores, max_attempts)
     }
 
-    /// An item is done, with a text or given up.
+    /// Records the result of an item, or that it is given up. The first result of an item stays.
     pub fn finish(&mut self, index: usize, sample: Sample) {
         let item = &mut self.items[index];
         if matches!(item.phase, Phase::Finished | Phase::Committed) {
@@ -186,15 +191,15 @@
         self.uncommitted.push(sample);
     }
 
-    /// What the next segment should hold.
+    /// Finished samples for the next segments.
     pub fn uncommitted(&self) -> &[Sample] {
         &self.uncommitted
     }
 
-    /// Takes over a segment that stands in the store, of this runner or of another one.
+    /// Applies a segment read from the store, written by this instance or by another one.
     ///
     /// # Errors
-    /// A segment before it is missing.
+    /// [`Gap`] if a segment before it is missing.
     pub fn add_segment(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
         let is_known = from < self.commit_log.next_position();
         let ids: Vec<_> = samples.iter().map(|s| s.item.clone()).collect();
@@ -222,18 +227,18 @@
         }
     }
 
-    /// Whether the item is listed or waits only for its commit.
+    /// Whether the item needs no more work: it is committed or waits only for its commit.
     pub fn is_finished(&self, index: usize) -> bool {
         matches!(self.items[index].phase, Phase::Finished | Phase::Committed)
     }
 
-    /// Whether every item is listed.
+    /// Whether every item is committed.
     pub fn is_complete(&self) -> bool {
         self.commit_log.samples().len() >= self.items.len()
     }
 
-    /// Whether the trainer has all that it waits for once `unlisted` is committed: then it should
-    /// not wait for more to be committed together.
+    /// Whether the trainer has all that it waits for once the uncommitted samples are committed. If
+    /// so, they are committed at once rather than held back for a larger segment.
     pub fn will_satisfy_trainer(&self) -> bool {
         let mut done: Vec<_> = self
             .groups
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -1,9 +1,10 @@
-//! One trainer step whose results are kept in the platform's object store.
+//! Batch scheduling of lots whose results are stored in the platform's object store.
 //!
-//! Results have fixed positions. They are committed as numbered segments, each created only if it
-//! does not exist: whoever wins the number of a segment has fixed its positions for good, however
-//! many instances believe that they run the lot. [`Ledger`] holds what is committed; [`Lot`] holds
-//! what is still to be done; [`Fleet`] picks the engines that do it.
+//! A lot holds the samples that one trainer wants for one step. Its results have fixed positions
+//! and are committed as segments, each written with a create-if-absent call: the first writer of
+//! a segment fixes its positions, even if several instances run the same lot at once.
+//! [`CommitLog`] holds the committed results, [`Lot`] the state of each item, [`Fleet`] selects
+//! the engines, and [`DemandWindow`] reports recent demand to the autoscaler.
 
 mod commit_log;
 mod demand;
