--- a/crates/pinereel_core/tests/batch_asked.rs
+++ b/crates/pinereel_core/tests/batch_asked.rs
@@ -1,4 +1,4 @@
-//! What trainers asked for lately.
+//! The sliding window over the demand of recent lots.
 
 use pinereel_core::{Time, batch::DemandWindow};
 
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -1,4 +1,4 @@
-//! Which engine gets the next run of a lot, and when a run is moved.
+//! Selection of engines for the runs of a lot: load, speed, health, crash suspects and moves.
 
 use pinereel_core::{
     Time,
@@ -31,7 +31,7 @@
     key
 }
 
-/// Lets a run at the engine show its pace.
+/// Feeds events at an interval of `millis` until the engine's average has settled there.
 fn set_interval(fleet: &mut Fleet, id: &str, millis: u64) {
     let key = key(fleet, id);
     for _ in 0..80 {
@@ -88,7 +88,7 @@
     assert_eq!(
         fleet.move_target(NOW, slow, 5, 3),
         None,
-        "it may be over soon"
+        "a short run may end soon"
     );
     assert_eq!(
         fleet.move_target(NOW, slow, 5, 30),
@@ -103,27 +103,27 @@
 #[test]
 fn an_engine_that_refused_is_tried_by_one_run_after_a_pause() {
     let mut fleet = fleet(1);
-    let only = key(&fleet, "engine-0");
-    fleet.run_started(NOW, only, 0);
-    fleet.run_ended(NOW, only, RunOutcome::Rejected);
+    let engine = key(&fleet, "engine-0");
+    fleet.run_started(NOW, engine, 0);
+    fleet.run_ended(NOW, engine, RunOutcome::Rejected);
     assert_eq!(fleet.pick(NOW, 5, None), None);
     let later = NOW + Duration::from_millis(200);
-    assert_eq!(fleet.pick(later, 5, None), Some(only));
-    fleet.run_started(NOW, only, 0);
+    assert_eq!(fleet.pick(later, 5, None), Some(engine));
+    fleet.run_started(NOW, engine, 0);
     assert_eq!(fleet.pick(later, 5, None), None);
-    fleet.first_event_received(only);
-    assert_eq!(fleet.pick(later, 5, None), Some(only));
+    fleet.first_event_received(engine);
+    assert_eq!(fleet.pick(later, 5, None), Some(engine));
 }
 
 #[test]
 fn an_engine_that_keeps_breaking_is_tried_less_and_less_often() {
     let mut fleet = fleet(1);
-    let only = key(&fleet, "engine-0");
+    let engine = key(&fleet, "engine-0");
     let mut now = NOW;
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        fleet.run_started(now, only, 0);
-        fleet.run_ended(now, only, RunOutcome::Failed);
+        fleet.run_started(now, engine, 0);
+        fleet.run_ended(now, engine, RunOutcome::Failed);
         let mut pause = 0;
         while fleet.pick(now, 5, None).is_none() {
             now = now + Duration::from_millis(100);
@@ -137,16 +137,17 @@
 #[test]
 fn an_engine_that_left_the_list_is_forgotten_with_its_last_run() {
     let mut fleet = fleet(1);
-    let gone = key(&fleet, "engine-0");
-    fleet.run_started(NOW, gone, 0);
+    let delisted = key(&fleet, "engine-0");
+    fleet.run_started(NOW, delisted, 0);
     fleet.update([listing(1, 5)]);
-    assert!(fleet.get(gone).is_some());
+    assert!(fleet.get(delisted).is_some());
     assert_eq!(fleet.pick(NOW, 5, None), Some(key(&fleet, "engine-1")));
-    fleet.run_ended(NOW, gone, RunOutcome::Finished);
-    assert!(fleet.get(gone).is_none());
+    fleet.run_ended(NOW, delisted, RunOutcome::Finished);
+    assert!(fleet.get(delisted).is_none());
 }
 
-/// Load pattern: an engine starts again under its id, with runs there and after it broke others off.
+/// Failure: an engine restarts under its id while runs are in progress on it, after it broke off
+/// others. The new process must not inherit the load and the backoff of the old one.
 #[test]
 fn an_engine_that_starts_again_is_a_new_one() {
     let mut fleet = fleet(2);
@@ -174,14 +175,17 @@
         Some((0, None))
     );
     assert!(!fleet.get(after).expect("listed").needs_probe());
-    // What ends late there says nothing about it.
+    // A run of the old process that ends late does not count against the new one.
     fleet.run_ended(NOW, before, RunOutcome::Failed);
     assert!(!fleet.get(after).expect("listed").needs_probe());
-    assert!(!fleet.update([again, listing(1, 5)]), "nothing new");
+    assert!(
+        !fleet.update([again, listing(1, 5)]),
+        "the list has not changed"
+    );
 }
 
-/// Load pattern: an engine crashed and took 8 items along; they come again beside others. When they ran together, the next
-/// crash could not be told from the first one.
+/// Failure: an engine crashes with 8 items running, which are retried together with others. If two
+/// of these suspects share an engine, the next crash cannot be attributed to one of them.
 #[test]
 fn one_item_in_doubt_runs_at_an_engine() {
     let mut fleet = fleet(2);
@@ -196,8 +200,8 @@
     assert_eq!(fleet.pick_for_item(NOW, 5, 1), Some(first));
 }
 
-/// Load pattern: engines are full, and an item has a last chance. An engine is kept free for it, and nothing begins beside
-/// it, so that a crash is its own.
+/// Failure: all engines are full, and an item on its last attempt finds none to itself. An engine is
+/// reserved for it, and nothing starts beside it, so that a crash can be attributed to the item.
 #[test]
 fn an_item_with_a_last_chance_gets_an_engine_where_nothing_begins() {
     let mut fleet = fleet(2);
@@ -214,17 +218,20 @@
     }
     let others = fleet.pick(later, 5, None).expect("the other engine");
     fleet.run_started(later, others, 0);
-    assert_eq!(fleet.pick(later, 5, None), None, "one is kept free");
-    let alone = fleet.pick_for_item(later, 5, 2).expect("the one kept free");
-    assert_ne!(alone, others);
-    fleet.run_started(later, alone, 2);
-    fleet.run_ended(later, alone, RunOutcome::Finished);
-    assert_eq!(fleet.pick(later, 5, None), None, "nothing begins beside it");
-    fleet.suspect_run_ended(alone);
-    assert_eq!(fleet.pick(later, 5, None), Some(alone));
+    assert_eq!(fleet.pick(later, 5, None), None, "one engine is reserved");
+    let isolated = fleet
+        .pick_for_item(later, 5, 2)
+        .expect("the reserved engine");
+    assert_ne!(isolated, others);
+    fleet.run_started(later, isolated, 2);
+    fleet.run_ended(later, isolated, RunOutcome::Finished);
+    assert_eq!(fleet.pick(later, 5, None), None, "nothing starts beside it");
+    fleet.suspect_run_ended(isolated);
+    assert_eq!(fleet.pick(later, 5, None), Some(isolated));
 }
 
-/// Load pattern: an engine falls silent under the longest texts of a step, which have less than a second to spare.
+/// Failure: an engine falls silent under the longest texts of a step, which have less than a second
+/// to spare.
 #[test]
 fn a_silent_engine_is_left_after_some_of_its_usual_gaps() {
     let mut fleet = fleet(3);
@@ -237,12 +244,12 @@
     assert_eq!(
         stall_timeout("engine-2"),
         Duration::from_millis(1_500),
-        "nothing known"
+        "no average yet"
     );
 }
 
-/// Load pattern: more engines than runs, and a pace that no engine was assumed to have. Each run that was long enough
-/// moved to an engine that had made nothing yet, and read its prompt again there.
+/// Failure: there are more engines than runs, and runs are slower than the interval assumed for an
+/// engine without events. Each long run moved to such an engine and processed its prompt again.
 #[test]
 fn no_run_moves_to_an_engine_only_because_nothing_is_known_of_it() {
     for engines in [8, 16, 32] {
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -1,4 +1,4 @@
-//! A lot's items on their way to fixed positions, with one runner and with several.
+//! Items of a lot from the queue to their committed positions, with one runner and with several.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::batch::{CommitLog, Failure, Lot, RetryDecision};
@@ -80,7 +80,7 @@
     }
     assert!(
         !lot.will_satisfy_trainer(),
-        "the group that came again is missing"
+        "the resubmitted group is missing"
     );
     lot.finish(4, sample("item-4", "x"));
     assert!(!lot.will_satisfy_trainer());
@@ -107,7 +107,7 @@
     let mut commit_log = CommitLog::default();
     commit_log.append(0, vec![sample("a", "x")]).unwrap();
     assert!(commit_log.append(2, vec![sample("b", "x")]).is_err());
-    // Seen again, it changes nothing.
+    // A segment that is known already changes nothing.
     commit_log.append(0, vec![sample("c", "x")]).unwrap();
     assert_eq!(
         (commit_log.next_position(), commit_log.contains("c")),
@@ -115,12 +115,12 @@
     );
 }
 
-/// The store's side of a lot: segments that are created only if they do not exist.
+/// Fake object store that creates a segment only if it is absent.
 #[derive(Default)]
 struct Store {
     segments: BTreeMap<usize, Vec<Sample>>,
-    /// Creates whose answers were lost and that may still be carried out.
-    delayed: Vec<(usize, Vec<Sample>)>,
+    /// Create calls without an answer that may still take effect.
+    pending_creates: Vec<(usize, Vec<Sample>)>,
 }
 
 impl Store {
@@ -132,8 +132,8 @@
         absent
     }
 
-    /// All positions, as a reader of every segment sees them.
-    fn positions(&self) -> Vec<Sample> {
+    /// All committed samples in the order of their positions, as a reader sees them.
+    fn committed_samples(&self) -> Vec<Sample> {
         let mut all = Vec::new();
         while let Some(segment) = self.segments.get(&all.len()) {
             all.extend(segment.iter().cloned());
@@ -142,7 +142,7 @@
     }
 }
 
-/// One instance that believes that it runs the lot.
+/// One of several instances that run the same lot at once.
 struct Runner {
     name: usize,
     lot: Lot,
@@ -172,24 +172,24 @@
         let samples = uncommitted[..count].to_vec();
         let from = self.lot.commit_log().next_position();
         match rng.random_range(0..10) {
-            // The request is lost, or carried out at some later time.
+            // The call is lost, or takes effect at some later time.
             0 => {}
-            1 => store.delayed.push((from, samples)),
-            // Carried out, and the answer is lost: the runner looks.
+            1 => store.pending_creates.push((from, samples)),
+            // It takes effect, and the answer is lost: the runner reads the segment.
             2 => {
                 store.create(from, &samples);
-                self.look(store);
+                self.read_next_segment(store);
             }
             _ if store.create(from, &samples) => {
                 self.lot
                     .add_segment(from, samples)
                     .expect("it is the next one");
             }
-            _ => self.look(store),
+            _ => self.read_next_segment(store),
         }
     }
 
-    fn look(&mut self, store: &Store) {
+    fn read_next_segment(&mut self, store: &Store) {
         let from = self.lot.commit_log().next_position();
         if let Some(samples) = store.segments.get(&from) {
             self.lot
@@ -208,55 +208,63 @@
                 if rng.random_bool(0.2) {
                     self.lot.run_failed(at, Failure::Interrupted, 3);
                 } else if !self.lot.is_finished(at) {
-                    // Two runners make different texts of one item.
+                    // Two runners produce different texts for one item.
                     let text = format!("{}-{}", self.name, rng.random::<u32>());
                     self.lot.finish(at, sample(&format!("item-{at}"), &text));
                 }
             }
-            2 => self.look(store),
+            2 => self.read_next_segment(store),
             _ => self.commit(rng, store),
         }
     }
 }
 
-/// Runs several runners until the lot is whole; the oracle knows only the positions shown.
-fn play(seed: u64, steps: usize) -> usize {
+/// Drives several runners and checks after each step that no committed position changes, disappears
+/// or repeats an item.
+fn run_simulation(seed: u64, steps: usize) -> usize {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let submission = submission(4, 5, 3);
     let mut store = Store::default();
     let mut runners: Vec<_> = (0..3)
         .map(|n| Runner::new(n, &submission, &store))
         .collect();
-    let mut shown: Vec<Sample> = Vec::new();
+    let mut committed: Vec<Sample> = Vec::new();
     for step in 0..steps {
         let index = rng.random_range(0..runners.len());
         runners[index].step(&mut rng, &mut store);
-        if rng.random_bool(0.05) && !store.delayed.is_empty() {
-            let at = rng.random_range(0..store.delayed.len());
-            let (from, samples) = store.delayed.swap_remove(at);
+        if rng.random_bool(0.05) && !store.pending_creates.is_empty() {
+            let at = rng.random_range(0..store.pending_creates.len());
+            let (from, samples) = store.pending_creates.swap_remove(at);
             store.create(from, &samples);
         }
         if rng.random_bool(0.01) {
-            // Killed, and started again with what the store holds.
+            // The runner crashes and restarts from the segments in the store.
             runners[index] = Runner::new(step, &submission, &store);
         }
-        let now = store.positions();
-        assert!(now.len() >= shown.len(), "a position went away");
-        assert_eq!(now[..shown.len()], shown[..], "a position changed");
-        shown = now;
-        let items: BTreeSet<_> = shown.iter().map(|s| &s.item).collect();
-        assert_eq!(items.len(), shown.len(), "an item has two positions");
+        let now = store.committed_samples();
+        assert!(
+            now.len() >= committed.len(),
+            "a committed position disappeared"
+        );
+        assert_eq!(
+            now[..committed.len()],
+            committed[..],
+            "a committed position changed"
+        );
+        committed = now;
+        let items: BTreeSet<_> = committed.iter().map(|s| &s.item).collect();
+        assert_eq!(items.len(), committed.len(), "an item has two positions");
     }
-    shown.len()
+    committed.len()
 }
 
 proptest! {
     #![proptest_config(Config { cases: 64, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Config::default() })]
     #[test]
     fn positions_never_change_however_many_run_the_lot(seed in any::<u64>()) {
-        // 64 cases of 2,000 transitions; PINEREEL_TRANSITIONS asks for more of them a case.
+        // 64 cases of 2,000 transitions each; PINEREEL_TRANSITIONS sets the transitions per case.
         let steps = std::env::var("PINEREEL_TRANSITIONS");
         let steps = steps.ok().and_then(|n| n.parse().ok()).unwrap_or(2_000);
-        prop_assert_eq!(play(seed, steps), 20);
+        prop_assert_eq!(run_simulation(seed, steps), 20);
     }
 }
