--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -6,8 +6,8 @@
 //! run the same group for a while: that costs work, never a second delivery, since the trainer's
 //! cursor token decides.
 
-mod accept;
-mod deliver;
+mod assign;
+mod collect;
 mod message;
 mod runner;
 mod schedule;
