--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -67,7 +67,7 @@
     shared.lots.next_call.set(call + 1);
     let (sender, answer) = oneshot::channel();
     shared.lots.calls.borrow_mut().insert(call, sender);
-    let ask = lot::Ask {
+    let ask = lot::CollectRequest {
         call,
         lot: ask.lot.clone(),
         groups: ask.groups.clone(),
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -1,41 +1,41 @@
 //! Collects, scores, and handing over.
 
-use super::{Action, Ask, Runner, Sample, state::SampleKey};
+use super::{Action, CollectRequest, Runner, Sample, state::SampleKey};
 use crate::{Time, cursor::Token, provenance, staleness};
 use std::mem;
 
 impl Runner {
-    pub(super) fn collect(&mut self, now: Time, ask: Ask) {
-        let Some(lot) = self.lots.get_mut(&ask.lot) else {
+    pub(super) fn collect(&mut self, now: Time, request: CollectRequest) {
+        let Some(lot) = self.lots.get_mut(&request.lot) else {
             self.actions.push(Action::Answer {
-                call: ask.call,
+                call: request.call,
                 samples: Vec::new(),
-                missing: ask.groups,
+                missing: request.groups,
             });
             return;
         };
-        if let Err(error) = ask.token.check(lot.spec.digest, lot.spec.step) {
-            let call = ask.call;
+        if let Err(error) = request.token.check(lot.spec.digest, lot.spec.step) {
+            let call = request.call;
             self.actions.push(Action::Rejected { call, error });
             return;
         }
         lot.touched = now;
         lot.wanted = true;
-        let newer = ask.version > lot.spec.version;
+        let newer = request.version > lot.spec.version;
         // The trainer's own word goes before what was expected when the lot was sent ahead.
-        lot.spec.version = ask.version;
+        lot.spec.version = request.version;
         let lacks = |group: &u32| !lot.groups.contains_key(group);
-        let missing = ask.groups.iter().copied().filter(lacks).collect();
+        let missing = request.groups.iter().copied().filter(lacks).collect();
         let keys: Vec<_> = lot.samples.values().copied().collect();
         for key in &keys {
-            self.acknowledge(*key, &ask.token);
+            self.acknowledge(*key, &request.token);
         }
         if newer {
             self.abort_stale();
         }
-        let samples = self.gather(&keys, &ask);
+        let samples = self.gather(&keys, &request);
         self.actions.push(Action::Answer {
-            call: ask.call,
+            call: request.call,
             samples,
             missing,
         });
@@ -59,7 +59,7 @@
         }
     }
 
-    fn gather(&mut self, keys: &[SampleKey], ask: &Ask) -> Vec<Sample> {
+    fn gather(&mut self, keys: &[SampleKey], request: &CollectRequest) -> Vec<Sample> {
         let mut samples = Vec::new();
         let mut bytes = 0;
         for key in keys {
@@ -68,13 +68,13 @@
                 continue;
             };
             let oldest = provenance::oldest(&ready.sample.spans);
-            if oldest.is_none_or(|o| !staleness::fits(o, ask.version, ask.bound)) {
+            if oldest.is_none_or(|o| !staleness::fits(o, request.version, request.bound)) {
                 self.void_finished(*key);
                 continue;
             }
             bytes += ready.sample.text.len();
             let full = bytes > self.limits.answer_bytes && !samples.is_empty();
-            if samples.len() < ask.max && !full {
+            if samples.len() < request.max && !full {
                 samples.push(ready.sample.clone());
             }
         }
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -69,7 +69,7 @@
 
 /// A collect, as the front passes it on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct CollectRequest {
     /// Id of the call, given back with the answer.
     pub call: u64,
     /// Id of the lot.
@@ -122,7 +122,7 @@
         bound: u64,
     },
     /// A collect.
-    Collect(Ask),
+    Collect(CollectRequest),
     /// The answer to [`Action::Score`].
     Scored {
         /// Ticket of the action.
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -13,7 +13,7 @@
 mod schedule;
 mod state;
 
-pub use message::{Action, Ask, Chunk, Failure, Finish, Offer, Refusal, Sample, Start};
+pub use message::{Action, Chunk, CollectRequest, Failure, Finish, Offer, Refusal, Sample, Start};
 pub use runner::{Runner, Stats};
 pub use state::{AttemptKey, Group, Lot, SampleKey, Spec};
 
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -104,7 +104,7 @@
             Event::Gone { endpoint } => self.gone(now, &endpoint),
             Event::Published { model, version } => self.published(now, &model, version),
             Event::Bound { trainer, bound } => self.bound(&trainer, bound),
-            Event::Collect(ask) => self.collect(now, ask),
+            Event::Collect(request) => self.collect(now, request),
             Event::Scored { ticket, score } => self.scored(ticket, score),
             Event::ScoreFailed { ticket } => self.score_failed(now, ticket),
             Event::Handover { spec, samples } => self.handover(now, spec, samples),
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -8,8 +8,8 @@
     cursor::{Ledger, Merge, Token},
     hash,
     lot::{
-        Action, Ask, AttemptKey, Chunk, Event, Failure, Finish, Group, Limits, Offer, Policy,
-        Runner, Sample, Spec, Start, Stats,
+        Action, AttemptKey, Chunk, CollectRequest, Event, Failure, Finish, Group, Limits, Offer,
+        Policy, Runner, Sample, Spec, Start, Stats,
     },
     provenance::Stamp,
     staleness,
@@ -353,7 +353,7 @@
         let mut found = Vec::new();
         for at in (0..RUNNERS).filter(|at| cut & (1 << at) == 0) {
             let mine = |group: &u32| (*group as usize + view) % RUNNERS == at;
-            let ask = Ask {
+            let ask = CollectRequest {
                 call: 1,
                 lot: "lot".into(),
                 groups: (0..GROUPS).filter(mine).collect(),
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -6,8 +6,8 @@
     fair::Class,
     hash::Digest,
     lot::{
-        Action, Ask, AttemptKey, Chunk, Event, Failure, Finish, Group, Limits, Offer, Policy,
-        Refusal, Runner, Sample, Spec, Start,
+        Action, AttemptKey, Chunk, CollectRequest, Event, Failure, Finish, Group, Limits, Offer,
+        Policy, Refusal, Runner, Sample, Spec, Start,
     },
     provenance::Stamp,
 };
@@ -51,7 +51,7 @@
 }
 
 fn ask(step: u64, token: Token, version: u64, bound: u64) -> Event {
-    Event::Collect(Ask {
+    Event::Collect(CollectRequest {
         call: 9,
         lot: format!("lot{step}").into(),
         groups: vec![0, 1],
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -10,8 +10,8 @@
     cursor::{Merge, Token},
     hash::Digest,
     lot::{
-        Action, Ask, AttemptKey, Chunk, Event, Finish, Group, Limits, Offer, Policy, Runner,
-        Sample, Spec,
+        Action, AttemptKey, Chunk, CollectRequest, Event, Finish, Group, Limits, Offer, Policy,
+        Runner, Sample, Spec,
     },
     provenance::Stamp,
 };
@@ -193,7 +193,7 @@
     let id = format_compact!("lot-{lot}");
     let mut token = Token::first(Digest::of(&lot.to_be_bytes()), 1, samples);
     for call in 0..u64::from(samples) {
-        let ask = Ask {
+        let ask = CollectRequest {
             call,
             lot: id.clone(),
             groups: (0..samples / GROUP).collect(),
--- a/crates/pinereel_fakes/src/experiment/collect.rs
+++ b/crates/pinereel_fakes/src/experiment/collect.rs
@@ -188,7 +188,7 @@
         }
         let call = self.next_call;
         self.next_call += 1;
-        let ask = lot::Ask {
+        let ask = lot::CollectRequest {
             call,
             lot: collect.asked.lot.clone(),
             groups: collect.pending.get(&owner).cloned().unwrap_or_default(),
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -43,7 +43,7 @@
 /// A question of a front that waits for samples.
 pub(super) struct Waiting {
     pub(super) collect: u64,
-    pub(super) ask: lot::Ask,
+    pub(super) ask: lot::CollectRequest,
 }
 
 /// One entry.
