--- a/crates/pinereel/src/controllers/config/apply.rs
+++ b/crates/pinereel/src/controllers/config/apply.rs
@@ -27,7 +27,7 @@
     let empty = Document::default();
     let old = old.map_or(&empty, |pin| &pin.document);
     for (trainer, bound) in bounds(old, &pin.document) {
-        lots::step(shared, lot::Event::Bound { trainer, bound });
+        lots::step(shared, lot::Event::BoundChanged { trainer, bound });
     }
     for instance in slots(shared, old, &pin.document) {
         endpoints::step(shared, Event::Listed(instance));
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -356,7 +356,7 @@
             slots: 0,
         })
     } else {
-        lot::Event::Gone { endpoint: name }
+        lot::Event::EndpointLost { endpoint: name }
     };
     crate::controllers::lots::step(shared, event);
 }
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -235,7 +235,7 @@
         stamp: stamp(&chunk),
         text: chunk.text,
         finish: chunk.finish.map(|finish| match finish {
-            Finish::Stop | Finish::Length => lot::Finish::Whole,
+            Finish::Stop | Finish::Length => lot::Finish::Complete,
             Finish::Cancelled => lot::Finish::Cancelled,
         }),
     }
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finish {
     /// The sample is whole.
-    Whole,
+    Complete,
     /// Cancelled or preempted.
     Cancelled,
 }
@@ -103,7 +103,7 @@
         failure: Failure,
     },
     /// An endpoint crashed: all its attempts are lost.
-    Gone {
+    EndpointLost {
         /// The endpoint.
         endpoint: CompactString,
     },
@@ -115,7 +115,7 @@
         version: Version,
     },
     /// A patch changed a trainer's staleness bound.
-    Bound {
+    BoundChanged {
         /// The trainer.
         trainer: CompactString,
         /// The new bound, in versions.
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -98,12 +98,12 @@
         let running = self.attempts.len();
         match event {
             Event::Assign(spec) => self.assign(now, spec),
-            Event::Offer(offer) => self.offer(offer),
-            Event::Chunk(chunk) => self.chunk(now, chunk),
-            Event::Failed { attempt, failure } => self.failed(now, attempt, failure),
-            Event::Gone { endpoint } => self.gone(now, &endpoint),
-            Event::Published { model, version } => self.published(now, &model, version),
-            Event::Bound { trainer, bound } => self.bound(&trainer, bound),
+            Event::Offer(offer) => self.endpoint_offered(offer),
+            Event::Chunk(chunk) => self.chunk_received(now, chunk),
+            Event::Failed { attempt, failure } => self.attempt_failed(now, attempt, failure),
+            Event::EndpointLost { endpoint } => self.endpoint_lost(now, &endpoint),
+            Event::Published { model, version } => self.version_published(now, &model, version),
+            Event::BoundChanged { trainer, bound } => self.bound_changed(&trainer, bound),
             Event::Collect(request) => self.collect(now, request),
             Event::Scored { ticket, score } => self.scored(ticket, score),
             Event::ScoreFailed { ticket } => self.score_failed(now, ticket),
@@ -139,7 +139,7 @@
         !self.attempts.is_empty() || waits()
     }
 
-    fn offer(&mut self, offer: Offer) {
+    fn endpoint_offered(&mut self, offer: Offer) {
         let known = self.endpoints.get(&offer.endpoint);
         let (running, speed) = known.map_or_else(Default::default, |e| (e.running, e.speed));
         if offer.slots == 0 && running == 0 {
@@ -155,7 +155,7 @@
         self.endpoints.insert(key, endpoint);
     }
 
-    fn chunk(&mut self, now: Time, chunk: super::Chunk) {
+    fn chunk_received(&mut self, now: Time, chunk: super::Chunk) {
         let Some(attempt) = self.attempts.get_mut(chunk.attempt) else {
             self.stats.late += 1;
             return;
@@ -186,7 +186,7 @@
             self.note_reuse(now, chunk.attempt, oldest);
         }
         match chunk.finish {
-            Some(Finish::Whole) => self.finish(now, chunk.attempt),
+            Some(Finish::Complete) => self.finish(now, chunk.attempt),
             Some(Finish::Cancelled) => self.lose(now, chunk.attempt),
             // Too old although nothing new was published since: its engine reuses old prefixes or
             // runs old weights, and may do so each time.
@@ -215,7 +215,7 @@
         self.retry(attempt.sample, kept);
     }
 
-    fn failed(&mut self, now: Time, key: AttemptKey, failure: Failure) {
+    fn attempt_failed(&mut self, now: Time, key: AttemptKey, failure: Failure) {
         let Some(attempt) = self.attempts.get(key) else {
             self.stats.late += 1;
             return;
@@ -228,7 +228,7 @@
         self.lose(now, key);
     }
 
-    fn gone(&mut self, now: Time, endpoint: &str) {
+    fn endpoint_lost(&mut self, now: Time, endpoint: &str) {
         let all = self.attempts.iter();
         let lost = all.filter(|(_, attempt)| attempt.endpoint == endpoint);
         let lost: Vec<_> = lost.map(|(key, _)| key).collect();
@@ -339,7 +339,7 @@
 
     /// Only a forecast: which version a trainer is at, it says itself with each collect. Other
     /// trainers of the model may well be behind.
-    pub(super) fn published(&mut self, now: Time, model: &str, version: Version) {
+    pub(super) fn version_published(&mut self, now: Time, model: &str, version: Version) {
         let pace = self.paces.get_mut(model);
         let newer = pace.map(|pace| pace.publish(version, now));
         if newer.is_none() {
@@ -347,7 +347,7 @@
         }
     }
 
-    fn bound(&mut self, trainer: &str, bound: u64) {
+    fn bound_changed(&mut self, trainer: &str, bound: u64) {
         for lot in self.lots.values_mut() {
             if lot.spec.trainer == trainer {
                 lot.spec.bound = bound;
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -299,7 +299,7 @@
         let whole = end == length(&prompt, seed);
         let finish = match fault {
             Fault::Cancelled => Some(Finish::Cancelled),
-            _ => whole.then_some(Finish::Whole),
+            _ => whole.then_some(Finish::Complete),
         };
         let stamp = Stamp {
             offset: run.next,
@@ -433,7 +433,7 @@
                 self.engines[engine].cache.clear();
                 for at in 0..RUNNERS {
                     let endpoint = format!("e{engine}").into();
-                    self.send(at, Event::Gone { endpoint });
+                    self.send(at, Event::EndpointLost { endpoint });
                 }
             }
             Op::Swap(engine, back) => {
@@ -452,7 +452,7 @@
                 self.bound = bound;
                 for at in (0..RUNNERS).filter(|at| told & (1 << at) != 0) {
                     let trainer = "trainer".into();
-                    self.send(at, Event::Bound { trainer, bound });
+                    self.send(at, Event::BoundChanged { trainer, bound });
                 }
             }
             Op::Assign(at) => {
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -170,7 +170,7 @@
     let mut running = starts(&runner.step(NOW, offer("a", 2)));
     running.extend(starts(&runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])))));
     for start in &running {
-        runner.step(NOW, chunk(start.attempt, 0, "ab", Some(Finish::Whole)));
+        runner.step(NOW, chunk(start.attempt, 0, "ab", Some(Finish::Complete)));
     }
     let more = Event::Assign(spec(7, &[(0, 8), (1, 8)]));
     let actions = runner.step(NOW, more.clone());
@@ -214,7 +214,7 @@
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let first = starts(&runner.step(NOW, offer("a", 1)));
-        let mut reused = chunk(first[0].attempt, 0, " x", Some(Finish::Whole));
+        let mut reused = chunk(first[0].attempt, 0, " x", Some(Finish::Complete));
         if let Event::Chunk(chunk) = &mut reused {
             chunk.stamp.reused = vec![Span {
                 version: Version(3),
@@ -301,7 +301,7 @@
     let twin = &twins[0];
     assert_eq!((twin.index, twin.class), (first[0].index, Class::Straggler));
     assert_eq!((twin.resume.as_str(), twin.resume_tokens), (" x", 1));
-    let done = runner.step(later, chunk(twin.attempt, 1, " y", Some(Finish::Whole)));
+    let done = runner.step(later, chunk(twin.attempt, 1, " y", Some(Finish::Complete)));
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert!(done.contains(&Action::Cancel { attempt, endpoint }));
     runner.step(later, chunk(first[0].attempt, 1, " y", None));
@@ -317,7 +317,7 @@
         runner.step(NOW, chunk(start.attempt, 0, " x", None));
     }
     let endpoint = "a".into();
-    runner.step(NOW, Event::Gone { endpoint });
+    runner.step(NOW, Event::EndpointLost { endpoint });
     let resumed = starts(&runner.step(NOW, offer("b", 1)));
     assert_eq!(resumed[0].resume, " x");
     let (model, version) = ("m".into(), Version(7));
@@ -346,7 +346,7 @@
     let first = starts(&runner.step(NOW, offer("a", 1)));
     runner.step(NOW, chunk(first[0].attempt, 0, " x", None));
     let (trainer, bound) = ("t".into(), 0);
-    let actions = runner.step(NOW, Event::Bound { trainer, bound });
+    let actions = runner.step(NOW, Event::BoundChanged { trainer, bound });
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert_eq!(actions, [Action::Cancel { attempt, endpoint }]);
 }
@@ -404,7 +404,10 @@
     let mut runner = runner(Policy::BASELINE);
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&runner.step(NOW, offer("a", 1)));
-    runner.step(NOW, chunk(first[0].attempt, 0, " x", Some(Finish::Whole)));
+    runner.step(
+        NOW,
+        chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
+    );
     let token = Token::first(digest(7), 7, 2);
     let fits = runner.step(NOW, ask(7, token.clone(), 6, 1));
     assert_eq!(answer(&fits).0.len(), 1);
@@ -418,7 +421,10 @@
     let mut old = runner(Policy::default());
     old.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&old.step(NOW, offer("a", 1)));
-    old.step(NOW, chunk(first[0].attempt, 0, " x", Some(Finish::Whole)));
+    old.step(
+        NOW,
+        chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
+    );
     let actions = old.step(NOW, Event::Drain);
     assert_eq!((starts(&actions).len(), old.in_flight()), (0, 1));
     let Some(Action::Handover { spec, samples }) = actions.last().cloned() else {
@@ -442,7 +448,7 @@
     lot.scored = true;
     runner.step(NOW, Event::Assign(lot));
     let first = starts(&runner.step(NOW, offer("a", 1)));
-    let done = chunk(first[0].attempt, 0, " x", Some(Finish::Whole));
+    let done = chunk(first[0].attempt, 0, " x", Some(Finish::Complete));
     let actions = runner.step(NOW, done);
     let ticket = actions.iter().find_map(|action| match action {
         Action::Score { ticket, .. } => Some(*ticket),
@@ -458,7 +464,7 @@
         slots: 2,
     };
     for start in starts(&runner.step(NOW, Event::Offer(newer))) {
-        let mut last = chunk(start.attempt, 0, " y", Some(Finish::Whole));
+        let mut last = chunk(start.attempt, 0, " y", Some(Finish::Complete));
         if let Event::Chunk(chunk) = &mut last {
             chunk.stamp.version = Some(version);
         }
@@ -492,7 +498,7 @@
 
 #[test]
 fn an_engine_that_reuses_old_prefixes_is_asked_again_at_the_pace_of_the_budget() {
-    for finish in [None, Some(Finish::Whole)] {
+    for finish in [None, Some(Finish::Complete)] {
         let mut runner = runner(Policy::default());
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let mut waiting = starts(&runner.step(NOW, offer("a", 2)));
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -176,7 +176,7 @@
     let mut now = 0;
     while let Some(attempt) = running.pop() {
         now += 1;
-        let event = chunk_of(attempt, 0, CHUNK_TOKENS, Some(Finish::Whole));
+        let event = chunk_of(attempt, 0, CHUNK_TOKENS, Some(Finish::Complete));
         running.extend(starts(&runner.step(Time::from_millis(now), event)));
     }
     let middle = cpu();
@@ -226,7 +226,7 @@
         let mut offset = 0;
         while offset < tokens {
             let last = offset + CHUNK_TOKENS >= tokens;
-            let finish = last.then_some(Finish::Whole);
+            let finish = last.then_some(Finish::Complete);
             let event = chunk_of(attempt, offset, CHUNK_TOKENS, finish);
             running.extend(starts(&runner.step(Time::ZERO, event)));
             offset += CHUNK_TOKENS;
