--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Start the samples with the longest predicted output first.
-    pub long_first: bool,
+    pub longest_first: bool,
     /// Run a second attempt of a running sample where slots are idle and nothing is queued.
-    pub duplicates: bool,
+    pub speculative_attempts: bool,
     /// Age of an attempt before it is duplicated.
-    pub duplicate_after: Duration,
+    pub speculate_after: Duration,
     /// Go on from the last whole chunk of a lost attempt instead of from the prompt.
     pub resume: bool,
     /// Abort what can no longer fit the bound as soon as that is known.
@@ -38,52 +38,52 @@
     pub staleness_aware_start: bool,
     /// Most versions that a start may be behind while nobody has asked for the lot, even where its
     /// bound is wider.
-    pub start_bound: u64,
+    pub unrequested_bound: u64,
     /// Choose among equally busy endpoints by hash instead of by name.
-    pub spread: bool,
+    pub hash_tie_break: bool,
     /// Lots that their trainer has asked for go first, here and at the engines.
-    pub wanted_first: bool,
+    pub requested_first: bool,
     /// Most attempts on an endpoint at which a lot that nobody has asked for yet may start one.
-    pub ahead_slots: u32,
+    pub unrequested_slots: u32,
     /// Use endpoints that are much slower than most last, and move attempts away from them.
     pub avoid_slow: bool,
     /// Share slots between trainers by weight instead of by arrival of their lots.
-    pub fair: bool,
+    pub fair_share: bool,
 }
 
 impl Policy {
     /// First in, first out, from the prompt, one attempt at a time.
     pub const BASELINE: Self = Self {
-        long_first: false,
-        duplicates: false,
-        duplicate_after: Duration::ZERO,
+        longest_first: false,
+        speculative_attempts: false,
+        speculate_after: Duration::ZERO,
         resume: false,
         early_abort: false,
         staleness_aware_start: false,
-        start_bound: u64::MAX,
-        spread: false,
-        wanted_first: false,
-        ahead_slots: u32::MAX,
+        unrequested_bound: u64::MAX,
+        hash_tie_break: false,
+        requested_first: false,
+        unrequested_slots: u32::MAX,
         avoid_slow: false,
-        fair: false,
+        fair_share: false,
     };
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            long_first: true,
-            duplicates: false,
-            duplicate_after: Duration::from_millis(200),
+            longest_first: true,
+            speculative_attempts: false,
+            speculate_after: Duration::from_millis(200),
             resume: true,
             early_abort: true,
             staleness_aware_start: true,
-            start_bound: 1,
-            spread: true,
-            wanted_first: true,
-            ahead_slots: 2,
+            unrequested_bound: 1,
+            hash_tie_break: true,
+            requested_first: true,
+            unrequested_slots: 2,
             avoid_slow: true,
-            fair: true,
+            fair_share: true,
         }
     }
 }
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -63,7 +63,7 @@
         let turn = self.stats.started;
         let mut free: Vec<_> = free.collect();
         free.sort_by_cached_key(|(key, e)| {
-            let tie = if self.policy.spread {
+            let tie = if self.policy.hash_tie_break {
                 hash::score(turn, key)
             } else {
                 0
@@ -118,19 +118,19 @@
         let mut lots: Vec<_> = self.lots.values().collect();
         lots.retain(|lot| lot.spec.model == *model && !lot.queue.is_empty());
         lots.sort_by_key(|lot| (lot.spec.step, lot.order));
-        if !self.policy.fair {
+        if !self.policy.fair_share {
             lots.sort_by_key(|lot| lot.order);
         }
         let running = self.endpoints[endpoint].running;
-        if running >= self.policy.ahead_slots {
+        if running >= self.policy.unrequested_slots {
             lots.retain(|lot| lot.wanted);
         }
-        if self.policy.wanted_first {
+        if self.policy.requested_first {
             lots.sort_by_key(|lot| !lot.wanted);
         }
         while !lots.is_empty() {
             let mut flows = lots.iter().map(|lot| lot.spec.trainer.as_str());
-            let flow = if self.policy.fair {
+            let flow = if self.policy.fair_share {
                 self.share.next(flows)?
             } else {
                 flows.next()?
@@ -160,7 +160,7 @@
         let bound = if lot.wanted {
             lot.spec.bound
         } else {
-            lot.spec.bound.min(self.policy.start_bound)
+            lot.spec.bound.min(self.policy.unrequested_bound)
         };
         if !staleness::fits(offer.version, lot.spec.version, bound) {
             return false;
@@ -184,7 +184,7 @@
 
     /// A running sample worth a second attempt on an idle slot: the one started first.
     fn straggler(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
-        if !self.policy.duplicates {
+        if !self.policy.speculative_attempts {
             return None;
         }
         let model = &self.endpoints[endpoint].offer.model;
@@ -195,7 +195,7 @@
         }
         let due = self.attempts.values().filter(|attempt| {
             let entry = &self.samples[attempt.sample];
-            let old = now.since(attempt.started) >= self.policy.duplicate_after;
+            let old = now.since(attempt.started) >= self.policy.speculate_after;
             let alone = entry.attempts.len() == 1 && attempt.endpoint != endpoint;
             let fits = self.lots[&entry.lot].spec.model == *model;
             old && alone && fits && self.startable(now, attempt.sample, endpoint)
@@ -240,7 +240,7 @@
             seed: seed(lot.spec.digest, entry.index),
             resume,
             resume_tokens: base,
-            class: if again || late || self.policy.wanted_first && lot.wanted {
+            class: if again || late || self.policy.requested_first && lot.wanted {
                 Class::Straggler
             } else {
                 Class::Bulk
@@ -384,7 +384,7 @@
         let entry = &mut self.samples[key];
         let lot = self.lots.get_mut(&entry.lot);
         let lot = lot.expect("samples are removed with their lot");
-        let predicted = if self.policy.long_first {
+        let predicted = if self.policy.longest_first {
             lot.groups[&entry.group].predicted()
         } else {
             0
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -581,12 +581,12 @@
 
 fn policy(bits: u8) -> Policy {
     Policy {
-        long_first: bits & 1 != 0,
-        duplicates: bits & 2 != 0,
+        longest_first: bits & 1 != 0,
+        speculative_attempts: bits & 2 != 0,
         resume: bits & 4 != 0,
         early_abort: bits & 8 != 0,
         staleness_aware_start: bits & 16 != 0,
-        fair: bits & 32 != 0,
+        fair_share: bits & 32 != 0,
         ..Policy::default()
     }
 }
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -185,7 +185,7 @@
 /// The full policy for lots that nobody has asked for yet, but on all slots.
 fn all_slots() -> Policy {
     Policy {
-        ahead_slots: u32::MAX,
+        unrequested_slots: u32::MAX,
         ..Policy::default()
     }
 }
@@ -289,7 +289,7 @@
 #[test]
 fn a_straggler_is_duplicated_and_the_first_whole_one_wins() {
     let mut runner = runner(Policy {
-        duplicates: true,
+        speculative_attempts: true,
         ..Policy::default()
     });
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -76,15 +76,15 @@
             lot(
                 "long-first",
                 lot::Policy {
-                    long_first: true,
+                    longest_first: true,
                     ..lots
                 },
             ),
             lot(
                 "duplicates",
                 lot::Policy {
-                    duplicates: true,
-                    duplicate_after: Duration::from_millis(200),
+                    speculative_attempts: true,
+                    speculate_after: Duration::from_millis(200),
                     ..lots
                 },
             ),
@@ -112,16 +112,22 @@
             lot(
                 "spread",
                 lot::Policy {
-                    spread: true,
+                    hash_tie_break: true,
+                    ..lots
+                },
+            ),
+            lot(
+                "fair",
+                lot::Policy {
+                    fair_share: true,
                     ..lots
                 },
             ),
-            lot("fair", lot::Policy { fair: true, ..lots }),
             lot(
                 "wanted-first",
                 lot::Policy {
-                    wanted_first: true,
-                    ahead_slots: 2,
+                    requested_first: true,
+                    unrequested_slots: 2,
                     ..lots
                 },
             ),
@@ -195,7 +201,7 @@
             Self {
                 name: "full-dups",
                 lot: lot::Policy {
-                    duplicates: true,
+                    speculative_attempts: true,
                     ..lot::Policy::default()
                 },
                 ..Self::full()
@@ -213,11 +219,13 @@
             full_without("full-no-shun-slow", |p| p.shun_slow = false),
             full_without("full-no-sticky", |p| p.sticky = false),
             full_without("full-no-avoid-slow", |p| p.lot.avoid_slow = false),
-            full_without("full-no-spread", |p| p.lot.spread = false),
-            full_without("full-no-wanted-first", |p| p.lot.wanted_first = false),
+            full_without("full-no-spread", |p| p.lot.hash_tie_break = false),
+            full_without("full-no-wanted-first", |p| p.lot.requested_first = false),
             full_without("full-ahead-2", |p| p.ahead = Ahead::Collect(2)),
             full_without("full-ahead-train", |p| p.ahead = Ahead::Train),
-            full_without("full-no-ahead-slots", |p| p.lot.ahead_slots = u32::MAX),
+            full_without("full-no-ahead-slots", |p| {
+                p.lot.unrequested_slots = u32::MAX
+            }),
             full_without("full-no-eager", |p| p.eager = false),
             Self {
                 name: "live-only",
