--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -222,8 +222,8 @@
         queue: settings.limits.peer_queue,
     };
     let limits = Limits {
-        lots: settings.limits.lots,
-        text: settings.limits.sample_memory,
+        max_lots: settings.limits.lots,
+        max_text_bytes: settings.limits.sample_memory,
         ..Limits::default()
     };
     let config = config::Config::new(clock.now(), settings.entry.name.clone());
--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -23,13 +23,13 @@
         let new = !self.lots.contains_key(&spec.lot);
         let groups = self.unknown_groups(&spec);
         let samples = groups.iter().map(|g| g.samples as usize).sum::<usize>();
-        if new && self.lots.len() >= self.limits.lots {
+        if new && self.lots.len() >= self.limits.max_lots {
             return Err(Refusal::Full);
         }
-        if self.samples.len() + samples > self.limits.samples {
+        if self.samples.len() + samples > self.limits.max_samples {
             return Err(Refusal::Full);
         }
-        if samples > 0 && self.text() >= self.limits.text {
+        if samples > 0 && self.text() >= self.limits.max_text_bytes {
             return Err(Refusal::Full);
         }
         if new {
@@ -64,7 +64,7 @@
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
         let newest = same.map(Lot::step).max().unwrap_or(0);
-        if spec.step.saturating_add(self.limits.steps_ahead) < newest {
+        if spec.step.saturating_add(self.limits.max_steps_ahead) < newest {
             return Err(Refusal::Superseded);
         }
         let known = known.map(|lot| &lot.groups);
@@ -77,7 +77,7 @@
 
     /// Drops the trainer's lots that are too many steps behind.
     fn supersede(&mut self, spec: &Spec) {
-        let ahead = self.limits.steps_ahead;
+        let ahead = self.limits.max_steps_ahead;
         let same = self
             .lots
             .values()
@@ -165,7 +165,7 @@
     }
 
     pub(super) fn drop_idle(&mut self, now: Time) {
-        let idle = self.limits.idle;
+        let idle = self.limits.idle_timeout;
         let all = self.lots.values();
         let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.touched) + idle);
         let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -73,7 +73,7 @@
                 continue;
             }
             bytes += ready.sample.text.len();
-            let full = bytes > self.limits.answer_bytes && !samples.is_empty();
+            let full = bytes > self.limits.max_answer_bytes && !samples.is_empty();
             if samples.len() < request.max && !full {
                 samples.push(ready.sample.clone());
             }
@@ -142,7 +142,7 @@
     }
 
     pub(super) fn score_failed(&mut self, now: Time, ticket: u64) {
-        let again = now + self.limits.rescore;
+        let again = now + self.limits.rescore_delay;
         if let Some((_, due)) = self.scorings.get_mut(&ticket) {
             *due = Some(again);
         }
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -251,7 +251,7 @@
     /// The id is in use with other content.
     #[error("the lot id is in use with another digest")]
     Conflict,
-    /// The trainer is more than [`Limits::steps_ahead`](super::Limits::steps_ahead) ahead.
+    /// The trainer is more than [`Limits::max_steps_ahead`](super::Limits::max_steps_ahead) ahead.
     #[error("the trainer is too many steps ahead")]
     Superseded,
     /// A limit on lots or samples is reached.
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -92,14 +92,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most lots held; a further one is refused with [`Refusal::Full`].
-    pub lots: usize,
+    pub max_lots: usize,
     /// Most samples held over all lots; groups beyond are refused with [`Refusal::Full`].
-    pub samples: usize,
+    pub max_samples: usize,
     /// Bytes of finished text held, from which on further groups are refused with
     /// [`Refusal::Full`]; what was taken before still finishes.
-    pub text: usize,
+    pub max_text_bytes: usize,
     /// Steps that a trainer's lots may be ahead of its oldest one here; older ones are dropped.
-    pub steps_ahead: u64,
+    pub max_steps_ahead: u64,
     /// Retries earned by each first attempt, in percent.
     pub retry_percent: u32,
     /// Retries earned by each second that passes.
@@ -107,26 +107,26 @@
     /// Most retries that can be saved up.
     pub retry_burst: u32,
     /// Time after its deadline without assign or collect until a lot is dropped.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Wait before a failed scoring is tried again.
-    pub rescore: Duration,
+    pub rescore_delay: Duration,
     /// Most bytes of text in one answer (the first sample goes in any case).
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            lots: 64,
-            samples: 65_536,
-            text: 64 << 20,
-            steps_ahead: 1,
+            max_lots: 64,
+            max_samples: 65_536,
+            max_text_bytes: 64 << 20,
+            max_steps_ahead: 1,
             retry_percent: 20,
             retries_per_second: 10,
             retry_burst: 64,
-            idle: Duration::from_secs(300),
-            rescore: Duration::from_millis(500),
-            answer_bytes: 2 << 20,
+            idle_timeout: Duration::from_secs(300),
+            rescore_delay: Duration::from_millis(500),
+            max_answer_bytes: 2 << 20,
         }
     }
 }
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -145,8 +145,8 @@
 #[test]
 fn lots_and_samples_are_bounded() {
     let limits = Limits {
-        lots: 1,
-        samples: 2,
+        max_lots: 1,
+        max_samples: 2,
         ..Limits::default()
     };
     let mut runner = Runner::new(Policy::default(), limits);
@@ -163,7 +163,7 @@
 #[test]
 fn finished_text_is_bounded_and_room_comes_back_with_the_collect() {
     let limits = Limits {
-        text: 3,
+        max_text_bytes: 3,
         ..Limits::default()
     };
     let mut runner = Runner::new(all_slots(), limits);
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -64,7 +64,7 @@
 /// A runner with lots and engines; gives the attempts that it started.
 fn runner(lots: usize, samples: u32, slots: u32) -> (Runner, Vec<AttemptKey>) {
     let limits = Limits {
-        lots: lots.max(64),
+        max_lots: lots.max(64),
         ..Limits::default()
     };
     let mut runner = Runner::new(Policy::default(), limits);
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -352,12 +352,12 @@
 }
 
 fn limits(policy: &Policy) -> Limits {
-    let steps_ahead = match policy.ahead {
+    let max_steps_ahead = match policy.ahead {
         Ahead::Collect(steps) => steps,
         Ahead::None | Ahead::Train => 1,
     };
     Limits {
-        steps_ahead,
+        max_steps_ahead,
         ..Limits::default()
     }
 }
