--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -48,14 +48,14 @@
     let events = [
         ("started", stats.started),
         ("resumed", stats.resumed),
-        ("duplicated", stats.duplicated),
+        ("duplicated", stats.speculative),
         ("finished", stats.finished),
-        ("late", stats.late),
-        ("void", stats.void),
+        ("late", stats.late_events),
+        ("void", stats.invalid_stamps),
         ("lost", stats.lost),
         ("moved", stats.moved),
         ("aborted", stats.aborted),
-        ("stale", stats.stale),
+        ("stale", stats.stale_samples),
     ];
     for (event, count) in events {
         let counter = metrics.runner.with_label_values(&[event]);
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -131,7 +131,7 @@
 
     pub(super) fn scored(&mut self, ticket: u64, score: f64) {
         let Some((key, _)) = self.scorings.remove(&ticket) else {
-            self.stats.late += 1;
+            self.stats.late_events += 1;
             return;
         };
         if let Some(finished) = &mut self.samples[key].finished {
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -20,13 +20,13 @@
     /// Of these, attempts that went on from earlier chunks.
     pub resumed: u64,
     /// Of these, second attempts of a running sample.
-    pub duplicated: u64,
+    pub speculative: u64,
     /// Samples finished.
     pub finished: u64,
     /// Chunks and failures of attempts that are not running, dropped.
-    pub late: u64,
+    pub late_events: u64,
     /// Attempts void for their stamps or offsets.
-    pub void: u64,
+    pub invalid_stamps: u64,
     /// Attempts lost.
     pub lost: u64,
     /// Running attempts moved away from a slow endpoint.
@@ -34,7 +34,7 @@
     /// Running attempts aborted as too old.
     pub aborted: u64,
     /// Finished samples void as too old.
-    pub stale: u64,
+    pub stale_samples: u64,
 }
 
 /// All lots that one entry runs. See the module's head.
@@ -157,7 +157,7 @@
 
     fn chunk_received(&mut self, now: Time, chunk: super::Chunk) {
         let Some(attempt) = self.attempts.get_mut(chunk.attempt) else {
-            self.stats.late += 1;
+            self.stats.late_events += 1;
             return;
         };
         let pushed = if chunk.stamp.tokens == 0 && !chunk.text.is_empty() {
@@ -205,7 +205,7 @@
 
     /// The stamps are broken. A gap leaves what came before it; else nothing can be trusted.
     fn void(&mut self, key: AttemptKey, error: provenance::Error) {
-        self.stats.void += 1;
+        self.stats.invalid_stamps += 1;
         self.cancel(key);
         let Some(attempt) = self.end(key) else { return };
         let kept = error.keeps_prefix().then_some(attempt.progress);
@@ -217,7 +217,7 @@
 
     fn attempt_failed(&mut self, now: Time, key: AttemptKey, failure: Failure) {
         let Some(attempt) = self.attempts.get(key) else {
-            self.stats.late += 1;
+            self.stats.late_events += 1;
             return;
         };
         if failure == Failure::NotRun
@@ -295,7 +295,7 @@
         let Progress { text, record } = attempt.progress;
         let Some(oldest) = record.oldest() else {
             // Without a single stamp nobody knows what made it.
-            self.stats.void += 1;
+            self.stats.invalid_stamps += 1;
             self.retry(attempt.sample, None);
             return;
         };
@@ -306,7 +306,7 @@
         let entry = &self.samples[attempt.sample];
         let spec = &self.lots[&entry.lot].spec;
         if self.policy.early_abort && !staleness::fits(oldest, spec.version, spec.bound) {
-            self.stats.stale += 1;
+            self.stats.stale_samples += 1;
             self.retry(attempt.sample, None);
             return;
         }
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -254,7 +254,7 @@
     const fn count(&mut self, progress: &Progress, twin: bool) {
         self.stats.started += 1;
         self.stats.resumed += (progress.record.tokens() > 0) as u64;
-        self.stats.duplicated += twin as u64;
+        self.stats.speculative += twin as u64;
     }
 
     /// What an attempt on `endpoint` may go on from: versions must still fit and not go back.
@@ -324,7 +324,7 @@
 
     /// Drops a finished sample that is too old, and queues it again.
     pub(super) fn void_finished(&mut self, key: SampleKey) {
-        self.stats.stale += 1;
+        self.stats.stale_samples += 1;
         self.forget_finished(key);
         self.again(key, None);
     }
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -407,11 +407,11 @@
         let (old, runner) = std::mem::replace(&mut self.runners[at], fresh);
         self.runs.retain(|(id, _), _| *id != old);
         let stats = runner.stats();
-        self.stats.void += stats.void;
+        self.stats.invalid_stamps += stats.invalid_stamps;
         self.stats.resumed += stats.resumed;
-        self.stats.duplicated += stats.duplicated;
+        self.stats.speculative += stats.speculative;
         self.stats.aborted += stats.aborted;
-        self.stats.late += stats.late;
+        self.stats.late_events += stats.late_events;
     }
 
     fn apply(&mut self, op: Op) {
@@ -617,14 +617,17 @@
     let indexes: BTreeSet<u32> = world.accepted.keys().copied().collect();
     assert_eq!(indexes, (0..SAMPLES).collect());
     let Stats {
-        void,
+        invalid_stamps,
         resumed,
-        duplicated,
+        speculative,
         aborted,
-        late,
+        late_events,
         ..
     } = world.stats;
-    for (met, count) in MET.iter().zip([void, resumed, duplicated, aborted, late]) {
+    for (met, count) in MET
+        .iter()
+        .zip([invalid_stamps, resumed, speculative, aborted, late_events])
+    {
         met.fetch_add(count, Ordering::Relaxed);
     }
 }
@@ -642,7 +645,7 @@
     proptest!(config, |(ops in ops, bits in 0..64_u8, scored: bool)| check(ops, bits, scored));
     let met: Vec<u64> = MET.iter().map(|m| m.load(Ordering::Relaxed)).collect();
     println!("transitions {}", TRANSITIONS.load(Ordering::Relaxed));
-    println!("void, resumed, duplicated, aborted, late: {met:?}");
+    println!("invalid stamps, resumed, speculative, aborted, late events: {met:?}");
     assert!(
         met.iter().all(|count| *count > 0),
         "a kind of fault was never met: {met:?}"
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -305,7 +305,7 @@
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert!(done.contains(&Action::Cancel { attempt, endpoint }));
     runner.step(later, chunk(first[0].attempt, 1, " y", None));
-    assert_eq!(runner.stats().late, 1);
+    assert_eq!(runner.stats().late_events, 1);
 }
 
 #[test]
--- a/crates/pinereel_fakes/src/experiment/figure.rs
+++ b/crates/pinereel_fakes/src/experiment/figure.rs
@@ -116,7 +116,7 @@
         let (groups, live) = (millis(&tally.groups), millis(&tally.live));
         let (bound, bound_alone) = bound::idle(world);
         let stats: Vec<_> = world.entries.iter().map(|e| e.runner.stats()).collect();
-        let stale = tally.stale + stats.iter().map(|s| s.stale).sum::<u64>();
+        let stale = tally.stale + stats.iter().map(|s| s.stale_samples).sum::<u64>();
         let computed: u64 = world.engines.iter().map(|e| e.tokens()).sum();
         let used = tally.tokens + tally.live_tokens + tally.open_tokens();
         let requests = tally.live.len() as f64;
@@ -145,7 +145,7 @@
             attempts: [
                 sum(|s| s.started),
                 sum(|s| s.aborted),
-                sum(|s| s.duplicated),
+                sum(|s| s.speculative),
                 sum(|s| s.lost),
             ],
             ..Self::default()
