--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Group, Lot, Refusal, Runner, Sample, Spec,
-    state::{Entry, Mates},
+    state::{Entry, GroupState},
 };
 use crate::{Time, cursor::MAX_SAMPLES};
 use compact_str::CompactString;
@@ -115,19 +115,19 @@
 
     fn add(&mut self, id: &CompactString, group: Group) {
         let lot = self.lots.get_mut(id).expect("only called for a lot held");
-        let number = group.index;
+        let group_index = group.index;
         let range = group.first..group.first + group.samples;
-        let mates = Mates {
+        let group_state = GroupState {
             group,
-            finished: 0,
-            tokens: 0,
-            cached: BTreeMap::new(),
+            finished_samples: 0,
+            finished_tokens: 0,
+            cached_prefixes: BTreeMap::new(),
         };
-        lot.groups.insert(number, mates);
+        lot.groups.insert(group_index, group_state);
         for index in range {
             let key = self.samples.insert(Entry {
                 lot: id.clone(),
-                group: number,
+                group: group_index,
                 index,
                 rank: None,
                 parked: false,
@@ -191,9 +191,12 @@
 }
 
 /// Whether the groups, with those known, have separate samples within the largest lot.
-fn is_sound(groups: &[Group], known: Option<&BTreeMap<u32, Mates>>) -> bool {
+fn is_sound(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
     let mut all = BTreeMap::new();
-    let known = known.into_iter().flatten().map(|(_, mates)| &mates.group);
+    let known = known
+        .into_iter()
+        .flatten()
+        .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
         let place = (group.first, group.samples);
         if *all.entry(group.index).or_insert(place) != place {
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -58,7 +58,7 @@
     pub(super) next_ticket: u64,
     pub(super) next_order: u64,
     /// Smoothed time per output token, in microseconds.
-    pub(super) token_time: u64,
+    pub(super) sample_token_us: u64,
     pub(super) draining: bool,
     pub(super) stats: Stats,
     pub(super) actions: Vec<Action>,
@@ -85,7 +85,7 @@
             scorings: BTreeMap::new(),
             next_ticket: 0,
             next_order: 0,
-            token_time: 0,
+            sample_token_us: 0,
             draining: false,
             stats: Stats::default(),
             actions: Vec::new(),
@@ -141,16 +141,17 @@
 
     fn endpoint_offered(&mut self, offer: Offer) {
         let known = self.endpoints.get(&offer.endpoint);
-        let (running, speed) = known.map_or_else(Default::default, |e| (e.running, e.speed));
-        if offer.slots == 0 && running == 0 {
+        let (running_attempts, token_time) =
+            known.map_or_else(Default::default, |e| (e.running_attempts, e.token_time));
+        if offer.slots == 0 && running_attempts == 0 {
             self.endpoints.remove(&offer.endpoint);
             return;
         }
         let key = offer.endpoint.clone();
         let endpoint = Endpoint {
             offer,
-            running,
-            speed,
+            running_attempts,
+            token_time,
         };
         self.endpoints.insert(key, endpoint);
     }
@@ -176,14 +177,14 @@
             *served = chunk.stamp.version.unwrap_or_default().max(*served);
             // The time to the first chunk may be a wait for a slot.
             if let Some(heard) = attempt.heard.filter(|_| chunk.stamp.tokens > 0) {
-                let took = now.since(heard);
-                endpoint.speed.note(now, took, chunk.stamp.tokens);
+                let elapsed = now.since(heard);
+                endpoint.token_time.record(now, elapsed, chunk.stamp.tokens);
             }
         }
         attempt.heard = Some(now);
         let reused = chunk.stamp.reused.iter().map(|span| span.version).min();
         if let Some(oldest) = reused {
-            self.note_reuse(now, chunk.attempt, oldest);
+            self.record_cached_prefix(now, chunk.attempt, oldest);
         }
         match chunk.finish {
             Some(Finish::Complete) => self.finish(now, chunk.attempt),
@@ -194,12 +195,12 @@
         }
     }
 
-    fn note_reuse(&mut self, now: Time, key: AttemptKey, oldest: Version) {
+    fn record_cached_prefix(&mut self, now: Time, key: AttemptKey, oldest: Version) {
         let attempt = &self.attempts[key];
         let entry = &self.samples[attempt.sample];
         let lot = self.lots.get_mut(&entry.lot);
-        if let Some(mates) = lot.and_then(|lot| lot.groups.get_mut(&entry.group)) {
-            mates.reused(&attempt.endpoint, oldest, now);
+        if let Some(group_state) = lot.and_then(|lot| lot.groups.get_mut(&entry.group)) {
+            group_state.note_cached_prefix(&attempt.endpoint, oldest, now);
         }
     }
 
@@ -261,8 +262,8 @@
     pub(super) fn end(&mut self, key: AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
-            endpoint.running -= 1;
-            if endpoint.running == 0 && endpoint.offer.slots == 0 {
+            endpoint.running_attempts -= 1;
+            if endpoint.running_attempts == 0 && endpoint.offer.slots == 0 {
                 self.endpoints.remove(&attempt.endpoint);
             }
         }
@@ -302,7 +303,7 @@
         let made = u64::from(record.tokens() - attempt.base).max(1);
         let micros = now.since(attempt.started).as_micros();
         let each = u64::try_from(micros).unwrap_or(u64::MAX) / made;
-        self.token_time = (self.token_time * 7 + each) / 8;
+        self.sample_token_us = (self.sample_token_us * 7 + each) / 8;
         let entry = &self.samples[attempt.sample];
         let spec = &self.lots[&entry.lot].spec;
         if self.policy.early_abort && !staleness::fits(oldest, spec.version, spec.bound) {
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -58,7 +58,8 @@
         useless: &BTreeSet<CompactString>,
     ) -> Vec<CompactString> {
         let all = self.endpoints.iter();
-        let free = all.filter(|(key, e)| e.running < e.offer.slots && !useless.contains(*key));
+        let free =
+            all.filter(|(key, e)| e.running_attempts < e.offer.slots && !useless.contains(*key));
         // Runners that all prefer the same endpoint among equals would fill it together.
         let turn = self.stats.started;
         let mut free: Vec<_> = free.collect();
@@ -69,7 +70,7 @@
                 0
             };
             let slow = slow.contains(*key);
-            (slow, e.running, Reverse(e.offer.version), tie)
+            (slow, e.running_attempts, Reverse(e.offer.version), tie)
         });
         free.into_iter().map(|(key, _)| key.clone()).collect()
     }
@@ -82,7 +83,7 @@
             return slow;
         }
         let all = self.endpoints.iter();
-        let known = all.filter_map(|(key, e)| Some((e.speed.known(now)?, key)));
+        let known = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
         let mut known: Vec<_> = known.collect();
         known.sort_unstable();
         if known.len() < FEWEST_SPEEDS {
@@ -121,7 +122,7 @@
         if !self.policy.fair_share {
             lots.sort_by_key(|lot| lot.order);
         }
-        let running = self.endpoints[endpoint].running;
+        let running = self.endpoints[endpoint].running_attempts;
         if running >= self.policy.unrequested_slots {
             lots.retain(|lot| lot.wanted);
         }
@@ -165,13 +166,13 @@
         if !staleness::fits(offer.version, lot.spec.version, bound) {
             return false;
         }
-        let mates = &lot.groups[&entry.group];
-        let cached = mates.cached_on(endpoint, now);
+        let group_state = &lot.groups[&entry.group];
+        let cached = group_state.cached_version(endpoint, now);
         if cached.is_some_and(|v| !staleness::fits(v, lot.spec.version, lot.spec.bound)) {
             return false;
         }
-        let tokens = u64::from(mates.predicted());
-        let done = now + Duration::from_micros(self.token_time.saturating_mul(tokens));
+        let tokens = u64::from(group_state.predicted_tokens());
+        let done = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
         let pace = self.paces.get(&lot.spec.model);
         if pace.is_none_or(|pace| pace.lasts(offer.version, done, bound)) {
             return true;
@@ -220,23 +221,25 @@
             progress,
         });
         let target = self.endpoints.get_mut(endpoint);
-        target.expect("the endpoint was just chosen").running += 1;
+        target
+            .expect("the endpoint was just chosen")
+            .running_attempts += 1;
         let entry = &mut self.samples[sample];
         let again = twin || entry.tried;
         entry.attempts.push(attempt);
         entry.tried = true;
         let lot = &self.lots[&entry.lot];
         let late = now >= lot.spec.deadline;
-        let mates = &lot.groups[&entry.group];
-        let cost = u64::from(mates.predicted().saturating_sub(base));
+        let group_state = &lot.groups[&entry.group];
+        let cost = u64::from(group_state.predicted_tokens().saturating_sub(base));
         self.share.charge(&lot.spec.trainer, lot.spec.weight, cost);
         self.actions.push(Action::Start(Start {
             attempt,
             endpoint: endpoint.into(),
             lot: entry.lot.clone(),
             index: entry.index,
-            prompt: mates.group.prompt.clone(),
-            max_tokens: mates.group.max_tokens,
+            prompt: group_state.group.prompt.clone(),
+            max_tokens: group_state.group.max_tokens,
             seed: seed(lot.spec.digest, entry.index),
             resume,
             resume_tokens: base,
@@ -385,7 +388,7 @@
         let lot = self.lots.get_mut(&entry.lot);
         let lot = lot.expect("samples are removed with their lot");
         let predicted = if self.policy.longest_first {
-            lot.groups[&entry.group].predicted()
+            lot.groups[&entry.group].predicted_tokens()
         } else {
             0
         };
@@ -409,13 +412,13 @@
         let Some(lot) = self.lots.get_mut(&entry.lot) else {
             return;
         };
-        let Some(mates) = lot.groups.get_mut(&entry.group) else {
+        let Some(group_state) = lot.groups.get_mut(&entry.group) else {
             return;
         };
-        mates.finished += 1;
-        mates.tokens += u64::from(tokens);
-        let first = mates.group.first;
-        let range = first..first.saturating_add(mates.group.samples);
+        group_state.finished_samples += 1;
+        group_state.finished_tokens += u64::from(tokens);
+        let first = group_state.group.first;
+        let range = first..first.saturating_add(group_state.group.samples);
         let keys: Vec<_> = lot.samples.range(range).map(|(_, key)| *key).collect();
         for key in keys {
             if self.samples[key].rank.is_some() {
--- a/crates/pinereel_core/src/lot/state.rs
+++ b/crates/pinereel_core/src/lot/state.rs
@@ -72,39 +72,41 @@
     pub(super) touched: Time,
     /// Whether the trainer has asked for it: it may be waiting.
     pub(super) wanted: bool,
-    pub(super) groups: BTreeMap<u32, Mates>,
+    pub(super) groups: BTreeMap<u32, GroupState>,
     pub(super) samples: BTreeMap<u32, SampleKey>,
     pub(super) queue: BTreeSet<Rank>,
 }
 
 /// How long a prefix is taken to stay in an endpoint's cache.
-const CACHE_MEMORY: Duration = Duration::from_secs(5);
+const PREFIX_CACHE_TTL: Duration = Duration::from_secs(5);
 
 /// A group and what its finished samples tell about the others' length.
 #[derive(Clone, Debug)]
-pub(super) struct Mates {
+pub(super) struct GroupState {
     pub(super) group: Group,
-    pub(super) finished: u32,
-    pub(super) tokens: u64,
+    pub(super) finished_samples: u32,
+    pub(super) finished_tokens: u64,
     /// Oldest weights of the prompt's prefix in an endpoint's cache, and when that was seen.
-    pub(super) cached: BTreeMap<CompactString, (Version, Time)>,
+    pub(super) cached_prefixes: BTreeMap<CompactString, (Version, Time)>,
 }
 
-impl Mates {
+impl GroupState {
     /// Notes what an attempt on `endpoint` reused.
-    pub(super) fn reused(&mut self, endpoint: &str, oldest: Version, now: Time) {
-        self.cached.insert(endpoint.into(), (oldest, now));
+    pub(super) fn note_cached_prefix(&mut self, endpoint: &str, oldest: Version, now: Time) {
+        self.cached_prefixes.insert(endpoint.into(), (oldest, now));
     }
 
     /// Oldest weights that a start on `endpoint` would reuse, as far as known and not forgotten.
-    pub(super) fn cached_on(&self, endpoint: &str, now: Time) -> Option<Version> {
-        let (oldest, seen) = self.cached.get(endpoint)?;
-        (now.since(*seen) < CACHE_MEMORY).then_some(*oldest)
+    pub(super) fn cached_version(&self, endpoint: &str, now: Time) -> Option<Version> {
+        let (oldest, seen) = self.cached_prefixes.get(endpoint)?;
+        (now.since(*seen) < PREFIX_CACHE_TTL).then_some(*oldest)
     }
 
     /// Expected output tokens of a sample of this group.
-    pub(super) fn predicted(&self) -> u32 {
-        let mean = self.tokens.checked_div(u64::from(self.finished));
+    pub(super) fn predicted_tokens(&self) -> u32 {
+        let mean = self
+            .finished_tokens
+            .checked_div(u64::from(self.finished_samples));
         let mean = mean.and_then(|m| u32::try_from(m).ok());
         mean.unwrap_or(self.group.max_tokens)
     }
@@ -133,7 +135,10 @@
 
     /// The lot with its groups.
     pub(super) fn full_spec(&self) -> Spec {
-        let groups = self.groups.values().map(|mates| mates.group.clone());
+        let groups = self
+            .groups
+            .values()
+            .map(|group_state| group_state.group.clone());
         Spec {
             groups: groups.collect(),
             ..self.spec.clone()
@@ -171,7 +176,7 @@
 impl Entry {
     /// Whether work on it is still needed.
     pub(super) const fn open(&self) -> bool {
-        !self.held && self.finished.is_none()
+        !self.held && self.finished_samples.is_none()
     }
 }
 
@@ -200,36 +205,36 @@
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) offer: Offer,
-    pub(super) running: u32,
-    pub(super) speed: Speed,
+    pub(super) running_attempts: u32,
+    pub(super) token_time: TokenTime,
 }
 
 /// Age at which a measured speed counts for nothing any more.
-const SPEED_MEMORY: Duration = Duration::from_secs(10);
+const TOKEN_TIME_TTL: Duration = Duration::from_secs(10);
 
 /// How fast an endpoint's sequences get their tokens.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Speed {
+pub(super) struct TokenTime {
     /// Smoothed time of a token of one sequence, in microseconds; zero before the first.
-    token: u64,
-    measured: Time,
+    average_us: u64,
+    updated_at: Time,
 }
 
-impl Speed {
+impl TokenTime {
     /// Notes `tokens` of one sequence that took `took`.
-    pub(super) fn note(&mut self, now: Time, took: Duration, tokens: u32) {
-        let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        let each = micros / u64::from(tokens.max(1));
-        self.token = match self.known(now) {
-            Some(old) => (old * 3 + each) / 4,
-            None => each,
+    pub(super) fn record(&mut self, now: Time, elapsed: Duration, tokens: u32) {
+        let elapsed_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
+        let sample_us = elapsed_us / u64::from(tokens.max(1));
+        self.average_us = match self.current(now) {
+            Some(old) => (old * 3 + sample_us) / 4,
+            None => sample_us,
         };
-        self.measured = now;
+        self.updated_at = now;
     }
 
     /// Time of a token in microseconds, if that is known well enough.
-    pub(super) fn known(&self, now: Time) -> Option<u64> {
-        let fresh = now.since(self.measured) < SPEED_MEMORY;
-        (self.token > 0 && fresh).then_some(self.token)
+    pub(super) fn current(&self, now: Time) -> Option<u64> {
+        let fresh = now.since(self.updated_at) < TOKEN_TIME_TTL;
+        (self.average_us > 0 && fresh).then_some(self.average_us)
     }
 }
