--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Group, Lot, Refusal, Runner, Sample, Spec,
-    state::{Entry, GroupState},
+    state::{GroupState, SampleState},
 };
 use crate::{Time, cursor::MAX_SAMPLES};
 use compact_str::CompactString;
@@ -37,7 +37,7 @@
         }
         let id = spec.lot.clone();
         let lot = self.lots.get_mut(&id).expect("inserted above if absent");
-        lot.touched = now;
+        lot.last_activity = now;
         lot.spec.version = lot.spec.version.max(spec.version);
         for group in groups {
             self.add(&id, group);
@@ -97,15 +97,15 @@
     }
 
     fn insert(&mut self, now: Time, spec: &Spec) {
-        self.next_order += 1;
+        self.next_arrival += 1;
         let lot = Lot {
             spec: Spec {
                 groups: Vec::new(),
                 ..spec.clone()
             },
-            order: self.next_order,
-            touched: now,
-            wanted: false,
+            arrival: self.next_arrival,
+            last_activity: now,
+            requested: false,
             groups: BTreeMap::new(),
             samples: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -125,17 +125,17 @@
         };
         lot.groups.insert(group_index, group_state);
         for index in range {
-            let key = self.samples.insert(Entry {
+            let key = self.samples.insert(SampleState {
                 lot: id.clone(),
                 group: group_index,
                 index,
-                rank: None,
-                parked: false,
-                tried: false,
-                partial: None,
+                queue_key: None,
+                awaiting_retry: false,
+                was_started: false,
+                saved_progress: None,
                 attempts: Vec::new(),
                 finished: None,
-                held: false,
+                delivered: false,
             });
             let lot = self.lots.get_mut(id).expect("only called for a lot held");
             lot.samples.insert(index, key);
@@ -155,9 +155,9 @@
             let Some(key) = lot.samples.get(&sample.index).copied() else {
                 continue;
             };
-            let entry = &self.samples[key];
-            let sound = !sample.spans.is_empty() && sample.group == entry.group;
-            if sound && entry.open() {
+            let sample_state = &self.samples[key];
+            let sound = !sample.spans.is_empty() && sample.group == sample_state.group;
+            if sound && sample_state.needs_work() {
                 self.keep(key, sample);
             }
         }
@@ -167,7 +167,7 @@
     pub(super) fn drop_idle(&mut self, now: Time) {
         let idle = self.limits.idle_timeout;
         let all = self.lots.values();
-        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.touched) + idle);
+        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle);
         let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
         for lot in old {
             self.drop_lot(&lot, Refusal::Idle);
@@ -184,7 +184,7 @@
         }
         self.lots.remove(id);
         let samples = &self.samples;
-        self.parked.retain(|key| samples.contains_key(*key));
+        self.retry_queue.retain(|key| samples.contains_key(*key));
         let lot = id.clone();
         self.actions.push(Action::Dropped { lot, reason });
     }
@@ -199,7 +199,7 @@
         .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
         let place = (group.first, group.samples);
-        if *all.entry(group.index).or_insert(place) != place {
+        if *all.sample_state(group.index).or_insert(place) != place {
             return false;
         }
     }
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -19,8 +19,8 @@
             self.actions.push(Action::Rejected { call, error });
             return;
         }
-        lot.touched = now;
-        lot.wanted = true;
+        lot.last_activity = now;
+        lot.requested = true;
         let newer = request.version > lot.spec.version;
         // The trainer's own word goes before what was expected when the lot was sent ahead.
         lot.spec.version = request.version;
@@ -44,13 +44,13 @@
     /// Frees what the trainer holds. A sample that it lacks, although it was freed on an earlier
     /// token, is made again: the trainer went back to an older token.
     fn acknowledge(&mut self, key: SampleKey, token: &Token) {
-        let entry = &mut self.samples[key];
-        let holds = token.contains(entry.index);
-        if mem::replace(&mut entry.held, holds) == holds {
+        let sample_state = &mut self.samples[key];
+        let holds = token.contains(sample_state.index);
+        if mem::replace(&mut sample_state.delivered, holds) == holds {
             return;
         }
         if holds {
-            entry.partial = None;
+            sample_state.saved_progress = None;
             self.cancel_all(key);
             self.unqueue(key);
             self.forget_finished(key);
@@ -64,7 +64,7 @@
         let mut bytes = 0;
         for key in keys {
             let finished = self.samples[*key].finished.as_ref();
-            let Some(ready) = finished.filter(|f| f.ticket.is_none()) else {
+            let Some(ready) = finished.filter(|f| f.score_ticket.is_none()) else {
                 continue;
             };
             let oldest = provenance::oldest(&ready.sample.spans);
@@ -83,14 +83,14 @@
 
     /// Tells that a sample can be collected, or hands it on if this runner is draining.
     pub(super) fn ready(&mut self, key: SampleKey) {
-        let entry = &self.samples[key];
-        let lot = &self.lots[&entry.lot];
+        let sample_state = &self.samples[key];
+        let lot = &self.lots[&sample_state.lot];
         if !self.draining {
-            let lot = entry.lot.clone();
+            let lot = sample_state.lot.clone();
             self.actions.push(Action::Ready { lot });
             return;
         }
-        let done = entry.finished.iter().map(|f| f.sample.clone());
+        let done = sample_state.finished.iter().map(|f| f.sample.clone());
         self.actions.push(Action::Handover {
             spec: lot.full_spec(),
             samples: done.collect(),
@@ -103,9 +103,9 @@
             return;
         }
         for lot in self.lots.values() {
-            let entries = lot.samples.values().map(|key| &self.samples[*key]);
-            let ready = entries.filter_map(|entry| entry.finished.as_ref());
-            let ready = ready.filter(|f| f.ticket.is_none());
+            let sample_states = lot.samples.values().map(|key| &self.samples[*key]);
+            let ready = sample_states.filter_map(|sample_state| sample_state.finished.as_ref());
+            let ready = ready.filter(|f| f.score_ticket.is_none());
             self.actions.push(Action::Handover {
                 spec: lot.full_spec(),
                 samples: ready.map(|f| f.sample.clone()).collect(),
@@ -118,12 +118,12 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.scorings.insert(ticket, (key, None));
-        let entry = &self.samples[key];
-        let lot = &self.lots[&entry.lot];
+        let sample_state = &self.samples[key];
+        let lot = &self.lots[&sample_state.lot];
         self.actions.push(Action::Score {
             ticket,
             trainer: lot.spec.trainer.clone(),
-            prompt: lot.groups[&entry.group].group.prompt.clone(),
+            prompt: lot.groups[&sample_state.group].group.prompt.clone(),
             text: sample.text.clone(),
         });
         ticket
@@ -136,7 +136,7 @@
         };
         if let Some(finished) = &mut self.samples[key].finished {
             finished.sample.score = Some(score);
-            finished.ticket = None;
+            finished.score_ticket = None;
             self.ready(key);
         }
     }
@@ -160,7 +160,7 @@
             };
             let ticket = self.score(key, &sample);
             if let Some(finished) = &mut self.samples[key].finished {
-                finished.ticket = Some(ticket);
+                finished.score_ticket = Some(ticket);
             }
         }
     }
@@ -168,7 +168,7 @@
     /// Drops a finished sample with the scoring that it waits for.
     pub(super) fn forget_finished(&mut self, key: SampleKey) {
         let finished = self.samples[key].finished.take();
-        if let Some(ticket) = finished.and_then(|f| f.ticket) {
+        if let Some(ticket) = finished.and_then(|f| f.score_ticket) {
             self.scorings.remove(&ticket);
         }
     }
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Action, Event, Failure, Finish, Limits, Lot, Offer, Policy, Sample,
-    state::{Attempt, AttemptKey, Endpoint, Entry, Finished, Progress, SampleKey},
+    state::{Attempt, AttemptKey, Endpoint, Finished, Progress, SampleKey, SampleState},
 };
 use crate::{Time, Version, fair::Share, provenance, staleness, staleness::Pace};
 use compact_str::CompactString;
@@ -43,20 +43,20 @@
     pub(super) policy: Policy,
     pub(super) limits: Limits,
     pub(super) lots: BTreeMap<CompactString, Lot>,
-    pub(super) samples: SlotMap<SampleKey, Entry>,
+    pub(super) samples: SlotMap<SampleKey, SampleState>,
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     pub(super) endpoints: BTreeMap<CompactString, Endpoint>,
-    pub(super) paces: BTreeMap<CompactString, Pace>,
-    pub(super) share: Share,
+    pub(super) publication_rates: BTreeMap<CompactString, Pace>,
+    pub(super) fair_share: Share,
     /// Samples that wait for the retry budget.
-    pub(super) parked: VecDeque<SampleKey>,
+    pub(super) retry_queue: VecDeque<SampleKey>,
     /// Retries left, in hundredths.
-    pub(super) credit: u64,
-    pub(super) ticked: Time,
+    pub(super) retry_credit: u64,
+    pub(super) last_tick: Time,
     /// Scorings under way; with a time: to be tried again then.
     pub(super) scorings: BTreeMap<u64, (SampleKey, Option<Time>)>,
     pub(super) next_ticket: u64,
-    pub(super) next_order: u64,
+    pub(super) next_arrival: u64,
     /// Smoothed time per output token, in microseconds.
     pub(super) sample_token_us: u64,
     pub(super) draining: bool,
@@ -65,7 +65,7 @@
 }
 
 /// A retry, in the units of the budget.
-pub(super) const RETRY: u64 = 100;
+pub(super) const RETRY_CREDIT: u64 = 100;
 
 impl Runner {
     /// An empty runner.
@@ -77,14 +77,14 @@
             samples: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             endpoints: BTreeMap::new(),
-            paces: BTreeMap::new(),
-            share: Share::default(),
-            parked: VecDeque::new(),
-            credit: u64::from(limits.retry_burst) * RETRY,
-            ticked: Time::ZERO,
+            publication_rates: BTreeMap::new(),
+            fair_share: Share::default(),
+            retry_queue: VecDeque::new(),
+            retry_credit: u64::from(limits.retry_burst) * RETRY_CREDIT,
+            last_tick: Time::ZERO,
             scorings: BTreeMap::new(),
             next_ticket: 0,
-            next_order: 0,
+            next_arrival: 0,
             sample_token_us: 0,
             draining: false,
             stats: Stats::default(),
@@ -176,12 +176,12 @@
             let served = &mut endpoint.offer.version;
             *served = chunk.stamp.version.unwrap_or_default().max(*served);
             // The time to the first chunk may be a wait for a slot.
-            if let Some(heard) = attempt.heard.filter(|_| chunk.stamp.tokens > 0) {
-                let elapsed = now.since(heard);
+            if let Some(last_chunk_at) = attempt.last_chunk_at.filter(|_| chunk.stamp.tokens > 0) {
+                let elapsed = now.since(last_chunk_at);
                 endpoint.token_time.record(now, elapsed, chunk.stamp.tokens);
             }
         }
-        attempt.heard = Some(now);
+        attempt.last_chunk_at = Some(now);
         let reused = chunk.stamp.reused.iter().map(|span| span.version).min();
         if let Some(oldest) = reused {
             self.record_cached_prefix(now, chunk.attempt, oldest);
@@ -197,9 +197,9 @@
 
     fn record_cached_prefix(&mut self, now: Time, key: AttemptKey, oldest: Version) {
         let attempt = &self.attempts[key];
-        let entry = &self.samples[attempt.sample];
-        let lot = self.lots.get_mut(&entry.lot);
-        if let Some(group_state) = lot.and_then(|lot| lot.groups.get_mut(&entry.group)) {
+        let sample_state = &self.samples[attempt.sample];
+        let lot = self.lots.get_mut(&sample_state.lot);
+        if let Some(group_state) = lot.and_then(|lot| lot.groups.get_mut(&sample_state.group)) {
             group_state.note_cached_prefix(&attempt.endpoint, oldest, now);
         }
     }
@@ -211,7 +211,7 @@
         let Some(attempt) = self.end(key) else { return };
         let kept = error.keeps_prefix().then_some(attempt.progress);
         if kept.is_none() {
-            self.samples[attempt.sample].partial = None;
+            self.samples[attempt.sample].saved_progress = None;
         }
         self.retry(attempt.sample, kept);
     }
@@ -247,8 +247,8 @@
         let Some(attempt) = self.attempts.get(key) else {
             return;
         };
-        let entry = &self.samples[attempt.sample];
-        let group = &self.lots[&entry.lot].groups[&entry.group].group;
+        let sample_state = &self.samples[attempt.sample];
+        let group = &self.lots[&sample_state.lot].groups[&sample_state.group].group;
         if attempt.progress.record.tokens() >= group.max_tokens.max(1) {
             self.finish(now, key);
             return;
@@ -267,9 +267,9 @@
                 self.endpoints.remove(&attempt.endpoint);
             }
         }
-        let entry = self.samples.get_mut(attempt.sample);
-        let entry = entry.expect("a sample's attempts end before it is removed");
-        entry.attempts.retain(|other| *other != key);
+        let sample_state = self.samples.get_mut(attempt.sample);
+        let sample_state = sample_state.expect("a sample's attempts end before it is removed");
+        sample_state.attempts.retain(|other| *other != key);
         Some(attempt)
     }
 
@@ -300,20 +300,20 @@
             self.retry(attempt.sample, None);
             return;
         };
-        let made = u64::from(record.tokens() - attempt.base).max(1);
-        let micros = now.since(attempt.started).as_micros();
+        let made = u64::from(record.tokens() - attempt.resumed_tokens).max(1);
+        let micros = now.since(attempt.started_at).as_micros();
         let each = u64::try_from(micros).unwrap_or(u64::MAX) / made;
         self.sample_token_us = (self.sample_token_us * 7 + each) / 8;
-        let entry = &self.samples[attempt.sample];
-        let spec = &self.lots[&entry.lot].spec;
+        let sample_state = &self.samples[attempt.sample];
+        let spec = &self.lots[&sample_state.lot].spec;
         if self.policy.early_abort && !staleness::fits(oldest, spec.version, spec.bound) {
             self.stats.stale_samples += 1;
             self.retry(attempt.sample, None);
             return;
         }
         let sample = Sample {
-            group: entry.group,
-            index: entry.index,
+            group: sample_state.group,
+            index: sample_state.index,
             text,
             tokens: record.tokens(),
             spans: record.spans(),
@@ -329,11 +329,14 @@
         self.cancel_all(key);
         self.unqueue(key);
         let scored = self.lots[&self.samples[key].lot].spec.scored;
-        let ticket = (scored && sample.score.is_none()).then(|| self.score(key, &sample));
-        let entry = &mut self.samples[key];
-        entry.partial = None;
-        entry.finished = Some(Finished { sample, ticket });
-        if ticket.is_none() {
+        let score_ticket = (scored && sample.score.is_none()).then(|| self.score(key, &sample));
+        let sample_state = &mut self.samples[key];
+        sample_state.saved_progress = None;
+        sample_state.finished = Some(Finished {
+            sample,
+            score_ticket,
+        });
+        if score_ticket.is_none() {
             self.ready(key);
         }
     }
@@ -341,10 +344,11 @@
     /// Only a forecast: which version a trainer is at, it says itself with each collect. Other
     /// trainers of the model may well be behind.
     pub(super) fn version_published(&mut self, now: Time, model: &str, version: Version) {
-        let pace = self.paces.get_mut(model);
+        let pace = self.publication_rates.get_mut(model);
         let newer = pace.map(|pace| pace.publish(version, now));
         if newer.is_none() {
-            self.paces.insert(model.into(), Pace::new(version, now));
+            self.publication_rates
+                .insert(model.into(), Pace::new(version, now));
         }
     }
 
@@ -358,10 +362,10 @@
     }
 
     fn tick(&mut self, now: Time) {
-        let passed = now.since(self.ticked).as_millis();
+        let passed = now.since(self.last_tick).as_millis();
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
-        let rate = u64::from(self.limits.retries_per_second) * RETRY;
-        self.ticked = now;
+        let rate = u64::from(self.limits.retries_per_second) * RETRY_CREDIT;
+        self.last_tick = now;
         self.earn(passed.saturating_mul(rate) / 1_000);
         self.unpark();
         self.move_slow(now);
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Action, Runner, Start,
-    runner::RETRY,
-    state::{Attempt, AttemptKey, Entry, Progress, SampleKey},
+    runner::RETRY_CREDIT,
+    state::{Attempt, AttemptKey, Progress, SampleKey, SampleState},
 };
 use crate::{Time, fair::Class, hash, staleness};
 use compact_str::CompactString;
@@ -102,7 +102,7 @@
             return;
         }
         let all = self.attempts.iter();
-        let there = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.heard.is_some());
+        let there = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
         let there: Vec<_> = there.map(|(key, _)| key).collect();
         for key in there {
             self.cancel(key);
@@ -118,28 +118,28 @@
         let model = &self.endpoints[endpoint].offer.model;
         let mut lots: Vec<_> = self.lots.values().collect();
         lots.retain(|lot| lot.spec.model == *model && !lot.queue.is_empty());
-        lots.sort_by_key(|lot| (lot.spec.step, lot.order));
+        lots.sort_by_key(|lot| (lot.spec.step, lot.arrival));
         if !self.policy.fair_share {
-            lots.sort_by_key(|lot| lot.order);
+            lots.sort_by_key(|lot| lot.arrival);
         }
         let running = self.endpoints[endpoint].running_attempts;
         if running >= self.policy.unrequested_slots {
-            lots.retain(|lot| lot.wanted);
+            lots.retain(|lot| lot.requested);
         }
         if self.policy.requested_first {
-            lots.sort_by_key(|lot| !lot.wanted);
+            lots.sort_by_key(|lot| !lot.requested);
         }
         while !lots.is_empty() {
             let mut flows = lots.iter().map(|lot| lot.spec.trainer.as_str());
             let flow = if self.policy.fair_share {
-                self.share.next(flows)?
+                self.fair_share.next(flows)?
             } else {
                 flows.next()?
             };
             let mut own = lots.iter().filter(|lot| lot.spec.trainer == flow);
             let found = own.find_map(|lot| {
                 let mut looks = lot.queue.iter().take(MAX_LOOKS);
-                looks.find(|rank| self.startable(now, rank.2, endpoint))
+                looks.find(|queue_key| self.startable(now, queue_key.2, endpoint))
             });
             if let Some((_, _, sample)) = found {
                 return Some(*sample);
@@ -155,10 +155,10 @@
             return true;
         }
         let offer = &self.endpoints[endpoint].offer;
-        let entry = &self.samples[sample];
-        let lot = &self.lots[&entry.lot];
+        let sample_state = &self.samples[sample];
+        let lot = &self.lots[&sample_state.lot];
         // Whoever waits takes all that its bound allows: nothing fresher may ever be served.
-        let bound = if lot.wanted {
+        let bound = if lot.requested {
             lot.spec.bound
         } else {
             lot.spec.bound.min(self.policy.unrequested_bound)
@@ -166,14 +166,14 @@
         if !staleness::fits(offer.version, lot.spec.version, bound) {
             return false;
         }
-        let group_state = &lot.groups[&entry.group];
+        let group_state = &lot.groups[&sample_state.group];
         let cached = group_state.cached_version(endpoint, now);
         if cached.is_some_and(|v| !staleness::fits(v, lot.spec.version, lot.spec.bound)) {
             return false;
         }
         let tokens = u64::from(group_state.predicted_tokens());
         let done = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
-        let pace = self.paces.get(&lot.spec.model);
+        let pace = self.publication_rates.get(&lot.spec.model);
         if pace.is_none_or(|pace| pace.lasts(offer.version, done, bound)) {
             return true;
         }
@@ -195,55 +195,60 @@
             return None;
         }
         let due = self.attempts.values().filter(|attempt| {
-            let entry = &self.samples[attempt.sample];
-            let old = now.since(attempt.started) >= self.policy.speculate_after;
-            let alone = entry.attempts.len() == 1 && attempt.endpoint != endpoint;
-            let fits = self.lots[&entry.lot].spec.model == *model;
+            let sample_state = &self.samples[attempt.sample];
+            let old = now.since(attempt.started_at) >= self.policy.speculate_after;
+            let alone = sample_state.attempts.len() == 1 && attempt.endpoint != endpoint;
+            let fits = self.lots[&sample_state.lot].spec.model == *model;
             old && alone && fits && self.startable(now, attempt.sample, endpoint)
         });
-        let first = due.min_by_key(|attempt| (attempt.started, attempt.sample));
+        let first = due.min_by_key(|attempt| (attempt.started_at, attempt.sample));
         first.map(|attempt| attempt.sample)
     }
 
     fn start(&mut self, now: Time, sample: SampleKey, endpoint: &str) {
         let twin = !self.samples[sample].attempts.is_empty();
         let progress = self.resumable(sample, endpoint).unwrap_or_default();
-        let base = progress.record.tokens();
+        let resumed_tokens = progress.record.tokens();
         self.unqueue(sample);
         self.count(&progress, twin);
         let resume = progress.text.clone();
         let attempt = self.attempts.insert(Attempt {
             sample,
             endpoint: endpoint.into(),
-            started: now,
-            heard: None,
-            base,
+            started_at: now,
+            last_chunk_at: None,
+            resumed_tokens,
             progress,
         });
         let target = self.endpoints.get_mut(endpoint);
         target
             .expect("the endpoint was just chosen")
             .running_attempts += 1;
-        let entry = &mut self.samples[sample];
-        let again = twin || entry.tried;
-        entry.attempts.push(attempt);
-        entry.tried = true;
-        let lot = &self.lots[&entry.lot];
+        let sample_state = &mut self.samples[sample];
+        let again = twin || sample_state.was_started;
+        sample_state.attempts.push(attempt);
+        sample_state.was_started = true;
+        let lot = &self.lots[&sample_state.lot];
         let late = now >= lot.spec.deadline;
-        let group_state = &lot.groups[&entry.group];
-        let cost = u64::from(group_state.predicted_tokens().saturating_sub(base));
-        self.share.charge(&lot.spec.trainer, lot.spec.weight, cost);
+        let group_state = &lot.groups[&sample_state.group];
+        let cost = u64::from(
+            group_state
+                .predicted_tokens()
+                .saturating_sub(resumed_tokens),
+        );
+        self.fair_share
+            .charge(&lot.spec.trainer, lot.spec.weight, cost);
         self.actions.push(Action::Start(Start {
             attempt,
             endpoint: endpoint.into(),
-            lot: entry.lot.clone(),
-            index: entry.index,
+            lot: sample_state.lot.clone(),
+            index: sample_state.index,
             prompt: group_state.group.prompt.clone(),
             max_tokens: group_state.group.max_tokens,
-            seed: seed(lot.spec.digest, entry.index),
+            seed: seed(lot.spec.digest, sample_state.index),
             resume,
-            resume_tokens: base,
-            class: if again || late || self.policy.requested_first && lot.wanted {
+            resume_tokens: resumed_tokens,
+            class: if again || late || self.policy.requested_first && lot.requested {
                 Class::Straggler
             } else {
                 Class::Bulk
@@ -262,14 +267,14 @@
 
     /// What an attempt on `endpoint` may go on from: versions must still fit and not go back.
     fn resumable(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
-        let entry = &mut self.samples[sample];
-        let lost = entry.partial.take();
-        let twin = entry
+        let sample_state = &mut self.samples[sample];
+        let lost = sample_state.saved_progress.take();
+        let twin = sample_state
             .attempts
             .first()
             .map(|key| &self.attempts[*key].progress);
         let from = lost.or_else(|| twin.cloned())?;
-        let spec = &self.lots[&entry.lot].spec;
+        let spec = &self.lots[&sample_state.lot].spec;
         let fits = staleness::fits(from.record.oldest()?, spec.version, spec.bound);
         let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
         let resumable = self.policy.resume && fits && onward;
@@ -311,16 +316,16 @@
             self.abort_if_stale(key, Self::again);
         }
         let all = self.samples.iter();
-        let old = all.filter(|(_, entry)| self.is_stale(entry));
+        let old = all.filter(|(_, sample_state)| self.is_stale(sample_state));
         let old: Vec<_> = old.map(|(key, _)| key).collect();
         for key in old {
             self.void_finished(key);
         }
     }
 
-    fn is_stale(&self, entry: &Entry) -> bool {
-        let spec = &self.lots[&entry.lot].spec;
-        let finished = entry.finished.as_ref();
+    fn is_stale(&self, sample_state: &SampleState) -> bool {
+        let spec = &self.lots[&sample_state.lot].spec;
+        let finished = sample_state.finished.as_ref();
         let oldest = finished.and_then(|f| crate::provenance::oldest(&f.sample.spans));
         oldest.is_some_and(|o| !staleness::fits(o, spec.version, spec.bound))
     }
@@ -337,9 +342,9 @@
         if !self.leave(key, kept) {
             return;
         }
-        let entry = &mut self.samples[key];
-        if !mem::replace(&mut entry.parked, true) {
-            self.parked.push_back(key);
+        let sample_state = &mut self.samples[key];
+        if !mem::replace(&mut sample_state.awaiting_retry, true) {
+            self.retry_queue.push_back(key);
         }
         self.unpark();
     }
@@ -353,30 +358,35 @@
 
     /// Keeps the longest progress; whether the sample needs a new attempt.
     fn leave(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
-        let entry = &mut self.samples[key];
-        let known = entry.partial.as_ref().map_or(0, |p| p.record.tokens());
+        let sample_state = &mut self.samples[key];
+        let known = sample_state
+            .saved_progress
+            .as_ref()
+            .map_or(0, |p| p.record.tokens());
         if let Some(kept) = kept.filter(|k| k.record.tokens() > known) {
-            entry.partial = Some(kept);
+            sample_state.saved_progress = Some(kept);
         }
-        entry.open() && entry.attempts.is_empty()
+        sample_state.needs_work() && sample_state.attempts.is_empty()
     }
 
     pub(super) fn earn(&mut self, credit: u64) {
-        let most = u64::from(self.limits.retry_burst).max(1) * RETRY;
-        self.credit = self.credit.saturating_add(credit).min(most);
+        let most = u64::from(self.limits.retry_burst).max(1) * RETRY_CREDIT;
+        self.retry_credit = self.retry_credit.saturating_add(credit).min(most);
     }
 
     /// Queues parked samples as far as the retry budget goes.
     pub(super) fn unpark(&mut self) {
-        while self.credit >= RETRY {
-            let Some(key) = self.parked.pop_front() else {
+        while self.retry_credit >= RETRY_CREDIT {
+            let Some(key) = self.retry_queue.pop_front() else {
                 return;
             };
-            let entry = &mut self.samples[key];
-            entry.parked = false;
-            let wanted = entry.open() && entry.attempts.is_empty() && entry.rank.is_none();
+            let sample_state = &mut self.samples[key];
+            sample_state.awaiting_retry = false;
+            let wanted = sample_state.needs_work()
+                && sample_state.attempts.is_empty()
+                && sample_state.queue_key.is_none();
             if wanted {
-                self.credit -= RETRY;
+                self.retry_credit -= RETRY_CREDIT;
                 self.enqueue(key);
             }
         }
@@ -384,35 +394,35 @@
 
     pub(super) fn enqueue(&mut self, key: SampleKey) {
         self.unqueue(key);
-        let entry = &mut self.samples[key];
-        let lot = self.lots.get_mut(&entry.lot);
+        let sample_state = &mut self.samples[key];
+        let lot = self.lots.get_mut(&sample_state.lot);
         let lot = lot.expect("samples are removed with their lot");
         let predicted = if self.policy.longest_first {
-            lot.groups[&entry.group].predicted_tokens()
+            lot.groups[&sample_state.group].predicted_tokens()
         } else {
             0
         };
-        let rank = (Reverse(predicted), entry.index, key);
-        entry.rank = Some(rank);
-        lot.queue.insert(rank);
+        let queue_key = (Reverse(predicted), sample_state.index, key);
+        sample_state.queue_key = Some(queue_key);
+        lot.queue.insert(queue_key);
     }
 
     pub(super) fn unqueue(&mut self, key: SampleKey) {
-        let entry = &mut self.samples[key];
-        if let Some(rank) = entry.rank.take()
-            && let Some(lot) = self.lots.get_mut(&entry.lot)
+        let sample_state = &mut self.samples[key];
+        if let Some(queue_key) = sample_state.queue_key.take()
+            && let Some(lot) = self.lots.get_mut(&sample_state.lot)
         {
-            lot.queue.remove(&rank);
+            lot.queue.remove(&queue_key);
         }
     }
 
     /// Learns from a finished sample how long its group mates may get.
     pub(super) fn learn(&mut self, key: SampleKey, tokens: u32) {
-        let entry = &self.samples[key];
-        let Some(lot) = self.lots.get_mut(&entry.lot) else {
+        let sample_state = &self.samples[key];
+        let Some(lot) = self.lots.get_mut(&sample_state.lot) else {
             return;
         };
-        let Some(group_state) = lot.groups.get_mut(&entry.group) else {
+        let Some(group_state) = lot.groups.get_mut(&sample_state.group) else {
             return;
         };
         group_state.finished_samples += 1;
@@ -421,7 +431,7 @@
         let range = first..first.saturating_add(group_state.group.samples);
         let keys: Vec<_> = lot.samples.range(range).map(|(_, key)| *key).collect();
         for key in keys {
-            if self.samples[key].rank.is_some() {
+            if self.samples[key].queue_key.is_some() {
                 self.enqueue(key);
             }
         }
--- a/crates/pinereel_core/src/lot/state.rs
+++ b/crates/pinereel_core/src/lot/state.rs
@@ -59,7 +59,7 @@
 }
 
 /// Order of waiting samples: longest first, then by index.
-pub(super) type Rank = (Reverse<u32>, u32, SampleKey);
+pub(super) type QueueKey = (Reverse<u32>, u32, SampleKey);
 
 /// The part of a trainer step that one runner holds.
 #[derive(Clone, Debug)]
@@ -67,14 +67,14 @@
     /// The lot, without groups.
     pub(super) spec: Spec,
     /// Order of arrival at this runner.
-    pub(super) order: u64,
+    pub(super) arrival: u64,
     /// Last assign or collect.
-    pub(super) touched: Time,
+    pub(super) last_activity: Time,
     /// Whether the trainer has asked for it: it may be waiting.
-    pub(super) wanted: bool,
+    pub(super) requested: bool,
     pub(super) groups: BTreeMap<u32, GroupState>,
     pub(super) samples: BTreeMap<u32, SampleKey>,
-    pub(super) queue: BTreeSet<Rank>,
+    pub(super) queue: BTreeSet<QueueKey>,
 }
 
 /// How long a prefix is taken to stay in an endpoint's cache.
@@ -155,28 +155,28 @@
 
 /// Where one sample stands.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct SampleState {
     pub(super) lot: CompactString,
     pub(super) group: u32,
     pub(super) index: u32,
     /// Its place in the lot's queue.
-    pub(super) rank: Option<Rank>,
+    pub(super) queue_key: Option<QueueKey>,
     /// Waits for the retry budget.
-    pub(super) parked: bool,
+    pub(super) awaiting_retry: bool,
     /// Started before: the next attempt is a retry.
-    pub(super) tried: bool,
+    pub(super) was_started: bool,
     /// What a lost attempt left.
-    pub(super) partial: Option<Progress>,
+    pub(super) saved_progress: Option<Progress>,
     pub(super) attempts: Vec<AttemptKey>,
     pub(super) finished: Option<Finished>,
     /// The trainer has it, as a token says.
-    pub(super) held: bool,
+    pub(super) delivered: bool,
 }
 
-impl Entry {
+impl SampleState {
     /// Whether work on it is still needed.
-    pub(super) const fn open(&self) -> bool {
-        !self.held && self.finished_samples.is_none()
+    pub(super) const fn needs_work(&self) -> bool {
+        !self.delivered && self.finished_samples.is_none()
     }
 }
 
@@ -185,7 +185,7 @@
 pub(super) struct Finished {
     pub(super) sample: Sample,
     /// The scoring that it waits for.
-    pub(super) ticket: Option<u64>,
+    pub(super) score_ticket: Option<u64>,
 }
 
 /// An attempt on an endpoint.
@@ -193,11 +193,11 @@
 pub(super) struct Attempt {
     pub(super) sample: SampleKey,
     pub(super) endpoint: CompactString,
-    pub(super) started: Time,
+    pub(super) started_at: Time,
     /// Its last chunk.
-    pub(super) heard: Option<Time>,
+    pub(super) last_chunk_at: Option<Time>,
     /// Tokens that it started from.
-    pub(super) base: u32,
+    pub(super) resumed_tokens: u32,
     pub(super) progress: Progress,
 }
 
