--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -11,17 +11,17 @@
 impl Runner {
     pub(super) fn assign(&mut self, now: Time, spec: Spec) {
         let lot = spec.lot.clone();
-        match self.take(now, spec) {
+        match self.try_assign(now, spec) {
             Ok(()) => self.actions.push(Action::Assigned { lot }),
             Err(reason) => self.actions.push(Action::Refused { lot, reason }),
         }
     }
 
-    fn take(&mut self, now: Time, spec: Spec) -> Result<(), Refusal> {
-        self.check(&spec)?;
-        self.supersede(&spec);
+    fn try_assign(&mut self, now: Time, spec: Spec) -> Result<(), Refusal> {
+        self.validate(&spec)?;
+        self.drop_superseded(&spec);
         let new = !self.lots.contains_key(&spec.lot);
-        let groups = self.unknown_groups(&spec);
+        let groups = self.new_groups(&spec);
         let samples = groups.iter().map(|g| g.samples as usize).sum::<usize>();
         if new && self.lots.len() >= self.limits.max_lots {
             return Err(Refusal::Full);
@@ -29,29 +29,29 @@
         if self.samples.len() + samples > self.limits.max_samples {
             return Err(Refusal::Full);
         }
-        if samples > 0 && self.text() >= self.limits.max_text_bytes {
+        if samples > 0 && self.finished_text_bytes() >= self.limits.max_text_bytes {
             return Err(Refusal::Full);
         }
         if new {
-            self.insert(now, &spec);
+            self.insert_lot(now, &spec);
         }
         let id = spec.lot.clone();
         let lot = self.lots.get_mut(&id).expect("inserted above if absent");
         lot.last_activity = now;
         lot.spec.version = lot.spec.version.max(spec.version);
         for group in groups {
-            self.add(&id, group);
+            self.insert_group(&id, group);
         }
         Ok(())
     }
 
     /// Bytes of finished text that wait to be collected.
-    fn text(&self) -> usize {
+    fn finished_text_bytes(&self) -> usize {
         let finished = self.samples.values().filter_map(|e| e.finished.as_ref());
         finished.map(|f| f.sample.text.len()).sum()
     }
 
-    fn check(&self, spec: &Spec) -> Result<(), Refusal> {
+    fn validate(&self, spec: &Spec) -> Result<(), Refusal> {
         if self.draining {
             return Err(Refusal::Draining);
         }
@@ -68,7 +68,7 @@
             return Err(Refusal::Superseded);
         }
         let known = known.map(|lot| &lot.groups);
-        if is_sound(&spec.groups, known) {
+        if are_valid(&spec.groups, known) {
             Ok(())
         } else {
             Err(Refusal::Malformed)
@@ -76,7 +76,7 @@
     }
 
     /// Drops the trainer's lots that are too many steps behind.
-    fn supersede(&mut self, spec: &Spec) {
+    fn drop_superseded(&mut self, spec: &Spec) {
         let ahead = self.limits.max_steps_ahead;
         let same = self
             .lots
@@ -89,14 +89,14 @@
         }
     }
 
-    fn unknown_groups(&self, spec: &Spec) -> Vec<Group> {
+    fn new_groups(&self, spec: &Spec) -> Vec<Group> {
         let known = self.lots.get(&spec.lot);
         let groups = spec.groups.iter();
         let new = groups.filter(|g| known.is_none_or(|l| !l.groups.contains_key(&g.index)));
         new.cloned().collect()
     }
 
-    fn insert(&mut self, now: Time, spec: &Spec) {
+    fn insert_lot(&mut self, now: Time, spec: &Spec) {
         self.next_arrival += 1;
         let lot = Lot {
             spec: Spec {
@@ -113,7 +113,7 @@
         self.lots.insert(spec.lot.clone(), lot);
     }
 
-    fn add(&mut self, id: &CompactString, group: Group) {
+    fn insert_group(&mut self, id: &CompactString, group: Group) {
         let lot = self.lots.get_mut(id).expect("only called for a lot held");
         let group_index = group.index;
         let range = group.first..group.first + group.samples;
@@ -144,7 +144,7 @@
     }
 
     /// Takes over the finished samples of a runner that stops.
-    pub(super) fn handover(&mut self, now: Time, spec: Spec, samples: Vec<Sample>) {
+    pub(super) fn take_over(&mut self, now: Time, spec: Spec, samples: Vec<Sample>) {
         let id = spec.lot.clone();
         let digest = spec.digest;
         self.assign(now, spec);
@@ -158,13 +158,13 @@
             let sample_state = &self.samples[key];
             let sound = !sample.spans.is_empty() && sample.group == sample_state.group;
             if sound && sample_state.needs_work() {
-                self.keep(key, sample);
+                self.store_finished(key, sample);
             }
         }
         self.abort_stale();
     }
 
-    pub(super) fn drop_idle(&mut self, now: Time) {
+    pub(super) fn drop_idle_lots(&mut self, now: Time) {
         let idle = self.limits.idle_timeout;
         let all = self.lots.values();
         let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle);
@@ -178,8 +178,8 @@
         let Some(lot) = self.lots.get(id) else { return };
         let keys: Vec<_> = lot.samples.values().copied().collect();
         for key in keys {
-            self.cancel_all(key);
-            self.forget_finished(key);
+            self.cancel_attempts(key);
+            self.discard_finished(key);
             self.samples.remove(key);
         }
         self.lots.remove(id);
@@ -191,7 +191,7 @@
 }
 
 /// Whether the groups, with those known, have separate samples within the largest lot.
-fn is_sound(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
+fn are_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
     let mut all = BTreeMap::new();
     let known = known
         .into_iter()
@@ -199,7 +199,7 @@
         .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
         let place = (group.first, group.samples);
-        if *all.sample_state(group.index).or_insert(place) != place {
+        if *all.entry(group.index).or_insert(place) != place {
             return false;
         }
     }
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -33,7 +33,7 @@
         if newer {
             self.abort_stale();
         }
-        let samples = self.gather(&keys, &request);
+        let samples = self.collectable(&keys, &request);
         self.actions.push(Action::Answer {
             call: request.call,
             samples,
@@ -51,15 +51,15 @@
         }
         if holds {
             sample_state.saved_progress = None;
-            self.cancel_all(key);
+            self.cancel_attempts(key);
             self.unqueue(key);
-            self.forget_finished(key);
+            self.discard_finished(key);
         } else {
-            self.again(key, None);
+            self.requeue(key, None);
         }
     }
 
-    fn gather(&mut self, keys: &[SampleKey], request: &CollectRequest) -> Vec<Sample> {
+    fn collectable(&mut self, keys: &[SampleKey], request: &CollectRequest) -> Vec<Sample> {
         let mut samples = Vec::new();
         let mut bytes = 0;
         for key in keys {
@@ -69,7 +69,7 @@
             };
             let oldest = provenance::oldest(&ready.sample.spans);
             if oldest.is_none_or(|o| !staleness::fits(o, request.version, request.bound)) {
-                self.void_finished(*key);
+                self.expire_finished(*key);
                 continue;
             }
             bytes += ready.sample.text.len();
@@ -82,7 +82,7 @@
     }
 
     /// Tells that a sample can be collected, or hands it on if this runner is draining.
-    pub(super) fn ready(&mut self, key: SampleKey) {
+    pub(super) fn announce_finished(&mut self, key: SampleKey) {
         let sample_state = &self.samples[key];
         let lot = &self.lots[&sample_state.lot];
         if !self.draining {
@@ -114,7 +114,7 @@
     }
 
     /// Asks for a score; the ticket ties it to this very text.
-    pub(super) fn score(&mut self, key: SampleKey, sample: &Sample) -> u64 {
+    pub(super) fn request_score(&mut self, key: SampleKey, sample: &Sample) -> u64 {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.scorings.insert(ticket, (key, None));
@@ -137,7 +137,7 @@
         if let Some(finished) = &mut self.samples[key].finished {
             finished.sample.score = Some(score);
             finished.score_ticket = None;
-            self.ready(key);
+            self.announce_finished(key);
         }
     }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(super) fn rescore(&mut self, now: Time) {
+    pub(super) fn retry_scores(&mut self, now: Time) {
         let all = self.scorings.iter();
         let due = all.filter(|(_, (_, due))| due.is_some_and(|due| due <= now));
         let due: Vec<_> = due.map(|(ticket, (key, _))| (*ticket, *key)).collect();
@@ -158,7 +158,7 @@
             let Some(sample) = finished.map(|f| f.sample.clone()) else {
                 continue;
             };
-            let ticket = self.score(key, &sample);
+            let ticket = self.request_score(key, &sample);
             if let Some(finished) = &mut self.samples[key].finished {
                 finished.score_ticket = Some(ticket);
             }
@@ -166,7 +166,7 @@
     }
 
     /// Drops a finished sample with the scoring that it waits for.
-    pub(super) fn forget_finished(&mut self, key: SampleKey) {
+    pub(super) fn discard_finished(&mut self, key: SampleKey) {
         let finished = self.samples[key].finished.take();
         if let Some(ticket) = finished.and_then(|f| f.score_ticket) {
             self.scorings.remove(&ticket);
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -107,7 +107,7 @@
             Event::Collect(request) => self.collect(now, request),
             Event::Scored { ticket, score } => self.scored(ticket, score),
             Event::ScoreFailed { ticket } => self.score_failed(now, ticket),
-            Event::Handover { spec, samples } => self.handover(now, spec, samples),
+            Event::Handover { spec, samples } => self.take_over(now, spec, samples),
             Event::Drain => self.drain(),
             Event::Tick => self.tick(now),
         }
@@ -167,7 +167,7 @@
             attempt.progress.record.push(&chunk.stamp)
         };
         if let Err(error) = pushed {
-            self.void(chunk.attempt, error);
+            self.reject_stamps(chunk.attempt, error);
             return;
         }
         attempt.progress.text.push_str(&chunk.text);
@@ -188,7 +188,7 @@
         }
         match chunk.finish {
             Some(Finish::Complete) => self.finish(now, chunk.attempt),
-            Some(Finish::Cancelled) => self.lose(now, chunk.attempt),
+            Some(Finish::Cancelled) => self.attempt_lost(now, chunk.attempt),
             // Too old although nothing new was published since: its engine reuses old prefixes or
             // runs old weights, and may do so each time.
             None => self.abort_if_stale(chunk.attempt, Self::retry),
@@ -205,10 +205,12 @@
     }
 
     /// The stamps are broken. A gap leaves what came before it; else nothing can be trusted.
-    fn void(&mut self, key: AttemptKey, error: provenance::Error) {
+    fn reject_stamps(&mut self, key: AttemptKey, error: provenance::Error) {
         self.stats.invalid_stamps += 1;
-        self.cancel(key);
-        let Some(attempt) = self.end(key) else { return };
+        self.push_cancel(key);
+        let Some(attempt) = self.remove_attempt(key) else {
+            return;
+        };
         let kept = error.keeps_prefix().then_some(attempt.progress);
         if kept.is_none() {
             self.samples[attempt.sample].saved_progress = None;
@@ -226,7 +228,7 @@
         {
             endpoint.offer.slots = 0;
         }
-        self.lose(now, key);
+        self.attempt_lost(now, key);
     }
 
     fn endpoint_lost(&mut self, now: Time, endpoint: &str) {
@@ -237,13 +239,13 @@
             endpoint.offer.slots = 0;
         }
         for key in lost {
-            self.lose(now, key);
+            self.attempt_lost(now, key);
         }
         self.endpoints.remove(endpoint);
     }
 
     /// An attempt broke off. Its whole chunks stay, and may already be all of the sample.
-    fn lose(&mut self, now: Time, key: AttemptKey) {
+    fn attempt_lost(&mut self, now: Time, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(key) else {
             return;
         };
@@ -254,12 +256,14 @@
             return;
         }
         self.stats.lost += 1;
-        let Some(attempt) = self.end(key) else { return };
+        let Some(attempt) = self.remove_attempt(key) else {
+            return;
+        };
         self.retry(attempt.sample, Some(attempt.progress));
     }
 
     /// Takes an attempt off the books.
-    pub(super) fn end(&mut self, key: AttemptKey) -> Option<Attempt> {
+    pub(super) fn remove_attempt(&mut self, key: AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
             endpoint.running_attempts -= 1;
@@ -273,7 +277,7 @@
         Some(attempt)
     }
 
-    pub(super) fn cancel(&mut self, key: AttemptKey) {
+    pub(super) fn push_cancel(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get(key) {
             let endpoint = attempt.endpoint.clone();
             self.actions.push(Action::Cancel {
@@ -284,15 +288,17 @@
     }
 
     /// Cancels and ends all attempts of a sample.
-    pub(super) fn cancel_all(&mut self, sample: SampleKey) {
+    pub(super) fn cancel_attempts(&mut self, sample: SampleKey) {
         for key in self.samples[sample].attempts.clone() {
-            self.cancel(key);
-            self.end(key);
+            self.push_cancel(key);
+            self.remove_attempt(key);
         }
     }
 
     fn finish(&mut self, now: Time, key: AttemptKey) {
-        let Some(attempt) = self.end(key) else { return };
+        let Some(attempt) = self.remove_attempt(key) else {
+            return;
+        };
         let Progress { text, record } = attempt.progress;
         let Some(oldest) = record.oldest() else {
             // Without a single stamp nobody knows what made it.
@@ -320,16 +326,17 @@
             score: None,
         };
         self.stats.finished += 1;
-        self.learn(attempt.sample, sample.tokens);
-        self.keep(attempt.sample, sample);
+        self.update_prediction(attempt.sample, sample.tokens);
+        self.store_finished(attempt.sample, sample);
     }
 
     /// Keeps a finished sample; the first one wins and ends all other work on it.
-    pub(super) fn keep(&mut self, key: SampleKey, sample: Sample) {
-        self.cancel_all(key);
+    pub(super) fn store_finished(&mut self, key: SampleKey, sample: Sample) {
+        self.cancel_attempts(key);
         self.unqueue(key);
         let scored = self.lots[&self.samples[key].lot].spec.scored;
-        let score_ticket = (scored && sample.score.is_none()).then(|| self.score(key, &sample));
+        let score_ticket =
+            (scored && sample.score.is_none()).then(|| self.request_score(key, &sample));
         let sample_state = &mut self.samples[key];
         sample_state.saved_progress = None;
         sample_state.finished = Some(Finished {
@@ -337,7 +344,7 @@
             score_ticket,
         });
         if score_ticket.is_none() {
-            self.ready(key);
+            self.announce_finished(key);
         }
     }
 
@@ -366,10 +373,10 @@
         let passed = u64::try_from(passed).unwrap_or(u64::MAX);
         let rate = u64::from(self.limits.retries_per_second) * RETRY_CREDIT;
         self.last_tick = now;
-        self.earn(passed.saturating_mul(rate) / 1_000);
-        self.unpark();
-        self.move_slow(now);
-        self.rescore(now);
-        self.drop_idle(now);
+        self.add_retry_credit(passed.saturating_mul(rate) / 1_000);
+        self.release_retries();
+        self.move_from_slow(now);
+        self.retry_scores(now);
+        self.drop_idle_lots(now);
     }
 }
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -10,13 +10,13 @@
 use std::{cmp::Reverse, collections::BTreeSet, mem, time::Duration};
 
 /// Most waiting samples of a lot that are looked at for one slot.
-const MAX_LOOKS: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 
 /// Endpoints of known speed that it takes to call one slow.
-const FEWEST_SPEEDS: usize = 3;
+const MIN_RATED_ENDPOINTS: usize = 3;
 
 /// Time of a token, against the median endpoint's, beyond which an endpoint is slow; in tenths.
-const SLOW_TENTHS: u64 = 30;
+const SLOW_FACTOR_TENTHS: u64 = 30;
 
 impl Runner {
     /// Fills free slots, least loaded endpoint first.
@@ -25,10 +25,10 @@
             return;
         }
         // A start changes no speed.
-        let slow = self.slow(now);
-        let mut useless = BTreeSet::new();
-        while let Some((sample, endpoint)) = self.next_start(now, &slow, &mut useless) {
-            self.start(now, sample, &endpoint);
+        let slow = self.slow_endpoints(now);
+        let mut unusable = BTreeSet::new();
+        while let Some((sample, endpoint)) = self.next_start(now, &slow, &mut unusable) {
+            self.start_attempt(now, sample, &endpoint);
         }
     }
 
@@ -38,28 +38,28 @@
         &self,
         now: Time,
         slow: &BTreeSet<CompactString>,
-        useless: &mut BTreeSet<CompactString>,
+        unusable: &mut BTreeSet<CompactString>,
     ) -> Option<(SampleKey, CompactString)> {
-        for endpoint in self.free(slow, useless) {
-            let queued = self.choose(now, &endpoint);
-            let sample = queued.or_else(|| self.straggler(now, &endpoint));
+        for endpoint in self.free_endpoints(slow, unusable) {
+            let queued = self.next_queued(now, &endpoint);
+            let sample = queued.or_else(|| self.speculation_candidate(now, &endpoint));
             if let Some(sample) = sample {
                 return Some((sample, endpoint));
             }
-            useless.insert(endpoint);
+            unusable.insert(endpoint);
         }
         None
     }
 
     /// Endpoints with free slots that are not `useless`, the one to fill first in front.
-    fn free(
+    fn free_endpoints(
         &self,
         slow: &BTreeSet<CompactString>,
-        useless: &BTreeSet<CompactString>,
+        unusable: &BTreeSet<CompactString>,
     ) -> Vec<CompactString> {
         let all = self.endpoints.iter();
         let free =
-            all.filter(|(key, e)| e.running_attempts < e.offer.slots && !useless.contains(*key));
+            all.filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
         // Runners that all prefer the same endpoint among equals would fill it together.
         let turn = self.stats.started;
         let mut free: Vec<_> = free.collect();
@@ -77,7 +77,7 @@
 
     /// Endpoints that are much slower than most, by the attempts of this runner. Live requests
     /// should avoid them too: they look idle.
-    pub fn slow(&self, now: Time) -> BTreeSet<CompactString> {
+    pub fn slow_endpoints(&self, now: Time) -> BTreeSet<CompactString> {
         let mut slow = BTreeSet::new();
         if !self.policy.avoid_slow {
             return slow;
@@ -86,18 +86,18 @@
         let known = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
         let mut known: Vec<_> = known.collect();
         known.sort_unstable();
-        if known.len() < FEWEST_SPEEDS {
+        if known.len() < MIN_RATED_ENDPOINTS {
             return slow;
         }
-        let limit = known[known.len() / 2].0 * SLOW_TENTHS / 10;
+        let limit = known[known.len() / 2].0 * SLOW_FACTOR_TENTHS / 10;
         let beyond = known.iter().filter(|(token, _)| *token > limit);
         slow.extend(beyond.map(|(_, key)| (*key).clone()));
         slow
     }
 
     /// Moves attempts away from slow endpoints; what they made goes along.
-    pub(super) fn move_slow(&mut self, now: Time) {
-        let slow = self.slow(now);
+    pub(super) fn move_from_slow(&mut self, now: Time) {
+        let slow = self.slow_endpoints(now);
         if slow.is_empty() || !self.policy.resume {
             return;
         }
@@ -105,16 +105,16 @@
         let there = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
         let there: Vec<_> = there.map(|(key, _)| key).collect();
         for key in there {
-            self.cancel(key);
-            if let Some(attempt) = self.end(key) {
+            self.push_cancel(key);
+            if let Some(attempt) = self.remove_attempt(key) {
                 self.stats.moved += 1;
-                self.again(attempt.sample, Some(attempt.progress));
+                self.requeue(attempt.sample, Some(attempt.progress));
             }
         }
     }
 
     /// The waiting sample that goes next on `endpoint`.
-    fn choose(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
+    fn next_queued(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
         let model = &self.endpoints[endpoint].offer.model;
         let mut lots: Vec<_> = self.lots.values().collect();
         lots.retain(|lot| lot.spec.model == *model && !lot.queue.is_empty());
@@ -138,8 +138,8 @@
             };
             let mut own = lots.iter().filter(|lot| lot.spec.trainer == flow);
             let found = own.find_map(|lot| {
-                let mut looks = lot.queue.iter().take(MAX_LOOKS);
-                looks.find(|queue_key| self.startable(now, queue_key.2, endpoint))
+                let mut looks = lot.queue.iter().take(MAX_CANDIDATES);
+                looks.find(|queue_key| self.can_start(now, queue_key.2, endpoint))
             });
             if let Some((_, _, sample)) = found {
                 return Some(*sample);
@@ -150,7 +150,7 @@
     }
 
     /// Whether the endpoint's version is likely to be fresh enough when the sample is done.
-    fn startable(&self, now: Time, sample: SampleKey, endpoint: &str) -> bool {
+    fn can_start(&self, now: Time, sample: SampleKey, endpoint: &str) -> bool {
         if !self.policy.staleness_aware_start {
             return true;
         }
@@ -184,7 +184,7 @@
     }
 
     /// A running sample worth a second attempt on an idle slot: the one started first.
-    fn straggler(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
+    fn speculation_candidate(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
         if !self.policy.speculative_attempts {
             return None;
         }
@@ -199,18 +199,18 @@
             let old = now.since(attempt.started_at) >= self.policy.speculate_after;
             let alone = sample_state.attempts.len() == 1 && attempt.endpoint != endpoint;
             let fits = self.lots[&sample_state.lot].spec.model == *model;
-            old && alone && fits && self.startable(now, attempt.sample, endpoint)
+            old && alone && fits && self.can_start(now, attempt.sample, endpoint)
         });
         let first = due.min_by_key(|attempt| (attempt.started_at, attempt.sample));
         first.map(|attempt| attempt.sample)
     }
 
-    fn start(&mut self, now: Time, sample: SampleKey, endpoint: &str) {
-        let twin = !self.samples[sample].attempts.is_empty();
-        let progress = self.resumable(sample, endpoint).unwrap_or_default();
+    fn start_attempt(&mut self, now: Time, sample: SampleKey, endpoint: &str) {
+        let speculative = !self.samples[sample].attempts.is_empty();
+        let progress = self.resume_point(sample, endpoint).unwrap_or_default();
         let resumed_tokens = progress.record.tokens();
         self.unqueue(sample);
-        self.count(&progress, twin);
+        self.count_start(&progress, speculative);
         let resume = progress.text.clone();
         let attempt = self.attempts.insert(Attempt {
             sample,
@@ -225,7 +225,7 @@
             .expect("the endpoint was just chosen")
             .running_attempts += 1;
         let sample_state = &mut self.samples[sample];
-        let again = twin || sample_state.was_started;
+        let again = speculative || sample_state.was_started;
         sample_state.attempts.push(attempt);
         sample_state.was_started = true;
         let lot = &self.lots[&sample_state.lot];
@@ -245,7 +245,7 @@
             index: sample_state.index,
             prompt: group_state.group.prompt.clone(),
             max_tokens: group_state.group.max_tokens,
-            seed: seed(lot.spec.digest, sample_state.index),
+            seed: sampling_seed(lot.spec.digest, sample_state.index),
             resume,
             resume_tokens: resumed_tokens,
             class: if again || late || self.policy.requested_first && lot.requested {
@@ -255,25 +255,25 @@
             },
         }));
         if !again {
-            self.earn(u64::from(self.limits.retry_percent));
+            self.add_retry_credit(u64::from(self.limits.retry_percent));
         }
     }
 
-    const fn count(&mut self, progress: &Progress, twin: bool) {
+    const fn count_start(&mut self, progress: &Progress, speculative: bool) {
         self.stats.started += 1;
         self.stats.resumed += (progress.record.tokens() > 0) as u64;
-        self.stats.speculative += twin as u64;
+        self.stats.speculative += speculative as u64;
     }
 
     /// What an attempt on `endpoint` may go on from: versions must still fit and not go back.
-    fn resumable(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
+    fn resume_point(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
         let sample_state = &mut self.samples[sample];
         let lost = sample_state.saved_progress.take();
-        let twin = sample_state
+        let speculative = sample_state
             .attempts
             .first()
             .map(|key| &self.attempts[*key].progress);
-        let from = lost.or_else(|| twin.cloned())?;
+        let from = lost.or_else(|| speculative.cloned())?;
         let spec = &self.lots[&sample_state.lot].spec;
         let fits = staleness::fits(from.record.oldest()?, spec.version, spec.bound);
         let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
@@ -301,8 +301,8 @@
             return;
         }
         self.stats.aborted += 1;
-        self.cancel(key);
-        self.end(key);
+        self.push_cancel(key);
+        self.remove_attempt(key);
         queue(self, sample, None);
     }
 
@@ -313,13 +313,13 @@
         }
         let running: Vec<_> = self.attempts.keys().collect();
         for key in running {
-            self.abort_if_stale(key, Self::again);
+            self.abort_if_stale(key, Self::requeue);
         }
         let all = self.samples.iter();
         let old = all.filter(|(_, sample_state)| self.is_stale(sample_state));
         let old: Vec<_> = old.map(|(key, _)| key).collect();
         for key in old {
-            self.void_finished(key);
+            self.expire_finished(key);
         }
     }
 
@@ -331,33 +331,33 @@
     }
 
     /// Drops a finished sample that is too old, and queues it again.
-    pub(super) fn void_finished(&mut self, key: SampleKey) {
+    pub(super) fn expire_finished(&mut self, key: SampleKey) {
         self.stats.stale_samples += 1;
-        self.forget_finished(key);
-        self.again(key, None);
+        self.discard_finished(key);
+        self.requeue(key, None);
     }
 
     /// Queues a sample again within the retry budget.
     pub(super) fn retry(&mut self, key: SampleKey, kept: Option<Progress>) {
-        if !self.leave(key, kept) {
+        if !self.save_progress(key, kept) {
             return;
         }
         let sample_state = &mut self.samples[key];
         if !mem::replace(&mut sample_state.awaiting_retry, true) {
             self.retry_queue.push_back(key);
         }
-        self.unpark();
+        self.release_retries();
     }
 
     /// Queues a sample again at no cost to the retry budget.
-    pub(super) fn again(&mut self, key: SampleKey, kept: Option<Progress>) {
-        if self.leave(key, kept) {
+    pub(super) fn requeue(&mut self, key: SampleKey, kept: Option<Progress>) {
+        if self.save_progress(key, kept) {
             self.enqueue(key);
         }
     }
 
     /// Keeps the longest progress; whether the sample needs a new attempt.
-    fn leave(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
+    fn save_progress(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
         let sample_state = &mut self.samples[key];
         let known = sample_state
             .saved_progress
@@ -369,13 +369,13 @@
         sample_state.needs_work() && sample_state.attempts.is_empty()
     }
 
-    pub(super) fn earn(&mut self, credit: u64) {
+    pub(super) fn add_retry_credit(&mut self, credit: u64) {
         let most = u64::from(self.limits.retry_burst).max(1) * RETRY_CREDIT;
         self.retry_credit = self.retry_credit.saturating_add(credit).min(most);
     }
 
     /// Queues parked samples as far as the retry budget goes.
-    pub(super) fn unpark(&mut self) {
+    pub(super) fn release_retries(&mut self) {
         while self.retry_credit >= RETRY_CREDIT {
             let Some(key) = self.retry_queue.pop_front() else {
                 return;
@@ -417,7 +417,7 @@
     }
 
     /// Learns from a finished sample how long its group mates may get.
-    pub(super) fn learn(&mut self, key: SampleKey, tokens: u32) {
+    pub(super) fn update_prediction(&mut self, key: SampleKey, tokens: u32) {
         let sample_state = &self.samples[key];
         let Some(lot) = self.lots.get_mut(&sample_state.lot) else {
             return;
@@ -438,6 +438,6 @@
     }
 }
 
-fn seed(lot: hash::Digest, index: u32) -> u64 {
+fn sampling_seed(lot: hash::Digest, index: u32) -> u64 {
     hash::score(u64::from(index), &lot.to_string())
 }
--- a/crates/pinereel_core/src/lot/state.rs
+++ b/crates/pinereel_core/src/lot/state.rs
@@ -176,7 +176,7 @@
 impl SampleState {
     /// Whether work on it is still needed.
     pub(super) const fn needs_work(&self) -> bool {
-        !self.delivered && self.finished_samples.is_none()
+        !self.delivered && self.finished.is_none()
     }
 }
 
--- a/crates/pinereel_fakes/src/experiment/live.rs
+++ b/crates/pinereel_fakes/src/experiment/live.rs
@@ -98,7 +98,7 @@
         let entry = &self.entries[index];
         let mut excluded = call.excluded.clone();
         if self.policy.shun_slow {
-            let slow = entry.runner.slow(self.now);
+            let slow = entry.runner.slow_endpoints(self.now);
             let keys = slow.iter().filter_map(|name| entry.set.find(name));
             excluded.extend(keys.map(|(key, _)| key));
         }
