--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -20,10 +20,10 @@
     fn try_assign(&mut self, now: Time, spec: Spec) -> Result<(), Refusal> {
         self.validate(&spec)?;
         self.drop_superseded(&spec);
-        let new = !self.lots.contains_key(&spec.lot);
+        let is_new = !self.lots.contains_key(&spec.lot);
         let groups = self.new_groups(&spec);
         let samples = groups.iter().map(|g| g.samples as usize).sum::<usize>();
-        if new && self.lots.len() >= self.limits.max_lots {
+        if is_new && self.lots.len() >= self.limits.max_lots {
             return Err(Refusal::Full);
         }
         if self.samples.len() + samples > self.limits.max_samples {
@@ -32,7 +32,7 @@
         if samples > 0 && self.finished_text_bytes() >= self.limits.max_text_bytes {
             return Err(Refusal::Full);
         }
-        if new {
+        if is_new {
             self.insert_lot(now, &spec);
         }
         let id = spec.lot.clone();
@@ -68,7 +68,7 @@
             return Err(Refusal::Superseded);
         }
         let known = known.map(|lot| &lot.groups);
-        if are_valid(&spec.groups, known) {
+        if are_ranges_valid(&spec.groups, known) {
             Ok(())
         } else {
             Err(Refusal::Malformed)
@@ -156,8 +156,8 @@
                 continue;
             };
             let sample_state = &self.samples[key];
-            let sound = !sample.spans.is_empty() && sample.group == sample_state.group;
-            if sound && sample_state.needs_work() {
+            let is_usable = !sample.spans.is_empty() && sample.group == sample_state.group;
+            if is_usable && sample_state.needs_work() {
                 self.store_finished(key, sample);
             }
         }
@@ -191,22 +191,22 @@
 }
 
 /// Whether the groups, with those known, have separate samples within the largest lot.
-fn are_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
+fn are_ranges_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
     let mut all = BTreeMap::new();
     let known = known
         .into_iter()
         .flatten()
         .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
-        let place = (group.first, group.samples);
-        if *all.entry(group.index).or_insert(place) != place {
+        let range = (group.first, group.samples);
+        if *all.entry(group.index).or_insert(range) != range {
             return false;
         }
     }
-    let mut places: Vec<_> = all.into_values().collect();
-    places.sort_unstable();
+    let mut ranges: Vec<_> = all.into_values().collect();
+    ranges.sort_unstable();
     let mut end = 0;
-    places.into_iter().all(|(first, samples)| {
+    ranges.into_iter().all(|(first, samples)| {
         let fits = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
         end = first.saturating_add(samples);
         fits
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -94,7 +94,7 @@
 
     /// Takes an event and gives what is to be done, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let quiet = matches!(&event, Event::Chunk(chunk) if chunk.finish.is_none());
+        let is_partial_chunk = matches!(&event, Event::Chunk(chunk) if chunk.finish.is_none());
         let running = self.attempts.len();
         match event {
             Event::Assign(spec) => self.assign(now, spec),
@@ -112,7 +112,7 @@
             Event::Tick => self.tick(now),
         }
         // A chunk that ends nothing frees no slot: the common case stays cheap.
-        if (!quiet || self.attempts.len() != running) && self.has_work() {
+        if (!is_partial_chunk || self.attempts.len() != running) && self.has_work() {
             self.dispatch(now);
         }
         mem::take(&mut self.actions)
@@ -135,8 +135,8 @@
 
     /// Whether a sample waits or runs. If not, looking at each endpoint would be in vain.
     fn has_work(&self) -> bool {
-        let waits = || self.lots.values().any(|lot| !lot.queue.is_empty());
-        !self.attempts.is_empty() || waits()
+        let has_queued = || self.lots.values().any(|lot| !lot.queue.is_empty());
+        !self.attempts.is_empty() || has_queued()
     }
 
     fn endpoint_offered(&mut self, offer: Offer) {
@@ -306,10 +306,10 @@
             self.retry(attempt.sample, None);
             return;
         };
-        let made = u64::from(record.tokens() - attempt.resumed_tokens).max(1);
-        let micros = now.since(attempt.started_at).as_micros();
-        let each = u64::try_from(micros).unwrap_or(u64::MAX) / made;
-        self.sample_token_us = (self.sample_token_us * 7 + each) / 8;
+        let output_tokens = u64::from(record.tokens() - attempt.resumed_tokens).max(1);
+        let elapsed_us = now.since(attempt.started_at).as_micros();
+        let token_us = u64::try_from(elapsed_us).unwrap_or(u64::MAX) / output_tokens;
+        self.sample_token_us = (self.sample_token_us * 7 + token_us) / 8;
         let sample_state = &self.samples[attempt.sample];
         let spec = &self.lots[&sample_state.lot].spec;
         if self.policy.early_abort && !staleness::fits(oldest, spec.version, spec.bound) {
@@ -369,11 +369,11 @@
     }
 
     fn tick(&mut self, now: Time) {
-        let passed = now.since(self.last_tick).as_millis();
-        let passed = u64::try_from(passed).unwrap_or(u64::MAX);
+        let elapsed_ms = now.since(self.last_tick).as_millis();
+        let elapsed_ms = u64::try_from(elapsed_ms).unwrap_or(u64::MAX);
         let rate = u64::from(self.limits.retries_per_second) * RETRY_CREDIT;
         self.last_tick = now;
-        self.add_retry_credit(passed.saturating_mul(rate) / 1_000);
+        self.add_retry_credit(elapsed_ms.saturating_mul(rate) / 1_000);
         self.release_retries();
         self.move_from_slow(now);
         self.retry_scores(now);
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -83,14 +83,14 @@
             return slow;
         }
         let all = self.endpoints.iter();
-        let known = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
-        let mut known: Vec<_> = known.collect();
-        known.sort_unstable();
-        if known.len() < MIN_RATED_ENDPOINTS {
+        let rated = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
+        let mut rated: Vec<_> = rated.collect();
+        rated.sort_unstable();
+        if rated.len() < MIN_RATED_ENDPOINTS {
             return slow;
         }
-        let limit = known[known.len() / 2].0 * SLOW_FACTOR_TENTHS / 10;
-        let beyond = known.iter().filter(|(token, _)| *token > limit);
+        let limit = rated[rated.len() / 2].0 * SLOW_FACTOR_TENTHS / 10;
+        let beyond = rated.iter().filter(|(token, _)| *token > limit);
         slow.extend(beyond.map(|(_, key)| (*key).clone()));
         slow
     }
@@ -102,9 +102,9 @@
             return;
         }
         let all = self.attempts.iter();
-        let there = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
-        let there: Vec<_> = there.map(|(key, _)| key).collect();
-        for key in there {
+        let movable = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
+        let movable: Vec<_> = movable.map(|(key, _)| key).collect();
+        for key in movable {
             self.push_cancel(key);
             if let Some(attempt) = self.remove_attempt(key) {
                 self.stats.moved += 1;
@@ -138,8 +138,8 @@
             };
             let mut own = lots.iter().filter(|lot| lot.spec.trainer == flow);
             let found = own.find_map(|lot| {
-                let mut looks = lot.queue.iter().take(MAX_CANDIDATES);
-                looks.find(|queue_key| self.can_start(now, queue_key.2, endpoint))
+                let mut candidates = lot.queue.iter().take(MAX_CANDIDATES);
+                candidates.find(|queue_key| self.can_start(now, queue_key.2, endpoint))
             });
             if let Some((_, _, sample)) = found {
                 return Some(*sample);
@@ -225,7 +225,7 @@
             .expect("the endpoint was just chosen")
             .running_attempts += 1;
         let sample_state = &mut self.samples[sample];
-        let again = speculative || sample_state.was_started;
+        let is_retry = speculative || sample_state.was_started;
         sample_state.attempts.push(attempt);
         sample_state.was_started = true;
         let lot = &self.lots[&sample_state.lot];
@@ -248,13 +248,13 @@
             seed: sampling_seed(lot.spec.digest, sample_state.index),
             resume,
             resume_tokens: resumed_tokens,
-            class: if again || late || self.policy.requested_first && lot.requested {
+            class: if is_retry || late || self.policy.requested_first && lot.requested {
                 Class::Straggler
             } else {
                 Class::Bulk
             },
         }));
-        if !again {
+        if !is_retry {
             self.add_retry_credit(u64::from(self.limits.retry_percent));
         }
     }
@@ -269,11 +269,11 @@
     fn resume_point(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
         let sample_state = &mut self.samples[sample];
         let lost = sample_state.saved_progress.take();
-        let speculative = sample_state
+        let running = sample_state
             .attempts
             .first()
             .map(|key| &self.attempts[*key].progress);
-        let from = lost.or_else(|| speculative.cloned())?;
+        let from = lost.or_else(|| running.cloned())?;
         let spec = &self.lots[&sample_state.lot].spec;
         let fits = staleness::fits(from.record.oldest()?, spec.version, spec.bound);
         let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
