--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -1,4 +1,4 @@
-//! Taking lots in, and forgetting them.
+//! Admission of lots and groups, takeover from a draining runner, and removal of old lots.
 
 use super::{
     Action, Group, Lot, Refusal, Runner, Sample, Spec,
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Bytes of finished text that wait to be collected.
+    /// Total bytes of finished text not yet acknowledged by a collect.
     fn finished_text_bytes(&self) -> usize {
         let finished = self.samples.values().filter_map(|e| e.finished.as_ref());
         finished.map(|f| f.sample.text.len()).sum()
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Drops the trainer's lots that are too many steps behind.
+    /// Drops the trainer's lots that are more than [`Limits::max_steps_ahead`](super::Limits) behind.
     fn drop_superseded(&mut self, spec: &Spec) {
         let ahead = self.limits.max_steps_ahead;
         let same = self
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes over the finished samples of a runner that stops.
+    /// Takes over groups and finished samples of a draining runner.
     pub(super) fn take_over(&mut self, now: Time, spec: Spec, samples: Vec<Sample>) {
         let id = spec.lot.clone();
         let digest = spec.digest;
@@ -190,7 +190,8 @@
     }
 }
 
-/// Whether the groups, with those known, have separate samples within the largest lot.
+/// Whether the sample ranges of all groups, new and known, are disjoint, within [`MAX_SAMPLES`] and
+/// unchanged for known groups.
 fn are_ranges_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
     let mut all = BTreeMap::new();
     let known = known
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -1,4 +1,4 @@
-//! Collects, scores, and handing over.
+//! Delivery of finished samples: collects, scoring, and handover when the runner drains.
 
 use super::{Action, CollectRequest, Runner, Sample, state::SampleKey};
 use crate::{Time, cursor::Token, provenance, staleness};
@@ -22,7 +22,8 @@
         lot.last_activity = now;
         lot.requested = true;
         let newer = request.version > lot.spec.version;
-        // The trainer's own word goes before what was expected when the lot was sent ahead.
+        // The version that the trainer states replaces the one predicted when the lot was submitted
+        // ahead of its step.
         lot.spec.version = request.version;
         let lacks = |group: &u32| !lot.groups.contains_key(group);
         let missing = request.groups.iter().copied().filter(lacks).collect();
@@ -41,8 +42,8 @@
         });
     }
 
-    /// Frees what the trainer holds. A sample that it lacks, although it was freed on an earlier
-    /// token, is made again: the trainer went back to an older token.
+    /// Frees a sample that the trainer holds by its token. One that was freed and that the token lacks
+    /// again is queued again: the trainer went back to an older token.
     fn acknowledge(&mut self, key: SampleKey, token: &Token) {
         let sample_state = &mut self.samples[key];
         let holds = token.contains(sample_state.index);
@@ -59,6 +60,8 @@
         }
     }
 
+    /// Finished and scored samples for the answer, up to the size limits. Samples that are too old for
+    /// the request are queued again.
     fn collectable(&mut self, keys: &[SampleKey], request: &CollectRequest) -> Vec<Sample> {
         let mut samples = Vec::new();
         let mut bytes = 0;
@@ -81,7 +84,7 @@
         samples
     }
 
-    /// Tells that a sample can be collected, or hands it on if this runner is draining.
+    /// Announces that a sample can be collected, or hands it over if this runner is draining.
     pub(super) fn announce_finished(&mut self, key: SampleKey) {
         let sample_state = &self.samples[key];
         let lot = &self.lots[&sample_state.lot];
@@ -97,7 +100,7 @@
         });
     }
 
-    /// Hands over what is finished; what still runs follows when it is done.
+    /// Hands over all finished samples; those still running follow when they finish.
     pub(super) fn drain(&mut self) {
         if mem::replace(&mut self.draining, true) {
             return;
@@ -113,7 +116,8 @@
         }
     }
 
-    /// Asks for a score; the ticket ties it to this very text.
+    /// Requests a score. The returned ticket ties the answer to this text, so that the score of an
+    /// earlier text of the sample is ignored.
     pub(super) fn request_score(&mut self, key: SampleKey, sample: &Sample) -> u64 {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
@@ -148,6 +152,7 @@
         }
     }
 
+    /// Requests a score again for each failed scoring whose delay has passed.
     pub(super) fn retry_scores(&mut self, now: Time) {
         let all = self.scorings.iter();
         let due = all.filter(|(_, (_, due))| due.is_some_and(|due| due <= now));
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Drops a finished sample with the scoring that it waits for.
+    /// Drops a finished sample and its pending scoring.
     pub(super) fn discard_finished(&mut self, key: SampleKey) {
         let finished = self.samples[key].finished.take();
         if let Some(ticket) = finished.and_then(|f| f.score_ticket) {
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -1,97 +1,97 @@
-//! What a runner is told, and what it wants done.
+//! Messages of a runner: the [`Event`]s that it handles and the [`Action`]s that it returns.
 
 use super::{AttemptKey, Spec};
 use crate::{Span, Version, cursor, fair::Class, provenance::Stamp};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// A finished sample; also what travels between entries and to the trainer.
+/// A finished sample, as sent between instances and to the trainer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// Index of the group in the lot.
     pub group: u32,
-    /// Index in the whole lot.
+    /// Index of the sample in the lot.
     pub index: u32,
-    /// The whole text.
+    /// The complete output text.
     pub text: String,
-    /// Output tokens.
+    /// Number of output tokens.
     pub tokens: u32,
-    /// The versions that made it: what was reused first, then output, in order.
+    /// Weight versions that computed it: reused prefixes first, then the output, in order.
     pub spans: Vec<Span>,
-    /// Score of the scoring service, if the trainer's configuration names one.
+    /// Score from the scoring service, if the trainer's configuration names one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<f64>,
 }
 
-/// An endpoint that may run attempts of this runner.
+/// Capacity of an endpoint that this runner may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Its key.
+    /// Name of the endpoint.
     pub endpoint: CompactString,
     /// The model that it serves.
     pub model: CompactString,
-    /// The version that it is believed to serve; only a hint for scheduling.
+    /// Version that it probably serves; only a hint for scheduling.
     pub version: Version,
-    /// Most attempts of this runner at once; 0 stops new work there.
+    /// Most concurrent attempts of this runner; 0 stops new attempts there.
     pub slots: u32,
 }
 
-/// A chunk of an attempt's stream.
+/// A chunk of the output stream of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// The attempt.
     pub attempt: AttemptKey,
-    /// The engine's stamps.
+    /// Offset, token count and weight versions as stamped by the engine.
     pub stamp: Stamp,
     /// The new text.
     pub text: String,
-    /// On the last chunk: why it ended.
+    /// On the last chunk: why the stream ended.
     pub finish: Option<Finish>,
 }
 
 /// Why an engine ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finish {
-    /// The sample is whole.
+    /// The sample is complete.
     Complete,
     /// Cancelled or preempted.
     Cancelled,
 }
 
-/// Why an attempt gave no whole sample.
+/// Why an attempt ended without its last chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
-    /// It certainly did not run; the endpoint gets nothing more until it is offered again.
+    /// It certainly did not run; the endpoint gets no new attempts until it is offered again.
     NotRun,
-    /// It may have run, or broke off.
+    /// It may have run, or it broke off.
     Lost,
 }
 
-/// A collect, as the front passes it on.
+/// A trainer's collect, as forwarded to one runner by the instance that received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CollectRequest {
-    /// Id of the call, given back with the answer.
+    /// Id of the call, returned with the answer.
     pub call: u64,
     /// Id of the lot.
     pub lot: CompactString,
-    /// Groups that the asker believes this runner to run.
+    /// Groups that the sender expects on this runner.
     pub groups: Vec<u32>,
-    /// The collect's token.
+    /// The trainer's cursor token.
     pub token: cursor::Token,
     /// The version that the trainer states.
     pub version: Version,
-    /// The bound of the asker's configuration.
+    /// Staleness bound by the sender's configuration, in versions.
     pub bound: u64,
     /// Most samples in the answer.
     pub max: usize,
 }
 
-/// What happens to a runner.
+/// Input of [`Runner::step`](super::Runner::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Run these groups. Idempotent by id and digest.
+    /// Run these groups. Idempotent by the id and digest of the lot.
     Assign(Spec),
-    /// An endpoint's slots or version; replaces what was offered before.
+    /// Capacity or version of an endpoint changed; replaces its earlier offer.
     Offer(Offer),
     /// The next chunk of an attempt.
     Chunk(Chunk),
@@ -99,10 +99,10 @@
     Failed {
         /// The attempt.
         attempt: AttemptKey,
-        /// What is known of it.
+        /// Whether it may have run.
         failure: Failure,
     },
-    /// An endpoint crashed: all its attempts are lost.
+    /// An endpoint crashed or left: all attempts on it are lost.
     EndpointLost {
         /// The endpoint.
         endpoint: CompactString,
@@ -114,14 +114,14 @@
         /// The version.
         version: Version,
     },
-    /// A patch changed a trainer's staleness bound.
+    /// A configuration change set a new staleness bound for a trainer.
     BoundChanged {
         /// The trainer.
         trainer: CompactString,
         /// The new bound, in versions.
         bound: u64,
     },
-    /// A collect.
+    /// A trainer collects finished samples.
     Collect(CollectRequest),
     /// The answer to [`Action::Score`].
     Scored {
@@ -130,28 +130,28 @@
         /// The score.
         score: f64,
     },
-    /// Scoring failed; it is tried again on a later tick.
+    /// Scoring failed; it is retried on a later tick.
     ScoreFailed {
         /// Ticket of the action.
         ticket: u64,
     },
-    /// Take over from a runner that stops.
+    /// Take over from a draining runner.
     Handover {
         /// The lot with its groups.
         spec: Spec,
         /// Finished samples.
         samples: Vec<Sample>,
     },
-    /// Start nothing more, and hand over.
+    /// Start no more attempts, and hand over.
     Drain,
-    /// Time passed; a few a second.
+    /// Periodic timer, several times per second.
     Tick,
 }
 
-/// Starts an attempt.
+/// Parameters of a new attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// The attempt; its chunks name it.
+    /// Key of the attempt, repeated in its chunks.
     pub attempt: AttemptKey,
     /// The endpoint.
     pub endpoint: CompactString,
@@ -161,33 +161,33 @@
     pub index: u32,
     /// The prompt.
     pub prompt: String,
-    /// Most output tokens, those of `resume` included.
+    /// Most output tokens, including those in `resume`.
     pub max_tokens: u32,
-    /// Seed of the sampling; the same for each attempt of a sample.
+    /// Sampling seed; the same for each attempt of a sample.
     pub seed: u64,
-    /// Text to go on from.
+    /// Output text from which to resume; empty to start from the prompt.
     pub resume: String,
-    /// Tokens in `resume`.
+    /// Number of output tokens in `resume`.
     pub resume_tokens: u32,
-    /// Priority at the engine.
+    /// Priority class at the engine.
     pub class: Class,
 }
 
-/// What a runner wants done.
+/// Output of [`Runner::step`](super::Runner::step), carried out by the caller in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Start(Start),
-    /// Cancel an attempt; its later chunks are dropped.
+    /// Cancel an attempt; chunks that still arrive are dropped.
     Cancel {
         /// The attempt.
         attempt: AttemptKey,
-        /// Where it runs.
+        /// Endpoint on which it runs.
         endpoint: CompactString,
     },
-    /// Have a sample scored.
+    /// Have a finished sample scored.
     Score {
-        /// Names this scoring in the answer.
+        /// Identifies this scoring in the answer.
         ticket: u64,
         /// The trainer.
         trainer: CompactString,
@@ -212,9 +212,9 @@
     Answer {
         /// Id of the call.
         call: u64,
-        /// Finished samples that are outside the token and fit the bound.
+        /// Finished samples that the token lacks and that meet the staleness bound.
         samples: Vec<Sample>,
-        /// Asked groups that this runner lacks.
+        /// Requested groups that are not assigned to this runner.
         missing: Vec<u32>,
     },
     /// A collect's token was refused.
@@ -224,19 +224,19 @@
         /// Why.
         error: cursor::Error,
     },
-    /// Something new can be collected: waiting collects may ask again.
+    /// A sample finished: waiting collects may be repeated.
     Ready {
         /// The lot.
         lot: CompactString,
     },
-    /// A lot is forgotten.
+    /// A lot was dropped.
     Dropped {
         /// The lot.
         lot: CompactString,
         /// Why.
         reason: Refusal,
     },
-    /// Hand these samples to the next runner.
+    /// Hand these samples over to the next runner of their groups.
     Handover {
         /// The lot with its groups.
         spec: Spec,
@@ -245,25 +245,25 @@
     },
 }
 
-/// Why a lot is refused or forgotten.
+/// Why a lot is refused or dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Refusal {
-    /// The id is in use with other content.
+    /// The id is in use by a lot with another digest.
     #[error("the lot id is in use with another digest")]
     Conflict,
     /// The trainer is more than [`Limits::max_steps_ahead`](super::Limits::max_steps_ahead) ahead.
     #[error("the trainer is too many steps ahead")]
     Superseded,
-    /// A limit on lots or samples is reached.
+    /// A limit on lots, samples or text is reached.
     #[error("too many lots or samples here")]
     Full,
-    /// The groups reach beyond the largest lot or overlap.
+    /// The sample ranges of the groups overlap, changed, or exceed the largest lot.
     #[error("malformed groups")]
     Malformed,
     /// This runner is draining.
     #[error("draining")]
     Draining,
-    /// Nobody asked for it long after its deadline.
+    /// No assign or collect came for long after its deadline.
     #[error("nobody asked for it long after its deadline")]
     Idle,
 }
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -1,10 +1,10 @@
-//! Lots: the samples of one trainer step on their way from engines to the trainer.
+//! Distributed batch scheduling of lots: the samples that one trainer wants for one step.
 //!
-//! A lot's groups are spread over some entries by rendezvous hashing. Each such entry drives one
-//! [`Runner`], which starts attempts on engines and keeps what is finished. Any entry that gets a
-//! collect asks the runners and merges their answers with [`crate::cursor::Merge`]. Two runners may
-//! run the same group for a while: that costs work, never a second delivery, since the trainer's
-//! cursor token decides.
+//! The groups of a lot are partitioned over instances by rendezvous hashing. Each of these
+//! instances drives one [`Runner`], a state machine without I/O that starts attempts on engines and
+//! keeps the finished samples. The instance that receives a collect queries the runners and merges
+//! their answers with [`crate::cursor::Merge`]. Two runners may run the same group for a while:
+//! this costs work but never a second delivery, because the trainer's cursor token decides.
 
 mod assign;
 mod collect;
@@ -21,38 +21,40 @@
 
 pub use message::Event;
 
-/// Which policies a runner follows; all off is the plain baseline (first in, first out).
+/// Scheduling policies of a runner, each of which can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Start the samples with the longest predicted output first.
     pub longest_first: bool,
-    /// Run a second attempt of a running sample where slots are idle and nothing is queued.
+    /// Run a second, speculative attempt of a running sample where slots are idle and nothing is
+    /// queued.
     pub speculative_attempts: bool,
-    /// Age of an attempt before it is duplicated.
+    /// Age of an attempt from which a speculative one may start.
     pub speculate_after: Duration,
-    /// Go on from the last whole chunk of a lost attempt instead of from the prompt.
+    /// Resume a lost attempt after its last complete chunk instead of from the prompt.
     pub resume: bool,
-    /// Abort what can no longer fit the bound as soon as that is known.
+    /// Abort an attempt as soon as its output can no longer meet the staleness bound.
     pub early_abort: bool,
-    /// Avoid endpoints whose version is expected to be too old at completion.
+    /// Skip endpoints whose version is expected to be too old when the sample completes.
     pub staleness_aware_start: bool,
-    /// Most versions that a start may be behind while nobody has asked for the lot, even where its
-    /// bound is wider.
+    /// Most versions that a start may be behind while the trainer has not collected from the lot yet,
+    /// even if its staleness bound is wider.
     pub unrequested_bound: u64,
-    /// Choose among equally busy endpoints by hash instead of by name.
+    /// Break ties between equally loaded endpoints by hash instead of by name.
     pub hash_tie_break: bool,
-    /// Lots that their trainer has asked for go first, here and at the engines.
+    /// Lots from which their trainer has collected go first, both here and at the engines.
     pub requested_first: bool,
-    /// Most attempts on an endpoint at which a lot that nobody has asked for yet may start one.
+    /// A lot from which its trainer has not collected yet starts attempts only on endpoints with fewer
+    /// running attempts than this.
     pub unrequested_slots: u32,
-    /// Use endpoints that are much slower than most last, and move attempts away from them.
+    /// Use endpoints that are much slower than the median last, and move attempts away from them.
     pub avoid_slow: bool,
-    /// Share slots between trainers by weight instead of by arrival of their lots.
+    /// Share slots between trainers by weight instead of in the order in which their lots arrived.
     pub fair_share: bool,
 }
 
 impl Policy {
-    /// First in, first out, from the prompt, one attempt at a time.
+    /// All policies off: first in, first out, each attempt from the prompt, one attempt at a time.
     pub const BASELINE: Self = Self {
         longest_first: false,
         speculative_attempts: false,
@@ -88,29 +90,29 @@
     }
 }
 
-/// What bounds a runner's memory and its retries.
+/// Bounds on the memory and the retries of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most lots held; a further one is refused with [`Refusal::Full`].
     pub max_lots: usize,
-    /// Most samples held over all lots; groups beyond are refused with [`Refusal::Full`].
+    /// Most samples held over all lots; further groups are refused with [`Refusal::Full`].
     pub max_samples: usize,
-    /// Bytes of finished text held, from which on further groups are refused with
-    /// [`Refusal::Full`]; what was taken before still finishes.
+    /// Bytes of finished text held from which further groups are refused with [`Refusal::Full`];
+    /// samples accepted before still finish.
     pub max_text_bytes: usize,
-    /// Steps that a trainer's lots may be ahead of its oldest one here; older ones are dropped.
+    /// Most steps between a trainer's newest lot and its other lots here; older ones are dropped.
     pub max_steps_ahead: u64,
-    /// Retries earned by each first attempt, in percent.
+    /// Retry budget earned by each first attempt, in percent of a retry.
     pub retry_percent: u32,
-    /// Retries earned by each second that passes.
+    /// Retry budget earned per second, in retries.
     pub retries_per_second: u32,
-    /// Most retries that can be saved up.
+    /// Most retries that the budget can accumulate.
     pub retry_burst: u32,
-    /// Time after its deadline without assign or collect until a lot is dropped.
+    /// Time without an assign or a collect, past the deadline, after which a lot is dropped.
     pub idle_timeout: Duration,
-    /// Wait before a failed scoring is tried again.
+    /// Delay before a failed scoring is retried.
     pub rescore_delay: Duration,
-    /// Most bytes of text in one answer (the first sample goes in any case).
+    /// Most bytes of text in one answer; the first sample is always included.
     pub max_answer_bytes: usize,
 }
 
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -1,4 +1,4 @@
-//! The state machine of one runner: what it holds, and which event goes where.
+//! The state machine of one runner: its state, the dispatch of events, and the life of attempts.
 
 use super::{
     Action, Event, Failure, Finish, Limits, Lot, Offer, Policy, Sample,
@@ -12,32 +12,32 @@
     mem,
 };
 
-/// What a runner has done since its start.
+/// Counters of a runner since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Attempts started.
     pub started: u64,
-    /// Of these, attempts that went on from earlier chunks.
+    /// Of these, attempts that resumed from earlier chunks.
     pub resumed: u64,
-    /// Of these, second attempts of a running sample.
+    /// Of these, speculative second attempts of a running sample.
     pub speculative: u64,
     /// Samples finished.
     pub finished: u64,
-    /// Chunks and failures of attempts that are not running, dropped.
+    /// Chunks, failures and scores that were dropped because their attempt or scoring had ended.
     pub late_events: u64,
-    /// Attempts void for their stamps or offsets.
+    /// Attempts rejected for their stamps or offsets.
     pub invalid_stamps: u64,
-    /// Attempts lost.
+    /// Attempts that broke off.
     pub lost: u64,
     /// Running attempts moved away from a slow endpoint.
     pub moved: u64,
-    /// Running attempts aborted as too old.
+    /// Running attempts aborted because their output was too old.
     pub aborted: u64,
-    /// Finished samples void as too old.
+    /// Finished samples discarded because they were too old.
     pub stale_samples: u64,
 }
 
-/// All lots that one entry runs. See the module's head.
+/// Scheduler of all lots on one instance, driven by [`Runner::step`].
 #[derive(Debug)]
 pub struct Runner {
     pub(super) policy: Policy,
@@ -48,27 +48,27 @@
     pub(super) endpoints: BTreeMap<CompactString, Endpoint>,
     pub(super) publication_rates: BTreeMap<CompactString, Pace>,
     pub(super) fair_share: Share,
-    /// Samples that wait for the retry budget.
+    /// Samples that wait for the retry budget, oldest first.
     pub(super) retry_queue: VecDeque<SampleKey>,
-    /// Retries left, in hundredths.
+    /// Retry budget, in units of which one retry costs [`RETRY_CREDIT`].
     pub(super) retry_credit: u64,
     pub(super) last_tick: Time,
-    /// Scorings under way; with a time: to be tried again then.
+    /// Pending scorings by ticket; those that failed have the time of their retry.
     pub(super) scorings: BTreeMap<u64, (SampleKey, Option<Time>)>,
     pub(super) next_ticket: u64,
     pub(super) next_arrival: u64,
-    /// Smoothed time per output token, in microseconds.
+    /// Moving average of the time per output token over all finished samples, in microseconds.
     pub(super) sample_token_us: u64,
     pub(super) draining: bool,
     pub(super) stats: Stats,
     pub(super) actions: Vec<Action>,
 }
 
-/// A retry, in the units of the budget.
+/// Cost of one retry in the units of the retry budget, which are hundredths.
 pub(super) const RETRY_CREDIT: u64 = 100;
 
 impl Runner {
-    /// An empty runner.
+    /// Creates a runner without lots or endpoints, and with a full retry budget.
     pub fn new(policy: Policy, limits: Limits) -> Self {
         Self {
             policy,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes an event and gives what is to be done, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let is_partial_chunk = matches!(&event, Event::Chunk(chunk) if chunk.finish.is_none());
         let running = self.attempts.len();
@@ -111,7 +111,7 @@
             Event::Drain => self.drain(),
             Event::Tick => self.tick(now),
         }
-        // A chunk that ends nothing frees no slot: the common case stays cheap.
+        // A chunk that does not end an attempt frees no slot; this keeps the common case cheap.
         if (!is_partial_chunk || self.attempts.len() != running) && self.has_work() {
             self.dispatch(now);
         }
@@ -123,17 +123,17 @@
         self.lots.values()
     }
 
-    /// What was done so far.
+    /// Counters since the start.
     pub const fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Attempts and scorings under way; a draining runner may stop at 0.
+    /// Number of running attempts and pending scorings; a draining runner may stop at 0.
     pub fn in_flight(&self) -> usize {
         self.attempts.len() + self.scorings.len()
     }
 
-    /// Whether a sample waits or runs. If not, looking at each endpoint would be in vain.
+    /// Whether any sample is queued or running. If not, dispatch would scan all endpoints for nothing.
     fn has_work(&self) -> bool {
         let has_queued = || self.lots.values().any(|lot| !lot.queue.is_empty());
         !self.attempts.is_empty() || has_queued()
@@ -171,11 +171,11 @@
             return;
         }
         attempt.progress.text.push_str(&chunk.text);
-        // The engine's own stamp is newer than the last report.
+        // The stamp of the engine is newer than the last report on it.
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
             let served = &mut endpoint.offer.version;
             *served = chunk.stamp.version.unwrap_or_default().max(*served);
-            // The time to the first chunk may be a wait for a slot.
+            // The time to the first chunk may include a wait for a slot.
             if let Some(last_chunk_at) = attempt.last_chunk_at.filter(|_| chunk.stamp.tokens > 0) {
                 let elapsed = now.since(last_chunk_at);
                 endpoint.token_time.record(now, elapsed, chunk.stamp.tokens);
@@ -189,8 +189,8 @@
         match chunk.finish {
             Some(Finish::Complete) => self.finish(now, chunk.attempt),
             Some(Finish::Cancelled) => self.attempt_lost(now, chunk.attempt),
-            // Too old although nothing new was published since: its engine reuses old prefixes or
-            // runs old weights, and may do so each time.
+            // Too old without a newer publication: the engine reuses old prefixes or runs old weights,
+            // and may do so on each attempt. The retry budget bounds these attempts.
             None => self.abort_if_stale(chunk.attempt, Self::retry),
         }
     }
@@ -204,7 +204,8 @@
         }
     }
 
-    /// The stamps are broken. A gap leaves what came before it; else nothing can be trusted.
+    /// Ends an attempt with invalid stamps. After a gap or a repeat the earlier output stays usable;
+    /// after any other error none of it can be trusted.
     fn reject_stamps(&mut self, key: AttemptKey, error: provenance::Error) {
         self.stats.invalid_stamps += 1;
         self.push_cancel(key);
@@ -244,7 +245,7 @@
         self.endpoints.remove(endpoint);
     }
 
-    /// An attempt broke off. Its whole chunks stay, and may already be all of the sample.
+    /// An attempt broke off. Its complete chunks are kept, and may already be the complete sample.
     fn attempt_lost(&mut self, now: Time, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(key) else {
             return;
@@ -262,7 +263,7 @@
         self.retry(attempt.sample, Some(attempt.progress));
     }
 
-    /// Takes an attempt off the books.
+    /// Removes an attempt and frees its slot.
     pub(super) fn remove_attempt(&mut self, key: AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Cancels and ends all attempts of a sample.
+    /// Cancels and removes all attempts of a sample.
     pub(super) fn cancel_attempts(&mut self, sample: SampleKey) {
         for key in self.samples[sample].attempts.clone() {
             self.push_cancel(key);
@@ -301,7 +302,7 @@
         };
         let Progress { text, record } = attempt.progress;
         let Some(oldest) = record.oldest() else {
-            // Without a single stamp nobody knows what made it.
+            // Without any stamp the weight versions are unknown.
             self.stats.invalid_stamps += 1;
             self.retry(attempt.sample, None);
             return;
@@ -330,7 +331,7 @@
         self.store_finished(attempt.sample, sample);
     }
 
-    /// Keeps a finished sample; the first one wins and ends all other work on it.
+    /// Stores a finished sample and cancels all other attempts at it: the first one wins.
     pub(super) fn store_finished(&mut self, key: SampleKey, sample: Sample) {
         self.cancel_attempts(key);
         self.unqueue(key);
@@ -348,8 +349,8 @@
         }
     }
 
-    /// Only a forecast: which version a trainer is at, it says itself with each collect. Other
-    /// trainers of the model may well be behind.
+    /// Updates the prediction of publications only. The version of a trainer is what it states in each
+    /// collect; other trainers of the model may be behind.
     pub(super) fn version_published(&mut self, now: Time, model: &str, version: Version) {
         let pace = self.publication_rates.get_mut(model);
         let newer = pace.map(|pace| pace.publish(version, now));
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -1,4 +1,4 @@
-//! Which sample starts where, and what is aborted, queued again or duplicated.
+//! Scheduling: placement of samples on endpoints, aborts, retries and speculative attempts.
 
 use super::{
     Action, Runner, Start,
@@ -9,22 +9,22 @@
 use compact_str::CompactString;
 use std::{cmp::Reverse, collections::BTreeSet, mem, time::Duration};
 
-/// Most waiting samples of a lot that are looked at for one slot.
+/// Most queued samples of a lot that are considered for one slot.
 const MAX_CANDIDATES: usize = 64;
 
-/// Endpoints of known speed that it takes to call one slow.
+/// Fewest endpoints of known speed from which a median is taken to find slow ones.
 const MIN_RATED_ENDPOINTS: usize = 3;
 
-/// Time of a token, against the median endpoint's, beyond which an endpoint is slow; in tenths.
+/// Token time above which an endpoint is slow, in tenths of the median token time.
 const SLOW_FACTOR_TENTHS: u64 = 30;
 
 impl Runner {
-    /// Fills free slots, least loaded endpoint first.
+    /// Fills free slots, on the least loaded endpoint first.
     pub(super) fn dispatch(&mut self, now: Time) {
         if self.draining {
             return;
         }
-        // A start changes no speed.
+        // Starting attempts does not change the speeds.
         let slow = self.slow_endpoints(now);
         let mut unusable = BTreeSet::new();
         while let Some((sample, endpoint)) = self.next_start(now, &slow, &mut unusable) {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// What starts next, and where. Endpoints that nothing can start on become `useless`; each is
-    /// looked at once, since that does not change while slots only fill.
+    /// The next sample to start, and its endpoint. Endpoints on which nothing can start are added to
+    /// `unusable` and considered only once, since this does not change while slots only fill.
     fn next_start(
         &self,
         now: Time,
@@ -51,7 +51,7 @@
         None
     }
 
-    /// Endpoints with free slots that are not `useless`, the one to fill first in front.
+    /// Endpoints with free slots that are not `unusable`, in the order in which to fill them.
     fn free_endpoints(
         &self,
         slow: &BTreeSet<CompactString>,
@@ -60,7 +60,7 @@
         let all = self.endpoints.iter();
         let free =
             all.filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
-        // Runners that all prefer the same endpoint among equals would fill it together.
+        // If all runners preferred the same one of equal endpoints, they would overload it together.
         let turn = self.stats.started;
         let mut free: Vec<_> = free.collect();
         free.sort_by_cached_key(|(key, e)| {
@@ -75,8 +75,8 @@
         free.into_iter().map(|(key, _)| key.clone()).collect()
     }
 
-    /// Endpoints that are much slower than most, by the attempts of this runner. Live requests
-    /// should avoid them too: they look idle.
+    /// Endpoints that are much slower than the median, by the attempts of this runner. Live requests
+    /// should avoid them too, because slow endpoints appear idle.
     pub fn slow_endpoints(&self, now: Time) -> BTreeSet<CompactString> {
         let mut slow = BTreeSet::new();
         if !self.policy.avoid_slow {
@@ -95,7 +95,7 @@
         slow
     }
 
-    /// Moves attempts away from slow endpoints; what they made goes along.
+    /// Moves attempts away from slow endpoints; they resume elsewhere from their output so far.
     pub(super) fn move_from_slow(&mut self, now: Time) {
         let slow = self.slow_endpoints(now);
         if slow.is_empty() || !self.policy.resume {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The waiting sample that goes next on `endpoint`.
+    /// The queued sample to start next on `endpoint`.
     fn next_queued(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
         let model = &self.endpoints[endpoint].offer.model;
         let mut lots: Vec<_> = self.lots.values().collect();
@@ -149,7 +149,7 @@
         None
     }
 
-    /// Whether the endpoint's version is likely to be fresh enough when the sample is done.
+    /// Whether the endpoint's version is likely to meet the staleness bound when the sample completes.
     fn can_start(&self, now: Time, sample: SampleKey, endpoint: &str) -> bool {
         if !self.policy.staleness_aware_start {
             return true;
@@ -157,7 +157,7 @@
         let offer = &self.endpoints[endpoint].offer;
         let sample_state = &self.samples[sample];
         let lot = &self.lots[&sample_state.lot];
-        // Whoever waits takes all that its bound allows: nothing fresher may ever be served.
+        // A waiting trainer gets all that its bound allows: fresher weights may never be served.
         let bound = if lot.requested {
             lot.spec.bound
         } else {
@@ -177,13 +177,13 @@
         if pace.is_none_or(|pace| pace.lasts(offer.version, done, bound)) {
             return true;
         }
-        // Nothing newer is served, so waiting would not help.
+        // If no endpoint serves a newer version, waiting would not help.
         let all = self.endpoints.values().map(|e| &e.offer);
         let mut usable = all.filter(|o| o.model == offer.model && o.slots > 0);
         usable.all(|other| other.version <= offer.version)
     }
 
-    /// A running sample worth a second attempt on an idle slot: the one started first.
+    /// The running sample for a speculative attempt on an idle slot: the one that started first.
     fn speculation_candidate(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
         if !self.policy.speculative_attempts {
             return None;
@@ -265,7 +265,8 @@
         self.stats.speculative += speculative as u64;
     }
 
-    /// What an attempt on `endpoint` may go on from: versions must still fit and not go back.
+    /// Output from which an attempt on `endpoint` may resume: its versions must meet the staleness
+    /// bound and not be newer than that of the endpoint.
     fn resume_point(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
         let sample_state = &mut self.samples[sample];
         let lost = sample_state.saved_progress.take();
@@ -284,7 +285,8 @@
         })
     }
 
-    /// Aborts a running attempt whose spans do not fit, and queues its sample again by `queue`.
+    /// Aborts a running attempt whose output is too old, and queues its sample again with `queue`,
+    /// which is [`Self::retry`] or [`Self::requeue`].
     pub(super) fn abort_if_stale(
         &mut self,
         key: AttemptKey,
@@ -306,7 +308,8 @@
         queue(self, sample, None);
     }
 
-    /// After a newer version or a tighter bound: aborts, and voids what waits for a collect.
+    /// Aborts attempts and discards finished samples that are too old, after a newer version or a
+    /// tighter bound.
     pub(super) fn abort_stale(&mut self) {
         if !self.policy.early_abort {
             return;
@@ -330,14 +333,14 @@
         oldest.is_some_and(|o| !staleness::fits(o, spec.version, spec.bound))
     }
 
-    /// Drops a finished sample that is too old, and queues it again.
+    /// Discards a finished sample that is too old, and queues it again.
     pub(super) fn expire_finished(&mut self, key: SampleKey) {
         self.stats.stale_samples += 1;
         self.discard_finished(key);
         self.requeue(key, None);
     }
 
-    /// Queues a sample again within the retry budget.
+    /// Queues a sample again as the retry budget allows.
     pub(super) fn retry(&mut self, key: SampleKey, kept: Option<Progress>) {
         if !self.save_progress(key, kept) {
             return;
@@ -356,7 +359,8 @@
         }
     }
 
-    /// Keeps the longest progress; whether the sample needs a new attempt.
+    /// Keeps the longer of the saved and the given output. Returns whether the sample needs a new
+    /// attempt.
     fn save_progress(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
         let sample_state = &mut self.samples[key];
         let known = sample_state
@@ -374,7 +378,7 @@
         self.retry_credit = self.retry_credit.saturating_add(credit).min(most);
     }
 
-    /// Queues parked samples as far as the retry budget goes.
+    /// Moves samples from the retry queue to the queues of their lots as the retry budget allows.
     pub(super) fn release_retries(&mut self) {
         while self.retry_credit >= RETRY_CREDIT {
             let Some(key) = self.retry_queue.pop_front() else {
@@ -416,7 +420,7 @@
         }
     }
 
-    /// Learns from a finished sample how long its group mates may get.
+    /// Updates the predicted length of a group by a finished sample, and the queue order of the rest.
     pub(super) fn update_prediction(&mut self, key: SampleKey, tokens: u32) {
         let sample_state = &self.samples[key];
         let Some(lot) = self.lots.get_mut(&sample_state.lot) else {
--- a/crates/pinereel_core/src/lot/state.rs
+++ b/crates/pinereel_core/src/lot/state.rs
@@ -1,4 +1,4 @@
-//! The arenas' contents: lots, samples, attempts, endpoints.
+//! State that a runner keeps: lots, groups, samples, attempts and endpoints.
 
 use super::{Offer, Sample};
 use crate::{Time, Version, hash, provenance::Record};
@@ -10,13 +10,13 @@
 };
 
 slotmap::new_key_type! {
-    /// A sample in one runner's memory.
+    /// Key of a sample within one runner.
     pub struct SampleKey;
-    /// One attempt to make a sample; unique within a runner's life.
+    /// Key of one attempt at a sample; never reused by the same runner.
     pub struct AttemptKey;
 }
 
-/// Groups of a lot for one runner.
+/// Parameters of a lot, and the groups of it that one runner gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
     /// Id of the lot.
@@ -25,17 +25,17 @@
     pub digest: hash::Digest,
     /// The trainer.
     pub trainer: CompactString,
-    /// The trainer's share of the engines, relative to others.
+    /// Weight of the trainer in fair sharing, relative to other trainers.
     pub weight: u32,
     /// The model to sample from.
     pub model: CompactString,
     /// The step.
     pub step: u64,
-    /// The trainer's version.
+    /// Weight version that the trainer is at, by its last collect or as predicted at submission.
     pub version: Version,
     /// The trainer's staleness bound, in versions.
     pub bound: u64,
-    /// When the samples are wanted.
+    /// Time after which attempts run at the priority of stragglers.
     pub deadline: Time,
     /// Whether finished samples are scored before they are delivered.
     pub scored: bool,
@@ -43,7 +43,7 @@
     pub groups: Vec<Group>,
 }
 
-/// Samples of one prompt.
+/// A group: the samples of one prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
     /// Index in the lot.
@@ -52,57 +52,58 @@
     pub first: u32,
     /// The prompt.
     pub prompt: String,
-    /// How many samples.
+    /// Number of samples.
     pub samples: u32,
-    /// Most output tokens of each.
+    /// Most output tokens of each sample.
     pub max_tokens: u32,
 }
 
-/// Order of waiting samples: longest first, then by index.
+/// Sort key of a queued sample: longest prediction first, then by index in the lot.
 pub(super) type QueueKey = (Reverse<u32>, u32, SampleKey);
 
-/// The part of a trainer step that one runner holds.
+/// The part of a lot that one runner holds.
 #[derive(Clone, Debug)]
 pub struct Lot {
-    /// The lot, without groups.
+    /// Parameters of the lot; its `groups` are empty.
     pub(super) spec: Spec,
-    /// Order of arrival at this runner.
+    /// Sequence number of its arrival at this runner.
     pub(super) arrival: u64,
-    /// Last assign or collect.
+    /// Time of the last assign or collect.
     pub(super) last_activity: Time,
-    /// Whether the trainer has asked for it: it may be waiting.
+    /// Whether the trainer has collected from it, and so may be waiting for samples.
     pub(super) requested: bool,
     pub(super) groups: BTreeMap<u32, GroupState>,
     pub(super) samples: BTreeMap<u32, SampleKey>,
     pub(super) queue: BTreeSet<QueueKey>,
 }
 
-/// How long a prefix is taken to stay in an endpoint's cache.
+/// Time for which a prefix is assumed to stay in an endpoint's cache.
 const PREFIX_CACHE_TTL: Duration = Duration::from_secs(5);
 
-/// A group and what its finished samples tell about the others' length.
+/// A group, with the lengths of its finished samples and the endpoints that cache its prompt.
 #[derive(Clone, Debug)]
 pub(super) struct GroupState {
     pub(super) group: Group,
     pub(super) finished_samples: u32,
     pub(super) finished_tokens: u64,
-    /// Oldest weights of the prompt's prefix in an endpoint's cache, and when that was seen.
+    /// By endpoint: oldest weight version of the cached prompt prefix, and when it was reported.
     pub(super) cached_prefixes: BTreeMap<CompactString, (Version, Time)>,
 }
 
 impl GroupState {
-    /// Notes what an attempt on `endpoint` reused.
+    /// Records that an attempt on `endpoint` reused a prefix computed by version `oldest`.
     pub(super) fn note_cached_prefix(&mut self, endpoint: &str, oldest: Version, now: Time) {
         self.cached_prefixes.insert(endpoint.into(), (oldest, now));
     }
 
-    /// Oldest weights that a start on `endpoint` would reuse, as far as known and not forgotten.
+    /// Oldest version that an attempt on `endpoint` would reuse; `None` if unknown or expired.
     pub(super) fn cached_version(&self, endpoint: &str, now: Time) -> Option<Version> {
         let (oldest, seen) = self.cached_prefixes.get(endpoint)?;
         (now.since(*seen) < PREFIX_CACHE_TTL).then_some(*oldest)
     }
 
-    /// Expected output tokens of a sample of this group.
+    /// Predicted output tokens of a sample: the mean of the finished ones, or the maximum while none
+    /// has finished.
     pub(super) fn predicted_tokens(&self) -> u32 {
         let mean = self
             .finished_tokens
@@ -123,17 +124,17 @@
         self.spec.step
     }
 
-    /// Samples waiting for a slot.
+    /// Number of samples that wait for a slot.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Samples of this lot that the runner knows.
+    /// Number of samples of this lot that the runner holds.
     pub fn samples(&self) -> usize {
         self.samples.len()
     }
 
-    /// The lot with its groups.
+    /// Parameters of the lot, including its groups.
     pub(super) fn full_spec(&self) -> Spec {
         let groups = self
             .groups
@@ -146,45 +147,45 @@
     }
 }
 
-/// What an attempt has made so far.
+/// Output of an attempt so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Progress {
     pub(super) text: String,
     pub(super) record: Record,
 }
 
-/// Where one sample stands.
+/// State of one sample.
 #[derive(Clone, Debug)]
 pub(super) struct SampleState {
     pub(super) lot: CompactString,
     pub(super) group: u32,
     pub(super) index: u32,
-    /// Its place in the lot's queue.
+    /// Its key in the queue of the lot; `None` while it is not queued.
     pub(super) queue_key: Option<QueueKey>,
-    /// Waits for the retry budget.
+    /// It is in the retry queue, waiting for the retry budget.
     pub(super) awaiting_retry: bool,
-    /// Started before: the next attempt is a retry.
+    /// An attempt was started before, so the next one is a retry.
     pub(super) was_started: bool,
-    /// What a lost attempt left.
+    /// Output saved from a lost attempt.
     pub(super) saved_progress: Option<Progress>,
     pub(super) attempts: Vec<AttemptKey>,
     pub(super) finished: Option<Finished>,
-    /// The trainer has it, as a token says.
+    /// The trainer holds it, by its latest cursor token.
     pub(super) delivered: bool,
 }
 
 impl SampleState {
-    /// Whether work on it is still needed.
+    /// Whether it still has to be generated.
     pub(super) const fn needs_work(&self) -> bool {
         !self.delivered && self.finished.is_none()
     }
 }
 
-/// A finished sample, perhaps still without its score.
+/// A finished sample, possibly still without its score.
 #[derive(Clone, Debug)]
 pub(super) struct Finished {
     pub(super) sample: Sample,
-    /// The scoring that it waits for.
+    /// Ticket of the pending scoring.
     pub(super) score_ticket: Option<u64>,
 }
 
@@ -194,14 +195,14 @@
     pub(super) sample: SampleKey,
     pub(super) endpoint: CompactString,
     pub(super) started_at: Time,
-    /// Its last chunk.
+    /// Time of its last chunk.
     pub(super) last_chunk_at: Option<Time>,
-    /// Tokens that it started from.
+    /// Output tokens from which it resumed.
     pub(super) resumed_tokens: u32,
     pub(super) progress: Progress,
 }
 
-/// An endpoint and what of it this runner uses.
+/// An endpoint, with this runner's load on it and its speed.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) offer: Offer,
@@ -209,19 +210,19 @@
     pub(super) token_time: TokenTime,
 }
 
-/// Age at which a measured speed counts for nothing any more.
+/// Age at which the average token time of an endpoint expires.
 const TOKEN_TIME_TTL: Duration = Duration::from_secs(10);
 
-/// How fast an endpoint's sequences get their tokens.
+/// Moving average of the time per token of one sequence on an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TokenTime {
-    /// Smoothed time of a token of one sequence, in microseconds; zero before the first.
+    /// Microseconds per token; zero before the first value.
     average_us: u64,
     updated_at: Time,
 }
 
 impl TokenTime {
-    /// Notes `tokens` of one sequence that took `took`.
+    /// Records that `tokens` of one sequence took `elapsed`.
     pub(super) fn record(&mut self, now: Time, elapsed: Duration, tokens: u32) {
         let elapsed_us = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
         let sample_us = elapsed_us / u64::from(tokens.max(1));
@@ -232,7 +233,7 @@
         self.updated_at = now;
     }
 
-    /// Time of a token in microseconds, if that is known well enough.
+    /// Microseconds per token; `None` if unknown or expired.
     pub(super) fn current(&self, now: Time) -> Option<u64> {
         let fresh = now.since(self.updated_at) < TOKEN_TIME_TTL;
         (self.average_us > 0 && fresh).then_some(self.average_us)
