--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -1,7 +1,8 @@
-//! Runners, fronts, a trainer and engines under faults, against an oracle that knows only texts.
+//! Property test of exactly-once delivery: runners, collects, a trainer and engines under faults.
 //!
-//! Each token of the fake engine carries the version that computed it (`#`) and, on the first
-//! token of an attempt, what was reused (`@`). So a delivered text tells the truth by itself.
+//! Each output token of the fake engine carries the version that computed it (`#`) and, on the
+//! first token of an attempt, the version of the reused prefix (`@`). So the oracle checks a
+//! delivered sample by its text alone.
 
 use pinereel_core::{
     Span, Time, Version,
@@ -23,39 +24,39 @@
 const RUNNERS: usize = 3;
 const ENGINES: usize = 3;
 const GROUPS: u32 = 4;
-const MATES: u32 = 3;
-const SAMPLES: u32 = GROUPS * MATES;
+const SAMPLES_PER_GROUP: u32 = 3;
+const SAMPLES: u32 = GROUPS * SAMPLES_PER_GROUP;
 const MAX_TOKENS: u32 = 12;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    Drop,
-    Twice,
-    Hold,
-    NoStamp,
+    DropChunk,
+    DuplicateChunk,
+    DelayChunk,
+    MissingStamp,
     Cancelled,
 }
 
 #[derive(Clone, Debug)]
 enum Op {
     Offer,
-    Work(usize, u32, Fault),
-    Release(usize),
+    Generate(usize, u32, Fault),
+    DeliverDelayed(usize),
     Crash(usize),
-    Swap(usize, u64),
+    LoadWeights(usize, u64),
     Publish(usize),
-    Bound(u64, usize),
+    ChangeBound(u64, usize),
     Assign(usize),
     Collect {
-        view: usize,
-        cut: usize,
-        old: usize,
-        loose: u64,
+        placement: usize,
+        unreachable: usize,
+        token_age: usize,
+        extra_bound: u64,
     },
-    Deliver(usize, bool),
-    Lose(usize),
-    Replace(usize),
+    DeliverAnswer(usize, bool),
+    LoseAttempt(usize),
+    RestartRunner(usize),
     Drain(usize),
     Score(usize, bool),
     Rewind(usize),
@@ -65,26 +66,28 @@
 fn op() -> impl Strategy<Value = Op> {
     let fault = prop_oneof![
         12 => Just(Fault::None),
-        1 => Just(Fault::Drop),
-        1 => Just(Fault::Twice),
-        1 => Just(Fault::Hold),
-        1 => Just(Fault::NoStamp),
+        1 => Just(Fault::DropChunk),
+        1 => Just(Fault::DuplicateChunk),
+        1 => Just(Fault::DelayChunk),
+        1 => Just(Fault::MissingStamp),
         1 => Just(Fault::Cancelled),
     ];
     prop_oneof![
         4 => Just(Op::Offer),
-        24 => (0..64_usize, 1..8_u32, fault).prop_map(|(a, n, f)| Op::Work(a, n, f)),
-        2 => (0..8_usize).prop_map(Op::Release),
+        24 => (0..64_usize, 1..8_u32, fault).prop_map(|(a, n, f)| Op::Generate(a, n, f)),
+        2 => (0..8_usize).prop_map(Op::DeliverDelayed),
         1 => (0..ENGINES).prop_map(Op::Crash),
-        3 => (0..ENGINES, 0..3_u64).prop_map(|(e, b)| Op::Swap(e, b)),
+        3 => (0..ENGINES, 0..3_u64).prop_map(|(e, b)| Op::LoadWeights(e, b)),
         2 => (0..8_usize).prop_map(Op::Publish),
-        1 => (0..3_u64, 0..8_usize).prop_map(|(b, m)| Op::Bound(b, m)),
+        1 => (0..3_u64, 0..8_usize).prop_map(|(b, m)| Op::ChangeBound(b, m)),
         2 => (0..RUNNERS).prop_map(Op::Assign),
         6 => (0..RUNNERS, 0..8_usize, 0..6_usize, 0..3_u64)
-            .prop_map(|(view, cut, old, loose)| Op::Collect { view, cut, old, loose }),
-        6 => (0..8_usize, any::<bool>()).prop_map(|(a, again)| Op::Deliver(a, again)),
-        1 => (0..64_usize).prop_map(Op::Lose),
-        1 => (0..RUNNERS).prop_map(Op::Replace),
+            .prop_map(|(placement, unreachable, token_age, extra_bound)| Op::Collect {
+                placement, unreachable, token_age, extra_bound
+            }),
+        6 => (0..8_usize, any::<bool>()).prop_map(|(a, again)| Op::DeliverAnswer(a, again)),
+        1 => (0..64_usize).prop_map(Op::LoseAttempt),
+        1 => (0..RUNNERS).prop_map(Op::RestartRunner),
         1 => (0..RUNNERS).prop_map(Op::Drain),
         6 => (0..8_usize, any::<bool>()).prop_map(|(at, fail)| Op::Score(at, fail)),
         1 => (0..8_usize).prop_map(Op::Rewind),
@@ -92,8 +95,8 @@
     ]
 }
 
-/// An attempt as its engine sees it.
-struct Run {
+/// An attempt on a fake engine.
+struct Attempt {
     start: Start,
     engine: usize,
     next: u32,
@@ -102,7 +105,7 @@
 
 struct Engine {
     version: Version,
-    /// Prompts cached, with the version that computed them.
+    /// Prefix cache: prompts, with the version that computed them.
     cache: BTreeMap<String, Version>,
 }
 
@@ -114,18 +117,18 @@
     bound: u64,
 }
 
-type Id = (u64, AttemptKey);
+type AttemptId = (u64, AttemptKey);
 
-struct World {
+struct Simulation {
     now: Time,
     policy: Policy,
     scored: bool,
     runners: Vec<(u64, Runner)>,
     incarnations: u64,
     engines: Vec<Engine>,
-    runs: BTreeMap<Id, Run>,
-    held: Vec<(u64, Chunk)>,
-    mail: Vec<Answer>,
+    attempts: BTreeMap<AttemptId, Attempt>,
+    delayed_chunks: Vec<(u64, Chunk)>,
+    pending_answers: Vec<Answer>,
     tokens: Vec<Token>,
     ledger: Ledger,
     accepted: BTreeMap<u32, Sample>,
@@ -148,7 +151,7 @@
     1 + (hash::score(seed, prompt) % u64::from(MAX_TOKENS)) as u32
 }
 
-/// The scoring service: any change of the text changes it.
+/// Fake scoring service: different texts get different scores.
 fn score(text: &str) -> f64 {
     (hash::stable(text.as_bytes()) % 1_000_003) as f64
 }
@@ -157,23 +160,23 @@
     format!(" {}", hash::score(seed ^ u64::from(at), prompt) % 97)
 }
 
-impl World {
+impl Simulation {
     fn new(policy: Policy, scored: bool) -> Self {
         let token = Token::first(digest(), 7, SAMPLES);
         let engine = || Engine {
             version: Version(3),
             cache: BTreeMap::new(),
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time::ZERO,
             policy,
             scored,
             runners: Vec::new(),
             incarnations: 0,
             engines: (0..ENGINES).map(|_| engine()).collect(),
-            runs: BTreeMap::new(),
-            held: Vec::new(),
-            mail: Vec::new(),
+            attempts: BTreeMap::new(),
+            delayed_chunks: Vec::new(),
+            pending_answers: Vec::new(),
             tokens: vec![token.clone()],
             ledger: Ledger::new(token),
             accepted: BTreeMap::new(),
@@ -184,13 +187,13 @@
             stats: Stats::default(),
         };
         for _ in 0..RUNNERS {
-            let runner = world.fresh();
-            world.runners.push(runner);
+            let runner = simulation.new_runner();
+            simulation.runners.push(runner);
         }
-        world
+        simulation
     }
 
-    fn fresh(&mut self) -> (u64, Runner) {
+    fn new_runner(&mut self) -> (u64, Runner) {
         self.incarnations += 1;
         (
             self.incarnations,
@@ -201,9 +204,9 @@
     fn spec(&self, groups: impl IntoIterator<Item = u32>) -> Spec {
         let group = |index| Group {
             index,
-            first: index * MATES,
+            first: index * SAMPLES_PER_GROUP,
             prompt: prompt(index),
-            samples: MATES,
+            samples: SAMPLES_PER_GROUP,
             max_tokens: MAX_TOKENS,
         };
         Spec {
@@ -229,13 +232,13 @@
             match action {
                 Action::Start(start) => {
                     let engine = start.endpoint[1..].parse().expect("a number");
-                    let run = Run {
+                    let attempt = Attempt {
                         next: start.resume_tokens,
                         start,
                         engine,
                         first: true,
                     };
-                    self.runs.insert((id, run.start.attempt), run);
+                    self.attempts.insert((id, attempt.start.attempt), attempt);
                 }
                 Action::Score { ticket, text, .. } => {
                     self.scorings.push((id, ticket, score(&text)));
@@ -251,7 +254,7 @@
                     let to = (at + 1) % RUNNERS;
                     self.send(to, Event::Handover { spec, samples });
                 }
-                // A cancelled run may still send chunks: they have to be dropped.
+                // A cancelled attempt may still send chunks, which the runner must drop.
                 _ => {}
             }
         }
@@ -272,42 +275,42 @@
         }
     }
 
-    fn work(&mut self, id: Id, tokens: u32, fault: Fault) {
-        let run = self.runs.get_mut(&id).expect("a run");
-        let engine = &mut self.engines[run.engine];
-        let (prompt, seed) = (run.start.prompt.clone(), run.start.seed);
+    fn generate(&mut self, id: AttemptId, tokens: u32, fault: Fault) {
+        let attempt = self.attempts.get_mut(&id).expect("a running attempt");
+        let engine = &mut self.engines[attempt.engine];
+        let (prompt, seed) = (attempt.start.prompt.clone(), attempt.start.seed);
         let version = engine.version;
         let cached = *engine.cache.entry(prompt.clone()).or_insert(version);
         let mut reused = Vec::new();
-        let end = length(&prompt, seed).min(run.next + tokens);
-        // An attempt that goes on from a whole text computes nothing, so it stamps nothing.
-        let idle = end == run.next;
-        if run.first && !idle {
+        let end = length(&prompt, seed).min(attempt.next + tokens);
+        // An attempt that resumes from a complete text computes nothing, so it has no stamp.
+        let is_empty_chunk = end == attempt.next;
+        if attempt.first && !is_empty_chunk {
             reused.push(Span {
                 version: cached,
                 tokens: 4,
             });
         }
         let mut text = String::new();
-        for at in run.next..end {
+        for at in attempt.next..end {
             text += &format!("{}#{}", word(&prompt, seed, at), version.0);
-            if run.first {
+            if attempt.first {
                 text += &format!("@{}", cached.0);
-                run.first = false;
+                attempt.first = false;
             }
         }
-        let whole = end == length(&prompt, seed);
+        let is_complete = end == length(&prompt, seed);
         let finish = match fault {
             Fault::Cancelled => Some(Finish::Cancelled),
-            _ => whole.then_some(Finish::Complete),
+            _ => is_complete.then_some(Finish::Complete),
         };
         let stamp = Stamp {
-            offset: run.next,
-            tokens: end - run.next,
-            version: (fault != Fault::NoStamp && !idle).then_some(version),
+            offset: attempt.next,
+            tokens: end - attempt.next,
+            version: (fault != Fault::MissingStamp && !is_empty_chunk).then_some(version),
             reused,
         };
-        run.next = end;
+        attempt.next = end;
         let chunk = Chunk {
             attempt: id.1,
             stamp,
@@ -315,13 +318,13 @@
             finish,
         };
         if finish.is_some() {
-            self.runs.remove(&id);
+            self.attempts.remove(&id);
         }
         match fault {
-            Fault::Drop if whole => self.lost(id),
-            Fault::Drop => {}
-            Fault::Hold => self.held.push((id.0, chunk)),
-            Fault::Twice => {
+            Fault::DropChunk if is_complete => self.lose_attempt(id),
+            Fault::DropChunk => {}
+            Fault::DelayChunk => self.delayed_chunks.push((id.0, chunk)),
+            Fault::DuplicateChunk => {
                 self.chunk(id.0, chunk.clone());
                 self.chunk(id.0, chunk);
             }
@@ -329,37 +332,44 @@
         }
     }
 
-    fn find(&self, incarnation: u64) -> Option<usize> {
+    fn runner_index(&self, incarnation: u64) -> Option<usize> {
         self.runners.iter().position(|(id, _)| *id == incarnation)
     }
 
     fn chunk(&mut self, incarnation: u64, chunk: Chunk) {
-        if let Some(at) = self.find(incarnation) {
+        if let Some(at) = self.runner_index(incarnation) {
             self.send(at, Event::Chunk(chunk));
         }
     }
 
-    fn lost(&mut self, id: Id) {
-        self.runs.remove(&id);
-        if let Some(at) = self.find(id.0) {
+    fn lose_attempt(&mut self, id: AttemptId) {
+        self.attempts.remove(&id);
+        if let Some(at) = self.runner_index(id.0) {
             let (attempt, failure) = (id.1, Failure::Lost);
             self.send(at, Event::Failed { attempt, failure });
         }
     }
 
-    /// A collect through some front: `view` places the groups, `cut` hides runners from it,
-    /// and the bound is tightened by `loose` before it answers.
-    fn collect(&mut self, view: usize, cut: usize, loose: u64, token: Token) -> Answer {
+    /// A collect through one instance: `placement` assigns the groups to runners, `unreachable` is a
+    /// bit set of runners that it cannot reach, and its bound shrinks by `extra_bound` between the
+    /// queries and the answer.
+    fn collect(
+        &mut self,
+        placement: usize,
+        unreachable: usize,
+        extra_bound: u64,
+        token: Token,
+    ) -> Answer {
         let mut found = Vec::new();
-        for at in (0..RUNNERS).filter(|at| cut & (1 << at) == 0) {
-            let mine = |group: &u32| (*group as usize + view) % RUNNERS == at;
+        for at in (0..RUNNERS).filter(|at| unreachable & (1 << at) == 0) {
+            let is_placed = |group: &u32| (*group as usize + placement) % RUNNERS == at;
             let ask = CollectRequest {
                 call: 1,
                 lot: "lot".into(),
-                groups: (0..GROUPS).filter(mine).collect(),
+                groups: (0..GROUPS).filter(is_placed).collect(),
                 token: token.clone(),
                 version: self.version,
-                bound: self.bound + loose,
+                bound: self.bound + extra_bound,
                 max: 5,
             };
             found.extend(self.send(at, Event::Collect(ask)));
@@ -371,18 +381,18 @@
             bound,
             max: 8,
         };
-        let done = merge.run(found);
+        let delivery = merge.run(found);
         Answer {
             basis: token,
-            next: done.token,
-            samples: done.samples,
+            next: delivery.token,
+            samples: delivery.samples,
             version,
             bound,
         }
     }
 
-    /// The trainer gets an answer; everything that it takes is judged here.
-    fn take(&mut self, answer: &Answer) {
+    /// The trainer receives an answer; each sample that it accepts is checked.
+    fn accept(&mut self, answer: &Answer) {
         let indexes = answer.samples.iter().map(|s| s.index);
         if self
             .ledger
@@ -393,19 +403,19 @@
         }
         self.tokens.push(answer.next.clone());
         for sample in &answer.samples {
-            judge(sample, answer.version, answer.bound);
-            let wanted = self.scored.then(|| score(&sample.text));
-            assert_eq!(sample.score, wanted, "score of another text");
-            let twice = self.accepted.insert(sample.index, sample.clone());
-            assert!(twice.is_none(), "sample {} accepted twice", sample.index);
+            check_sample(sample, answer.version, answer.bound);
+            let expected = self.scored.then(|| score(&sample.text));
+            assert_eq!(sample.score, expected, "score belongs to another text");
+            let previous = self.accepted.insert(sample.index, sample.clone());
+            assert!(previous.is_none(), "sample {} accepted twice", sample.index);
         }
     }
 
-    fn replace(&mut self, at: usize) {
+    fn restart_runner(&mut self, at: usize) {
         self.draining.remove(&at);
-        let fresh = self.fresh();
-        let (old, runner) = std::mem::replace(&mut self.runners[at], fresh);
-        self.runs.retain(|(id, _), _| *id != old);
+        let new = self.new_runner();
+        let (old, runner) = std::mem::replace(&mut self.runners[at], new);
+        self.attempts.retain(|(id, _), _| *id != old);
         let stats = runner.stats();
         self.stats.invalid_stamps += stats.invalid_stamps;
         self.stats.resumed += stats.resumed;
@@ -416,41 +426,43 @@
 
     fn apply(&mut self, op: Op) {
         self.now = self.now + std::time::Duration::from_millis(50);
-        let runs: Vec<Id> = self.runs.keys().copied().collect();
-        let pick = |at: usize| (!runs.is_empty()).then(|| runs[at % runs.len()]);
+        let attempts: Vec<AttemptId> = self.attempts.keys().copied().collect();
+        let pick = |at: usize| (!attempts.is_empty()).then(|| attempts[at % attempts.len()]);
         match op {
             Op::Offer => self.offer(),
-            Op::Work(at, n, fault) => {
-                pick(at).into_iter().for_each(|id| self.work(id, n, fault));
+            Op::Generate(at, n, fault) => {
+                pick(at)
+                    .into_iter()
+                    .for_each(|id| self.generate(id, n, fault));
             }
-            Op::Release(at) if !self.held.is_empty() => {
-                let (id, chunk) = self.held.remove(at % self.held.len());
+            Op::DeliverDelayed(at) if !self.delayed_chunks.is_empty() => {
+                let (id, chunk) = self.delayed_chunks.remove(at % self.delayed_chunks.len());
                 self.chunk(id, chunk);
             }
-            Op::Release(_) => {}
+            Op::DeliverDelayed(_) => {}
             Op::Crash(engine) => {
-                self.runs.retain(|_, run| run.engine != engine);
+                self.attempts.retain(|_, attempt| attempt.engine != engine);
                 self.engines[engine].cache.clear();
                 for at in 0..RUNNERS {
                     let endpoint = format!("e{engine}").into();
                     self.send(at, Event::EndpointLost { endpoint });
                 }
             }
-            Op::Swap(engine, back) => {
+            Op::LoadWeights(engine, back) => {
                 let version = Version(self.version.0.saturating_sub(back));
                 self.engines[engine].version = version;
             }
-            Op::Publish(told) => {
+            Op::Publish(notified) => {
                 self.version.0 += 1;
                 let version = self.version;
-                for at in (0..RUNNERS).filter(|at| told & (1 << at) != 0) {
+                for at in (0..RUNNERS).filter(|at| notified & (1 << at) != 0) {
                     let model = "model".into();
                     self.send(at, Event::Published { model, version });
                 }
             }
-            Op::Bound(bound, told) => {
+            Op::ChangeBound(bound, notified) => {
                 self.bound = bound;
-                for at in (0..RUNNERS).filter(|at| told & (1 << at) != 0) {
+                for at in (0..RUNNERS).filter(|at| notified & (1 << at) != 0) {
                     let trainer = "trainer".into();
                     self.send(at, Event::BoundChanged { trainer, bound });
                 }
@@ -460,26 +472,26 @@
                 self.send(at, Event::Assign(spec));
             }
             Op::Collect {
-                view,
-                cut,
-                old,
-                loose,
+                placement,
+                unreachable,
+                token_age,
+                extra_bound,
             } => {
                 let last = self.tokens.len() - 1;
-                let token = self.tokens[last.saturating_sub(old / 4)].clone();
-                let answer = self.collect(view, cut, loose, token);
-                self.mail.push(answer);
+                let token = self.tokens[last.saturating_sub(token_age / 4)].clone();
+                let answer = self.collect(placement, unreachable, extra_bound, token);
+                self.pending_answers.push(answer);
             }
-            Op::Deliver(at, again) if !self.mail.is_empty() => {
-                let answer = self.mail.remove(at % self.mail.len());
-                self.take(&answer);
+            Op::DeliverAnswer(at, again) if !self.pending_answers.is_empty() => {
+                let answer = self.pending_answers.remove(at % self.pending_answers.len());
+                self.accept(&answer);
                 if again {
-                    self.mail.push(answer);
+                    self.pending_answers.push(answer);
                 }
             }
-            Op::Deliver(..) => {}
-            Op::Lose(at) => pick(at).into_iter().for_each(|id| self.lost(id)),
-            Op::Replace(at) => self.replace(at),
+            Op::DeliverAnswer(..) => {}
+            Op::LoseAttempt(at) => pick(at).into_iter().for_each(|id| self.lose_attempt(id)),
+            Op::RestartRunner(at) => self.restart_runner(at),
             Op::Drain(at) => {
                 self.draining.insert(at);
                 self.send(at, Event::Drain);
@@ -490,13 +502,13 @@
                     true => Event::ScoreFailed { ticket },
                     false => Event::Scored { ticket, score },
                 };
-                if let Some(at) = self.find(id) {
+                if let Some(at) = self.runner_index(id) {
                     self.send(at, event);
                 }
             }
             Op::Score(..) => {}
             Op::Rewind(back) => {
-                // The trainer restarts from a checkpoint: it has forgotten what came after.
+                // The trainer restarts from a checkpoint and loses all later tokens and samples.
                 let at = self.tokens.len().saturating_sub(back + 1);
                 self.tokens.truncate(at + 1);
                 let token = self.tokens[at].clone();
@@ -511,12 +523,13 @@
         }
     }
 
-    /// Faults stop: draining runners leave, engines load the newest version, late chunks arrive.
+    /// Ends all faults and requires completion: draining runners stop, delayed chunks arrive, and
+    /// engines load the newest version.
     fn settle(&mut self) {
         for at in std::mem::take(&mut self.draining) {
-            self.replace(at);
+            self.restart_runner(at);
         }
-        for (id, chunk) in std::mem::take(&mut self.held) {
+        for (id, chunk) in std::mem::take(&mut self.delayed_chunks) {
             self.chunk(id, chunk);
         }
         for engine in &mut self.engines {
@@ -529,15 +542,15 @@
                 self.apply(Op::Score(0, false));
             }
             self.offer();
-            let runs: Vec<Id> = self.runs.keys().copied().collect();
-            for id in runs {
-                if self.runs.contains_key(&id) {
-                    self.work(id, 4, Fault::None);
+            let attempts: Vec<AttemptId> = self.attempts.keys().copied().collect();
+            for id in attempts {
+                if self.attempts.contains_key(&id) {
+                    self.generate(id, 4, Fault::None);
                 }
             }
             let token = self.ledger.token().clone();
             let answer = self.collect(round / 20, 0, 0, token);
-            self.take(&answer);
+            self.accept(&answer);
             if self.ledger.token().remaining() == 0 {
                 return;
             }
@@ -546,28 +559,36 @@
     }
 }
 
-/// The oracle: whole text, true spans, fresh enough.
-fn judge(sample: &Sample, version: Version, bound: u64) {
-    let prompt = prompt(sample.index / MATES);
+/// Checks by the text of a sample that it is complete, has correct spans and meets the bound.
+fn check_sample(sample: &Sample, version: Version, bound: u64) {
+    let prompt = prompt(sample.index / SAMPLES_PER_GROUP);
     let seed = hash::score(u64::from(sample.index), &digest().to_string());
-    let (mut reused, mut output, mut plain) = (Vec::new(), Vec::new(), String::new());
+    let (mut reused, mut output, mut words_found) = (Vec::new(), Vec::new(), String::new());
     let mut tokens = 0;
     for token in sample.text.split_terminator(' ').skip(1) {
-        let (word, marks) = token.split_once('#').expect("a mark");
-        let mut marks = marks
+        let (word, versions) = token.split_once('#').expect("a mark");
+        let mut versions = versions
             .split('@')
             .map(|mark| Version(mark.parse().expect("a number")));
-        add(&mut output, marks.next().expect("a mark"), 1);
-        marks.for_each(|version| add(&mut reused, version, 4));
-        plain += &format!(" {word}");
+        add(&mut output, versions.next().expect("a mark"), 1);
+        versions.for_each(|version| add(&mut reused, version, 4));
+        words_found += &format!(" {word}");
         tokens += 1;
     }
     let words = (0..length(&prompt, seed)).map(|at| word(&prompt, seed, at));
-    assert_eq!(plain, words.collect::<String>(), "text not whole");
+    assert_eq!(
+        words_found,
+        words.collect::<String>(),
+        "text is not complete"
+    );
     assert_eq!(tokens, sample.tokens);
     let oldest = reused.iter().chain(&output).map(|s: &Span| s.version).min();
     assert!(output.is_sorted_by_key(|s| s.version), "version went back");
-    assert_eq!(sample.spans, [reused, output].concat(), "spans not true");
+    assert_eq!(
+        sample.spans,
+        [reused, output].concat(),
+        "spans do not match the text"
+    );
     let oldest = oldest.expect("a version");
     assert!(staleness::fits(oldest, version, bound), "too old");
 }
@@ -604,17 +625,17 @@
 }
 
 static TRANSITIONS: AtomicU64 = AtomicU64::new(0);
-static MET: [AtomicU64; 5] = [const { AtomicU64::new(0) }; 5];
+static FAULT_COUNTS: [AtomicU64; 5] = [const { AtomicU64::new(0) }; 5];
 
 fn check(ops: Vec<Op>, bits: u8, scored: bool) {
     TRANSITIONS.fetch_add(ops.len() as u64, Ordering::Relaxed);
-    let mut world = World::new(policy(bits), scored);
+    let mut simulation = Simulation::new(policy(bits), scored);
     for op in ops {
-        world.apply(op);
+        simulation.apply(op);
     }
-    world.settle();
-    (0..RUNNERS).for_each(|at| world.replace(at));
-    let indexes: BTreeSet<u32> = world.accepted.keys().copied().collect();
+    simulation.settle();
+    (0..RUNNERS).for_each(|at| simulation.restart_runner(at));
+    let indexes: BTreeSet<u32> = simulation.accepted.keys().copied().collect();
     assert_eq!(indexes, (0..SAMPLES).collect());
     let Stats {
         invalid_stamps,
@@ -623,12 +644,13 @@
         aborted,
         late_events,
         ..
-    } = world.stats;
-    for (met, count) in MET
-        .iter()
-        .zip([invalid_stamps, resumed, speculative, aborted, late_events])
+    } = simulation.stats;
+    for (total, count) in
+        FAULT_COUNTS
+            .iter()
+            .zip([invalid_stamps, resumed, speculative, aborted, late_events])
     {
-        met.fetch_add(count, Ordering::Relaxed);
+        total.fetch_add(count, Ordering::Relaxed);
     }
 }
 
@@ -643,11 +665,14 @@
     };
     let ops = prop::collection::vec(op(), 20..250);
     proptest!(config, |(ops in ops, bits in 0..64_u8, scored: bool)| check(ops, bits, scored));
-    let met: Vec<u64> = MET.iter().map(|m| m.load(Ordering::Relaxed)).collect();
+    let counts: Vec<u64> = FAULT_COUNTS
+        .iter()
+        .map(|m| m.load(Ordering::Relaxed))
+        .collect();
     println!("transitions {}", TRANSITIONS.load(Ordering::Relaxed));
-    println!("invalid stamps, resumed, speculative, aborted, late events: {met:?}");
+    println!("invalid stamps, resumed, speculative, aborted, late events: {counts:?}");
     assert!(
-        met.iter().all(|count| *count > 0),
-        "a kind of fault was never met: {met:?}"
+        counts.iter().all(|count| *count > 0),
+        "a kind of fault never occurred: {counts:?}"
     );
 }
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -1,4 +1,4 @@
-//! One runner: refusals, order of starts, duplicates, resume, budget, handover.
+//! A single runner: refusals, order of starts, speculative attempts, resume, retry budget, handover.
 
 use pinereel_core::{
     Span, Time, Version,
@@ -50,7 +50,7 @@
     })
 }
 
-fn ask(step: u64, token: Token, version: u64, bound: u64) -> Event {
+fn collect(step: u64, token: Token, version: u64, bound: u64) -> Event {
     Event::Collect(CollectRequest {
         call: 9,
         lot: format!("lot{step}").into(),
@@ -176,13 +176,13 @@
     let actions = runner.step(NOW, more.clone());
     assert_eq!(refusal(&actions), Some(Refusal::Full));
     let again = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    assert_eq!(refusal(&again), None, "what is known is no new work");
+    assert_eq!(refusal(&again), None, "known groups are no new work");
     let token = Token::first(digest(7), 7, 4).after([0, 1]).unwrap();
-    runner.step(NOW, ask(7, token, 5, 1));
+    runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(refusal(&runner.step(NOW, more)), None);
 }
 
-/// The full policy for lots that nobody has asked for yet, but on all slots.
+/// The default policy, with all slots open to lots from which no trainer has collected yet.
 fn all_slots() -> Policy {
     Policy {
         unrequested_slots: u32::MAX,
@@ -196,7 +196,7 @@
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8), (1, 8)])));
         runner.step(NOW, Event::Assign(spec(8, &[(0, 8)])));
-        runner.step(NOW, ask(8, Token::first(digest(8), 8, 2), 5, 1));
+        runner.step(NOW, collect(8, Token::first(digest(8), 8, 2), 5, 1));
         let started = starts(&runner.step(NOW, offer("a", 8)));
         let started = started.iter().map(|s| (s.lot.to_string(), s.class));
         started.collect::<Vec<_>>()
@@ -221,10 +221,10 @@
                 tokens: 4,
             }];
         }
-        // The other sample waits; its trainer is at version 5, bound 1.
+        // The other sample is queued; its trainer is at version 5 with bound 1.
         runner.step(NOW, offer("a", 0));
         runner.step(NOW, reused);
-        runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 5, 1));
+        runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 5, 1));
         starts(&runner.step(NOW, offer("a", 1))).len()
     };
     assert_eq!(started(Policy::default()), 0);
@@ -278,7 +278,7 @@
         let now = Time::from_millis(3_500);
         runner.step(now, Event::Offer(newer));
         runner.step(now, Event::Assign(spec(7, &[(0, 8)])));
-        // Fits now (5 of 6, bound 1), but version 7 is due before a slow sample could end.
+        // Within the bound now (5 of 6, bound 1), but version 7 is due before the sample completes.
         let later = Time::from_millis(4_100);
         starts(&runner.step(later, offer("old", 1))).len()
     };
@@ -296,12 +296,18 @@
     let first = starts(&runner.step(NOW, offer("a", 2)));
     runner.step(NOW, chunk(first[0].attempt, 0, " x", None));
     let later = Time::from_millis(2_000);
-    let twins = starts(&runner.step(later, offer("b", 1)));
-    assert_eq!(twins.len(), 1);
-    let twin = &twins[0];
-    assert_eq!((twin.index, twin.class), (first[0].index, Class::Straggler));
-    assert_eq!((twin.resume.as_str(), twin.resume_tokens), (" x", 1));
-    let done = runner.step(later, chunk(twin.attempt, 1, " y", Some(Finish::Complete)));
+    let speculative = starts(&runner.step(later, offer("b", 1)));
+    assert_eq!(speculative.len(), 1);
+    let second = &speculative[0];
+    assert_eq!(
+        (second.index, second.class),
+        (first[0].index, Class::Straggler)
+    );
+    assert_eq!((second.resume.as_str(), second.resume_tokens), (" x", 1));
+    let done = runner.step(
+        later,
+        chunk(second.attempt, 1, " y", Some(Finish::Complete)),
+    );
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert!(done.contains(&Action::Cancel { attempt, endpoint }));
     runner.step(later, chunk(first[0].attempt, 1, " y", None));
@@ -322,9 +328,9 @@
     assert_eq!(resumed[0].resume, " x");
     let (model, version) = ("m".into(), Version(7));
     runner.step(NOW, Event::Published { model, version });
-    // What is published says nothing about the trainer; its own collect does.
+    // A publication does not tell the version of the trainer; its own collect does.
     assert_eq!(runner.stats().aborted, 0);
-    runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 7, 1));
+    runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 7, 1));
     assert_eq!(runner.stats().aborted, 1);
     let newer = Offer {
         endpoint: "c".into(),
@@ -362,13 +368,13 @@
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     runner.step(NOW, Event::Tick);
     let mut running = starts(&runner.step(NOW, offer("a", 1)));
-    let mut tried = 0;
+    let mut attempts = 0;
     while let Some(start) = running.pop() {
-        tried += 1;
+        attempts += 1;
         let (attempt, failure) = (start.attempt, Failure::Lost);
         running = starts(&runner.step(NOW, Event::Failed { attempt, failure }));
     }
-    assert_eq!(tried, 3, "two samples and one retry");
+    assert_eq!(attempts, 3, "two samples and one retry");
     let later = Time::from_millis(1_200);
     assert_eq!(starts(&runner.step(later, Event::Tick)).len(), 1);
 }
@@ -388,13 +394,13 @@
 fn collects_tell_what_is_missing_and_refuse_foreign_tokens() {
     let mut runner = runner(Policy::default());
     let token = Token::first(digest(7), 7, 4);
-    let none = runner.step(NOW, ask(7, token.clone(), 5, 1));
+    let none = runner.step(NOW, collect(7, token.clone(), 5, 1));
     assert_eq!(answer(&none), (vec![], vec![0, 1]));
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    let some = runner.step(NOW, ask(7, token, 5, 1));
+    let some = runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(answer(&some).1, [1]);
     let foreign = Token::first(digest(8), 7, 4);
-    let actions = runner.step(NOW, ask(7, foreign, 5, 1));
+    let actions = runner.step(NOW, collect(7, foreign, 5, 1));
     let (call, error) = (9, cursor::Error::Foreign);
     assert_eq!(actions, [Action::Rejected { call, error }]);
 }
@@ -409,9 +415,9 @@
         chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
     );
     let token = Token::first(digest(7), 7, 2);
-    let fits = runner.step(NOW, ask(7, token.clone(), 6, 1));
+    let fits = runner.step(NOW, collect(7, token.clone(), 6, 1));
     assert_eq!(answer(&fits).0.len(), 1);
-    let old = runner.step(NOW, ask(7, token, 6, 0));
+    let old = runner.step(NOW, collect(7, token, 6, 0));
     assert_eq!(answer(&old).0, []);
     assert_eq!(runner.lots().next().unwrap().queued(), 1);
 }
@@ -433,7 +439,7 @@
     let mut next = runner(Policy::default());
     next.step(NOW, Event::Handover { spec, samples });
     let token = Token::first(digest(7), 7, 2);
-    let (samples, _) = answer(&next.step(NOW, ask(7, token, 5, 1)));
+    let (samples, _) = answer(&next.step(NOW, collect(7, token, 5, 1)));
     let spans = vec![Span {
         version: Version(5),
         tokens: 1,
@@ -456,7 +462,7 @@
     });
     let ticket = ticket.expect("a scoring");
     let version = Version(9);
-    runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 9, 1));
+    runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 9, 1));
     let newer = Offer {
         endpoint: "b".into(),
         model: "m".into(),
@@ -473,10 +479,10 @@
     let score = 1.0;
     assert_eq!(runner.step(NOW, Event::Scored { ticket, score }), []);
     let token = Token::first(digest(7), 7, 2);
-    assert_eq!(answer(&runner.step(NOW, ask(7, token, 9, 1))).0, []);
+    assert_eq!(answer(&runner.step(NOW, collect(7, token, 9, 1))).0, []);
 }
 
-/// A chunk that reuses a prefix far older than the bound; true stamps, and of no use.
+/// A chunk with valid stamps whose reused prefix is far older than the bound allows.
 fn stale_chunk(attempt: AttemptKey, finish: Option<Finish>) -> Event {
     let reused = vec![Span {
         version: Version(1),
@@ -503,7 +509,8 @@
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let mut waiting = starts(&runner.step(NOW, offer("a", 2)));
         let mut count = waiting.len();
-        // Ten seconds in which the engine answers at once; without a pace this never ends.
+        // The engine answers at once for ten seconds. Without the retry budget the runner would start
+        // attempts without end.
         for tick in 0..100 {
             let now = NOW + std::time::Duration::from_millis(100 * tick);
             let ticked = starts(&runner.step(now, Event::Tick));
