--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -292,38 +292,38 @@
 
 /// The trainer client's side: the token it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ledger {
-    held: Token,
+pub struct Cursor {
+    token: Token,
 }
 
-impl Ledger {
+impl Cursor {
     /// Starts with the token of the submit.
-    pub const fn new(held: Token) -> Self {
-        Self { held }
+    pub const fn new(token: Token) -> Self {
+        Self { token }
     }
 
     /// The token for the next collect.
     pub const fn token(&self) -> &Token {
-        &self.held
+        &self.token
     }
 
     /// Takes an answer, or drops it whole. Only after `Ok` may the samples be used.
     ///
     /// # Errors
     /// See [`Refusal`]; the ledger is unchanged.
-    pub fn take(
+    pub fn accept(
         &mut self,
         basis: &Token,
         next: &Token,
         indexes: impl IntoIterator<Item = u32>,
     ) -> Result<(), Refusal> {
-        if *basis != self.held {
+        if *basis != self.token {
             return Err(Refusal::Basis);
         }
-        if self.held.after(indexes).as_ref() != Some(next) {
+        if self.token.after(indexes).as_ref() != Some(next) {
             return Err(Refusal::Inconsistent);
         }
-        self.held = next.clone();
+        self.token = next.clone();
         Ok(())
     }
 }
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Span, Version,
-    cursor::{Error, Ledger, MAX_SAMPLES, MAX_TEXT, Merge, Refusal, Token},
+    cursor::{Cursor, Error, MAX_SAMPLES, MAX_TEXT, Merge, Refusal, Token},
     hash::Digest,
     lot::Sample,
 };
@@ -112,9 +112,9 @@
         prop_assert_eq!(given.len(), wanted.len().min(max));
         prop_assert!(answer.samples.iter().all(|s| s.spans[0].version.0 + bound >= 8));
         prop_assert_eq!(answer.remaining as usize, 16 - held.len() - given.len());
-        let mut ledger = Ledger::new(token.clone());
-        prop_assert_eq!(ledger.take(&token, &answer.token, given.clone()), Ok(()));
-        let again = ledger.take(&token, &answer.token, given.clone());
+        let mut cursor = Cursor::new(token.clone());
+        prop_assert_eq!(cursor.accept(&token, &answer.token, given.clone()), Ok(()));
+        let again = cursor.accept(&token, &answer.token, given.clone());
         prop_assert_eq!(again.is_err(), !given.is_empty());
     });
 }
@@ -140,10 +140,10 @@
     let first = Token::first(lot(), 3, 16);
     let one = first.after([1]).unwrap();
     let two = first.after([2]).unwrap();
-    let mut ledger = Ledger::new(first.clone());
-    let wrong = ledger.take(&first, &one, [1, 2]);
+    let mut cursor = Cursor::new(first.clone());
+    let wrong = cursor.accept(&first, &one, [1, 2]);
     assert_eq!(wrong, Err(Refusal::Inconsistent));
-    assert_eq!(ledger.take(&first, &one, [1]), Ok(()));
-    assert_eq!(ledger.take(&first, &two, [2]), Err(Refusal::Basis));
-    assert_eq!(ledger.token(), &one);
+    assert_eq!(cursor.accept(&first, &one, [1]), Ok(()));
+    assert_eq!(cursor.accept(&first, &two, [2]), Err(Refusal::Basis));
+    assert_eq!(cursor.token(), &one);
 }
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -6,7 +6,7 @@
 
 use pinereel_core::{
     Span, Time, Version,
-    cursor::{Ledger, Merge, Token},
+    cursor::{Cursor, Merge, Token},
     hash,
     lot::{
         Action, AttemptKey, Chunk, CollectRequest, Event, Failure, Finish, Group, Limits, Offer,
@@ -130,7 +130,7 @@
     delayed_chunks: Vec<(u64, Chunk)>,
     pending_answers: Vec<Answer>,
     tokens: Vec<Token>,
-    ledger: Ledger,
+    cursor: Cursor,
     accepted: BTreeMap<u32, Sample>,
     version: Version,
     bound: u64,
@@ -178,7 +178,7 @@
             delayed_chunks: Vec::new(),
             pending_answers: Vec::new(),
             tokens: vec![token.clone()],
-            ledger: Ledger::new(token),
+            cursor: Cursor::new(token),
             accepted: BTreeMap::new(),
             version: Version(3),
             bound: 2,
@@ -395,8 +395,8 @@
     fn accept(&mut self, answer: &Answer) {
         let indexes = answer.samples.iter().map(|s| s.index);
         if self
-            .ledger
-            .take(&answer.basis, &answer.next, indexes)
+            .cursor
+            .accept(&answer.basis, &answer.next, indexes)
             .is_err()
         {
             return;
@@ -513,7 +513,7 @@
                 self.tokens.truncate(at + 1);
                 let token = self.tokens[at].clone();
                 self.accepted.retain(|index, _| token.contains(*index));
-                self.ledger = Ledger::new(token);
+                self.cursor = Cursor::new(token);
             }
             Op::Tick => {
                 for at in 0..RUNNERS {
@@ -548,14 +548,14 @@
                     self.generate(id, 4, Fault::None);
                 }
             }
-            let token = self.ledger.token().clone();
+            let token = self.cursor.token().clone();
             let answer = self.collect(round / 20, 0, 0, token);
             self.accept(&answer);
-            if self.ledger.token().remaining() == 0 {
+            if self.cursor.token().remaining() == 0 {
                 return;
             }
         }
-        panic!("not complete after 200 rounds: {:?}", self.ledger.token());
+        panic!("not complete after 200 rounds: {:?}", self.cursor.token());
     }
 }
 
--- a/crates/pinereel_fakes/src/experiment/trainer.rs
+++ b/crates/pinereel_fakes/src/experiment/trainer.rs
@@ -9,7 +9,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time, Version,
-    cursor::{Ledger, Token},
+    cursor::{Cursor, Token},
     hash::Digest,
     lot::{Group, Sample},
     provenance,
@@ -35,7 +35,7 @@
     pub(super) id: CompactString,
     pub(super) digest: Digest,
     pub(super) groups: Vec<Group>,
-    pub(super) ledger: Ledger,
+    pub(super) ledger: Cursor,
     pub(super) version: Version,
     pub(super) submitted: Time,
     /// Samples of each group that are missing.
@@ -125,7 +125,7 @@
             id,
             digest,
             groups: (0..*groups).map(group).collect(),
-            ledger: Ledger::new(Token::first(digest, step, groups * samples)),
+            ledger: Cursor::new(Token::first(digest, step, groups * samples)),
             version,
             submitted: now,
             missing: vec![*samples; *groups as usize],
@@ -236,7 +236,7 @@
             return;
         };
         let indexes = samples.iter().map(|sample| sample.index);
-        if held.ledger.take(&asked.token, token, indexes).is_err() {
+        if held.ledger.accept(&asked.token, token, indexes).is_err() {
             self.tally.repeats += 1;
             return;
         }
