--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -88,8 +88,8 @@
     token.check(front.digest, front.lot.step).map_err(|e| {
         let code = match e {
             Error::Malformed => Code::BadToken,
-            Error::Foreign => Code::ForeignToken,
-            Error::Behind => Code::BehindToken,
+            Error::OtherLot => Code::ForeignToken,
+            Error::EarlierStep => Code::BehindToken,
         };
         refuse(code, format_compact!("{e}"))
     })
--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -31,10 +31,10 @@
     Malformed,
     /// A token of another lot.
     #[error("cursor token of another lot")]
-    Foreign,
+    OtherLot,
     /// A token of an earlier step.
     #[error("cursor token of an earlier step")]
-    Behind,
+    EarlierStep,
 }
 
 /// What a trainer holds of one lot.
@@ -121,10 +121,10 @@
     /// [`Error::Behind`] for an earlier step, else [`Error::Foreign`].
     pub fn check(&self, lot: Digest, step: u64) -> Result<(), Error> {
         if self.step < step {
-            return Err(Error::Behind);
+            return Err(Error::EarlierStep);
         }
         if self.lot != lot || self.step != step {
-            return Err(Error::Foreign);
+            return Err(Error::OtherLot);
         }
         Ok(())
     }
@@ -281,10 +281,10 @@
 
 /// Why a trainer's client drops an answer. Nothing is lost: it collects again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Refusal {
+pub enum AnswerError {
     /// The answer is to another token than the one held: repeated, late, or of a concurrent call.
     #[error("the answer's basis is not the token held")]
-    Basis,
+    BasisMismatch,
     /// The next token is not the basis with the samples of the answer.
     #[error("the answer's samples and tokens disagree")]
     Inconsistent,
@@ -316,12 +316,12 @@
         basis: &Token,
         next: &Token,
         indexes: impl IntoIterator<Item = u32>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), AnswerError> {
         if *basis != self.token {
-            return Err(Refusal::Basis);
+            return Err(AnswerError::BasisMismatch);
         }
         if self.token.after(indexes).as_ref() != Some(next) {
-            return Err(Refusal::Inconsistent);
+            return Err(AnswerError::Inconsistent);
         }
         self.token = next.clone();
         Ok(())
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Span, Version,
-    cursor::{Cursor, Error, MAX_SAMPLES, MAX_TEXT, Merge, Refusal, Token},
+    cursor::{AnswerError, Cursor, Error, MAX_SAMPLES, MAX_TEXT, Merge, Token},
     hash::Digest,
     lot::Sample,
 };
@@ -57,9 +57,9 @@
 fn tokens_of_other_lots_are_refused() {
     let token = Token::first(lot(), 7, 12);
     assert_eq!(token.check(lot(), 7), Ok(()));
-    assert_eq!(token.check(Digest::of(b"next"), 8), Err(Error::Behind));
-    assert_eq!(token.check(Digest::of(b"other"), 7), Err(Error::Foreign));
-    assert_eq!(token.check(Digest::of(b"last"), 6), Err(Error::Foreign));
+    assert_eq!(token.check(Digest::of(b"next"), 8), Err(Error::EarlierStep));
+    assert_eq!(token.check(Digest::of(b"other"), 7), Err(Error::OtherLot));
+    assert_eq!(token.check(Digest::of(b"last"), 6), Err(Error::OtherLot));
 }
 
 #[test]
@@ -142,8 +142,11 @@
     let two = first.after([2]).unwrap();
     let mut cursor = Cursor::new(first.clone());
     let wrong = cursor.accept(&first, &one, [1, 2]);
-    assert_eq!(wrong, Err(Refusal::Inconsistent));
+    assert_eq!(wrong, Err(AnswerError::Inconsistent));
     assert_eq!(cursor.accept(&first, &one, [1]), Ok(()));
-    assert_eq!(cursor.accept(&first, &two, [2]), Err(Refusal::Basis));
+    assert_eq!(
+        cursor.accept(&first, &two, [2]),
+        Err(AnswerError::BasisMismatch)
+    );
     assert_eq!(cursor.token(), &one);
 }
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -401,7 +401,7 @@
     assert_eq!(answer(&some).1, [1]);
     let foreign = Token::first(digest(8), 7, 4);
     let actions = runner.step(NOW, collect(7, foreign, 5, 1));
-    let (call, error) = (9, cursor::Error::Foreign);
+    let (call, error) = (9, cursor::Error::OtherLot);
     assert_eq!(actions, [Action::Rejected { call, error }]);
 }
 
