--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -63,7 +63,7 @@
             bound,
             max: collect.max as usize,
         };
-        let delivery = merge.run(found);
+        let delivery = merge.deliver(found);
         count(shared, id, &delivery, collect.version);
         // An entry that stops answers at once; the trainer goes on elsewhere with the same token.
         let over = until.since(shared.now()).is_zero() || shared.drain.refuses();
@@ -85,7 +85,7 @@
     let Some(front) = fronts.get(id) else {
         return Err(refuse(Code::LotUnknown, "submit the lot again"));
     };
-    token.check(front.digest, front.lot.step).map_err(|e| {
+    token.check_lot(front.digest, front.lot.step).map_err(|e| {
         let code = match e {
             Error::Malformed => Code::BadToken,
             Error::OtherLot => Code::ForeignToken,
--- a/crates/pinereel/src/controllers/lots/front/submit.rs
+++ b/crates/pinereel/src/controllers/lots/front/submit.rs
@@ -15,7 +15,7 @@
 pub async fn submit(shared: &Rc<Shared>, pin: &Pin, lot: Lot) -> Result<Submitted, Problem> {
     let front = check(shared, pin, lot)?;
     let id = front.lot.id.clone();
-    let token = Token::first(front.digest, front.lot.step, front.samples);
+    let token = Token::empty(front.digest, front.lot.step, front.samples);
     let answer = Submitted {
         samples: front.samples,
         token: token.to_string(),
--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -12,16 +12,16 @@
 pub const MAX_SAMPLES: u32 = 1 << 16;
 
 /// First byte of a token's binary form.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// Format, digest, step, sequence and number of samples.
-const HEAD: usize = 1 + 16 + 8 + 8 + 4;
+const HEADER_BYTES: usize = 1 + 16 + 8 + 8 + 4;
 
 /// Checksum at the end.
-const CRC: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 /// Longest text of a token, in bytes.
-pub const MAX_TEXT: usize = 2 * (HEAD + MAX_SAMPLES as usize / 8 + CRC);
+pub const MAX_TEXT_BYTES: usize = 2 * (HEADER_BYTES + MAX_SAMPLES as usize / 8 + CHECKSUM_BYTES);
 
 /// Why a token is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
@@ -49,7 +49,7 @@
 
 impl Token {
     /// The token of a trainer that holds nothing; `samples` is cut at [`MAX_SAMPLES`].
-    pub fn first(lot: Digest, step: u64, samples: u32) -> Self {
+    pub fn empty(lot: Digest, step: u64, samples: u32) -> Self {
         let samples = samples.min(MAX_SAMPLES);
         Self {
             lot,
@@ -89,7 +89,7 @@
     /// Whether the trainer holds the sample.
     pub fn contains(&self, index: u32) -> bool {
         let byte = self.bits.get(index as usize / 8);
-        index < self.samples && byte.is_some_and(|b| b & mask(index) != 0)
+        index < self.samples && byte.is_some_and(|b| b & bit_mask(index) != 0)
     }
 
     /// Adds a sample; `false` if it was there or does not belong to the lot.
@@ -97,21 +97,21 @@
         if index >= self.samples || self.contains(index) {
             return false;
         }
-        self.bits[index as usize / 8] |= mask(index);
+        self.bits[index as usize / 8] |= bit_mask(index);
         true
     }
 
     /// The token after an answer with these samples; `None` if one is held, repeated or foreign.
-    pub fn after(&self, indexes: impl IntoIterator<Item = u32>) -> Option<Self> {
+    pub fn with_samples(&self, indexes: impl IntoIterator<Item = u32>) -> Option<Self> {
         let mut next = self.clone();
-        let mut any = false;
+        let mut any_inserted = false;
         for index in indexes {
             if !next.insert(index) {
                 return None;
             }
-            any = true;
+            any_inserted = true;
         }
-        next.sequence += u64::from(any);
+        next.sequence += u64::from(any_inserted);
         Some(next)
     }
 
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// [`Error::Behind`] for an earlier step, else [`Error::Foreign`].
-    pub fn check(&self, lot: Digest, step: u64) -> Result<(), Error> {
+    pub fn check_lot(&self, lot: Digest, step: u64) -> Result<(), Error> {
         if self.step < step {
             return Err(Error::EarlierStep);
         }
@@ -134,12 +134,12 @@
     /// # Errors
     /// [`Error::Malformed`].
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let bytes = unhex(text).ok_or(Error::Malformed)?;
+        let bytes = decode_hex(text).ok_or(Error::Malformed)?;
         Self::decode(&bytes).ok_or(Error::Malformed)
     }
 
     fn decode(bytes: &[u8]) -> Option<Self> {
-        let (body, crc) = bytes.split_last_chunk::<CRC>()?;
+        let (body, crc) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
         if crc32fast::hash(body) != u32::from_be_bytes(*crc) {
             return None;
         }
@@ -155,11 +155,11 @@
             samples: u32::from_be_bytes(*samples),
             bits: bits.to_vec(),
         };
-        (*format == FORMAT && token.is_sound()).then_some(token)
+        (*format == FORMAT_VERSION && token.is_valid()).then_some(token)
     }
 
     /// The set has one bit a sample and none beyond.
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let size = self.samples.div_ceil(8) as usize;
         if self.samples > MAX_SAMPLES || self.bits.len() != size {
             return false;
@@ -170,7 +170,7 @@
     }
 
     fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![FORMAT];
+        let mut bytes = vec![FORMAT_VERSION];
         bytes.extend(self.lot.0);
         bytes.extend(self.step.to_be_bytes());
         bytes.extend(self.sequence.to_be_bytes());
@@ -192,21 +192,21 @@
     }
 }
 
-const fn mask(index: u32) -> u8 {
+const fn bit_mask(index: u32) -> u8 {
     1 << (index % 8)
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
-    if text.len() > MAX_TEXT || !text.len().is_multiple_of(2) {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
+    if text.len() > MAX_TEXT_BYTES || !text.len().is_multiple_of(2) {
         return None;
     }
     let pairs = text.as_bytes().chunks_exact(2);
     pairs
-        .map(|pair| Some(digit(pair[0])? << 4 | digit(pair[1])?))
+        .map(|pair| Some(hex_digit(pair[0])? << 4 | hex_digit(pair[1])?))
         .collect()
 }
 
-const fn digit(byte: u8) -> Option<u8> {
+const fn hex_digit(byte: u8) -> Option<u8> {
     match byte {
         b'0'..=b'9' => Some(byte - b'0'),
         b'a'..=b'f' => Some(byte - b'a' + 10),
@@ -239,41 +239,41 @@
     /// Samples left out because they are too old or name no version.
     pub stale: u32,
     /// Samples left out because they are held, repeated, foreign or over `max`.
-    pub repeated: u32,
+    pub skipped: u32,
 }
 
 impl Merge {
     /// Makes the answer of what the runners gave. This is the check at the moment of delivery.
-    pub fn run(self, found: impl IntoIterator<Item = Sample>) -> Delivery {
+    pub fn deliver(self, found: impl IntoIterator<Item = Sample>) -> Delivery {
         let mut samples = Vec::new();
-        let mut taken = BTreeSet::new();
-        let (mut stale, mut repeated) = (0, 0);
+        let mut delivered = BTreeSet::new();
+        let (mut stale, mut skipped) = (0, 0);
         for sample in found {
-            if !self.fits(&sample) {
+            if !self.is_fresh(&sample) {
                 stale += 1;
                 continue;
             }
-            let foreign = sample.index >= self.token.samples;
-            let full = samples.len() >= self.max;
-            let held = foreign || full || self.token.contains(sample.index);
-            if held || !taken.insert(sample.index) {
-                repeated += 1;
+            let is_foreign = sample.index >= self.token.samples;
+            let is_full = samples.len() >= self.max;
+            let is_skipped = is_foreign || is_full || self.token.contains(sample.index);
+            if is_skipped || !delivered.insert(sample.index) {
+                skipped += 1;
                 continue;
             }
             samples.push(sample);
         }
-        let next = self.token.after(taken);
+        let next = self.token.with_samples(delivered);
         let token = next.expect("each index was checked to be outside the token");
         Delivery {
             remaining: token.remaining(),
             samples,
             token,
             stale,
-            repeated,
+            skipped,
         }
     }
 
-    fn fits(&self, sample: &Sample) -> bool {
+    fn is_fresh(&self, sample: &Sample) -> bool {
         provenance::oldest(&sample.spans)
             .is_some_and(|oldest| staleness::fits(oldest, self.version, self.bound))
     }
@@ -320,7 +320,7 @@
         if *basis != self.token {
             return Err(AnswerError::BasisMismatch);
         }
-        if self.token.after(indexes).as_ref() != Some(next) {
+        if self.token.with_samples(indexes).as_ref() != Some(next) {
             return Err(AnswerError::Inconsistent);
         }
         self.token = next.clone();
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -14,7 +14,7 @@
             });
             return;
         };
-        if let Err(error) = request.token.check(lot.spec.digest, lot.spec.step) {
+        if let Err(error) = request.token.check_lot(lot.spec.digest, lot.spec.step) {
             let call = request.call;
             self.actions.push(Action::Rejected { call, error });
             return;
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Span, Version,
-    cursor::{AnswerError, Cursor, Error, MAX_SAMPLES, MAX_TEXT, Merge, Token},
+    cursor::{AnswerError, Cursor, Error, MAX_SAMPLES, MAX_TEXT_BYTES, Merge, Token},
     hash::Digest,
     lot::Sample,
 };
@@ -38,7 +38,7 @@
 
 #[test]
 fn text_form_is_stable() {
-    let mut token = Token::first(lot(), 7, 12);
+    let mut token = Token::empty(lot(), 7, 12);
     token.insert(0);
     token.insert(9);
     insta::assert_snapshot!(token, @"01b7b30d6e4f8c864714bf46cb6df3e5cc000000000000000700000000000000000000000c01021d458c2e");
@@ -46,27 +46,36 @@
 
 #[test]
 fn a_full_token_is_bounded() {
-    let token = Token::first(lot(), 1, u32::MAX);
+    let token = Token::empty(lot(), 1, u32::MAX);
     assert_eq!(token.samples(), MAX_SAMPLES);
-    assert_eq!(token.to_string().len(), MAX_TEXT);
-    let long = "0".repeat(MAX_TEXT + 2);
+    assert_eq!(token.to_string().len(), MAX_TEXT_BYTES);
+    let long = "0".repeat(MAX_TEXT_BYTES + 2);
     assert_eq!(Token::parse(&long), Err(Error::Malformed));
 }
 
 #[test]
 fn tokens_of_other_lots_are_refused() {
-    let token = Token::first(lot(), 7, 12);
-    assert_eq!(token.check(lot(), 7), Ok(()));
-    assert_eq!(token.check(Digest::of(b"next"), 8), Err(Error::EarlierStep));
-    assert_eq!(token.check(Digest::of(b"other"), 7), Err(Error::OtherLot));
-    assert_eq!(token.check(Digest::of(b"last"), 6), Err(Error::OtherLot));
+    let token = Token::empty(lot(), 7, 12);
+    assert_eq!(token.check_lot(lot(), 7), Ok(()));
+    assert_eq!(
+        token.check_lot(Digest::of(b"next"), 8),
+        Err(Error::EarlierStep)
+    );
+    assert_eq!(
+        token.check_lot(Digest::of(b"other"), 7),
+        Err(Error::OtherLot)
+    );
+    assert_eq!(
+        token.check_lot(Digest::of(b"last"), 6),
+        Err(Error::OtherLot)
+    );
 }
 
 #[test]
 fn text_form_round_trips_and_any_damage_shows() {
     let sets = prop::collection::btree_set(0..300_u32, 0..300);
     proptest!(config(5), |(set in sets, samples in 1..300_u32, at: prop::sample::Index)| {
-        let mut token = Token::first(lot(), 3, samples);
+        let mut token = Token::empty(lot(), 3, samples);
         for index in &set {
             prop_assert_eq!(token.insert(*index), *index < samples);
         }
@@ -95,12 +104,12 @@
     let found = prop::collection::vec((0..20_u32, 0..9_u64), 0..60);
     let held = prop::collection::btree_set(0..16_u32, 0..8);
     proptest!(config(7), |(found in found, held in held, bound in 0..4_u64, max in 0..20_usize)| {
-        let mut token = Token::first(lot(), 3, 16);
+        let mut token = Token::empty(lot(), 3, 16);
         held.iter().for_each(|index| assert!(token.insert(*index)));
         let version = Version(8);
         let merge = Merge { token: token.clone(), version, bound, max };
         let samples = found.iter().map(|(index, version)| sample(*index, *version));
-        let answer = merge.run(samples);
+        let answer = merge.deliver(samples);
         let fresh = found.iter().filter(|(_, version)| version + bound >= 8);
         let wanted: BTreeSet<u32> = fresh
             .map(|(index, _)| *index)
@@ -123,23 +132,23 @@
 fn a_sample_without_spans_is_not_delivered() {
     let mut bare = sample(1, 8);
     bare.spans.clear();
-    let token = Token::first(lot(), 3, 16);
+    let token = Token::empty(lot(), 3, 16);
     let merge = Merge {
         token: token.clone(),
         version: Version(8),
         bound: 100,
         max: 9,
     };
-    let answer = merge.run([bare]);
+    let answer = merge.deliver([bare]);
     assert_eq!((answer.samples.len(), answer.stale), (0, 1));
     assert_eq!(answer.token, token);
 }
 
 #[test]
 fn the_ledger_drops_concurrent_and_inconsistent_answers() {
-    let first = Token::first(lot(), 3, 16);
-    let one = first.after([1]).unwrap();
-    let two = first.after([2]).unwrap();
+    let first = Token::empty(lot(), 3, 16);
+    let one = first.with_samples([1]).unwrap();
+    let two = first.with_samples([2]).unwrap();
     let mut cursor = Cursor::new(first.clone());
     let wrong = cursor.accept(&first, &one, [1, 2]);
     assert_eq!(wrong, Err(AnswerError::Inconsistent));
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -162,7 +162,7 @@
 
 impl Simulation {
     fn new(policy: Policy, scored: bool) -> Self {
-        let token = Token::first(digest(), 7, SAMPLES);
+        let token = Token::empty(digest(), 7, SAMPLES);
         let engine = || Engine {
             version: Version(3),
             cache: BTreeMap::new(),
@@ -381,7 +381,7 @@
             bound,
             max: 8,
         };
-        let delivery = merge.run(found);
+        let delivery = merge.deliver(found);
         Answer {
             basis: token,
             next: delivery.token,
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -177,7 +177,7 @@
     assert_eq!(refusal(&actions), Some(Refusal::Full));
     let again = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     assert_eq!(refusal(&again), None, "known groups are no new work");
-    let token = Token::first(digest(7), 7, 4).after([0, 1]).unwrap();
+    let token = Token::empty(digest(7), 7, 4).with_samples([0, 1]).unwrap();
     runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(refusal(&runner.step(NOW, more)), None);
 }
@@ -196,7 +196,7 @@
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8), (1, 8)])));
         runner.step(NOW, Event::Assign(spec(8, &[(0, 8)])));
-        runner.step(NOW, collect(8, Token::first(digest(8), 8, 2), 5, 1));
+        runner.step(NOW, collect(8, Token::empty(digest(8), 8, 2), 5, 1));
         let started = starts(&runner.step(NOW, offer("a", 8)));
         let started = started.iter().map(|s| (s.lot.to_string(), s.class));
         started.collect::<Vec<_>>()
@@ -224,7 +224,7 @@
         // The other sample is queued; its trainer is at version 5 with bound 1.
         runner.step(NOW, offer("a", 0));
         runner.step(NOW, reused);
-        runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 5, 1));
+        runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 5, 1));
         starts(&runner.step(NOW, offer("a", 1))).len()
     };
     assert_eq!(started(Policy::default()), 0);
@@ -330,7 +330,7 @@
     runner.step(NOW, Event::Published { model, version });
     // A publication does not tell the version of the trainer; its own collect does.
     assert_eq!(runner.stats().aborted, 0);
-    runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 7, 1));
+    runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 7, 1));
     assert_eq!(runner.stats().aborted, 1);
     let newer = Offer {
         endpoint: "c".into(),
@@ -393,13 +393,13 @@
 #[test]
 fn collects_tell_what_is_missing_and_refuse_foreign_tokens() {
     let mut runner = runner(Policy::default());
-    let token = Token::first(digest(7), 7, 4);
+    let token = Token::empty(digest(7), 7, 4);
     let none = runner.step(NOW, collect(7, token.clone(), 5, 1));
     assert_eq!(answer(&none), (vec![], vec![0, 1]));
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let some = runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(answer(&some).1, [1]);
-    let foreign = Token::first(digest(8), 7, 4);
+    let foreign = Token::empty(digest(8), 7, 4);
     let actions = runner.step(NOW, collect(7, foreign, 5, 1));
     let (call, error) = (9, cursor::Error::OtherLot);
     assert_eq!(actions, [Action::Rejected { call, error }]);
@@ -414,7 +414,7 @@
         NOW,
         chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
     );
-    let token = Token::first(digest(7), 7, 2);
+    let token = Token::empty(digest(7), 7, 2);
     let fits = runner.step(NOW, collect(7, token.clone(), 6, 1));
     assert_eq!(answer(&fits).0.len(), 1);
     let old = runner.step(NOW, collect(7, token, 6, 0));
@@ -438,7 +438,7 @@
     };
     let mut next = runner(Policy::default());
     next.step(NOW, Event::Handover { spec, samples });
-    let token = Token::first(digest(7), 7, 2);
+    let token = Token::empty(digest(7), 7, 2);
     let (samples, _) = answer(&next.step(NOW, collect(7, token, 5, 1)));
     let spans = vec![Span {
         version: Version(5),
@@ -462,7 +462,7 @@
     });
     let ticket = ticket.expect("a scoring");
     let version = Version(9);
-    runner.step(NOW, collect(7, Token::first(digest(7), 7, 2), 9, 1));
+    runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 9, 1));
     let newer = Offer {
         endpoint: "b".into(),
         model: "m".into(),
@@ -478,7 +478,7 @@
     }
     let score = 1.0;
     assert_eq!(runner.step(NOW, Event::Scored { ticket, score }), []);
-    let token = Token::first(digest(7), 7, 2);
+    let token = Token::empty(digest(7), 7, 2);
     assert_eq!(answer(&runner.step(NOW, collect(7, token, 9, 1))).0, []);
 }
 
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -191,7 +191,7 @@
 /// Collects 64 samples at a time.
 fn collect(runner: &mut Runner, lot: usize, samples: u32) {
     let id = format_compact!("lot-{lot}");
-    let mut token = Token::first(Digest::of(&lot.to_be_bytes()), 1, samples);
+    let mut token = Token::empty(Digest::of(&lot.to_be_bytes()), 1, samples);
     for call in 0..u64::from(samples) {
         let ask = CollectRequest {
             call,
@@ -208,7 +208,7 @@
             _ => None,
         });
         let indexes = found.into_iter().flatten().map(|sample| sample.index);
-        match token.after(indexes) {
+        match token.with_samples(indexes) {
             Some(next) if next.remaining() > 0 => token = next,
             _ => return,
         }
@@ -248,7 +248,7 @@
 fn cursor() -> Vec<Slope> {
     let (mut sizes, mut parses, mut merges) = (Vec::new(), Vec::new(), Vec::new());
     for samples in [512, 2_048, 8_192] {
-        let token = Token::first(Digest::of(b"lot"), 1, samples);
+        let token = Token::empty(Digest::of(b"lot"), 1, samples);
         let text = token.to_string();
         let x = f64::from(samples);
         sizes.push((x, text.len() as f64));
@@ -262,7 +262,7 @@
                 bound: 1,
                 max: samples as usize,
             };
-            merge.run(found.clone())
+            merge.deliver(found.clone())
         };
         merges.push((x, micros(merge)));
     }
--- a/crates/pinereel_fakes/src/experiment/collect.rs
+++ b/crates/pinereel_fakes/src/experiment/collect.rs
@@ -329,7 +329,7 @@
             bound: self.trainers[asked.trainer].options.bound,
             max: MAX,
         };
-        let delivery = merge.run(found);
+        let delivery = merge.deliver(found);
         self.tally.stale += u64::from(delivery.stale);
         let over = self.now >= until;
         if delivery.samples.is_empty() && delivery.remaining > 0 && !over {
--- a/crates/pinereel_fakes/src/experiment/trainer.rs
+++ b/crates/pinereel_fakes/src/experiment/trainer.rs
@@ -125,7 +125,7 @@
             id,
             digest,
             groups: (0..*groups).map(group).collect(),
-            ledger: Cursor::new(Token::first(digest, step, groups * samples)),
+            ledger: Cursor::new(Token::empty(digest, step, groups * samples)),
             version,
             submitted: now,
             missing: vec![*samples; *groups as usize],
