--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -275,7 +275,7 @@
 
     fn is_fresh(&self, sample: &Sample) -> bool {
         provenance::oldest(&sample.spans)
-            .is_some_and(|oldest| staleness::fits(oldest, self.version, self.bound))
+            .is_some_and(|oldest| staleness::is_fresh(oldest, self.version, self.bound))
     }
 }
 
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -71,7 +71,7 @@
                 continue;
             };
             let oldest = provenance::oldest(&ready.sample.spans);
-            if oldest.is_none_or(|o| !staleness::fits(o, request.version, request.bound)) {
+            if oldest.is_none_or(|o| !staleness::is_fresh(o, request.version, request.bound)) {
                 self.expire_finished(*key);
                 continue;
             }
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -4,7 +4,7 @@
     Action, Event, Failure, Finish, Limits, Lot, Offer, Policy, Sample,
     state::{Attempt, AttemptKey, Endpoint, Finished, Progress, SampleKey, SampleState},
 };
-use crate::{Time, Version, fair::Share, provenance, staleness, staleness::Pace};
+use crate::{Time, Version, fair::Share, provenance, staleness, staleness::PublicationRate};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{
@@ -46,7 +46,7 @@
     pub(super) samples: SlotMap<SampleKey, SampleState>,
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     pub(super) endpoints: BTreeMap<CompactString, Endpoint>,
-    pub(super) publication_rates: BTreeMap<CompactString, Pace>,
+    pub(super) publication_rates: BTreeMap<CompactString, PublicationRate>,
     pub(super) fair_share: Share,
     /// Samples that wait for the retry budget, oldest first.
     pub(super) retry_queue: VecDeque<SampleKey>,
@@ -313,7 +313,7 @@
         self.sample_token_us = (self.sample_token_us * 7 + token_us) / 8;
         let sample_state = &self.samples[attempt.sample];
         let spec = &self.lots[&sample_state.lot].spec;
-        if self.policy.early_abort && !staleness::fits(oldest, spec.version, spec.bound) {
+        if self.policy.early_abort && !staleness::is_fresh(oldest, spec.version, spec.bound) {
             self.stats.stale_samples += 1;
             self.retry(attempt.sample, None);
             return;
@@ -352,11 +352,11 @@
     /// Updates the prediction of publications only. The version of a trainer is what it states in each
     /// collect; other trainers of the model may be behind.
     pub(super) fn version_published(&mut self, now: Time, model: &str, version: Version) {
-        let pace = self.publication_rates.get_mut(model);
-        let newer = pace.map(|pace| pace.publish(version, now));
+        let rate = self.publication_rates.get_mut(model);
+        let newer = rate.map(|rate| rate.record_publication(version, now));
         if newer.is_none() {
             self.publication_rates
-                .insert(model.into(), Pace::new(version, now));
+                .insert(model.into(), PublicationRate::new(version, now));
         }
     }
 
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -163,18 +163,18 @@
         } else {
             lot.spec.bound.min(self.policy.unrequested_bound)
         };
-        if !staleness::fits(offer.version, lot.spec.version, bound) {
+        if !staleness::is_fresh(offer.version, lot.spec.version, bound) {
             return false;
         }
         let group_state = &lot.groups[&sample_state.group];
         let cached = group_state.cached_version(endpoint, now);
-        if cached.is_some_and(|v| !staleness::fits(v, lot.spec.version, lot.spec.bound)) {
+        if cached.is_some_and(|v| !staleness::is_fresh(v, lot.spec.version, lot.spec.bound)) {
             return false;
         }
         let tokens = u64::from(group_state.predicted_tokens());
         let done = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
-        let pace = self.publication_rates.get(&lot.spec.model);
-        if pace.is_none_or(|pace| pace.lasts(offer.version, done, bound)) {
+        let rate = self.publication_rates.get(&lot.spec.model);
+        if rate.is_none_or(|rate| rate.stays_fresh(offer.version, done, bound)) {
             return true;
         }
         // If no endpoint serves a newer version, waiting would not help.
@@ -276,7 +276,7 @@
             .map(|key| &self.attempts[*key].progress);
         let from = lost.or_else(|| running.cloned())?;
         let spec = &self.lots[&sample_state.lot].spec;
-        let fits = staleness::fits(from.record.oldest()?, spec.version, spec.bound);
+        let fits = staleness::is_fresh(from.record.oldest()?, spec.version, spec.bound);
         let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
         let resumable = self.policy.resume && fits && onward;
         resumable.then(|| Progress {
@@ -298,7 +298,7 @@
         let sample = attempt.sample;
         let oldest = attempt.progress.record.oldest();
         let spec = &self.lots[&self.samples[sample].lot].spec;
-        let fits = oldest.is_none_or(|o| staleness::fits(o, spec.version, spec.bound));
+        let fits = oldest.is_none_or(|o| staleness::is_fresh(o, spec.version, spec.bound));
         if fits || !self.policy.early_abort {
             return;
         }
@@ -330,7 +330,7 @@
         let spec = &self.lots[&sample_state.lot].spec;
         let finished = sample_state.finished.as_ref();
         let oldest = finished.and_then(|f| crate::provenance::oldest(&f.sample.spans));
-        oldest.is_some_and(|o| !staleness::fits(o, spec.version, spec.bound))
+        oldest.is_some_and(|o| !staleness::is_fresh(o, spec.version, spec.bound))
     }
 
     /// Discards a finished sample that is too old, and queues it again.
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -590,7 +590,7 @@
         "spans do not match the text"
     );
     let oldest = oldest.expect("a version");
-    assert!(staleness::fits(oldest, version, bound), "too old");
+    assert!(staleness::is_fresh(oldest, version, bound), "too old");
 }
 
 fn add(spans: &mut Vec<Span>, version: Version, tokens: u32) {
--- a/crates/pinereel_core/tests/staleness_pace.rs
+++ b/crates/pinereel_core/tests/staleness_pace.rs
@@ -2,34 +2,34 @@
 
 use pinereel_core::{
     Time, Version,
-    staleness::{Pace, fits, floor},
+    staleness::{PublicationRate, is_fresh, oldest_allowed},
 };
 
 #[test]
 fn the_bound_counts_versions_behind() {
-    assert!(fits(Version(5), Version(7), 2));
-    assert!(!fits(Version(4), Version(7), 2));
-    assert!(fits(Version(9), Version(7), 0));
-    assert_eq!(floor(Version(7), 2), Version(5));
-    assert_eq!(floor(Version(1), 2), Version(0));
+    assert!(is_fresh(Version(5), Version(7), 2));
+    assert!(!is_fresh(Version(4), Version(7), 2));
+    assert!(is_fresh(Version(9), Version(7), 0));
+    assert_eq!(oldest_allowed(Version(7), 2), Version(5));
+    assert_eq!(oldest_allowed(Version(1), 2), Version(0));
 }
 
 #[test]
 fn expected_versions_follow_the_pace() {
-    let mut pace = Pace::new(Version(1), Time::ZERO);
-    assert_eq!(pace.expected(Time::from_millis(9_000)), Version(1));
-    assert!(pace.publish(Version(2), Time::from_millis(1_000)));
-    assert!(!pace.publish(Version(2), Time::from_millis(1_500)));
-    assert!(!pace.publish(Version(1), Time::from_millis(1_500)));
-    assert_eq!(pace.expected(Time::from_millis(1_999)), Version(2));
-    assert_eq!(pace.expected(Time::from_millis(3_000)), Version(4));
-    assert!(pace.lasts(Version(2), Time::from_millis(2_500), 1));
-    assert!(!pace.lasts(Version(2), Time::from_millis(3_000), 1));
+    let mut rate = PublicationRate::new(Version(1), Time::ZERO);
+    assert_eq!(rate.expected_version(Time::from_millis(9_000)), Version(1));
+    assert!(rate.record_publication(Version(2), Time::from_millis(1_000)));
+    assert!(!rate.record_publication(Version(2), Time::from_millis(1_500)));
+    assert!(!rate.record_publication(Version(1), Time::from_millis(1_500)));
+    assert_eq!(rate.expected_version(Time::from_millis(1_999)), Version(2));
+    assert_eq!(rate.expected_version(Time::from_millis(3_000)), Version(4));
+    assert!(rate.stays_fresh(Version(2), Time::from_millis(2_500), 1));
+    assert!(!rate.stays_fresh(Version(2), Time::from_millis(3_000), 1));
 }
 
 #[test]
 fn skipped_versions_count_as_steps() {
-    let mut pace = Pace::new(Version(1), Time::ZERO);
-    pace.publish(Version(5), Time::from_millis(4_000));
-    assert_eq!(pace.expected(Time::from_millis(6_000)), Version(7));
+    let mut rate = PublicationRate::new(Version(1), Time::ZERO);
+    rate.record_publication(Version(5), Time::from_millis(4_000));
+    assert_eq!(rate.expected_version(Time::from_millis(6_000)), Version(7));
 }
