--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -217,8 +217,8 @@
     counter("stale").inc_by(u64::from(delivery.stale));
     let staleness = shared.metrics.staleness.with_label_values(&[trainer]);
     for sample in &delivery.samples {
-        if let Some(oldest) = provenance::oldest(&sample.spans) {
-            staleness.observe(oldest.behind(at) as f64);
+        if let Some(oldest) = provenance::oldest_version(&sample.spans) {
+            staleness.observe(oldest.versions_behind(at) as f64);
         }
     }
 }
--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -253,9 +253,9 @@
                 stale += 1;
                 continue;
             }
-            let is_foreign = sample.index >= self.token.samples;
+            let is_out_of_range = sample.index >= self.token.samples;
             let is_full = samples.len() >= self.max;
-            let is_skipped = is_foreign || is_full || self.token.contains(sample.index);
+            let is_skipped = is_out_of_range || is_full || self.token.contains(sample.index);
             if is_skipped || !delivered.insert(sample.index) {
                 skipped += 1;
                 continue;
@@ -274,7 +274,7 @@
     }
 
     fn is_fresh(&self, sample: &Sample) -> bool {
-        provenance::oldest(&sample.spans)
+        provenance::oldest_version(&sample.spans)
             .is_some_and(|oldest| staleness::is_fresh(oldest, self.version, self.bound))
     }
 }
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -70,7 +70,7 @@
             let Some(ready) = finished.filter(|f| f.score_ticket.is_none()) else {
                 continue;
             };
-            let oldest = provenance::oldest(&ready.sample.spans);
+            let oldest = provenance::oldest_version(&ready.sample.spans);
             if oldest.is_none_or(|o| !staleness::is_fresh(o, request.version, request.bound)) {
                 self.expire_finished(*key);
                 continue;
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -301,7 +301,7 @@
             return;
         };
         let Progress { text, record } = attempt.progress;
-        let Some(oldest) = record.oldest() else {
+        let Some(oldest) = record.oldest_version() else {
             // Without any stamp the weight versions are unknown.
             self.stats.invalid_stamps += 1;
             self.retry(attempt.sample, None);
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -276,8 +276,8 @@
             .map(|key| &self.attempts[*key].progress);
         let from = lost.or_else(|| running.cloned())?;
         let spec = &self.lots[&sample_state.lot].spec;
-        let fits = staleness::is_fresh(from.record.oldest()?, spec.version, spec.bound);
-        let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
+        let fits = staleness::is_fresh(from.record.oldest_version()?, spec.version, spec.bound);
+        let onward = from.record.last_version()? <= self.endpoints[endpoint].offer.version;
         let resumable = self.policy.resume && fits && onward;
         resumable.then(|| Progress {
             record: from.record.resume(),
@@ -296,7 +296,7 @@
             return;
         };
         let sample = attempt.sample;
-        let oldest = attempt.progress.record.oldest();
+        let oldest = attempt.progress.record.oldest_version();
         let spec = &self.lots[&self.samples[sample].lot].spec;
         let fits = oldest.is_none_or(|o| staleness::is_fresh(o, spec.version, spec.bound));
         if fits || !self.policy.early_abort {
@@ -329,7 +329,7 @@
     fn is_stale(&self, sample_state: &SampleState) -> bool {
         let spec = &self.lots[&sample_state.lot].spec;
         let finished = sample_state.finished.as_ref();
-        let oldest = finished.and_then(|f| crate::provenance::oldest(&f.sample.spans));
+        let oldest = finished.and_then(|f| crate::provenance::oldest_version(&f.sample.spans));
         oldest.is_some_and(|o| !staleness::is_fresh(o, spec.version, spec.bound))
     }
 
--- a/crates/pinereel_core/src/provenance.rs
+++ b/crates/pinereel_core/src/provenance.rs
@@ -66,14 +66,14 @@
     reused: Vec<Span>,
     output: Vec<Span>,
     tokens: u32,
-    started: bool,
+    has_chunks: bool,
 }
 
 impl Record {
     /// The record of an attempt that goes on where this one ended: it keeps all spans.
     pub fn resume(&self) -> Self {
         Self {
-            started: false,
+            has_chunks: false,
             ..self.clone()
         }
     }
@@ -92,12 +92,12 @@
         self.check_reused(stamp, version)?;
         let tokens = self.tokens.checked_add(stamp.tokens);
         self.tokens = tokens.ok_or(Error::Contradictory)?;
-        self.started = true;
+        self.has_chunks = true;
         for span in &stamp.reused {
-            extend(&mut self.reused, *span);
+            push_span(&mut self.reused, *span);
         }
         let tokens = stamp.tokens;
-        extend(&mut self.output, Span { version, tokens });
+        push_span(&mut self.output, Span { version, tokens });
         Ok(())
     }
 
@@ -114,7 +114,7 @@
     }
 
     fn check_version(&self, to: Version) -> Result<(), Error> {
-        match self.last() {
+        match self.last_version() {
             Some(from) if to < from => Err(Error::Regressing { from, to }),
             _ => Ok(()),
         }
@@ -122,9 +122,9 @@
 
     /// Reuse is told once, and nothing can be reused from weights newer than those that run.
     fn check_reused(&self, stamp: &Stamp, version: Version) -> Result<(), Error> {
-        let late = self.started && !stamp.reused.is_empty();
-        let newer = stamp.reused.iter().any(|span| span.version > version);
-        if late || newer {
+        let is_late = self.has_chunks && !stamp.reused.is_empty();
+        let is_newer = stamp.reused.iter().any(|span| span.version > version);
+        if is_late || is_newer {
             return Err(Error::Contradictory);
         }
         Ok(())
@@ -136,12 +136,12 @@
     }
 
     /// Version of the last chunk.
-    pub fn last(&self) -> Option<Version> {
+    pub fn last_version(&self) -> Option<Version> {
         self.output.last().map(|span| span.version)
     }
 
     /// The oldest version of all spans; `None` before the first stamp.
-    pub fn oldest(&self) -> Option<Version> {
+    pub fn oldest_version(&self) -> Option<Version> {
         let all = self.reused.iter().chain(&self.output);
         all.map(|span| span.version).min()
     }
@@ -153,11 +153,11 @@
 }
 
 /// The oldest version of `spans`; `None` if there are none.
-pub fn oldest(spans: &[Span]) -> Option<Version> {
+pub fn oldest_version(spans: &[Span]) -> Option<Version> {
     spans.iter().map(|span| span.version).min()
 }
 
-fn extend(spans: &mut Vec<Span>, next: Span) {
+fn push_span(spans: &mut Vec<Span>, next: Span) {
     match spans.last_mut() {
         Some(last) if last.version == next.version => {
             last.tokens = last.tokens.saturating_add(next.tokens);
--- a/crates/pinereel_core/src/staleness.rs
+++ b/crates/pinereel_core/src/staleness.rs
@@ -5,7 +5,7 @@
 
 /// Whether weights `oldest` are fresh enough for a trainer at version `at` with `bound` versions.
 pub const fn is_fresh(oldest: Version, trainer_version: Version, bound: u64) -> bool {
-    oldest.behind(trainer_version) <= bound
+    oldest.versions_behind(trainer_version) <= bound
 }
 
 /// The oldest version that a trainer at version `at` still takes.
--- a/crates/pinereel_core/src/version.rs
+++ b/crates/pinereel_core/src/version.rs
@@ -12,7 +12,7 @@
 
 impl Version {
     /// How many versions `self` lies behind `newest`; zero if it is not behind.
-    pub const fn behind(self, newest: Self) -> u64 {
+    pub const fn versions_behind(self, newest: Self) -> u64 {
         newest.0.saturating_sub(self.0)
     }
 }
--- a/crates/pinereel_core/tests/provenance_record.rs
+++ b/crates/pinereel_core/tests/provenance_record.rs
@@ -14,13 +14,13 @@
     }
 }
 
-fn reused(mut stamp: Stamp, version: u64, tokens: u32) -> Stamp {
+fn with_reused(mut stamp: Stamp, version: u64, tokens: u32) -> Stamp {
     let version = Version(version);
     stamp.reused.push(Span { version, tokens });
     stamp
 }
 
-fn show(record: &Record) -> String {
+fn format_spans(record: &Record) -> String {
     let spans = record.spans();
     let spans = spans.iter().map(|s| format!("{}x{}", s.version, s.tokens));
     spans.collect::<Vec<_>>().join(" ")
@@ -29,22 +29,22 @@
 #[test]
 fn reused_prefix_counts_and_equal_neighbours_merge() {
     let mut record = Record::default();
-    let first = reused(reused(stamp(0, 2, 9), 7, 16), 7, 16);
+    let first = with_reused(with_reused(stamp(0, 2, 9), 7, 16), 7, 16);
     record.push(&first).unwrap();
     record.push(&stamp(2, 3, 9)).unwrap();
     record.push(&stamp(5, 1, 10)).unwrap();
-    insta::assert_snapshot!(show(&record), @"v7x32 v9x5 v10x1");
-    assert_eq!(record.oldest(), Some(Version(7)));
+    insta::assert_snapshot!(format_spans(&record), @"v7x32 v9x5 v10x1");
+    assert_eq!(record.oldest_version(), Some(Version(7)));
 }
 
 #[test]
 fn a_resumed_record_carries_all_spans() {
     let mut record = Record::default();
-    record.push(&reused(stamp(0, 2, 8), 7, 4)).unwrap();
+    record.push(&with_reused(stamp(0, 2, 8), 7, 4)).unwrap();
     let mut resumed = record.resume();
-    resumed.push(&reused(stamp(2, 2, 9), 8, 6)).unwrap();
-    insta::assert_snapshot!(show(&resumed), @"v7x4 v8x6 v8x2 v9x2");
-    assert_eq!(resumed.oldest(), Some(Version(7)));
+    resumed.push(&with_reused(stamp(2, 2, 9), 8, 6)).unwrap();
+    insta::assert_snapshot!(format_spans(&resumed), @"v7x4 v8x6 v8x2 v9x2");
+    assert_eq!(resumed.oldest_version(), Some(Version(7)));
 }
 
 #[test]
@@ -59,7 +59,7 @@
         stamp(0, 4, 9),
         missing,
         stamp(4, 1, 8),
-        reused(stamp(4, 1, 9), 9, 4),
+        with_reused(stamp(4, 1, 9), 9, 4),
     ];
     let errors = cases.map(|case| format!("{:?}", record.push(&case).unwrap_err()));
     insta::assert_snapshot!(errors.join("\n"), @r"
@@ -75,7 +75,7 @@
 #[test]
 fn nothing_is_reused_from_newer_weights_than_those_that_run() {
     let mut record = Record::default();
-    let error = record.push(&reused(stamp(0, 1, 8), 9, 4));
+    let error = record.push(&with_reused(stamp(0, 1, 8), 9, 4));
     assert_eq!(error, Err(Error::Contradictory));
 }
 
--- a/crates/pinereel_fakes/src/experiment/collect.rs
+++ b/crates/pinereel_fakes/src/experiment/collect.rs
@@ -47,7 +47,7 @@
         }
         let held = &self.trainers[trainer].held;
         let Some(held) = held.get(&step) else { return };
-        let (id, token) = (held.id.clone(), held.ledger.token().clone());
+        let (id, token) = (held.id.clone(), held.cursor.token().clone());
         let known = self.entries[front].fronts.insert(id, (trainer, step));
         if known.is_none() {
             let placed = self.placement(trainer, step, &token, &BTreeSet::new());
--- a/crates/pinereel_fakes/src/experiment/trainer.rs
+++ b/crates/pinereel_fakes/src/experiment/trainer.rs
@@ -35,7 +35,7 @@
     pub(super) id: CompactString,
     pub(super) digest: Digest,
     pub(super) groups: Vec<Group>,
-    pub(super) ledger: Cursor,
+    pub(super) cursor: Cursor,
     pub(super) version: Version,
     pub(super) submitted: Time,
     /// Samples of each group that are missing.
@@ -125,7 +125,7 @@
             id,
             digest,
             groups: (0..*groups).map(group).collect(),
-            ledger: Cursor::new(Token::empty(digest, step, groups * samples)),
+            cursor: Cursor::new(Token::empty(digest, step, groups * samples)),
             version,
             submitted: now,
             missing: vec![*samples; *groups as usize],
@@ -192,7 +192,7 @@
             step: trainer.step,
             lot: held.id.clone(),
             front: trainer.front,
-            token: held.ledger.token().clone(),
+            token: held.cursor.token().clone(),
             version: trainer.version,
         };
         let after = after + self.scenario.client;
@@ -209,7 +209,7 @@
         self.take(&asked, &token, samples);
         let trainer = &self.trainers[index];
         let held = trainer.held.get(&trainer.step);
-        if held.is_some_and(|held| held.ledger.token().remaining() == 0) {
+        if held.is_some_and(|held| held.cursor.token().remaining() == 0) {
             self.train(index);
         } else {
             self.send_collect(index, Duration::ZERO);
@@ -236,13 +236,13 @@
             return;
         };
         let indexes = samples.iter().map(|sample| sample.index);
-        if held.ledger.accept(&asked.token, token, indexes).is_err() {
+        if held.cursor.accept(&asked.token, token, indexes).is_err() {
             self.tally.repeats += 1;
             return;
         }
         for sample in samples {
-            let oldest = provenance::oldest(&sample.spans).unwrap_or_default();
-            let behind = oldest.behind(asked.version);
+            let oldest = provenance::oldest_version(&sample.spans).unwrap_or_default();
+            let behind = oldest.versions_behind(asked.version);
             self.tally.delivered(&held.id, &sample, behind);
             if behind > trainer.options.bound {
                 self.tally.beyond += 1;
--- a/crates/pinereel_fakes/src/trainer/report.rs
+++ b/crates/pinereel_fakes/src/trainer/report.rs
@@ -77,7 +77,7 @@
             return;
         };
         self.void += u64::from(newest > version);
-        let behind = oldest.behind(version);
+        let behind = oldest.versions_behind(version);
         self.behind.push(behind);
         self.stale += u64::from(behind > bound);
         let words = sample.text.split_whitespace().count() as u32;
