--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -1,43 +1,43 @@
-//! The cursor of a trainer's collects: exactly once, by what the trainer itself holds.
+//! Exactly-once delivery of samples by a cursor that the trainer holds.
 //!
-//! A collect carries a [`Token`], the set of samples that the trainer has. [`Merge`] makes an
-//! answer of samples outside the set, and the next token. The trainer's [`Ledger`] takes an answer
-//! only on top of the token it holds. So neither a lease, a clock nor a runner's memory decides
-//! whether a sample is delivered twice.
+//! Each collect carries a [`Token`], the set of samples that the trainer has received. [`Merge`]
+//! builds an answer from samples outside this set, and the next token. The trainer's [`Cursor`]
+//! accepts an answer only if it is based on its current token. Therefore exactly-once delivery
+//! depends on no lease, clock or state of a runner.
 
 use crate::{Version, hash::Digest, lot::Sample, provenance, staleness};
 use std::{collections::BTreeSet, fmt};
 
-/// Most samples in one lot; bounds a token's size (8 KiB of bits).
+/// Most samples in one lot; bounds the size of a token to 8 KiB of bits.
 pub const MAX_SAMPLES: u32 = 1 << 16;
 
-/// First byte of a token's binary form.
+/// Version of the binary format of a token, its first byte.
 const FORMAT_VERSION: u8 = 1;
 
-/// Format, digest, step, sequence and number of samples.
+/// Bytes before the bit set: format, digest, step, sequence and number of samples.
 const HEADER_BYTES: usize = 1 + 16 + 8 + 8 + 4;
 
-/// Checksum at the end.
+/// Bytes of the CRC-32 checksum at the end.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Longest text of a token, in bytes.
+/// Most bytes of the text form of a token.
 pub const MAX_TEXT_BYTES: usize = 2 * (HEADER_BYTES + MAX_SAMPLES as usize / 8 + CHECKSUM_BYTES);
 
 /// Why a token is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Error {
-    /// Not a token: too long, damaged, or inconsistent in itself.
+    /// It is too long, damaged, or inconsistent.
     #[error("malformed cursor token")]
     Malformed,
-    /// A token of another lot.
+    /// It belongs to another lot.
     #[error("cursor token of another lot")]
     OtherLot,
-    /// A token of an earlier step.
+    /// It belongs to an earlier step.
     #[error("cursor token of an earlier step")]
     EarlierStep,
 }
 
-/// What a trainer holds of one lot.
+/// The set of samples of one lot that a trainer has received.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token {
     lot: Digest,
@@ -48,7 +48,7 @@
 }
 
 impl Token {
-    /// The token of a trainer that holds nothing; `samples` is cut at [`MAX_SAMPLES`].
+    /// The token before the first collect; `samples` is clamped to [`MAX_SAMPLES`].
     pub fn empty(lot: Digest, step: u64, samples: u32) -> Self {
         let samples = samples.min(MAX_SAMPLES);
         Self {
@@ -70,29 +70,29 @@
         self.step
     }
 
-    /// How many answers with samples led to this token.
+    /// Number of non-empty answers that led to this token.
     pub const fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Samples in the lot.
+    /// Number of samples in the lot.
     pub const fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Samples that the trainer lacks.
+    /// Number of samples that the trainer lacks.
     pub fn remaining(&self) -> u32 {
         let held: u32 = self.bits.iter().map(|byte| byte.count_ones()).sum();
         self.samples - held
     }
 
-    /// Whether the trainer holds the sample.
+    /// Whether the trainer holds the sample with this index.
     pub fn contains(&self, index: u32) -> bool {
         let byte = self.bits.get(index as usize / 8);
         index < self.samples && byte.is_some_and(|b| b & bit_mask(index) != 0)
     }
 
-    /// Adds a sample; `false` if it was there or does not belong to the lot.
+    /// Adds a sample. Returns `false` if it was present or its index is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
         if index >= self.samples || self.contains(index) {
             return false;
@@ -101,7 +101,8 @@
         true
     }
 
-    /// The token after an answer with these samples; `None` if one is held, repeated or foreign.
+    /// The token after an answer with these samples; `None` if an index is held already, repeated or
+    /// out of range.
     pub fn with_samples(&self, indexes: impl IntoIterator<Item = u32>) -> Option<Self> {
         let mut next = self.clone();
         let mut any_inserted = false;
@@ -115,10 +116,10 @@
         Some(next)
     }
 
-    /// Whether the token belongs to the lot with this digest and step.
+    /// Checks that the token belongs to the lot with this digest and step.
     ///
     /// # Errors
-    /// [`Error::Behind`] for an earlier step, else [`Error::Foreign`].
+    /// [`Error::EarlierStep`] for an earlier step, otherwise [`Error::OtherLot`].
     pub fn check_lot(&self, lot: Digest, step: u64) -> Result<(), Error> {
         if self.step < step {
             return Err(Error::EarlierStep);
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Reads the text form.
+    /// Parses the text form.
     ///
     /// # Errors
     /// [`Error::Malformed`].
@@ -158,7 +159,7 @@
         (*format == FORMAT_VERSION && token.is_valid()).then_some(token)
     }
 
-    /// The set has one bit a sample and none beyond.
+    /// Whether the bit set has exactly one bit per sample, and all padding bits are zero.
     fn is_valid(&self) -> bool {
         let size = self.samples.div_ceil(8) as usize;
         if self.samples > MAX_SAMPLES || self.bits.len() != size {
@@ -182,7 +183,7 @@
     }
 }
 
-/// The text form: base16 of the binary form.
+/// The text form is the lower-case hexadecimal encoding of the binary form.
 impl fmt::Display for Token {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for byte in self.encode() {
@@ -214,14 +215,14 @@
     }
 }
 
-/// One collect, as the entry that answers it sees it.
+/// Parameters by which the answers of several runners are merged into one answer to a collect.
 #[derive(Clone, Debug)]
 pub struct Merge {
-    /// The collect's token.
+    /// The token of the collect.
     pub token: Token,
     /// The version that the trainer states in the collect.
     pub version: Version,
-    /// The staleness bound of the pinned configuration.
+    /// The staleness bound of the pinned configuration, in versions.
     pub bound: u64,
     /// Most samples in the answer.
     pub max: usize,
@@ -230,20 +231,21 @@
 /// The answer to a collect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    /// Samples outside the collect's token, one per index, all within the bound.
+    /// Samples that the token of the collect lacks, one per index, all within the staleness bound.
     pub samples: Vec<Sample>,
     /// The next token.
     pub token: Token,
-    /// Samples that the trainer lacks after this answer.
+    /// Number of samples that the trainer lacks after this answer.
     pub remaining: u32,
-    /// Samples left out because they are too old or name no version.
+    /// Number of samples left out because they are too old or have no version.
     pub stale: u32,
-    /// Samples left out because they are held, repeated, foreign or over `max`.
+    /// Number of samples left out because they are held, repeated, out of range or beyond `max`.
     pub skipped: u32,
 }
 
 impl Merge {
-    /// Makes the answer of what the runners gave. This is the check at the moment of delivery.
+    /// Builds the answer from the samples found by the runners. Staleness and repeats are checked here,
+    /// at the moment of delivery.
     pub fn deliver(self, found: impl IntoIterator<Item = Sample>) -> Delivery {
         let mut samples = Vec::new();
         let mut delivered = BTreeSet::new();
@@ -279,25 +281,26 @@
     }
 }
 
-/// Why a trainer's client drops an answer. Nothing is lost: it collects again.
+/// Why a trainer's client drops an answer. Nothing is lost, because the client collects again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum AnswerError {
-    /// The answer is to another token than the one held: repeated, late, or of a concurrent call.
-    #[error("the answer's basis is not the token held")]
+    /// The answer is based on another token than the current one: it is repeated, late, or belongs to
+    /// a concurrent call.
+    #[error("answer is based on another token than the current one")]
     BasisMismatch,
-    /// The next token is not the basis with the samples of the answer.
-    #[error("the answer's samples and tokens disagree")]
+    /// The next token does not equal the current one plus the samples of the answer.
+    #[error("next token of the answer does not match its samples")]
     Inconsistent,
 }
 
-/// The trainer client's side: the token it holds.
+/// The current token on the side of the trainer's client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cursor {
     token: Token,
 }
 
 impl Cursor {
-    /// Starts with the token of the submit.
+    /// Starts with the token returned for the submitted lot.
     pub const fn new(token: Token) -> Self {
         Self { token }
     }
@@ -307,10 +310,11 @@
         &self.token
     }
 
-    /// Takes an answer, or drops it whole. Only after `Ok` may the samples be used.
+    /// Accepts an answer with samples `indexes`, and advances to its `next` token. The samples may be
+    /// used only after `Ok`.
     ///
     /// # Errors
-    /// See [`Refusal`]; the ledger is unchanged.
+    /// See [`AnswerError`]; the cursor is unchanged and the whole answer must be dropped.
     pub fn accept(
         &mut self,
         basis: &Token,
--- a/crates/pinereel_core/src/provenance.rs
+++ b/crates/pinereel_core/src/provenance.rs
@@ -1,14 +1,14 @@
-//! Provenance: which weights made a sample, by the engine's own stamps and nothing else.
+//! Provenance of samples: the weight versions that computed them, as stamped by the engine.
 //!
-//! There is no way to put a version into a [`Record`] other than a stamp, so an order to an
-//! engine can never become a claim about a sample.
+//! A version enters a [`Record`] only through a [`Stamp`], so that a version that was merely
+//! requested from an engine is never reported as the one that computed a sample.
 
 use crate::{Span, Version};
 
-/// Why stamps give no provenance. The attempt is void.
+/// Why a chunk's stamp is rejected. The attempt must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Error {
-    /// Tokens are missing before this chunk.
+    /// Tokens before this chunk are missing.
     #[error("chunk at {found}, expected {expected}: tokens are missing")]
     Gap {
         /// Output tokens so far.
@@ -16,7 +16,7 @@
         /// Offset of the chunk.
         found: u32,
     },
-    /// Tokens of this chunk were seen before.
+    /// Tokens of this chunk were received before.
     #[error("chunk at {found}, expected {expected}: tokens are repeated")]
     Repeat {
         /// Output tokens so far.
@@ -24,13 +24,13 @@
         /// Offset of the chunk.
         found: u32,
     },
-    /// The chunk has tokens and no version.
+    /// The chunk has tokens but no version.
     #[error("chunk without a version")]
     Missing,
-    /// Stamps that cannot all be true.
+    /// The stamp contradicts itself or earlier stamps.
     #[error("contradictory stamp")]
     Contradictory,
-    /// A later chunk under older weights than an earlier one.
+    /// The chunk was computed by older weights than the one before.
     #[error("version went back from {from} to {to}")]
     Regressing {
         /// Version of the chunk before.
@@ -41,26 +41,27 @@
 }
 
 impl Error {
-    /// Whether the chunks before the error are still whole and truly stamped.
+    /// Whether the chunks before the error are still complete and correctly stamped.
     pub const fn keeps_prefix(&self) -> bool {
         matches!(self, Self::Gap { .. } | Self::Repeat { .. })
     }
 }
 
-/// The stamps of one chunk.
+/// The engine's stamp on one chunk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stamp {
-    /// Output tokens before the chunk.
+    /// Number of output tokens before the chunk.
     pub offset: u32,
-    /// Output tokens in the chunk.
+    /// Number of output tokens in the chunk.
     pub tokens: u32,
-    /// The weights that computed it.
+    /// Version of the weights that computed it.
     pub version: Option<Version>,
-    /// First chunk of an attempt only: reused prefix cache or imported KV.
+    /// Spans reused from the prefix cache or an imported KV cache; on the first chunk of an attempt
+    /// only.
     pub reused: Vec<Span>,
 }
 
-/// The versions that made a sample so far.
+/// The weight versions that computed a sample so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
     reused: Vec<Span>,
@@ -70,7 +71,8 @@
 }
 
 impl Record {
-    /// The record of an attempt that goes on where this one ended: it keeps all spans.
+    /// The record of a new attempt that resumes where this one ended. It keeps all spans, and its
+    /// first chunk may report reused spans again.
     pub fn resume(&self) -> Self {
         Self {
             has_chunks: false,
@@ -78,10 +80,10 @@
         }
     }
 
-    /// Takes in the stamps of the next chunk; the record is unchanged on an error.
+    /// Adds the stamp of the next chunk; the record is unchanged on an error.
     ///
     /// # Errors
-    /// See [`Error`]. The attempt must not go on after one.
+    /// See [`Error`]. The attempt must not continue after an error.
     pub fn push(&mut self, stamp: &Stamp) -> Result<(), Error> {
         self.check_offset(stamp)?;
         if stamp.tokens == 0 && stamp.version.is_none() && stamp.reused.is_empty() {
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Reuse is told once, and nothing can be reused from weights newer than those that run.
+    /// Reused spans are reported on the first chunk only, and cannot be newer than the weights that
+    /// run.
     fn check_reused(&self, stamp: &Stamp, version: Version) -> Result<(), Error> {
         let is_late = self.has_chunks && !stamp.reused.is_empty();
         let is_newer = stamp.reused.iter().any(|span| span.version > version);
@@ -130,23 +133,23 @@
         Ok(())
     }
 
-    /// Output tokens so far.
+    /// Number of output tokens so far.
     pub const fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Version of the last chunk.
+    /// Version of the last chunk; `None` before the first.
     pub fn last_version(&self) -> Option<Version> {
         self.output.last().map(|span| span.version)
     }
 
-    /// The oldest version of all spans; `None` before the first stamp.
+    /// The oldest version of all spans; `None` before the first chunk with a version.
     pub fn oldest_version(&self) -> Option<Version> {
         let all = self.reused.iter().chain(&self.output);
         all.map(|span| span.version).min()
     }
 
-    /// What was reused, then the output, adjacent equal versions merged within each.
+    /// The reused spans, then the output spans; within each, adjacent spans of one version are merged.
     pub fn spans(&self) -> Vec<Span> {
         [self.reused.as_slice(), self.output.as_slice()].concat()
     }
--- a/crates/pinereel_core/src/staleness.rs
+++ b/crates/pinereel_core/src/staleness.rs
@@ -1,19 +1,22 @@
-//! Staleness: how far a sample's oldest weights may lie behind the trainer's version.
+//! Staleness bounds: how many versions a sample's oldest weights may be behind its trainer.
+//!
+//! [`is_fresh`] decides on a sample; [`PublicationRate`] predicts whether one that starts now will
+//! still be fresh when it completes.
 
 use crate::{Time, Version};
 use std::time::Duration;
 
-/// Whether weights `oldest` are fresh enough for a trainer at version `at` with `bound` versions.
+/// Whether weights `oldest` are at most `bound` versions behind a trainer at `trainer_version`.
 pub const fn is_fresh(oldest: Version, trainer_version: Version, bound: u64) -> bool {
     oldest.versions_behind(trainer_version) <= bound
 }
 
-/// The oldest version that a trainer at version `at` still takes.
+/// The oldest version that a trainer at `trainer_version` accepts.
 pub const fn oldest_allowed(trainer_version: Version, bound: u64) -> Version {
     Version(trainer_version.0.saturating_sub(bound))
 }
 
-/// How fast a model's versions follow each other, learned from the publications seen.
+/// Rate at which the versions of one model are published, estimated from past publications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublicationRate {
     newest: Version,
@@ -22,7 +25,7 @@
 }
 
 impl PublicationRate {
-    /// Starts with `newest`, first seen at `now`.
+    /// Starts with version `newest`, first seen at `now`.
     pub const fn new(newest: Version, now: Time) -> Self {
         Self {
             newest,
@@ -36,12 +39,13 @@
         self.newest
     }
 
-    /// Time between versions, smoothed; `None` until two versions were seen.
+    /// Moving average of the time between two versions; `None` before the second one.
     pub const fn interval(&self) -> Option<Duration> {
         self.interval
     }
 
-    /// Notes a publication. An old or repeated version changes nothing and gives `false`.
+    /// Records a publication; skipped versions count as published at equal intervals. Returns `false`
+    /// for an old or repeated version, which changes nothing.
     pub fn record_publication(&mut self, version: Version, now: Time) -> bool {
         if version <= self.newest {
             return false;
@@ -54,7 +58,7 @@
         true
     }
 
-    /// The newest version that is to be expected at `then`.
+    /// The newest version expected at the time `then`.
     pub fn expected_version(&self, then: Time) -> Version {
         let Some(interval) = self.interval.filter(|i| !i.is_zero()) else {
             return self.newest;
@@ -65,7 +69,7 @@
         Version(self.newest.0.saturating_add(elapsed_intervals))
     }
 
-    /// Whether a sample whose oldest weights are `oldest` should still be fresh at `done`.
+    /// Whether a sample whose oldest weights are `oldest` is expected to be fresh at the time `done`.
     pub fn stays_fresh(&self, oldest: Version, done: Time, bound: u64) -> bool {
         is_fresh(oldest, self.expected_version(done), bound)
     }
--- a/crates/pinereel_core/src/version.rs
+++ b/crates/pinereel_core/src/version.rs
@@ -1,9 +1,9 @@
-//! Weight versions, and the spans of tokens that each version made.
+//! Versions of model weights, and the spans of tokens that each version computed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a published set of weights of one model. Later weights have higher numbers.
+/// Number of a published set of weights of one model; later weights have higher numbers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -11,7 +11,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// How many versions `self` lies behind `newest`; zero if it is not behind.
+    /// Number of versions by which `self` is behind `newest`; zero if it is not behind.
     pub const fn versions_behind(self, newest: Self) -> u64 {
         newest.0.saturating_sub(self.0)
     }
@@ -26,8 +26,8 @@
 /// A run of consecutive tokens of a sample (prompt or output) computed under one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// The weights that computed the tokens.
+    /// Version of the weights that computed the tokens.
     pub version: Version,
-    /// How many tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -1,4 +1,4 @@
-//! Cursor tokens: text form, refusals, merge and ledger.
+//! Cursor tokens: text form, errors, merging of answers, and the trainer's cursor.
 
 use pinereel_core::{
     Span, Version,
--- a/crates/pinereel_core/tests/provenance_record.rs
+++ b/crates/pinereel_core/tests/provenance_record.rs
@@ -1,4 +1,4 @@
-//! Provenance records: built of stamps only, void on what cannot be true.
+//! Provenance records: built from stamps only, and contradictory stamps rejected.
 
 use pinereel_core::{
     Span, Version,
--- a/crates/pinereel_core/tests/staleness_pace.rs
+++ b/crates/pinereel_core/tests/staleness_pace.rs
@@ -1,4 +1,4 @@
-//! Staleness: the bound, and what is expected at completion.
+//! Staleness bounds, and the versions expected at completion.
 
 use pinereel_core::{
     Time, Version,
