--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -118,14 +118,14 @@
         !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
     }
 
-    /// Whether an item under which `crash_count` engines have crashed may run beside the current runs.
+    /// Whether an item under which `crashes` engines have crashed may run beside the current runs.
     /// An engine runs at most one suspect item, and starts nothing else beside one on its last
     /// attempt, so that a crash can be attributed to a single item.
-    pub(super) fn admits(&self, now: Time, crash_count: usize) -> bool {
+    pub(super) fn admits(&self, now: Time, crashes: usize) -> bool {
         let is_reserved = self.has_isolated_run || now < self.reserved_until;
-        match crash_count {
+        match crashes {
             0 => !is_reserved,
-            crash_count if crash_count >= LAST_CHANCE => {
+            crashes if crashes >= LAST_CHANCE => {
                 self.suspect_runs == 0 && now.since(self.last_run_started) >= FRESH_RUN
             }
             _ => self.suspect_runs == 0 && !is_reserved,
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -56,8 +56,9 @@
 pub struct Fleet {
     engines: SlotMap<EngineKey, Engine>,
     keys_by_id: BTreeMap<CompactString, EngineKey>,
-    /// Moving average of the interval over all engines; `None` before the first interval.
-    event_interval_ms: Option<f64>,
+    /// Moving average of the interval between two events over all engines, in milliseconds; `None`
+    /// before the first interval.
+    avg_ms: Option<f64>,
 }
 
 impl Fleet {
@@ -134,8 +135,8 @@
         oldest_version: u64,
         except: Option<EngineKey>,
     ) -> Option<EngineKey> {
-        let is_allowed = |key, engine: &Engine| Some(key) != except && engine.admits(now, 0);
-        self.cheapest(now, oldest_version, is_allowed)
+        let admits = |key, engine: &Engine| Some(key) != except && engine.admits(now, 0);
+        self.cheapest(now, oldest_version, admits)
     }
 
     /// Whether any engine has a free slot for a run that needs weights of `oldest_version` or newer,
@@ -144,16 +145,14 @@
         self.cheapest(now, oldest_version, |_, _| true).is_some()
     }
 
-    /// The engine for a run of an item under which `crash_count` engines have crashed.
+    /// The engine for a run of an item under which `crashes` engines have crashed.
     pub fn pick_for_item(
         &self,
         now: Time,
         oldest_version: u64,
-        crash_count: usize,
+        crashes: usize,
     ) -> Option<EngineKey> {
-        self.cheapest(now, oldest_version, |_, engine| {
-            engine.admits(now, crash_count)
-        })
+        self.cheapest(now, oldest_version, |_, engine| engine.admits(now, crashes))
     }
 
     /// Reserves an engine for an item on its last attempt: nothing else starts there until that item
@@ -178,16 +177,13 @@
         &self,
         now: Time,
         oldest_version: u64,
-        is_allowed: impl Fn(EngineKey, &Engine) -> bool,
+        admits: impl Fn(EngineKey, &Engine) -> bool,
     ) -> Option<EngineKey> {
-        let open = self.iter().filter(|(key, engine)| {
-            engine.accepts(now, oldest_version) && is_allowed(*key, engine)
-        });
-        let cheapest = open.min_by(|(_, a), (_, b)| {
-            a.cost(self.event_interval_ms)
-                .total_cmp(&b.cost(self.event_interval_ms))
-        });
-        cheapest.map(|(key, _)| key)
+        let all = self
+            .iter()
+            .filter(|(key, engine)| engine.accepts(now, oldest_version) && admits(*key, engine));
+        let min = all.min_by(|(_, a), (_, b)| a.cost(self.avg_ms).total_cmp(&b.cost(self.avg_ms)));
+        min.map(|(key, _)| key)
     }
 
     /// A faster engine to which a run on `from` with this number of events should move.
@@ -208,8 +204,7 @@
         } else {
             LONG_RUN_MOVE_RATIO
         };
-        (interval_ms > ratio * self.engines[to].estimated_interval_ms(self.event_interval_ms))
-            .then_some(to)
+        (interval_ms > ratio * self.engines[to].estimated_interval_ms(self.avg_ms)).then_some(to)
     }
 
     /// How long a run waits for its next event before it is taken for lost. The longest texts decide
@@ -227,23 +222,23 @@
         timeout.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
-    /// Records that a run starts, of an item under which `crash_count` engines have crashed.
-    pub fn run_started(&mut self, now: Time, key: EngineKey, crash_count: usize) {
+    /// Records that a run starts, of an item under which `crashes` engines have crashed.
+    pub fn run_started(&mut self, now: Time, key: EngineKey, crashes: usize) {
         let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
         engine.active_runs += 1;
         engine.last_run_started = now;
-        if crash_count > 0 {
+        if crashes > 0 {
             engine.suspect_runs += 1;
         }
-        if crash_count >= LAST_CHANCE {
+        if crashes >= LAST_CHANCE {
             engine.has_isolated_run = true;
             engine.reserved_until = Time::ZERO;
         }
     }
 
-    /// Records that a run with a `crash_count` above zero ended, in addition to [`Fleet::run_ended`].
+    /// Records that a run with a `crashes` above zero ended, in addition to [`Fleet::run_ended`].
     pub fn suspect_run_ended(&mut self, key: EngineKey) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.suspect_runs = engine.suspect_runs.saturating_sub(1);
@@ -271,11 +266,7 @@
             interval,
             ENGINE_AVERAGE_WEIGHT,
         ));
-        self.event_interval_ms = Some(moving_average(
-            self.event_interval_ms,
-            interval,
-            FLEET_AVERAGE_WEIGHT,
-        ));
+        self.avg_ms = Some(moving_average(self.avg_ms, interval, FLEET_AVERAGE_WEIGHT));
     }
 
     /// Records that a run ended. Each [`Fleet::run_started`] needs exactly one call.
