--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -39,14 +39,14 @@
     pub staleness_aware_start: bool,
     /// Most versions that a start may be behind while the trainer has not collected from the lot yet,
     /// even if its staleness bound is wider.
-    pub unrequested_bound: u64,
+    pub prefetch_bound: u64,
     /// Break ties between equally loaded endpoints by hash instead of by name.
     pub hash_tie_break: bool,
     /// Lots from which their trainer has collected go first, both here and at the engines.
     pub requested_first: bool,
     /// A lot from which its trainer has not collected yet starts attempts only on endpoints with fewer
     /// running attempts than this.
-    pub unrequested_slots: u32,
+    pub prefetch_slots: u32,
     /// Use endpoints that are much slower than the median last, and move attempts away from them.
     pub avoid_slow: bool,
     /// Share slots between trainers by weight instead of in the order in which their lots arrived.
@@ -62,10 +62,10 @@
         resume: false,
         early_abort: false,
         staleness_aware_start: false,
-        unrequested_bound: u64::MAX,
+        prefetch_bound: u64::MAX,
         hash_tie_break: false,
         requested_first: false,
-        unrequested_slots: u32::MAX,
+        prefetch_slots: u32::MAX,
         avoid_slow: false,
         fair_share: false,
     };
@@ -80,10 +80,10 @@
             resume: true,
             early_abort: true,
             staleness_aware_start: true,
-            unrequested_bound: 1,
+            prefetch_bound: 1,
             hash_tie_break: true,
             requested_first: true,
-            unrequested_slots: 2,
+            prefetch_slots: 2,
             avoid_slow: true,
             fair_share: true,
         }
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -209,9 +209,7 @@
     fn reject_stamps(&mut self, key: AttemptKey, error: provenance::Error) {
         self.stats.invalid_stamps += 1;
         self.push_cancel(key);
-        let Some(attempt) = self.remove_attempt(key) else {
-            return;
-        };
+        let Some(attempt) = self.end(key) else { return };
         let kept = error.keeps_prefix().then_some(attempt.progress);
         if kept.is_none() {
             self.samples[attempt.sample].saved_progress = None;
@@ -257,14 +255,12 @@
             return;
         }
         self.stats.lost += 1;
-        let Some(attempt) = self.remove_attempt(key) else {
-            return;
-        };
+        let Some(attempt) = self.end(key) else { return };
         self.retry(attempt.sample, Some(attempt.progress));
     }
 
     /// Removes an attempt and frees its slot.
-    pub(super) fn remove_attempt(&mut self, key: AttemptKey) -> Option<Attempt> {
+    pub(super) fn end(&mut self, key: AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
             endpoint.running_attempts -= 1;
@@ -292,14 +288,12 @@
     pub(super) fn cancel_attempts(&mut self, sample: SampleKey) {
         for key in self.samples[sample].attempts.clone() {
             self.push_cancel(key);
-            self.remove_attempt(key);
+            self.end(key);
         }
     }
 
     fn finish(&mut self, now: Time, key: AttemptKey) {
-        let Some(attempt) = self.remove_attempt(key) else {
-            return;
-        };
+        let Some(attempt) = self.end(key) else { return };
         let Progress { text, record } = attempt.progress;
         let Some(oldest) = record.oldest_version() else {
             // Without any stamp the weight versions are unknown.
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -106,7 +106,7 @@
         let movable: Vec<_> = movable.map(|(key, _)| key).collect();
         for key in movable {
             self.push_cancel(key);
-            if let Some(attempt) = self.remove_attempt(key) {
+            if let Some(attempt) = self.end(key) {
                 self.stats.moved += 1;
                 self.requeue(attempt.sample, Some(attempt.progress));
             }
@@ -123,7 +123,7 @@
             lots.sort_by_key(|lot| lot.arrival);
         }
         let running = self.endpoints[endpoint].running_attempts;
-        if running >= self.policy.unrequested_slots {
+        if running >= self.policy.prefetch_slots {
             lots.retain(|lot| lot.requested);
         }
         if self.policy.requested_first {
@@ -161,7 +161,7 @@
         let bound = if lot.requested {
             lot.spec.bound
         } else {
-            lot.spec.bound.min(self.policy.unrequested_bound)
+            lot.spec.bound.min(self.policy.prefetch_bound)
         };
         if !staleness::is_fresh(offer.version, lot.spec.version, bound) {
             return false;
@@ -304,7 +304,7 @@
         }
         self.stats.aborted += 1;
         self.push_cancel(key);
-        self.remove_attempt(key);
+        self.end(key);
         queue(self, sample, None);
     }
 
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -185,7 +185,7 @@
 /// The default policy, with all slots open to lots from which no trainer has collected yet.
 fn all_slots() -> Policy {
     Policy {
-        unrequested_slots: u32::MAX,
+        prefetch_slots: u32::MAX,
         ..Policy::default()
     }
 }
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -127,7 +127,7 @@
                 "wanted-first",
                 lot::Policy {
                     requested_first: true,
-                    unrequested_slots: 2,
+                    prefetch_slots: 2,
                     ..lots
                 },
             ),
@@ -223,9 +223,7 @@
             full_without("full-no-wanted-first", |p| p.lot.requested_first = false),
             full_without("full-ahead-2", |p| p.ahead = Ahead::Collect(2)),
             full_without("full-ahead-train", |p| p.ahead = Ahead::Train),
-            full_without("full-no-ahead-slots", |p| {
-                p.lot.unrequested_slots = u32::MAX
-            }),
+            full_without("full-no-ahead-slots", |p| p.lot.prefetch_slots = u32::MAX),
             full_without("full-no-eager", |p| p.eager = false),
             Self {
                 name: "live-only",
