--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -196,7 +196,7 @@
         /// The sample's text.
         text: String,
     },
-    /// The groups were taken.
+    /// The groups were accepted.
     Assigned {
         /// The lot.
         lot: CompactString,
@@ -205,7 +205,7 @@
     Refused {
         /// The lot.
         lot: CompactString,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
     },
     /// Answer to a collect.
@@ -221,7 +221,7 @@
     Rejected {
         /// Id of the call.
         call: u64,
-        /// Why.
+        /// Why the token was refused.
         error: cursor::Error,
     },
     /// A sample finished: waiting collects may be repeated.
@@ -233,7 +233,7 @@
     Dropped {
         /// The lot.
         lot: CompactString,
-        /// Why.
+        /// Why it was dropped.
         reason: Refusal,
     },
     /// Hand these samples over to the next runner of their groups.
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -37,8 +37,8 @@
     pub early_abort: bool,
     /// Skip endpoints whose version is expected to be too old when the sample completes.
     pub staleness_aware_start: bool,
-    /// Most versions that a start may be behind while the trainer has not collected from the lot yet,
-    /// even if its staleness bound is wider.
+    /// Staleness bound, in versions, of starts for a lot from which its trainer has not collected yet,
+    /// if the trainer's own bound is wider.
     pub prefetch_bound: u64,
     /// Break ties between equally loaded endpoints by hash instead of by name.
     pub hash_tie_break: bool,
@@ -54,7 +54,8 @@
 }
 
 impl Policy {
-    /// All policies off: first in, first out, each attempt from the prompt, one attempt at a time.
+    /// All policies off: first in, first out, each attempt from the prompt, one attempt at a
+    /// time per sample.
     pub const BASELINE: Self = Self {
         longest_first: false,
         speculative_attempts: false,
