--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -158,8 +158,8 @@
     /// Reserves an engine for an item on its last attempt: nothing else starts there until that item
     /// can run. At most one engine is reserved at a time, the one with the oldest last start.
     pub fn reserve(&mut self, now: Time, oldest_version: u64) {
-        let waits = |engine: &Engine| engine.has_isolated_run || now < engine.reserved_until;
-        if self.iter().any(|(_, engine)| waits(engine)) {
+        let is_reserved = |engine: &Engine| engine.has_isolated_run || now < engine.reserved_until;
+        if self.iter().any(|(_, engine)| is_reserved(engine)) {
             return;
         }
         let fits = |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
@@ -173,6 +173,7 @@
         }
     }
 
+    /// The engine of least cost among those that accept a run and that `admits` allows.
     fn cheapest(
         &self,
         now: Time,
--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -51,6 +51,7 @@
         finished.map(|f| f.sample.text.len()).sum()
     }
 
+    /// Checks an assign against the state of this runner, without changing it.
     fn validate(&self, spec: &Spec) -> Result<(), Refusal> {
         if self.draining {
             return Err(Refusal::Draining);
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Groups of `spec` that this runner does not hold yet.
     fn new_groups(&self, spec: &Spec) -> Vec<Group> {
         let known = self.lots.get(&spec.lot);
         let groups = spec.groups.iter();
@@ -164,6 +166,7 @@
         self.abort_stale();
     }
 
+    /// Drops lots without an assign or a collect for longer than the idle timeout.
     pub(super) fn drop_idle_lots(&mut self, now: Time) {
         let idle = self.limits.idle_timeout;
         let all = self.lots.values();
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -133,6 +133,7 @@
         ticket
     }
 
+    /// Stores the score of a finished sample. Dropped if its ticket is no longer pending.
     pub(super) fn scored(&mut self, ticket: u64, score: f64) {
         let Some((key, _)) = self.scorings.remove(&ticket) else {
             self.stats.late_events += 1;
@@ -145,6 +146,7 @@
         }
     }
 
+    /// Schedules a retry of a failed scoring.
     pub(super) fn score_failed(&mut self, now: Time, ticket: u64) {
         let again = now + self.limits.rescore_delay;
         if let Some((_, due)) = self.scorings.get_mut(&ticket) {
