--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -63,7 +63,7 @@
             bound,
             max: collect.max as usize,
         };
-        let delivery = merge.run(found);
+        let delivery = merge.deliver(found);
         count(shared, id, &delivery, collect.version);
         // An entry that stops answers at once; the trainer goes on elsewhere with the same token.
         let over = until.since(shared.now()).is_zero() || shared.drain.refuses();
@@ -85,11 +85,11 @@
     let Some(front) = fronts.get(id) else {
         return Err(refuse(Code::LotUnknown, "submit the lot again"));
     };
-    token.check(front.digest, front.lot.step).map_err(|e| {
+    token.check_lot(front.digest, front.lot.step).map_err(|e| {
         let code = match e {
             Error::Malformed => Code::BadToken,
-            Error::Foreign => Code::ForeignToken,
-            Error::Behind => Code::BehindToken,
+            Error::OtherLot => Code::ForeignToken,
+            Error::EarlierStep => Code::BehindToken,
         };
         refuse(code, format_compact!("{e}"))
     })
@@ -217,8 +217,8 @@
     counter("stale").inc_by(u64::from(delivery.stale));
     let staleness = shared.metrics.staleness.with_label_values(&[trainer]);
     for sample in &delivery.samples {
-        if let Some(oldest) = provenance::oldest(&sample.spans) {
-            staleness.observe(oldest.behind(at) as f64);
+        if let Some(oldest) = provenance::oldest_version(&sample.spans) {
+            staleness.observe(oldest.versions_behind(at) as f64);
         }
     }
 }
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    batch::{Asked, Lot, USUAL_LENGTH},
+    batch::{DEFAULT_LENGTH_TOKENS, DemandWindow, Lot},
 };
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -104,7 +104,8 @@
         let again = again.filter(|id| state.known.contains(&record::name(&caller, id)));
         let mut lot = Lot::new(&submission, &again.cloned().collect());
         for object in &objects {
-            let adopted = segment(object).map(|(from, segment)| lot.list(from, segment.samples));
+            let adopted =
+                segment(object).map(|(from, segment)| lot.add_segment(from, segment.samples));
             match adopted {
                 Ok(Ok(())) => {}
                 Ok(Err(gap)) => log::error!(id = id.as_str(); "{gap}"),
@@ -123,7 +124,7 @@
         log::info!(
             id = id.as_str(),
             items = submission.items.len(),
-            listed = lot.ledger().next(),
+            listed = lot.commit_log().next_position(),
             oldest_version = oldest,
             texts_reused = reused;
             "lot opened"
@@ -166,9 +167,9 @@
     fn note_demand(&self, state: &mut State, open: &Open) {
         let items = &open.submission.items;
         let hints = items.iter().map(|item| item.length_hint);
-        let tokens = hints.map(|hint| u64::from(hint.unwrap_or(USUAL_LENGTH)));
+        let tokens = hints.map(|hint| u64::from(hint.unwrap_or(DEFAULT_LENGTH_TOKENS)));
         self.add_demand(state, &open.model, |asked, now| {
-            asked.add(now, items.len() as u64, tokens.sum());
+            asked.record_lot(now, items.len() as u64, tokens.sum());
         });
     }
 
@@ -179,9 +180,9 @@
         let Some(open) = state.lots.get(&id) else {
             return;
         };
-        let (model, waiting) = (open.model.clone(), open.lot.waiting());
+        let (model, waiting) = (open.model.clone(), open.lot.queued());
         self.add_demand(&mut state, &model, |asked, now| {
-            asked.add_short(now, waiting as u64);
+            asked.record_unplaced(now, waiting as u64);
         });
     }
 
@@ -189,13 +190,13 @@
         &self,
         state: &mut State,
         model: &CompactString,
-        add: impl FnOnce(&mut Asked, Time),
+        add: impl FnOnce(&mut DemandWindow, Time),
     ) {
         let now = self.parts.clock.now();
         let asked = state.asked.entry(model.clone()).or_default();
         add(asked, now);
         let duties = &self.parts.duties;
-        duties.set_demand(runner::duty(model), asked.size(now));
+        duties.set_demand(runner::duty(model), asked.demand(now));
     }
 
     /// What is committed of a lot, and the texts that earlier runners left.
@@ -227,7 +228,7 @@
         let drafts = std::mem::take(&mut open.drafts);
         for (at, draft) in drafts.into_iter().enumerate() {
             let item = &open.submission.items[at];
-            if open.lot.ledger().contains(&item.id) {
+            if open.lot.commit_log().contains(&item.id) {
                 continue;
             }
             let name = record::name(&open.caller, &item.id);
@@ -243,7 +244,7 @@
         log::info!(
             id = id.as_str(),
             why,
-            listed = open.lot.ledger().next(),
+            listed = open.lot.commit_log().next_position(),
             items = open.lot.total(),
             running = open.tasks.len(),
             ms = open.opened.elapsed().as_millis() as u64;
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -8,7 +8,7 @@
     stream::{Place, identity},
 };
 use pinereel_core::{
-    batch::{Fleet, Key, Listed},
+    batch::{EngineKey, Fleet, Listing},
     crash::{LAST_CHANCE, Standing, Start},
     hash, table,
 };
@@ -63,7 +63,7 @@
                 continue;
             }
             let fleet = state.fleets.entry(name.clone()).or_default();
-            let read = |entry: &Entry| Listed {
+            let read = |entry: &Entry| Listing {
                 id: entry.id.clone(),
                 incarnation: entry.incarnation,
                 address: entry.address,
@@ -74,8 +74,8 @@
             // A run goes on at an engine that is not in the set any more.
             let listed = parts
                 .endpoints
-                .first(&name.service, count, fleet.busy(), read);
-            lost |= fleet.sync(listed);
+                .first(&name.service, count, fleet.busy_ids(), read);
+            lost |= fleet.update(listed);
         }
         drop(state);
         if lost {
@@ -103,7 +103,10 @@
     /// Items that could not be started at the last look may be now.
     fn release(&self) {
         let mut state = self.state.borrow_mut();
-        state.lots.values_mut().for_each(|open| open.lot.release());
+        state
+            .lots
+            .values_mut()
+            .for_each(|open| open.lot.requeue_deferred());
     }
 
     /// How many endpoints have crashed under an item; none if it must not run any more.
@@ -118,19 +121,19 @@
 
     /// The next item of a lot, its engine, and how many endpoints have crashed under it. One that may not run now is
     /// held back, and the next one is looked at.
-    fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, Key, usize)> {
+    fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, EngineKey, usize)> {
         let now = self.parts.clock.now();
         let oldest_version = open.submission.oldest_version;
-        if !fleet.has_room(now, oldest_version) {
+        if !fleet.has_free_slot(now, oldest_version) {
             return None;
         }
         loop {
             let at = open.lot.start()?;
             let doubts = self.doubts(open, at);
-            let pick = |doubts| fleet.pick_in_doubt(now, oldest_version, doubts);
+            let pick = |doubts| fleet.pick_for_item(now, oldest_version, doubts);
             match doubts.zip(doubts.and_then(pick)) {
                 Some((doubts, key)) => return Some((at, key, doubts)),
-                None => open.lot.hold(at),
+                None => open.lot.defer(at),
             }
             if doubts.is_some_and(|doubts| doubts >= LAST_CHANCE) {
                 fleet.reserve(now, oldest_version);
@@ -155,7 +158,7 @@
             let Some(open) = state.lots.get_mut(&id) else {
                 continue;
             };
-            if open.lot.waiting() == 0 {
+            if open.lot.queued() == 0 {
                 continue;
             }
             let (Some(route), Some(name)) = (self.route(open), self.fleet(open)) else {
@@ -174,13 +177,13 @@
             let place = Place {
                 key,
                 start: Start {
-                    endpoint: engine.listed.id.clone(),
-                    incarnation: engine.listed.incarnation,
+                    endpoint: engine.listing.id.clone(),
+                    incarnation: engine.listing.incarnation,
                 },
-                address: engine.listed.address,
+                address: engine.listing.address,
                 doubts,
             };
-            fleet.started(self.parts.clock.now(), key, doubts);
+            fleet.run_started(self.parts.clock.now(), key, doubts);
             let work = Work {
                 caller: open.caller.clone(),
                 item: open.submission.items[at].id.clone(),
@@ -210,7 +213,7 @@
                 continue;
             }
             for at in 0..open.lot.total() {
-                if !open.lot.is_done(at) {
+                if !open.lot.is_finished(at) {
                     let item = open.submission.items[at].id.clone();
                     open.lot.finish(at, Sample { item, made: None });
                     ended.extend(open.tasks.remove(&at));
--- a/crates/pinereel/src/hosted/lots/progress.rs
+++ b/crates/pinereel/src/hosted/lots/progress.rs
@@ -5,7 +5,7 @@
     runner::Runner,
     state::{Draft, FleetName, Work},
 };
-use pinereel_core::batch::{Failure, Fate, Halt, Key};
+use pinereel_core::batch::{EngineKey, Failure, RetryDecision, RunOutcome};
 use pinereel_port::lot::{Event, Item, Sample};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -65,7 +65,7 @@
     }
 
     /// A run made an event; says whether it should go on at another engine.
-    pub(super) fn progressed(&self, work: &Work, key: Key, gap: Option<Duration>) -> bool {
+    pub(super) fn progressed(&self, work: &Work, key: EngineKey, gap: Option<Duration>) -> bool {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -73,16 +73,16 @@
             return false;
         };
         match gap {
-            Some(gap) => fleet.made(key, gap),
-            None => fleet.began(key),
+            Some(gap) => fleet.event_received(key, gap),
+            None => fleet.first_event_received(key),
         }
-        let waiting = state.lots.values().any(|open| open.lot.waiting() > 0);
+        let waiting = state.lots.values().any(|open| open.lot.queued() > 0);
         let Some(open) = state.lots.get_mut(&work.lot) else {
             return false;
         };
         let events = open.drafts[work.at].last.unwrap_or_default();
         let oldest = work.oldest_version;
-        if waiting || fleet.better(now, key, oldest, events).is_none() {
+        if waiting || fleet.move_target(now, key, oldest, events).is_none() {
             return false;
         }
         let recent = open.moved.get(&work.at);
@@ -94,20 +94,20 @@
     }
 
     /// How long a run waits for the next event.
-    pub(super) fn patience(&self, work: &Work, key: Key) -> Duration {
+    pub(super) fn patience(&self, work: &Work, key: EngineKey) -> Duration {
         let state = self.state.borrow();
         let fleet = state.fleets.get(&work.fleet);
-        fleet.map_or(Duration::MAX, |fleet| fleet.patience(key))
+        fleet.map_or(Duration::MAX, |fleet| fleet.stall_timeout(key))
     }
 
     /// Waits until a run at an engine is lost, since that has started again.
-    pub(super) async fn lost(&self, fleet: &FleetName, key: Key) {
+    pub(super) async fn lost(&self, fleet: &FleetName, key: EngineKey) {
         let mut restarts = self.restarts.subscribe();
         loop {
             let lost = {
                 let state = self.state.borrow();
                 let fleet = state.fleets.get(fleet);
-                fleet.is_some_and(|fleet| fleet.has_lost(key))
+                fleet.is_some_and(|fleet| fleet.has_restarted(key))
             };
             if lost || restarts.changed().await.is_err() {
                 return;
@@ -115,40 +115,50 @@
         }
     }
 
-    pub(super) fn run_ended(&self, fleet: &FleetName, key: Key, halt: Halt) {
+    pub(super) fn run_ended(&self, fleet: &FleetName, key: EngineKey, halt: RunOutcome) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
-            fleet.ended(now, key, halt);
+            fleet.run_ended(now, key, halt);
         }
         drop(state);
         self.wake.notify_one();
     }
 
     /// A run that began in doubt ended.
-    pub(super) fn doubt_ended(&self, fleet: &FleetName, key: Key) {
+    pub(super) fn doubt_ended(&self, fleet: &FleetName, key: EngineKey) {
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
-            fleet.doubt_ended(key);
+            fleet.suspect_run_ended(key);
         }
     }
 
-    pub(super) fn run_failed(&self, work: &Work, failure: Failure, max_attempts: u32) -> Fate {
+    pub(super) fn run_failed(
+        &self,
+        work: &Work,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
         let fate = match state.lots.get_mut(&work.lot) {
             Some(open) => open.lot.run_failed(work.at, failure, max_attempts),
-            None => Fate::Again,
+            None => RetryDecision::Retry,
         };
         drop(state);
         self.wake.notify_one();
         fate
     }
 
-    pub(super) fn score_failed(&self, work: &Work, failure: Failure, max_attempts: u32) -> Fate {
+    pub(super) fn score_failed(
+        &self,
+        work: &Work,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
         match state.lots.get_mut(&work.lot) {
             Some(open) => open.lot.score_failed(work.at, failure, max_attempts),
-            None => Fate::Again,
+            None => RetryDecision::Retry,
         }
     }
 
@@ -164,15 +174,16 @@
     pub(super) fn pending(&self, lot: &str) -> Option<Pending> {
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
-        let samples = first_segment(open.lot.unlisted());
-        let all = open.lot.ledger().next() + open.lot.unlisted().len() >= open.lot.total();
+        let samples = first_segment(open.lot.uncommitted());
+        let all = open.lot.commit_log().next_position() + open.lot.uncommitted().len()
+            >= open.lot.total();
         Some(Pending {
-            from: open.lot.ledger().next(),
+            from: open.lot.commit_log().next_position(),
             total: open.lot.total(),
             urgent: self.draining.get()
                 || all
-                || open.lot.satisfies()
-                || samples.len() < open.lot.unlisted().len(),
+                || open.lot.will_satisfy_trainer()
+                || samples.len() < open.lot.uncommitted().len(),
             samples,
         })
     }
@@ -186,13 +197,13 @@
             let Some(open) = state.lots.get_mut(lot) else {
                 return;
             };
-            if let Err(gap) = open.lot.list(from, samples) {
+            if let Err(gap) = open.lot.add_segment(from, samples) {
                 log::error!(id = lot; "{gap}");
             }
             // Another runner may have finished what still runs here.
             let done: Vec<_> = open.tasks.keys().copied().collect();
             for at in done {
-                if open.lot.is_done(at) {
+                if open.lot.is_finished(at) {
                     ended.extend(open.tasks.remove(&at));
                 }
             }
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -7,7 +7,7 @@
     stream::{Break, End, Place, identity, stream},
 };
 use pinereel_core::{
-    batch::{Failure, Fate, Halt},
+    batch::{Failure, RetryDecision, RunOutcome},
     crash::LAST_CHANCE,
 };
 use pinereel_port::{
@@ -22,7 +22,7 @@
     runner: Rc<Runner>,
     fleet: FleetName,
     place: Place,
-    halt: Halt,
+    halt: RunOutcome,
 }
 
 impl Drop for Running {
@@ -49,17 +49,17 @@
         runner: Rc::clone(runner),
         fleet: work.fleet.clone(),
         place: place.clone(),
-        halt: Halt::Cancelled,
+        halt: RunOutcome::Cancelled,
     };
     let end = tokio::select! {
         end = stream(runner, work, item, route, place) => end,
         () = runner.lost(&work.fleet, place.key) => End::Broken(Break::Restarted),
     };
     running.halt = match end {
-        End::Complete | End::Failed | End::Impossible => Halt::Finished,
-        End::Left => Halt::Cancelled,
-        End::Refused | End::Outdated => Halt::Full,
-        End::Broken(_) => Halt::Broken,
+        End::Complete | End::Failed | End::Impossible => RunOutcome::Finished,
+        End::Left => RunOutcome::Cancelled,
+        End::Refused | End::Outdated => RunOutcome::Rejected,
+        End::Broken(_) => RunOutcome::Failed,
     };
     drop(running);
     let metrics = &runner.parts.metrics;
@@ -75,7 +75,7 @@
         End::Impossible => Failure::Impossible,
         End::Refused | End::Broken(_) | End::Left | End::Outdated => Failure::Interrupted,
     };
-    if runner.run_failed(work, failure, route.max_attempts) == Fate::GivenUp {
+    if runner.run_failed(work, failure, route.max_attempts) == RetryDecision::GiveUp {
         give_up(runner, work, item, "its engine refuses it or fails on it");
     }
 }
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -6,7 +6,7 @@
     sweep::Ages,
 };
 use compact_str::CompactString;
-use pinereel_core::batch::{Asked, Fleet, Lot};
+use pinereel_core::batch::{DemandWindow, Fleet, Lot};
 use pinereel_port::{
     live::Caller,
     lot::{Event, Submission},
@@ -28,7 +28,7 @@
     /// Ended lots that lie in the store as they were sent.
     pub(super) ended: BTreeMap<CompactString, Ended>,
     /// What was asked for lately, by model.
-    pub(super) asked: BTreeMap<CompactString, Asked>,
+    pub(super) asked: BTreeMap<CompactString, DemandWindow>,
     /// When each lot was first seen.
     pub(super) ages: Ages,
     /// Engines by service and model.
@@ -73,7 +73,8 @@
     pub(super) fn unlisted(&self, least: u64) -> Left {
         let items = self.submission.items.iter().zip(&self.drafts);
         let unlisted = items.filter(|(item, draft)| {
-            draft.last.is_some_and(|last| last >= least) && !self.lot.ledger().contains(&item.id)
+            draft.last.is_some_and(|last| last >= least)
+                && !self.lot.commit_log().contains(&item.id)
         });
         Left {
             texts: fitting(unlisted.map(|(item, draft)| (&item.id, draft))),
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -1,4 +1,4 @@
-//! One engine, as the runner of its lots sees it.
+//! State of one engine as seen by the scheduler of its lots: load, speed, health and reservations.
 
 use crate::{
     Time,
@@ -7,124 +7,134 @@
 use compact_str::CompactString;
 use std::net::SocketAddr;
 
-/// Pace of engines before any of the fleet has made an event, in milliseconds an event.
-const FIRST_PACE: f64 = 40.0;
-/// What a full engine costs against an empty one of the same pace: enough to spread runs over equal
-/// engines, too little to prefer a slow one.
-const FULL_COST: f64 = 0.25;
+/// Assumed interval between two events of a run, before any engine of the fleet has sent one.
+const DEFAULT_EVENT_INTERVAL_MS: f64 = 40.0;
+/// Share by which a full engine costs more than an empty one of the same speed. Spreads runs over
+/// equally fast engines without preferring a slow one.
+const FULL_LOAD_PENALTY: f64 = 0.25;
 
-/// What the endpoint list says of an engine.
+/// Entry of the endpoint list for one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
-    /// Id of the engine.
+pub struct Listing {
+    /// Id of the engine; stays the same over restarts.
     pub id: CompactString,
-    /// Differs between its starts.
+    /// Identifies one process of the engine; changes with each restart.
     pub incarnation: u64,
-    /// Where it serves.
+    /// Address on which the engine takes requests.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether it is being shut down and gets no new runs.
     pub leaving: bool,
-    /// Version of the model's weights that it serves; none if it does not serve the model.
+    /// Version of the model's weights that it serves; `None` if it does not serve the model.
     pub version: Option<u64>,
 }
 
-/// How a run at an engine ended, as far as it speaks about the engine.
+/// How a run on an engine ended, as far as it matters for the engine's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halt {
-    /// Finished, or an answer that is not the engine's fault.
+pub enum RunOutcome {
+    /// The run finished, or failed through no fault of the engine.
     Finished,
-    /// Given up here.
+    /// The run was cancelled by the scheduler.
     Cancelled,
-    /// The engine did not take it now: full, or loading weights.
-    Full,
-    /// Broken off, silent, or out of reach.
-    Broken,
+    /// The engine refused the run for now: it is full or loads weights.
+    Rejected,
+    /// The stream broke off or stalled, or the engine could not be reached.
+    Failed,
 }
 
-/// One engine.
+/// One process of an engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// What the list says of it.
-    pub listed: Listed,
-    /// Runs there.
-    pub runs: u32,
-    /// Moving average of the time between two events of a run, in milliseconds; none before the first.
-    pub pace: Option<f64>,
-    /// Gaps that the pace rests on.
-    pub(super) gaps: u32,
-    /// Breaks in a row.
-    pub(super) breaks: u32,
-    /// No new run before.
-    pub(super) not_before: Time,
-    /// Its last run was refused or broke: one run tries it before others follow.
-    pub(super) suspect: bool,
-    /// No longer listed; kept until its last run ends.
-    pub(super) gone: bool,
-    /// It has started again: its runs are lost.
+    /// Its latest entry in the endpoint list.
+    pub listing: Listing,
+    /// Number of runs in progress on it.
+    pub active_runs: u32,
+    /// Moving average of the interval between two events of a run; `None` before the first interval.
+    pub event_interval_ms: Option<f64>,
+    /// Number of intervals in the average.
+    pub(super) interval_samples: u32,
+    /// Failed runs in a row.
+    pub(super) consecutive_failures: u32,
+    /// No new run starts before this time.
+    pub(super) backoff_until: Time,
+    /// Its last run was rejected or failed: a single run must succeed before others may start.
+    pub(super) probe_needed: bool,
+    /// It is no longer in the endpoint list; the state is kept until its last run ends.
+    pub(super) delisted: bool,
+    /// The engine has restarted: the runs on this process are lost.
     pub(super) restarted: bool,
-    /// Runs there of items that endpoints may have crashed under.
-    pub(super) doubted: u32,
-    /// Whether one of them has a last chance.
-    pub(super) last_chance: bool,
-    /// When a run last began there.
-    pub(super) last_began: Time,
-    /// Kept free until then for an item with a last chance.
+    /// Runs on it of items that are suspected of crashing engines.
+    pub(super) suspect_runs: u32,
+    /// Whether one of them is on its last attempt before it is refused, and so runs isolated.
+    pub(super) has_isolated_run: bool,
+    /// Time at which a run last started on it.
+    pub(super) last_run_started: Time,
+    /// Until this time only an item on its last attempt may start on it.
     pub(super) reserved_until: Time,
 }
 
 impl Engine {
-    pub(super) const fn new(listed: Listed) -> Self {
+    pub(super) const fn new(listing: Listing) -> Self {
         Self {
-            listed,
-            runs: 0,
-            pace: None,
-            gaps: 0,
-            breaks: 0,
-            not_before: Time::ZERO,
-            suspect: false,
-            gone: false,
+            listing,
+            active_runs: 0,
+            event_interval_ms: None,
+            interval_samples: 0,
+            consecutive_failures: 0,
+            backoff_until: Time::ZERO,
+            probe_needed: false,
+            delisted: false,
             restarted: false,
-            doubted: 0,
-            last_chance: false,
-            last_began: Time::ZERO,
+            suspect_runs: 0,
+            has_isolated_run: false,
+            last_run_started: Time::ZERO,
             reserved_until: Time::ZERO,
         }
     }
 
-    /// Milliseconds an event; of an engine that has made none yet, what is `usual` in its fleet.
-    pub(super) fn pace(&self, usual: Option<f64>) -> f64 {
-        self.pace.or(usual).unwrap_or(FIRST_PACE)
+    /// Expected interval between two events of a run: the engine's own average, or that of the fleet
+    /// while it has none.
+    pub(super) fn estimated_interval_ms(&self, fleet_average: Option<f64>) -> f64 {
+        self.event_interval_ms
+            .or(fleet_average)
+            .unwrap_or(DEFAULT_EVENT_INTERVAL_MS)
     }
 
-    /// Whether one run has to try it before others follow.
-    pub const fn is_suspect(&self) -> bool {
-        self.suspect
+    /// Whether a single run must succeed on it before others may start.
+    pub const fn needs_probe(&self) -> bool {
+        self.probe_needed
     }
 
-    pub(super) fn takes(&self, now: Time, oldest_version: u64) -> bool {
-        let fits = self.listed.version.is_some_and(|v| v >= oldest_version);
-        let slots = if self.suspect { 1 } else { self.listed.slots };
-        let free = self.runs < slots;
-        !self.gone && !self.listed.leaving && fits && free && now >= self.not_before
+    /// Whether the engine is healthy, serves `oldest_version` or newer and has a free slot.
+    pub(super) fn accepts(&self, now: Time, oldest_version: u64) -> bool {
+        let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
+        let slots = if self.probe_needed {
+            1
+        } else {
+            self.listing.slots
+        };
+        let free = self.active_runs < slots;
+        !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
     }
 
-    /// Whether an item that so many endpoints have crashed under may run beside those that run there. One in doubt is the
-    /// only such one, and with a last chance nothing else begins beside it: so a crash tells which was to blame.
-    pub(super) fn admits(&self, now: Time, doubts: usize) -> bool {
-        let is_kept_free = self.last_chance || now < self.reserved_until;
-        match doubts {
-            0 => !is_kept_free,
-            doubts if doubts >= LAST_CHANCE => {
-                self.doubted == 0 && now.since(self.last_began) >= FRESH_RUN
+    /// Whether an item under which `crashes` engines have crashed may run beside the current runs.
+    /// An engine runs at most one suspect item, and starts nothing else beside one on its last
+    /// attempt, so that a crash can be attributed to a single item.
+    pub(super) fn admits(&self, now: Time, crashes: usize) -> bool {
+        let is_reserved = self.has_isolated_run || now < self.reserved_until;
+        match crashes {
+            0 => !is_reserved,
+            crashes if crashes >= LAST_CHANCE => {
+                self.suspect_runs == 0 && now.since(self.last_run_started) >= FRESH_RUN
             }
-            _ => self.doubted == 0 && !is_kept_free,
+            _ => self.suspect_runs == 0 && !is_reserved,
         }
     }
 
-    pub(super) fn cost(&self, usual: Option<f64>) -> f64 {
-        let used = f64::from(self.runs) / f64::from(self.listed.slots.max(1));
-        self.pace(usual) * (1.0 + FULL_COST * used)
+    /// Cost of placing a run on it: the expected interval, weighted by the load. Lower is better.
+    pub(super) fn cost(&self, fleet_average: Option<f64>) -> f64 {
+        let load = f64::from(self.active_runs) / f64::from(self.listing.slots.max(1));
+        self.estimated_interval_ms(fleet_average) * (1.0 + FULL_LOAD_PENALTY * load)
     }
 }
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -1,279 +1,314 @@
-//! The engines of one service, as the runner of its lots sees them.
+//! Selection of engines for the runs of a model's lots.
 //!
-//! One instance runs all lots of a model, so it knows the runs at each engine exactly. What counts
-//! for a step is its last sample: engines differ in pace, and some turn slow for seconds. So the
-//! fastest engine with a free slot comes first, and a run on a slow engine is moved to a fast one
-//! as soon as that has a slot that nothing waits for.
+//! A single instance runs all lots of a model, so the load of each engine is known exactly. A step
+//! completes with its last sample, engines differ in speed, and some become slow for seconds.
+//! Therefore a run goes to the fastest engine with a free slot, and a run on a slow engine moves
+//! to a fast one that has a free slot while nothing is queued. Callers must pair each
+//! [`Fleet::run_started`] with one [`Fleet::run_ended`].
 
-use super::{Engine, Halt, Listed};
+use super::{Engine, Listing, RunOutcome};
 use crate::{Time, crash::LAST_CHANCE};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{collections::BTreeMap, time::Duration};
 
 slotmap::new_key_type! {
-    /// One start of one engine in a [`Fleet`].
-    pub struct Key;
+    /// Key of one process of an engine in a [`Fleet`]; a restarted engine gets a new key.
+    pub struct EngineKey;
 }
 
-/// Share of a new gap between events in the moving average of an engine's pace.
-const PACE_GAIN: f64 = 0.06;
-/// The same in the moving average of all engines.
-const FLEET_PACE_GAIN: f64 = 0.01;
-/// A run is moved if its engine takes so many times as long as the one that it would go to. Engines
-/// differ by 1.3 (47 ms and 60 ms an event, measured), and reading the prompt and the
-/// text again takes less than an event.
-const MOVE_FACTOR: f64 = 1.2;
-/// Events that a run must have made before it is moved for less than [`FAR_SLOWER`]: it is then one
-/// of the long ones, which hold up their step.
-const LONG_RUN: u64 = 10;
-/// A run moves at once if its engine takes so many times as long.
-const FAR_SLOWER: f64 = 2.0;
-/// Gaps that an engine's pace must rest on before it decides about a move: the arrival of single
-/// events depends on this process as well.
-const MOVE_GAPS: u32 = 12;
-/// First wait after an engine broke a run off or could not be reached; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest such wait: an engine that is back is found again soon.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_400);
-/// Wait after an engine said that it is full or loads weights: a load takes about a second.
-const FULL_PAUSE: Duration = Duration::from_millis(120);
+/// Weight of a new interval in the moving average of one engine.
+const ENGINE_AVERAGE_WEIGHT: f64 = 0.06;
+/// Weight of a new interval in the moving average over all engines.
+const FLEET_AVERAGE_WEIGHT: f64 = 0.01;
+/// A long run moves if its engine's interval exceeds that of the target by this factor. Engines
+/// differ by a factor of 1.3 (47 ms and 60 ms an event), and processing the prompt and the text
+/// again on the target takes less than one event.
+const LONG_RUN_MOVE_RATIO: f64 = 1.2;
+/// Number of events from which a run counts as long. Long runs delay their step, so they move for
+/// less than [`SHORT_RUN_MOVE_RATIO`].
+const LONG_RUN_EVENTS: u64 = 10;
+/// A shorter run moves if its engine's interval exceeds that of the target by this factor.
+const SHORT_RUN_MOVE_RATIO: f64 = 2.0;
+/// Number of intervals before an engine's average is used to move a run or to time it out: the
+/// arrival of single events also depends on the load of this process.
+const MIN_INTERVAL_SAMPLES: u32 = 12;
+/// Backoff after an engine's first failed run; doubles with each further one in a row.
+const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(300);
+/// Upper bound of that backoff, so that a recovered engine is used again soon.
+const MAX_FAILURE_BACKOFF: Duration = Duration::from_millis(2_400);
+/// Backoff after an engine is full or loads weights; loading takes about a second.
+const REJECTION_BACKOFF: Duration = Duration::from_millis(120);
 
-/// An engine is kept free for an item with a last chance for so long: the runs that are there leave a slot by then.
-const RESERVATION: Duration = Duration::from_millis(1_500);
+/// Time after which a reservation lapses; the runs in progress free a slot by then.
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A run whose engine makes no event for so many of its usual gaps has lost it.
-const SILENT_GAPS: f64 = 8.0;
-/// But not sooner: a slow engine takes up to eight times its usual gap from one event to the next.
-const LEAST_SILENCE: Duration = Duration::from_millis(500);
-/// Nor later.
-const MOST_SILENCE: Duration = Duration::from_millis(1_500);
+/// Stall timeout of a run, in average intervals of its engine.
+const STALL_TIMEOUT_INTERVALS: f64 = 8.0;
+/// Lower bound of the stall timeout: a slow engine takes up to eight times its usual interval
+/// from one event to the next.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Upper bound of the stall timeout, and its value while the average has too few intervals.
+const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The engines of one service.
+/// The engines of one service, with their load and health.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    arena: SlotMap<Key, Engine>,
-    ids: BTreeMap<CompactString, Key>,
-    /// Moving average of the time between two events of a run at any engine, in milliseconds; none before the first.
-    pace: Option<f64>,
+    engines: SlotMap<EngineKey, Engine>,
+    keys_by_id: BTreeMap<CompactString, EngineKey>,
+    /// Moving average of the interval between two events over all engines, in milliseconds; `None`
+    /// before the first interval.
+    avg_ms: Option<f64>,
 }
 
 impl Fleet {
-    /// Takes over the endpoint list; says whether an engine has started again, so that runs are lost.
-    pub fn sync(&mut self, listed: impl IntoIterator<Item = Listed>) -> bool {
-        let mut left = std::mem::take(&mut self.ids);
+    /// Applies a new endpoint list. Returns `true` if an engine has restarted and its runs are lost.
+    pub fn update(&mut self, listings: impl IntoIterator<Item = Listing>) -> bool {
+        let mut left = std::mem::take(&mut self.keys_by_id);
         let mut lost = false;
-        for listed in listed {
-            let id = listed.id.clone();
+        for listing in listings {
+            let id = listing.id.clone();
             let known = left.remove(&id);
             let same =
-                known.filter(|key| self.arena[*key].listed.incarnation == listed.incarnation);
+                known.filter(|key| self.engines[*key].listing.incarnation == listing.incarnation);
             if let Some(before) = known.filter(|key| same != Some(*key)) {
-                self.arena[before].restarted = true;
-                lost |= self.arena[before].runs > 0;
-                self.drop(before);
+                self.engines[before].restarted = true;
+                lost |= self.engines[before].active_runs > 0;
+                self.delist(before);
             }
             let key = match same {
                 Some(key) => key,
-                None => self.arena.insert(Engine::new(listed.clone())),
+                None => self.engines.insert(Engine::new(listing.clone())),
             };
-            self.arena[key].listed = listed;
-            self.ids.insert(id, key);
+            self.engines[key].listing = listing;
+            self.keys_by_id.insert(id, key);
         }
         for key in left.into_values() {
-            self.drop(key);
+            self.delist(key);
         }
         lost
     }
 
-    /// Ids of the engines with runs.
-    pub fn busy(&self) -> Vec<CompactString> {
-        let busy = self.arena.values().filter(|engine| engine.runs > 0);
-        busy.map(|engine| engine.listed.id.clone()).collect()
+    /// Ids of the engines with runs in progress.
+    pub fn busy_ids(&self) -> Vec<CompactString> {
+        let busy = self
+            .engines
+            .values()
+            .filter(|engine| engine.active_runs > 0);
+        busy.map(|engine| engine.listing.id.clone()).collect()
     }
 
-    /// An engine is not listed any more.
-    fn drop(&mut self, key: Key) {
-        self.arena[key].gone = true;
-        self.forget_if_idle(key);
+    fn delist(&mut self, key: EngineKey) {
+        self.engines[key].delisted = true;
+        self.remove_if_idle(key);
     }
 
-    /// Whether a run at the engine is lost, since that has started again.
-    pub fn has_lost(&self, key: Key) -> bool {
-        self.arena.get(key).is_none_or(|engine| engine.restarted)
+    /// Whether the engine has restarted, or is unknown, so that a run on it is lost.
+    pub fn has_restarted(&self, key: EngineKey) -> bool {
+        self.engines.get(key).is_none_or(|engine| engine.restarted)
     }
 
-    /// The engine, if it is still known.
-    pub fn get(&self, key: Key) -> Option<&Engine> {
-        self.arena.get(key)
+    /// The engine; `None` if it left the list and its last run has ended.
+    pub fn get(&self, key: EngineKey) -> Option<&Engine> {
+        self.engines.get(key)
     }
 
-    /// All listed engines.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Engine)> {
-        self.ids.values().map(|key| (*key, &self.arena[*key]))
+    /// All engines in the endpoint list, in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
+        self.keys_by_id
+            .values()
+            .map(|key| (*key, &self.engines[*key]))
     }
 
-    /// Slots of all engines that may get work, and those that are in use.
-    pub fn usage(&self) -> (u32, u32) {
-        let open = self.iter().filter(|(_, engine)| !engine.listed.leaving);
+    /// Number of slots of all engines that may get new runs, and how many are in use.
+    pub fn slot_usage(&self) -> (u32, u32) {
+        let open = self.iter().filter(|(_, engine)| !engine.listing.leaving);
         open.fold((0, 0), |(slots, runs), (_, engine)| {
-            (slots + engine.listed.slots, runs + engine.runs)
+            (slots + engine.listing.slots, runs + engine.active_runs)
         })
     }
 
-    /// The engine for a run that needs weights of `oldest_version` or newer.
-    pub fn pick(&self, now: Time, oldest_version: u64, except: Option<Key>) -> Option<Key> {
+    /// The engine for a run that needs weights of `oldest_version` or newer, other than `except`.
+    pub fn pick(
+        &self,
+        now: Time,
+        oldest_version: u64,
+        except: Option<EngineKey>,
+    ) -> Option<EngineKey> {
         let admits = |key, engine: &Engine| Some(key) != except && engine.admits(now, 0);
-        self.best(now, oldest_version, admits)
+        self.cheapest(now, oldest_version, admits)
     }
 
-    /// Whether any engine takes a run that needs weights of `oldest_version` or newer, of whatever item.
-    pub fn has_room(&self, now: Time, oldest_version: u64) -> bool {
-        self.best(now, oldest_version, |_, _| true).is_some()
+    /// Whether any engine has a free slot for a run that needs weights of `oldest_version` or newer,
+    /// regardless of reservations.
+    pub fn has_free_slot(&self, now: Time, oldest_version: u64) -> bool {
+        self.cheapest(now, oldest_version, |_, _| true).is_some()
     }
 
-    /// The engine for a run of an item that so many endpoints have crashed under.
-    pub fn pick_in_doubt(&self, now: Time, oldest_version: u64, doubts: usize) -> Option<Key> {
-        self.best(now, oldest_version, |_, engine| engine.admits(now, doubts))
+    /// The engine for a run of an item under which `crashes` engines have crashed.
+    pub fn pick_for_item(
+        &self,
+        now: Time,
+        oldest_version: u64,
+        crashes: usize,
+    ) -> Option<EngineKey> {
+        self.cheapest(now, oldest_version, |_, engine| engine.admits(now, crashes))
     }
 
-    /// Keeps an engine free for an item with a last chance: nothing begins there until that item can run alone. One engine at a
-    /// time, the one whose last run began first.
+    /// Reserves an engine for an item on its last attempt: nothing else starts there until that item
+    /// can run. At most one engine is reserved at a time, the one with the oldest last start.
     pub fn reserve(&mut self, now: Time, oldest_version: u64) {
-        let waits = |engine: &Engine| engine.last_chance || now < engine.reserved_until;
-        if self.iter().any(|(_, engine)| waits(engine)) {
+        let is_reserved = |engine: &Engine| engine.has_isolated_run || now < engine.reserved_until;
+        if self.iter().any(|(_, engine)| is_reserved(engine)) {
             return;
         }
-        let fits = |engine: &Engine| engine.listed.version.is_some_and(|v| v >= oldest_version);
+        let fits = |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
         let open = self.iter().filter(|(_, engine)| {
-            fits(engine) && !engine.listed.leaving && now >= engine.not_before
+            fits(engine) && !engine.listing.leaving && now >= engine.backoff_until
         });
-        let idle = open.filter(|(_, engine)| engine.doubted == 0);
-        let first = idle.min_by_key(|(_, engine)| engine.last_began);
+        let idle = open.filter(|(_, engine)| engine.suspect_runs == 0);
+        let first = idle.min_by_key(|(_, engine)| engine.last_run_started);
         if let Some(key) = first.map(|(key, _)| key) {
-            self.arena[key].reserved_until = now + RESERVATION;
+            self.engines[key].reserved_until = now + RESERVATION_TIMEOUT;
         }
     }
 
-    fn best(
+    /// The engine of least cost among those that accept a run and that `admits` allows.
+    fn cheapest(
         &self,
         now: Time,
         oldest_version: u64,
-        admits: impl Fn(Key, &Engine) -> bool,
-    ) -> Option<Key> {
-        let open = self
+        admits: impl Fn(EngineKey, &Engine) -> bool,
+    ) -> Option<EngineKey> {
+        let all = self
             .iter()
-            .filter(|(key, engine)| engine.takes(now, oldest_version) && admits(*key, engine));
-        let best = open.min_by(|(_, a), (_, b)| a.cost(self.pace).total_cmp(&b.cost(self.pace)));
-        best.map(|(key, _)| key)
+            .filter(|(key, engine)| engine.accepts(now, oldest_version) && admits(*key, engine));
+        let min = all.min_by(|(_, a), (_, b)| a.cost(self.avg_ms).total_cmp(&b.cost(self.avg_ms)));
+        min.map(|(key, _)| key)
     }
 
-    /// Where a run at `from`, which has made so many events, should go instead if that is faster.
-    pub fn better(&self, now: Time, from: Key, oldest_version: u64, events: u64) -> Option<Key> {
-        let engine = self.arena.get(from)?;
-        let pace = engine.pace.filter(|_| engine.gaps >= MOVE_GAPS)?;
+    /// A faster engine to which a run on `from` with this number of events should move.
+    pub fn move_target(
+        &self,
+        now: Time,
+        from: EngineKey,
+        oldest_version: u64,
+        events: u64,
+    ) -> Option<EngineKey> {
+        let engine = self.engines.get(from)?;
+        let interval_ms = engine
+            .event_interval_ms
+            .filter(|_| engine.interval_samples >= MIN_INTERVAL_SAMPLES)?;
         let to = self.pick(now, oldest_version, Some(from))?;
-        let factor = if events < LONG_RUN {
-            FAR_SLOWER
+        let ratio = if events < LONG_RUN_EVENTS {
+            SHORT_RUN_MOVE_RATIO
         } else {
-            MOVE_FACTOR
+            LONG_RUN_MOVE_RATIO
         };
-        (pace > factor * self.arena[to].pace(self.pace)).then_some(to)
+        (interval_ms > ratio * self.engines[to].estimated_interval_ms(self.avg_ms)).then_some(to)
     }
 
-    /// How long a run at an engine that has made events waits for the next one. The longest texts decide about a step and have
-    /// less than a second to spare: 1.5 s at an engine that fell silent made them late.
-    pub fn patience(&self, key: Key) -> Duration {
+    /// How long a run waits for its next event before it is taken for lost. The longest texts decide
+    /// when a step completes and have less than a second to spare: waiting 1.5 s for a silent engine
+    /// made them late.
+    pub fn stall_timeout(&self, key: EngineKey) -> Duration {
         let engine = self
-            .arena
+            .engines
             .get(key)
-            .filter(|engine| engine.gaps >= MOVE_GAPS);
-        let Some(pace) = engine.and_then(|engine| engine.pace) else {
-            return MOST_SILENCE;
+            .filter(|engine| engine.interval_samples >= MIN_INTERVAL_SAMPLES);
+        let Some(interval_ms) = engine.and_then(|engine| engine.event_interval_ms) else {
+            return MAX_STALL_TIMEOUT;
         };
-        let silence = Duration::from_secs_f64(SILENT_GAPS * pace / 1_000.0);
-        silence.clamp(LEAST_SILENCE, MOST_SILENCE)
+        let timeout = Duration::from_secs_f64(STALL_TIMEOUT_INTERVALS * interval_ms / 1_000.0);
+        timeout.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
-    /// A run begins at the engine, of an item that so many endpoints have crashed under.
-    pub fn started(&mut self, now: Time, key: Key, doubts: usize) {
-        let Some(engine) = self.arena.get_mut(key) else {
+    /// Records that a run starts, of an item under which `crashes` engines have crashed.
+    pub fn run_started(&mut self, now: Time, key: EngineKey, crashes: usize) {
+        let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
-        engine.runs += 1;
-        engine.last_began = now;
-        if doubts > 0 {
-            engine.doubted += 1;
+        engine.active_runs += 1;
+        engine.last_run_started = now;
+        if crashes > 0 {
+            engine.suspect_runs += 1;
         }
-        if doubts >= LAST_CHANCE {
-            engine.last_chance = true;
+        if crashes >= LAST_CHANCE {
+            engine.has_isolated_run = true;
             engine.reserved_until = Time::ZERO;
         }
     }
 
-    /// A run that began in doubt ends.
-    pub fn doubt_ended(&mut self, key: Key) {
-        if let Some(engine) = self.arena.get_mut(key) {
-            engine.doubted = engine.doubted.saturating_sub(1);
-            engine.last_chance &= engine.doubted > 0;
+    /// Records that a run with a `crashes` above zero ended, in addition to [`Fleet::run_ended`].
+    pub fn suspect_run_ended(&mut self, key: EngineKey) {
+        if let Some(engine) = self.engines.get_mut(key) {
+            engine.suspect_runs = engine.suspect_runs.saturating_sub(1);
+            engine.has_isolated_run &= engine.suspect_runs > 0;
         }
     }
 
-    /// A run at the engine made its first event: the engine takes work.
-    pub fn began(&mut self, key: Key) {
-        if let Some(engine) = self.arena.get_mut(key) {
-            engine.breaks = 0;
-            engine.suspect = false;
+    /// Records the first event of a run: the engine is healthy.
+    pub fn first_event_received(&mut self, key: EngineKey) {
+        if let Some(engine) = self.engines.get_mut(key) {
+            engine.consecutive_failures = 0;
+            engine.probe_needed = false;
         }
     }
 
-    /// A run at the engine made an event, `gap` after the one before.
-    pub fn made(&mut self, key: Key, gap: Duration) {
-        let Some(engine) = self.arena.get_mut(key) else {
+    /// Records a further event of a run, `interval` after the one before.
+    pub fn event_received(&mut self, key: EngineKey, interval: Duration) {
+        let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
-        let gap = gap.as_secs_f64() * 1_000.0;
-        engine.gaps = engine.gaps.saturating_add(1);
-        engine.pace = Some(averaged(engine.pace, gap, PACE_GAIN));
-        self.pace = Some(averaged(self.pace, gap, FLEET_PACE_GAIN));
+        let interval = interval.as_secs_f64() * 1_000.0;
+        engine.interval_samples = engine.interval_samples.saturating_add(1);
+        engine.event_interval_ms = Some(moving_average(
+            engine.event_interval_ms,
+            interval,
+            ENGINE_AVERAGE_WEIGHT,
+        ));
+        self.avg_ms = Some(moving_average(self.avg_ms, interval, FLEET_AVERAGE_WEIGHT));
     }
 
-    /// A run ended. Every `started` needs exactly one.
-    pub fn ended(&mut self, now: Time, key: Key, halt: Halt) {
-        let Some(engine) = self.arena.get_mut(key) else {
+    /// Records that a run ended. Each [`Fleet::run_started`] needs exactly one call.
+    pub fn run_ended(&mut self, now: Time, key: EngineKey, outcome: RunOutcome) {
+        let Some(engine) = self.engines.get_mut(key) else {
             return;
         };
-        engine.runs = engine.runs.saturating_sub(1);
-        match halt {
-            Halt::Finished => {
-                engine.breaks = 0;
-                engine.suspect = false;
+        engine.active_runs = engine.active_runs.saturating_sub(1);
+        match outcome {
+            RunOutcome::Finished => {
+                engine.consecutive_failures = 0;
+                engine.probe_needed = false;
             }
-            Halt::Cancelled => {}
-            Halt::Full => {
-                engine.suspect = true;
-                engine.not_before = engine.not_before.max(now + FULL_PAUSE);
+            RunOutcome::Cancelled => {}
+            RunOutcome::Rejected => {
+                engine.probe_needed = true;
+                engine.backoff_until = engine.backoff_until.max(now + REJECTION_BACKOFF);
             }
-            Halt::Broken => {
-                engine.suspect = true;
-                let pause = FIRST_PAUSE * 2u32.pow(engine.breaks.min(8));
-                engine.breaks += 1;
-                let until = now + pause.min(LONGEST_PAUSE);
-                engine.not_before = engine.not_before.max(until);
+            RunOutcome::Failed => {
+                engine.probe_needed = true;
+                let backoff = MIN_FAILURE_BACKOFF * 2u32.pow(engine.consecutive_failures.min(8));
+                engine.consecutive_failures += 1;
+                let until = now + backoff.min(MAX_FAILURE_BACKOFF);
+                engine.backoff_until = engine.backoff_until.max(until);
             }
         }
-        self.forget_if_idle(key);
+        self.remove_if_idle(key);
     }
 
-    fn forget_if_idle(&mut self, key: Key) {
-        let idle = self.arena.get(key).is_some_and(|e| e.gone && e.runs == 0);
+    fn remove_if_idle(&mut self, key: EngineKey) {
+        let idle = self
+            .engines
+            .get(key)
+            .is_some_and(|e| e.delisted && e.active_runs == 0);
         if idle {
-            self.arena.remove(key);
+            self.engines.remove(key);
         }
     }
 }
 
-/// A moving average with one more value in it.
-fn averaged(average: Option<f64>, value: f64, gain: f64) -> f64 {
-    average.map_or(value, |average| average + gain * (value - average))
+/// The exponential moving average after one more value.
+fn moving_average(average: Option<f64>, value: f64, weight: f64) -> f64 {
+    average.map_or(value, |average| average + weight * (value - average))
 }
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -1,249 +1,268 @@
-//! What is still to be done of a lot.
+//! Item states of one lot, from the queue to the commit.
+//!
+//! The scheduler takes the next item with [`Lot::start`], reports its end with [`Lot::finish`] or
+//! [`Lot::run_failed`], writes [`Lot::uncommitted`] samples to the store and feeds each segment
+//! that it finds there back through [`Lot::add_segment`].
 
-use super::{Gap, Ledger};
+use super::{CommitLog, Gap};
 use compact_str::CompactString;
 use pinereel_port::lot::{Sample, Submission};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why an item's run or its scoring brought nothing.
+/// Why a run or a scoring of an item gave no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The endpoint answered that it failed.
+    /// The endpoint answered with a failure; counts as an attempt.
     Failed,
-    /// The endpoint answered that this can never be done.
+    /// The endpoint answered that the item can never succeed; it is not retried.
     Impossible,
-    /// It broke off, or there was no place for it: says nothing about the item.
+    /// It broke off or found no slot; does not count as an attempt of the item.
     Interrupted,
 }
 
-/// What becomes of an item after a failure.
+/// Whether an item is retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is tried again.
-    Again,
-    /// It is given up and listed so.
-    GivenUp,
+pub enum RetryDecision {
+    /// The item runs again.
+    Retry,
+    /// The item is committed without a result.
+    GiveUp,
 }
 
-/// Where an item stands.
+/// Lifecycle of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Waiting,
-    /// Waits, and is not to be started now.
-    Held,
+    Queued,
+    /// Queued, but skipped until [`Lot::requeue_deferred`].
+    Deferred,
     Running,
-    /// Finished, not committed yet.
-    Made,
-    Listed,
+    /// It has a result, or is given up, and is not committed yet.
+    Finished,
+    Committed,
 }
 
 #[derive(Clone, Debug)]
 struct Item {
     group: usize,
     phase: Phase,
-    /// Runs that ended in a failure of the engine.
+    /// Runs that ended in [`Failure::Failed`].
     failed_runs: u32,
-    /// Scorings that ended in a failure of the scorer.
+    /// Scorings that ended in [`Failure::Failed`].
     failed_scores: u32,
-    /// The smaller, the sooner.
-    rank: (bool, u32, usize),
+    /// Order of starts, smallest first: resubmitted groups, then longest items, then input order.
+    priority: (bool, u32, usize),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Group {
     items: usize,
-    listed: usize,
-    /// Came again from an earlier step: the trainer waits for it in any case.
-    carried: bool,
+    committed_items: usize,
+    /// Has items of an earlier lot: the trainer waits for this group in any case.
+    resubmitted: bool,
 }
 
-/// One lot as its runner sees it.
+/// One lot on the instance that runs it.
 #[derive(Clone, Debug)]
 pub struct Lot {
     items: Vec<Item>,
-    index: BTreeMap<CompactString, usize>,
+    index_by_id: BTreeMap<CompactString, usize>,
     groups: Vec<Group>,
     wanted_groups: usize,
-    ledger: Ledger,
-    /// Finished and not committed, in order of their ends.
-    unlisted: Vec<Sample>,
+    commit_log: CommitLog,
+    /// Finished samples that are not committed, in the order in which they finished.
+    uncommitted: Vec<Sample>,
 }
 
-/// Tokens of an item without an estimate of its length: about the middle.
-pub const USUAL_LENGTH: u32 = 500;
+/// Assumed output tokens of an item without a length hint; near the middle of the usual lengths.
+pub const DEFAULT_LENGTH_TOKENS: u32 = 500;
 
 impl Lot {
-    /// A lot of which nothing is done. `known` are ids of items of earlier lots.
-    pub fn new(submission: &Submission, known: &BTreeSet<CompactString>) -> Self {
-        let mut names: BTreeMap<&str, usize> = BTreeMap::new();
+    /// Creates a lot with all items queued. `known_items` are the ids of items of earlier lots.
+    pub fn new(submission: &Submission, known_items: &BTreeSet<CompactString>) -> Self {
+        let mut group_by_name: BTreeMap<&str, usize> = BTreeMap::new();
         let mut groups: Vec<Group> = Vec::new();
         let mut items = Vec::new();
-        let mut index = BTreeMap::new();
-        for (at, item) in submission.items.iter().enumerate() {
-            let group = *names.entry(&item.group).or_insert_with(|| {
+        let mut index_by_id = BTreeMap::new();
+        for (index, item) in submission.items.iter().enumerate() {
+            let group = *group_by_name.entry(&item.group).or_insert_with(|| {
                 groups.push(Group::default());
                 groups.len() - 1
             });
             groups[group].items += 1;
-            groups[group].carried |= known.contains(&item.id);
-            index.insert(item.id.clone(), at);
+            groups[group].resubmitted |= known_items.contains(&item.id);
+            index_by_id.insert(item.id.clone(), index);
             items.push(Item {
                 group,
-                phase: Phase::Waiting,
+                phase: Phase::Queued,
                 failed_runs: 0,
                 failed_scores: 0,
-                rank: (true, 0, at),
+                priority: (true, 0, index),
             });
         }
-        for (item, sent) in items.iter_mut().zip(&submission.items) {
-            // The longest first: what begins last should be short.
-            let length = sent.length_hint.unwrap_or(USUAL_LENGTH);
-            item.rank.0 = !groups[item.group].carried;
-            item.rank.1 = u32::MAX - length;
+        for (item, submitted) in items.iter_mut().zip(&submission.items) {
+            // Longest first, so that the items that start last are short.
+            let length = submitted.length_hint.unwrap_or(DEFAULT_LENGTH_TOKENS);
+            item.priority.0 = !groups[item.group].resubmitted;
+            item.priority.1 = u32::MAX - length;
         }
         Self {
             items,
-            index,
+            index_by_id,
             groups,
             wanted_groups: submission.wanted_groups,
-            ledger: Ledger::default(),
-            unlisted: Vec::new(),
+            commit_log: CommitLog::default(),
+            uncommitted: Vec::new(),
         }
     }
 
-    /// Items of the lot.
+    /// Number of items of the lot.
     pub fn total(&self) -> usize {
         self.items.len()
     }
 
-    /// What is committed.
-    pub const fn ledger(&self) -> &Ledger {
-        &self.ledger
+    /// The committed results.
+    pub const fn commit_log(&self) -> &CommitLog {
+        &self.commit_log
     }
 
-    /// Items that wait for an engine.
-    pub fn waiting(&self) -> usize {
-        let waiting = self.items.iter().filter(|i| i.phase == Phase::Waiting);
-        waiting.count()
+    /// Number of items that wait for an engine; deferred ones are not counted.
+    pub fn queued(&self) -> usize {
+        let queued = self.items.iter().filter(|i| i.phase == Phase::Queued);
+        queued.count()
     }
 
-    /// The item to start next, which counts as running from now on.
+    /// Takes the next item from the queue and marks it as running. Returns its index.
     pub fn start(&mut self) -> Option<usize> {
-        let waiting = self.items.iter().enumerate();
-        let (at, _) = waiting
-            .filter(|(_, item)| item.phase == Phase::Waiting)
-            .min_by_key(|(_, item)| item.rank)?;
-        self.items[at].phase = Phase::Running;
-        Some(at)
+        let queued = self.items.iter().enumerate();
+        let (index, _) = queued
+            .filter(|(_, item)| item.phase == Phase::Queued)
+            .min_by_key(|(_, item)| item.priority)?;
+        self.items[index].phase = Phase::Running;
+        Some(index)
     }
 
-    /// An item that was to be started must wait until [`Lot::release`]: others go first.
-    pub fn hold(&mut self, at: usize) {
-        self.items[at].phase = Phase::Held;
+    /// Puts an item that could not be placed aside until [`Lot::requeue_deferred`], so that others go
+    /// first.
+    pub fn defer(&mut self, index: usize) {
+        self.items[index].phase = Phase::Deferred;
     }
 
-    /// Items that had to wait may be started again.
-    pub fn release(&mut self) {
-        let held = self.items.iter_mut().filter(|i| i.phase == Phase::Held);
-        held.for_each(|item| item.phase = Phase::Waiting);
+    /// Puts all deferred items back into the queue.
+    pub fn requeue_deferred(&mut self) {
+        let deferred = self.items.iter_mut().filter(|i| i.phase == Phase::Deferred);
+        deferred.for_each(|item| item.phase = Phase::Queued);
     }
 
-    /// A run ended without a result.
-    pub fn run_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> Fate {
-        let item = &mut self.items[at];
+    /// Records that a run ended without a result, and queues the item again.
+    pub fn run_failed(
+        &mut self,
+        index: usize,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
+        let item = &mut self.items[index];
         if item.phase != Phase::Running {
-            return Fate::Again;
+            return RetryDecision::Retry;
         }
         item.failed_runs += u32::from(failure == Failure::Failed);
-        item.phase = Phase::Waiting;
-        fate(failure, item.failed_runs, max_attempts)
+        item.phase = Phase::Queued;
+        retry_decision(failure, item.failed_runs, max_attempts)
     }
 
-    /// A scoring ended without a score.
-    pub fn score_failed(&mut self, at: usize, failure: Failure, max_attempts: u32) -> Fate {
-        let item = &mut self.items[at];
+    /// Records that a scoring ended without a score; the caller scores the same text again.
+    pub fn score_failed(
+        &mut self,
+        index: usize,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
+        let item = &mut self.items[index];
         item.failed_scores += u32::from(failure == Failure::Failed);
-        fate(failure, item.failed_scores, max_attempts)
+        retry_decision(failure, item.failed_scores, max_attempts)
     }
 
-    /// An item is done, with a text or given up.
-    pub fn finish(&mut self, at: usize, sample: Sample) {
-        let item = &mut self.items[at];
-        if matches!(item.phase, Phase::Made | Phase::Listed) {
+    /// Records the result of an item, or that it is given up. The first result of an item stays.
+    pub fn finish(&mut self, index: usize, sample: Sample) {
+        let item = &mut self.items[index];
+        if matches!(item.phase, Phase::Finished | Phase::Committed) {
             return;
         }
-        item.phase = Phase::Made;
-        self.unlisted.push(sample);
+        item.phase = Phase::Finished;
+        self.uncommitted.push(sample);
     }
 
-    /// What the next segment should hold.
-    pub fn unlisted(&self) -> &[Sample] {
-        &self.unlisted
+    /// Finished samples for the next segments.
+    pub fn uncommitted(&self) -> &[Sample] {
+        &self.uncommitted
     }
 
-    /// Takes over a segment that stands in the store, of this runner or of another one.
+    /// Applies a segment read from the store, written by this instance or by another one.
     ///
     /// # Errors
-    /// A segment before it is missing.
-    pub fn list(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
-        let known = from < self.ledger.next();
+    /// [`Gap`] if a segment before it is missing.
+    pub fn add_segment(&mut self, from: usize, samples: Vec<Sample>) -> Result<(), Gap> {
+        let is_known = from < self.commit_log.next_position();
         let ids: Vec<_> = samples.iter().map(|s| s.item.clone()).collect();
-        self.ledger.adopt(from, samples)?;
-        if known {
+        self.commit_log.append(from, samples)?;
+        if is_known {
             return Ok(());
         }
         for id in ids {
-            self.note_listed(&id);
+            self.mark_committed(&id);
         }
-        let ledger = &self.ledger;
-        self.unlisted
-            .retain(|sample| !ledger.contains(&sample.item));
+        let commit_log = &self.commit_log;
+        self.uncommitted
+            .retain(|sample| !commit_log.contains(&sample.item));
         Ok(())
     }
 
-    fn note_listed(&mut self, id: &str) {
-        let Some(at) = self.index.get(id) else {
+    fn mark_committed(&mut self, id: &str) {
+        let Some(index) = self.index_by_id.get(id) else {
             return;
         };
-        let item = &mut self.items[*at];
-        if item.phase != Phase::Listed {
-            item.phase = Phase::Listed;
-            self.groups[item.group].listed += 1;
+        let item = &mut self.items[*index];
+        if item.phase != Phase::Committed {
+            item.phase = Phase::Committed;
+            self.groups[item.group].committed_items += 1;
         }
     }
 
-    /// Whether the item is listed or waits only for its commit.
-    pub fn is_done(&self, at: usize) -> bool {
-        matches!(self.items[at].phase, Phase::Made | Phase::Listed)
+    /// Whether the item needs no more work: it is committed or waits only for its commit.
+    pub fn is_finished(&self, index: usize) -> bool {
+        matches!(self.items[index].phase, Phase::Finished | Phase::Committed)
     }
 
-    /// Whether every item is listed.
+    /// Whether every item is committed.
     pub fn is_complete(&self) -> bool {
-        self.ledger.samples().len() >= self.items.len()
+        self.commit_log.samples().len() >= self.items.len()
     }
 
-    /// Whether the trainer has all that it waits for once `unlisted` is committed: then it should
-    /// not wait for more to be committed together.
-    pub fn satisfies(&self) -> bool {
-        let mut done: Vec<_> = self.groups.iter().map(|group| group.listed).collect();
-        for sample in &self.unlisted {
-            if let Some(at) = self.index.get(&sample.item) {
-                done[self.items[*at].group] += 1;
+    /// Whether the trainer has all that it waits for once the uncommitted samples are committed. If
+    /// so, they are committed at once rather than held back for a larger segment.
+    pub fn will_satisfy_trainer(&self) -> bool {
+        let mut done: Vec<_> = self
+            .groups
+            .iter()
+            .map(|group| group.committed_items)
+            .collect();
+        for sample in &self.uncommitted {
+            if let Some(index) = self.index_by_id.get(&sample.item) {
+                done[self.items[*index].group] += 1;
             }
         }
-        let whole = |(group, done): &(&Group, &usize)| **done >= group.items;
+        let is_complete = |(group, done): &(&Group, &usize)| **done >= group.items;
         let groups = || self.groups.iter().zip(&done);
-        let carried = groups()
-            .filter(|(group, _)| group.carried)
-            .all(|g| whole(&g));
-        carried && groups().filter(whole).count() >= self.wanted_groups
+        let resubmitted = groups()
+            .filter(|(group, _)| group.resubmitted)
+            .all(|g| is_complete(&g));
+        resubmitted && groups().filter(is_complete).count() >= self.wanted_groups
     }
 }
 
-const fn fate(failure: Failure, failures: u32, max_attempts: u32) -> Fate {
+const fn retry_decision(failure: Failure, failures: u32, max_attempts: u32) -> RetryDecision {
     match failure {
-        Failure::Impossible => Fate::GivenUp,
-        Failure::Failed if failures >= max_attempts => Fate::GivenUp,
-        Failure::Failed | Failure::Interrupted => Fate::Again,
+        Failure::Impossible => RetryDecision::GiveUp,
+        Failure::Failed if failures >= max_attempts => RetryDecision::GiveUp,
+        Failure::Failed | Failure::Interrupted => RetryDecision::Retry,
     }
 }
--- a/crates/pinereel_core/src/lot/accept.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -1,8 +1,8 @@
-//! Taking lots in, and forgetting them.
+//! Admission of lots and groups, takeover from a draining runner, and removal of old lots.
 
 use super::{
     Action, Group, Lot, Refusal, Runner, Sample, Spec,
-    state::{Entry, Mates},
+    state::{GroupState, SampleState},
 };
 use crate::{Time, cursor::MAX_SAMPLES};
 use compact_str::CompactString;
@@ -11,47 +11,48 @@
 impl Runner {
     pub(super) fn assign(&mut self, now: Time, spec: Spec) {
         let lot = spec.lot.clone();
-        match self.take(now, spec) {
+        match self.try_assign(now, spec) {
             Ok(()) => self.actions.push(Action::Assigned { lot }),
             Err(reason) => self.actions.push(Action::Refused { lot, reason }),
         }
     }
 
-    fn take(&mut self, now: Time, spec: Spec) -> Result<(), Refusal> {
-        self.check(&spec)?;
-        self.supersede(&spec);
-        let new = !self.lots.contains_key(&spec.lot);
-        let groups = self.unknown_groups(&spec);
+    fn try_assign(&mut self, now: Time, spec: Spec) -> Result<(), Refusal> {
+        self.validate(&spec)?;
+        self.drop_superseded(&spec);
+        let is_new = !self.lots.contains_key(&spec.lot);
+        let groups = self.new_groups(&spec);
         let samples = groups.iter().map(|g| g.samples as usize).sum::<usize>();
-        if new && self.lots.len() >= self.limits.lots {
+        if is_new && self.lots.len() >= self.limits.max_lots {
             return Err(Refusal::Full);
         }
-        if self.samples.len() + samples > self.limits.samples {
+        if self.samples.len() + samples > self.limits.max_samples {
             return Err(Refusal::Full);
         }
-        if samples > 0 && self.text() >= self.limits.text {
+        if samples > 0 && self.finished_text_bytes() >= self.limits.max_text_bytes {
             return Err(Refusal::Full);
         }
-        if new {
-            self.insert(now, &spec);
+        if is_new {
+            self.insert_lot(now, &spec);
         }
         let id = spec.lot.clone();
         let lot = self.lots.get_mut(&id).expect("inserted above if absent");
-        lot.touched = now;
+        lot.last_activity = now;
         lot.spec.version = lot.spec.version.max(spec.version);
         for group in groups {
-            self.add(&id, group);
+            self.insert_group(&id, group);
         }
         Ok(())
     }
 
-    /// Bytes of finished text that wait to be collected.
-    fn text(&self) -> usize {
+    /// Total bytes of finished text not yet acknowledged by a collect.
+    fn finished_text_bytes(&self) -> usize {
         let finished = self.samples.values().filter_map(|e| e.finished.as_ref());
         finished.map(|f| f.sample.text.len()).sum()
     }
 
-    fn check(&self, spec: &Spec) -> Result<(), Refusal> {
+    /// Checks an assign against the state of this runner, without changing it.
+    fn validate(&self, spec: &Spec) -> Result<(), Refusal> {
         if self.draining {
             return Err(Refusal::Draining);
         }
@@ -64,20 +65,20 @@
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
         let newest = same.map(Lot::step).max().unwrap_or(0);
-        if spec.step.saturating_add(self.limits.steps_ahead) < newest {
+        if spec.step.saturating_add(self.limits.max_steps_ahead) < newest {
             return Err(Refusal::Superseded);
         }
         let known = known.map(|lot| &lot.groups);
-        if is_sound(&spec.groups, known) {
+        if are_ranges_valid(&spec.groups, known) {
             Ok(())
         } else {
             Err(Refusal::Malformed)
         }
     }
 
-    /// Drops the trainer's lots that are too many steps behind.
-    fn supersede(&mut self, spec: &Spec) {
-        let ahead = self.limits.steps_ahead;
+    /// Drops the trainer's lots that are more than [`Limits::max_steps_ahead`](super::Limits) behind.
+    fn drop_superseded(&mut self, spec: &Spec) {
+        let ahead = self.limits.max_steps_ahead;
         let same = self
             .lots
             .values()
@@ -89,23 +90,24 @@
         }
     }
 
-    fn unknown_groups(&self, spec: &Spec) -> Vec<Group> {
+    /// Groups of `spec` that this runner does not hold yet.
+    fn new_groups(&self, spec: &Spec) -> Vec<Group> {
         let known = self.lots.get(&spec.lot);
         let groups = spec.groups.iter();
         let new = groups.filter(|g| known.is_none_or(|l| !l.groups.contains_key(&g.index)));
         new.cloned().collect()
     }
 
-    fn insert(&mut self, now: Time, spec: &Spec) {
-        self.next_order += 1;
+    fn insert_lot(&mut self, now: Time, spec: &Spec) {
+        self.next_arrival += 1;
         let lot = Lot {
             spec: Spec {
                 groups: Vec::new(),
                 ..spec.clone()
             },
-            order: self.next_order,
-            touched: now,
-            wanted: false,
+            arrival: self.next_arrival,
+            last_activity: now,
+            requested: false,
             groups: BTreeMap::new(),
             samples: BTreeMap::new(),
             queue: BTreeSet::new(),
@@ -113,29 +115,29 @@
         self.lots.insert(spec.lot.clone(), lot);
     }
 
-    fn add(&mut self, id: &CompactString, group: Group) {
+    fn insert_group(&mut self, id: &CompactString, group: Group) {
         let lot = self.lots.get_mut(id).expect("only called for a lot held");
-        let number = group.index;
+        let group_index = group.index;
         let range = group.first..group.first + group.samples;
-        let mates = Mates {
+        let group_state = GroupState {
             group,
-            finished: 0,
-            tokens: 0,
-            cached: BTreeMap::new(),
+            finished_samples: 0,
+            finished_tokens: 0,
+            cached_prefixes: BTreeMap::new(),
         };
-        lot.groups.insert(number, mates);
+        lot.groups.insert(group_index, group_state);
         for index in range {
-            let key = self.samples.insert(Entry {
+            let key = self.samples.insert(SampleState {
                 lot: id.clone(),
-                group: number,
+                group: group_index,
                 index,
-                rank: None,
-                parked: false,
-                tried: false,
-                partial: None,
+                queue_key: None,
+                awaiting_retry: false,
+                was_started: false,
+                saved_progress: None,
                 attempts: Vec::new(),
                 finished: None,
-                held: false,
+                delivered: false,
             });
             let lot = self.lots.get_mut(id).expect("only called for a lot held");
             lot.samples.insert(index, key);
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Takes over the finished samples of a runner that stops.
-    pub(super) fn handover(&mut self, now: Time, spec: Spec, samples: Vec<Sample>) {
+    /// Takes over groups and finished samples of a draining runner.
+    pub(super) fn take_over(&mut self, now: Time, spec: Spec, samples: Vec<Sample>) {
         let id = spec.lot.clone();
         let digest = spec.digest;
         self.assign(now, spec);
@@ -155,19 +157,20 @@
             let Some(key) = lot.samples.get(&sample.index).copied() else {
                 continue;
             };
-            let entry = &self.samples[key];
-            let sound = !sample.spans.is_empty() && sample.group == entry.group;
-            if sound && entry.open() {
-                self.keep(key, sample);
+            let sample_state = &self.samples[key];
+            let is_usable = !sample.spans.is_empty() && sample.group == sample_state.group;
+            if is_usable && sample_state.needs_work() {
+                self.store_finished(key, sample);
             }
         }
         self.abort_stale();
     }
 
-    pub(super) fn drop_idle(&mut self, now: Time) {
-        let idle = self.limits.idle;
+    /// Drops lots without an assign or a collect for longer than the idle timeout.
+    pub(super) fn drop_idle_lots(&mut self, now: Time) {
+        let idle = self.limits.idle_timeout;
         let all = self.lots.values();
-        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.touched) + idle);
+        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle);
         let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
         for lot in old {
             self.drop_lot(&lot, Refusal::Idle);
@@ -178,32 +181,36 @@
         let Some(lot) = self.lots.get(id) else { return };
         let keys: Vec<_> = lot.samples.values().copied().collect();
         for key in keys {
-            self.cancel_all(key);
-            self.forget_finished(key);
+            self.cancel_attempts(key);
+            self.discard_finished(key);
             self.samples.remove(key);
         }
         self.lots.remove(id);
         let samples = &self.samples;
-        self.parked.retain(|key| samples.contains_key(*key));
+        self.retry_queue.retain(|key| samples.contains_key(*key));
         let lot = id.clone();
         self.actions.push(Action::Dropped { lot, reason });
     }
 }
 
-/// Whether the groups, with those known, have separate samples within the largest lot.
-fn is_sound(groups: &[Group], known: Option<&BTreeMap<u32, Mates>>) -> bool {
+/// Whether the sample ranges of all groups, new and known, are disjoint, within [`MAX_SAMPLES`] and
+/// unchanged for known groups.
+fn are_ranges_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
     let mut all = BTreeMap::new();
-    let known = known.into_iter().flatten().map(|(_, mates)| &mates.group);
+    let known = known
+        .into_iter()
+        .flatten()
+        .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
-        let place = (group.first, group.samples);
-        if *all.entry(group.index).or_insert(place) != place {
+        let range = (group.first, group.samples);
+        if *all.entry(group.index).or_insert(range) != range {
             return false;
         }
     }
-    let mut places: Vec<_> = all.into_values().collect();
-    places.sort_unstable();
+    let mut ranges: Vec<_> = all.into_values().collect();
+    ranges.sort_unstable();
     let mut end = 0;
-    places.into_iter().all(|(first, samples)| {
+    ranges.into_iter().all(|(first, samples)| {
         let fits = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
         end = first.saturating_add(samples);
         fits
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -1,144 +1,145 @@
-//! Which sample starts where, and what is aborted, queued again or duplicated.
+//! Scheduling: placement of samples on endpoints, aborts, retries and speculative attempts.
 
 use super::{
     Action, Runner, Start,
-    runner::RETRY,
-    state::{Attempt, AttemptKey, Entry, Progress, SampleKey},
+    runner::RETRY_CREDIT,
+    state::{Attempt, AttemptKey, Progress, SampleKey, SampleState},
 };
 use crate::{Time, fair::Class, hash, staleness};
 use compact_str::CompactString;
 use std::{cmp::Reverse, collections::BTreeSet, mem, time::Duration};
 
-/// Most waiting samples of a lot that are looked at for one slot.
-const MAX_LOOKS: usize = 64;
+/// Most queued samples of a lot that are considered for one slot.
+const MAX_CANDIDATES: usize = 64;
 
-/// Endpoints of known speed that it takes to call one slow.
-const FEWEST_SPEEDS: usize = 3;
+/// Fewest endpoints of known speed from which a median is taken to find slow ones.
+const MIN_RATED_ENDPOINTS: usize = 3;
 
-/// Time of a token, against the median endpoint's, beyond which an endpoint is slow; in tenths.
-const SLOW_TENTHS: u64 = 30;
+/// Token time above which an endpoint is slow, in tenths of the median token time.
+const SLOW_FACTOR_TENTHS: u64 = 30;
 
 impl Runner {
-    /// Fills free slots, least loaded endpoint first.
+    /// Fills free slots, on the least loaded endpoint first.
     pub(super) fn dispatch(&mut self, now: Time) {
         if self.draining {
             return;
         }
-        // A start changes no speed.
-        let slow = self.slow(now);
-        let mut useless = BTreeSet::new();
-        while let Some((sample, endpoint)) = self.next_start(now, &slow, &mut useless) {
-            self.start(now, sample, &endpoint);
+        // Starting attempts does not change the speeds.
+        let slow = self.slow_endpoints(now);
+        let mut unusable = BTreeSet::new();
+        while let Some((sample, endpoint)) = self.next_start(now, &slow, &mut unusable) {
+            self.start_attempt(now, sample, &endpoint);
         }
     }
 
-    /// What starts next, and where. Endpoints that nothing can start on become `useless`; each is
-    /// looked at once, since that does not change while slots only fill.
+    /// The next sample to start, and its endpoint. Endpoints on which nothing can start are added to
+    /// `unusable` and considered only once, since this does not change while slots only fill.
     fn next_start(
         &self,
         now: Time,
         slow: &BTreeSet<CompactString>,
-        useless: &mut BTreeSet<CompactString>,
+        unusable: &mut BTreeSet<CompactString>,
     ) -> Option<(SampleKey, CompactString)> {
-        for endpoint in self.free(slow, useless) {
-            let queued = self.choose(now, &endpoint);
-            let sample = queued.or_else(|| self.straggler(now, &endpoint));
+        for endpoint in self.free_endpoints(slow, unusable) {
+            let queued = self.next_queued(now, &endpoint);
+            let sample = queued.or_else(|| self.speculation_candidate(now, &endpoint));
             if let Some(sample) = sample {
                 return Some((sample, endpoint));
             }
-            useless.insert(endpoint);
+            unusable.insert(endpoint);
         }
         None
     }
 
-    /// Endpoints with free slots that are not `useless`, the one to fill first in front.
-    fn free(
+    /// Endpoints with free slots that are not `unusable`, in the order in which to fill them.
+    fn free_endpoints(
         &self,
         slow: &BTreeSet<CompactString>,
-        useless: &BTreeSet<CompactString>,
+        unusable: &BTreeSet<CompactString>,
     ) -> Vec<CompactString> {
         let all = self.endpoints.iter();
-        let free = all.filter(|(key, e)| e.running < e.offer.slots && !useless.contains(*key));
-        // Runners that all prefer the same endpoint among equals would fill it together.
+        let free =
+            all.filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
+        // If all runners preferred the same one of equal endpoints, they would overload it together.
         let turn = self.stats.started;
         let mut free: Vec<_> = free.collect();
         free.sort_by_cached_key(|(key, e)| {
-            let tie = if self.policy.spread {
+            let tie = if self.policy.hash_tie_break {
                 hash::score(turn, key)
             } else {
                 0
             };
             let slow = slow.contains(*key);
-            (slow, e.running, Reverse(e.offer.version), tie)
+            (slow, e.running_attempts, Reverse(e.offer.version), tie)
         });
         free.into_iter().map(|(key, _)| key.clone()).collect()
     }
 
-    /// Endpoints that are much slower than most, by the attempts of this runner. Live requests
-    /// should avoid them too: they look idle.
-    pub fn slow(&self, now: Time) -> BTreeSet<CompactString> {
+    /// Endpoints that are much slower than the median, by the attempts of this runner. Live requests
+    /// should avoid them too, because slow endpoints appear idle.
+    pub fn slow_endpoints(&self, now: Time) -> BTreeSet<CompactString> {
         let mut slow = BTreeSet::new();
         if !self.policy.avoid_slow {
             return slow;
         }
         let all = self.endpoints.iter();
-        let known = all.filter_map(|(key, e)| Some((e.speed.known(now)?, key)));
-        let mut known: Vec<_> = known.collect();
-        known.sort_unstable();
-        if known.len() < FEWEST_SPEEDS {
+        let rated = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
+        let mut rated: Vec<_> = rated.collect();
+        rated.sort_unstable();
+        if rated.len() < MIN_RATED_ENDPOINTS {
             return slow;
         }
-        let limit = known[known.len() / 2].0 * SLOW_TENTHS / 10;
-        let beyond = known.iter().filter(|(token, _)| *token > limit);
+        let limit = rated[rated.len() / 2].0 * SLOW_FACTOR_TENTHS / 10;
+        let beyond = rated.iter().filter(|(token, _)| *token > limit);
         slow.extend(beyond.map(|(_, key)| (*key).clone()));
         slow
     }
 
-    /// Moves attempts away from slow endpoints; what they made goes along.
-    pub(super) fn move_slow(&mut self, now: Time) {
-        let slow = self.slow(now);
+    /// Moves attempts away from slow endpoints; they resume elsewhere from their output so far.
+    pub(super) fn move_from_slow(&mut self, now: Time) {
+        let slow = self.slow_endpoints(now);
         if slow.is_empty() || !self.policy.resume {
             return;
         }
         let all = self.attempts.iter();
-        let there = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.heard.is_some());
-        let there: Vec<_> = there.map(|(key, _)| key).collect();
-        for key in there {
-            self.cancel(key);
+        let movable = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
+        let movable: Vec<_> = movable.map(|(key, _)| key).collect();
+        for key in movable {
+            self.push_cancel(key);
             if let Some(attempt) = self.end(key) {
                 self.stats.moved += 1;
-                self.again(attempt.sample, Some(attempt.progress));
+                self.requeue(attempt.sample, Some(attempt.progress));
             }
         }
     }
 
-    /// The waiting sample that goes next on `endpoint`.
-    fn choose(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
+    /// The queued sample to start next on `endpoint`.
+    fn next_queued(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
         let model = &self.endpoints[endpoint].offer.model;
         let mut lots: Vec<_> = self.lots.values().collect();
         lots.retain(|lot| lot.spec.model == *model && !lot.queue.is_empty());
-        lots.sort_by_key(|lot| (lot.spec.step, lot.order));
-        if !self.policy.fair {
-            lots.sort_by_key(|lot| lot.order);
+        lots.sort_by_key(|lot| (lot.spec.step, lot.arrival));
+        if !self.policy.fair_share {
+            lots.sort_by_key(|lot| lot.arrival);
         }
-        let running = self.endpoints[endpoint].running;
-        if running >= self.policy.ahead_slots {
-            lots.retain(|lot| lot.wanted);
+        let running = self.endpoints[endpoint].running_attempts;
+        if running >= self.policy.prefetch_slots {
+            lots.retain(|lot| lot.requested);
         }
-        if self.policy.wanted_first {
-            lots.sort_by_key(|lot| !lot.wanted);
+        if self.policy.requested_first {
+            lots.sort_by_key(|lot| !lot.requested);
         }
         while !lots.is_empty() {
             let mut flows = lots.iter().map(|lot| lot.spec.trainer.as_str());
-            let flow = if self.policy.fair {
-                self.share.next(flows)?
+            let flow = if self.policy.fair_share {
+                self.fair_share.next(flows)?
             } else {
                 flows.next()?
             };
             let mut own = lots.iter().filter(|lot| lot.spec.trainer == flow);
             let found = own.find_map(|lot| {
-                let mut looks = lot.queue.iter().take(MAX_LOOKS);
-                looks.find(|rank| self.startable(now, rank.2, endpoint))
+                let mut candidates = lot.queue.iter().take(MAX_CANDIDATES);
+                candidates.find(|queue_key| self.can_start(now, queue_key.2, endpoint))
             });
             if let Some((_, _, sample)) = found {
                 return Some(*sample);
@@ -148,43 +149,43 @@
         None
     }
 
-    /// Whether the endpoint's version is likely to be fresh enough when the sample is done.
-    fn startable(&self, now: Time, sample: SampleKey, endpoint: &str) -> bool {
+    /// Whether the endpoint's version is likely to meet the staleness bound when the sample completes.
+    fn can_start(&self, now: Time, sample: SampleKey, endpoint: &str) -> bool {
         if !self.policy.staleness_aware_start {
             return true;
         }
         let offer = &self.endpoints[endpoint].offer;
-        let entry = &self.samples[sample];
-        let lot = &self.lots[&entry.lot];
-        // Whoever waits takes all that its bound allows: nothing fresher may ever be served.
-        let bound = if lot.wanted {
+        let sample_state = &self.samples[sample];
+        let lot = &self.lots[&sample_state.lot];
+        // A waiting trainer gets all that its bound allows: fresher weights may never be served.
+        let bound = if lot.requested {
             lot.spec.bound
         } else {
-            lot.spec.bound.min(self.policy.start_bound)
+            lot.spec.bound.min(self.policy.prefetch_bound)
         };
-        if !staleness::fits(offer.version, lot.spec.version, bound) {
+        if !staleness::is_fresh(offer.version, lot.spec.version, bound) {
             return false;
         }
-        let mates = &lot.groups[&entry.group];
-        let cached = mates.cached_on(endpoint, now);
-        if cached.is_some_and(|v| !staleness::fits(v, lot.spec.version, lot.spec.bound)) {
+        let group_state = &lot.groups[&sample_state.group];
+        let cached = group_state.cached_version(endpoint, now);
+        if cached.is_some_and(|v| !staleness::is_fresh(v, lot.spec.version, lot.spec.bound)) {
             return false;
         }
-        let tokens = u64::from(mates.predicted());
-        let done = now + Duration::from_micros(self.token_time.saturating_mul(tokens));
-        let pace = self.paces.get(&lot.spec.model);
-        if pace.is_none_or(|pace| pace.lasts(offer.version, done, bound)) {
+        let tokens = u64::from(group_state.predicted_tokens());
+        let done = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
+        let rate = self.publication_rates.get(&lot.spec.model);
+        if rate.is_none_or(|rate| rate.stays_fresh(offer.version, done, bound)) {
             return true;
         }
-        // Nothing newer is served, so waiting would not help.
+        // If no endpoint serves a newer version, waiting would not help.
         let all = self.endpoints.values().map(|e| &e.offer);
         let mut usable = all.filter(|o| o.model == offer.model && o.slots > 0);
         usable.all(|other| other.version <= offer.version)
     }
 
-    /// A running sample worth a second attempt on an idle slot: the one started first.
-    fn straggler(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
-        if !self.policy.duplicates {
+    /// The running sample for a speculative attempt on an idle slot: the one that started first.
+    fn speculation_candidate(&self, now: Time, endpoint: &str) -> Option<SampleKey> {
+        if !self.policy.speculative_attempts {
             return None;
         }
         let model = &self.endpoints[endpoint].offer.model;
@@ -194,81 +195,89 @@
             return None;
         }
         let due = self.attempts.values().filter(|attempt| {
-            let entry = &self.samples[attempt.sample];
-            let old = now.since(attempt.started) >= self.policy.duplicate_after;
-            let alone = entry.attempts.len() == 1 && attempt.endpoint != endpoint;
-            let fits = self.lots[&entry.lot].spec.model == *model;
-            old && alone && fits && self.startable(now, attempt.sample, endpoint)
+            let sample_state = &self.samples[attempt.sample];
+            let old = now.since(attempt.started_at) >= self.policy.speculate_after;
+            let alone = sample_state.attempts.len() == 1 && attempt.endpoint != endpoint;
+            let fits = self.lots[&sample_state.lot].spec.model == *model;
+            old && alone && fits && self.can_start(now, attempt.sample, endpoint)
         });
-        let first = due.min_by_key(|attempt| (attempt.started, attempt.sample));
+        let first = due.min_by_key(|attempt| (attempt.started_at, attempt.sample));
         first.map(|attempt| attempt.sample)
     }
 
-    fn start(&mut self, now: Time, sample: SampleKey, endpoint: &str) {
-        let twin = !self.samples[sample].attempts.is_empty();
-        let progress = self.resumable(sample, endpoint).unwrap_or_default();
-        let base = progress.record.tokens();
+    fn start_attempt(&mut self, now: Time, sample: SampleKey, endpoint: &str) {
+        let speculative = !self.samples[sample].attempts.is_empty();
+        let progress = self.resume_point(sample, endpoint).unwrap_or_default();
+        let resumed_tokens = progress.record.tokens();
         self.unqueue(sample);
-        self.count(&progress, twin);
+        self.count_start(&progress, speculative);
         let resume = progress.text.clone();
         let attempt = self.attempts.insert(Attempt {
             sample,
             endpoint: endpoint.into(),
-            started: now,
-            heard: None,
-            base,
+            started_at: now,
+            last_chunk_at: None,
+            resumed_tokens,
             progress,
         });
         let target = self.endpoints.get_mut(endpoint);
-        target.expect("the endpoint was just chosen").running += 1;
-        let entry = &mut self.samples[sample];
-        let again = twin || entry.tried;
-        entry.attempts.push(attempt);
-        entry.tried = true;
-        let lot = &self.lots[&entry.lot];
+        target
+            .expect("the endpoint was just chosen")
+            .running_attempts += 1;
+        let sample_state = &mut self.samples[sample];
+        let is_retry = speculative || sample_state.was_started;
+        sample_state.attempts.push(attempt);
+        sample_state.was_started = true;
+        let lot = &self.lots[&sample_state.lot];
         let late = now >= lot.spec.deadline;
-        let mates = &lot.groups[&entry.group];
-        let cost = u64::from(mates.predicted().saturating_sub(base));
-        self.share.charge(&lot.spec.trainer, lot.spec.weight, cost);
+        let group_state = &lot.groups[&sample_state.group];
+        let cost = u64::from(
+            group_state
+                .predicted_tokens()
+                .saturating_sub(resumed_tokens),
+        );
+        self.fair_share
+            .charge(&lot.spec.trainer, lot.spec.weight, cost);
         self.actions.push(Action::Start(Start {
             attempt,
             endpoint: endpoint.into(),
-            lot: entry.lot.clone(),
-            index: entry.index,
-            prompt: mates.group.prompt.clone(),
-            max_tokens: mates.group.max_tokens,
-            seed: seed(lot.spec.digest, entry.index),
+            lot: sample_state.lot.clone(),
+            index: sample_state.index,
+            prompt: group_state.group.prompt.clone(),
+            max_tokens: group_state.group.max_tokens,
+            seed: sampling_seed(lot.spec.digest, sample_state.index),
             resume,
-            resume_tokens: base,
-            class: if again || late || self.policy.wanted_first && lot.wanted {
+            resume_tokens: resumed_tokens,
+            class: if is_retry || late || self.policy.requested_first && lot.requested {
                 Class::Straggler
             } else {
                 Class::Bulk
             },
         }));
-        if !again {
-            self.earn(u64::from(self.limits.retry_percent));
+        if !is_retry {
+            self.add_retry_credit(u64::from(self.limits.retry_percent));
         }
     }
 
-    const fn count(&mut self, progress: &Progress, twin: bool) {
+    const fn count_start(&mut self, progress: &Progress, speculative: bool) {
         self.stats.started += 1;
         self.stats.resumed += (progress.record.tokens() > 0) as u64;
-        self.stats.duplicated += twin as u64;
+        self.stats.speculative += speculative as u64;
     }
 
-    /// What an attempt on `endpoint` may go on from: versions must still fit and not go back.
-    fn resumable(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
-        let entry = &mut self.samples[sample];
-        let lost = entry.partial.take();
-        let twin = entry
+    /// Output from which an attempt on `endpoint` may resume: its versions must meet the staleness
+    /// bound and not be newer than that of the endpoint.
+    fn resume_point(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
+        let sample_state = &mut self.samples[sample];
+        let lost = sample_state.saved_progress.take();
+        let running = sample_state
             .attempts
             .first()
             .map(|key| &self.attempts[*key].progress);
-        let from = lost.or_else(|| twin.cloned())?;
-        let spec = &self.lots[&entry.lot].spec;
-        let fits = staleness::fits(from.record.oldest()?, spec.version, spec.bound);
-        let onward = from.record.last()? <= self.endpoints[endpoint].offer.version;
+        let from = lost.or_else(|| running.cloned())?;
+        let spec = &self.lots[&sample_state.lot].spec;
+        let fits = staleness::is_fresh(from.record.oldest_version()?, spec.version, spec.bound);
+        let onward = from.record.last_version()? <= self.endpoints[endpoint].offer.version;
         let resumable = self.policy.resume && fits && onward;
         resumable.then(|| Progress {
             record: from.record.resume(),
@@ -276,7 +285,8 @@
         })
     }
 
-    /// Aborts a running attempt whose spans do not fit, and queues its sample again by `queue`.
+    /// Aborts a running attempt whose output is too old, and queues its sample again with `queue`,
+    /// which is [`Self::retry`] or [`Self::requeue`].
     pub(super) fn abort_if_stale(
         &mut self,
         key: AttemptKey,
@@ -286,94 +296,101 @@
             return;
         };
         let sample = attempt.sample;
-        let oldest = attempt.progress.record.oldest();
+        let oldest = attempt.progress.record.oldest_version();
         let spec = &self.lots[&self.samples[sample].lot].spec;
-        let fits = oldest.is_none_or(|o| staleness::fits(o, spec.version, spec.bound));
+        let fits = oldest.is_none_or(|o| staleness::is_fresh(o, spec.version, spec.bound));
         if fits || !self.policy.early_abort {
             return;
         }
         self.stats.aborted += 1;
-        self.cancel(key);
+        self.push_cancel(key);
         self.end(key);
         queue(self, sample, None);
     }
 
-    /// After a newer version or a tighter bound: aborts, and voids what waits for a collect.
+    /// Aborts attempts and discards finished samples that are too old, after a newer version or a
+    /// tighter bound.
     pub(super) fn abort_stale(&mut self) {
         if !self.policy.early_abort {
             return;
         }
         let running: Vec<_> = self.attempts.keys().collect();
         for key in running {
-            self.abort_if_stale(key, Self::again);
+            self.abort_if_stale(key, Self::requeue);
         }
         let all = self.samples.iter();
-        let old = all.filter(|(_, entry)| self.is_stale(entry));
+        let old = all.filter(|(_, sample_state)| self.is_stale(sample_state));
         let old: Vec<_> = old.map(|(key, _)| key).collect();
         for key in old {
-            self.void_finished(key);
+            self.expire_finished(key);
         }
     }
 
-    fn is_stale(&self, entry: &Entry) -> bool {
-        let spec = &self.lots[&entry.lot].spec;
-        let finished = entry.finished.as_ref();
-        let oldest = finished.and_then(|f| crate::provenance::oldest(&f.sample.spans));
-        oldest.is_some_and(|o| !staleness::fits(o, spec.version, spec.bound))
+    fn is_stale(&self, sample_state: &SampleState) -> bool {
+        let spec = &self.lots[&sample_state.lot].spec;
+        let finished = sample_state.finished.as_ref();
+        let oldest = finished.and_then(|f| crate::provenance::oldest_version(&f.sample.spans));
+        oldest.is_some_and(|o| !staleness::is_fresh(o, spec.version, spec.bound))
     }
 
-    /// Drops a finished sample that is too old, and queues it again.
-    pub(super) fn void_finished(&mut self, key: SampleKey) {
-        self.stats.stale += 1;
-        self.forget_finished(key);
-        self.again(key, None);
+    /// Discards a finished sample that is too old, and queues it again.
+    pub(super) fn expire_finished(&mut self, key: SampleKey) {
+        self.stats.stale_samples += 1;
+        self.discard_finished(key);
+        self.requeue(key, None);
     }
 
-    /// Queues a sample again within the retry budget.
+    /// Queues a sample again as the retry budget allows.
     pub(super) fn retry(&mut self, key: SampleKey, kept: Option<Progress>) {
-        if !self.leave(key, kept) {
+        if !self.save_progress(key, kept) {
             return;
         }
-        let entry = &mut self.samples[key];
-        if !mem::replace(&mut entry.parked, true) {
-            self.parked.push_back(key);
+        let sample_state = &mut self.samples[key];
+        if !mem::replace(&mut sample_state.awaiting_retry, true) {
+            self.retry_queue.push_back(key);
         }
-        self.unpark();
+        self.release_retries();
     }
 
     /// Queues a sample again at no cost to the retry budget.
-    pub(super) fn again(&mut self, key: SampleKey, kept: Option<Progress>) {
-        if self.leave(key, kept) {
+    pub(super) fn requeue(&mut self, key: SampleKey, kept: Option<Progress>) {
+        if self.save_progress(key, kept) {
             self.enqueue(key);
         }
     }
 
-    /// Keeps the longest progress; whether the sample needs a new attempt.
-    fn leave(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
-        let entry = &mut self.samples[key];
-        let known = entry.partial.as_ref().map_or(0, |p| p.record.tokens());
+    /// Keeps the longer of the saved and the given output. Returns whether the sample needs a new
+    /// attempt.
+    fn save_progress(&mut self, key: SampleKey, kept: Option<Progress>) -> bool {
+        let sample_state = &mut self.samples[key];
+        let known = sample_state
+            .saved_progress
+            .as_ref()
+            .map_or(0, |p| p.record.tokens());
         if let Some(kept) = kept.filter(|k| k.record.tokens() > known) {
-            entry.partial = Some(kept);
+            sample_state.saved_progress = Some(kept);
         }
-        entry.open() && entry.attempts.is_empty()
+        sample_state.needs_work() && sample_state.attempts.is_empty()
     }
 
-    pub(super) fn earn(&mut self, credit: u64) {
-        let most = u64::from(self.limits.retry_burst).max(1) * RETRY;
-        self.credit = self.credit.saturating_add(credit).min(most);
+    pub(super) fn add_retry_credit(&mut self, credit: u64) {
+        let most = u64::from(self.limits.retry_burst).max(1) * RETRY_CREDIT;
+        self.retry_credit = self.retry_credit.saturating_add(credit).min(most);
     }
 
-    /// Queues parked samples as far as the retry budget goes.
-    pub(super) fn unpark(&mut self) {
-        while self.credit >= RETRY {
-            let Some(key) = self.parked.pop_front() else {
+    /// Moves samples from the retry queue to the queues of their lots as the retry budget allows.
+    pub(super) fn release_retries(&mut self) {
+        while self.retry_credit >= RETRY_CREDIT {
+            let Some(key) = self.retry_queue.pop_front() else {
                 return;
             };
-            let entry = &mut self.samples[key];
-            entry.parked = false;
-            let wanted = entry.open() && entry.attempts.is_empty() && entry.rank.is_none();
+            let sample_state = &mut self.samples[key];
+            sample_state.awaiting_retry = false;
+            let wanted = sample_state.needs_work()
+                && sample_state.attempts.is_empty()
+                && sample_state.queue_key.is_none();
             if wanted {
-                self.credit -= RETRY;
+                self.retry_credit -= RETRY_CREDIT;
                 self.enqueue(key);
             }
         }
@@ -381,50 +398,50 @@
 
     pub(super) fn enqueue(&mut self, key: SampleKey) {
         self.unqueue(key);
-        let entry = &mut self.samples[key];
-        let lot = self.lots.get_mut(&entry.lot);
+        let sample_state = &mut self.samples[key];
+        let lot = self.lots.get_mut(&sample_state.lot);
         let lot = lot.expect("samples are removed with their lot");
-        let predicted = if self.policy.long_first {
-            lot.groups[&entry.group].predicted()
+        let predicted = if self.policy.longest_first {
+            lot.groups[&sample_state.group].predicted_tokens()
         } else {
             0
         };
-        let rank = (Reverse(predicted), entry.index, key);
-        entry.rank = Some(rank);
-        lot.queue.insert(rank);
+        let queue_key = (Reverse(predicted), sample_state.index, key);
+        sample_state.queue_key = Some(queue_key);
+        lot.queue.insert(queue_key);
     }
 
     pub(super) fn unqueue(&mut self, key: SampleKey) {
-        let entry = &mut self.samples[key];
-        if let Some(rank) = entry.rank.take()
-            && let Some(lot) = self.lots.get_mut(&entry.lot)
+        let sample_state = &mut self.samples[key];
+        if let Some(queue_key) = sample_state.queue_key.take()
+            && let Some(lot) = self.lots.get_mut(&sample_state.lot)
         {
-            lot.queue.remove(&rank);
+            lot.queue.remove(&queue_key);
         }
     }
 
-    /// Learns from a finished sample how long its group mates may get.
-    pub(super) fn learn(&mut self, key: SampleKey, tokens: u32) {
-        let entry = &self.samples[key];
-        let Some(lot) = self.lots.get_mut(&entry.lot) else {
+    /// Updates the predicted length of a group by a finished sample, and the queue order of the rest.
+    pub(super) fn update_prediction(&mut self, key: SampleKey, tokens: u32) {
+        let sample_state = &self.samples[key];
+        let Some(lot) = self.lots.get_mut(&sample_state.lot) else {
             return;
         };
-        let Some(mates) = lot.groups.get_mut(&entry.group) else {
+        let Some(group_state) = lot.groups.get_mut(&sample_state.group) else {
             return;
         };
-        mates.finished += 1;
-        mates.tokens += u64::from(tokens);
-        let first = mates.group.first;
-        let range = first..first.saturating_add(mates.group.samples);
+        group_state.finished_samples += 1;
+        group_state.finished_tokens += u64::from(tokens);
+        let first = group_state.group.first;
+        let range = first..first.saturating_add(group_state.group.samples);
         let keys: Vec<_> = lot.samples.range(range).map(|(_, key)| *key).collect();
         for key in keys {
-            if self.samples[key].rank.is_some() {
+            if self.samples[key].queue_key.is_some() {
                 self.enqueue(key);
             }
         }
     }
 }
 
-fn seed(lot: hash::Digest, index: u32) -> u64 {
+fn sampling_seed(lot: hash::Digest, index: u32) -> u64 {
     hash::score(u64::from(index), &lot.to_string())
 }
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -1,15 +1,15 @@
-//! Which engine gets the next run of a lot, and when a run is moved.
+//! Selection of engines for the runs of a lot: load, speed, health, crash suspects and moves.
 
 use pinereel_core::{
     Time,
-    batch::{Fleet, Halt, Key, Listed},
+    batch::{EngineKey, Fleet, Listing, RunOutcome},
 };
 use std::time::Duration;
 
 const NOW: Time = Time::from_millis(1_000);
 
-fn listed(number: u16, version: u64) -> Listed {
-    Listed {
+fn listing(number: u16, version: u64) -> Listing {
+    Listing {
         incarnation: 1,
         id: format!("engine-{number}").into(),
         address: ([127, 0, 0, 1], 9_000 + number).into(),
@@ -21,21 +21,21 @@
 
 fn fleet(count: u16) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.sync((0..count).map(|number| listed(number, 5)));
+    fleet.update((0..count).map(|number| listing(number, 5)));
     fleet
 }
 
-fn key(fleet: &Fleet, id: &str) -> Key {
+fn key(fleet: &Fleet, id: &str) -> EngineKey {
     let mut engines = fleet.iter();
-    let (key, _) = engines.find(|(_, e)| e.listed.id == id).expect("listed");
+    let (key, _) = engines.find(|(_, e)| e.listing.id == id).expect("listed");
     key
 }
 
-/// Lets a run at the engine show its pace.
-fn pace(fleet: &mut Fleet, id: &str, millis: u64) {
+/// Feeds events at an interval of `millis` until the engine's average has settled there.
+fn set_interval(fleet: &mut Fleet, id: &str, millis: u64) {
     let key = key(fleet, id);
     for _ in 0..80 {
-        fleet.made(key, Duration::from_millis(millis));
+        fleet.event_received(key, Duration::from_millis(millis));
     }
 }
 
@@ -44,9 +44,9 @@
     let mut fleet = fleet(4);
     for _ in 0..32 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
-    let runs: Vec<_> = fleet.iter().map(|(_, e)| e.runs).collect();
+    let runs: Vec<_> = fleet.iter().map(|(_, e)| e.active_runs).collect();
     assert_eq!(runs, [8, 8, 8, 8]);
     assert_eq!(fleet.pick(NOW, 5, None), None);
 }
@@ -55,14 +55,14 @@
 fn a_slow_engine_is_used_last() {
     let mut fleet = fleet(3);
     for id in ["engine-0", "engine-2"] {
-        pace(&mut fleet, id, 40);
+        set_interval(&mut fleet, id, 40);
     }
-    pace(&mut fleet, "engine-1", 140);
+    set_interval(&mut fleet, "engine-1", 140);
     let slow = key(&fleet, "engine-1");
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
         assert_ne!(key, slow);
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
     assert_eq!(fleet.pick(NOW, 5, None), Some(slow));
 }
@@ -70,11 +70,11 @@
 #[test]
 fn old_weights_and_leaving_engines_get_nothing() {
     let mut fleet = Fleet::default();
-    let leaving = Listed {
+    let leaving = Listing {
         leaving: true,
-        ..listed(1, 9)
+        ..listing(1, 9)
     };
-    fleet.sync([listed(0, 3), leaving]);
+    fleet.update([listing(0, 3), leaving]);
     assert_eq!(fleet.pick(NOW, 4, None), None);
     assert_eq!(fleet.pick(NOW, 3, None), Some(key(&fleet, "engine-0")));
 }
@@ -82,40 +82,48 @@
 #[test]
 fn a_run_moves_only_where_it_is_much_faster() {
     let mut fleet = fleet(2);
-    pace(&mut fleet, "engine-0", 60);
-    pace(&mut fleet, "engine-1", 46);
+    set_interval(&mut fleet, "engine-0", 60);
+    set_interval(&mut fleet, "engine-1", 46);
     let (slow, fast) = (key(&fleet, "engine-0"), key(&fleet, "engine-1"));
-    assert_eq!(fleet.better(NOW, slow, 5, 3), None, "it may be over soon");
-    assert_eq!(fleet.better(NOW, slow, 5, 30), Some(fast), "a long run");
-    assert_eq!(fleet.better(NOW, fast, 5, 30), None);
-    pace(&mut fleet, "engine-0", 160);
-    assert_eq!(fleet.better(NOW, slow, 5, 3), Some(fast), "far slower");
+    assert_eq!(
+        fleet.move_target(NOW, slow, 5, 3),
+        None,
+        "a short run may end soon"
+    );
+    assert_eq!(
+        fleet.move_target(NOW, slow, 5, 30),
+        Some(fast),
+        "a long run"
+    );
+    assert_eq!(fleet.move_target(NOW, fast, 5, 30), None);
+    set_interval(&mut fleet, "engine-0", 160);
+    assert_eq!(fleet.move_target(NOW, slow, 5, 3), Some(fast), "far slower");
 }
 
 #[test]
 fn an_engine_that_refused_is_tried_by_one_run_after_a_pause() {
     let mut fleet = fleet(1);
-    let only = key(&fleet, "engine-0");
-    fleet.started(NOW, only, 0);
-    fleet.ended(NOW, only, Halt::Full);
+    let engine = key(&fleet, "engine-0");
+    fleet.run_started(NOW, engine, 0);
+    fleet.run_ended(NOW, engine, RunOutcome::Rejected);
     assert_eq!(fleet.pick(NOW, 5, None), None);
     let later = NOW + Duration::from_millis(200);
-    assert_eq!(fleet.pick(later, 5, None), Some(only));
-    fleet.started(NOW, only, 0);
+    assert_eq!(fleet.pick(later, 5, None), Some(engine));
+    fleet.run_started(NOW, engine, 0);
     assert_eq!(fleet.pick(later, 5, None), None);
-    fleet.began(only);
-    assert_eq!(fleet.pick(later, 5, None), Some(only));
+    fleet.first_event_received(engine);
+    assert_eq!(fleet.pick(later, 5, None), Some(engine));
 }
 
 #[test]
 fn an_engine_that_keeps_breaking_is_tried_less_and_less_often() {
     let mut fleet = fleet(1);
-    let only = key(&fleet, "engine-0");
+    let engine = key(&fleet, "engine-0");
     let mut now = NOW;
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        fleet.started(now, only, 0);
-        fleet.ended(now, only, Halt::Broken);
+        fleet.run_started(now, engine, 0);
+        fleet.run_ended(now, engine, RunOutcome::Failed);
         let mut pause = 0;
         while fleet.pick(now, 5, None).is_none() {
             now = now + Duration::from_millis(100);
@@ -129,104 +137,119 @@
 #[test]
 fn an_engine_that_left_the_list_is_forgotten_with_its_last_run() {
     let mut fleet = fleet(1);
-    let gone = key(&fleet, "engine-0");
-    fleet.started(NOW, gone, 0);
-    fleet.sync([listed(1, 5)]);
-    assert!(fleet.get(gone).is_some());
+    let delisted = key(&fleet, "engine-0");
+    fleet.run_started(NOW, delisted, 0);
+    fleet.update([listing(1, 5)]);
+    assert!(fleet.get(delisted).is_some());
     assert_eq!(fleet.pick(NOW, 5, None), Some(key(&fleet, "engine-1")));
-    fleet.ended(NOW, gone, Halt::Finished);
-    assert!(fleet.get(gone).is_none());
+    fleet.run_ended(NOW, delisted, RunOutcome::Finished);
+    assert!(fleet.get(delisted).is_none());
 }
 
-/// Load pattern: an engine starts again under its id, with runs there and after it broke others off.
+/// Failure: an engine restarts under its id while runs are in progress on it, after it broke off
+/// others. The new process must not inherit the load and the backoff of the old one.
 #[test]
 fn an_engine_that_starts_again_is_a_new_one() {
     let mut fleet = fleet(2);
     let before = key(&fleet, "engine-0");
-    fleet.started(NOW, before, 0);
-    fleet.started(NOW, before, 0);
-    fleet.ended(NOW, before, Halt::Broken);
-    assert!(fleet.get(before).expect("listed").is_suspect());
-    let again = Listed {
+    fleet.run_started(NOW, before, 0);
+    fleet.run_started(NOW, before, 0);
+    fleet.run_ended(NOW, before, RunOutcome::Failed);
+    assert!(fleet.get(before).expect("listed").needs_probe());
+    let again = Listing {
         incarnation: 2,
-        ..listed(0, 5)
+        ..listing(0, 5)
     };
-    assert!(!fleet.has_lost(before));
-    assert!(fleet.sync([again.clone(), listed(1, 5)]), "a run is lost");
-    assert!(fleet.has_lost(before));
+    assert!(!fleet.has_restarted(before));
+    assert!(
+        fleet.update([again.clone(), listing(1, 5)]),
+        "a run is lost"
+    );
+    assert!(fleet.has_restarted(before));
     let after = key(&fleet, "engine-0");
     assert_ne!(before, after);
-    assert_eq!(fleet.get(after).map(|e| (e.runs, e.pace)), Some((0, None)));
-    assert!(!fleet.get(after).expect("listed").is_suspect());
-    // What ends late there says nothing about it.
-    fleet.ended(NOW, before, Halt::Broken);
-    assert!(!fleet.get(after).expect("listed").is_suspect());
-    assert!(!fleet.sync([again, listed(1, 5)]), "nothing new");
+    assert_eq!(
+        fleet
+            .get(after)
+            .map(|e| (e.active_runs, e.event_interval_ms)),
+        Some((0, None))
+    );
+    assert!(!fleet.get(after).expect("listed").needs_probe());
+    // A run of the old process that ends late does not count against the new one.
+    fleet.run_ended(NOW, before, RunOutcome::Failed);
+    assert!(!fleet.get(after).expect("listed").needs_probe());
+    assert!(
+        !fleet.update([again, listing(1, 5)]),
+        "the list has not changed"
+    );
 }
 
-/// Load pattern: an engine crashed and took 8 items along; they come again beside others. When they ran together, the next
-/// crash could not be told from the first one.
+/// Failure: an engine crashes with 8 items running, which are retried together with others. If two
+/// of these suspects share an engine, the next crash cannot be attributed to one of them.
 #[test]
 fn one_item_in_doubt_runs_at_an_engine() {
     let mut fleet = fleet(2);
-    let first = fleet.pick_in_doubt(NOW, 5, 1).expect("a free slot");
-    fleet.started(NOW, first, 1);
-    let second = fleet.pick_in_doubt(NOW, 5, 1).expect("a free slot");
+    let first = fleet.pick_for_item(NOW, 5, 1).expect("a free slot");
+    fleet.run_started(NOW, first, 1);
+    let second = fleet.pick_for_item(NOW, 5, 1).expect("a free slot");
     assert_ne!(first, second);
-    fleet.started(NOW, second, 1);
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 1), None);
+    fleet.run_started(NOW, second, 1);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 1), None);
     assert!(fleet.pick(NOW, 5, None).is_some(), "others run beside it");
-    fleet.doubt_ended(first);
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 1), Some(first));
+    fleet.suspect_run_ended(first);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 1), Some(first));
 }
 
-/// Load pattern: engines are full, and an item has a last chance. An engine is kept free for it, and nothing begins beside
-/// it, so that a crash is its own.
+/// Failure: all engines are full, and an item on its last attempt finds none to itself. An engine is
+/// reserved for it, and nothing starts beside it, so that a crash can be attributed to the item.
 #[test]
 fn an_item_with_a_last_chance_gets_an_engine_where_nothing_begins() {
     let mut fleet = fleet(2);
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
-        fleet.started(NOW, key, 0);
+        fleet.run_started(NOW, key, 0);
     }
-    assert_eq!(fleet.pick_in_doubt(NOW, 5, 2), None);
+    assert_eq!(fleet.pick_for_item(NOW, 5, 2), None);
     fleet.reserve(NOW, 5);
     let later = NOW + Duration::from_millis(400);
     let keys: Vec<_> = fleet.iter().map(|(key, _)| key).collect();
     for key in &keys {
-        fleet.ended(later, *key, Halt::Finished);
+        fleet.run_ended(later, *key, RunOutcome::Finished);
     }
     let others = fleet.pick(later, 5, None).expect("the other engine");
-    fleet.started(later, others, 0);
-    assert_eq!(fleet.pick(later, 5, None), None, "one is kept free");
-    let alone = fleet.pick_in_doubt(later, 5, 2).expect("the one kept free");
-    assert_ne!(alone, others);
-    fleet.started(later, alone, 2);
-    fleet.ended(later, alone, Halt::Finished);
-    assert_eq!(fleet.pick(later, 5, None), None, "nothing begins beside it");
-    fleet.doubt_ended(alone);
-    assert_eq!(fleet.pick(later, 5, None), Some(alone));
-}
-
-/// Load pattern: an engine falls silent under the longest texts of a step, which have less than a second to spare.
+    fleet.run_started(later, others, 0);
+    assert_eq!(fleet.pick(later, 5, None), None, "one engine is reserved");
+    let isolated = fleet
+        .pick_for_item(later, 5, 2)
+        .expect("the reserved engine");
+    assert_ne!(isolated, others);
+    fleet.run_started(later, isolated, 2);
+    fleet.run_ended(later, isolated, RunOutcome::Finished);
+    assert_eq!(fleet.pick(later, 5, None), None, "nothing starts beside it");
+    fleet.suspect_run_ended(isolated);
+    assert_eq!(fleet.pick(later, 5, None), Some(isolated));
+}
+
+/// Failure: an engine falls silent under the longest texts of a step, which have less than a second
+/// to spare.
 #[test]
 fn a_silent_engine_is_left_after_some_of_its_usual_gaps() {
     let mut fleet = fleet(3);
-    pace(&mut fleet, "engine-0", 46);
-    pace(&mut fleet, "engine-1", 150);
-    let patience = |id: &str| fleet.patience(key(&fleet, id));
-    assert_eq!(patience("engine-0"), Duration::from_millis(500));
-    let slow = patience("engine-1").as_millis();
+    set_interval(&mut fleet, "engine-0", 46);
+    set_interval(&mut fleet, "engine-1", 150);
+    let stall_timeout = |id: &str| fleet.stall_timeout(key(&fleet, id));
+    assert_eq!(stall_timeout("engine-0"), Duration::from_millis(500));
+    let slow = stall_timeout("engine-1").as_millis();
     assert!((1_000..=1_200).contains(&slow), "{slow}");
     assert_eq!(
-        patience("engine-2"),
+        stall_timeout("engine-2"),
         Duration::from_millis(1_500),
-        "nothing known"
+        "no average yet"
     );
 }
 
-/// Load pattern: more engines than runs, and a pace that no engine was assumed to have. Each run that was long enough
-/// moved to an engine that had made nothing yet, and read its prompt again there.
+/// Failure: there are more engines than runs, and runs are slower than the interval assumed for an
+/// engine without events. Each long run moved to such an engine and processed its prompt again.
 #[test]
 fn no_run_moves_to_an_engine_only_because_nothing_is_known_of_it() {
     for engines in [8, 16, 32] {
@@ -235,18 +258,18 @@
         let runs: Vec<_> = (0..engines / 4)
             .map(|_| {
                 let key = fleet.pick(now, 1, None).expect("there is room");
-                fleet.started(now, key, 0);
+                fleet.run_started(now, key, 0);
                 key
             })
             .collect();
         for _ in 0..20 {
             for key in &runs {
-                fleet.made(*key, Duration::from_millis(74));
+                fleet.event_received(*key, Duration::from_millis(74));
             }
         }
         let moves = runs
             .iter()
-            .filter(|key| fleet.better(now, **key, 1, 20).is_some());
+            .filter(|key| fleet.move_target(now, **key, 1, 20).is_some());
         assert_eq!(moves.count(), 0, "of {engines} engines");
     }
 }
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -1,4 +1,4 @@
-//! One runner: refusals, order of starts, duplicates, resume, budget, handover.
+//! A single runner: refusals, order of starts, speculative attempts, resume, retry budget, handover.
 
 use pinereel_core::{
     Span, Time, Version,
@@ -6,8 +6,8 @@
     fair::Class,
     hash::Digest,
     lot::{
-        Action, Ask, AttemptKey, Chunk, Event, Failure, Finish, Group, Limits, Offer, Policy,
-        Refusal, Runner, Sample, Spec, Start,
+        Action, AttemptKey, Chunk, CollectRequest, Event, Failure, Finish, Group, Limits, Offer,
+        Policy, Refusal, Runner, Sample, Spec, Start,
     },
     provenance::Stamp,
 };
@@ -50,8 +50,8 @@
     })
 }
 
-fn ask(step: u64, token: Token, version: u64, bound: u64) -> Event {
-    Event::Collect(Ask {
+fn collect(step: u64, token: Token, version: u64, bound: u64) -> Event {
+    Event::Collect(CollectRequest {
         call: 9,
         lot: format!("lot{step}").into(),
         groups: vec![0, 1],
@@ -145,8 +145,8 @@
 #[test]
 fn lots_and_samples_are_bounded() {
     let limits = Limits {
-        lots: 1,
-        samples: 2,
+        max_lots: 1,
+        max_samples: 2,
         ..Limits::default()
     };
     let mut runner = Runner::new(Policy::default(), limits);
@@ -163,29 +163,29 @@
 #[test]
 fn finished_text_is_bounded_and_room_comes_back_with_the_collect() {
     let limits = Limits {
-        text: 3,
+        max_text_bytes: 3,
         ..Limits::default()
     };
     let mut runner = Runner::new(all_slots(), limits);
     let mut running = starts(&runner.step(NOW, offer("a", 2)));
     running.extend(starts(&runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])))));
     for start in &running {
-        runner.step(NOW, chunk(start.attempt, 0, "ab", Some(Finish::Whole)));
+        runner.step(NOW, chunk(start.attempt, 0, "ab", Some(Finish::Complete)));
     }
     let more = Event::Assign(spec(7, &[(0, 8), (1, 8)]));
     let actions = runner.step(NOW, more.clone());
     assert_eq!(refusal(&actions), Some(Refusal::Full));
     let again = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    assert_eq!(refusal(&again), None, "what is known is no new work");
-    let token = Token::first(digest(7), 7, 4).after([0, 1]).unwrap();
-    runner.step(NOW, ask(7, token, 5, 1));
+    assert_eq!(refusal(&again), None, "known groups are no new work");
+    let token = Token::empty(digest(7), 7, 4).with_samples([0, 1]).unwrap();
+    runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(refusal(&runner.step(NOW, more)), None);
 }
 
-/// The full policy for lots that nobody has asked for yet, but on all slots.
+/// The default policy, with all slots open to lots from which no trainer has collected yet.
 fn all_slots() -> Policy {
     Policy {
-        ahead_slots: u32::MAX,
+        prefetch_slots: u32::MAX,
         ..Policy::default()
     }
 }
@@ -196,7 +196,7 @@
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8), (1, 8)])));
         runner.step(NOW, Event::Assign(spec(8, &[(0, 8)])));
-        runner.step(NOW, ask(8, Token::first(digest(8), 8, 2), 5, 1));
+        runner.step(NOW, collect(8, Token::empty(digest(8), 8, 2), 5, 1));
         let started = starts(&runner.step(NOW, offer("a", 8)));
         let started = started.iter().map(|s| (s.lot.to_string(), s.class));
         started.collect::<Vec<_>>()
@@ -214,17 +214,17 @@
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let first = starts(&runner.step(NOW, offer("a", 1)));
-        let mut reused = chunk(first[0].attempt, 0, " x", Some(Finish::Whole));
+        let mut reused = chunk(first[0].attempt, 0, " x", Some(Finish::Complete));
         if let Event::Chunk(chunk) = &mut reused {
             chunk.stamp.reused = vec![Span {
                 version: Version(3),
                 tokens: 4,
             }];
         }
-        // The other sample waits; its trainer is at version 5, bound 1.
+        // The other sample is queued; its trainer is at version 5 with bound 1.
         runner.step(NOW, offer("a", 0));
         runner.step(NOW, reused);
-        runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 5, 1));
+        runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 5, 1));
         starts(&runner.step(NOW, offer("a", 1))).len()
     };
     assert_eq!(started(Policy::default()), 0);
@@ -278,7 +278,7 @@
         let now = Time::from_millis(3_500);
         runner.step(now, Event::Offer(newer));
         runner.step(now, Event::Assign(spec(7, &[(0, 8)])));
-        // Fits now (5 of 6, bound 1), but version 7 is due before a slow sample could end.
+        // Within the bound now (5 of 6, bound 1), but version 7 is due before the sample completes.
         let later = Time::from_millis(4_100);
         starts(&runner.step(later, offer("old", 1))).len()
     };
@@ -289,23 +289,29 @@
 #[test]
 fn a_straggler_is_duplicated_and_the_first_whole_one_wins() {
     let mut runner = runner(Policy {
-        duplicates: true,
+        speculative_attempts: true,
         ..Policy::default()
     });
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&runner.step(NOW, offer("a", 2)));
     runner.step(NOW, chunk(first[0].attempt, 0, " x", None));
     let later = Time::from_millis(2_000);
-    let twins = starts(&runner.step(later, offer("b", 1)));
-    assert_eq!(twins.len(), 1);
-    let twin = &twins[0];
-    assert_eq!((twin.index, twin.class), (first[0].index, Class::Straggler));
-    assert_eq!((twin.resume.as_str(), twin.resume_tokens), (" x", 1));
-    let done = runner.step(later, chunk(twin.attempt, 1, " y", Some(Finish::Whole)));
+    let speculative = starts(&runner.step(later, offer("b", 1)));
+    assert_eq!(speculative.len(), 1);
+    let second = &speculative[0];
+    assert_eq!(
+        (second.index, second.class),
+        (first[0].index, Class::Straggler)
+    );
+    assert_eq!((second.resume.as_str(), second.resume_tokens), (" x", 1));
+    let done = runner.step(
+        later,
+        chunk(second.attempt, 1, " y", Some(Finish::Complete)),
+    );
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert!(done.contains(&Action::Cancel { attempt, endpoint }));
     runner.step(later, chunk(first[0].attempt, 1, " y", None));
-    assert_eq!(runner.stats().late, 1);
+    assert_eq!(runner.stats().late_events, 1);
 }
 
 #[test]
@@ -317,14 +323,14 @@
         runner.step(NOW, chunk(start.attempt, 0, " x", None));
     }
     let endpoint = "a".into();
-    runner.step(NOW, Event::Gone { endpoint });
+    runner.step(NOW, Event::EndpointLost { endpoint });
     let resumed = starts(&runner.step(NOW, offer("b", 1)));
     assert_eq!(resumed[0].resume, " x");
     let (model, version) = ("m".into(), Version(7));
     runner.step(NOW, Event::Published { model, version });
-    // What is published says nothing about the trainer; its own collect does.
+    // A publication does not tell the version of the trainer; its own collect does.
     assert_eq!(runner.stats().aborted, 0);
-    runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 7, 1));
+    runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 7, 1));
     assert_eq!(runner.stats().aborted, 1);
     let newer = Offer {
         endpoint: "c".into(),
@@ -346,7 +352,7 @@
     let first = starts(&runner.step(NOW, offer("a", 1)));
     runner.step(NOW, chunk(first[0].attempt, 0, " x", None));
     let (trainer, bound) = ("t".into(), 0);
-    let actions = runner.step(NOW, Event::Bound { trainer, bound });
+    let actions = runner.step(NOW, Event::BoundChanged { trainer, bound });
     let (attempt, endpoint) = (first[0].attempt, "a".into());
     assert_eq!(actions, [Action::Cancel { attempt, endpoint }]);
 }
@@ -362,13 +368,13 @@
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     runner.step(NOW, Event::Tick);
     let mut running = starts(&runner.step(NOW, offer("a", 1)));
-    let mut tried = 0;
+    let mut attempts = 0;
     while let Some(start) = running.pop() {
-        tried += 1;
+        attempts += 1;
         let (attempt, failure) = (start.attempt, Failure::Lost);
         running = starts(&runner.step(NOW, Event::Failed { attempt, failure }));
     }
-    assert_eq!(tried, 3, "two samples and one retry");
+    assert_eq!(attempts, 3, "two samples and one retry");
     let later = Time::from_millis(1_200);
     assert_eq!(starts(&runner.step(later, Event::Tick)).len(), 1);
 }
@@ -387,15 +393,15 @@
 #[test]
 fn collects_tell_what_is_missing_and_refuse_foreign_tokens() {
     let mut runner = runner(Policy::default());
-    let token = Token::first(digest(7), 7, 4);
-    let none = runner.step(NOW, ask(7, token.clone(), 5, 1));
+    let token = Token::empty(digest(7), 7, 4);
+    let none = runner.step(NOW, collect(7, token.clone(), 5, 1));
     assert_eq!(answer(&none), (vec![], vec![0, 1]));
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    let some = runner.step(NOW, ask(7, token, 5, 1));
+    let some = runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(answer(&some).1, [1]);
-    let foreign = Token::first(digest(8), 7, 4);
-    let actions = runner.step(NOW, ask(7, foreign, 5, 1));
-    let (call, error) = (9, cursor::Error::Foreign);
+    let foreign = Token::empty(digest(8), 7, 4);
+    let actions = runner.step(NOW, collect(7, foreign, 5, 1));
+    let (call, error) = (9, cursor::Error::OtherLot);
     assert_eq!(actions, [Action::Rejected { call, error }]);
 }
 
@@ -404,11 +410,14 @@
     let mut runner = runner(Policy::BASELINE);
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&runner.step(NOW, offer("a", 1)));
-    runner.step(NOW, chunk(first[0].attempt, 0, " x", Some(Finish::Whole)));
-    let token = Token::first(digest(7), 7, 2);
-    let fits = runner.step(NOW, ask(7, token.clone(), 6, 1));
+    runner.step(
+        NOW,
+        chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
+    );
+    let token = Token::empty(digest(7), 7, 2);
+    let fits = runner.step(NOW, collect(7, token.clone(), 6, 1));
     assert_eq!(answer(&fits).0.len(), 1);
-    let old = runner.step(NOW, ask(7, token, 6, 0));
+    let old = runner.step(NOW, collect(7, token, 6, 0));
     assert_eq!(answer(&old).0, []);
     assert_eq!(runner.lots().next().unwrap().queued(), 1);
 }
@@ -418,7 +427,10 @@
     let mut old = runner(Policy::default());
     old.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&old.step(NOW, offer("a", 1)));
-    old.step(NOW, chunk(first[0].attempt, 0, " x", Some(Finish::Whole)));
+    old.step(
+        NOW,
+        chunk(first[0].attempt, 0, " x", Some(Finish::Complete)),
+    );
     let actions = old.step(NOW, Event::Drain);
     assert_eq!((starts(&actions).len(), old.in_flight()), (0, 1));
     let Some(Action::Handover { spec, samples }) = actions.last().cloned() else {
@@ -426,8 +438,8 @@
     };
     let mut next = runner(Policy::default());
     next.step(NOW, Event::Handover { spec, samples });
-    let token = Token::first(digest(7), 7, 2);
-    let (samples, _) = answer(&next.step(NOW, ask(7, token, 5, 1)));
+    let token = Token::empty(digest(7), 7, 2);
+    let (samples, _) = answer(&next.step(NOW, collect(7, token, 5, 1)));
     let spans = vec![Span {
         version: Version(5),
         tokens: 1,
@@ -442,7 +454,7 @@
     lot.scored = true;
     runner.step(NOW, Event::Assign(lot));
     let first = starts(&runner.step(NOW, offer("a", 1)));
-    let done = chunk(first[0].attempt, 0, " x", Some(Finish::Whole));
+    let done = chunk(first[0].attempt, 0, " x", Some(Finish::Complete));
     let actions = runner.step(NOW, done);
     let ticket = actions.iter().find_map(|action| match action {
         Action::Score { ticket, .. } => Some(*ticket),
@@ -450,7 +462,7 @@
     });
     let ticket = ticket.expect("a scoring");
     let version = Version(9);
-    runner.step(NOW, ask(7, Token::first(digest(7), 7, 2), 9, 1));
+    runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 9, 1));
     let newer = Offer {
         endpoint: "b".into(),
         model: "m".into(),
@@ -458,7 +470,7 @@
         slots: 2,
     };
     for start in starts(&runner.step(NOW, Event::Offer(newer))) {
-        let mut last = chunk(start.attempt, 0, " y", Some(Finish::Whole));
+        let mut last = chunk(start.attempt, 0, " y", Some(Finish::Complete));
         if let Event::Chunk(chunk) = &mut last {
             chunk.stamp.version = Some(version);
         }
@@ -466,11 +478,11 @@
     }
     let score = 1.0;
     assert_eq!(runner.step(NOW, Event::Scored { ticket, score }), []);
-    let token = Token::first(digest(7), 7, 2);
-    assert_eq!(answer(&runner.step(NOW, ask(7, token, 9, 1))).0, []);
+    let token = Token::empty(digest(7), 7, 2);
+    assert_eq!(answer(&runner.step(NOW, collect(7, token, 9, 1))).0, []);
 }
 
-/// A chunk that reuses a prefix far older than the bound; true stamps, and of no use.
+/// A chunk with valid stamps whose reused prefix is far older than the bound allows.
 fn stale_chunk(attempt: AttemptKey, finish: Option<Finish>) -> Event {
     let reused = vec![Span {
         version: Version(1),
@@ -492,12 +504,13 @@
 
 #[test]
 fn an_engine_that_reuses_old_prefixes_is_asked_again_at_the_pace_of_the_budget() {
-    for finish in [None, Some(Finish::Whole)] {
+    for finish in [None, Some(Finish::Complete)] {
         let mut runner = runner(Policy::default());
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let mut waiting = starts(&runner.step(NOW, offer("a", 2)));
         let mut count = waiting.len();
-        // Ten seconds in which the engine answers at once; without a pace this never ends.
+        // The engine answers at once for ten seconds. Without the retry budget the runner would start
+        // attempts without end.
         for tick in 0..100 {
             let now = NOW + std::time::Duration::from_millis(100 * tick);
             let ticked = starts(&runner.step(now, Event::Tick));
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -10,8 +10,8 @@
     cursor::{Merge, Token},
     hash::Digest,
     lot::{
-        Action, Ask, AttemptKey, Chunk, Event, Finish, Group, Limits, Offer, Policy, Runner,
-        Sample, Spec,
+        Action, AttemptKey, Chunk, CollectRequest, Event, Finish, Group, Limits, Offer, Policy,
+        Runner, Sample, Spec,
     },
     provenance::Stamp,
 };
@@ -64,7 +64,7 @@
 /// A runner with lots and engines; gives the attempts that it started.
 fn runner(lots: usize, samples: u32, slots: u32) -> (Runner, Vec<AttemptKey>) {
     let limits = Limits {
-        lots: lots.max(64),
+        max_lots: lots.max(64),
         ..Limits::default()
     };
     let mut runner = Runner::new(Policy::default(), limits);
@@ -176,7 +176,7 @@
     let mut now = 0;
     while let Some(attempt) = running.pop() {
         now += 1;
-        let event = chunk_of(attempt, 0, CHUNK_TOKENS, Some(Finish::Whole));
+        let event = chunk_of(attempt, 0, CHUNK_TOKENS, Some(Finish::Complete));
         running.extend(starts(&runner.step(Time::from_millis(now), event)));
     }
     let middle = cpu();
@@ -191,9 +191,9 @@
 /// Collects 64 samples at a time.
 fn collect(runner: &mut Runner, lot: usize, samples: u32) {
     let id = format_compact!("lot-{lot}");
-    let mut token = Token::first(Digest::of(&lot.to_be_bytes()), 1, samples);
+    let mut token = Token::empty(Digest::of(&lot.to_be_bytes()), 1, samples);
     for call in 0..u64::from(samples) {
-        let ask = Ask {
+        let ask = CollectRequest {
             call,
             lot: id.clone(),
             groups: (0..samples / GROUP).collect(),
@@ -208,7 +208,7 @@
             _ => None,
         });
         let indexes = found.into_iter().flatten().map(|sample| sample.index);
-        match token.after(indexes) {
+        match token.with_samples(indexes) {
             Some(next) if next.remaining() > 0 => token = next,
             _ => return,
         }
@@ -226,7 +226,7 @@
         let mut offset = 0;
         while offset < tokens {
             let last = offset + CHUNK_TOKENS >= tokens;
-            let finish = last.then_some(Finish::Whole);
+            let finish = last.then_some(Finish::Complete);
             let event = chunk_of(attempt, offset, CHUNK_TOKENS, finish);
             running.extend(starts(&runner.step(Time::ZERO, event)));
             offset += CHUNK_TOKENS;
@@ -248,7 +248,7 @@
 fn cursor() -> Vec<Slope> {
     let (mut sizes, mut parses, mut merges) = (Vec::new(), Vec::new(), Vec::new());
     for samples in [512, 2_048, 8_192] {
-        let token = Token::first(Digest::of(b"lot"), 1, samples);
+        let token = Token::empty(Digest::of(b"lot"), 1, samples);
         let text = token.to_string();
         let x = f64::from(samples);
         sizes.push((x, text.len() as f64));
@@ -262,7 +262,7 @@
                 bound: 1,
                 max: samples as usize,
             };
-            merge.run(found.clone())
+            merge.deliver(found.clone())
         };
         merges.push((x, micros(merge)));
     }
--- a/crates/pinereel_fakes/src/experiment/collect.rs
+++ b/crates/pinereel_fakes/src/experiment/collect.rs
@@ -47,7 +47,7 @@
         }
         let held = &self.trainers[trainer].held;
         let Some(held) = held.get(&step) else { return };
-        let (id, token) = (held.id.clone(), held.ledger.token().clone());
+        let (id, token) = (held.id.clone(), held.cursor.token().clone());
         let known = self.entries[front].fronts.insert(id, (trainer, step));
         if known.is_none() {
             let placed = self.placement(trainer, step, &token, &BTreeSet::new());
@@ -188,7 +188,7 @@
         }
         let call = self.next_call;
         self.next_call += 1;
-        let ask = lot::Ask {
+        let ask = lot::CollectRequest {
             call,
             lot: collect.asked.lot.clone(),
             groups: collect.pending.get(&owner).cloned().unwrap_or_default(),
@@ -329,7 +329,7 @@
             bound: self.trainers[asked.trainer].options.bound,
             max: MAX,
         };
-        let delivery = merge.run(found);
+        let delivery = merge.deliver(found);
         self.tally.stale += u64::from(delivery.stale);
         let over = self.now >= until;
         if delivery.samples.is_empty() && delivery.remaining > 0 && !over {
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -43,7 +43,7 @@
 /// A question of a front that waits for samples.
 pub(super) struct Waiting {
     pub(super) collect: u64,
-    pub(super) ask: lot::Ask,
+    pub(super) ask: lot::CollectRequest,
 }
 
 /// One entry.
@@ -352,12 +352,12 @@
 }
 
 fn limits(policy: &Policy) -> Limits {
-    let steps_ahead = match policy.ahead {
+    let max_steps_ahead = match policy.ahead {
         Ahead::Collect(steps) => steps,
         Ahead::None | Ahead::Train => 1,
     };
     Limits {
-        steps_ahead,
+        max_steps_ahead,
         ..Limits::default()
     }
 }
