--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -17,7 +17,7 @@
     Time,
     batch::Size,
     hash,
-    lease::{Action, Clear, Event, Holder, Limits, Place, unplaced_delay},
+    lease::{Action, Cooldown, Event, Holder, Limits, Place, unplaced_delay},
 };
 use pinereel_port::store::Object;
 use std::{
@@ -321,7 +321,7 @@
             |place| place.delay(duty),
         );
         if let Some((own, others)) = self.rests.borrow().get(duty) {
-            holder.set_rests(*own, *others);
+            holder.set_cooldown_ends(*own, *others);
         }
         holder.set_turn(turn + self.modesty(duty));
         if self.store.away_since().is_some() {
@@ -358,7 +358,10 @@
             Grant {
                 fence,
                 until: holder.until(),
-                clear: holder.clear().or(known).unwrap_or(Clear::Idle(now)),
+                clear: holder
+                    .cooldown()
+                    .or(known)
+                    .unwrap_or(Cooldown::IdleSince(now)),
             }
         });
         if before.map(|grant| grant.fence) != grant.map(|grant| grant.fence) {
--- a/crates/pinereel/src/hosted/duty/standing.rs
+++ b/crates/pinereel/src/hosted/duty/standing.rs
@@ -1,6 +1,6 @@
 //! How this instance stands to a duty.
 
-use pinereel_core::{Time, lease::Clear};
+use pinereel_core::{Time, lease::Cooldown};
 use std::time::Duration;
 
 /// A lease that this instance holds.
@@ -11,15 +11,15 @@
     /// Moment on [`Duties::now`](super::Duties::now)'s clock from which it must not be acted on.
     pub until: Time,
     /// From when on its acts do not come too soon after those of the holder before.
-    pub clear: Clear,
+    pub clear: Cooldown,
 }
 
 impl Grant {
     /// From when on it may be acted on, if so much time must lie between the acts of two holders.
     pub fn clear_from(&self, gap: Duration) -> Time {
         match self.clear {
-            Clear::From(clear) => clear,
-            Clear::Idle(idle) => idle + gap,
+            Cooldown::EndsAt(clear) => clear,
+            Cooldown::IdleSince(idle) => idle + gap,
         }
     }
 }
--- a/crates/pinereel_core/src/lease/clear.rs
+++ b/crates/pinereel_core/src/lease/cooldown.rs
@@ -12,16 +12,16 @@
 
 /// From when on a new holder may act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clear {
+pub enum Cooldown {
     /// From this moment on: the holder before has told.
-    From(Time),
+    EndsAt(Time),
     /// The holder before has not acted after this moment, and told nothing.
-    Idle(Time),
+    IdleSince(Time),
 }
 
 /// How long acts must rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rests {
+pub struct RemainingCooldown {
     /// For the holder's own next start on the same machine, in milliseconds.
     pub own_ms: u64,
     /// For any other holder once this write has released the lease, in milliseconds.
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Writer {
     /// An earlier start of the new holder on its own machine.
-    OwnStart,
+    PreviousRun,
     /// An earlier start of an instance of its name, on another machine.
-    Namesake,
+    SameName,
     /// Another instance.
     Other,
 }
 
-impl Clear {
+impl Cooldown {
     /// For whoever takes over a lease that it first saw at `since`, and whose holder might act for
     /// `lasts` after a write.
     pub(super) fn after(
@@ -50,18 +50,18 @@
         now: Time,
     ) -> Self {
         let released = lease.holder.is_empty();
-        match (lease.rests, writer) {
-            (Some(rests), Writer::OwnStart) => {
-                Self::From(since + Duration::from_millis(rests.own_ms))
+        match (lease.remaining_cooldown, writer) {
+            (Some(remaining), Writer::PreviousRun) => {
+                Self::EndsAt(since + Duration::from_millis(remaining.own_ms))
             }
-            (Some(rests), _) if released => {
-                Self::From(since + Duration::from_millis(rests.other_ms))
+            (Some(remaining), _) if released => {
+                Self::EndsAt(since + Duration::from_millis(remaining.other_ms))
             }
             // It has ended, or given the lease up, but maybe only just now.
-            (None, Writer::OwnStart | Writer::Namesake) => Self::Idle(now),
-            (None, Writer::Other) if released => Self::Idle(now),
+            (None, Writer::PreviousRun | Writer::SameName) => Self::IdleSince(now),
+            (None, Writer::Other) if released => Self::IdleSince(now),
             // It counted from before it wrote this.
-            (_, Writer::Namesake | Writer::Other) => Self::Idle((since + lasts).min(now)),
+            (_, Writer::SameName | Writer::Other) => Self::IdleSince((since + lasts).min(now)),
         }
     }
 }
--- a/crates/pinereel_core/src/lease/holder/mod.rs
+++ b/crates/pinereel_core/src/lease/holder/mod.rs
@@ -2,7 +2,7 @@
 
 mod step;
 
-use super::{Clear, Lease, Limits};
+use super::{Cooldown, Lease, Limits};
 use crate::time::Time;
 use compact_str::CompactString;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     at: Time,
     lease: Lease,
     /// From when on the holder may act if it takes effect.
-    clear: Clear,
+    cooldown: Cooldown,
 }
 
 /// The one call that is open.
@@ -61,9 +61,9 @@
     until: Time,
     draining: bool,
     /// Fencing token of the last lease held, and from when on its holder might act.
-    clear: Option<(u64, Clear)>,
+    cooldown: Option<(u64, Cooldown)>,
     /// Until when acts must rest after this holder: its own next start's, and others'.
-    rests: Option<(Time, Time)>,
+    cooldown_ends: Option<(Time, Time)>,
     /// Start of the ids that earlier starts of this instance had; empty if there are none.
     own_prefix: CompactString,
     /// Where this candidate can be reached while it holds the lease.
@@ -90,8 +90,8 @@
             due: now,
             until: Time::ZERO,
             draining: false,
-            clear: None,
-            rests: None,
+            cooldown: None,
+            cooldown_ends: None,
             own_prefix: CompactString::default(),
             address: CompactString::default(),
             acts: None,
@@ -210,16 +210,16 @@
 
     /// From when on this holder's acts do not come too soon after those of the one before; none if that
     /// is not known.
-    pub fn clear(&self) -> Option<Clear> {
+    pub fn cooldown(&self) -> Option<Cooldown> {
         let fence = self.view.as_ref()?.lease.fence;
-        let (known, clear) = self.clear?;
-        (known == fence).then_some(clear)
+        let (known, cooldown) = self.cooldown?;
+        (known == fence).then_some(cooldown)
     }
 
     /// Says until when acts must rest after this holder: those of its own next start on this machine,
     /// and those of others. Told in each lease that it writes.
-    pub const fn set_rests(&mut self, own: Time, others: Time) {
-        self.rests = Some((own, others));
+    pub const fn set_cooldown_ends(&mut self, own: Time, others: Time) {
+        self.cooldown_ends = Some((own, others));
     }
 
     /// The moment from which this candidate must not act unless it renews before.
--- a/crates/pinereel_core/src/lease/holder/step.rs
+++ b/crates/pinereel_core/src/lease/holder/step.rs
@@ -3,7 +3,7 @@
 use super::{Call, Holder, Sent, View};
 use crate::{
     hash,
-    lease::{Action, Clear, Event, Lease, Rests, clear::Writer},
+    lease::{Action, Cooldown, Event, Lease, RemainingCooldown, cooldown::Writer},
     time::Time,
 };
 use compact_str::{CompactString, format_compact};
@@ -85,7 +85,7 @@
         if sent.lease.holder == self.id {
             let lasts = self.acts.unwrap_or(self.lasts(self.limits.duration));
             self.until = self.until.max(sent.at + lasts);
-            self.clear = Some((sent.lease.fence, sent.clear));
+            self.cooldown = Some((sent.lease.fence, sent.cooldown));
         }
         self.due = sent.at + self.jittered(self.pause());
         self.view = Some(View {
@@ -163,7 +163,7 @@
             write_id,
             address: self.address.clone(),
             acts_ms: self.acts.map(millis),
-            rests: self.rests.map(|(own, others)| Rests {
+            remaining_cooldown: self.cooldown_ends.map(|(own, others)| RemainingCooldown {
                 own_ms: millis(own.since(now)),
                 other_ms: millis(others.since(now)),
             }),
@@ -171,32 +171,32 @@
         self.call = Call::Write(Sent {
             at: now,
             lease: lease.clone(),
-            clear: self.clear_after(now),
+            cooldown: self.cooldown_after(now),
         });
         Action::Write { expected, lease }
     }
 
     /// From when on this candidate may act if its next write takes effect.
-    fn clear_after(&self, now: Time) -> Clear {
+    fn cooldown_after(&self, now: Time) -> Cooldown {
         let Some(View { lease, since, .. }) = &self.view else {
             // Nobody had it before.
-            return Clear::From(Time::ZERO);
+            return Cooldown::EndsAt(Time::ZERO);
         };
         if self.owns() {
-            return self.clear().unwrap_or(Clear::Idle(now));
+            return self.cooldown().unwrap_or(Cooldown::IdleSince(now));
         }
         let writer = if !self.is_predecessor(&lease.holder) {
             Writer::Other
         } else if lease.address == self.address {
-            Writer::OwnStart
+            Writer::PreviousRun
         } else {
-            Writer::Namesake
+            Writer::SameName
         };
         let lasts = match lease.acts_ms {
             Some(acts_ms) => Duration::from_millis(acts_ms),
             None => self.lasts(Duration::from_millis(lease.duration_ms)),
         };
-        Clear::after(lease, writer, *since, lasts, now)
+        Cooldown::after(lease, writer, *since, lasts, now)
     }
 
     /// Pause between renewals; the longest that jitter makes of it is shorter than the holder acts.
--- a/crates/pinereel_core/src/lease/message.rs
+++ b/crates/pinereel_core/src/lease/message.rs
@@ -1,6 +1,6 @@
 //! The lease as it is stored, its times, and what a holder is told and orders.
 
-use super::Rests;
+use super::RemainingCooldown;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -23,8 +23,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acts_ms: Option<u64>,
     /// How long the duty's acts must rest from this write on; none if that is not known.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rests: Option<Rests>,
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "rests")]
+    pub remaining_cooldown: Option<RemainingCooldown>,
 }
 
 /// Times of a lease.
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -5,13 +5,13 @@
 //! clocks run at the same rate within the margin. Whoever is paused between asking
 //! [`Holder::acts`] and acting is caught by the fencing token.
 
-mod clear;
+mod cooldown;
 mod holder;
 mod looks;
 mod message;
 mod place;
 
-pub use clear::{Clear, Rests};
+pub use cooldown::{Cooldown, RemainingCooldown};
 pub use holder::Holder;
 pub use looks::{Glance, Looks};
 pub use message::{Action, Event, Lease, Limits};
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -432,7 +432,7 @@
         write_id: "w".into(),
         address: "".into(),
         acts_ms: None,
-        rests: None,
+        remaining_cooldown: None,
     };
     let actions = holder.step(now, Event::Read(Some((9, lease))));
     assert!(
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    lease::{Action, Clear, Event, Holder, Lease, Limits, Rests},
+    lease::{Action, Cooldown, Event, Holder, Lease, Limits, RemainingCooldown},
 };
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         write_id: "w".into(),
         address: "".into(),
         acts_ms: None,
-        rests: None,
+        remaining_cooldown: None,
     }
 }
 
@@ -265,27 +265,27 @@
     let taken = take(&mut second, Time::ZERO, &(3, lease("a/1", 1)));
     // It has not acted since its lease, first seen at 0 s, ran out by its own clock.
     let idle = Time::from_millis(1_800);
-    assert_eq!(second.clear(), Some(Clear::Idle(idle)));
+    assert_eq!(second.cooldown(), Some(Cooldown::IdleSince(idle)));
     assert!(taken > idle);
-    let clear = taken + GAP;
-    second.set_rests(clear, clear);
+    let cooldown_end = taken + GAP;
+    second.set_cooldown_ends(cooldown_end, cooldown_end);
     let stopped = taken + Duration::from_millis(1_500);
     let left = released(&mut second, stopped);
-    let rests = Rests {
+    let remaining = RemainingCooldown {
         own_ms: 1_500,
         other_ms: 1_500,
     };
-    assert_eq!(left.rests, Some(rests));
+    assert_eq!(left.remaining_cooldown, Some(remaining));
     let mut third = Holder::new(stopped, "c/1", LIMITS);
     let again = take(&mut third, stopped, &(4, left));
-    assert_eq!(third.clear(), Some(Clear::From(clear)));
-    assert!(again < clear);
+    assert_eq!(third.cooldown(), Some(Cooldown::EndsAt(cooldown_end)));
+    assert!(again < cooldown_end);
 }
 
 #[test]
 fn a_restart_on_the_same_machine_need_not_wait_for_itself() {
     let mut before = lease("a/1", 4);
-    before.rests = Some(Rests {
+    before.remaining_cooldown = Some(RemainingCooldown {
         own_ms: 0,
         other_ms: 2_800,
     });
@@ -295,25 +295,28 @@
             .succeeding("a/")
             .reached_at(address);
         take(&mut holder, Time::ZERO, &(3, before.clone()));
-        holder.clear()
+        holder.cooldown()
     };
-    let at_once = Some(Clear::From(Time::ZERO));
+    let at_once = Some(Cooldown::EndsAt(Time::ZERO));
     assert_eq!(restarted("10.0.0.1:7"), at_once);
     // Another machine of that name.
-    assert!(matches!(restarted("10.0.0.2:7"), Some(Clear::Idle(_))));
+    assert!(matches!(
+        restarted("10.0.0.2:7"),
+        Some(Cooldown::IdleSince(_))
+    ));
 }
 
 #[test]
 fn a_lease_that_tells_nothing_is_followed_by_the_whole_wait() {
     let mut holder = Holder::new(Time::ZERO, "c/1", LIMITS);
     let taken = take(&mut holder, Time::ZERO, &(3, lease("", 1)));
-    assert_eq!(holder.clear(), Some(Clear::Idle(taken)));
+    assert_eq!(holder.cooldown(), Some(Cooldown::IdleSince(taken)));
     // Nobody had it before.
     let mut first = Holder::new(Time::ZERO, "c/1", LIMITS);
     first.step(Time::ZERO, Event::Tick);
     first.step(Time::ZERO, Event::Read(None));
     first.step(Time::from_millis(10), Event::Written(1));
-    assert_eq!(first.clear(), Some(Clear::From(Time::ZERO)));
+    assert_eq!(first.cooldown(), Some(Cooldown::EndsAt(Time::ZERO)));
 }
 
 /// Load pattern: the holder is cut off from the object API just after a renewal. With the whole lease as its
@@ -335,5 +338,8 @@
     let mut next = Holder::new(Time::ZERO, "a", LIMITS).acting_for(acts);
     let taken = take(&mut next, Time::ZERO, &(4, written));
     assert_eq!(taken, Time::from_millis(2_200));
-    assert_eq!(next.clear(), Some(Clear::Idle(Time::from_millis(800))));
+    assert_eq!(
+        next.cooldown(),
+        Some(Cooldown::IdleSince(Time::from_millis(800)))
+    );
 }
