--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -10,7 +10,7 @@
     Time,
     batch::Size,
     hash,
-    lease::{Event, Glance, Lease, Looks},
+    lease::{Event, Lease, PollSchedule, PolledLease},
 };
 use pinereel_port::store::Object;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Lists all leases now and then, for the candidates that follow others.
     pub(super) async fn look_out(&self, mut fed: broadcast::Receiver<Fed>) {
         let seed = hash::stable(self.id.as_bytes());
-        let mut looks = Looks::new(self.is_preferred(), seed);
+        let mut looks = PollSchedule::new(self.is_preferred(), seed);
         let mut returns = self.store.returns();
         // The first look is for the holder of the bulletin, who is there only after those that should
         // rather hold it have looked.
@@ -80,11 +80,11 @@
     }
 
     /// A look shows these leases; returns when the next one is due.
-    fn looked(&self, mut objects: Vec<Object>, looks: &mut Looks) -> Time {
+    fn looked(&self, mut objects: Vec<Object>, looks: &mut PollSchedule) -> Time {
         if let Some(kept) = take_out(&mut objects) {
             self.crashes.read(kept);
         }
-        let due = looks.looked(self.now(), glances(&objects));
+        let due = looks.record(self.now(), glances(&objects));
         self.page.replace(objects);
         self.looked_at.set(Some(self.now()));
         self.look.send_modify(|looks| *looks += 1);
@@ -92,7 +92,7 @@
     }
 
     /// The bulletin tells of the leases, or is lost; says whether it goes on telling.
-    fn take_told(&self, heard: Result<Fed, RecvError>, looks: &mut Looks) -> bool {
+    fn take_told(&self, heard: Result<Fed, RecvError>, looks: &mut PollSchedule) -> bool {
         match heard {
             Ok(Fed::Told(update, _)) => {
                 if let Update::All(objects) = &*update {
@@ -190,11 +190,11 @@
     }
 }
 
-fn glances(objects: &[Object]) -> Vec<(CompactString, Glance)> {
+fn glances(objects: &[Object]) -> Vec<(CompactString, PolledLease)> {
     let glance = |object: &Object| {
         let (version, lease) = decode(&object.name, object.clone())?;
         let wait = Duration::from_millis(lease.duration_ms) + LIMITS.margin;
-        (!lease.holder.is_empty()).then(|| (object.name.clone(), Glance { version, wait }))
+        (!lease.holder.is_empty()).then(|| (object.name.clone(), PolledLease { version, wait }))
     };
     objects.iter().filter_map(glance).collect()
 }
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -7,12 +7,12 @@
 
 mod cooldown;
 mod holder;
-mod looks;
 mod message;
 mod place;
+mod poll;
 
 pub use cooldown::{Cooldown, RemainingCooldown};
 pub use holder::Holder;
-pub use looks::{Glance, Looks};
 pub use message::{Action, Event, Lease, Limits};
 pub use place::{Place, unplaced_delay};
+pub use poll::{PollSchedule, PolledLease};
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -398,24 +398,24 @@
 
 #[test]
 fn a_follower_looks_seldom_until_a_lease_is_not_renewed() {
-    use pinereel_core::lease::{Glance, Looks};
+    use pinereel_core::lease::{PollSchedule, PolledLease};
     let wait = Duration::from_millis(2_200);
-    let glance = |version| [("duty".into(), Glance { version, wait })];
-    for (eager, most) in [(true, 36), (false, 14)] {
-        let mut looks = Looks::new(eager, 7);
+    let polled = |version| [("duty".into(), PolledLease { version, wait })];
+    for (preferred, most) in [(true, 36), (false, 14)] {
+        let mut schedule = PollSchedule::new(preferred, 7);
         let (mut now, mut count) = (Time::from_millis(1), 0);
         // Renewed all along, about every 0.7 s.
         while now < Time::from_millis(60_000) {
-            now = looks.looked(now, glance(now.0 / 700_000));
+            now = schedule.record(now, polled(now.0 / 700_000));
             count += 1;
         }
         assert!(count <= most, "{count} looks in a minute");
         // Not renewed any more: found by the second look, and due when it may be taken.
         let first = now;
-        let second = looks.looked(first, glance(1_000_000));
-        let ripe = looks.looked(second, glance(1_000_000));
+        let second = schedule.record(first, polled(1_000_000));
+        let takeover_at = schedule.record(second, polled(1_000_000));
         let soon = second + Duration::from_millis(110);
-        assert_eq!(ripe, soon.max(first + wait));
+        assert_eq!(takeover_at, soon.max(first + wait));
     }
 }
 
