--- a/crates/pinereel/src/hosted/bulletin/feed.rs
+++ b/crates/pinereel/src/hosted/bulletin/feed.rs
@@ -2,7 +2,7 @@
 
 use super::Topic;
 use crate::hosted::follow::Update;
-use pinereel_core::lease::Place;
+use pinereel_core::lease::Rank;
 use std::{
     cell::{Cell, RefCell},
     collections::{BTreeMap, BTreeSet},
@@ -23,7 +23,7 @@
     /// What was told, as of a revision.
     Told(Rc<Update>, u64),
     /// The place of this instance among all; told to those who hear of leases.
-    Place(Place),
+    Place(Rank),
     /// Something will be told until then, as far as can be seen.
     Expected(Instant),
     /// Nothing is told any more.
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(super) fn place(&self, place: Place) {
+    pub(super) fn place(&self, place: Rank) {
         self.send(Topic::Leases, Fed::Place(place));
     }
 
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -17,7 +17,7 @@
     Time,
     batch::Size,
     hash,
-    lease::{Action, Cooldown, Event, Holder, Limits, Place, unplaced_delay},
+    lease::{Action, Cooldown, Event, Holder, Limits, Rank, unranked_takeover_delay},
 };
 use pinereel_port::store::Object;
 use std::{
@@ -110,7 +110,7 @@
     /// Somebody wants a look now.
     wanted: Notify,
     /// The place of this instance among all candidates, as it was last told.
-    place: Cell<Option<Place>>,
+    place: Cell<Option<Rank>>,
     /// Duties that are free, and that this instance is about to take.
     taking: RefCell<BTreeSet<CompactString>>,
     /// Candidates that wait for the next look.
@@ -317,13 +317,13 @@
     fn step(&self, holder: &mut Holder, duty: &CompactString, event: Event) -> Vec<Action> {
         let place = self.place.get();
         let turn = place.map_or_else(
-            || unplaced_delay(self.is_preferred()),
-            |place| place.delay(duty),
+            || unranked_takeover_delay(self.is_preferred()),
+            |place| place.takeover_delay(duty),
         );
         if let Some((own, others)) = self.rests.borrow().get(duty) {
             holder.set_cooldown_ends(*own, *others);
         }
-        holder.set_turn(turn + self.modesty(duty));
+        holder.set_takeover_delay(turn + self.modesty(duty));
         if self.store.away_since().is_some() {
             holder.note_away();
         }
@@ -335,7 +335,7 @@
         let actions = holder.step(now, event);
         let takes = !holder.presumes() && actions.iter().any(|a| matches!(a, Action::Write { .. }));
         let mut taking = self.taking.borrow_mut();
-        if takes || holder.awaits_turn(now) {
+        if takes || holder.awaits_takeover_delay(now) {
             taking.insert(duty.clone());
         } else {
             taking.remove(duty);
--- a/crates/pinereel_core/src/lease/holder/mod.rs
+++ b/crates/pinereel_core/src/lease/holder/mod.rs
@@ -47,7 +47,7 @@
     /// Since when reads have found no lease; none if the last one found it, or there was none.
     absent_since: Option<Time>,
     /// How long this candidate lets others go first once the lease is free.
-    turn: Duration,
+    takeover_delay: Duration,
     /// Whether the object API is away: calls failed, and none has been answered since.
     away: bool,
     /// When the object API was last back after it was away.
@@ -82,7 +82,7 @@
             writes: 0,
             view: None,
             absent_since: None,
-            turn: Duration::ZERO,
+            takeover_delay: Duration::ZERO,
             away: false,
             returned_at: None,
             sent: None,
@@ -158,14 +158,14 @@
     }
 
     /// How long this candidate lets others go first once the lease is free.
-    pub const fn set_turn(&mut self, turn: Duration) {
-        self.turn = turn;
+    pub const fn set_takeover_delay(&mut self, takeover_delay: Duration) {
+        self.takeover_delay = takeover_delay;
     }
 
     /// Whether the lease is free, and this candidate's turn has not come yet.
-    pub fn awaits_turn(&self, now: Time) -> bool {
+    pub fn awaits_takeover_delay(&self, now: Time) -> bool {
         let free = self.free_since();
-        free.is_some_and(|free| free <= now && now < free + self.turn)
+        free.is_some_and(|free| free <= now && now < free + self.takeover_delay)
     }
 
     /// Since when the lease is free, or from when on it will be if nobody renews it; none if it is
@@ -234,7 +234,7 @@
 
     /// From when on this candidate may take the lease if nobody renews it; none if it need not wait.
     pub fn ripe(&self) -> Option<Time> {
-        self.free_since().map(|free| free + self.turn)
+        self.free_since().map(|free| free + self.takeover_delay)
     }
 
     /// How long an unchanged lease of another must be watched before it may be taken.
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -8,11 +8,11 @@
 mod cooldown;
 mod holder;
 mod message;
-mod place;
 mod poll;
+mod rank;
 
 pub use cooldown::{Cooldown, RemainingCooldown};
 pub use holder::Holder;
 pub use message::{Action, Event, Lease, Limits};
-pub use place::{Place, unplaced_delay};
 pub use poll::{PollSchedule, PolledLease};
+pub use rank::{Rank, unranked_takeover_delay};
--- a/crates/pinereel_core/src/tree/census.rs
+++ b/crates/pinereel_core/src/tree/census.rs
@@ -1,6 +1,6 @@
 //! How many instances there are, counted up the tree, and each one's place, told down the tree.
 
-use crate::lease::Place;
+use crate::lease::Rank;
 use serde::{Deserialize, Serialize};
 
 /// Instances of a part of the tree.
@@ -47,16 +47,16 @@
 
 impl Ranks {
     /// The first place, for one instance.
-    pub fn place(self, preferred: bool) -> Place {
+    pub fn place(self, preferred: bool) -> Rank {
         let number = if preferred {
             self.before.preferred
         } else {
             self.of.preferred.saturating_add(self.before.others)
         };
-        Place {
+        Rank {
             number,
             preferred: self.of.preferred,
-            of: self.of.all(),
+            total: self.of.all(),
         }
     }
 
--- a/crates/pinereel_core/tests/lease_place.rs
+++ b/crates/pinereel_core/tests/lease_place.rs
@@ -1,19 +1,19 @@
 //! The order in which followers take a free lease.
 
-use pinereel_core::lease::Place;
+use pinereel_core::lease::Rank;
 use std::time::Duration;
 
-fn place(number: u32, preferred: u32, of: u32) -> Place {
-    Place {
+fn rank(number: u32, preferred: u32, total: u32) -> Rank {
+    Rank {
         number,
         preferred,
-        of,
+        total,
     }
 }
 
 fn delays(duty: &str, of: u32) -> Vec<Duration> {
     let mut delays: Vec<_> = (0..of)
-        .map(|number| place(number, of, of).delay(duty))
+        .map(|number| rank(number, of, of).takeover_delay(duty))
         .collect();
     delays.sort();
     delays
@@ -35,7 +35,7 @@
 fn the_first_differs_by_duty() {
     let first = |duty: &str| {
         (0..55)
-            .find(|number| place(*number, 55, 55).delay(duty).is_zero())
+            .find(|number| rank(*number, 55, 55).takeover_delay(duty).is_zero())
             .expect("there is one")
     };
     let firsts: std::collections::BTreeSet<_> = ["a", "b", "c", "d", "e"]
@@ -46,14 +46,14 @@
 
 #[test]
 fn a_place_among_none_goes_first() {
-    assert_eq!(place(0, 0, 0).delay("x"), Duration::ZERO);
+    assert_eq!(rank(0, 0, 0).takeover_delay("x"), Duration::ZERO);
 }
 
 /// Lots run badly on an instance with little processor time.
 #[test]
 fn those_that_should_rather_hold_duties_go_before_all_others() {
     for preferred in [0, 1, 8, 54] {
-        let delay = |number| place(number, preferred, 55).delay("lots-m");
+        let delay = |number| rank(number, preferred, 55).takeover_delay("lots-m");
         let last_preferred = (0..preferred).map(delay).max().unwrap_or_default();
         let first_other = (preferred..55).map(delay).min().expect("there is one");
         assert!(preferred == 0 || last_preferred < first_other);
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -11,7 +11,7 @@
     margin: Duration::from_millis(200),
     retry: Duration::from_millis(700),
 };
-const TURN: Duration = Duration::from_millis(600);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(600);
 
 fn lease(holder: &str, fence: u64) -> Lease {
     Lease {
@@ -27,7 +27,7 @@
 
 fn follower() -> Holder {
     let mut holder = Holder::new(Time::ZERO, "a", LIMITS);
-    holder.set_turn(TURN);
+    holder.set_takeover_delay(TAKEOVER_DELAY);
     holder
 }
 
@@ -84,13 +84,13 @@
     let now = Time::ZERO;
     holder.step(now, Event::Tick);
     holder.step(now, Event::Read(None));
-    assert!(holder.awaits_turn(now));
+    assert!(holder.awaits_takeover_delay(now));
     let later = now + Duration::from_millis(550);
     holder.step(later, Event::Tick);
     // A look that was asked for before the turn came.
     let now = now + Duration::from_millis(700);
     holder.step(now, Event::Read(Some((4, lease("b", 1)))));
-    assert!(!holder.awaits_turn(now));
+    assert!(!holder.awaits_takeover_delay(now));
     assert_eq!(holder.step(now, Event::Tick), vec![]);
 }
 
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -377,7 +377,7 @@
     let places = fleet.living().filter_map(|(name, node)| {
         let ranks = node.uplink.ranks()?;
         let place = ranks.place(node.peer.preferred);
-        assert_eq!((place.preferred, place.of), (19, 165), "{name}");
+        assert_eq!((place.preferred, place.total), (19, 165), "{name}");
         assert_eq!(place.number < 19, node.peer.preferred);
         Some(place.number)
     });
