--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -12,7 +12,7 @@
 use pinereel_api::object::LEASES;
 use pinereel_core::{
     Time, hash,
-    lease::{Action, Event, Holder, Lease, Limits},
+    lease::{Action, Candidate, Event, Lease, Limits},
 };
 use std::{
     cell::{Cell, RefCell},
@@ -36,7 +36,7 @@
 /// The controller's state.
 #[derive(Debug, Default)]
 pub struct Leases {
-    holders: RefCell<BTreeMap<CompactString, Holder>>,
+    holders: RefCell<BTreeMap<CompactString, Candidate>>,
     /// Whether all leases are to be given up.
     draining: Cell<bool>,
 }
@@ -46,7 +46,7 @@
     pub fn held(&self, duty: &str, now: Time) -> Option<(u64, Time)> {
         let holders = self.holders.borrow();
         let holder = holders.get(duty)?;
-        Some((holder.acts(now)?, holder.until()))
+        Some((holder.fencing_token(now)?, holder.valid_until()))
     }
 
     /// The duties that this entry may act on now, with their fencing tokens.
@@ -54,13 +54,13 @@
         let holders = self.holders.borrow();
         let held = holders
             .iter()
-            .filter_map(|(duty, holder)| Some((duty, holder.acts(now)?)));
+            .filter_map(|(duty, holder)| Some((duty, holder.fencing_token(now)?)));
         held.map(|(duty, fence)| (duty.clone(), fence)).collect()
     }
 
     /// Whether a draining entry is rid of all leases.
     pub fn released(&self) -> bool {
-        self.holders.borrow().values().all(Holder::is_released)
+        self.holders.borrow().values().all(Candidate::is_released)
     }
 }
 
@@ -71,7 +71,7 @@
     if holders.contains_key(duty) {
         return;
     }
-    holders.insert(duty.clone(), Holder::new(shared.now(), id, LIMITS));
+    holders.insert(duty.clone(), Candidate::new(shared.now(), id, LIMITS));
     let duty = duty.clone();
     spawn(shared, async move |shared| run(&shared, &duty).await);
 }
--- a/crates/pinereel/src/hosted/duty/call.rs
+++ b/crates/pinereel/src/hosted/duty/call.rs
@@ -2,7 +2,7 @@
 
 use super::{Duties, KIND, look::decode};
 use crate::objects::{Error, Purpose};
-use pinereel_core::lease::{Action, Event, Holder, Lease};
+use pinereel_core::lease::{Action, Candidate, Event, Lease};
 use pinereel_port::store::Freshness;
 use serde::Serialize;
 
@@ -21,19 +21,19 @@
 
 impl Duties {
     /// Carries an action out; gives what it led to.
-    pub(super) async fn call(&self, holder: &Holder, duty: &str, action: Action) -> Event {
+    pub(super) async fn call(&self, holder: &Candidate, duty: &str, action: Action) -> Event {
         match action {
             Action::Read => self.read(holder, duty).await,
             Action::Write { expected, lease } => self.write(duty, expected, &lease).await,
         }
     }
 
-    async fn read(&self, holder: &Holder, duty: &str) -> Event {
-        if !holder.has_looked() {
+    async fn read(&self, holder: &Candidate, duty: &str) -> Event {
+        if !holder.has_read() {
             return self.first_look(duty).await;
         }
-        if holder.follows() {
-            return self.next_look(duty, holder.ripe()).await;
+        if holder.is_follower() {
+            return self.next_look(duty, holder.takeover_at()).await;
         }
         let read = self
             .store
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -17,7 +17,7 @@
     Time,
     batch::Size,
     hash,
-    lease::{Action, Cooldown, Event, Holder, Limits, Rank, unranked_takeover_delay},
+    lease::{Action, Candidate, Cooldown, Event, Limits, Rank, unranked_takeover_delay},
 };
 use pinereel_port::store::Object;
 use std::{
@@ -267,11 +267,11 @@
 
     async fn run(&self, duty: &CompactString) {
         let prefix = format_compact!("{}/", self.instance);
-        let mut holder = Holder::new(self.now(), self.id.clone(), LIMITS)
-            .succeeding(prefix)
-            .reached_at(self.own_address.clone());
+        let mut holder = Candidate::new(self.now(), self.id.clone(), LIMITS)
+            .with_previous_id_prefix(prefix)
+            .with_address(self.own_address.clone());
         if let Some(span) = self.acts.borrow().get(duty) {
-            holder = holder.acting_for(*span);
+            holder = holder.with_max_acting_time(*span);
         }
         let mut told = false;
         let mut returns = self.store.returns();
@@ -291,21 +291,21 @@
                 return;
             }
             let now = self.now();
-            let mut next = holder.due().since(now);
-            if holder.acts(now).is_some() {
-                next = next.min(holder.until().since(now));
+            let mut next = holder.next_call_at().since(now);
+            if holder.fencing_token(now).is_some() {
+                next = next.min(holder.valid_until().since(now));
             }
             tokio::select! {
                 () = sleep(next.max(SHORTEST_SLEEP)) => {}
                 () = self.drain.notified() => {}
-                _ = returns.changed() => holder.hurry(self.now()),
+                _ = returns.changed() => holder.expedite(self.now()),
             }
             self.tell(duty, &holder);
         }
     }
 
     /// One event, and the calls that it leads to. Each action is carried out and answered.
-    async fn tick(&self, holder: &mut Holder, duty: &CompactString, event: Event) {
+    async fn tick(&self, holder: &mut Candidate, duty: &CompactString, event: Event) {
         let mut actions = self.step(holder, duty, event);
         while let Some(action) = actions.pop() {
             let event = self.call(holder, duty, action).await;
@@ -314,7 +314,7 @@
         }
     }
 
-    fn step(&self, holder: &mut Holder, duty: &CompactString, event: Event) -> Vec<Action> {
+    fn step(&self, holder: &mut Candidate, duty: &CompactString, event: Event) -> Vec<Action> {
         let place = self.place.get();
         let turn = place.map_or_else(
             || unranked_takeover_delay(self.is_preferred()),
@@ -325,15 +325,16 @@
         }
         holder.set_takeover_delay(turn + self.modesty(duty));
         if self.store.away_since().is_some() {
-            holder.note_away();
+            holder.note_api_unreachable();
         }
         let now = self.now();
         // A look that was asked for before the store was away may be answered now.
         if let Some(ago) = self.store.returned_ago() {
-            holder.note_return(now, ago);
+            holder.note_api_recovered(now, ago);
         }
         let actions = holder.step(now, event);
-        let takes = !holder.presumes() && actions.iter().any(|a| matches!(a, Action::Write { .. }));
+        let takes = !holder.is_presumed_holder()
+            && actions.iter().any(|a| matches!(a, Action::Write { .. }));
         let mut taking = self.taking.borrow_mut();
         if takes || holder.awaits_takeover_delay(now) {
             taking.insert(duty.clone());
@@ -344,7 +345,7 @@
     }
 
     /// Publishes what the holder may do now.
-    fn tell(&self, duty: &CompactString, holder: &Holder) {
+    fn tell(&self, duty: &CompactString, holder: &Candidate) {
         let now = self.now();
         let joined = self.joined.borrow();
         let Some(sender) = joined.get(duty) else {
@@ -352,12 +353,12 @@
         };
         let stood = *sender.borrow();
         let before = stood.grant;
-        let grant = holder.acts(now).map(|fence| {
+        let grant = holder.fencing_token(now).map(|fence| {
             let known = before.filter(|grant| grant.fence == fence);
             let known = known.map(|grant| grant.clear);
             Grant {
                 fence,
-                until: holder.until(),
+                until: holder.valid_until(),
                 clear: holder
                     .cooldown()
                     .or(known)
@@ -374,7 +375,7 @@
         }
         let standing = Standing {
             grant,
-            presumed: holder.presumes(),
+            presumed: holder.is_presumed_holder(),
         };
         if standing != stood {
             sender.send_replace(standing);
--- a/crates/pinereel_core/src/lease/holder/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -10,12 +10,12 @@
 /// After the object API was away, a holder that could not renew meanwhile and still lives has so long
 /// to do it before its lease is taken: it finds the API within 0.15 s, and has work in memory that another
 /// one would begin anew.
-const HEAD_START: Duration = Duration::from_millis(1_200);
+const OUTAGE_RENEWAL_GRACE: Duration = Duration::from_millis(1_200);
 
 /// A write that was sent.
 #[derive(Clone, Debug)]
-struct Sent {
-    at: Time,
+struct SentWrite {
+    sent_at: Time,
     lease: Lease,
     /// From when on the holder may act if it takes effect.
     cooldown: Cooldown,
@@ -26,12 +26,12 @@
 enum Call {
     None,
     Read,
-    Write(Sent),
+    Write(SentWrite),
 }
 
 /// What was last read of the lease, and when this version was first seen.
 #[derive(Clone, Debug)]
-struct View {
+struct ReadLease {
     version: u64,
     lease: Lease,
     since: Time,
@@ -39,62 +39,62 @@
 
 /// One candidate for one duty.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct Candidate {
     id: CompactString,
     limits: Limits,
-    writes: u64,
-    view: Option<View>,
+    write_count: u64,
+    last_read: Option<ReadLease>,
     /// Since when reads have found no lease; none if the last one found it, or there was none.
     absent_since: Option<Time>,
     /// How long this candidate lets others go first once the lease is free.
     takeover_delay: Duration,
     /// Whether the object API is away: calls failed, and none has been answered since.
-    away: bool,
+    api_unreachable: bool,
     /// When the object API was last back after it was away.
-    returned_at: Option<Time>,
+    api_recovered_at: Option<Time>,
     /// The last write, kept while its outcome is open.
-    sent: Option<Sent>,
+    unresolved_write: Option<SentWrite>,
     call: Call,
     /// When the next call is due.
-    due: Time,
+    next_call_at: Time,
     /// Until when this candidate may act.
-    until: Time,
+    valid_until: Time,
     draining: bool,
     /// Fencing token of the last lease held, and from when on its holder might act.
     cooldown: Option<(u64, Cooldown)>,
     /// Until when acts must rest after this holder: its own next start's, and others'.
     cooldown_ends: Option<(Time, Time)>,
     /// Start of the ids that earlier starts of this instance had; empty if there are none.
-    own_prefix: CompactString,
+    previous_id_prefix: CompactString,
     /// Where this candidate can be reached while it holds the lease.
     address: CompactString,
     /// How long after a write this candidate acts at most; none if as long as the lease lasts.
-    acts: Option<Duration>,
+    max_acting_time: Option<Duration>,
 }
 
-impl Holder {
+impl Candidate {
     /// A candidate that has read nothing. `id` must be unique to this start of the process. The
     /// first tick reads.
     pub fn new(now: Time, id: impl Into<CompactString>, limits: Limits) -> Self {
         Self {
             id: id.into(),
             limits,
-            writes: 0,
-            view: None,
+            write_count: 0,
+            last_read: None,
             absent_since: None,
             takeover_delay: Duration::ZERO,
-            away: false,
-            returned_at: None,
-            sent: None,
+            api_unreachable: false,
+            api_recovered_at: None,
+            unresolved_write: None,
             call: Call::None,
-            due: now,
-            until: Time::ZERO,
+            next_call_at: now,
+            valid_until: Time::ZERO,
             draining: false,
             cooldown: None,
             cooldown_ends: None,
-            own_prefix: CompactString::default(),
+            previous_id_prefix: CompactString::default(),
             address: CompactString::default(),
-            acts: None,
+            max_acting_time: None,
         }
     }
 
@@ -105,14 +105,14 @@
     /// not been renewed for its duration, and then waits out the gap from the end of the holder's time: a
     /// second less of that time is a second less in which nobody acts.
     #[must_use]
-    pub fn acting_for(mut self, span: Duration) -> Self {
-        self.acts = Some(span.min(self.lasts(self.limits.duration)));
+    pub fn with_max_acting_time(mut self, span: Duration) -> Self {
+        self.max_acting_time = Some(span.min(self.acting_time(self.limits.duration)));
         self
     }
 
     /// Names the address in the lease while this candidate holds it.
     #[must_use]
-    pub fn reached_at(mut self, address: impl Into<CompactString>) -> Self {
+    pub fn with_address(mut self, address: impl Into<CompactString>) -> Self {
         self.address = address.into();
         self
     }
@@ -120,41 +120,41 @@
     /// Takes a lease at once if its holder's id starts with `prefix`: that is an earlier start of
     /// this instance, which has ended.
     #[must_use]
-    pub fn succeeding(mut self, prefix: impl Into<CompactString>) -> Self {
-        self.own_prefix = prefix.into();
+    pub fn with_previous_id_prefix(mut self, prefix: impl Into<CompactString>) -> Self {
+        self.previous_id_prefix = prefix.into();
         self
     }
 
     /// When the next call is due.
-    pub const fn due(&self) -> Time {
-        self.due
+    pub const fn next_call_at(&self) -> Time {
+        self.next_call_at
     }
 
     /// Whether this candidate only looks at what others have: it holds nothing, and no write of its
     /// own is open.
-    pub fn follows(&self) -> bool {
-        !self.owns() && self.sent.is_none()
+    pub fn is_follower(&self) -> bool {
+        !self.is_last_known_holder() && self.unresolved_write.is_none()
     }
 
     /// Whether the lease was this candidate's when it was last seen.
-    fn owns(&self) -> bool {
-        let view = self.view.as_ref();
-        view.is_some_and(|view| view.lease.holder == self.id)
+    fn is_last_known_holder(&self) -> bool {
+        let last_read = self.last_read.as_ref();
+        last_read.is_some_and(|read| read.lease.holder == self.id)
     }
 
     /// Whether this candidate knows whether there is a lease.
-    pub const fn has_looked(&self) -> bool {
-        self.absent_since.is_some() || self.view.is_some()
+    pub const fn has_read(&self) -> bool {
+        self.absent_since.is_some() || self.last_read.is_some()
     }
 
     /// The object API is away, as other calls of this instance have shown.
-    pub const fn note_away(&mut self) {
-        self.away = true;
+    pub const fn note_api_unreachable(&mut self) {
+        self.api_unreachable = true;
     }
 
     /// Contact with the object API was regained so long ago.
-    pub fn note_return(&mut self, now: Time, ago: Duration) {
-        self.returned_at = self.returned_at.max(Some(now.before(ago)));
+    pub fn note_api_recovered(&mut self, now: Time, ago: Duration) {
+        self.api_recovered_at = self.api_recovered_at.max(Some(now.before(ago)));
     }
 
     /// How long this candidate lets others go first once the lease is free.
@@ -171,47 +171,49 @@
     /// Since when the lease is free, or from when on it will be if nobody renews it; none if it is
     /// this candidate's own or an earlier start's of its instance, or nothing is known.
     fn free_since(&self) -> Option<Time> {
-        let Some(view) = &self.view else {
+        let Some(read) = &self.last_read else {
             return self.absent_since;
         };
-        let holder = &view.lease.holder;
-        if *holder == self.id || self.is_predecessor(holder) {
+        let holder = &read.lease.holder;
+        if *holder == self.id || self.is_previous_run(holder) {
             None
         } else if holder.is_empty() {
-            Some(view.since)
+            Some(read.since)
         } else {
-            let unrenewed = view.since + self.wait(&view.lease);
-            let settled = self.returned_at.map(|at| at + HEAD_START);
-            Some(settled.map_or(unrenewed, |settled| unrenewed.max(settled)))
+            let expiry = read.since + self.takeover_wait(&read.lease);
+            let grace_end = self.api_recovered_at.map(|at| at + OUTAGE_RENEWAL_GRACE);
+            Some(grace_end.map_or(expiry, |grace_end| expiry.max(grace_end)))
         }
     }
 
     /// Nobody else is known to have taken the lease since this candidate held it. Good for work that
-    /// may be done twice; what may not needs [`Holder::acts`].
-    pub fn presumes(&self) -> bool {
-        !self.draining && self.owns()
+    /// may be done twice; what may not needs [`Candidate::acts`].
+    pub fn is_presumed_holder(&self) -> bool {
+        !self.draining && self.is_last_known_holder()
     }
 
     /// Makes the next call due now: the object API is back after it was away.
-    pub fn hurry(&mut self, now: Time) {
-        self.returned_at = Some(now);
-        self.due = self.due.min(now);
+    pub fn expedite(&mut self, now: Time) {
+        self.api_recovered_at = Some(now);
+        self.next_call_at = self.next_call_at.min(now);
     }
 
-    fn is_predecessor(&self, holder: &str) -> bool {
-        !self.own_prefix.is_empty() && holder != self.id && holder.starts_with(&*self.own_prefix)
+    fn is_previous_run(&self, holder: &str) -> bool {
+        !self.previous_id_prefix.is_empty()
+            && holder != self.id
+            && holder.starts_with(&*self.previous_id_prefix)
     }
 
     /// The fencing token if this candidate may act at `now`. Ask right before every action.
-    pub fn acts(&self, now: Time) -> Option<u64> {
-        let fence = self.view.as_ref()?.lease.fence;
-        (self.presumes() && now < self.until).then_some(fence)
+    pub fn fencing_token(&self, now: Time) -> Option<u64> {
+        let fence = self.last_read.as_ref()?.lease.fence;
+        (self.is_presumed_holder() && now < self.valid_until).then_some(fence)
     }
 
     /// From when on this holder's acts do not come too soon after those of the one before; none if that
     /// is not known.
     pub fn cooldown(&self) -> Option<Cooldown> {
-        let fence = self.view.as_ref()?.lease.fence;
+        let fence = self.last_read.as_ref()?.lease.fence;
         let (known, cooldown) = self.cooldown?;
         (known == fence).then_some(cooldown)
     }
@@ -223,22 +225,22 @@
     }
 
     /// The moment from which this candidate must not act unless it renews before.
-    pub const fn until(&self) -> Time {
-        self.until
+    pub const fn valid_until(&self) -> Time {
+        self.valid_until
     }
 
     /// Whether a drained candidate is rid of the lease.
     pub fn is_released(&self) -> bool {
-        self.draining && self.follows() && matches!(self.call, Call::None)
+        self.draining && self.is_follower() && matches!(self.call, Call::None)
     }
 
     /// From when on this candidate may take the lease if nobody renews it; none if it need not wait.
-    pub fn ripe(&self) -> Option<Time> {
+    pub fn takeover_at(&self) -> Option<Time> {
         self.free_since().map(|free| free + self.takeover_delay)
     }
 
     /// How long an unchanged lease of another must be watched before it may be taken.
-    pub fn wait(&self, lease: &Lease) -> Duration {
+    pub fn takeover_wait(&self, lease: &Lease) -> Duration {
         Duration::from_millis(lease.duration_ms) + self.limits.margin
     }
 }
--- a/crates/pinereel_core/src/lease/cooldown.rs
+++ b/crates/pinereel_core/src/lease/cooldown.rs
@@ -46,7 +46,7 @@
         lease: &Lease,
         writer: Writer,
         since: Time,
-        lasts: Duration,
+        span: Duration,
         now: Time,
     ) -> Self {
         let released = lease.holder.is_empty();
@@ -61,7 +61,7 @@
             (None, Writer::PreviousRun | Writer::SameName) => Self::IdleSince(now),
             (None, Writer::Other) if released => Self::IdleSince(now),
             // It counted from before it wrote this.
-            (_, Writer::SameName | Writer::Other) => Self::IdleSince((since + lasts).min(now)),
+            (_, Writer::SameName | Writer::Other) => Self::IdleSince((since + span).min(now)),
         }
     }
 }
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -3,16 +3,16 @@
 //! The holder counts its time from before it sent its last write; a taker counts from after it
 //! first read that write. So the holder stops first whatever each one's clock reads, provided the
 //! clocks run at the same rate within the margin. Whoever is paused between asking
-//! [`Holder::acts`] and acting is caught by the fencing token.
+//! [`Candidate::acts`] and acting is caught by the fencing token.
 
+mod candidate;
 mod cooldown;
-mod holder;
 mod message;
 mod poll;
 mod rank;
 
+pub use candidate::Candidate;
 pub use cooldown::{Cooldown, RemainingCooldown};
-pub use holder::Holder;
 pub use message::{Action, Event, Lease, Limits};
 pub use poll::{PollSchedule, PolledLease};
 pub use rank::{Rank, unranked_takeover_delay};
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -4,7 +4,7 @@
 
 use pinereel_core::{
     Time,
-    lease::{Action, Event, Holder, Lease, Limits},
+    lease::{Action, Candidate, Event, Lease, Limits},
 };
 use proptest::{
     prelude::*,
@@ -12,7 +12,7 @@
 };
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
-const HOLDERS: usize = 3;
+const NODES: usize = 3;
 const DURATION_MS: u64 = 3_000;
 const MARGIN_MS: u64 = 200;
 const RETRY_MS: u64 = 400;
@@ -81,8 +81,8 @@
     }
 }
 
-struct Candidate {
-    holder: Holder,
+struct Node {
+    candidate: Candidate,
     call: Option<Action>,
     inbox: VecDeque<Event>,
     starts: u64,
@@ -104,7 +104,7 @@
     lease: Option<(u64, Lease)>,
     late: Vec<Action>,
     orders: Vec<u64>,
-    candidates: Vec<Candidate>,
+    nodes: Vec<Node>,
     checking: Engine,
     ignoring: Engine,
     /// The last fence that acted, and its holder.
@@ -128,7 +128,7 @@
             lease: None,
             late: Vec::new(),
             orders: Vec::new(),
-            candidates: Vec::new(),
+            nodes: Vec::new(),
             checking: Engine {
                 checks: true,
                 ..Engine::default()
@@ -137,17 +137,17 @@
             acted: (0, String::new()),
             counts: Counts::default(),
         };
-        for at in 0..HOLDERS {
-            let candidate = world.start(at, 0);
-            world.candidates.push(candidate);
+        for at in 0..NODES {
+            let node = world.start(at, 0);
+            world.nodes.push(node);
         }
         world
     }
 
-    fn start(&self, at: usize, starts: u64) -> Candidate {
-        let holder = Holder::new(self.clock(at), format!("c{at}-{starts}"), limits());
-        Candidate {
-            holder,
+    fn start(&self, at: usize, starts: u64) -> Node {
+        let candidate = Candidate::new(self.clock(at), format!("c{at}-{starts}"), limits());
+        Node {
+            candidate,
             call: None,
             inbox: VecDeque::new(),
             starts,
@@ -159,19 +159,19 @@
     }
 
     fn acts(&self, at: usize) -> Option<u64> {
-        self.candidates[at].holder.acts(self.clock(at))
+        self.nodes[at].candidate.fencing_token(self.clock(at))
     }
 
     /// The oracle: at most one candidate may act at any moment, and fences grow with the holder.
     fn check(&mut self) {
-        let acting: Vec<_> = (0..HOLDERS)
+        let acting: Vec<_> = (0..NODES)
             .filter_map(|at| Some((at, self.acts(at)?)))
             .collect();
         assert!(acting.len() <= 1, "two act at once: {acting:?}");
         let Some((at, fence)) = acting.first() else {
             return;
         };
-        let who = format!("c{at}-{}", self.candidates[*at].starts);
+        let who = format!("c{at}-{}", self.nodes[*at].starts);
         // One that lost the lease and took it again has a new fence, so only a fence of another's
         // or an older one is wrong.
         let same = (*fence, &who) == (self.acted.0, &self.acted.1);
@@ -187,9 +187,9 @@
     fn step(&mut self, at: usize, event: Event) {
         self.counts.steps += 1;
         let now = self.clock(at);
-        for action in self.candidates[at].holder.step(now, event) {
-            assert!(self.candidates[at].call.is_none(), "two calls open at once");
-            self.candidates[at].call = Some(action);
+        for action in self.nodes[at].candidate.step(now, event) {
+            assert!(self.nodes[at].call.is_none(), "two calls open at once");
+            self.nodes[at].call = Some(action);
         }
         self.check();
     }
@@ -207,7 +207,7 @@
     }
 
     fn call(&mut self, at: usize, fate: Fate) {
-        let Some(action) = self.candidates[at].call.take() else {
+        let Some(action) = self.nodes[at].call.take() else {
             return;
         };
         let reads = matches!(action, Action::Read);
@@ -224,11 +224,11 @@
             }
             Fate::Refused => lost,
         };
-        self.candidates[at].inbox.push_back(event);
+        self.nodes[at].inbox.push_back(event);
     }
 
     fn run(&mut self, at: usize) {
-        while let Some(event) = self.candidates[at].inbox.pop_front() {
+        while let Some(event) = self.nodes[at].inbox.pop_front() {
             self.step(at, event);
         }
         self.step(at, Event::Tick);
@@ -273,9 +273,9 @@
                 }
             }
             Op::Restart { at } => {
-                let starts = self.candidates[at].starts + 1;
-                self.late.extend(self.candidates[at].call.take());
-                self.candidates[at] = self.start(at, starts);
+                let starts = self.nodes[at].starts + 1;
+                self.late.extend(self.nodes[at].call.take());
+                self.nodes[at] = self.start(at, starts);
             }
             Op::Drain { at } => self.step(at, Event::Drain),
             Op::Advance { ms } => self.now += ms,
@@ -285,9 +285,9 @@
 
     /// All but the last candidate are gone for good; it must hold within the documented bound.
     fn heal(&mut self) {
-        let at = HOLDERS - 1;
-        let starts = self.candidates[at].starts + 1;
-        self.candidates[at] = self.start(at, starts);
+        let at = NODES - 1;
+        let starts = self.nodes[at].starts + 1;
+        self.nodes[at] = self.start(at, starts);
         let began = self.now;
         while self.acts(at).is_none() {
             self.now += STEP_MS;
@@ -312,7 +312,7 @@
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
-    let at = 0..HOLDERS;
+    let at = 0..NODES;
     let fate = prop_oneof![
         5 => Just(Fate::Done), 1 => Just(Fate::Lost), 1 => Just(Fate::Late), 1 => Just(Fate::Refused)
     ];
@@ -391,7 +391,7 @@
     world.apply(Op::Drain { at: 0 });
     assert_eq!(world.acts(0), None);
     world.flush(0);
-    assert!(world.candidates[0].holder.is_released());
+    assert!(world.nodes[0].candidate.is_released());
     world.flush(1);
     assert_eq!(world.acts(1), Some(2), "taken without a wait");
 }
@@ -421,10 +421,11 @@
 
 #[test]
 fn an_instance_takes_its_own_earlier_lease_at_once() {
-    use pinereel_core::lease::{Action, Event, Holder, Lease, Limits};
+    use pinereel_core::lease::{Action, Candidate, Event, Lease, Limits};
     let now = Time::from_millis(1);
-    let mut holder = Holder::new(now, "front-1/b", Limits::default()).succeeding("front-1/");
-    assert_eq!(holder.step(now, Event::Tick), [Action::Read]);
+    let mut candidate =
+        Candidate::new(now, "front-1/b", Limits::default()).with_previous_id_prefix("front-1/");
+    assert_eq!(candidate.step(now, Event::Tick), [Action::Read]);
     let lease = Lease {
         holder: "front-1/a".into(),
         fence: 4,
@@ -434,7 +435,7 @@
         acts_ms: None,
         remaining_cooldown: None,
     };
-    let actions = holder.step(now, Event::Read(Some((9, lease))));
+    let actions = candidate.step(now, Event::Read(Some((9, lease))));
     assert!(
         matches!(&actions[..], [Action::Write { expected: Some(9), lease }] if lease.fence == 5),
         "{actions:?}"
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    lease::{Action, Cooldown, Event, Holder, Lease, Limits, RemainingCooldown},
+    lease::{Action, Candidate, Cooldown, Event, Lease, Limits, RemainingCooldown},
 };
 use std::time::Duration;
 
@@ -25,29 +25,29 @@
     }
 }
 
-fn follower() -> Holder {
-    let mut holder = Holder::new(Time::ZERO, "a", LIMITS);
-    holder.set_takeover_delay(TAKEOVER_DELAY);
-    holder
+fn follower() -> Candidate {
+    let mut candidate = Candidate::new(Time::ZERO, "a", LIMITS);
+    candidate.set_takeover_delay(TAKEOVER_DELAY);
+    candidate
 }
 
 /// A follower that has just seen the lease of another holder, and what it saw.
-fn watching() -> (Holder, Option<(u64, Lease)>) {
-    let mut holder = follower();
+fn watching() -> (Candidate, Option<(u64, Lease)>) {
+    let mut candidate = follower();
     let found = Some((3, lease("b", 1)));
-    holder.step(Time::ZERO, Event::Tick);
-    holder.step(Time::ZERO, Event::Read(found.clone()));
-    (holder, found)
+    candidate.step(Time::ZERO, Event::Tick);
+    candidate.step(Time::ZERO, Event::Read(found.clone()));
+    (candidate, found)
 }
 
 /// Answers reads with `found` until the holder writes; returns when it does.
-fn writes_at(holder: &mut Holder, found: Option<(u64, Lease)>) -> Option<Time> {
+fn writes_at(candidate: &mut Candidate, found: Option<(u64, Lease)>) -> Option<Time> {
     let mut now = Time::ZERO;
     for _ in 0..500 {
-        let mut actions = holder.step(now, Event::Tick);
+        let mut actions = candidate.step(now, Event::Tick);
         while let Some(action) = actions.pop() {
             match action {
-                Action::Read => actions.extend(holder.step(now, Event::Read(found.clone()))),
+                Action::Read => actions.extend(candidate.step(now, Event::Read(found.clone()))),
                 Action::Write { .. } => return Some(now),
             }
         }
@@ -71,43 +71,43 @@
 
 #[test]
 fn an_earlier_start_of_the_instance_is_succeeded_at_once() {
-    let mut holder = follower().succeeding("a/");
+    let mut candidate = follower().with_previous_id_prefix("a/");
     assert_eq!(
-        millis(writes_at(&mut holder, Some((3, lease("a/1", 1))))),
+        millis(writes_at(&mut candidate, Some((3, lease("a/1", 1))))),
         0
     );
 }
 
 #[test]
 fn one_that_is_taken_meanwhile_is_left_alone() {
-    let mut holder = follower();
+    let mut candidate = follower();
     let now = Time::ZERO;
-    holder.step(now, Event::Tick);
-    holder.step(now, Event::Read(None));
-    assert!(holder.awaits_takeover_delay(now));
+    candidate.step(now, Event::Tick);
+    candidate.step(now, Event::Read(None));
+    assert!(candidate.awaits_takeover_delay(now));
     let later = now + Duration::from_millis(550);
-    holder.step(later, Event::Tick);
+    candidate.step(later, Event::Tick);
     // A look that was asked for before the turn came.
     let now = now + Duration::from_millis(700);
-    holder.step(now, Event::Read(Some((4, lease("b", 1)))));
-    assert!(!holder.awaits_takeover_delay(now));
-    assert_eq!(holder.step(now, Event::Tick), vec![]);
+    candidate.step(now, Event::Read(Some((4, lease("b", 1)))));
+    assert!(!candidate.awaits_takeover_delay(now));
+    assert_eq!(candidate.step(now, Event::Tick), vec![]);
 }
 
 /// A renewal waits for no turn: the lease would lapse meanwhile.
 #[test]
 fn an_own_lease_is_renewed_without_a_turn() {
-    let mut holder = follower();
+    let mut candidate = follower();
     let mut now = Time::ZERO;
     let found = Some((3, lease("", 1)));
-    now = now + Duration::from_millis(millis(writes_at(&mut holder, found)) as u64);
-    holder.step(now, Event::Written(5));
-    assert!(holder.acts(now).is_some());
+    now = now + Duration::from_millis(millis(writes_at(&mut candidate, found)) as u64);
+    candidate.step(now, Event::Written(5));
+    assert!(candidate.fencing_token(now).is_some());
     let mut renewed = None;
     while renewed.is_none() {
         now = now + Duration::from_millis(10);
-        assert!(holder.acts(now).is_some(), "it has lapsed");
-        let actions = holder.step(now, Event::Tick);
+        assert!(candidate.fencing_token(now).is_some(), "it has lapsed");
+        let actions = candidate.step(now, Event::Tick);
         renewed = actions
             .into_iter()
             .find(|a| matches!(a, Action::Write { .. }));
@@ -117,15 +117,15 @@
 /// An outage must not cost a live holder its duty: a follower that found the API first took it.
 #[test]
 fn a_holder_that_could_not_renew_in_an_outage_has_a_head_start() {
-    let (mut holder, found) = watching();
+    let (mut candidate, found) = watching();
     let back = Time::from_millis(6_000);
-    holder.hurry(back);
+    candidate.expedite(back);
     let mut now = back;
     loop {
-        let actions = holder.step(now, Event::Tick);
+        let actions = candidate.step(now, Event::Tick);
         match actions.first() {
             Some(Action::Write { .. }) => break,
-            Some(Action::Read) => drop(holder.step(now, Event::Read(found.clone()))),
+            Some(Action::Read) => drop(candidate.step(now, Event::Read(found.clone()))),
             None => {}
         }
         now = now + Duration::from_millis(10);
@@ -140,44 +140,44 @@
 /// The call that fails in the outage may be the follower's own, and the first that succeeds as well.
 #[test]
 fn the_first_answer_after_failures_is_a_return() {
-    let (mut holder, found) = watching();
+    let (mut candidate, found) = watching();
     let later = Time::from_millis(2_900);
-    let writes = holder.step(later, Event::Tick);
+    let writes = candidate.step(later, Event::Tick);
     assert!(matches!(writes[..], [Action::Write { .. }]));
-    holder.step(later, Event::Unknown);
-    holder.step(later, Event::Failed);
+    candidate.step(later, Event::Unknown);
+    candidate.step(later, Event::Failed);
     let back = Time::from_millis(6_000);
-    assert_eq!(holder.step(back, Event::Tick), vec![Action::Read]);
-    holder.step(back, Event::Read(found.clone()));
+    assert_eq!(candidate.step(back, Event::Tick), vec![Action::Read]);
+    candidate.step(back, Event::Read(found.clone()));
     let soon = back + Duration::from_millis(1_500);
-    assert_eq!(holder.step(soon, Event::Tick), vec![Action::Read]);
-    holder.step(soon, Event::Read(found));
+    assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
+    candidate.step(soon, Event::Read(found));
     let then = back + Duration::from_millis(2_500);
-    let writes = holder.step(then, Event::Tick);
+    let writes = candidate.step(then, Event::Tick);
     assert!(matches!(writes[..], [Action::Write { .. }]));
 }
 
 /// While the API is away a follower does not try to take what nobody can renew.
 #[test]
 fn nothing_is_taken_while_the_api_is_away() {
-    let (mut holder, found) = watching();
-    holder.note_away();
+    let (mut candidate, found) = watching();
+    candidate.note_api_unreachable();
     let back = Time::from_millis(6_000);
-    assert_eq!(holder.step(back, Event::Tick), vec![Action::Read]);
-    holder.step(back, Event::Read(found));
+    assert_eq!(candidate.step(back, Event::Tick), vec![Action::Read]);
+    candidate.step(back, Event::Read(found));
     let soon = back + Duration::from_millis(1_100);
-    assert_eq!(holder.step(soon, Event::Tick), vec![Action::Read]);
+    assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
 }
 
 /// A look that was asked for before the outage may be answered right after it.
 #[test]
 fn a_look_that_outlasts_an_outage_is_no_reason_to_take_the_lease() {
-    let (mut holder, found) = watching();
+    let (mut candidate, found) = watching();
     let asked = Time::from_millis(900);
-    assert_eq!(holder.step(asked, Event::Tick), vec![Action::Read]);
+    assert_eq!(candidate.step(asked, Event::Tick), vec![Action::Read]);
     let back = Time::from_millis(6_000);
-    holder.note_return(back, Duration::from_millis(10));
-    assert_eq!(holder.step(back, Event::Read(found)), vec![]);
+    candidate.note_api_recovered(back, Duration::from_millis(10));
+    assert_eq!(candidate.step(back, Event::Read(found)), vec![]);
 }
 
 /// Load pattern: the API's answers are lost from the middle of a renewal on, then it is back. The
@@ -185,12 +185,12 @@
 /// undone for 0.7 s.
 #[test]
 fn a_renewal_whose_answer_was_lost_is_sent_again_at_once() {
-    let mut holder = follower();
+    let mut candidate = follower();
     let found = Some((3, lease("", 1)));
-    let taken = millis(writes_at(&mut holder, found)) as u64;
-    holder.step(Time::from_millis(taken), Event::Written(5));
+    let taken = millis(writes_at(&mut candidate, found)) as u64;
+    candidate.step(Time::from_millis(taken), Event::Written(5));
     let mut now = Time::from_millis(taken + 900);
-    let actions = holder.step(now, Event::Tick);
+    let actions = candidate.step(now, Event::Tick);
     let Some(Action::Write { lease: sent, .. }) = actions.first() else {
         panic!("it renews: {actions:?}");
     };
@@ -198,13 +198,13 @@
         write_id: "a.1".into(),
         ..sent.clone()
     };
-    assert_eq!(holder.step(now, Event::Unknown), vec![Action::Read]);
+    assert_eq!(candidate.step(now, Event::Unknown), vec![Action::Read]);
     now = now + Duration::from_secs(5);
-    holder.step(now, Event::Failed);
+    candidate.step(now, Event::Failed);
     now = now + Duration::from_secs(1);
-    holder.hurry(now);
-    assert_eq!(holder.step(now, Event::Tick), vec![Action::Read]);
-    let actions = holder.step(now, Event::Read(Some((5, before))));
+    candidate.expedite(now);
+    assert_eq!(candidate.step(now, Event::Tick), vec![Action::Read]);
+    let actions = candidate.step(now, Event::Read(Some((5, before))));
     assert!(matches!(
         actions[..],
         [Action::Write {
@@ -217,28 +217,28 @@
 /// One that is another's now is left alone until it is free, whatever became of the lost write.
 #[test]
 fn a_lost_write_for_another_s_lease_gets_time_to_land() {
-    let mut holder = follower();
+    let mut candidate = follower();
     let found = Some((3, lease("b", 1)));
-    let now = Time::from_millis(millis(writes_at(&mut holder, found.clone())) as u64);
-    assert_eq!(holder.step(now, Event::Unknown), vec![Action::Read]);
-    assert_eq!(holder.step(now, Event::Read(found)), vec![]);
+    let now = Time::from_millis(millis(writes_at(&mut candidate, found.clone())) as u64);
+    assert_eq!(candidate.step(now, Event::Unknown), vec![Action::Read]);
+    assert_eq!(candidate.step(now, Event::Read(found)), vec![]);
     let soon = now + Duration::from_millis(500);
-    assert_eq!(holder.step(soon, Event::Tick), vec![]);
+    assert_eq!(candidate.step(soon, Event::Tick), vec![]);
 }
 
 /// The time between the acts of two holders of a duty.
 const GAP: Duration = Duration::from_millis(3_000);
 
 /// Takes the lease, found so at `now`; returns when.
-fn take(holder: &mut Holder, now: Time, found: &(u64, Lease)) -> Time {
+fn take(taker: &mut Candidate, now: Time, found: &(u64, Lease)) -> Time {
     let mut at = now;
     loop {
-        let mut actions = holder.step(at, Event::Tick);
+        let mut actions = taker.step(at, Event::Tick);
         while let Some(action) = actions.pop() {
             match action {
-                Action::Read => actions.extend(holder.step(at, Event::Read(Some(found.clone())))),
+                Action::Read => actions.extend(taker.step(at, Event::Read(Some(found.clone())))),
                 Action::Write { .. } => {
-                    holder.step(at, Event::Written(found.0 + 1));
+                    taker.step(at, Event::Written(found.0 + 1));
                     return at;
                 }
             }
@@ -248,8 +248,8 @@
 }
 
 /// The lease that a holder writes when it drains at `now`.
-fn released(holder: &mut Holder, now: Time) -> Lease {
-    let actions = holder.step(now, Event::Drain);
+fn released(candidate: &mut Candidate, now: Time) -> Lease {
+    let actions = candidate.step(now, Event::Drain);
     match actions.into_iter().next() {
         Some(Action::Write { lease, .. }) => lease,
         other => panic!("it releases: {other:?}"),
@@ -261,7 +261,7 @@
 /// them 4 s late.
 #[test]
 fn one_that_never_acted_passes_on_what_is_left_of_its_wait() {
-    let mut second = Holder::new(Time::ZERO, "b/1", LIMITS);
+    let mut second = Candidate::new(Time::ZERO, "b/1", LIMITS);
     let taken = take(&mut second, Time::ZERO, &(3, lease("a/1", 1)));
     // It has not acted since its lease, first seen at 0 s, ran out by its own clock.
     let idle = Time::from_millis(1_800);
@@ -276,7 +276,7 @@
         other_ms: 1_500,
     };
     assert_eq!(left.remaining_cooldown, Some(remaining));
-    let mut third = Holder::new(stopped, "c/1", LIMITS);
+    let mut third = Candidate::new(stopped, "c/1", LIMITS);
     let again = take(&mut third, stopped, &(4, left));
     assert_eq!(third.cooldown(), Some(Cooldown::EndsAt(cooldown_end)));
     assert!(again < cooldown_end);
@@ -291,11 +291,11 @@
     });
     before.address = "10.0.0.1:7".into();
     let restarted = |address: &str| {
-        let mut holder = Holder::new(Time::ZERO, "a/2", LIMITS)
-            .succeeding("a/")
-            .reached_at(address);
-        take(&mut holder, Time::ZERO, &(3, before.clone()));
-        holder.cooldown()
+        let mut candidate = Candidate::new(Time::ZERO, "a/2", LIMITS)
+            .with_previous_id_prefix("a/")
+            .with_address(address);
+        take(&mut candidate, Time::ZERO, &(3, before.clone()));
+        candidate.cooldown()
     };
     let at_once = Some(Cooldown::EndsAt(Time::ZERO));
     assert_eq!(restarted("10.0.0.1:7"), at_once);
@@ -308,11 +308,11 @@
 
 #[test]
 fn a_lease_that_tells_nothing_is_followed_by_the_whole_wait() {
-    let mut holder = Holder::new(Time::ZERO, "c/1", LIMITS);
-    let taken = take(&mut holder, Time::ZERO, &(3, lease("", 1)));
-    assert_eq!(holder.cooldown(), Some(Cooldown::IdleSince(taken)));
+    let mut candidate = Candidate::new(Time::ZERO, "c/1", LIMITS);
+    let taken = take(&mut candidate, Time::ZERO, &(3, lease("", 1)));
+    assert_eq!(candidate.cooldown(), Some(Cooldown::IdleSince(taken)));
     // Nobody had it before.
-    let mut first = Holder::new(Time::ZERO, "c/1", LIMITS);
+    let mut first = Candidate::new(Time::ZERO, "c/1", LIMITS);
     first.step(Time::ZERO, Event::Tick);
     first.step(Time::ZERO, Event::Read(None));
     first.step(Time::from_millis(10), Event::Written(1));
@@ -324,18 +324,24 @@
 #[test]
 fn one_that_acts_for_a_part_of_the_lease_is_succeeded_sooner() {
     let acts = Duration::from_millis(800);
-    let mut first = Holder::new(Time::ZERO, "b", LIMITS).acting_for(acts);
+    let mut first = Candidate::new(Time::ZERO, "b", LIMITS).with_max_acting_time(acts);
     first.step(Time::ZERO, Event::Tick);
     let actions = first.step(Time::ZERO, Event::Read(Some((3, lease("", 1)))));
     let Some(Action::Write { lease: written, .. }) = actions.into_iter().next() else {
         panic!("it takes the lease");
     };
     first.step(Time::ZERO, Event::Written(4));
-    assert!(first.acts(Time::from_millis(799)).is_some());
-    assert!(first.acts(Time::from_millis(800)).is_none());
-    assert!(first.due() < Time::from_millis(700), "it renews before");
-    assert!(first.presumes(), "it goes on knowing what it knows");
-    let mut next = Holder::new(Time::ZERO, "a", LIMITS).acting_for(acts);
+    assert!(first.fencing_token(Time::from_millis(799)).is_some());
+    assert!(first.fencing_token(Time::from_millis(800)).is_none());
+    assert!(
+        first.next_call_at() < Time::from_millis(700),
+        "it renews before"
+    );
+    assert!(
+        first.is_presumed_holder(),
+        "it goes on knowing what it knows"
+    );
+    let mut next = Candidate::new(Time::ZERO, "a", LIMITS).with_max_acting_time(acts);
     let taken = take(&mut next, Time::ZERO, &(4, written));
     assert_eq!(taken, Time::from_millis(2_200));
     assert_eq!(
