--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -12,7 +12,7 @@
 use pinereel_api::object::LEASES;
 use pinereel_core::{
     Time, hash,
-    lease::{Action, Candidate, Event, Lease, Limits},
+    lease::{Action, Candidate, Event, Lease, Timing},
 };
 use std::{
     cell::{Cell, RefCell},
@@ -27,10 +27,10 @@
 /// Pause between ticks of a candidate.
 const TICK: Duration = Duration::from_millis(100);
 /// Times of all leases: a dead holder is replaced after 5.5 s to 6.5 s.
-const LIMITS: Limits = Limits {
+const LIMITS: Timing = Timing {
     duration: Duration::from_secs(5),
-    margin: Duration::from_millis(500),
-    retry: Duration::from_secs(1),
+    clock_margin: Duration::from_millis(500),
+    retry_interval: Duration::from_secs(1),
 };
 
 /// The controller's state.
--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -56,7 +56,7 @@
                 Ok((objects, _)) => self.looked(objects, &mut looks),
                 Err(error) => {
                     log::debug!(error:% = error; "leases not listed");
-                    self.now() + LIMITS.retry
+                    self.now() + LIMITS.retry_interval
                 }
             };
             returns.mark_unchanged();
@@ -193,7 +193,7 @@
 fn glances(objects: &[Object]) -> Vec<(CompactString, PolledLease)> {
     let glance = |object: &Object| {
         let (version, lease) = decode(&object.name, object.clone())?;
-        let wait = Duration::from_millis(lease.duration_ms) + LIMITS.margin;
+        let wait = Duration::from_millis(lease.duration_ms) + LIMITS.clock_margin;
         (!lease.holder.is_empty()).then(|| (object.name.clone(), PolledLease { version, wait }))
     };
     objects.iter().filter_map(glance).collect()
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -17,7 +17,7 @@
     Time,
     batch::Size,
     hash,
-    lease::{Action, Candidate, Cooldown, Event, Limits, Rank, unranked_takeover_delay},
+    lease::{Action, Candidate, Cooldown, Event, Rank, Timing, unranked_takeover_delay},
 };
 use pinereel_port::store::Object;
 use std::{
@@ -36,10 +36,10 @@
 
 /// Times of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
 /// and an item must not wait for 5 s. A holder renews about every 0.7 s, which is one call.
-const LIMITS: Limits = Limits {
+const LIMITS: Timing = Timing {
     duration: Duration::from_millis(2_000),
-    margin: Duration::from_millis(200),
-    retry: Duration::from_millis(700),
+    clock_margin: Duration::from_millis(200),
+    retry_interval: Duration::from_millis(700),
 };
 
 /// Each duty that an instance holds already lets it wait so much longer before it takes another, so
--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -2,7 +2,7 @@
 
 mod step;
 
-use super::{Cooldown, Lease, Limits};
+use super::{Cooldown, Lease, Timing};
 use crate::time::Time;
 use compact_str::CompactString;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Candidate {
     id: CompactString,
-    limits: Limits,
+    timing: Timing,
     write_count: u64,
     last_read: Option<ReadLease>,
     /// Since when reads have found no lease; none if the last one found it, or there was none.
@@ -75,10 +75,10 @@
 impl Candidate {
     /// A candidate that has read nothing. `id` must be unique to this start of the process. The
     /// first tick reads.
-    pub fn new(now: Time, id: impl Into<CompactString>, limits: Limits) -> Self {
+    pub fn new(now: Time, id: impl Into<CompactString>, timing: Timing) -> Self {
         Self {
             id: id.into(),
-            limits,
+            timing,
             write_count: 0,
             last_read: None,
             absent_since: None,
@@ -106,7 +106,7 @@
     /// second less of that time is a second less in which nobody acts.
     #[must_use]
     pub fn with_max_acting_time(mut self, span: Duration) -> Self {
-        self.max_acting_time = Some(span.min(self.acting_time(self.limits.duration)));
+        self.max_acting_time = Some(span.min(self.acting_time(self.timing.duration)));
         self
     }
 
@@ -241,6 +241,6 @@
 
     /// How long an unchanged lease of another must be watched before it may be taken.
     pub fn takeover_wait(&self, lease: &Lease) -> Duration {
-        Duration::from_millis(lease.duration_ms) + self.limits.margin
+        Duration::from_millis(lease.duration_ms) + self.timing.clock_margin
     }
 }
--- a/crates/pinereel_core/src/lease/candidate/step.rs
+++ b/crates/pinereel_core/src/lease/candidate/step.rs
@@ -72,7 +72,7 @@
 
     /// Sets when to look again: when the lease may be taken, if that is sooner and nothing `hinders`.
     fn schedule_read(&mut self, now: Time, write_may_land: bool) {
-        let retry_at = now + self.with_jitter(self.limits.retry);
+        let retry_at = now + self.with_jitter(self.timing.retry_interval);
         let takeover_at = self.takeover_at().unwrap_or(now).max(now);
         self.next_call_at = if write_may_land {
             retry_at
@@ -92,7 +92,7 @@
         if sent.lease.holder == self.id {
             let acting_time = self
                 .max_acting_time
-                .unwrap_or(self.acting_time(self.limits.duration));
+                .unwrap_or(self.acting_time(self.timing.duration));
             self.valid_until = self.valid_until.max(sent.sent_at + acting_time);
             self.cooldown = Some((sent.lease.fence, sent.cooldown));
         }
@@ -113,7 +113,7 @@
 
     fn on_failed(&mut self, now: Time) {
         self.call = Call::None;
-        self.next_call_at = now + self.with_jitter(self.limits.retry);
+        self.next_call_at = now + self.with_jitter(self.timing.retry_interval);
     }
 
     fn next_action(&mut self, now: Time) -> Option<Action> {
@@ -164,7 +164,7 @@
     ) -> Action {
         self.write_count += 1;
         let write_id = format_compact!("{}.{}", self.id, self.write_count);
-        let duration_ms = millis(self.limits.duration);
+        let duration_ms = millis(self.timing.duration);
         let lease = Lease {
             holder,
             fence,
@@ -210,14 +210,14 @@
 
     /// Pause between renewals; the longest that jitter makes of it is shorter than the holder acts.
     fn renewal_interval(&self) -> Duration {
-        let third = self.limits.duration / 3;
+        let third = self.timing.duration / 3;
         self.max_acting_time
             .map_or(third, |limit| third.min(limit * 5 / 8))
     }
 
     /// How long a holder may act after a write of this duration.
     pub(super) const fn acting_time(&self, duration: Duration) -> Duration {
-        duration.saturating_sub(self.limits.margin)
+        duration.saturating_sub(self.timing.clock_margin)
     }
 
     /// Between 3/4 and 5/4 of `base`, so that candidates don't call in step.
--- a/crates/pinereel_core/src/lease/message.rs
+++ b/crates/pinereel_core/src/lease/message.rs
@@ -29,21 +29,21 @@
 
 /// Times of a lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct Timing {
     /// How long a renewal lasts.
     pub duration: Duration,
     /// The holder stops this much early and a taker waits this much longer.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// Pause after a failed or lost call, and between looks at another's lease.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
-impl Default for Limits {
+impl Default for Timing {
     fn default() -> Self {
         Self {
             duration: Duration::from_secs(15),
-            margin: Duration::from_secs(1),
-            retry: Duration::from_secs(2),
+            clock_margin: Duration::from_secs(1),
+            retry_interval: Duration::from_secs(2),
         }
     }
 }
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -13,6 +13,6 @@
 
 pub use candidate::Candidate;
 pub use cooldown::{Cooldown, RemainingCooldown};
-pub use message::{Action, Event, Lease, Limits};
+pub use message::{Action, Event, Lease, Timing};
 pub use poll::{PollSchedule, PolledLease};
 pub use rank::{Rank, unranked_takeover_delay};
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -4,7 +4,7 @@
 
 use pinereel_core::{
     Time,
-    lease::{Action, Candidate, Event, Lease, Limits},
+    lease::{Action, Candidate, Event, Lease, Timing},
 };
 use proptest::{
     prelude::*,
@@ -112,11 +112,11 @@
     counts: Counts,
 }
 
-fn limits() -> Limits {
-    Limits {
+fn timing() -> Timing {
+    Timing {
         duration: Duration::from_millis(DURATION_MS),
-        margin: Duration::from_millis(MARGIN_MS),
-        retry: Duration::from_millis(RETRY_MS),
+        clock_margin: Duration::from_millis(MARGIN_MS),
+        retry_interval: Duration::from_millis(RETRY_MS),
     }
 }
 
@@ -145,7 +145,7 @@
     }
 
     fn start(&self, at: usize, starts: u64) -> Node {
-        let candidate = Candidate::new(self.clock(at), format!("c{at}-{starts}"), limits());
+        let candidate = Candidate::new(self.clock(at), format!("c{at}-{starts}"), timing());
         Node {
             candidate,
             call: None,
@@ -421,10 +421,10 @@
 
 #[test]
 fn an_instance_takes_its_own_earlier_lease_at_once() {
-    use pinereel_core::lease::{Action, Candidate, Event, Lease, Limits};
+    use pinereel_core::lease::{Action, Candidate, Event, Lease, Timing};
     let now = Time::from_millis(1);
     let mut candidate =
-        Candidate::new(now, "front-1/b", Limits::default()).with_previous_id_prefix("front-1/");
+        Candidate::new(now, "front-1/b", Timing::default()).with_previous_id_prefix("front-1/");
     assert_eq!(candidate.step(now, Event::Tick), [Action::Read]);
     let lease = Lease {
         holder: "front-1/a".into(),
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -2,14 +2,14 @@
 
 use pinereel_core::{
     Time,
-    lease::{Action, Candidate, Cooldown, Event, Lease, Limits, RemainingCooldown},
+    lease::{Action, Candidate, Cooldown, Event, Lease, RemainingCooldown, Timing},
 };
 use std::time::Duration;
 
-const LIMITS: Limits = Limits {
+const TIMING: Timing = Timing {
     duration: Duration::from_millis(2_000),
-    margin: Duration::from_millis(200),
-    retry: Duration::from_millis(700),
+    clock_margin: Duration::from_millis(200),
+    retry_interval: Duration::from_millis(700),
 };
 const TAKEOVER_DELAY: Duration = Duration::from_millis(600);
 
@@ -26,7 +26,7 @@
 }
 
 fn follower() -> Candidate {
-    let mut candidate = Candidate::new(Time::ZERO, "a", LIMITS);
+    let mut candidate = Candidate::new(Time::ZERO, "a", TIMING);
     candidate.set_takeover_delay(TAKEOVER_DELAY);
     candidate
 }
@@ -261,7 +261,7 @@
 /// them 4 s late.
 #[test]
 fn one_that_never_acted_passes_on_what_is_left_of_its_wait() {
-    let mut second = Candidate::new(Time::ZERO, "b/1", LIMITS);
+    let mut second = Candidate::new(Time::ZERO, "b/1", TIMING);
     let taken = take(&mut second, Time::ZERO, &(3, lease("a/1", 1)));
     // It has not acted since its lease, first seen at 0 s, ran out by its own clock.
     let idle = Time::from_millis(1_800);
@@ -276,7 +276,7 @@
         other_ms: 1_500,
     };
     assert_eq!(left.remaining_cooldown, Some(remaining));
-    let mut third = Candidate::new(stopped, "c/1", LIMITS);
+    let mut third = Candidate::new(stopped, "c/1", TIMING);
     let again = take(&mut third, stopped, &(4, left));
     assert_eq!(third.cooldown(), Some(Cooldown::EndsAt(cooldown_end)));
     assert!(again < cooldown_end);
@@ -291,7 +291,7 @@
     });
     before.address = "10.0.0.1:7".into();
     let restarted = |address: &str| {
-        let mut candidate = Candidate::new(Time::ZERO, "a/2", LIMITS)
+        let mut candidate = Candidate::new(Time::ZERO, "a/2", TIMING)
             .with_previous_id_prefix("a/")
             .with_address(address);
         take(&mut candidate, Time::ZERO, &(3, before.clone()));
@@ -308,11 +308,11 @@
 
 #[test]
 fn a_lease_that_tells_nothing_is_followed_by_the_whole_wait() {
-    let mut candidate = Candidate::new(Time::ZERO, "c/1", LIMITS);
+    let mut candidate = Candidate::new(Time::ZERO, "c/1", TIMING);
     let taken = take(&mut candidate, Time::ZERO, &(3, lease("", 1)));
     assert_eq!(candidate.cooldown(), Some(Cooldown::IdleSince(taken)));
     // Nobody had it before.
-    let mut first = Candidate::new(Time::ZERO, "c/1", LIMITS);
+    let mut first = Candidate::new(Time::ZERO, "c/1", TIMING);
     first.step(Time::ZERO, Event::Tick);
     first.step(Time::ZERO, Event::Read(None));
     first.step(Time::from_millis(10), Event::Written(1));
@@ -324,7 +324,7 @@
 #[test]
 fn one_that_acts_for_a_part_of_the_lease_is_succeeded_sooner() {
     let acts = Duration::from_millis(800);
-    let mut first = Candidate::new(Time::ZERO, "b", LIMITS).with_max_acting_time(acts);
+    let mut first = Candidate::new(Time::ZERO, "b", TIMING).with_max_acting_time(acts);
     first.step(Time::ZERO, Event::Tick);
     let actions = first.step(Time::ZERO, Event::Read(Some((3, lease("", 1)))));
     let Some(Action::Write { lease: written, .. }) = actions.into_iter().next() else {
@@ -341,7 +341,7 @@
         first.is_presumed_holder(),
         "it goes on knowing what it knows"
     );
-    let mut next = Candidate::new(Time::ZERO, "a", LIMITS).with_max_acting_time(acts);
+    let mut next = Candidate::new(Time::ZERO, "a", TIMING).with_max_acting_time(acts);
     let taken = take(&mut next, Time::ZERO, &(4, written));
     assert_eq!(taken, Time::from_millis(2_200));
     assert_eq!(
