--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -325,12 +325,12 @@
         }
         holder.set_takeover_delay(turn + self.modesty(duty));
         if self.store.away_since().is_some() {
-            holder.note_api_unreachable();
+            holder.note_store_unreachable();
         }
         let now = self.now();
         // A look that was asked for before the store was away may be answered now.
         if let Some(ago) = self.store.returned_ago() {
-            holder.note_api_recovered(now, ago);
+            holder.note_store_recovered(now, ago);
         }
         let actions = holder.step(now, event);
         let takes = !holder.is_presumed_holder()
--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -49,9 +49,9 @@
     /// How long this candidate lets others go first once the lease is free.
     takeover_delay: Duration,
     /// Whether the object API is away: calls failed, and none has been answered since.
-    api_unreachable: bool,
+    store_unreachable: bool,
     /// When the object API was last back after it was away.
-    api_recovered_at: Option<Time>,
+    store_recovered_at: Option<Time>,
     /// The last write, kept while its outcome is open.
     unresolved_write: Option<SentWrite>,
     call: Call,
@@ -83,8 +83,8 @@
             last_read: None,
             absent_since: None,
             takeover_delay: Duration::ZERO,
-            api_unreachable: false,
-            api_recovered_at: None,
+            store_unreachable: false,
+            store_recovered_at: None,
             unresolved_write: None,
             call: Call::None,
             next_call_at: now,
@@ -148,13 +148,13 @@
     }
 
     /// The object API is away, as other calls of this instance have shown.
-    pub const fn note_api_unreachable(&mut self) {
-        self.api_unreachable = true;
+    pub const fn note_store_unreachable(&mut self) {
+        self.store_unreachable = true;
     }
 
     /// Contact with the object API was regained so long ago.
-    pub fn note_api_recovered(&mut self, now: Time, ago: Duration) {
-        self.api_recovered_at = self.api_recovered_at.max(Some(now.before(ago)));
+    pub fn note_store_recovered(&mut self, now: Time, ago: Duration) {
+        self.store_recovered_at = self.store_recovered_at.max(Some(now.before(ago)));
     }
 
     /// How long this candidate lets others go first once the lease is free.
@@ -181,7 +181,7 @@
             Some(read.since)
         } else {
             let expiry = read.since + self.takeover_wait(&read.lease);
-            let grace_end = self.api_recovered_at.map(|at| at + OUTAGE_RENEWAL_GRACE);
+            let grace_end = self.store_recovered_at.map(|at| at + OUTAGE_RENEWAL_GRACE);
             Some(grace_end.map_or(expiry, |grace_end| expiry.max(grace_end)))
         }
     }
@@ -194,7 +194,7 @@
 
     /// Makes the next call due now: the object API is back after it was away.
     pub fn expedite(&mut self, now: Time) {
-        self.api_recovered_at = Some(now);
+        self.store_recovered_at = Some(now);
         self.next_call_at = self.next_call_at.min(now);
     }
 
--- a/crates/pinereel_core/src/lease/candidate/step.rs
+++ b/crates/pinereel_core/src/lease/candidate/step.rs
@@ -13,9 +13,9 @@
     /// Takes one event and returns what to do.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         match &event {
-            Event::Unknown | Event::Failed => self.api_unreachable = true,
-            Event::Read(_) | Event::Written(_) if mem::take(&mut self.api_unreachable) => {
-                self.api_recovered_at = Some(now);
+            Event::Unknown | Event::Failed => self.store_unreachable = true,
+            Event::Read(_) | Event::Written(_) if mem::take(&mut self.store_unreachable) => {
+                self.store_recovered_at = Some(now);
             }
             _ => {}
         }
@@ -125,7 +125,7 @@
         }
         // While the API is away nobody can renew, so that what was seen before says nothing.
         let may_take = match self.takeover_at() {
-            Some(takeover_at) => now >= takeover_at && !self.api_unreachable,
+            Some(takeover_at) => now >= takeover_at && !self.store_unreachable,
             None => true,
         };
         let Some(ReadLease { version, lease, .. }) = self.last_read.clone() else {
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -161,7 +161,7 @@
 #[test]
 fn nothing_is_taken_while_the_api_is_away() {
     let (mut candidate, found) = watching();
-    candidate.note_api_unreachable();
+    candidate.note_store_unreachable();
     let back = Time::from_millis(6_000);
     assert_eq!(candidate.step(back, Event::Tick), vec![Action::Read]);
     candidate.step(back, Event::Read(found));
@@ -176,7 +176,7 @@
     let asked = Time::from_millis(900);
     assert_eq!(candidate.step(asked, Event::Tick), vec![Action::Read]);
     let back = Time::from_millis(6_000);
-    candidate.note_api_recovered(back, Duration::from_millis(10));
+    candidate.note_store_recovered(back, Duration::from_millis(10));
     assert_eq!(candidate.step(back, Event::Read(found)), vec![]);
 }
 
