--- a/crates/pinereel_core/src/lease/candidate/step.rs
+++ b/crates/pinereel_core/src/lease/candidate/step.rs
@@ -1,4 +1,4 @@
-//! What a candidate does about each event.
+//! The transitions of a candidate: how it handles each event, and which call it makes next.
 
 use super::{Call, Candidate, ReadLease, SentWrite};
 use crate::{
@@ -10,7 +10,7 @@
 use std::{mem, time::Duration};
 
 impl Candidate {
-    /// Takes one event and returns what to do.
+    /// Handles one event and returns the calls to make. Each call must be answered by one event.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         match &event {
             Event::Unknown | Event::Failed => self.store_unreachable = true,
@@ -65,12 +65,14 @@
             self.valid_until = Time::ZERO;
         }
         let uncontested = self.is_last_known_holder() || is_restart;
-        // A lost write may still land: a contender gives it time to. A renewal must not wait: it
-        // makes the lost write void, and the duty would rest for 0.8 s after each outage.
+        // A write whose answer was lost may still take effect, so a contender gives it time. A
+        // renewal must not wait: it makes the lost write void, and with a wait the duty would have no
+        // holder for 0.8 s after each outage.
         self.schedule_read(now, sent.is_some() && !uncontested);
     }
 
-    /// Sets when to look again: when the lease may be taken, if that is sooner and nothing `hinders`.
+    /// Schedules the next call: after the retry interval, or already when the lease may be taken. While
+    /// an earlier write may still take effect (`write_may_land`), it is always the retry interval.
     fn schedule_read(&mut self, now: Time, write_may_land: bool) {
         let retry_at = now + self.with_jitter(self.timing.retry_interval);
         let takeover_at = self.takeover_at().unwrap_or(now).max(now);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The write stands: the time counts from when it was sent.
+    /// The write took effect. The time for which the holder may act counts from when it was sent.
     fn confirm_write(&mut self, now: Time, version: u64, sent: SentWrite) {
         if sent.lease.holder == self.id {
             let acting_time = self
@@ -123,7 +125,7 @@
         if self.unresolved_write.is_some() {
             return Some(self.read());
         }
-        // While the API is away nobody can renew, so that what was seen before says nothing.
+        // While the store is unreachable nobody can renew, so an unchanged lease proves nothing.
         let may_take = match self.takeover_at() {
             Some(takeover_at) => now >= takeover_at && !self.store_unreachable,
             None => true,
@@ -141,7 +143,7 @@
         Some(self.write(now, Some(version), fence, self.id.clone()))
     }
 
-    /// Nothing was found: look first, then create.
+    /// There is no known lease: reads first, and creates the lease once a read has found none.
     fn read_before_create(&mut self, now: Time, may_take: bool) -> Action {
         if self.absent_since.is_some() && may_take {
             self.write(now, None, 1, self.id.clone())
@@ -185,10 +187,10 @@
         Action::Write { expected, lease }
     }
 
-    /// From when on this candidate may act if its next write takes effect.
+    /// The cooldown that applies to this candidate if its next write takes effect.
     fn cooldown_after(&self, now: Time) -> Cooldown {
         let Some(ReadLease { lease, since, .. }) = &self.last_read else {
-            // Nobody had it before.
+            // There was no holder before.
             return Cooldown::EndsAt(Time::ZERO);
         };
         if self.is_last_known_holder() {
@@ -208,19 +210,21 @@
         Cooldown::after(lease, writer, *since, acting_time, now)
     }
 
-    /// Pause between renewals; the longest that jitter makes of it is shorter than the holder acts.
+    /// Mean interval between renewals. With the largest jitter it is still shorter than the time for
+    /// which a holder may act after a write.
     fn renewal_interval(&self) -> Duration {
         let third = self.timing.duration / 3;
         self.max_acting_time
             .map_or(third, |limit| third.min(limit * 5 / 8))
     }
 
-    /// How long a holder may act after a write of this duration.
+    /// How long a holder may act after a write that is valid for `duration`.
     pub(super) const fn acting_time(&self, duration: Duration) -> Duration {
         duration.saturating_sub(self.timing.clock_margin)
     }
 
-    /// Between 3/4 and 5/4 of `base`, so that candidates don't call in step.
+    /// Scales `base` by a pseudo-random factor between 3/4 and 5/4, so that candidates do not call in
+    /// step.
     fn with_jitter(&self, base: Duration) -> Duration {
         let spread = hash::score(self.write_count, &self.id) % 512;
         base * (768 + u32::try_from(spread).expect("below 512")) / 1024
--- a/crates/pinereel_core/src/lease/cooldown.rs
+++ b/crates/pinereel_core/src/lease/cooldown.rs
@@ -1,47 +1,50 @@
-//! From when on a new holder may act, for a duty whose holders must not act soon after one another.
+//! The cooldown between two lease holders: the earliest time at which a new holder may act.
 //!
-//! Load pattern: holders are stopped one after the other. Each new one waited out the whole time that
-//! must lie between two holders' acts, though the one before had never acted: engines got no order for
-//! 8 s. And of one that vanished they waited from the moment at which they had its lease, up to 1.2 s
-//! after it could have acted for the last time. So a lease tells how long acts must rest.
+//! Some duties need a minimum gap between the actions of consecutive holders. Each lease records how
+//! much of the cooldown is left, so that a successor does not wait longer than necessary. Without that,
+//! holders that are stopped one after another each wait out the whole gap although none of them has
+//! acted, which left engines without orders for 8 s. A successor of a holder that disappeared counts
+//! from the last time at which that holder can have acted; counting from the takeover costs up to
+//! 1.2 s more.
 
 use super::Lease;
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// From when on a new holder may act.
+/// What a new holder knows about the actions of the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cooldown {
-    /// From this moment on: the holder before has told.
+    /// The previous holder recorded its cooldown: the new one may act from this time on.
     EndsAt(Time),
-    /// The holder before has not acted after this moment, and told nothing.
+    /// No cooldown was recorded, but the previous holder has not acted after this time. The caller adds
+    /// the gap that the duty needs.
     IdleSince(Time),
 }
 
-/// How long acts must rest.
+/// Cooldown left when a lease is written, as stored with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemainingCooldown {
-    /// For the holder's own next start on the same machine, in milliseconds.
+    /// For the next process of the holder on the same machine, in milliseconds.
     pub own_ms: u64,
-    /// For any other holder once this write has released the lease, in milliseconds.
+    /// For any other holder, in milliseconds. Applies only if this write releases the lease.
     pub other_ms: u64,
 }
 
-/// Who wrote the lease that a new holder takes over.
+/// Who wrote the lease that a new holder takes over, relative to the new holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Writer {
-    /// An earlier start of the new holder on its own machine.
+    /// An earlier process of the same instance on the same machine.
     PreviousRun,
-    /// An earlier start of an instance of its name, on another machine.
+    /// An earlier process of an instance of the same name, on another machine.
     SameName,
     /// Another instance.
     Other,
 }
 
 impl Cooldown {
-    /// For whoever takes over a lease that it first saw at `since`, and whose holder might act for
-    /// `lasts` after a write.
+    /// The cooldown for a candidate that takes over `lease`, which it first read at `since`. `span` is
+    /// how long the previous holder may act after a write.
     pub(super) fn after(
         lease: &Lease,
         writer: Writer,
@@ -57,10 +60,10 @@
             (Some(remaining), _) if released => {
                 Self::EndsAt(since + Duration::from_millis(remaining.other_ms))
             }
-            // It has ended, or given the lease up, but maybe only just now.
+            // The previous holder has ended or released the lease, possibly only just now.
             (None, Writer::PreviousRun | Writer::SameName) => Self::IdleSince(now),
             (None, Writer::Other) if released => Self::IdleSince(now),
-            // It counted from before it wrote this.
+            // The previous holder counts its time from before it sent this write, so it stops first.
             (_, Writer::SameName | Writer::Other) => Self::IdleSince((since + span).min(now)),
         }
     }
--- a/crates/pinereel_core/src/lease/message.rs
+++ b/crates/pinereel_core/src/lease/message.rs
@@ -1,40 +1,42 @@
-//! The lease as it is stored, its times, and what a holder is told and orders.
+//! The stored lease, its timing, and the events and actions of a candidate's state machine.
 
 use super::RemainingCooldown;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The stored lease of one duty.
+/// The lease of one duty, as stored in the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder; empty if it was released.
+    /// Id of the holder; empty after a release.
     pub holder: CompactString,
-    /// The fencing token: grows by one with each change of holder.
+    /// The fencing token. It grows by one with each change of holder.
     pub fence: u64,
-    /// How long a write of the holder lasts, in milliseconds.
+    /// How long the lease is valid after each write, in milliseconds.
     pub duration_ms: u64,
-    /// Unique to each write; tells after a lost answer whose write it is.
+    /// Unique for each write. After a lost answer it tells whether the write took effect.
     pub write_id: CompactString,
-    /// Where the holder can be reached on account of the duty; empty if nowhere.
+    /// Address at which the holder serves the duty; empty if there is none.
     #[serde(default, skip_serializing_if = "CompactString::is_empty")]
     pub address: CompactString,
-    /// How long after this write its holder may act, in milliseconds; none if as long as the lease lasts.
+    /// How long the holder may act after this write, in milliseconds. `None` stands for the lease
+    /// duration less the clock margin.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acts_ms: Option<u64>,
-    /// How long the duty's acts must rest from this write on; none if that is not known.
+    /// Cooldown left at this write; `None` if the holder does not know it.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "rests")]
     pub remaining_cooldown: Option<RemainingCooldown>,
 }
 
-/// Times of a lease.
+/// Timing of a lease. All candidates of a duty must use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a renewal lasts.
+    /// How long the lease is valid after a write.
     pub duration: Duration,
-    /// The holder stops this much early and a taker waits this much longer.
+    /// Allowance for clocks that run at different rates: the holder stops this much before the lease
+    /// expires, and a candidate waits this much longer before it takes the lease.
     pub clock_margin: Duration,
-    /// Pause after a failed or lost call, and between looks at another's lease.
+    /// Mean pause after a failed call, and between reads of a lease that another candidate holds.
     pub retry_interval: Duration,
 }
 
@@ -48,35 +50,35 @@
     }
 }
 
-/// What a holder is told. Each call it ordered gets exactly one answer.
+/// Input of the state machine. Each [`Action`] must be answered by exactly one event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The lease as read, with its object version; `None` if absent.
+    /// The lease as read, with its object version; `None` if the object does not exist.
     Read(Option<(u64, Lease)>),
-    /// The write succeeded and made this object version.
+    /// The write succeeded and created this object version.
     Written(u64),
-    /// The object had another version.
+    /// The write was rejected: the object has another version than expected.
     Conflict,
-    /// The write's outcome is not known; it may still take effect.
+    /// The outcome of the write is unknown; it may still take effect.
     Unknown,
-    /// A read failed.
+    /// The read failed.
     Failed,
     /// Time has passed.
     Tick,
-    /// Give up the lease, and don't take it again.
+    /// Release the lease and do not take it again.
     Drain,
 }
 
-/// What a holder orders. At most one call is open at a time.
+/// Output of the state machine: calls to the object store. At most one is open at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the lease.
     Read,
-    /// Write the lease if its object version is still `expected`; create it if that is `None`.
+    /// Write the lease if its object version is still `expected`; create it if `expected` is `None`.
     Write {
-        /// The version it must have.
+        /// The object version that the store must find.
         expected: Option<u64>,
-        /// The new content.
+        /// The lease to store.
         lease: Lease,
     },
 }
--- a/crates/pinereel_core/src/lease/mod.rs
+++ b/crates/pinereel_core/src/lease/mod.rs
@@ -1,9 +1,13 @@
-//! Leases for control duties: one holder at a time, with a fencing token.
+//! Leases for control duties: at most one holder at a time, with a fencing token.
 //!
-//! The holder counts its time from before it sent its last write; a taker counts from after it
-//! first read that write. So the holder stops first whatever each one's clock reads, provided the
-//! clocks run at the same rate within the margin. Whoever is paused between asking
-//! [`Candidate::acts`] and acting is caught by the fencing token.
+//! A duty is a control task that one instance at a time performs for all. Each candidate runs a
+//! [`Candidate`] state machine, which reads and conditionally writes one [`Lease`] object per duty.
+//! Ask [`Candidate::fencing_token`] right before each action.
+//!
+//! The holder counts its time from before it sent its last write, a successor from after it first
+//! read that write. So the holder stops first whatever the two clocks show, provided that they run at
+//! the same rate within [`Timing::clock_margin`]. The fencing token covers a holder that is paused
+//! between the check and the action.
 
 mod candidate;
 mod cooldown;
--- a/crates/pinereel_core/src/lease/poll.rs
+++ b/crates/pinereel_core/src/lease/poll.rs
@@ -1,45 +1,47 @@
-//! When a follower looks at the leases that others hold.
+//! Schedules a follower's polls of the leases that other instances hold.
 //!
-//! Each look is a call, and all followers make them, so they are sparse: those of many followers
-//! together find soon that a lease is not renewed any more. A look that shows a lease unchanged
-//! since the one before is followed by one at the moment at which the lease may be taken. An
-//! instance that should rather not hold duties looks in pairs, far apart.
+//! Each poll is a call to the store, and all followers poll, so each of them polls rarely; together
+//! they soon detect a lease that is no longer renewed. If a poll finds a lease unchanged since the
+//! previous poll, the next one comes when the lease may be taken. An instance that is not preferred
+//! for duties polls in pairs with long pauses between them.
 
 use crate::{Time, hash};
 use compact_str::CompactString;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Pause between looks of a follower that may well take the duties.
+/// Mean interval between polls of a preferred follower.
 const PREFERRED_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Pause between the two looks of a pair: longer than a holder's pause between renewals.
+/// Mean interval between the two polls of a pair. It is longer than the interval between renewals, so
+/// that a lease that is unchanged at the second poll has missed a renewal.
 const PAIR_INTERVAL: Duration = Duration::from_millis(1_100);
-/// Pause between two pairs. Where nobody has ample processor time, the looks of nine instances still
-/// come every second.
+/// Mean pause between two pairs. If no instance is preferred, nine instances together still poll every
+/// second.
 const PAIR_PAUSE: Duration = Duration::from_millis(9_000);
 
-/// One lease as a look shows it.
+/// One lease as found by a poll.
 #[derive(Clone, Copy, Debug)]
 pub struct PolledLease {
-    /// Its object version.
+    /// Object version of the lease.
     pub version: u64,
-    /// How long it must be seen unchanged before it may be taken.
+    /// How long the lease must be seen unchanged before it may be taken.
     pub wait: Duration,
 }
 
-/// What a follower saw, and when it looks next.
+/// The versions that a follower has seen, and the time of its next poll.
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
-    /// Whether this instance may well take duties.
+    /// Whether this instance is preferred as a holder.
     preferred: bool,
-    /// Makes the pauses of instances differ.
+    /// Seed of the jitter; must differ between instances.
     seed: u64,
     polls: u64,
+    /// The version of each duty's lease, and when it was first seen.
     first_seen: BTreeMap<CompactString, (u64, Time)>,
     last_poll_at: Option<Time>,
 }
 
 impl PollSchedule {
-    /// Nothing seen yet.
+    /// A schedule before the first poll.
     pub const fn new(preferred: bool, seed: u64) -> Self {
         Self {
             preferred,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes in a look at the leases of others; returns when the next is due.
+    /// Records the result of a poll made at `now` and returns the time of the next one.
     pub fn record(
         &mut self,
         now: Time,
@@ -87,7 +89,7 @@
         if paired { PAIR_PAUSE } else { PAIR_INTERVAL }
     }
 
-    /// Between 7/8 and 9/8 of `base`.
+    /// Scales `base` by a pseudo-random factor between 7/8 and 9/8.
     fn with_jitter(&self, base: Duration) -> Duration {
         let spread = hash::mix(self.seed ^ self.polls) % 256;
         base * (896 + u32::try_from(spread).unwrap_or(0)) / 1024
--- a/crates/pinereel_core/src/lease/rank.rs
+++ b/crates/pinereel_core/src/lease/rank.rs
@@ -1,35 +1,36 @@
-//! Which follower takes a free lease first.
+//! Staggers the followers that try to take a free lease.
 //!
-//! All followers hear at the same moment that a lease is free. If all of them wrote, all but one
-//! would have spent two calls to the store for nothing. So they take turns, in an order that
-//! differs by duty, and whoever hears meanwhile that the lease is taken writes nothing.
+//! All followers learn at the same time that a lease is free. If all of them wrote, all but one would
+//! waste two calls to the store. So each waits for a delay that depends on its rank and on the duty,
+//! and writes nothing if it learns meanwhile that the lease is taken.
 
 use crate::hash;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Pause between two turns. Followers hear of the leases every 0.7 s, so that about seven write
-/// before the first one's success is known; a longer pause would leave a duty undone for longer when
-/// the first ones have died.
+/// Delay between two consecutive followers. Followers learn the state of the leases every 0.7 s, so
+/// about seven write before the success of the first is known. A longer step would leave a duty
+/// without a holder for longer when the first followers have died.
 const TAKEOVER_STEP: Duration = Duration::from_millis(100);
-/// Turns before all the rest have theirs together: a duty must not wait long for followers that
-/// have died, and that eight have is rare.
+/// Most steps that a follower waits; those with higher ranks share the last step. A duty must not
+/// wait long for followers that have died, and eight dead ones at once are rare.
 const MAX_TAKEOVER_STEPS: u32 = 8;
 
-/// A follower's place among all of them.
+/// The rank of an instance among all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rank {
-    /// Its number, from 0; those that should rather hold duties have the first ones.
+    /// The rank, from 0. Preferred instances come first.
     pub number: u32,
-    /// How many should rather hold duties.
+    /// Number of preferred instances: those that should hold duties rather than the others.
     pub preferred: u32,
-    /// How many there are.
+    /// Number of all instances.
     #[serde(rename = "of")]
     pub total: u32,
 }
 
 impl Rank {
-    /// How long it lets others go first for a duty.
+    /// How long this instance waits before it takes the free lease of `duty`. All preferred instances
+    /// come before all others.
     pub fn takeover_delay(self, duty: &str) -> Duration {
         if self.number < self.preferred {
             return TAKEOVER_STEP * steps(self.number, self.preferred, duty);
@@ -40,8 +41,8 @@
     }
 }
 
-/// How long a follower that does not know its place lets others go first: those that should rather hold duties have
-/// had all their turns by then.
+/// Takeover delay of an instance that does not know its rank: none if it is preferred, otherwise
+/// longer than that of every preferred instance.
 pub fn unranked_takeover_delay(preferred: bool) -> Duration {
     if preferred {
         Duration::ZERO
@@ -50,7 +51,8 @@
     }
 }
 
-/// The turn of a number, rotated by the duty.
+/// Steps that `number` out of `total` waits. The order is rotated by a hash of the duty, so that
+/// another instance comes first for each duty.
 fn steps(number: u32, total: u32, duty: &str) -> u32 {
     let rotated = u64::from(number) + hash::stable(duty.as_bytes());
     let step = rotated % u64::from(total.max(1));
