--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -12,15 +12,15 @@
 };
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
-const NODES: usize = 3;
+const NODE_COUNT: usize = 3;
 const DURATION_MS: u64 = 3_000;
 const MARGIN_MS: u64 = 200;
 const RETRY_MS: u64 = 400;
 /// A step of the quiet phase at the end.
-const STEP_MS: u64 = 50;
+const RECOVERY_STEP_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Outcome {
     Done,
     Lost,
     Late,
@@ -31,7 +31,7 @@
 enum Op {
     Call {
         at: usize,
-        fate: Fate,
+        outcome: Outcome,
     },
     Run {
         at: usize,
@@ -47,10 +47,10 @@
     SlowOrder {
         at: usize,
     },
-    Arrive {
+    DeliverOrder {
         index: usize,
     },
-    Land {
+    ApplyLateCall {
         index: usize,
     },
     Restart {
@@ -67,16 +67,16 @@
 /// A stand-in engine: the last order it took. One kind refuses old fences.
 #[derive(Default)]
 struct Engine {
-    checks: bool,
-    seen: u64,
-    loaded: u64,
+    checks_fence: bool,
+    highest_fence: u64,
+    loaded_fence: u64,
 }
 
 impl Engine {
     fn order(&mut self, fence: u64) {
-        if !self.checks || fence >= self.seen {
-            self.seen = self.seen.max(fence);
-            self.loaded = fence;
+        if !self.checks_fence || fence >= self.highest_fence {
+            self.highest_fence = self.highest_fence.max(fence);
+            self.loaded_fence = fence;
         }
     }
 }
@@ -98,17 +98,17 @@
     takeover_ms: u64,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     version: u64,
     lease: Option<(u64, Lease)>,
-    late: Vec<Action>,
-    orders: Vec<u64>,
+    late_calls: Vec<Action>,
+    delayed_orders: Vec<u64>,
     nodes: Vec<Node>,
     checking: Engine,
     ignoring: Engine,
     /// The last fence that acted, and its holder.
-    acted: (u64, String),
+    last_acting: (u64, String),
     counts: Counts,
 }
 
@@ -120,28 +120,28 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: 1_000,
             version: 0,
             lease: None,
-            late: Vec::new(),
-            orders: Vec::new(),
+            late_calls: Vec::new(),
+            delayed_orders: Vec::new(),
             nodes: Vec::new(),
             checking: Engine {
-                checks: true,
+                checks_fence: true,
                 ..Engine::default()
             },
             ignoring: Engine::default(),
-            acted: (0, String::new()),
+            last_acting: (0, String::new()),
             counts: Counts::default(),
         };
-        for at in 0..NODES {
-            let node = world.start(at, 0);
-            world.nodes.push(node);
+        for at in 0..NODE_COUNT {
+            let node = sim.start(at, 0);
+            sim.nodes.push(node);
         }
-        world
+        sim
     }
 
     fn start(&self, at: usize, starts: u64) -> Node {
@@ -158,30 +158,30 @@
         Time::from_millis(self.now + 5_555 * at as u64)
     }
 
-    fn acts(&self, at: usize) -> Option<u64> {
+    fn fencing_token(&self, at: usize) -> Option<u64> {
         self.nodes[at].candidate.fencing_token(self.clock(at))
     }
 
     /// The oracle: at most one candidate may act at any moment, and fences grow with the holder.
     fn check(&mut self) {
-        let acting: Vec<_> = (0..NODES)
-            .filter_map(|at| Some((at, self.acts(at)?)))
+        let acting: Vec<_> = (0..NODE_COUNT)
+            .filter_map(|at| Some((at, self.fencing_token(at)?)))
             .collect();
         assert!(acting.len() <= 1, "two act at once: {acting:?}");
         let Some((at, fence)) = acting.first() else {
             return;
         };
-        let who = format!("c{at}-{}", self.nodes[*at].starts);
+        let id = format!("c{at}-{}", self.nodes[*at].starts);
         // One that lost the lease and took it again has a new fence, so only a fence of another's
         // or an older one is wrong.
-        let same = (*fence, &who) == (self.acted.0, &self.acted.1);
+        let same = (*fence, &id) == (self.last_acting.0, &self.last_acting.1);
         assert!(
-            same || *fence > self.acted.0,
-            "fence {fence} of {who} after {:?}",
-            self.acted
+            same || *fence > self.last_acting.0,
+            "fence {fence} of {id} after {:?}",
+            self.last_acting
         );
         self.counts.changes += u64::from(!same);
-        self.acted = (*fence, who);
+        self.last_acting = (*fence, id);
     }
 
     fn step(&mut self, at: usize, event: Event) {
@@ -206,23 +206,23 @@
         Event::Written(self.version)
     }
 
-    fn call(&mut self, at: usize, fate: Fate) {
+    fn call(&mut self, at: usize, outcome: Outcome) {
         let Some(action) = self.nodes[at].call.take() else {
             return;
         };
         let reads = matches!(action, Action::Read);
         let lost = if reads { Event::Failed } else { Event::Unknown };
-        let event = match fate {
-            Fate::Done => self.effect(&action),
-            Fate::Lost => {
+        let event = match outcome {
+            Outcome::Done => self.effect(&action),
+            Outcome::Lost => {
                 self.effect(&action);
                 lost
             }
-            Fate::Late => {
-                self.late.push(action);
+            Outcome::Late => {
+                self.late_calls.push(action);
                 lost
             }
-            Fate::Refused => lost,
+            Outcome::Refused => lost,
         };
         self.nodes[at].inbox.push_back(event);
     }
@@ -237,7 +237,7 @@
     fn flush(&mut self, at: usize) {
         for _ in 0..10 {
             self.run(at);
-            self.call(at, Fate::Done);
+            self.call(at, Outcome::Done);
         }
     }
 
@@ -248,33 +248,38 @@
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Call { at, fate } => self.call(at, fate),
+            Op::Call { at, outcome } => self.call(at, outcome),
             Op::Run { at } => self.run(at),
             Op::Flush { at } => self.flush(at),
             Op::Order { at } => {
-                if let Some(fence) = self.acts(at) {
+                if let Some(fence) = self.fencing_token(at) {
                     self.order(fence);
                 }
             }
-            Op::SlowOrder { at } => self.orders.extend(self.acts(at)),
-            Op::Arrive { index } => {
-                if !self.orders.is_empty() {
-                    let fence = self.orders.remove(index % self.orders.len());
-                    let seen = self.checking.seen;
+            Op::SlowOrder { at } => self.delayed_orders.extend(self.fencing_token(at)),
+            Op::DeliverOrder { index } => {
+                if !self.delayed_orders.is_empty() {
+                    let fence = self
+                        .delayed_orders
+                        .remove(index % self.delayed_orders.len());
+                    let highest = self.checking.highest_fence;
                     self.order(fence);
-                    assert!(self.checking.loaded >= seen, "an old order was taken");
+                    assert!(
+                        self.checking.loaded_fence >= highest,
+                        "an old order was taken"
+                    );
                 }
             }
-            Op::Land { index } => {
-                if !self.late.is_empty() {
-                    let action = self.late.remove(index % self.late.len());
+            Op::ApplyLateCall { index } => {
+                if !self.late_calls.is_empty() {
+                    let action = self.late_calls.remove(index % self.late_calls.len());
                     self.counts.late += 1;
                     self.effect(&action);
                 }
             }
             Op::Restart { at } => {
                 let starts = self.nodes[at].starts + 1;
-                self.late.extend(self.nodes[at].call.take());
+                self.late_calls.extend(self.nodes[at].call.take());
                 self.nodes[at] = self.start(at, starts);
             }
             Op::Drain { at } => self.step(at, Event::Drain),
@@ -284,15 +289,15 @@
     }
 
     /// All but the last candidate are gone for good; it must hold within the documented bound.
-    fn heal(&mut self) {
-        let at = NODES - 1;
+    fn recover(&mut self) {
+        let at = NODE_COUNT - 1;
         let starts = self.nodes[at].starts + 1;
         self.nodes[at] = self.start(at, starts);
         let began = self.now;
-        while self.acts(at).is_none() {
-            self.now += STEP_MS;
+        while self.fencing_token(at).is_none() {
+            self.now += RECOVERY_STEP_MS;
             self.flush(at);
-            let bound = DURATION_MS + MARGIN_MS + 2 * RETRY_MS + 2 * STEP_MS;
+            let bound = DURATION_MS + MARGIN_MS + 2 * RETRY_MS + 2 * RECOVERY_STEP_MS;
             assert!(
                 self.now - began <= bound,
                 "no holder after {} ms",
@@ -301,29 +306,32 @@
         }
         self.counts.takeover_ms = self.now - began;
         // A level-triggered round: every late order arrives, then the holder orders again.
-        while !self.orders.is_empty() {
-            self.apply(Op::Arrive { index: 0 });
+        while !self.delayed_orders.is_empty() {
+            self.apply(Op::DeliverOrder { index: 0 });
         }
-        let fence = self.acts(at).unwrap();
-        self.counts.corrected += u64::from(self.ignoring.loaded < self.checking.loaded);
+        let fence = self.fencing_token(at).unwrap();
+        self.counts.corrected += u64::from(self.ignoring.loaded_fence < self.checking.loaded_fence);
         self.order(fence);
-        assert_eq!((self.checking.loaded, self.ignoring.loaded), (fence, fence));
+        assert_eq!(
+            (self.checking.loaded_fence, self.ignoring.loaded_fence),
+            (fence, fence)
+        );
     }
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
-    let at = 0..NODES;
-    let fate = prop_oneof![
-        5 => Just(Fate::Done), 1 => Just(Fate::Lost), 1 => Just(Fate::Late), 1 => Just(Fate::Refused)
+    let at = 0..NODE_COUNT;
+    let outcome = prop_oneof![
+        5 => Just(Outcome::Done), 1 => Just(Outcome::Lost), 1 => Just(Outcome::Late), 1 => Just(Outcome::Refused)
     ];
     let op = prop_oneof![
-        8 => (at.clone(), fate).prop_map(|(at, fate)| Op::Call { at, fate }),
+        8 => (at.clone(), outcome).prop_map(|(at, outcome)| Op::Call { at, outcome }),
         8 => at.clone().prop_map(|at| Op::Run { at }),
         6 => at.clone().prop_map(|at| Op::Flush { at }),
         3 => at.clone().prop_map(|at| Op::Order { at }),
         2 => at.clone().prop_map(|at| Op::SlowOrder { at }),
-        2 => (0..9_usize).prop_map(|index| Op::Arrive { index }),
-        2 => (0..9_usize).prop_map(|index| Op::Land { index }),
+        2 => (0..9_usize).prop_map(|index| Op::DeliverOrder { index }),
+        2 => (0..9_usize).prop_map(|index| Op::ApplyLateCall { index }),
         1 => at.clone().prop_map(|at| Op::Restart { at }),
         1 => at.prop_map(|at| Op::Drain { at }),
         6 => (1..700_u64).prop_map(|ms| Op::Advance { ms }),
@@ -342,16 +350,16 @@
     };
     let total = RefCell::new(Counts::default());
     let result = TestRunner::new(config).run(&ops(), |ops| {
-        let mut world = World::new();
-        ops.into_iter().for_each(|op| world.apply(op));
-        world.heal();
+        let mut sim = Simulation::new();
+        ops.into_iter().for_each(|op| sim.apply(op));
+        sim.recover();
         let mut total = total.borrow_mut();
         total.cases += 1;
-        total.steps += world.counts.steps;
-        total.changes += world.counts.changes;
-        total.late += world.counts.late;
-        total.corrected += world.counts.corrected;
-        total.takeover_ms = total.takeover_ms.max(world.counts.takeover_ms);
+        total.steps += sim.counts.steps;
+        total.changes += sim.counts.changes;
+        total.late += sim.counts.late;
+        total.corrected += sim.counts.corrected;
+        total.takeover_ms = total.takeover_ms.max(sim.counts.takeover_ms);
         Ok(())
     });
     let Counts {
@@ -377,23 +385,23 @@
 
 #[test]
 fn an_outage_ends_the_lease_and_a_drain_frees_it_at_once() {
-    let mut world = World::new();
-    world.flush(0);
-    assert_eq!(world.acts(0), Some(1));
-    world.now += DURATION_MS - MARGIN_MS;
-    assert_eq!(world.acts(0), None, "not renewed, so not acting");
-    world.flush(0);
+    let mut sim = Simulation::new();
+    sim.flush(0);
+    assert_eq!(sim.fencing_token(0), Some(1));
+    sim.now += DURATION_MS - MARGIN_MS;
+    assert_eq!(sim.fencing_token(0), None, "not renewed, so not acting");
+    sim.flush(0);
     assert_eq!(
-        world.acts(0),
+        sim.fencing_token(0),
         Some(1),
         "nobody took it: same holder, same fence"
     );
-    world.apply(Op::Drain { at: 0 });
-    assert_eq!(world.acts(0), None);
-    world.flush(0);
-    assert!(world.nodes[0].candidate.is_released());
-    world.flush(1);
-    assert_eq!(world.acts(1), Some(2), "taken without a wait");
+    sim.apply(Op::Drain { at: 0 });
+    assert_eq!(sim.fencing_token(0), None);
+    sim.flush(0);
+    assert!(sim.nodes[0].candidate.is_released());
+    sim.flush(1);
+    assert_eq!(sim.fencing_token(1), Some(2), "taken without a wait");
 }
 
 #[test]
