--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -1,4 +1,5 @@
-//! Candidates for one lease under lost answers, late effects, outages, pauses and restarts.
+//! Property test of lease candidates: at most one acts at a time, under lost answers, late writes,
+//! outages, pauses and restarts.
 
 #![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
 
@@ -16,7 +17,7 @@
 const DURATION_MS: u64 = 3_000;
 const MARGIN_MS: u64 = 200;
 const RETRY_MS: u64 = 400;
-/// A step of the quiet phase at the end.
+/// Step of virtual time while the last candidate recovers.
 const RECOVERY_STEP_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug)]
@@ -39,11 +40,11 @@
     Flush {
         at: usize,
     },
-    /// Asks for the fence and orders the engines at once.
+    /// Asks for the fencing token and orders the engines at once.
     Order {
         at: usize,
     },
-    /// Asks for the fence now; the order arrives later.
+    /// Asks for the fencing token now; the order arrives later.
     SlowOrder {
         at: usize,
     },
@@ -64,7 +65,8 @@
     },
 }
 
-/// A stand-in engine: the last order it took. One kind refuses old fences.
+/// A simulated engine and the fence of the last order it took. With `checks_fence` it rejects orders
+/// with an older fence.
 #[derive(Default)]
 struct Engine {
     checks_fence: bool,
@@ -107,7 +109,7 @@
     nodes: Vec<Node>,
     checking: Engine,
     ignoring: Engine,
-    /// The last fence that acted, and its holder.
+    /// The last fence with which a candidate could act, and the id of that candidate.
     last_acting: (u64, String),
     counts: Counts,
 }
@@ -162,18 +164,18 @@
         self.nodes[at].candidate.fencing_token(self.clock(at))
     }
 
-    /// The oracle: at most one candidate may act at any moment, and fences grow with the holder.
+    /// Checks that at most one candidate may act, and that the fence grows with each change of holder.
     fn check(&mut self) {
         let acting: Vec<_> = (0..NODE_COUNT)
             .filter_map(|at| Some((at, self.fencing_token(at)?)))
             .collect();
-        assert!(acting.len() <= 1, "two act at once: {acting:?}");
+        assert!(acting.len() <= 1, "two candidates act at once: {acting:?}");
         let Some((at, fence)) = acting.first() else {
             return;
         };
         let id = format!("c{at}-{}", self.nodes[*at].starts);
-        // One that lost the lease and took it again has a new fence, so only a fence of another's
-        // or an older one is wrong.
+        // A candidate that lost the lease and took it again has a new fence. Only the fence of another
+        // candidate, or an older one, is wrong.
         let same = (*fence, &id) == (self.last_acting.0, &self.last_acting.1);
         assert!(
             same || *fence > self.last_acting.0,
@@ -266,7 +268,7 @@
                     self.order(fence);
                     assert!(
                         self.checking.loaded_fence >= highest,
-                        "an old order was taken"
+                        "an engine took an order with an older fence"
                     );
                 }
             }
@@ -288,7 +290,8 @@
         self.check();
     }
 
-    /// All but the last candidate are gone for good; it must hold within the documented bound.
+    /// All candidates but the last end for good; that one must hold the lease within the bound that
+    /// follows from the timing.
     fn recover(&mut self) {
         let at = NODE_COUNT - 1;
         let starts = self.nodes[at].starts + 1;
@@ -305,7 +308,7 @@
             );
         }
         self.counts.takeover_ms = self.now - began;
-        // A level-triggered round: every late order arrives, then the holder orders again.
+        // Every delayed order arrives, then the holder repeats its order, which is level-triggered.
         while !self.delayed_orders.is_empty() {
             self.apply(Op::DeliverOrder { index: 0 });
         }
@@ -379,7 +382,7 @@
     }
     assert!(
         changes > 0 && late > 0 && corrected > 0,
-        "the faults were not reached"
+        "the run did not exercise the faults"
     );
 }
 
@@ -389,19 +392,27 @@
     sim.flush(0);
     assert_eq!(sim.fencing_token(0), Some(1));
     sim.now += DURATION_MS - MARGIN_MS;
-    assert_eq!(sim.fencing_token(0), None, "not renewed, so not acting");
+    assert_eq!(
+        sim.fencing_token(0),
+        None,
+        "a holder that cannot renew must not act"
+    );
     sim.flush(0);
     assert_eq!(
         sim.fencing_token(0),
         Some(1),
-        "nobody took it: same holder, same fence"
+        "no other candidate took it: same holder, same fence"
     );
     sim.apply(Op::Drain { at: 0 });
     assert_eq!(sim.fencing_token(0), None);
     sim.flush(0);
     assert!(sim.nodes[0].candidate.is_released());
     sim.flush(1);
-    assert_eq!(sim.fencing_token(1), Some(2), "taken without a wait");
+    assert_eq!(
+        sim.fencing_token(1),
+        Some(2),
+        "a released lease is taken without a wait"
+    );
 }
 
 #[test]
@@ -412,13 +423,14 @@
     for (preferred, most) in [(true, 36), (false, 14)] {
         let mut schedule = PollSchedule::new(preferred, 7);
         let (mut now, mut count) = (Time::from_millis(1), 0);
-        // Renewed all along, about every 0.7 s.
+        // The lease is renewed about every 0.7 s.
         while now < Time::from_millis(60_000) {
             now = schedule.record(now, polled(now.0 / 700_000));
             count += 1;
         }
-        assert!(count <= most, "{count} looks in a minute");
-        // Not renewed any more: found by the second look, and due when it may be taken.
+        assert!(count <= most, "{count} polls in a minute");
+        // The lease is no longer renewed: the second poll finds that, and the next one is due when the
+        // lease may be taken.
         let first = now;
         let second = schedule.record(first, polled(1_000_000));
         let takeover_at = schedule.record(second, polled(1_000_000));
--- a/crates/pinereel_core/tests/lease_place.rs
+++ b/crates/pinereel_core/tests/lease_place.rs
@@ -1,4 +1,4 @@
-//! The order in which followers take a free lease.
+//! Staggered takeover: the order in which followers try to take a free lease.
 
 use pinereel_core::lease::Rank;
 use std::time::Duration;
@@ -25,8 +25,8 @@
         let delays = delays("lots-m", of);
         assert_eq!(delays[0], Duration::ZERO);
         let soon = delays.iter().filter(|d| d.as_millis() < 700).count();
-        assert!(soon <= 7, "{soon} of {of} write within one look");
-        let longest = delays.last().expect("there is one");
+        assert!(soon <= 7, "{soon} of {of} write within one poll interval");
+        let longest = delays.last().expect("there is at least one follower");
         assert!(*longest <= Duration::from_millis(800));
     }
 }
@@ -36,7 +36,7 @@
     let first = |duty: &str| {
         (0..55)
             .find(|number| rank(*number, 55, 55).takeover_delay(duty).is_zero())
-            .expect("there is one")
+            .expect("there is at least one follower")
     };
     let firsts: std::collections::BTreeSet<_> = ["a", "b", "c", "d", "e"]
         .map(|model| first(&format!("lots-{model}")))
@@ -49,13 +49,16 @@
     assert_eq!(rank(0, 0, 0).takeover_delay("x"), Duration::ZERO);
 }
 
-/// Lots run badly on an instance with little processor time.
+/// Lots run badly on an instance with little CPU time, so preferred instances come first.
 #[test]
 fn those_that_should_rather_hold_duties_go_before_all_others() {
     for preferred in [0, 1, 8, 54] {
         let delay = |number| rank(number, preferred, 55).takeover_delay("lots-m");
         let last_preferred = (0..preferred).map(delay).max().unwrap_or_default();
-        let first_other = (preferred..55).map(delay).min().expect("there is one");
+        let first_other = (preferred..55)
+            .map(delay)
+            .min()
+            .expect("there is at least one follower");
         assert!(preferred == 0 || last_preferred < first_other);
     }
 }
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_turn.rs
@@ -1,4 +1,5 @@
-//! Followers let each other go first once a lease is free.
+//! Takeover of a free lease: staggered followers, recovery after an outage of the object store, and
+//! the cooldown between two holders.
 
 use pinereel_core::{
     Time,
@@ -31,7 +32,7 @@
     candidate
 }
 
-/// A follower that has just seen the lease of another holder, and what it saw.
+/// A follower that has just read the lease of another holder, and what it read.
 fn watching() -> (Candidate, Option<(u64, Lease)>) {
     let mut candidate = follower();
     let found = Some((3, lease("b", 1)));
@@ -40,7 +41,7 @@
     (candidate, found)
 }
 
-/// Answers reads with `found` until the holder writes; returns when it does.
+/// Answers reads with `found` until the candidate writes; returns when it does.
 fn writes_at(candidate: &mut Candidate, found: Option<(u64, Lease)>) -> Option<Time> {
     let mut now = Time::ZERO;
     for _ in 0..500 {
@@ -57,7 +58,7 @@
 }
 
 fn millis(time: Option<Time>) -> u128 {
-    let time = time.expect("it writes in the end");
+    let time = time.expect("the candidate writes");
     time.since(Time::ZERO).as_millis()
 }
 
@@ -87,14 +88,14 @@
     assert!(candidate.awaits_takeover_delay(now));
     let later = now + Duration::from_millis(550);
     candidate.step(later, Event::Tick);
-    // A look that was asked for before the turn came.
+    // The answer to a read that was sent before the takeover delay had passed.
     let now = now + Duration::from_millis(700);
     candidate.step(now, Event::Read(Some((4, lease("b", 1)))));
     assert!(!candidate.awaits_takeover_delay(now));
     assert_eq!(candidate.step(now, Event::Tick), vec![]);
 }
 
-/// A renewal waits for no turn: the lease would lapse meanwhile.
+/// A renewal does not wait for the takeover delay: the lease would expire meanwhile.
 #[test]
 fn an_own_lease_is_renewed_without_a_turn() {
     let mut candidate = follower();
@@ -106,7 +107,10 @@
     let mut renewed = None;
     while renewed.is_none() {
         now = now + Duration::from_millis(10);
-        assert!(candidate.fencing_token(now).is_some(), "it has lapsed");
+        assert!(
+            candidate.fencing_token(now).is_some(),
+            "the lease has expired"
+        );
         let actions = candidate.step(now, Event::Tick);
         renewed = actions
             .into_iter()
@@ -114,7 +118,8 @@
     }
 }
 
-/// An outage must not cost a live holder its duty: a follower that found the API first took it.
+/// A live holder must not lose its duty through an outage of the store. Without the grace period a
+/// follower that reached the store first took the lease.
 #[test]
 fn a_holder_that_could_not_renew_in_an_outage_has_a_head_start() {
     let (mut candidate, found) = watching();
@@ -133,11 +138,11 @@
     assert_eq!(
         now.since(back).as_millis(),
         1_800,
-        "a head start and a turn"
+        "the grace period and the takeover delay"
     );
 }
 
-/// The call that fails in the outage may be the follower's own, and the first that succeeds as well.
+/// The call that fails in the outage may be the follower's own, and so may the first that succeeds.
 #[test]
 fn the_first_answer_after_failures_is_a_return() {
     let (mut candidate, found) = watching();
@@ -157,7 +162,7 @@
     assert!(matches!(writes[..], [Action::Write { .. }]));
 }
 
-/// While the API is away a follower does not try to take what nobody can renew.
+/// While the store is unreachable, nobody can renew, so a follower must not try to take the lease.
 #[test]
 fn nothing_is_taken_while_the_api_is_away() {
     let (mut candidate, found) = watching();
@@ -169,7 +174,7 @@
     assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
 }
 
-/// A look that was asked for before the outage may be answered right after it.
+/// A read that was sent before the outage may be answered right after it.
 #[test]
 fn a_look_that_outlasts_an_outage_is_no_reason_to_take_the_lease() {
     let (mut candidate, found) = watching();
@@ -180,9 +185,9 @@
     assert_eq!(candidate.step(back, Event::Read(found)), vec![]);
 }
 
-/// Load pattern: the API's answers are lost from the middle of a renewal on, then it is back. The
-/// lost write may still land, but a renewal after it makes it void: waiting for it left each duty
-/// undone for 0.7 s.
+/// The store's answers are lost from the middle of a renewal on, then it recovers. The lost write may
+/// still take effect, but a renewal after it makes it void. Waiting for it left each duty without a
+/// holder for 0.7 s.
 #[test]
 fn a_renewal_whose_answer_was_lost_is_sent_again_at_once() {
     let mut candidate = follower();
@@ -192,7 +197,7 @@
     let mut now = Time::from_millis(taken + 900);
     let actions = candidate.step(now, Event::Tick);
     let Some(Action::Write { lease: sent, .. }) = actions.first() else {
-        panic!("it renews: {actions:?}");
+        panic!("expected a renewal: {actions:?}");
     };
     let before = Lease {
         write_id: "a.1".into(),
@@ -214,7 +219,8 @@
     ));
 }
 
-/// One that is another's now is left alone until it is free, whatever became of the lost write.
+/// After a lost write, a lease that another candidate holds must not be taken before it is free,
+/// whatever became of the write.
 #[test]
 fn a_lost_write_for_another_s_lease_gets_time_to_land() {
     let mut candidate = follower();
@@ -226,10 +232,10 @@
     assert_eq!(candidate.step(soon, Event::Tick), vec![]);
 }
 
-/// The time between the acts of two holders of a duty.
+/// Minimum time between the actions of two holders of a duty.
 const GAP: Duration = Duration::from_millis(3_000);
 
-/// Takes the lease, found so at `now`; returns when.
+/// Lets `taker` take the lease, which it finds as `found` from `now` on; returns when it does.
 fn take(taker: &mut Candidate, now: Time, found: &(u64, Lease)) -> Time {
     let mut at = now;
     loop {
@@ -252,18 +258,18 @@
     let actions = candidate.step(now, Event::Drain);
     match actions.into_iter().next() {
         Some(Action::Write { lease, .. }) => lease,
-        other => panic!("it releases: {other:?}"),
+        other => panic!("expected a release: {other:?}"),
     }
 }
 
-/// Load pattern: a holder freezes, the next one is stopped before it may act, then the one after it.
-/// Each waited for the whole gap, so that engines got no order for 8 s: a version that a step needed came to
-/// them 4 s late.
+/// A holder freezes, its successor is stopped before it may act, and then the next one as well. When
+/// each waited for the whole gap, engines got no order for 8 s, and a version that a step needed
+/// reached them 4 s late.
 #[test]
 fn one_that_never_acted_passes_on_what_is_left_of_its_wait() {
     let mut second = Candidate::new(Time::ZERO, "b/1", TIMING);
     let taken = take(&mut second, Time::ZERO, &(3, lease("a/1", 1)));
-    // It has not acted since its lease, first seen at 0 s, ran out by its own clock.
+    // The frozen holder has not acted since its lease, first read at 0 s, ended by its own clock.
     let idle = Time::from_millis(1_800);
     assert_eq!(second.cooldown(), Some(Cooldown::IdleSince(idle)));
     assert!(taken > idle);
@@ -299,7 +305,7 @@
     };
     let at_once = Some(Cooldown::EndsAt(Time::ZERO));
     assert_eq!(restarted("10.0.0.1:7"), at_once);
-    // Another machine of that name.
+    // An instance of the same name on another machine.
     assert!(matches!(
         restarted("10.0.0.2:7"),
         Some(Cooldown::IdleSince(_))
@@ -311,7 +317,7 @@
     let mut candidate = Candidate::new(Time::ZERO, "c/1", TIMING);
     let taken = take(&mut candidate, Time::ZERO, &(3, lease("", 1)));
     assert_eq!(candidate.cooldown(), Some(Cooldown::IdleSince(taken)));
-    // Nobody had it before.
+    // There was no holder before.
     let mut first = Candidate::new(Time::ZERO, "c/1", TIMING);
     first.step(Time::ZERO, Event::Tick);
     first.step(Time::ZERO, Event::Read(None));
@@ -319,8 +325,8 @@
     assert_eq!(first.cooldown(), Some(Cooldown::EndsAt(Time::ZERO)));
 }
 
-/// Load pattern: the holder is cut off from the object API just after a renewal. With the whole lease as its
-/// time to act the next one acted 4.8 s after that renewal.
+/// The holder is cut off from the store just after a renewal. When it might act for as long as the
+/// lease is valid, its successor acted only 4.8 s after that renewal.
 #[test]
 fn one_that_acts_for_a_part_of_the_lease_is_succeeded_sooner() {
     let acts = Duration::from_millis(800);
@@ -328,18 +334,18 @@
     first.step(Time::ZERO, Event::Tick);
     let actions = first.step(Time::ZERO, Event::Read(Some((3, lease("", 1)))));
     let Some(Action::Write { lease: written, .. }) = actions.into_iter().next() else {
-        panic!("it takes the lease");
+        panic!("expected a write of the lease");
     };
     first.step(Time::ZERO, Event::Written(4));
     assert!(first.fencing_token(Time::from_millis(799)).is_some());
     assert!(first.fencing_token(Time::from_millis(800)).is_none());
     assert!(
         first.next_call_at() < Time::from_millis(700),
-        "it renews before"
+        "the renewal comes before the end"
     );
     assert!(
         first.is_presumed_holder(),
-        "it goes on knowing what it knows"
+        "it is still the presumed holder"
     );
     let mut next = Candidate::new(Time::ZERO, "a", TIMING).with_max_acting_time(acts);
     let taken = take(&mut next, Time::ZERO, &(4, written));
