--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{Alive, Branch, Gate, Key, LEVEL, Own, Peer, Ranks, STALE, Uplink},
+    tree::{Branch, Gate, Heartbeat, Key, LEVEL, Own, Peer, Ranks, STALE, Uplink},
 };
 use pinereel_port::Adapter;
 use std::{
@@ -138,7 +138,7 @@
         Own {
             age: answered_ago.filter(|_| listed),
             answers: answered_ago.is_some_and(|ago| ago < STALE),
-            calm: store.calm(),
+            store_uptime: store.calm(),
         }
     }
 
@@ -220,14 +220,14 @@
         }
         let ranks = ranks.unwrap_or_default();
         if self.uplink.borrow().leads() {
-            self.parts.feed.set_calm(self.own().calm);
+            self.parts.feed.set_calm(self.own().store_uptime);
         }
         let Some(alive) = self.alive(ranks) else {
             return;
         };
         let places = self.state.borrow().branch.ranks(ranks, preferred);
         for (key, ranks) in places {
-            let alive = Alive {
+            let alive = Heartbeat {
                 ranks,
                 ..alive.clone()
             };
@@ -246,7 +246,7 @@
     }
 
     /// The heartbeat for children; none while there are no news, and none to be expected.
-    pub(super) fn alive(&self, ranks: Ranks) -> Option<Alive> {
+    pub(super) fn alive(&self, ranks: Ranks) -> Option<Heartbeat> {
         let (now, own) = (self.now(), self.own());
         let has_news = self.uplink.borrow().age(now, own).is_some();
         if !has_news && !self.is_fresh() && !self.is_recovering() {
@@ -257,12 +257,12 @@
             true => self.deputies(),
             false => Vec::new(),
         };
-        Some(uplink.alive(now, own, ranks, deputies))
+        Some(uplink.heartbeat(now, own, ranks, deputies))
     }
 
     fn deputies(&self) -> Vec<CompactString> {
         let state = self.state.borrow();
-        state.branch.deputies(&self.parts.peer.zone)
+        state.branch.standbys(&self.parts.peer.zone)
     }
 
     /// The places of this instance and all below it; none without news.
--- a/crates/pinereel/src/hosted/bulletin/frame.rs
+++ b/crates/pinereel/src/hosted/bulletin/frame.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     crash::Report,
-    tree::{Alive, Census, Peer},
+    tree::{Census, Heartbeat, Peer},
     usage,
 };
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
         calm: Duration,
     },
     /// The parent lives; the first frame that a child gets.
-    Alive(Alive),
+    Alive(Heartbeat),
     /// The first frame of a newcomer.
     Hello(Hello),
     /// A child wants one more topic, which it knows as of a revision.
--- a/crates/pinereel/src/hosted/bulletin/search.rs
+++ b/crates/pinereel/src/hosted/bulletin/search.rs
@@ -3,7 +3,7 @@
 use super::{Bulletin, Frame, Hello, OPEN, link_config};
 use compact_str::CompactString;
 use futures_util::{SinkExt as _, StreamExt as _, stream::FuturesUnordered};
-use pinereel_core::tree::Alive;
+use pinereel_core::tree::Heartbeat;
 use std::time::Duration;
 use tokio::{
     net::TcpStream,
@@ -31,7 +31,7 @@
     pub(super) socket: WebSocketStream<MaybeTlsStream<TcpStream>>,
     pub(super) address: CompactString,
     /// The parent's first sign of life.
-    pub(super) alive: Alive,
+    pub(super) alive: Heartbeat,
 }
 
 /// What a parent must have.
@@ -44,7 +44,7 @@
 }
 
 impl Needed {
-    fn is_met_by(self, alive: &Alive) -> bool {
+    fn is_met_by(self, alive: &Heartbeat) -> bool {
         alive.is_fresh() || (self == Self::Any && alive.age.is_none())
     }
 }
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -89,7 +89,7 @@
     /// again; none if this instance has the duty.
     async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
         let has_children = !self.state.borrow().branch.is_empty();
-        let is_needed = has_children || self.uplink.borrow().is_deputy();
+        let is_needed = has_children || self.uplink.borrow().is_standby();
         if is_needed && !self.is_leaving() {
             return self.stand_in(standing).await;
         }
@@ -102,7 +102,7 @@
 
     /// Looks for a parent; none if this instance is the first to stand in for a root that is gone.
     async fn search_patiently(&self) -> Option<Link> {
-        if self.uplink.borrow().is_first_deputy() && !self.is_leaving() {
+        if self.uplink.borrow().is_first_standby() && !self.is_leaving() {
             return self.search_once().await;
         }
         Some(self.search(Needed::Any).await)
@@ -225,7 +225,11 @@
         let (is_first, is_deputy, is_below_root) = {
             let uplink = self.uplink.borrow();
             let is_below_root = uplink.level() == 1;
-            (uplink.is_first_deputy(), uplink.is_deputy(), is_below_root)
+            (
+                uplink.is_first_standby(),
+                uplink.is_standby(),
+                is_below_root,
+            )
         };
         // Those further down have waited already.
         if !is_first && is_below_root {
@@ -291,7 +295,7 @@
                 if let Some(age) = alive.age {
                     metrics.observe(&metrics.ages, "news", age);
                 }
-                self.parts.feed.set_calm(alive.calm);
+                self.parts.feed.set_calm(alive.store_uptime);
                 if !self.uplink.borrow_mut().heard(self.now(), alive) {
                     return false;
                 }
--- a/crates/pinereel_core/src/tree/branch.rs
+++ b/crates/pinereel_core/src/tree/branch.rs
@@ -1,6 +1,6 @@
 //! The side of a parent: whom it takes, and whereto it refers the rest.
 
-use super::{CHILDREN, Census, DEPUTIES, Ranks};
+use super::{CHILDREN, Census, MAX_STANDBYS, Ranks};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
@@ -116,17 +116,17 @@
 
     /// Who stands in for this instance if it is the root: those with ample processor time first, and
     /// each in another zone if there are such.
-    pub fn deputies(&self, own_zone: &str) -> Vec<CompactString> {
+    pub fn standbys(&self, own_zone: &str) -> Vec<CompactString> {
         let mut left: Vec<_> = self.children.values().map(|child| &child.peer).collect();
         left.sort_by_key(|peer| (!peer.preferred, &peer.address));
         let mut zones = vec![own_zone];
-        let mut deputies = Vec::new();
-        while deputies.len() < DEPUTIES && !left.is_empty() {
+        let mut standbys = Vec::new();
+        while standbys.len() < MAX_STANDBYS && !left.is_empty() {
             let elsewhere = left.iter().position(|peer| !zones.contains(&&*peer.zone));
             let peer = left.remove(elsewhere.unwrap_or(0));
             zones.push(&peer.zone);
-            deputies.push(peer.address.clone());
+            standbys.push(peer.address.clone());
         }
-        deputies
+        standbys
     }
 }
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -6,26 +6,26 @@
 //! levels reach 1,056 instances, three 33,824.
 //!
 //! Nobody assigns places: an instance that is full refers a newcomer to its children, those of its own
-//! availability zone first. If the root falls silent, its [`Branch::deputies`] stand in for it, so that
+//! availability zone first. If the root falls silent, its [`Branch::standbys`] stand in for it, so that
 //! its loss costs calls at a few instances and not at all of them.
 //!
 //! - [`Branch`]: the side of a parent.
 //! - [`Uplink`]: the side of a child.
 //! - [`Gate`]: when a newcomer that is turned away may return.
 //! - [`Replay`]: the last changes, for children that have missed no more.
-//! - [`Alive`]: the sign of life that goes down the tree, with the age of the news.
+//! - [`Heartbeat`]: the sign of life that goes down the tree, with the age of the news.
 
-mod alive;
 mod branch;
 mod census;
 mod gate;
+mod heartbeat;
 mod replay;
 mod uplink;
 
-pub use alive::Alive;
 pub use branch::{Admission, Branch, Key, Peer};
 pub use census::{Census, Ranks};
 pub use gate::Gate;
+pub use heartbeat::Heartbeat;
 pub use replay::Replay;
 pub use uplink::{Own, Uplink};
 
@@ -36,7 +36,7 @@
 pub const CHILDREN: usize = 32;
 
 /// Instances that stand in for the root, in this order: two that are lost together with it leave one.
-pub const DEPUTIES: usize = 3;
+pub const MAX_STANDBYS: usize = 3;
 
 /// Publication that are older are no good for taking a child or staying with a parent. The root makes a call
 /// every 0.7 s at the least, each takes up to 0.3 s at a slow store, and signs of life come every 0.3 s.
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -1,6 +1,6 @@
 //! The side of a child: how old its news are, and whom it turns to when they are too old.
 
-use super::{Alive, FOLLOWED, READING, Ranks, STALE};
+use super::{FOLLOWED, Heartbeat, READING, Ranks, STALE};
 use crate::Time;
 use compact_str::CompactString;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     /// Time since the store last answered; none if it never did.
     pub age: Option<Duration>,
     /// For how long it has answered all calls.
-    pub calm: Duration,
+    pub store_uptime: Duration,
     /// Whether it has answered a call lately, also if not all is read yet.
     pub answers: bool,
 }
@@ -21,8 +21,8 @@
 pub struct Uplink {
     own: CompactString,
     /// The parent's last sign of life, and when it came; none while there is no parent, as at a root.
-    heard: Option<(Alive, Time)>,
-    /// Whom to turn to, as last heard: the root, then its deputies.
+    heard: Option<(Heartbeat, Time)>,
+    /// Whom to turn to, as last heard: the root, then its standbys.
     ways: Vec<CompactString>,
     /// Whether this instance reads the store for those below it.
     leads: bool,
@@ -46,19 +46,19 @@
     }
 
     /// The parent lives. Says whether this instance may stay with it: not if it is above the parent.
-    pub fn heard(&mut self, now: Time, alive: Alive) -> bool {
-        if alive.lineage.contains(&self.own) {
+    pub fn heard(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
+        if heartbeat.ancestors.contains(&self.own) {
             return false;
         }
-        let root = alive.lineage.first().cloned();
-        self.ways = root.into_iter().chain(alive.deputies.clone()).collect();
-        self.heard = Some((alive, now));
+        let root = heartbeat.ancestors.first().cloned();
+        self.ways = root.into_iter().chain(heartbeat.standbys.clone()).collect();
+        self.heard = Some((heartbeat, now));
         true
     }
 
-    /// A root that leaves turns to its deputies: one of them stands in.
-    pub fn turn_to(&mut self, deputies: Vec<CompactString>) {
-        self.ways = deputies;
+    /// A root that leaves turns to its standbys: one of them stands in.
+    pub fn turn_to(&mut self, standbys: Vec<CompactString>) {
+        self.ways = standbys;
     }
 
     /// The parent is gone.
@@ -81,13 +81,15 @@
 
     /// Levels above this instance; 0 at a root.
     pub fn level(&self) -> u32 {
-        self.heard.as_ref().map_or(0, |(alive, _)| alive.level())
+        self.heard
+            .as_ref()
+            .map_or(0, |(heartbeat, _)| heartbeat.level())
     }
 
     /// Age of the news here; none if there are none.
     pub fn age(&self, now: Time, own: Own) -> Option<Duration> {
         match &self.heard {
-            Some((alive, at)) => alive.age.map(|age| age + now.since(*at)),
+            Some((heartbeat, at)) => heartbeat.age.map(|age| age + now.since(*at)),
             None if self.leads => own.age,
             None => None,
         }
@@ -98,7 +100,7 @@
         let bound = self
             .heard
             .as_ref()
-            .map_or(STALE, |(alive, _)| alive.bound());
+            .map_or(STALE, |(heartbeat, _)| heartbeat.max_age());
         self.age(now, own).is_some_and(|age| age < bound)
     }
 
@@ -118,14 +120,14 @@
     /// Load pattern: the root of hundreds of instances is lost or cut off. Those right below it look for its
     /// successor, and all others stay with them, so that it gets a few links and not one from every instance.
     pub fn patience(&self, now: Time, spare: Duration) -> Duration {
-        let Some((alive, _)) = &self.heard else {
+        let Some((heartbeat, _)) = &self.heard else {
             return Duration::ZERO;
         };
-        let limit = match alive.age {
+        let limit = match heartbeat.age {
             // Without any news so far, nothing grows old meanwhile.
-            None if alive.reads && !self.had_news => READING,
+            None if heartbeat.reads_store && !self.had_news => READING,
             None => spare,
-            Some(_) if alive.level() > 1 => spare.max(FOLLOWED),
+            Some(_) if heartbeat.level() > 1 => spare.max(FOLLOWED),
             Some(_) => Duration::ZERO,
         };
         limit.saturating_sub(self.stale_for(now))
@@ -135,7 +137,7 @@
     pub fn is_recovering(&self, now: Time, own: Own, spare: Duration) -> bool {
         let limit = match &self.heard {
             // Those below a parent with old news would wait as long again.
-            Some((alive, _)) if alive.age.is_some() => Duration::ZERO,
+            Some((heartbeat, _)) if heartbeat.age.is_some() => Duration::ZERO,
             Some(_) => return !self.patience(now, spare).is_zero(),
             None if self.leads => return own.age.is_none() && own.answers,
             None => spare,
@@ -149,23 +151,23 @@
     }
 
     /// Whether this instance stands in for the root if no other deputy does.
-    pub fn is_deputy(&self) -> bool {
+    pub fn is_standby(&self) -> bool {
         self.ways.iter().skip(1).any(|way| *way == self.own)
     }
 
     /// Whether no other deputy stands in before this one.
-    pub fn is_first_deputy(&self) -> bool {
+    pub fn is_first_standby(&self) -> bool {
         self.ways.get(1).is_some_and(|way| *way == self.own)
     }
 
-    /// Whom to turn to for news: the holder of the duty, then the root and the deputies before this
-    /// instance itself, as last heard. So two deputies never wait for each other. A parent whose news are
+    /// Whom to turn to for news: the holder of the duty, then the root and the standbys before this
+    /// instance itself, as last heard. So two standbys never wait for each other. A parent whose news are
     /// too old is no target.
     pub fn targets(&self, holder: Option<CompactString>) -> Vec<CompactString> {
         let parent = self
             .heard
             .as_ref()
-            .and_then(|(alive, _)| alive.lineage.last());
+            .and_then(|(heartbeat, _)| heartbeat.ancestors.last());
         let before = self.ways.iter().take_while(|way| **way != self.own);
         let mut targets: Vec<CompactString> = Vec::new();
         for target in holder.into_iter().chain(before.cloned()) {
@@ -176,26 +178,32 @@
         targets
     }
 
-    /// What to tell the children, with places that are to be filled in for each. `deputies` counts at a
+    /// What to tell the children, with places that are to be filled in for each. `standbys` counts at a
     /// root.
-    pub fn alive(&self, now: Time, own: Own, ranks: Ranks, deputies: Vec<CompactString>) -> Alive {
+    pub fn heartbeat(
+        &self,
+        now: Time,
+        own: Own,
+        ranks: Ranks,
+        standbys: Vec<CompactString>,
+    ) -> Heartbeat {
         let age = self.age(now, own);
         match &self.heard {
-            Some((alive, _)) => {
-                let mut alive = alive.clone();
-                alive.lineage.push(self.own.clone());
-                Alive {
+            Some((heartbeat, _)) => {
+                let mut heartbeat = heartbeat.clone();
+                heartbeat.ancestors.push(self.own.clone());
+                Heartbeat {
                     age,
                     ranks,
-                    ..alive
+                    ..heartbeat
                 }
             }
-            None => Alive {
-                lineage: vec![self.own.clone()],
-                deputies,
+            None => Heartbeat {
+                ancestors: vec![self.own.clone()],
+                standbys,
                 age,
-                reads: self.leads && own.answers,
-                calm: own.calm,
+                reads_store: self.leads && own.answers,
+                store_uptime: own.store_uptime,
                 ranks,
             },
         }
@@ -203,9 +211,9 @@
 
     /// The places of this instance and of all below it, out of what the parent told; none while the parent has no news.
     pub fn ranks(&self) -> Option<Ranks> {
-        let alive = self.heard.as_ref().map(|(alive, _)| alive);
-        alive
-            .filter(|alive| alive.age.is_some())
-            .map(|alive| alive.ranks)
+        let heartbeat = self.heard.as_ref().map(|(heartbeat, _)| heartbeat);
+        heartbeat
+            .filter(|heartbeat| heartbeat.age.is_some())
+            .map(|heartbeat| heartbeat.ranks)
     }
 }
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -5,7 +5,7 @@
 
 use pinereel_core::{
     Time,
-    tree::{Admission, Alive, Branch, CHILDREN, Gate, Key, Own, Peer, Ranks, Uplink},
+    tree::{Admission, Branch, CHILDREN, Gate, Heartbeat, Key, Own, Peer, Ranks, Uplink},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -96,7 +96,7 @@
         Own {
             age: has_read.then_some(age),
             answers: node.reaches,
-            calm: Duration::ZERO,
+            store_uptime: Duration::ZERO,
         }
     }
 
@@ -192,11 +192,13 @@
     fn beat(&mut self, name: &str, ranks: Ranks) {
         let own = self.own(name);
         let node = &self.nodes[name];
-        let deputies = node.branch.deputies(&node.peer.zone);
+        let standbys = node.branch.standbys(&node.peer.zone);
         let places = node.branch.ranks(ranks, node.peer.preferred);
         for (key, ranks) in places {
             let node = &self.nodes[name];
-            let alive: Alive = node.uplink.alive(self.now, own, ranks, deputies.clone());
+            let heartbeat: Heartbeat =
+                node.uplink
+                    .heartbeat(self.now, own, ranks, standbys.clone());
             let Some(child) = node.children.get(&key).cloned() else {
                 continue;
             };
@@ -205,7 +207,7 @@
             }
             let stays = {
                 let child = self.nodes.get_mut(&child).expect("known");
-                child.uplink.heard(self.now, alive)
+                child.uplink.heard(self.now, heartbeat)
             };
             if !stays {
                 self.unlink(&child);
@@ -245,8 +247,8 @@
         }
         let node = self.nodes.get_mut(name).expect("known");
         let since = *node.alone_since.get_or_insert(now);
-        let needed = !node.branch.is_empty() || node.uplink.is_deputy();
-        let patience = if node.uplink.is_first_deputy() {
+        let needed = !node.branch.is_empty() || node.uplink.is_standby();
+        let patience = if node.uplink.is_first_standby() {
             Duration::ZERO
         } else {
             PATIENCE
@@ -288,12 +290,13 @@
                 Admission::Child(key) => {
                     let own = self.own(&target);
                     let parent = &self.nodes[&target];
-                    let alive = parent
-                        .uplink
-                        .alive(self.now, own, Ranks::default(), Vec::new());
+                    let heartbeat =
+                        parent
+                            .uplink
+                            .heartbeat(self.now, own, Ranks::default(), Vec::new());
                     let node = self.nodes.get_mut(name).expect("known");
                     let ranks = node.uplink.clone();
-                    if !node.uplink.heard(self.now, alive) {
+                    if !node.uplink.heard(self.now, heartbeat) {
                         node.uplink = ranks;
                         let parent = self.nodes.get_mut(&target).expect("known");
                         parent.branch.remove(key);
@@ -541,7 +544,7 @@
     let now = Time::ZERO + Duration::from_secs(10);
     let own = |answers| Own {
         age: None,
-        calm: Duration::ZERO,
+        store_uptime: Duration::ZERO,
         answers,
     };
     let mut uplink = Uplink::new("turned-away".into());
@@ -549,11 +552,11 @@
     uplink.observe(now, own(false));
     assert!(!uplink.is_recovering(now, own(false), Duration::ZERO));
     assert!(uplink.is_recovering(now, own(true), Duration::ZERO));
-    let alive = |answers| uplink.alive(now, own(answers), Ranks::default(), Vec::new());
-    assert!(!alive(false).is_reading());
-    assert!(alive(true).is_reading());
+    let heartbeat = |answers| uplink.heartbeat(now, own(answers), Ranks::default(), Vec::new());
+    assert!(!heartbeat(false).is_loading());
+    assert!(heartbeat(true).is_loading());
     assert!(
-        !alive(true).is_fresh(),
+        !heartbeat(true).is_fresh(),
         "it is no reason to give up reading"
     );
 }
@@ -565,15 +568,15 @@
     let own = Own::default();
     let mut uplink = Uplink::new("relay".into());
     let now = Time::ZERO + Duration::from_secs(10);
-    let alive = Alive {
-        lineage: vec!["root".into(), "parent".into()],
-        deputies: Vec::new(),
+    let heartbeat = Heartbeat {
+        ancestors: vec!["root".into(), "parent".into()],
+        standbys: Vec::new(),
         age: Some(Duration::from_secs(3)),
-        reads: false,
-        calm: Duration::ZERO,
+        reads_store: false,
+        store_uptime: Duration::ZERO,
         ranks: Ranks::default(),
     };
-    assert!(uplink.heard(now, alive));
+    assert!(uplink.heard(now, heartbeat));
     uplink.observe(now, own);
     assert!(!uplink.patience(now, spare).is_zero(), "it stays itself");
     assert!(!uplink.is_recovering(now, own, spare));
@@ -585,25 +588,25 @@
 fn a_child_with_old_news_waits_for_a_reader_no_longer_than_the_bound_allows() {
     let now = Time::ZERO + Duration::from_secs(10);
     let spare = Duration::from_millis(500);
-    let alive = |age| Alive {
-        lineage: vec!["root".into()],
-        deputies: Vec::new(),
+    let heartbeat = |age| Heartbeat {
+        ancestors: vec!["root".into()],
+        standbys: Vec::new(),
         age,
-        reads: true,
-        calm: Duration::ZERO,
+        reads_store: true,
+        store_uptime: Duration::ZERO,
         ranks: Ranks::default(),
     };
     let mut newcomer = Uplink::new("newcomer".into());
-    assert!(newcomer.heard(now, alive(None)));
+    assert!(newcomer.heard(now, heartbeat(None)));
     newcomer.observe(now, Own::default());
     assert!(
         newcomer.patience(now, spare) > spare,
         "it knows nothing that grows old"
     );
     let mut child = Uplink::new("child".into());
-    assert!(child.heard(now, alive(Some(HOP))));
+    assert!(child.heard(now, heartbeat(Some(HOP))));
     child.observe(now, Own::default());
-    assert!(child.heard(now, alive(None)));
+    assert!(child.heard(now, heartbeat(None)));
     child.observe(now, Own::default());
     assert_eq!(child.patience(now, spare), spare);
     let later = now + spare;
