--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{Branch, Gate, Heartbeat, Key, LEVEL, Own, Peer, Ranks, STALE, Uplink},
+    tree::{ChildKey, Children, Gate, Heartbeat, LEVEL, Own, Peer, Ranks, STALE, Uplink},
 };
 use pinereel_port::Adapter;
 use std::{
@@ -67,9 +67,9 @@
     pub(super) subscribed: BTreeSet<Topic>,
     /// Topics that were listed since this instance began to read the store.
     pub(super) listed: BTreeSet<Topic>,
-    pub(super) branch: Branch,
+    pub(super) branch: Children,
     pub(super) gate: Gate,
-    pub(super) links: BTreeMap<Key, Link>,
+    pub(super) links: BTreeMap<ChildKey, Link>,
 }
 
 impl State {
@@ -188,7 +188,7 @@
     }
 
     /// A child is linked.
-    pub(super) fn linked(&self, key: Key, link: Link) {
+    pub(super) fn linked(&self, key: ChildKey, link: Link) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
         self.state.borrow_mut().links.insert(key, link);
         topics.into_iter().for_each(|topic| self.subscribe(topic));
@@ -196,7 +196,7 @@
     }
 
     /// A child is gone.
-    pub(super) fn unlinked(&self, key: Key) {
+    pub(super) fn unlinked(&self, key: ChildKey) {
         let mut state = self.state.borrow_mut();
         state.links.remove(&key);
         state.branch.remove(key);
--- a/crates/pinereel/src/hosted/bulletin/children.rs
+++ b/crates/pinereel/src/hosted/bulletin/children.rs
@@ -5,7 +5,7 @@
 };
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
-use pinereel_core::tree::{Admission, Key, Ranks};
+use pinereel_core::tree::{Admission, ChildKey, Ranks};
 use std::{collections::BTreeMap, rc::Rc, sync::Arc};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -73,7 +73,7 @@
     async fn serve(
         &self,
         mut socket: Socket,
-        key: Key,
+        key: ChildKey,
         topics: BTreeMap<Topic, u64>,
     ) -> &'static str {
         let (sender, mut frames) = mpsc::channel::<Bytes>(QUEUE);
@@ -114,9 +114,9 @@
         }
     }
 
-    fn hear_child(&self, key: Key, bytes: &[u8]) {
+    fn hear_child(&self, key: ChildKey, bytes: &[u8]) {
         match Frame::decode(bytes) {
-            Some(Frame::Below(census)) => self.state.borrow_mut().branch.report(key, census),
+            Some(Frame::Below(census)) => self.state.borrow_mut().branch.set_size(key, census),
             Some(Frame::Subscribe { topic, revision }) => self.subscribed_by(key, topic, revision),
             Some(Frame::Crashes(reports)) => self.hear_crashes(reports),
             Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
--- a/crates/pinereel/src/hosted/bulletin/topics.rs
+++ b/crates/pinereel/src/hosted/bulletin/topics.rs
@@ -3,7 +3,7 @@
 use super::{Bulletin, Frame, Topic, board::State, packed::Packed};
 use crate::hosted::follow::Update;
 use bytes::Bytes;
-use pinereel_core::tree::Key;
+use pinereel_core::tree::ChildKey;
 use pinereel_port::store::{Change, Object};
 use std::{collections::BTreeMap, time::Duration};
 use tokio::sync::mpsc;
@@ -273,7 +273,7 @@
     }
 
     /// A child wants a topic, which it knows as of a revision.
-    pub(super) fn subscribed_by(&self, key: Key, topic: Topic, revision: u64) {
+    pub(super) fn subscribed_by(&self, key: ChildKey, topic: Topic, revision: u64) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&key) {
             link.topics.entry(topic).or_insert(Some(revision));
         }
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -43,7 +43,7 @@
 };
 
 /// Each duty that an instance holds already lets it wait so much longer before it takes another, so
-/// that they spread: about four turns of [`Place`], so that the loss of one instance seldom ends two
+/// that they spread: about four turns of [`Rank`], so that the loss of one instance seldom ends two
 /// duties.
 const HELD_DELAY: Duration = Duration::from_millis(400);
 /// An instance waits so long for each part that it lacks to [`AMPLE_CORES`].
--- a/crates/pinereel_core/src/lib.rs
+++ b/crates/pinereel_core/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`crash::Register`]: requests under which endpoints crash.
 //! - [`claim::Log`]: the idempotency keys of one shard.
 //! - [`table::Table`]: which route a request takes, on a platform whose operator writes the routes.
-//! - [`tree::Branch`]: the tree over which instances pass on what one of them reads.
+//! - [`tree::Children`]: the tree over which instances pass on what one of them reads.
 //! - [`usage::Ledger`]: how many requests of each workspace began to run.
 //! - [`batch::Lot`]: one trainer step whose results are kept in the platform's object store.
 
--- a/crates/pinereel_core/src/tree/branch.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -6,12 +6,12 @@
 use slotmap::SlotMap;
 
 slotmap::new_key_type! {
-    /// One child of a [`Branch`].
-    pub struct Key;
+    /// One child of a [`Children`].
+    pub struct ChildKey;
 }
 
 /// Parents that a newcomer is referred to: one may just have gone.
-const REFERRED: usize = 3;
+const MAX_REFERRALS: usize = 3;
 
 /// An instance as it introduces itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is a child now.
-    Child(Key),
+    Child(ChildKey),
     /// There is no room; these may have some.
     Referred(Vec<CompactString>),
 }
@@ -41,11 +41,11 @@
 
 /// The children of one instance.
 #[derive(Default)]
-pub struct Branch {
-    children: SlotMap<Key, Child>,
+pub struct Children {
+    children: SlotMap<ChildKey, Child>,
 }
 
-impl Branch {
+impl Children {
     /// Takes a newcomer if there is room, and refers it to children else.
     pub fn admit(&mut self, peer: Peer) -> Admission {
         // Its old link may have broken without a word.
@@ -60,13 +60,17 @@
 
     /// The children with the fewest below them, those of the newcomer's zone first.
     fn refer(&mut self, peer: &Peer) -> Vec<CompactString> {
-        let mut by_room: Vec<_> = self.children.iter().collect();
-        by_room.sort_by_key(|(_, child)| {
+        let mut by_subtree_size: Vec<_> = self.children.iter().collect();
+        by_subtree_size.sort_by_key(|(_, child)| {
             let below = child.census.all();
             let full = below as usize > CHILDREN;
             (full, child.peer.zone != peer.zone, below)
         });
-        let chosen: Vec<Key> = by_room.iter().take(REFERRED).map(|(key, _)| *key).collect();
+        let chosen: Vec<ChildKey> = by_subtree_size
+            .iter()
+            .take(MAX_REFERRALS)
+            .map(|(key, _)| *key)
+            .collect();
         // Many come at once, before the child can say that it has taken them.
         if let Some(child) = chosen.first().and_then(|key| self.children.get_mut(*key)) {
             child.census = child.census.plus(Census::one(peer.preferred));
@@ -76,14 +80,14 @@
     }
 
     /// A child says how many it and those below it are.
-    pub fn report(&mut self, key: Key, census: Census) {
+    pub fn set_size(&mut self, key: ChildKey, census: Census) {
         if let Some(child) = self.children.get_mut(key) {
             child.census = census;
         }
     }
 
     /// A child is gone.
-    pub fn remove(&mut self, key: Key) {
+    pub fn remove(&mut self, key: ChildKey) {
         self.children.remove(key);
     }
 
@@ -104,7 +108,7 @@
     }
 
     /// The places of each child and those below it, out of `ranks`, whose first is this instance's.
-    pub fn ranks(&self, ranks: Ranks, preferred: bool) -> Vec<(Key, Ranks)> {
+    pub fn ranks(&self, ranks: Ranks, preferred: bool) -> Vec<(ChildKey, Ranks)> {
         let mut next = ranks.after(Census::one(preferred));
         let mut places = Vec::new();
         for (key, child) in &self.children {
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -6,24 +6,24 @@
 //! levels reach 1,056 instances, three 33,824.
 //!
 //! Nobody assigns places: an instance that is full refers a newcomer to its children, those of its own
-//! availability zone first. If the root falls silent, its [`Branch::standbys`] stand in for it, so that
+//! availability zone first. If the root falls silent, its [`Children::standbys`] stand in for it, so that
 //! its loss costs calls at a few instances and not at all of them.
 //!
-//! - [`Branch`]: the side of a parent.
+//! - [`Children`]: the side of a parent.
 //! - [`Uplink`]: the side of a child.
 //! - [`Gate`]: when a newcomer that is turned away may return.
 //! - [`Replay`]: the last changes, for children that have missed no more.
 //! - [`Heartbeat`]: the sign of life that goes down the tree, with the age of the news.
 
-mod branch;
 mod census;
+mod children;
 mod gate;
 mod heartbeat;
 mod replay;
 mod uplink;
 
-pub use branch::{Admission, Branch, Key, Peer};
 pub use census::{Census, Ranks};
+pub use children::{Admission, ChildKey, Children, Peer};
 pub use gate::Gate;
 pub use heartbeat::Heartbeat;
 pub use replay::Replay;
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -1,12 +1,12 @@
 //! How soon every instance of a fleet knows of a crash, in virtual time.
 //!
-//! The tree is the one that [`Branch`] makes, the register the daemon's; a link takes [`HOP`], which is far more than
+//! The tree is the one that [`Children`] makes, the register the daemon's; a link takes [`HOP`], which is far more than
 //! the 5 ms of a calm one, and an instance gathers news for [`GATHER`] between two messages, as the daemon does.
 
 use pinereel_core::{
     Time,
     crash::{Content, Identity, LIMIT, Parts, Register, Report, Standing, Start},
-    tree::{Admission, Branch, Peer},
+    tree::{Admission, Children, Peer},
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -64,7 +64,7 @@
             zone: format!("z{}", number % 6).into(),
             preferred: number.is_multiple_of(9),
         };
-        let mut branches: Vec<_> = (0..count).map(|_| Branch::default()).collect();
+        let mut branches: Vec<_> = (0..count).map(|_| Children::default()).collect();
         let mut parents = BTreeMap::new();
         for number in 1..count {
             let mut left = VecDeque::from([0]);
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -1,11 +1,11 @@
 //! A fleet in virtual time: instances that start together, lose relays and lose their root.
 //!
-//! The decisions are those of the daemon ([`Branch`], [`Uplink`]); links are calls that take
+//! The decisions are those of the daemon ([`Children`], [`Uplink`]); links are calls that take
 //! [`HOP`], and the store answers the root at once.
 
 use pinereel_core::{
     Time,
-    tree::{Admission, Branch, CHILDREN, Gate, Heartbeat, Key, Own, Peer, Ranks, Uplink},
+    tree::{Admission, CHILDREN, ChildKey, Children, Gate, Heartbeat, Own, Peer, Ranks, Uplink},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,10 +20,10 @@
 
 struct Node {
     peer: Peer,
-    branch: Branch,
+    branch: Children,
     uplink: Uplink,
-    parent: Option<(String, Key)>,
-    children: BTreeMap<Key, String>,
+    parent: Option<(String, ChildKey)>,
+    children: BTreeMap<ChildKey, String>,
     alone_since: Option<Time>,
     alive: bool,
     /// Whether its way to the store is open.
@@ -61,7 +61,7 @@
             let node = Node {
                 uplink: Uplink::new(peer.address.clone()),
                 peer,
-                branch: Branch::default(),
+                branch: Children::default(),
                 parent: None,
                 children: BTreeMap::new(),
                 alone_since: None,
@@ -217,7 +217,7 @@
             let below = &self.nodes[&child];
             let census = below.branch.census(below.peer.preferred);
             let parent = self.nodes.get_mut(name).expect("known");
-            parent.branch.report(key, census);
+            parent.branch.set_size(key, census);
         }
     }
 
@@ -458,7 +458,7 @@
         let node = fleet.nodes.get_mut(&name).expect("it is there");
         let own = node.peer.address.clone();
         node.uplink = Uplink::new(own);
-        node.branch = Branch::default();
+        node.branch = Children::default();
         node.alive = true;
         fleet.run(STEP * 2);
     }
