--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{ChildKey, Children, Gate, Heartbeat, LEVEL, Own, Peer, Ranks, STALE, Uplink},
+    tree::{ChildKey, Children, Gate, Heartbeat, LEVEL, Own, Peer, RankRange, STALE, Uplink},
 };
 use pinereel_port::Adapter;
 use std::{
@@ -216,7 +216,7 @@
         let preferred = self.parts.peer.preferred;
         let ranks = self.ranks();
         if let Some(ranks) = ranks {
-            self.parts.feed.place(ranks.place(preferred));
+            self.parts.feed.place(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
         if self.uplink.borrow().leads() {
@@ -225,7 +225,7 @@
         let Some(alive) = self.alive(ranks) else {
             return;
         };
-        let places = self.state.borrow().branch.ranks(ranks, preferred);
+        let places = self.state.borrow().branch.child_ranks(ranks, preferred);
         for (key, ranks) in places {
             let alive = Heartbeat {
                 ranks,
@@ -246,7 +246,7 @@
     }
 
     /// The heartbeat for children; none while there are no news, and none to be expected.
-    pub(super) fn alive(&self, ranks: Ranks) -> Option<Heartbeat> {
+    pub(super) fn alive(&self, ranks: RankRange) -> Option<Heartbeat> {
         let (now, own) = (self.now(), self.own());
         let has_news = self.uplink.borrow().age(now, own).is_some();
         if !has_news && !self.is_fresh() && !self.is_recovering() {
@@ -266,21 +266,23 @@
     }
 
     /// The places of this instance and all below it; none without news.
-    fn ranks(&self) -> Option<Ranks> {
+    fn ranks(&self) -> Option<RankRange> {
         let ranks = self.find_ranks()?;
-        self.parts.usage.note_instances(ranks.of.all() as usize);
+        self.parts
+            .usage
+            .note_instances(ranks.total.count() as usize);
         Some(ranks)
     }
 
-    fn find_ranks(&self) -> Option<Ranks> {
+    fn find_ranks(&self) -> Option<RankRange> {
         let uplink = self.uplink.borrow();
         if !uplink.leads() {
             return uplink.ranks();
         }
         let preferred = self.parts.peer.preferred;
-        Some(Ranks {
-            of: self.state.borrow().branch.census(preferred),
-            ..Ranks::default()
+        Some(RankRange {
+            total: self.state.borrow().branch.subtree_size(preferred),
+            ..RankRange::default()
         })
     }
 
--- a/crates/pinereel/src/hosted/bulletin/children.rs
+++ b/crates/pinereel/src/hosted/bulletin/children.rs
@@ -5,7 +5,7 @@
 };
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
-use pinereel_core::tree::{Admission, ChildKey, Ranks};
+use pinereel_core::tree::{Admission, ChildKey, RankRange};
 use std::{collections::BTreeMap, rc::Rc, sync::Arc};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -78,7 +78,7 @@
     ) -> &'static str {
         let (sender, mut frames) = mpsc::channel::<Bytes>(QUEUE);
         // Its place follows with the next sign of life.
-        let alive = self.alive(Ranks::default()).map(Frame::Alive);
+        let alive = self.alive(RankRange::default()).map(Frame::Alive);
         // Before the configuration and the list: what must not run is known before anything can.
         let crashes = self.known_crashes();
         for frame in alive.into_iter().chain(crashes) {
--- a/crates/pinereel/src/hosted/bulletin/frame.rs
+++ b/crates/pinereel/src/hosted/bulletin/frame.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     crash::Report,
-    tree::{Census, Heartbeat, Peer},
+    tree::{Heartbeat, Peer, SubtreeSize},
     usage,
 };
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
         revision: u64,
     },
     /// A child says how many it and those below it are.
-    Below(Census),
+    Below(SubtreeSize),
     /// Requests under which endpoints crash: what is news to the sender, or all that it knows when the link
     /// is new. Goes up and down.
     Crashes(Vec<Report>),
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -7,7 +7,7 @@
 };
 use crate::hosted::duty::Standing;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
-use pinereel_core::tree::Census;
+use pinereel_core::tree::SubtreeSize;
 use pinereel_port::store::Freshness;
 use std::{rc::Rc, time::Duration};
 use tokio::{
@@ -139,7 +139,7 @@
         }
         let level = self.uplink.borrow().level();
         log::info!(address = address.as_str(), level; "bulletin: linked");
-        let mut told = Census::default();
+        let mut told = SubtreeSize::default();
         let mut better = OptionFuture::from(None);
         let mut is_stale = false;
         let mut heard_at = Instant::now();
@@ -252,9 +252,9 @@
         }
     }
 
-    fn census(&self) -> Census {
+    fn census(&self) -> SubtreeSize {
         let state = self.state.borrow();
-        state.branch.census(self.parts.peer.preferred)
+        state.branch.subtree_size(self.parts.peer.preferred)
     }
 
     /// Takes in what the parent says; says whether to stay with it.
--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -1,6 +1,6 @@
 //! The side of a parent: whom it takes, and whereto it refers the rest.
 
-use super::{CHILDREN, Census, MAX_STANDBYS, Ranks};
+use super::{CHILDREN, MAX_STANDBYS, RankRange, SubtreeSize};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
@@ -36,7 +36,7 @@
 struct Child {
     peer: Peer,
     /// The child and all below it, as it last said; newcomers that were referred to it included.
-    census: Census,
+    size: SubtreeSize,
 }
 
 /// The children of one instance.
@@ -52,8 +52,8 @@
         self.children
             .retain(|_, child| child.peer.address != peer.address);
         if self.children.len() < CHILDREN {
-            let census = Census::one(peer.preferred);
-            return Admission::Child(self.children.insert(Child { peer, census }));
+            let size = SubtreeSize::one(peer.preferred);
+            return Admission::Child(self.children.insert(Child { peer, size }));
         }
         Admission::Referred(self.refer(&peer))
     }
@@ -62,7 +62,7 @@
     fn refer(&mut self, peer: &Peer) -> Vec<CompactString> {
         let mut by_subtree_size: Vec<_> = self.children.iter().collect();
         by_subtree_size.sort_by_key(|(_, child)| {
-            let below = child.census.all();
+            let below = child.size.count();
             let full = below as usize > CHILDREN;
             (full, child.peer.zone != peer.zone, below)
         });
@@ -73,16 +73,16 @@
             .collect();
         // Many come at once, before the child can say that it has taken them.
         if let Some(child) = chosen.first().and_then(|key| self.children.get_mut(*key)) {
-            child.census = child.census.plus(Census::one(peer.preferred));
+            child.size = child.size.plus(SubtreeSize::one(peer.preferred));
         }
         let addresses = chosen.iter().filter_map(|key| self.children.get(*key));
         addresses.map(|child| child.peer.address.clone()).collect()
     }
 
     /// A child says how many it and those below it are.
-    pub fn set_size(&mut self, key: ChildKey, census: Census) {
+    pub fn set_size(&mut self, key: ChildKey, size: SubtreeSize) {
         if let Some(child) = self.children.get_mut(key) {
-            child.census = census;
+            child.size = size;
         }
     }
 
@@ -102,18 +102,18 @@
     }
 
     /// All below this instance, and itself.
-    pub fn census(&self, preferred: bool) -> Census {
-        let below = self.children.values().map(|child| child.census);
-        below.fold(Census::one(preferred), Census::plus)
+    pub fn subtree_size(&self, preferred: bool) -> SubtreeSize {
+        let below = self.children.values().map(|child| child.size);
+        below.fold(SubtreeSize::one(preferred), SubtreeSize::plus)
     }
 
     /// The places of each child and those below it, out of `ranks`, whose first is this instance's.
-    pub fn ranks(&self, ranks: Ranks, preferred: bool) -> Vec<(ChildKey, Ranks)> {
-        let mut next = ranks.after(Census::one(preferred));
+    pub fn child_ranks(&self, ranks: RankRange, preferred: bool) -> Vec<(ChildKey, RankRange)> {
+        let mut next = ranks.after(SubtreeSize::one(preferred));
         let mut places = Vec::new();
         for (key, child) in &self.children {
             places.push((key, next));
-            next = next.after(child.census);
+            next = next.after(child.size);
         }
         places
     }
--- a/crates/pinereel_core/src/tree/heartbeat.rs
+++ b/crates/pinereel_core/src/tree/heartbeat.rs
@@ -1,6 +1,6 @@
 //! The sign of life that goes down the tree.
 
-use super::{LEVEL, Ranks, STALE};
+use super::{LEVEL, RankRange, STALE};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -24,7 +24,7 @@
     #[serde(rename = "calm")]
     pub store_uptime: Duration,
     /// Places of the receiver and of all below it.
-    pub ranks: Ranks,
+    pub ranks: RankRange,
 }
 
 impl Heartbeat {
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -15,18 +15,18 @@
 //! - [`Replay`]: the last changes, for children that have missed no more.
 //! - [`Heartbeat`]: the sign of life that goes down the tree, with the age of the news.
 
-mod census;
 mod children;
 mod gate;
 mod heartbeat;
 mod replay;
+mod subtree;
 mod uplink;
 
-pub use census::{Census, Ranks};
 pub use children::{Admission, ChildKey, Children, Peer};
 pub use gate::Gate;
 pub use heartbeat::Heartbeat;
 pub use replay::Replay;
+pub use subtree::{RankRange, SubtreeSize};
 pub use uplink::{Own, Uplink};
 
 use std::time::Duration;
--- a/crates/pinereel_core/src/tree/census.rs
+++ b/crates/pinereel_core/src/tree/subtree.rs
@@ -5,14 +5,14 @@
 
 /// Instances of a part of the tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Census {
+pub struct SubtreeSize {
     /// Those that should rather hold duties.
     pub preferred: u32,
     /// The rest.
     pub others: u32,
 }
 
-impl Census {
+impl SubtreeSize {
     /// One instance.
     pub fn one(preferred: bool) -> Self {
         Self {
@@ -31,41 +31,42 @@
     }
 
     /// All instances of the part.
-    pub const fn all(self) -> u32 {
+    pub const fn count(self) -> u32 {
         self.preferred.saturating_add(self.others)
     }
 }
 
 /// The places of a part of the tree among all instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ranks {
+pub struct RankRange {
     /// Places before this part's.
-    pub before: Census,
+    pub before: SubtreeSize,
     /// The whole tree.
-    pub of: Census,
+    #[serde(rename = "of")]
+    pub total: SubtreeSize,
 }
 
-impl Ranks {
+impl RankRange {
     /// The first place, for one instance.
-    pub fn place(self, preferred: bool) -> Rank {
+    pub fn rank(self, preferred: bool) -> Rank {
         let number = if preferred {
             self.before.preferred
         } else {
-            self.of.preferred.saturating_add(self.before.others)
+            self.total.preferred.saturating_add(self.before.others)
         };
         Rank {
             number,
-            preferred: self.of.preferred,
-            total: self.of.all(),
+            preferred: self.total.preferred,
+            total: self.total.count(),
         }
     }
 
     /// The places after those of `part`.
     #[must_use]
-    pub const fn after(self, part: Census) -> Self {
+    pub const fn after(self, part: SubtreeSize) -> Self {
         Self {
             before: self.before.plus(part),
-            of: self.of,
+            total: self.total,
         }
     }
 }
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -1,6 +1,6 @@
 //! The side of a child: how old its news are, and whom it turns to when they are too old.
 
-use super::{FOLLOWED, Heartbeat, READING, Ranks, STALE};
+use super::{FOLLOWED, Heartbeat, READING, RankRange, STALE};
 use crate::Time;
 use compact_str::CompactString;
 use std::time::Duration;
@@ -184,7 +184,7 @@
         &self,
         now: Time,
         own: Own,
-        ranks: Ranks,
+        ranks: RankRange,
         standbys: Vec<CompactString>,
     ) -> Heartbeat {
         let age = self.age(now, own);
@@ -210,7 +210,7 @@
     }
 
     /// The places of this instance and of all below it, out of what the parent told; none while the parent has no news.
-    pub fn ranks(&self) -> Option<Ranks> {
+    pub fn ranks(&self) -> Option<RankRange> {
         let heartbeat = self.heard.as_ref().map(|(heartbeat, _)| heartbeat);
         heartbeat
             .filter(|heartbeat| heartbeat.age.is_some())
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -5,7 +5,9 @@
 
 use pinereel_core::{
     Time,
-    tree::{Admission, CHILDREN, ChildKey, Children, Gate, Heartbeat, Own, Peer, Ranks, Uplink},
+    tree::{
+        Admission, CHILDREN, ChildKey, Children, Gate, Heartbeat, Own, Peer, RankRange, Uplink,
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -170,10 +172,10 @@
                 .collect();
             for root in roots {
                 let node = &self.nodes[&root];
-                let of = node.branch.census(node.peer.preferred);
-                let ranks = Ranks {
-                    of,
-                    ..Ranks::default()
+                let total = node.branch.subtree_size(node.peer.preferred);
+                let ranks = RankRange {
+                    total,
+                    ..RankRange::default()
                 };
                 self.beat(&root, ranks);
             }
@@ -189,11 +191,11 @@
     }
 
     /// Tells all below that the root lives; children say how many they are on the way back.
-    fn beat(&mut self, name: &str, ranks: Ranks) {
+    fn beat(&mut self, name: &str, ranks: RankRange) {
         let own = self.own(name);
         let node = &self.nodes[name];
         let standbys = node.branch.standbys(&node.peer.zone);
-        let places = node.branch.ranks(ranks, node.peer.preferred);
+        let places = node.branch.child_ranks(ranks, node.peer.preferred);
         for (key, ranks) in places {
             let node = &self.nodes[name];
             let heartbeat: Heartbeat =
@@ -215,9 +217,9 @@
             }
             self.beat(&child, ranks);
             let below = &self.nodes[&child];
-            let census = below.branch.census(below.peer.preferred);
+            let size = below.branch.subtree_size(below.peer.preferred);
             let parent = self.nodes.get_mut(name).expect("known");
-            parent.branch.set_size(key, census);
+            parent.branch.set_size(key, size);
         }
     }
 
@@ -293,7 +295,7 @@
                     let heartbeat =
                         parent
                             .uplink
-                            .heartbeat(self.now, own, Ranks::default(), Vec::new());
+                            .heartbeat(self.now, own, RankRange::default(), Vec::new());
                     let node = self.nodes.get_mut(name).expect("known");
                     let ranks = node.uplink.clone();
                     if !node.uplink.heard(self.now, heartbeat) {
@@ -379,7 +381,7 @@
     fleet.run(Duration::from_secs(3));
     let places = fleet.living().filter_map(|(name, node)| {
         let ranks = node.uplink.ranks()?;
-        let place = ranks.place(node.peer.preferred);
+        let place = ranks.rank(node.peer.preferred);
         assert_eq!((place.preferred, place.total), (19, 165), "{name}");
         assert_eq!(place.number < 19, node.peer.preferred);
         Some(place.number)
@@ -552,7 +554,7 @@
     uplink.observe(now, own(false));
     assert!(!uplink.is_recovering(now, own(false), Duration::ZERO));
     assert!(uplink.is_recovering(now, own(true), Duration::ZERO));
-    let heartbeat = |answers| uplink.heartbeat(now, own(answers), Ranks::default(), Vec::new());
+    let heartbeat = |answers| uplink.heartbeat(now, own(answers), RankRange::default(), Vec::new());
     assert!(!heartbeat(false).is_loading());
     assert!(heartbeat(true).is_loading());
     assert!(
@@ -574,7 +576,7 @@
         age: Some(Duration::from_secs(3)),
         reads_store: false,
         store_uptime: Duration::ZERO,
-        ranks: Ranks::default(),
+        ranks: RankRange::default(),
     };
     assert!(uplink.heard(now, heartbeat));
     uplink.observe(now, own);
@@ -594,7 +596,7 @@
         age,
         reads_store: true,
         store_uptime: Duration::ZERO,
-        ranks: Ranks::default(),
+        ranks: RankRange::default(),
     };
     let mut newcomer = Uplink::new("newcomer".into());
     assert!(newcomer.heard(now, heartbeat(None)));
