--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{ChildKey, Children, Gate, Heartbeat, LEVEL, Own, Peer, RankRange, STALE, Uplink},
+    tree::{ChildKey, Children, Heartbeat, LEVEL, Own, Peer, RankRange, RetryPacer, STALE, Uplink},
 };
 use pinereel_port::Adapter;
 use std::{
@@ -68,7 +68,7 @@
     /// Topics that were listed since this instance began to read the store.
     pub(super) listed: BTreeSet<Topic>,
     pub(super) branch: Children,
-    pub(super) gate: Gate,
+    pub(super) gate: RetryPacer,
     pub(super) links: BTreeMap<ChildKey, Link>,
 }
 
--- a/crates/pinereel/src/hosted/bulletin/children.rs
+++ b/crates/pinereel/src/hosted/bulletin/children.rs
@@ -53,7 +53,7 @@
             return refuse(socket, &Frame::Refer(Vec::new())).await;
         }
         if !self.is_fresh() && !self.is_recovering() {
-            let wait = self.state.borrow_mut().gate.turn_away(self.now());
+            let wait = self.state.borrow_mut().gate.retry_after(self.now());
             return refuse(socket, &Frame::Later(wait)).await;
         }
         let admission = self.state.borrow_mut().branch.admit(peer);
--- a/crates/pinereel/src/hosted/bulletin/known.rs
+++ b/crates/pinereel/src/hosted/bulletin/known.rs
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 use compact_str::CompactString;
-use pinereel_core::tree::Replay;
+use pinereel_core::tree::ReplayBuffer;
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, time::Duration};
 
@@ -22,7 +22,7 @@
     pub(super) revision: u64,
     objects: BTreeMap<CompactString, Bytes>,
     /// Changes that came after what children may have.
-    replay: Replay,
+    replay: ReplayBuffer,
     /// All objects as one frame, and the revision as of which.
     snapshot: Option<(u64, Bytes)>,
 }
@@ -76,11 +76,11 @@
 
     /// What a child that knows the topic as of `revision` has missed, as frames.
     pub(super) fn frames(&mut self, topic: Topic, revision: u64, calm: Duration) -> Vec<Bytes> {
-        if let Some(missed) = self.replay.since(revision) {
+        if let Some(missed) = self.replay.changes_since(revision) {
             return missed;
         }
         let usable = self.snapshot.take().and_then(|(revision, snapshot)| {
-            let later = self.replay.since(revision)?;
+            let later = self.replay.changes_since(revision)?;
             Some((revision, snapshot, later))
         });
         if let Some((revision, snapshot, later)) = usable {
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -11,21 +11,21 @@
 //!
 //! - [`Children`]: the side of a parent.
 //! - [`Uplink`]: the side of a child.
-//! - [`Gate`]: when a newcomer that is turned away may return.
-//! - [`Replay`]: the last changes, for children that have missed no more.
+//! - [`RetryPacer`]: when a newcomer that is turned away may return.
+//! - [`ReplayBuffer`]: the last changes, for children that have missed no more.
 //! - [`Heartbeat`]: the sign of life that goes down the tree, with the age of the news.
 
 mod children;
-mod gate;
 mod heartbeat;
-mod replay;
+mod replay_buffer;
+mod retry_pacer;
 mod subtree;
 mod uplink;
 
 pub use children::{Admission, ChildKey, Children, Peer};
-pub use gate::Gate;
 pub use heartbeat::Heartbeat;
-pub use replay::Replay;
+pub use replay_buffer::ReplayBuffer;
+pub use retry_pacer::RetryPacer;
 pub use subtree::{RankRange, SubtreeSize};
 pub use uplink::{Own, Uplink};
 
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -6,7 +6,8 @@
 use pinereel_core::{
     Time,
     tree::{
-        Admission, CHILDREN, ChildKey, Children, Gate, Heartbeat, Own, Peer, RankRange, Uplink,
+        Admission, CHILDREN, ChildKey, Children, Heartbeat, Own, Peer, RankRange, RetryPacer,
+        Uplink,
     },
 };
 use std::{
@@ -34,7 +35,7 @@
     reads_since: Option<Time>,
     /// Not before then: it was turned away.
     seeks_from: Time,
-    gate: Gate,
+    retry_pacer: RetryPacer,
 }
 
 struct Fleet {
@@ -71,7 +72,7 @@
                 reaches: true,
                 reads_since: None,
                 seeks_from: Time::ZERO,
-                gate: Gate::default(),
+                retry_pacer: RetryPacer::default(),
             };
             (name, node)
         });
@@ -280,8 +281,8 @@
                     .nodes
                     .get_mut(&target)
                     .expect("known")
-                    .gate
-                    .turn_away(now);
+                    .retry_pacer
+                    .retry_after(now);
                 let node = self.nodes.get_mut(name).expect("known");
                 node.seeks_from = node.seeks_from.max(now + wait);
                 continue;
@@ -523,9 +524,9 @@
 #[test]
 fn those_turned_away_return_in_turns() {
     for newcomers in [400, 800, 1_600] {
-        let mut gate = Gate::default();
+        let mut pacer = RetryPacer::default();
         let now = Time::ZERO + Duration::from_secs(1);
-        let mut returns: Vec<_> = (0..newcomers).map(|_| gate.turn_away(now)).collect();
+        let mut returns: Vec<_> = (0..newcomers).map(|_| pacer.retry_after(now)).collect();
         returns.dedup();
         assert_eq!(returns.len(), newcomers, "each has a turn of its own");
         let most = (0..20)
--- a/crates/pinereel_core/tests/tree_replay.rs
+++ b/crates/pinereel_core/tests/tree_replay.rs
@@ -1,7 +1,7 @@
 //! What a child is sent that finds another parent.
 
 use bytes::Bytes;
-use pinereel_core::tree::Replay;
+use pinereel_core::tree::ReplayBuffer;
 
 fn frame(size: usize) -> Bytes {
     vec![0; size].into()
@@ -9,13 +9,13 @@
 
 #[test]
 fn a_child_is_sent_what_it_has_missed() {
-    let mut replay = Replay::default();
+    let mut replay = ReplayBuffer::default();
     replay.reset(10);
     for revision in [12, 15, 17] {
         replay.push(revision, frame(revision as usize), 1_000);
     }
     let sizes = |revision| {
-        let frames = replay.since(revision)?;
+        let frames = replay.changes_since(revision)?;
         Some(frames.iter().map(Bytes::len).collect::<Vec<_>>())
     };
     assert_eq!(sizes(10), Some(vec![12, 15, 17]));
@@ -27,16 +27,22 @@
 
 #[test]
 fn what_is_kept_is_bounded() {
-    let mut replay = Replay::default();
+    let mut replay = ReplayBuffer::default();
     for revision in 1..=1_000 {
         replay.push(revision, frame(10), 200);
     }
-    assert_eq!(replay.since(979), None);
-    assert_eq!(replay.since(980).map(|frames| frames.len()), Some(20));
-    let mut replay = Replay::default();
+    assert_eq!(replay.changes_since(979), None);
+    assert_eq!(
+        replay.changes_since(980).map(|frames| frames.len()),
+        Some(20)
+    );
+    let mut replay = ReplayBuffer::default();
     for revision in 1..=1_000 {
         replay.push(revision, frame(0), 200);
     }
-    assert_eq!(replay.since(936).map(|frames| frames.len()), Some(64));
-    assert_eq!(replay.since(935), None);
+    assert_eq!(
+        replay.changes_since(936).map(|frames| frames.len()),
+        Some(64)
+    );
+    assert_eq!(replay.changes_since(935), None);
 }
