--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,10 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{ChildKey, Children, Heartbeat, LEVEL, Own, Peer, RankRange, RetryPacer, STALE, Uplink},
+    tree::{
+        ChildKey, Children, Heartbeat, LEVEL, Peer, RankRange, RetryPacer, STALE, StoreStatus,
+        Uplink,
+    },
 };
 use pinereel_port::Adapter;
 use std::{
@@ -112,10 +115,10 @@
     /// Sends all children to other parents, before this instance ends.
     pub fn leave(&self) {
         self.leaving.send_replace(true);
-        if self.uplink.borrow().leads() {
+        if self.uplink.borrow().reads_store() {
             // Until its end it hears and tells as a child of whoever stands in.
             let deputies = self.deputies();
-            self.uplink.borrow_mut().turn_to(deputies);
+            self.uplink.borrow_mut().set_parent_candidates(deputies);
         }
         let refer = Frame::Refer(self.targets());
         self.tell(&refer);
@@ -131,13 +134,13 @@
     }
 
     /// What this instance knows of the store itself: nothing before it has read every topic.
-    pub(super) fn own(&self) -> Own {
+    pub(super) fn own(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
         let store = &self.parts.store;
         let answered_ago = store.answered_ago();
-        Own {
+        StoreStatus {
             age: answered_ago.filter(|_| listed),
-            answers: answered_ago.is_some_and(|ago| ago < STALE),
+            is_answering: answered_ago.is_some_and(|ago| ago < STALE),
             store_uptime: store.calm(),
         }
     }
@@ -158,7 +161,9 @@
 
     /// How much longer this instance stays with a parent whose news are not fresh.
     pub(super) fn patience(&self) -> Duration {
-        self.uplink.borrow().patience(self.now(), self.spare())
+        self.uplink
+            .borrow()
+            .remaining_grace(self.now(), self.spare())
     }
 
     /// Half of what the bound on a change leaves beyond the usual age of news; the other half is for finding another parent.
@@ -169,7 +174,7 @@
     /// This instance begins to read the store itself.
     pub(super) fn begin_to_read(&self) {
         self.state.borrow_mut().listed.clear();
-        self.uplink.borrow_mut().lead(true);
+        self.uplink.borrow_mut().set_reads_store(true);
     }
 
     /// Sends a frame to all children; one that cannot take it is cut.
@@ -219,7 +224,7 @@
             self.parts.feed.place(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
-        if self.uplink.borrow().leads() {
+        if self.uplink.borrow().reads_store() {
             self.parts.feed.set_calm(self.own().store_uptime);
         }
         let Some(alive) = self.alive(ranks) else {
@@ -253,7 +258,7 @@
             return None;
         }
         let uplink = self.uplink.borrow();
-        let deputies = match uplink.leads() {
+        let deputies = match uplink.reads_store() {
             true => self.deputies(),
             false => Vec::new(),
         };
@@ -276,7 +281,7 @@
 
     fn find_ranks(&self) -> Option<RankRange> {
         let uplink = self.uplink.borrow();
-        if !uplink.leads() {
+        if !uplink.reads_store() {
             return uplink.ranks();
         }
         let preferred = self.parts.peer.preferred;
@@ -289,6 +294,6 @@
     /// Whom this instance may turn to for news.
     pub(super) fn targets(&self) -> Vec<CompactString> {
         let holder = self.parts.duties.address(super::DUTY);
-        self.uplink.borrow().targets(holder)
+        self.uplink.borrow().link_targets(holder)
     }
 }
--- a/crates/pinereel/src/hosted/bulletin/gossip.rs
+++ b/crates/pinereel/src/hosted/bulletin/gossip.rs
@@ -40,7 +40,7 @@
         let usage = &self.parts.usage;
         loop {
             let mut reports = usage.untold().await;
-            let leads = self.uplink.borrow().leads();
+            let leads = self.uplink.borrow().reads_store();
             if leads {
                 reports.retain(|report| report.source == self.parts.duties.id());
             }
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -127,14 +127,18 @@
             ended = end => ended,
             () = self.read_store() => unreachable!("the store is followed for good"),
         };
-        self.uplink.borrow_mut().lead(false);
+        self.uplink.borrow_mut().set_reads_store(false);
         ended
     }
 
     /// Hears a parent's news as long as they are fresh.
     async fn stay(&self, mut link: Link, standing: &mut watch::Receiver<Standing>) -> Left {
         let address = link.address.clone();
-        if !self.uplink.borrow_mut().heard(self.now(), link.alive) {
+        if !self
+            .uplink
+            .borrow_mut()
+            .on_heartbeat(self.now(), link.alive)
+        {
             return Left::Lost;
         }
         let level = self.uplink.borrow().level();
@@ -203,7 +207,7 @@
             }
         };
         self.parts.feed.set_has_parent(false);
-        self.uplink.borrow_mut().lost();
+        self.uplink.borrow_mut().on_parent_lost();
         let why_text = why.as_str();
         log::info!(address = address.as_str(), why = why_text; "bulletin: link lost");
         why
@@ -296,7 +300,7 @@
                     metrics.observe(&metrics.ages, "news", age);
                 }
                 self.parts.feed.set_calm(alive.store_uptime);
-                if !self.uplink.borrow_mut().heard(self.now(), alive) {
+                if !self.uplink.borrow_mut().on_heartbeat(self.now(), alive) {
                     return false;
                 }
                 self.tell_alive();
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -27,7 +27,7 @@
 pub use replay_buffer::ReplayBuffer;
 pub use retry_pacer::RetryPacer;
 pub use subtree::{RankRange, SubtreeSize};
-pub use uplink::{Own, Uplink};
+pub use uplink::{StoreStatus, Uplink};
 
 use std::time::Duration;
 
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -6,8 +6,8 @@
 use pinereel_core::{
     Time,
     tree::{
-        Admission, CHILDREN, ChildKey, Children, Heartbeat, Own, Peer, RankRange, RetryPacer,
-        Uplink,
+        Admission, CHILDREN, ChildKey, Children, Heartbeat, Peer, RankRange, RetryPacer,
+        StoreStatus, Uplink,
     },
 };
 use std::{
@@ -49,7 +49,7 @@
     /// Time that it takes to read the store.
     reading: Duration,
     /// What the bound on a leave allows beyond the usual age of news.
-    spare: Duration,
+    slack: Duration,
 }
 
 impl Fleet {
@@ -83,11 +83,11 @@
             tries: BTreeMap::new(),
             readers: BTreeMap::new(),
             reading: Duration::ZERO,
-            spare: Duration::ZERO,
+            slack: Duration::ZERO,
         }
     }
 
-    fn own(&self, name: &str) -> Own {
+    fn own(&self, name: &str) -> StoreStatus {
         let node = &self.nodes[name];
         let age = if node.reaches {
             HOP
@@ -96,9 +96,9 @@
         };
         let reads_since = node.reads_since.unwrap_or(Time::ZERO);
         let has_read = self.now.since(reads_since) >= self.reading;
-        Own {
+        StoreStatus {
             age: has_read.then_some(age),
-            answers: node.reaches,
+            is_answering: node.reaches,
             store_uptime: Duration::ZERO,
         }
     }
@@ -106,8 +106,8 @@
     fn lead(&mut self, name: &str) {
         let now = self.now;
         let node = self.nodes.get_mut(name).expect("known");
-        if !node.uplink.leads() {
-            node.uplink.lead(true);
+        if !node.uplink.reads_store() {
+            node.uplink.set_reads_store(true);
         }
         node.reads_since.get_or_insert(now);
     }
@@ -123,7 +123,7 @@
         let node = &self.nodes[name];
         let is_recovering = node
             .uplink
-            .is_recovering(self.now, self.own(name), self.spare);
+            .is_recovering(self.now, self.own(name), self.slack);
         node.alive && (self.fresh(name) || is_recovering)
     }
 
@@ -156,7 +156,7 @@
             let now = self.now;
             let node = self.nodes.get_mut(name).expect("known");
             node.uplink.observe(now, own);
-            if self.nodes[name].uplink.leads() {
+            if self.nodes[name].uplink.reads_store() {
                 *self.readers.entry(name.clone()).or_default() += 1;
             }
         }
@@ -186,7 +186,7 @@
     fn stays(&self, name: &str) -> bool {
         let node = &self.nodes[name];
         let parent = node.parent.as_ref();
-        let waits = !node.uplink.patience(self.now, self.spare).is_zero();
+        let waits = !node.uplink.remaining_grace(self.now, self.slack).is_zero();
         let has_parent = parent.is_some_and(|(parent, _)| self.nodes[parent].alive);
         has_parent && (self.fresh(name) || waits)
     }
@@ -210,7 +210,7 @@
             }
             let stays = {
                 let child = self.nodes.get_mut(&child).expect("known");
-                child.uplink.heard(self.now, heartbeat)
+                child.uplink.on_heartbeat(self.now, heartbeat)
             };
             if !stays {
                 self.unlink(&child);
@@ -227,7 +227,7 @@
     /// Leaves the parent.
     fn unlink(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).expect("known");
-        node.uplink.lost();
+        node.uplink.on_parent_lost();
         if let Some((parent, key)) = node.parent.take() {
             let parent = self.nodes.get_mut(&parent).expect("known");
             parent.branch.remove(key);
@@ -238,11 +238,11 @@
     fn seek(&mut self, name: &str) {
         let now = self.now;
         let holder = self.holder.as_deref().map(Into::into);
-        let targets = self.nodes[name].uplink.targets(holder);
+        let targets = self.nodes[name].uplink.link_targets(holder);
         for target in targets {
             if self.link(name, &target) {
                 let node = self.nodes.get_mut(name).expect("known");
-                node.uplink.lead(false);
+                node.uplink.set_reads_store(false);
                 node.reads_since = None;
                 node.alone_since = None;
                 return;
@@ -270,7 +270,7 @@
                 return false;
             };
             *self.tries.entry(target.clone()).or_default() += 1;
-            let reads = self.nodes[name].uplink.leads();
+            let reads = self.nodes[name].uplink.reads_store();
             let is_of_use = self.nodes[&target].alive && (!reads || self.fresh(&target));
             if target == name || !is_of_use {
                 continue;
@@ -299,7 +299,7 @@
                             .heartbeat(self.now, own, RankRange::default(), Vec::new());
                     let node = self.nodes.get_mut(name).expect("known");
                     let ranks = node.uplink.clone();
-                    if !node.uplink.heard(self.now, heartbeat) {
+                    if !node.uplink.on_heartbeat(self.now, heartbeat) {
                         node.uplink = ranks;
                         let parent = self.nodes.get_mut(&target).expect("known");
                         parent.branch.remove(key);
@@ -329,7 +329,7 @@
         // Its links end with it.
         for child in std::mem::take(&mut node.children).into_values() {
             let child = self.nodes.get_mut(&child).expect("known");
-            child.uplink.lost();
+            child.uplink.on_parent_lost();
             child.parent = None;
         }
     }
@@ -476,14 +476,17 @@
 #[test]
 fn a_root_that_leaves_turns_to_its_deputies() {
     let mut uplink = Uplink::new("root".into());
-    uplink.lead(true);
+    uplink.set_reads_store(true);
     assert_eq!(
-        uplink.targets(Some("root".into())),
+        uplink.link_targets(Some("root".into())),
         Vec::<compact_str::CompactString>::new()
     );
-    uplink.turn_to(vec!["first".into(), "second".into()]);
-    uplink.lead(false);
-    assert_eq!(uplink.targets(Some("root".into())), ["first", "second"]);
+    uplink.set_parent_candidates(vec!["first".into(), "second".into()]);
+    uplink.set_reads_store(false);
+    assert_eq!(
+        uplink.link_targets(Some("root".into())),
+        ["first", "second"]
+    );
 }
 
 /// Load pattern: all instances start, and the root reads thousands of endpoints before it has anything to tell. When it
@@ -493,7 +496,7 @@
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
         fleet.reading = Duration::from_millis(1_500);
-        fleet.spare = Duration::from_millis(1_500);
+        fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
         assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
         let tries: u32 = fleet.tries.values().sum();
@@ -509,7 +512,7 @@
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
         fleet.reading = Duration::from_millis(1_000);
-        fleet.spare = Duration::from_millis(1_500);
+        fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
         fleet.tries.clear();
         fleet.kill("i-0000");
@@ -545,17 +548,18 @@
 #[test]
 fn an_instance_that_the_store_turns_away_takes_no_newcomer() {
     let now = Time::ZERO + Duration::from_secs(10);
-    let own = |answers| Own {
+    let own = |is_answering| StoreStatus {
         age: None,
         store_uptime: Duration::ZERO,
-        answers,
+        is_answering,
     };
     let mut uplink = Uplink::new("turned-away".into());
-    uplink.lead(true);
+    uplink.set_reads_store(true);
     uplink.observe(now, own(false));
     assert!(!uplink.is_recovering(now, own(false), Duration::ZERO));
     assert!(uplink.is_recovering(now, own(true), Duration::ZERO));
-    let heartbeat = |answers| uplink.heartbeat(now, own(answers), RankRange::default(), Vec::new());
+    let heartbeat =
+        |is_answering| uplink.heartbeat(now, own(is_answering), RankRange::default(), Vec::new());
     assert!(!heartbeat(false).is_loading());
     assert!(heartbeat(true).is_loading());
     assert!(
@@ -567,8 +571,8 @@
 /// Load pattern: the news of a whole branch grow old. Who joins it there would learn of a change later than its bound allows.
 #[test]
 fn an_instance_with_old_news_takes_no_newcomer() {
-    let spare = Duration::from_millis(1_500);
-    let own = Own::default();
+    let slack = Duration::from_millis(1_500);
+    let own = StoreStatus::default();
     let mut uplink = Uplink::new("relay".into());
     let now = Time::ZERO + Duration::from_secs(10);
     let heartbeat = Heartbeat {
@@ -579,10 +583,13 @@
         store_uptime: Duration::ZERO,
         ranks: RankRange::default(),
     };
-    assert!(uplink.heard(now, heartbeat));
+    assert!(uplink.on_heartbeat(now, heartbeat));
     uplink.observe(now, own);
-    assert!(!uplink.patience(now, spare).is_zero(), "it stays itself");
-    assert!(!uplink.is_recovering(now, own, spare));
+    assert!(
+        !uplink.remaining_grace(now, slack).is_zero(),
+        "it stays itself"
+    );
+    assert!(!uplink.is_recovering(now, own, slack));
 }
 
 /// Load pattern: the store turns a part of the instances away while a configuration changes. A child whose news have grown
@@ -590,7 +597,7 @@
 #[test]
 fn a_child_with_old_news_waits_for_a_reader_no_longer_than_the_bound_allows() {
     let now = Time::ZERO + Duration::from_secs(10);
-    let spare = Duration::from_millis(500);
+    let slack = Duration::from_millis(500);
     let heartbeat = |age| Heartbeat {
         ancestors: vec!["root".into()],
         standbys: Vec::new(),
@@ -600,18 +607,18 @@
         ranks: RankRange::default(),
     };
     let mut newcomer = Uplink::new("newcomer".into());
-    assert!(newcomer.heard(now, heartbeat(None)));
-    newcomer.observe(now, Own::default());
+    assert!(newcomer.on_heartbeat(now, heartbeat(None)));
+    newcomer.observe(now, StoreStatus::default());
     assert!(
-        newcomer.patience(now, spare) > spare,
+        newcomer.remaining_grace(now, slack) > slack,
         "it knows nothing that grows old"
     );
     let mut child = Uplink::new("child".into());
-    assert!(child.heard(now, heartbeat(Some(HOP))));
-    child.observe(now, Own::default());
-    assert!(child.heard(now, heartbeat(None)));
-    child.observe(now, Own::default());
-    assert_eq!(child.patience(now, spare), spare);
-    let later = now + spare;
-    assert_eq!(child.patience(later, spare), Duration::ZERO);
+    assert!(child.on_heartbeat(now, heartbeat(Some(HOP))));
+    child.observe(now, StoreStatus::default());
+    assert!(child.on_heartbeat(now, heartbeat(None)));
+    child.observe(now, StoreStatus::default());
+    assert_eq!(child.remaining_grace(now, slack), slack);
+    let later = now + slack;
+    assert_eq!(child.remaining_grace(later, slack), Duration::ZERO);
 }
