--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -7,8 +7,8 @@
 use pinereel_core::{
     Time,
     tree::{
-        ChildKey, Children, Heartbeat, LEVEL, Peer, RankRange, RetryPacer, STALE, StoreStatus,
-        Uplink,
+        ChildKey, Children, Heartbeat, MAX_AGE, MAX_AGE_PER_LEVEL, Peer, RankRange, RetryPacer,
+        StoreStatus, Uplink,
     },
 };
 use pinereel_port::Adapter;
@@ -140,7 +140,7 @@
         let answered_ago = store.answered_ago();
         StoreStatus {
             age: answered_ago.filter(|_| listed),
-            is_answering: answered_ago.is_some_and(|ago| ago < STALE),
+            is_answering: answered_ago.is_some_and(|ago| ago < MAX_AGE),
             store_uptime: store.calm(),
         }
     }
@@ -168,7 +168,10 @@
 
     /// Half of what the bound on a change leaves beyond the usual age of news; the other half is for finding another parent.
     fn spare(&self) -> Duration {
-        self.parts.leave_after.saturating_sub(STALE + LEVEL) / 2
+        self.parts
+            .leave_after
+            .saturating_sub(MAX_AGE + MAX_AGE_PER_LEVEL)
+            / 2
     }
 
     /// This instance begins to read the store itself.
--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -1,6 +1,6 @@
 //! The side of a parent: whom it takes, and whereto it refers the rest.
 
-use super::{CHILDREN, MAX_STANDBYS, RankRange, SubtreeSize};
+use super::{MAX_CHILDREN, MAX_STANDBYS, RankRange, SubtreeSize};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use slotmap::SlotMap;
@@ -51,7 +51,7 @@
         // Its old link may have broken without a word.
         self.children
             .retain(|_, child| child.peer.address != peer.address);
-        if self.children.len() < CHILDREN {
+        if self.children.len() < MAX_CHILDREN {
             let size = SubtreeSize::one(peer.preferred);
             return Admission::Child(self.children.insert(Child { peer, size }));
         }
@@ -63,7 +63,7 @@
         let mut by_subtree_size: Vec<_> = self.children.iter().collect();
         by_subtree_size.sort_by_key(|(_, child)| {
             let below = child.size.count();
-            let full = below as usize > CHILDREN;
+            let full = below as usize > MAX_CHILDREN;
             (full, child.peer.zone != peer.zone, below)
         });
         let chosen: Vec<ChildKey> = by_subtree_size
--- a/crates/pinereel_core/src/tree/heartbeat.rs
+++ b/crates/pinereel_core/src/tree/heartbeat.rs
@@ -1,6 +1,6 @@
 //! The sign of life that goes down the tree.
 
-use super::{LEVEL, RankRange, STALE};
+use super::{MAX_AGE, MAX_AGE_PER_LEVEL, RankRange};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -45,6 +45,6 @@
 
     /// How old the news may be at the sender's children.
     pub fn max_age(&self) -> Duration {
-        STALE + LEVEL * self.level().saturating_sub(1)
+        MAX_AGE + MAX_AGE_PER_LEVEL * self.level().saturating_sub(1)
     }
 }
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: hundreds of instances need the same news, and each call to the store is paid for. In a
 //! star the one that reads has a link, and a send a change, for each instance, and those beyond its
-//! room read for themselves. So every instance passes the news on to at most [`CHILDREN`] others; two
+//! room read for themselves. So every instance passes the news on to at most [`MAX_CHILDREN`] others; two
 //! levels reach 1,056 instances, three 33,824.
 //!
 //! Nobody assigns places: an instance that is full refers a newcomer to its children, those of its own
@@ -33,7 +33,7 @@
 
 /// Most children of one instance, so that a change costs it as many sends whatever the fleet's size. With
 /// fewer the tree gets a third level at 350 instances, and each level adds to the age of the news.
-pub const CHILDREN: usize = 32;
+pub const MAX_CHILDREN: usize = 32;
 
 /// Instances that stand in for the root, in this order: two that are lost together with it leave one.
 pub const MAX_STANDBYS: usize = 3;
@@ -41,15 +41,15 @@
 /// Publication that are older are no good for taking a child or staying with a parent. The root makes a call
 /// every 0.7 s at the least, each takes up to 0.3 s at a slow store, and signs of life come every 0.3 s.
 /// With the time to find another parent, a leave or a configuration is in force after 2.2 s at most.
-pub const STALE: Duration = Duration::from_millis(1_600);
+pub const MAX_AGE: Duration = Duration::from_millis(1_600);
 
 /// Publication may be so much older at each level below the first: the level above finds another parent first,
 /// and its children stay.
-pub const LEVEL: Duration = Duration::from_millis(400);
+pub const MAX_AGE_PER_LEVEL: Duration = Duration::from_millis(400);
 
 /// Those below the first level stay with a parent whose news are not fresh for so long at least: it looks for another
 /// parent itself.
-pub const FOLLOWED: Duration = Duration::from_millis(500);
+pub const MIN_STALE_GRACE: Duration = Duration::from_millis(500);
 
 /// Longest time that a newcomer waits for a root that reads the store: ten thousand endpoints are some twenty pages.
-pub const READING: Duration = Duration::from_secs(3);
+pub const MAX_ROOT_LOADING_TIME: Duration = Duration::from_secs(3);
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -1,6 +1,6 @@
 //! The side of a child: how old its news are, and whom it turns to when they are too old.
 
-use super::{FOLLOWED, Heartbeat, READING, RankRange, STALE};
+use super::{Heartbeat, MAX_AGE, MAX_ROOT_LOADING_TIME, MIN_STALE_GRACE, RankRange};
 use crate::Time;
 use compact_str::CompactString;
 use std::time::Duration;
@@ -100,7 +100,7 @@
         let max_age = self
             .last_heartbeat
             .as_ref()
-            .map_or(STALE, |(heartbeat, _)| heartbeat.max_age());
+            .map_or(MAX_AGE, |(heartbeat, _)| heartbeat.max_age());
         self.age(now, status).is_some_and(|age| age < max_age)
     }
 
@@ -125,9 +125,9 @@
         };
         let limit = match heartbeat.age {
             // Without any news so far, nothing grows old meanwhile.
-            None if heartbeat.reads_store && !self.was_fresh => READING,
+            None if heartbeat.reads_store && !self.was_fresh => MAX_ROOT_LOADING_TIME,
             None => slack,
-            Some(_) if heartbeat.level() > 1 => slack.max(FOLLOWED),
+            Some(_) if heartbeat.level() > 1 => slack.max(MIN_STALE_GRACE),
             Some(_) => Duration::ZERO,
         };
         limit.saturating_sub(self.stale_for(now))
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -1,12 +1,12 @@
 //! A fleet in virtual time: instances that start together, lose relays and lose their root.
 //!
 //! The decisions are those of the daemon ([`Children`], [`Uplink`]); links are calls that take
-//! [`HOP`], and the store answers the root at once.
+//! [`HOP_DELAY`], and the store answers the root at once.
 
 use pinereel_core::{
     Time,
     tree::{
-        Admission, CHILDREN, ChildKey, Children, Heartbeat, Peer, RankRange, RetryPacer,
+        Admission, ChildKey, Children, Heartbeat, MAX_CHILDREN, Peer, RankRange, RetryPacer,
         StoreStatus, Uplink,
     },
 };
@@ -16,9 +16,9 @@
 };
 
 const STEP: Duration = Duration::from_millis(50);
-const BEAT: Duration = Duration::from_millis(300);
-const HOP: Duration = Duration::from_millis(20);
-const PATIENCE: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const HOP_DELAY: Duration = Duration::from_millis(20);
+const STANDBY_DELAY: Duration = Duration::from_millis(500);
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 struct Node {
@@ -27,14 +27,14 @@
     uplink: Uplink,
     parent: Option<(String, ChildKey)>,
     children: BTreeMap<ChildKey, String>,
-    alone_since: Option<Time>,
+    without_parent_since: Option<Time>,
     alive: bool,
     /// Whether its way to the store is open.
-    reaches: bool,
+    reaches_store: bool,
     /// Since when it reads the store.
     reads_since: Option<Time>,
     /// Not before then: it was turned away.
-    seeks_from: Time,
+    retry_at: Time,
     retry_pacer: RetryPacer,
 }
 
@@ -43,11 +43,11 @@
     nodes: BTreeMap<String, Node>,
     holder: Option<String>,
     /// Tries to link, by target.
-    tries: BTreeMap<String, u32>,
+    link_attempts: BTreeMap<String, u32>,
     /// Steps in which an instance read the store itself, by instance.
-    readers: BTreeMap<String, u32>,
+    reader_steps: BTreeMap<String, u32>,
     /// Time that it takes to read the store.
-    reading: Duration,
+    loading_time: Duration,
     /// What the bound on a leave allows beyond the usual age of news.
     slack: Duration,
 }
@@ -67,11 +67,11 @@
                 branch: Children::default(),
                 parent: None,
                 children: BTreeMap::new(),
-                alone_since: None,
+                without_parent_since: None,
                 alive: true,
-                reaches: true,
+                reaches_store: true,
                 reads_since: None,
-                seeks_from: Time::ZERO,
+                retry_at: Time::ZERO,
                 retry_pacer: RetryPacer::default(),
             };
             (name, node)
@@ -80,30 +80,30 @@
             now: Time::ZERO,
             nodes: nodes.collect(),
             holder: Some("i-0000".into()),
-            tries: BTreeMap::new(),
-            readers: BTreeMap::new(),
-            reading: Duration::ZERO,
+            link_attempts: BTreeMap::new(),
+            reader_steps: BTreeMap::new(),
+            loading_time: Duration::ZERO,
             slack: Duration::ZERO,
         }
     }
 
-    fn own(&self, name: &str) -> StoreStatus {
+    fn store_status(&self, name: &str) -> StoreStatus {
         let node = &self.nodes[name];
-        let age = if node.reaches {
-            HOP
+        let age = if node.reaches_store {
+            HOP_DELAY
         } else {
             Duration::from_secs(60)
         };
         let reads_since = node.reads_since.unwrap_or(Time::ZERO);
-        let has_read = self.now.since(reads_since) >= self.reading;
+        let has_read = self.now.since(reads_since) >= self.loading_time;
         StoreStatus {
             age: has_read.then_some(age),
-            is_answering: node.reaches,
+            is_answering: node.reaches_store,
             store_uptime: Duration::ZERO,
         }
     }
 
-    fn lead(&mut self, name: &str) {
+    fn start_reading(&mut self, name: &str) {
         let now = self.now;
         let node = self.nodes.get_mut(name).expect("known");
         if !node.uplink.reads_store() {
@@ -113,23 +113,25 @@
     }
 
     /// Whether it has something to say to its children, or will have soon.
-    fn beats(&self, name: &str) -> bool {
-        let age = self.nodes[name].uplink.age(self.now, self.own(name));
-        self.nodes[name].alive && age.is_some() || self.admits(name)
+    fn sends_heartbeats(&self, name: &str) -> bool {
+        let age = self.nodes[name]
+            .uplink
+            .age(self.now, self.store_status(name));
+        self.nodes[name].alive && age.is_some() || self.accepts_children(name)
     }
 
     /// Whether it takes newcomers.
-    fn admits(&self, name: &str) -> bool {
+    fn accepts_children(&self, name: &str) -> bool {
         let node = &self.nodes[name];
-        let is_recovering = node
-            .uplink
-            .is_recovering(self.now, self.own(name), self.slack);
-        node.alive && (self.fresh(name) || is_recovering)
+        let is_recovering =
+            node.uplink
+                .is_recovering(self.now, self.store_status(name), self.slack);
+        node.alive && (self.is_fresh(name) || is_recovering)
     }
 
-    fn fresh(&self, name: &str) -> bool {
+    fn is_fresh(&self, name: &str) -> bool {
         let node = &self.nodes[name];
-        node.alive && node.uplink.is_fresh(self.now, self.own(name))
+        node.alive && node.uplink.is_fresh(self.now, self.store_status(name))
     }
 
     fn run(&mut self, span: Duration) {
@@ -148,27 +150,27 @@
             }
             if self.holder.as_ref() == Some(name) {
                 self.unlink(name);
-                self.lead(name);
-            } else if !self.stays(name) && self.now >= self.nodes[name].seeks_from {
-                self.seek(name);
+                self.start_reading(name);
+            } else if !self.keeps_parent(name) && self.now >= self.nodes[name].retry_at {
+                self.find_parent(name);
             }
-            let own = self.own(name);
+            let status = self.store_status(name);
             let now = self.now;
             let node = self.nodes.get_mut(name).expect("known");
-            node.uplink.observe(now, own);
+            node.uplink.observe(now, status);
             if self.nodes[name].uplink.reads_store() {
-                *self.readers.entry(name.clone()).or_default() += 1;
+                *self.reader_steps.entry(name.clone()).or_default() += 1;
             }
         }
         if self
             .now
             .since(Time::ZERO)
             .as_millis()
-            .is_multiple_of(BEAT.as_millis())
+            .is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
         {
             let roots: Vec<_> = names
                 .iter()
-                .filter(|name| self.nodes[*name].parent.is_none() && self.beats(name))
+                .filter(|name| self.nodes[*name].parent.is_none() && self.sends_heartbeats(name))
                 .cloned()
                 .collect();
             for root in roots {
@@ -178,22 +180,22 @@
                     total,
                     ..RankRange::default()
                 };
-                self.beat(&root, ranks);
+                self.send_heartbeats(&root, ranks);
             }
         }
     }
 
-    fn stays(&self, name: &str) -> bool {
+    fn keeps_parent(&self, name: &str) -> bool {
         let node = &self.nodes[name];
         let parent = node.parent.as_ref();
         let waits = !node.uplink.remaining_grace(self.now, self.slack).is_zero();
         let has_parent = parent.is_some_and(|(parent, _)| self.nodes[parent].alive);
-        has_parent && (self.fresh(name) || waits)
+        has_parent && (self.is_fresh(name) || waits)
     }
 
     /// Tells all below that the root lives; children say how many they are on the way back.
-    fn beat(&mut self, name: &str, ranks: RankRange) {
-        let own = self.own(name);
+    fn send_heartbeats(&mut self, name: &str, ranks: RankRange) {
+        let status = self.store_status(name);
         let node = &self.nodes[name];
         let standbys = node.branch.standbys(&node.peer.zone);
         let places = node.branch.child_ranks(ranks, node.peer.preferred);
@@ -201,22 +203,22 @@
             let node = &self.nodes[name];
             let heartbeat: Heartbeat =
                 node.uplink
-                    .heartbeat(self.now, own, ranks, standbys.clone());
+                    .heartbeat(self.now, status, ranks, standbys.clone());
             let Some(child) = node.children.get(&key).cloned() else {
                 continue;
             };
             if !self.nodes[&child].alive {
                 continue;
             }
-            let stays = {
+            let is_accepted = {
                 let child = self.nodes.get_mut(&child).expect("known");
                 child.uplink.on_heartbeat(self.now, heartbeat)
             };
-            if !stays {
+            if !is_accepted {
                 self.unlink(&child);
                 continue;
             }
-            self.beat(&child, ranks);
+            self.send_heartbeats(&child, ranks);
             let below = &self.nodes[&child];
             let size = below.branch.subtree_size(below.peer.preferred);
             let parent = self.nodes.get_mut(name).expect("known");
@@ -235,7 +237,7 @@
         }
     }
 
-    fn seek(&mut self, name: &str) {
+    fn find_parent(&mut self, name: &str) {
         let now = self.now;
         let holder = self.holder.as_deref().map(Into::into);
         let targets = self.nodes[name].uplink.link_targets(holder);
@@ -244,21 +246,21 @@
                 let node = self.nodes.get_mut(name).expect("known");
                 node.uplink.set_reads_store(false);
                 node.reads_since = None;
-                node.alone_since = None;
+                node.without_parent_since = None;
                 return;
             }
         }
         let node = self.nodes.get_mut(name).expect("known");
-        let since = *node.alone_since.get_or_insert(now);
+        let since = *node.without_parent_since.get_or_insert(now);
         let needed = !node.branch.is_empty() || node.uplink.is_standby();
-        let patience = if node.uplink.is_first_standby() {
+        let delay = if node.uplink.is_first_standby() {
             Duration::ZERO
         } else {
-            PATIENCE
+            STANDBY_DELAY
         };
-        if needed && now.since(since) >= patience && self.nodes[name].reaches {
+        if needed && now.since(since) >= delay && self.nodes[name].reaches_store {
             self.unlink(name);
-            self.lead(name);
+            self.start_reading(name);
         }
     }
 
@@ -269,13 +271,13 @@
             let Some(target) = left.pop() else {
                 return false;
             };
-            *self.tries.entry(target.clone()).or_default() += 1;
+            *self.link_attempts.entry(target.clone()).or_default() += 1;
             let reads = self.nodes[name].uplink.reads_store();
-            let is_of_use = self.nodes[&target].alive && (!reads || self.fresh(&target));
+            let is_of_use = self.nodes[&target].alive && (!reads || self.is_fresh(&target));
             if target == name || !is_of_use {
                 continue;
             }
-            if !self.admits(&target) {
+            if !self.accepts_children(&target) {
                 let now = self.now;
                 let wait = self
                     .nodes
@@ -284,31 +286,31 @@
                     .retry_pacer
                     .retry_after(now);
                 let node = self.nodes.get_mut(name).expect("known");
-                node.seeks_from = node.seeks_from.max(now + wait);
+                node.retry_at = node.retry_at.max(now + wait);
                 continue;
             }
             let peer = self.nodes[name].peer.clone();
             let parent = self.nodes.get_mut(&target).expect("known");
             match parent.branch.admit(peer) {
                 Admission::Child(key) => {
-                    let own = self.own(&target);
+                    let status = self.store_status(&target);
                     let parent = &self.nodes[&target];
                     let heartbeat =
                         parent
                             .uplink
-                            .heartbeat(self.now, own, RankRange::default(), Vec::new());
+                            .heartbeat(self.now, status, RankRange::default(), Vec::new());
                     let node = self.nodes.get_mut(name).expect("known");
-                    let ranks = node.uplink.clone();
+                    let previous = node.uplink.clone();
                     if !node.uplink.on_heartbeat(self.now, heartbeat) {
-                        node.uplink = ranks;
+                        node.uplink = previous;
                         let parent = self.nodes.get_mut(&target).expect("known");
                         parent.branch.remove(key);
                         continue;
                     }
-                    let fresh = node.uplink.clone();
+                    let linked = node.uplink.clone();
                     self.unlink(name);
                     let node = self.nodes.get_mut(name).expect("known");
-                    node.uplink = fresh;
+                    node.uplink = linked;
                     node.parent = Some((target.clone(), key));
                     let parent = self.nodes.get_mut(&target).expect("known");
                     parent.children.insert(key, name.to_owned());
@@ -334,45 +336,52 @@
         }
     }
 
-    fn living(&self) -> impl Iterator<Item = (&String, &Node)> {
+    fn live_nodes(&self) -> impl Iterator<Item = (&String, &Node)> {
         self.nodes.iter().filter(|(_, node)| node.alive)
     }
 
     /// Instances that have no fresh news.
-    fn in_the_dark(&self) -> Vec<&String> {
-        let dark = self.living().filter(|(name, _)| !self.fresh(name));
-        dark.map(|(name, _)| name).collect()
+    fn stale_nodes(&self) -> Vec<&String> {
+        let stale = self.live_nodes().filter(|(name, _)| !self.is_fresh(name));
+        stale.map(|(name, _)| name).collect()
     }
 
-    fn most_children(&self) -> usize {
-        let children = self.living().map(|(_, node)| node.branch.len());
+    fn max_children(&self) -> usize {
+        let children = self.live_nodes().map(|(_, node)| node.branch.len());
         children.max().unwrap_or_default()
     }
 
-    fn deepest(&self) -> u32 {
-        let levels = self.living().map(|(_, node)| node.uplink.level());
+    fn max_level(&self) -> u32 {
+        let levels = self.live_nodes().map(|(_, node)| node.uplink.level());
         levels.max().unwrap_or_default()
     }
 
-    fn readers_since(&mut self) -> BTreeSet<String> {
-        std::mem::take(&mut self.readers).into_keys().collect()
+    fn take_readers(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.reader_steps).into_keys().collect()
     }
 }
 
-const SIZES: [usize; 5] = [9, 30, 165, 350, 1_000];
+const FLEET_SIZES: [usize; 5] = [9, 30, 165, 350, 1_000];
 
 #[test]
 fn all_are_told_with_few_links_each_whatever_the_size() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert!(fleet.most_children() <= CHILDREN);
-        assert!(fleet.deepest() <= 2, "{} levels of {size}", fleet.deepest());
-        assert_eq!(fleet.readers_since().len(), 1, "one reads for {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert!(fleet.max_children() <= MAX_CHILDREN);
+        assert!(
+            fleet.max_level() <= 2,
+            "{} levels of {size}",
+            fleet.max_level()
+        );
+        assert_eq!(fleet.take_readers().len(), 1, "one reads for {size}");
         // One try at the root, and one where it was referred to.
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 2 * size, "{tries} tries of {size}");
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 2 * size,
+            "{link_attempts} link attempts of {size}"
+        );
     }
 }
 
@@ -380,7 +389,7 @@
 fn each_has_a_place_of_its_own() {
     let mut fleet = Fleet::new(165);
     fleet.run(Duration::from_secs(3));
-    let places = fleet.living().filter_map(|(name, node)| {
+    let places = fleet.live_nodes().filter_map(|(name, node)| {
         let ranks = node.uplink.ranks()?;
         let place = ranks.rank(node.peer.preferred);
         assert_eq!((place.preferred, place.total), (19, 165), "{name}");
@@ -398,39 +407,39 @@
     for size in [165, 350, 1_000] {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.readers_since();
+        fleet.take_readers();
         let relay = fleet.nodes["i-0000"].children.values().next().cloned();
         fleet.kill(&relay.expect("the root has children"));
         fleet.run(STEP * 4);
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert_eq!(fleet.readers_since().len(), 1);
-        assert!(fleet.most_children() <= CHILDREN);
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert_eq!(fleet.take_readers().len(), 1);
+        assert!(fleet.max_children() <= MAX_CHILDREN);
     }
 }
 
 /// Load pattern: the root is killed. In a star each of 165 instances listed and watched the store.
 #[test]
 fn the_loss_of_the_root_is_borne_by_its_deputies() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.readers_since();
+        fleet.take_readers();
         fleet.kill("i-0000");
         fleet.run(Duration::from_secs(2));
-        let dark = fleet.in_the_dark();
-        assert_eq!(dark, Vec::<&String>::new(), "of {size}");
-        let readers = fleet.readers_since();
+        let stale = fleet.stale_nodes();
+        assert_eq!(stale, Vec::<&String>::new(), "of {size}");
+        let readers = fleet.take_readers();
         assert!(readers.len() <= 3, "{readers:?} read of {size}");
         // The next holder may be anyone; all are told again, and one reads.
         fleet.holder = Some("i-0009".into())
             .filter(|_| size > 9)
             .or(Some("i-0004".into()));
         fleet.run(Duration::from_secs(2));
-        fleet.readers_since();
+        fleet.take_readers();
         fleet.run(Duration::from_secs(1));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert_eq!(fleet.readers_since().len(), 1, "of {size}");
-        assert!(fleet.most_children() <= CHILDREN);
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert_eq!(fleet.take_readers().len(), 1, "of {size}");
+        assert!(fleet.max_children() <= MAX_CHILDREN);
     }
 }
 
@@ -438,14 +447,18 @@
 /// reach the store take over within two seconds.
 #[test]
 fn a_root_that_the_store_does_not_answer_is_left() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.nodes.get_mut("i-0000").expect("it is there").reaches = false;
+        fleet
+            .nodes
+            .get_mut("i-0000")
+            .expect("it is there")
+            .reaches_store = false;
         fleet.run(Duration::from_millis(2_500));
-        let dark: Vec<_> = fleet.in_the_dark().into_iter().cloned().collect();
+        let stale: Vec<_> = fleet.stale_nodes().into_iter().cloned().collect();
         // The root itself keeps its duty until its lease ends.
-        assert_eq!(dark, vec!["i-0000".to_owned()], "of {size}");
+        assert_eq!(stale, vec!["i-0000".to_owned()], "of {size}");
     }
 }
 
@@ -459,16 +472,16 @@
         fleet.kill(&name);
         fleet.run(STEP * 2);
         let node = fleet.nodes.get_mut(&name).expect("it is there");
-        let own = node.peer.address.clone();
-        node.uplink = Uplink::new(own);
+        let address = node.peer.address.clone();
+        node.uplink = Uplink::new(address);
         node.branch = Children::default();
         node.alive = true;
         fleet.run(STEP * 2);
     }
     fleet.run(Duration::from_secs(1));
-    assert_eq!(fleet.in_the_dark(), Vec::<&String>::new());
-    assert!(fleet.most_children() <= CHILDREN);
-    assert!(fleet.deepest() <= 3, "{} levels", fleet.deepest());
+    assert_eq!(fleet.stale_nodes(), Vec::<&String>::new());
+    assert!(fleet.max_children() <= MAX_CHILDREN);
+    assert!(fleet.max_level() <= 3, "{} levels", fleet.max_level());
 }
 
 /// A root that was told to stop knew nobody to turn to: for up to 2.5 s it told nobody of the crashes that it saw, and the others began
@@ -495,13 +508,16 @@
 fn a_start_costs_each_instance_two_links_however_long_the_root_reads() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
-        fleet.reading = Duration::from_millis(1_500);
+        fleet.loading_time = Duration::from_millis(1_500);
         fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 3 * size, "{tries} tries of {size}");
-        assert_eq!(fleet.readers_since().len(), 1, "one reads for {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 3 * size,
+            "{link_attempts} link attempts of {size}"
+        );
+        assert_eq!(fleet.take_readers().len(), 1, "one reads for {size}");
     }
 }
 
@@ -511,15 +527,18 @@
 fn the_loss_of_a_root_costs_the_links_of_its_children() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
-        fleet.reading = Duration::from_millis(1_000);
+        fleet.loading_time = Duration::from_millis(1_000);
         fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
-        fleet.tries.clear();
+        fleet.link_attempts.clear();
         fleet.kill("i-0000");
         fleet.run(Duration::from_secs(4));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 8 * CHILDREN, "{tries} tries of {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 8 * MAX_CHILDREN,
+            "{link_attempts} link attempts of {size}"
+        );
     }
 }
 
@@ -548,18 +567,18 @@
 #[test]
 fn an_instance_that_the_store_turns_away_takes_no_newcomer() {
     let now = Time::ZERO + Duration::from_secs(10);
-    let own = |is_answering| StoreStatus {
+    let status = |is_answering| StoreStatus {
         age: None,
         store_uptime: Duration::ZERO,
         is_answering,
     };
     let mut uplink = Uplink::new("turned-away".into());
     uplink.set_reads_store(true);
-    uplink.observe(now, own(false));
-    assert!(!uplink.is_recovering(now, own(false), Duration::ZERO));
-    assert!(uplink.is_recovering(now, own(true), Duration::ZERO));
+    uplink.observe(now, status(false));
+    assert!(!uplink.is_recovering(now, status(false), Duration::ZERO));
+    assert!(uplink.is_recovering(now, status(true), Duration::ZERO));
     let heartbeat =
-        |is_answering| uplink.heartbeat(now, own(is_answering), RankRange::default(), Vec::new());
+        |answers| uplink.heartbeat(now, status(answers), RankRange::default(), Vec::new());
     assert!(!heartbeat(false).is_loading());
     assert!(heartbeat(true).is_loading());
     assert!(
@@ -572,7 +591,7 @@
 #[test]
 fn an_instance_with_old_news_takes_no_newcomer() {
     let slack = Duration::from_millis(1_500);
-    let own = StoreStatus::default();
+    let status = StoreStatus::default();
     let mut uplink = Uplink::new("relay".into());
     let now = Time::ZERO + Duration::from_secs(10);
     let heartbeat = Heartbeat {
@@ -584,12 +603,12 @@
         ranks: RankRange::default(),
     };
     assert!(uplink.on_heartbeat(now, heartbeat));
-    uplink.observe(now, own);
+    uplink.observe(now, status);
     assert!(
         !uplink.remaining_grace(now, slack).is_zero(),
         "it stays itself"
     );
-    assert!(!uplink.is_recovering(now, own, slack));
+    assert!(!uplink.is_recovering(now, status, slack));
 }
 
 /// Load pattern: the store turns a part of the instances away while a configuration changes. A child whose news have grown
@@ -614,7 +633,7 @@
         "it knows nothing that grows old"
     );
     let mut child = Uplink::new("child".into());
-    assert!(child.on_heartbeat(now, heartbeat(Some(HOP))));
+    assert!(child.on_heartbeat(now, heartbeat(Some(HOP_DELAY))));
     child.observe(now, StoreStatus::default());
     assert!(child.on_heartbeat(now, heartbeat(None)));
     child.observe(now, StoreStatus::default());
