--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -1,4 +1,5 @@
-//! The side of a parent: whom it takes, and whereto it refers the rest.
+//! The parent's side of the links: which instances it accepts as children, and where it refers the
+//! rest.
 
 use super::{MAX_CHILDREN, MAX_STANDBYS, RankRange, SubtreeSize};
 use compact_str::CompactString;
@@ -6,36 +7,36 @@
 use slotmap::SlotMap;
 
 slotmap::new_key_type! {
-    /// One child of a [`Children`].
+    /// Key of one child in [`Children`].
     pub struct ChildKey;
 }
 
-/// Parents that a newcomer is referred to: one may just have gone.
+/// Most addresses in a referral. More than one, since a child may just have ended.
 const MAX_REFERRALS: usize = 3;
 
-/// An instance as it introduces itself.
+/// An instance as it introduces itself on a new link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where others link to it.
+    /// Address at which it accepts links.
     pub address: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
-    /// Whether it should rather hold duties than others.
+    /// Whether it is preferred as a holder of duties, because it has ample CPU time.
     pub preferred: bool,
 }
 
-/// What becomes of a newcomer.
+/// Whether a newcomer is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is a child now.
+    /// It is accepted as a child.
     Child(ChildKey),
-    /// There is no room; these may have some.
+    /// There is no room; the instances at these addresses may have some.
     Referred(Vec<CompactString>),
 }
 
 struct Child {
     peer: Peer,
-    /// The child and all below it, as it last said; newcomers that were referred to it included.
+    /// Size of the child's subtree as last reported, plus the newcomers referred to it since.
     size: SubtreeSize,
 }
 
@@ -46,9 +47,9 @@
 }
 
 impl Children {
-    /// Takes a newcomer if there is room, and refers it to children else.
+    /// Accepts a newcomer if there is room, and refers it to children otherwise.
     pub fn admit(&mut self, peer: Peer) -> Admission {
-        // Its old link may have broken without a word.
+        // An earlier link of this peer may have broken without notice.
         self.children
             .retain(|_, child| child.peer.address != peer.address);
         if self.children.len() < MAX_CHILDREN {
@@ -58,7 +59,8 @@
         Admission::Referred(self.refer(&peer))
     }
 
-    /// The children with the fewest below them, those of the newcomer's zone first.
+    /// The children to which a newcomer is referred: those that have room first, then those in its zone,
+    /// then those with the smallest subtrees.
     fn refer(&mut self, peer: &Peer) -> Vec<CompactString> {
         let mut by_subtree_size: Vec<_> = self.children.iter().collect();
         by_subtree_size.sort_by_key(|(_, child)| {
@@ -71,7 +73,7 @@
             .take(MAX_REFERRALS)
             .map(|(key, _)| *key)
             .collect();
-        // Many come at once, before the child can say that it has taken them.
+        // Many newcomers may come before the child reports that it has accepted them.
         if let Some(child) = chosen.first().and_then(|key| self.children.get_mut(*key)) {
             child.size = child.size.plus(SubtreeSize::one(peer.preferred));
         }
@@ -79,19 +81,18 @@
         addresses.map(|child| child.peer.address.clone()).collect()
     }
 
-    /// A child says how many it and those below it are.
+    /// Records the subtree size that a child reports.
     pub fn set_size(&mut self, key: ChildKey, size: SubtreeSize) {
         if let Some(child) = self.children.get_mut(key) {
             child.size = size;
         }
     }
 
-    /// A child is gone.
+    /// Removes a child whose link has ended.
     pub fn remove(&mut self, key: ChildKey) {
         self.children.remove(key);
     }
 
-    /// Number of children.
     pub fn len(&self) -> usize {
         self.children.len()
     }
@@ -101,13 +102,13 @@
         self.children.is_empty()
     }
 
-    /// All below this instance, and itself.
+    /// Size of the subtree of this instance, which is itself `preferred` or not.
     pub fn subtree_size(&self, preferred: bool) -> SubtreeSize {
         let below = self.children.values().map(|child| child.size);
         below.fold(SubtreeSize::one(preferred), SubtreeSize::plus)
     }
 
-    /// The places of each child and those below it, out of `ranks`, whose first is this instance's.
+    /// Splits `ranks`, whose first rank is this instance's own, into the ranks of each child's subtree.
     pub fn child_ranks(&self, ranks: RankRange, preferred: bool) -> Vec<(ChildKey, RankRange)> {
         let mut next = ranks.after(SubtreeSize::one(preferred));
         let mut places = Vec::new();
@@ -118,8 +119,8 @@
         places
     }
 
-    /// Who stands in for this instance if it is the root: those with ample processor time first, and
-    /// each in another zone if there are such.
+    /// The standbys of this instance if it is the root: preferred children first, each in another zone as
+    /// far as possible.
     pub fn standbys(&self, own_zone: &str) -> Vec<CompactString> {
         let mut left: Vec<_> = self.children.values().map(|child| &child.peer).collect();
         left.sort_by_key(|peer| (!peer.preferred, &peer.address));
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -1,19 +1,21 @@
-//! The tree over which one instance tells all others what it reads from the object store.
+//! Broadcast tree: one instance, the root, reads the object store, and the data reach all others over
+//! links between instances.
 //!
-//! Load pattern: hundreds of instances need the same news, and each call to the store is paid for. In a
-//! star the one that reads has a link, and a send a change, for each instance, and those beyond its
-//! room read for themselves. So every instance passes the news on to at most [`MAX_CHILDREN`] others; two
-//! levels reach 1,056 instances, three 33,824.
+//! Hundreds of instances need the same data, and each call to the store is paid for. In a star, the
+//! reader would need a link and a send per change for each instance, and instances beyond its capacity
+//! would have to read the store themselves. So each instance forwards the data to at most
+//! [`MAX_CHILDREN`] others: two levels reach 1,056 instances, three 33,824.
 //!
-//! Nobody assigns places: an instance that is full refers a newcomer to its children, those of its own
-//! availability zone first. If the root falls silent, its [`Children::standbys`] stand in for it, so that
-//! its loss costs calls at a few instances and not at all of them.
+//! There is no central assignment. An instance that is full refers a newcomer to its children, first to
+//! those in the newcomer's availability zone. If the root fails, its [`Children::standbys`] take over,
+//! so that the failure costs calls to the store at a few instances and not at all of them.
 //!
-//! - [`Children`]: the side of a parent.
-//! - [`Uplink`]: the side of a child.
-//! - [`RetryPacer`]: when a newcomer that is turned away may return.
+//! - [`Children`]: the parent's side of the links.
+//! - [`Uplink`]: the child's side of a link.
+//! - [`Heartbeat`]: sent down the tree, with the age of the data.
+//! - [`RetryPacer`]: spreads the retries of newcomers that cannot be accepted yet.
 //! - [`ReplayBuffer`]: the last changes, for children that have missed no more.
-//! - [`Heartbeat`]: the sign of life that goes down the tree, with the age of the news.
+//! - [`RankRange`]: ranks of the instances, assigned down the tree.
 
 mod children;
 mod heartbeat;
@@ -31,25 +33,28 @@
 
 use std::time::Duration;
 
-/// Most children of one instance, so that a change costs it as many sends whatever the fleet's size. With
-/// fewer the tree gets a third level at 350 instances, and each level adds to the age of the news.
+/// Most children of one instance. It bounds the sends per change at an instance whatever the size of
+/// the fleet. With fewer, 350 instances would need a third level, and each level adds to the age of
+/// the data.
 pub const MAX_CHILDREN: usize = 32;
 
-/// Instances that stand in for the root, in this order: two that are lost together with it leave one.
+/// Most standbys of the root. If two of them fail together with it, one is left.
 pub const MAX_STANDBYS: usize = 3;
 
-/// Publication that are older are no good for taking a child or staying with a parent. The root makes a call
-/// every 0.7 s at the least, each takes up to 0.3 s at a slow store, and signs of life come every 0.3 s.
-/// With the time to find another parent, a leave or a configuration is in force after 2.2 s at most.
+/// Longest age of the data with which an instance accepts children or stays with its parent, at the
+/// first level. The root makes a call at least every 0.7 s, each takes up to 0.3 s at a slow store, and
+/// heartbeats come every 0.3 s. With the time to find another parent, the removal of an endpoint or a
+/// new configuration is in force after at most 2.2 s.
 pub const MAX_AGE: Duration = Duration::from_millis(1_600);
 
-/// Publication may be so much older at each level below the first: the level above finds another parent first,
-/// and its children stay.
+/// Added to [`MAX_AGE`] for each level below the first, so that the level above finds another parent
+/// first and its children stay with it.
 pub const MAX_AGE_PER_LEVEL: Duration = Duration::from_millis(400);
 
-/// Those below the first level stay with a parent whose news are not fresh for so long at least: it looks for another
-/// parent itself.
+/// Shortest time for which an instance below the first level stays with a parent whose data are stale.
+/// That parent looks for another parent itself meanwhile.
 pub const MIN_STALE_GRACE: Duration = Duration::from_millis(500);
 
-/// Longest time that a newcomer waits for a root that reads the store: ten thousand endpoints are some twenty pages.
+/// Longest time that a newcomer waits for a root that is still reading the store. A list of ten
+/// thousand endpoints has about twenty pages.
 pub const MAX_ROOT_LOADING_TIME: Duration = Duration::from_secs(3);
--- a/crates/pinereel_core/src/tree/replay_buffer.rs
+++ b/crates/pinereel_core/src/tree/replay_buffer.rs
@@ -1,27 +1,27 @@
-//! The last changes of a topic, for children that have missed no more than these.
+//! Buffer of the last changes of a topic, for children that have missed no more than these.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Most frames that are kept: a child that has missed more is sent the whole topic.
+/// Most frames kept. A child that has missed more is sent the whole topic.
 const MAX_FRAMES: usize = 64;
 
-/// Encoded changes since a revision.
+/// Encoded changes of a topic since a revision.
 ///
-/// Load pattern: a relay or a root is lost, and hundreds of instances find another parent, each of which has missed a
-/// second's changes of a list that is thousands of times as long.
+/// If an inner node or the root of the tree fails, hundreds of instances find another parent. Each has
+/// missed the changes of about a second, while the whole list is thousands of times as long.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayBuffer {
-    /// The revision that the oldest frame follows.
+    /// The revision before the oldest frame.
     base_revision: u64,
-    /// Frames with the revision after each, the oldest first.
+    /// Frames, oldest first, with the revision after each.
     frames: VecDeque<(u64, Bytes)>,
-    /// Bytes of all frames.
+    /// Total size of all frames, in bytes.
     bytes: usize,
 }
 
 impl ReplayBuffer {
-    /// The whole topic is known anew as of a revision.
+    /// Drops all frames: the whole topic has been read again as of `revision`.
     pub fn reset(&mut self, revision: u64) {
         *self = Self {
             base_revision: revision,
@@ -29,7 +29,8 @@
         };
     }
 
-    /// Changes up to a revision, of which so many bytes are kept in all.
+    /// Appends the changes up to `revision`, and drops the oldest frames beyond [`MAX_FRAMES`] or
+    /// `max_bytes` in total.
     pub fn push(&mut self, revision: u64, frame: Bytes, max_bytes: usize) {
         self.bytes += frame.len();
         self.frames.push_back((revision, frame));
@@ -42,7 +43,7 @@
         }
     }
 
-    /// What has changed after a revision; none if that is not known any more.
+    /// The frames after `revision`; `None` if some of them are no longer kept.
     pub fn changes_since(&self, revision: u64) -> Option<Vec<Bytes>> {
         let later = self.frames.iter().filter(|(after, _)| *after > revision);
         (revision >= self.base_revision).then(|| later.map(|(_, frame)| frame.clone()).collect())
--- a/crates/pinereel_core/src/tree/retry_pacer.rs
+++ b/crates/pinereel_core/src/tree/retry_pacer.rs
@@ -1,25 +1,25 @@
-//! When a newcomer that is turned away may return.
+//! Spreads the retries of newcomers that cannot be accepted yet.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Newcomers that may return a second: each costs a handshake, a tenth of a millisecond on a whole core.
+/// Most retries per second. Each costs a handshake, which takes 0.1 ms on a whole core.
 const MAX_RETRIES_PER_SECOND: u32 = 500;
-/// Shortest wait.
+/// Shortest time until a retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Gives each newcomer that is turned away a turn of its own.
+/// Assigns each rejected newcomer its own time for the next attempt.
 ///
-/// Load pattern: all instances of a fleet look for one that has nothing to tell yet. Without turns it would spend its
-/// processor time on turning them away, the more the larger the fleet.
+/// All instances of a fleet may try to link to one that has no data yet. Without pacing, it would spend
+/// its CPU time on rejecting them, the more the larger the fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryPacer {
-    /// The next free turn.
+    /// The next free retry time.
     next_slot: Time,
 }
 
 impl RetryPacer {
-    /// A newcomer is turned away; returns after how long it may return.
+    /// Returns how long after `now` a rejected newcomer may try again.
     pub fn retry_after(&mut self, now: Time) -> Duration {
         let slot = self.next_slot.max(now + MIN_RETRY_DELAY);
         self.next_slot = slot + Duration::from_secs(1) / MAX_RETRIES_PER_SECOND;
--- a/crates/pinereel_core/src/tree/subtree.rs
+++ b/crates/pinereel_core/src/tree/subtree.rs
@@ -1,19 +1,20 @@
-//! How many instances there are, counted up the tree, and each one's place, told down the tree.
+//! Number of instances and the rank of each: sizes are summed up the tree, ranks are assigned down the
+//! tree.
 
 use crate::lease::Rank;
 use serde::{Deserialize, Serialize};
 
-/// Instances of a part of the tree.
+/// Number of instances in a part of the tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubtreeSize {
-    /// Those that should rather hold duties.
+    /// Instances that are preferred as holders of duties.
     pub preferred: u32,
-    /// The rest.
+    /// All other instances.
     pub others: u32,
 }
 
 impl SubtreeSize {
-    /// One instance.
+    /// The size of a single instance.
     pub fn one(preferred: bool) -> Self {
         Self {
             preferred: u32::from(preferred),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Both parts together.
+    /// The size of both parts together.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -30,24 +31,24 @@
         }
     }
 
-    /// All instances of the part.
+    /// Number of all instances in the part.
     pub const fn count(self) -> u32 {
         self.preferred.saturating_add(self.others)
     }
 }
 
-/// The places of a part of the tree among all instances.
+/// The ranks of a part of the tree among all instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankRange {
-    /// Places before this part's.
+    /// Instances that come before this part.
     pub before: SubtreeSize,
-    /// The whole tree.
+    /// Size of the whole tree.
     #[serde(rename = "of")]
     pub total: SubtreeSize,
 }
 
 impl RankRange {
-    /// The first place, for one instance.
+    /// The first rank of the range, for an instance that is `preferred` or not.
     pub fn rank(self, preferred: bool) -> Rank {
         let number = if preferred {
             self.before.preferred
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The places after those of `part`.
+    /// The ranks that follow those of `part`.
     #[must_use]
     pub const fn after(self, part: SubtreeSize) -> Self {
         Self {
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -1,39 +1,40 @@
-//! The side of a child: how old its news are, and whom it turns to when they are too old.
+//! The child's side of a link: how old the data of this instance are, and which parents it tries when
+//! they are too old.
 
 use super::{Heartbeat, MAX_AGE, MAX_ROOT_LOADING_TIME, MIN_STALE_GRACE, RankRange};
 use crate::Time;
 use compact_str::CompactString;
 use std::time::Duration;
 
-/// What an instance that reads the store itself knows of that.
+/// What this instance knows about the store from its own calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStatus {
-    /// Time since the store last answered; none if it never did.
+    /// Time since the store last answered; `None` until all data have been read.
     pub age: Option<Duration>,
-    /// For how long it has answered all calls.
+    /// For how long the store has answered all calls.
     pub store_uptime: Duration,
-    /// Whether it has answered a call lately, also if not all is read yet.
+    /// Whether the store has answered a call lately, also if not all data have been read yet.
     pub is_answering: bool,
 }
 
-/// Where the news of one instance come from.
+/// Where one instance gets its data from: a parent, or the store itself.
 #[derive(Clone, Debug)]
 pub struct Uplink {
     own_address: CompactString,
-    /// The parent's last sign of life, and when it came; none while there is no parent, as at a root.
+    /// The last heartbeat of the parent and when it arrived; `None` without a parent, as at a root.
     last_heartbeat: Option<(Heartbeat, Time)>,
-    /// Whom to turn to, as last heard: the root, then its standbys.
+    /// Addresses to try for a parent, from the last heartbeat: the root, then its standbys.
     parent_candidates: Vec<CompactString>,
-    /// Whether this instance reads the store for those below it.
+    /// Whether this instance reads the store itself and so is a root.
     reads_store: bool,
-    /// Since when the news here are not fresh, as far as was observed.
+    /// When the data of this instance were first observed to be stale; `None` while they are fresh.
     stale_since: Option<Time>,
-    /// Whether the news here were ever fresh.
+    /// Whether the data of this instance have ever been fresh.
     was_fresh: bool,
 }
 
 impl Uplink {
-    /// No parent yet; `own` is the address of this instance.
+    /// An uplink without a parent. `own_address` is the address of this instance.
     pub const fn new(own_address: CompactString) -> Self {
         Self {
             own_address,
@@ -45,7 +46,8 @@
         }
     }
 
-    /// The parent lives. Says whether this instance may stay with it: not if it is above the parent.
+    /// Handles a heartbeat of the parent. Returns whether this instance may stay with it: not if it is
+    /// itself an ancestor of the parent.
     pub fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
         if heartbeat.ancestors.contains(&self.own_address) {
             return false;
@@ -56,17 +58,18 @@
         true
     }
 
-    /// A root that leaves turns to its standbys: one of them stands in.
+    /// Replaces the addresses to try for a parent. A root that shuts down calls it with its standbys, one
+    /// of which takes over.
     pub fn set_parent_candidates(&mut self, standbys: Vec<CompactString>) {
         self.parent_candidates = standbys;
     }
 
-    /// The parent is gone.
+    /// The link to the parent has ended.
     pub fn on_parent_lost(&mut self) {
         self.last_heartbeat = None;
     }
 
-    /// This instance reads the store itself from now on, or no longer.
+    /// Sets whether this instance reads the store itself. If so, it gives up its parent.
     pub fn set_reads_store(&mut self, reads_store: bool) {
         self.reads_store = reads_store;
         if reads_store {
@@ -74,19 +77,19 @@
         }
     }
 
-    /// Whether this instance reads the store for those below it.
+    /// Whether this instance reads the store itself and so is a root.
     pub const fn reads_store(&self) -> bool {
         self.reads_store
     }
 
-    /// Levels above this instance; 0 at a root.
+    /// Number of levels above this instance; 0 at a root.
     pub fn level(&self) -> u32 {
         self.last_heartbeat
             .as_ref()
             .map_or(0, |(heartbeat, _)| heartbeat.level())
     }
 
-    /// Age of the news here; none if there are none.
+    /// Age of the data of this instance; `None` if there are none.
     pub fn age(&self, now: Time, status: StoreStatus) -> Option<Duration> {
         match &self.last_heartbeat {
             Some((heartbeat, at)) => heartbeat.age.map(|age| age + now.since(*at)),
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Whether the news are fresh enough to take children and to stay with the parent.
+    /// Whether the data are fresh enough to accept children and to stay with the parent.
     pub fn is_fresh(&self, now: Time, status: StoreStatus) -> bool {
         let max_age = self
             .last_heartbeat
@@ -104,7 +107,7 @@
         self.age(now, status).is_some_and(|age| age < max_age)
     }
 
-    /// Notes whether the news are fresh; to be called several times a second.
+    /// Records whether the data are fresh. Must be called several times a second.
     pub fn observe(&mut self, now: Time, status: StoreStatus) {
         if self.is_fresh(now, status) {
             self.stale_since = None;
@@ -114,17 +117,18 @@
         }
     }
 
-    /// How much longer a child with stale news stays with its parent before it looks for fresher ones; zero if it
-    /// should look now. `slack` is what the bound on a leave allows beyond the usual age of news.
+    /// How much longer an instance with stale data stays with its parent before it looks for another one;
+    /// zero if it should look now. `slack` is the time that the bound on the removal of an endpoint leaves
+    /// beyond the usual age of the data.
     ///
-    /// Load pattern: the root of hundreds of instances is lost or cut off. Those right below it look for its
-    /// successor, and all others stay with them, so that it gets a few links and not one from every instance.
+    /// If the root of hundreds of instances fails or is cut off, only its children look for its successor
+    /// and all others stay with them. So the successor gets a few links, not one from each instance.
     pub fn remaining_grace(&self, now: Time, slack: Duration) -> Duration {
         let Some((heartbeat, _)) = &self.last_heartbeat else {
             return Duration::ZERO;
         };
         let limit = match heartbeat.age {
-            // Without any news so far, nothing grows old meanwhile.
+            // There have been no data so far, so none become stale meanwhile.
             None if heartbeat.reads_store && !self.was_fresh => MAX_ROOT_LOADING_TIME,
             None => slack,
             Some(_) if heartbeat.level() > 1 => slack.max(MIN_STALE_GRACE),
@@ -133,10 +137,11 @@
         limit.saturating_sub(self.stale_for(now))
     }
 
-    /// Whether children may be taken, and kept, although the news are not fresh: they soon will be.
+    /// Whether children may be accepted and kept although the data are stale, since they are expected to
+    /// be fresh soon.
     pub fn is_recovering(&self, now: Time, status: StoreStatus, slack: Duration) -> bool {
         let limit = match &self.last_heartbeat {
-            // Those below a parent with old news would wait as long again.
+            // The children would wait as long again for data that the parent already waits for.
             Some((heartbeat, _)) if heartbeat.age.is_some() => Duration::ZERO,
             Some(_) => return !self.remaining_grace(now, slack).is_zero(),
             None if self.reads_store => return status.age.is_none() && status.is_answering,
@@ -150,7 +155,7 @@
             .map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Whether this instance stands in for the root if no other deputy does.
+    /// Whether this instance is one of the standbys of the root.
     pub fn is_standby(&self) -> bool {
         self.parent_candidates
             .iter()
@@ -158,16 +163,16 @@
             .any(|candidate| *candidate == self.own_address)
     }
 
-    /// Whether no other deputy stands in before this one.
+    /// Whether this instance is the first standby of the root.
     pub fn is_first_standby(&self) -> bool {
         self.parent_candidates
             .get(1)
             .is_some_and(|candidate| *candidate == self.own_address)
     }
 
-    /// Whom to turn to for news: the holder of the duty, then the root and the standbys before this
-    /// instance itself, as last heard. So two standbys never wait for each other. A parent whose news are
-    /// too old is no target.
+    /// Addresses to try for a parent, in this order: the holder of the duty, then from the last heartbeat
+    /// the root and the standbys before this instance, so that two standbys never wait for each other.
+    /// The current parent is left out: its data are too old.
     pub fn link_targets(&self, holder: Option<CompactString>) -> Vec<CompactString> {
         let parent = self
             .last_heartbeat
@@ -186,8 +191,8 @@
         targets
     }
 
-    /// What to tell the children, with places that are to be filled in for each. `standbys` counts at a
-    /// root.
+    /// The heartbeat for the children. The caller fills in `ranks` for each child. `standbys` is used at a
+    /// root only.
     pub fn heartbeat(
         &self,
         now: Time,
@@ -217,7 +222,8 @@
         }
     }
 
-    /// The places of this instance and of all below it, out of what the parent told; none while the parent has no news.
+    /// The ranks of this instance and all below it, from the last heartbeat; `None` while the parent has
+    /// no data.
     pub fn ranks(&self) -> Option<RankRange> {
         let heartbeat = self.last_heartbeat.as_ref().map(|(heartbeat, _)| heartbeat);
         heartbeat
