--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -198,8 +198,8 @@
         let status = self.store_status(name);
         let node = &self.nodes[name];
         let standbys = node.branch.standbys(&node.peer.zone);
-        let places = node.branch.child_ranks(ranks, node.peer.preferred);
-        for (key, ranks) in places {
+        let child_ranks = node.branch.child_ranks(ranks, node.peer.preferred);
+        for (key, ranks) in child_ranks {
             let node = &self.nodes[name];
             let heartbeat: Heartbeat =
                 node.uplink
@@ -389,15 +389,15 @@
 fn each_has_a_place_of_its_own() {
     let mut fleet = Fleet::new(165);
     fleet.run(Duration::from_secs(3));
-    let places = fleet.live_nodes().filter_map(|(name, node)| {
+    let ranks = fleet.live_nodes().filter_map(|(name, node)| {
         let ranks = node.uplink.ranks()?;
-        let place = ranks.rank(node.peer.preferred);
-        assert_eq!((place.preferred, place.total), (19, 165), "{name}");
-        assert_eq!(place.number < 19, node.peer.preferred);
-        Some(place.number)
+        let rank = ranks.rank(node.peer.preferred);
+        assert_eq!((rank.preferred, rank.total), (19, 165), "{name}");
+        assert_eq!(rank.number < 19, node.peer.preferred);
+        Some(rank.number)
     });
     // The root has the first one.
-    assert_eq!(places.collect::<BTreeSet<_>>().len(), 164);
+    assert_eq!(ranks.collect::<BTreeSet<_>>().len(), 164);
 }
 
 /// Load pattern: an instance that passes news on is killed or cut off; those below it must neither go
