--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -1,7 +1,8 @@
-//! A fleet in virtual time: instances that start together, lose relays and lose their root.
+//! Simulation of a fleet in virtual time: instances that start together, and failures of inner nodes
+//! and of the root of the broadcast tree.
 //!
-//! The decisions are those of the daemon ([`Children`], [`Uplink`]); links are calls that take
-//! [`HOP_DELAY`], and the store answers the root at once.
+//! The decisions are those of the daemon ([`Children`], [`Uplink`]). Links are simulated by function
+//! calls, the age of the data at the root by [`HOP_DELAY`].
 
 use pinereel_core::{
     Time,
@@ -29,11 +30,11 @@
     children: BTreeMap<ChildKey, String>,
     without_parent_since: Option<Time>,
     alive: bool,
-    /// Whether its way to the store is open.
+    /// Whether it can reach the store.
     reaches_store: bool,
     /// Since when it reads the store.
     reads_since: Option<Time>,
-    /// Not before then: it was turned away.
+    /// Earliest time of the next link attempt, after a rejection.
     retry_at: Time,
     retry_pacer: RetryPacer,
 }
@@ -42,13 +43,13 @@
     now: Time,
     nodes: BTreeMap<String, Node>,
     holder: Option<String>,
-    /// Tries to link, by target.
+    /// Number of link attempts, by target.
     link_attempts: BTreeMap<String, u32>,
-    /// Steps in which an instance read the store itself, by instance.
+    /// Number of steps in which an instance read the store itself, by instance.
     reader_steps: BTreeMap<String, u32>,
-    /// Time that it takes to read the store.
+    /// Time that it takes to read all data from the store.
     loading_time: Duration,
-    /// What the bound on a leave allows beyond the usual age of news.
+    /// Time that the bound on the removal of an endpoint leaves beyond the usual age of the data.
     slack: Duration,
 }
 
@@ -112,7 +113,7 @@
         node.reads_since.get_or_insert(now);
     }
 
-    /// Whether it has something to say to its children, or will have soon.
+    /// Whether it has data for its children, or will have soon.
     fn sends_heartbeats(&self, name: &str) -> bool {
         let age = self.nodes[name]
             .uplink
@@ -120,7 +121,7 @@
         self.nodes[name].alive && age.is_some() || self.accepts_children(name)
     }
 
-    /// Whether it takes newcomers.
+    /// Whether it accepts newcomers.
     fn accepts_children(&self, name: &str) -> bool {
         let node = &self.nodes[name];
         let is_recovering =
@@ -193,7 +194,7 @@
         has_parent && (self.is_fresh(name) || waits)
     }
 
-    /// Tells all below that the root lives; children say how many they are on the way back.
+    /// Sends heartbeats down the subtree of `name`; on the way back the children report their sizes.
     fn send_heartbeats(&mut self, name: &str, ranks: RankRange) {
         let status = self.store_status(name);
         let node = &self.nodes[name];
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Leaves the parent.
+    /// Ends the link to the parent.
     fn unlink(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).expect("known");
         node.uplink.on_parent_lost();
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Goes from a target to those that it refers to, until one takes it.
+    /// Tries a target and the instances to which it refers, until one accepts `name`.
     fn link(&mut self, name: &str, target: &str) -> bool {
         let mut left = vec![target.to_owned()];
         for _ in 0..12 {
@@ -328,7 +329,7 @@
         self.unlink(name);
         let node = self.nodes.get_mut(name).expect("known");
         node.alive = false;
-        // Its links end with it.
+        // The links to its children end.
         for child in std::mem::take(&mut node.children).into_values() {
             let child = self.nodes.get_mut(&child).expect("known");
             child.uplink.on_parent_lost();
@@ -340,7 +341,7 @@
         self.nodes.iter().filter(|(_, node)| node.alive)
     }
 
-    /// Instances that have no fresh news.
+    /// Instances whose data are not fresh.
     fn stale_nodes(&self) -> Vec<&String> {
         let stale = self.live_nodes().filter(|(name, _)| !self.is_fresh(name));
         stale.map(|(name, _)| name).collect()
@@ -375,8 +376,12 @@
             "{} levels of {size}",
             fleet.max_level()
         );
-        assert_eq!(fleet.take_readers().len(), 1, "one reads for {size}");
-        // One try at the root, and one where it was referred to.
+        assert_eq!(
+            fleet.take_readers().len(),
+            1,
+            "one instance reads the store, of {size}"
+        );
+        // One attempt at the root, and one at a child to which it was referred.
         let link_attempts: u32 = fleet.link_attempts.values().sum();
         assert!(
             link_attempts as usize <= 2 * size,
@@ -396,12 +401,12 @@
         assert_eq!(rank.number < 19, node.peer.preferred);
         Some(rank.number)
     });
-    // The root has the first one.
+    // The root takes the remaining rank, the first one.
     assert_eq!(ranks.collect::<BTreeSet<_>>().len(), 164);
 }
 
-/// Load pattern: an instance that passes news on is killed or cut off; those below it must neither go
-/// without news nor ask the store.
+/// An instance that forwards data is killed. The instances below it must neither have stale data nor
+/// read the store.
 #[test]
 fn the_loss_of_a_relay_costs_links_alone() {
     for size in [165, 350, 1_000] {
@@ -417,7 +422,7 @@
     }
 }
 
-/// Load pattern: the root is killed. In a star each of 165 instances listed and watched the store.
+/// The root is killed. In a star, each of 165 instances would list and watch the store.
 #[test]
 fn the_loss_of_the_root_is_borne_by_its_deputies() {
     for size in FLEET_SIZES {
@@ -429,8 +434,8 @@
         let stale = fleet.stale_nodes();
         assert_eq!(stale, Vec::<&String>::new(), "of {size}");
         let readers = fleet.take_readers();
-        assert!(readers.len() <= 3, "{readers:?} read of {size}");
-        // The next holder may be anyone; all are told again, and one reads.
+        assert!(readers.len() <= 3, "{readers:?} read the store, of {size}");
+        // Any instance may be the next holder. All get data again, and only one reads the store.
         fleet.holder = Some("i-0009".into())
             .filter(|_| size > 9)
             .or(Some("i-0004".into()));
@@ -443,26 +448,22 @@
     }
 }
 
-/// Load pattern: the root is cut off from the store and keeps its links. Its news grow old, and those that
+/// The root is cut off from the store and keeps its links. Its data become stale, and instances that
 /// reach the store take over within two seconds.
 #[test]
 fn a_root_that_the_store_does_not_answer_is_left() {
     for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet
-            .nodes
-            .get_mut("i-0000")
-            .expect("it is there")
-            .reaches_store = false;
+        fleet.nodes.get_mut("i-0000").expect("known").reaches_store = false;
         fleet.run(Duration::from_millis(2_500));
         let stale: Vec<_> = fleet.stale_nodes().into_iter().cloned().collect();
-        // The root itself keeps its duty until its lease ends.
+        // The old root keeps the duty until its lease ends.
         assert_eq!(stale, vec!["i-0000".to_owned()], "of {size}");
     }
 }
 
-/// Load pattern: one instance after the other is stopped and comes back, as in a rolling restart.
+/// Instances are stopped and started again one after another, as in a rolling restart.
 #[test]
 fn a_rolling_restart_leaves_nobody_behind() {
     let mut fleet = Fleet::new(165);
@@ -471,7 +472,7 @@
         let name = format!("i-{number:04}");
         fleet.kill(&name);
         fleet.run(STEP * 2);
-        let node = fleet.nodes.get_mut(&name).expect("it is there");
+        let node = fleet.nodes.get_mut(&name).expect("known");
         let address = node.peer.address.clone();
         node.uplink = Uplink::new(address);
         node.branch = Children::default();
@@ -484,8 +485,9 @@
     assert!(fleet.max_level() <= 3, "{} levels", fleet.max_level());
 }
 
-/// A root that was told to stop knew nobody to turn to: for up to 2.5 s it told nobody of the crashes that it saw, and the others began
-/// anew with a request that had crashed three endpoints.
+/// A root that shuts down must know a parent to link to. Without one, it reported the crashes that it
+/// saw to nobody for up to 2.5 s, and the others started over with a request that had crashed three
+/// endpoints.
 #[test]
 fn a_root_that_leaves_turns_to_its_deputies() {
     let mut uplink = Uplink::new("root".into());
@@ -502,8 +504,8 @@
     );
 }
 
-/// Load pattern: all instances start, and the root reads thousands of endpoints before it has anything to tell. When it
-/// turned newcomers away until then, each came four times a second.
+/// All instances start, and the root reads thousands of endpoints before it has data to send. When it
+/// rejected newcomers until then, each of them tried four times a second.
 #[test]
 fn a_start_costs_each_instance_two_links_however_long_the_root_reads() {
     for size in [420, 841, 1_682] {
@@ -517,12 +519,17 @@
             link_attempts as usize <= 3 * size,
             "{link_attempts} link attempts of {size}"
         );
-        assert_eq!(fleet.take_readers().len(), 1, "one reads for {size}");
+        assert_eq!(
+            fleet.take_readers().len(),
+            1,
+            "one instance reads the store, of {size}"
+        );
     }
 }
 
-/// Load pattern: the root is killed, and its successor reads thousands of endpoints first. Its children alone look for
-/// the successor; when all those below them did as well, the links grew with the fleet.
+/// The root is killed, and its successor first reads thousands of endpoints. Only the root's children
+/// look for the successor. When all instances below them did as well, the number of link attempts grew
+/// with the fleet.
 #[test]
 fn the_loss_of_a_root_costs_the_links_of_its_children() {
     for size in [420, 841, 1_682] {
@@ -542,7 +549,8 @@
     }
 }
 
-/// Load pattern: hundreds look for an instance that has nothing to tell. Its work a second is bounded whatever their number.
+/// Hundreds of instances try to link to one that has no data yet. The attempts per second that it has
+/// to reject are bounded whatever their number.
 #[test]
 fn those_turned_away_return_in_turns() {
     for newcomers in [400, 800, 1_600] {
@@ -550,7 +558,7 @@
         let now = Time::ZERO + Duration::from_secs(1);
         let mut returns: Vec<_> = (0..newcomers).map(|_| pacer.retry_after(now)).collect();
         returns.dedup();
-        assert_eq!(returns.len(), newcomers, "each has a turn of its own");
+        assert_eq!(returns.len(), newcomers, "each has its own retry time");
         let most = (0..20)
             .map(|second| {
                 let second = Duration::from_secs(second);
@@ -562,8 +570,8 @@
     }
 }
 
-/// Load pattern: the store turns half of the instances away, the root among them, and serves the others. One that it does
-/// not answer has nothing to read, so that nobody may wait for its news.
+/// The store rejects half of the instances, the root among them, and serves the others. An instance
+/// that gets no answers cannot read, so nobody may wait for its data.
 #[test]
 fn an_instance_that_the_store_turns_away_takes_no_newcomer() {
     let now = Time::ZERO + Duration::from_secs(10);
@@ -583,11 +591,12 @@
     assert!(heartbeat(true).is_loading());
     assert!(
         !heartbeat(true).is_fresh(),
-        "it is no reason to give up reading"
+        "it gives no reason to stop reading the store"
     );
 }
 
-/// Load pattern: the news of a whole branch grow old. Who joins it there would learn of a change later than its bound allows.
+/// The data of a whole subtree become stale. A newcomer in that subtree would learn of a change later
+/// than the bound allows.
 #[test]
 fn an_instance_with_old_news_takes_no_newcomer() {
     let slack = Duration::from_millis(1_500);
@@ -606,13 +615,14 @@
     uplink.observe(now, status);
     assert!(
         !uplink.remaining_grace(now, slack).is_zero(),
-        "it stays itself"
+        "it stays with its parent"
     );
     assert!(!uplink.is_recovering(now, status, slack));
 }
 
-/// Load pattern: the store turns a part of the instances away while a configuration changes. A child whose news have grown
-/// old once waited for a parent that had begun to read, 1.6 s more, and had the change 3.1 s late where 3 s are allowed.
+/// The store rejects a part of the instances while a configuration changes. When a child with stale
+/// data waited 1.6 s more for a parent that had begun to read, it got the change after 3.1 s, where
+/// 3 s are allowed.
 #[test]
 fn a_child_with_old_news_waits_for_a_reader_no_longer_than_the_bound_allows() {
     let now = Time::ZERO + Duration::from_secs(10);
@@ -630,7 +640,7 @@
     newcomer.observe(now, StoreStatus::default());
     assert!(
         newcomer.remaining_grace(now, slack) > slack,
-        "it knows nothing that grows old"
+        "it has no data that become stale"
     );
     let mut child = Uplink::new("child".into());
     assert!(child.on_heartbeat(now, heartbeat(Some(HOP_DELAY))));
--- a/crates/pinereel_core/tests/tree_replay.rs
+++ b/crates/pinereel_core/tests/tree_replay.rs
@@ -1,4 +1,4 @@
-//! What a child is sent that finds another parent.
+//! Which changes a child is sent when it links to another parent.
 
 use bytes::Bytes;
 use pinereel_core::tree::ReplayBuffer;
@@ -21,8 +21,8 @@
     assert_eq!(sizes(10), Some(vec![12, 15, 17]));
     assert_eq!(sizes(12), Some(vec![15, 17]));
     assert_eq!(sizes(17), Some(vec![]));
-    assert_eq!(sizes(20), Some(vec![]), "it knows more than is known here");
-    assert_eq!(sizes(9), None, "nobody knows what came before");
+    assert_eq!(sizes(20), Some(vec![]), "the child is ahead of this buffer");
+    assert_eq!(sizes(9), None, "older changes are not kept");
 }
 
 #[test]
