--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -1,8 +1,8 @@
 //! Simulation of a fleet in virtual time: instances that start together, and failures of inner nodes
 //! and of the root of the broadcast tree.
 //!
-//! The decisions are those of the daemon ([`Children`], [`Uplink`]). Links are simulated by function
-//! calls, the age of the data at the root by [`HOP_DELAY`].
+//! The decisions are those of the daemon ([`Children`], [`Uplink`]). Links are function calls, and the
+//! data of a root that reaches the store are always [`ROOT_DATA_AGE`] old.
 
 use pinereel_core::{
     Time,
@@ -18,7 +18,7 @@
 
 const STEP: Duration = Duration::from_millis(50);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-const HOP_DELAY: Duration = Duration::from_millis(20);
+const ROOT_DATA_AGE: Duration = Duration::from_millis(20);
 const STANDBY_DELAY: Duration = Duration::from_millis(500);
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
@@ -91,7 +91,7 @@
     fn store_status(&self, name: &str) -> StoreStatus {
         let node = &self.nodes[name];
         let age = if node.reaches_store {
-            HOP_DELAY
+            ROOT_DATA_AGE
         } else {
             Duration::from_secs(60)
         };
@@ -405,8 +405,8 @@
     assert_eq!(ranks.collect::<BTreeSet<_>>().len(), 164);
 }
 
-/// An instance that forwards data is killed. The instances below it must neither have stale data nor
-/// read the store.
+/// An instance that forwards data is killed or cut off. The instances below it must neither have stale
+/// data nor read the store.
 #[test]
 fn the_loss_of_a_relay_costs_links_alone() {
     for size in [165, 350, 1_000] {
@@ -643,7 +643,7 @@
         "it has no data that become stale"
     );
     let mut child = Uplink::new("child".into());
-    assert!(child.on_heartbeat(now, heartbeat(Some(HOP_DELAY))));
+    assert!(child.on_heartbeat(now, heartbeat(Some(ROOT_DATA_AGE))));
     child.observe(now, StoreStatus::default());
     assert!(child.on_heartbeat(now, heartbeat(None)));
     child.observe(now, StoreStatus::default());
