--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -7,7 +7,7 @@
 };
 use crate::objects::Purpose;
 use compact_str::CompactString;
-use pinereel_core::table::Table;
+use pinereel_core::routing_table::RoutingTable;
 use pinereel_port::{Adapter, store::Object};
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::Instant};
@@ -22,7 +22,7 @@
 
 #[derive(Clone)]
 struct InForce {
-    table: Rc<Table>,
+    table: Rc<RoutingTable>,
     since: Instant,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// The configuration in force; none before the first was read.
-    pub fn table(&self) -> Option<Rc<Table>> {
+    pub fn table(&self) -> Option<Rc<RoutingTable>> {
         let in_force = self.in_force.borrow();
         in_force.as_ref().map(|in_force| Rc::clone(&in_force.table))
     }
@@ -76,7 +76,7 @@
     /// Calls `start` once for each name that `names` gives under this configuration or a later one.
     pub async fn for_each_new(
         &self,
-        names: impl Fn(&Table) -> Vec<CompactString>,
+        names: impl Fn(&RoutingTable) -> Vec<CompactString>,
         start: impl Fn(CompactString),
     ) {
         let mut changes = self.changes();
@@ -125,7 +125,7 @@
             log::debug!(revision, number; "configuration is in force or older");
             return;
         }
-        let table = Rc::new(Table::new(document));
+        let table = Rc::new(RoutingTable::new(document));
         let since = Instant::now();
         self.in_force.replace(Some(InForce { table, since }));
         log::info!(revision, number, before:serde = before; "configuration in force");
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -10,7 +10,7 @@
 use pinereel_core::{
     batch::{Fleet, Key, Listed},
     crash::{LAST_CHANCE, Standing, Start},
-    hash, table,
+    hash, routing_table,
 };
 use pinereel_port::{
     config::{Kind, Route},
@@ -86,7 +86,7 @@
     /// The lot's route under the configuration in force.
     fn route(&self, open: &Open) -> Option<Route> {
         let table = self.parts.config.table()?;
-        let route = table.find(&open.host, &open.path)?;
+        let route = table.route_for(&open.host, &open.path)?;
         (route.kind == Kind::Lot).then(|| route.clone())
     }
 
@@ -95,7 +95,7 @@
         let route = self.route(open)?;
         let seed = hash::stable(open.path.as_bytes());
         Some(FleetName {
-            service: table::service(&route, seed)?.into(),
+            service: routing_table::pick_service(&route, seed)?.into(),
             model: open.model.clone(),
         })
     }
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -24,7 +24,7 @@
     upstream::pool::Pool,
 };
 use compact_str::{CompactString, format_compact};
-use pinereel_core::table::Table;
+use pinereel_core::routing_table::RoutingTable;
 use pinereel_port::Adapter;
 use std::{
     cell::{Cell, RefCell},
@@ -228,7 +228,7 @@
 }
 
 /// The models of all engines.
-fn models(table: &Table) -> Vec<CompactString> {
+fn models(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter_map(|service| service.engine.as_ref());
     engines.flat_map(|engine| engine.models.clone()).collect()
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -102,7 +102,7 @@
 fn call(runner: &Runner, work: &Work, scorer: &Scorer) -> Option<Call> {
     let table = runner.parts.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
-    let route = table.find(&scorer.host, path)?.clone();
+    let route = table.route_for(&scorer.host, path)?.clone();
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(&scorer.host).ok()?);
     Some(Call {
@@ -111,7 +111,7 @@
         config_age: runner.parts.config.age().unwrap_or_default(),
         give_up: Instant::now() + route.timeout,
         route,
-        caller: table.nobody(),
+        caller: table.internal_caller(),
         owner: work.caller.workspace().map(Into::into),
         method: Method::POST,
         target: scorer.path.clone(),
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -24,7 +24,7 @@
 use pinereel_core::{
     Time,
     rollout::{Controller, Settings},
-    table::Table,
+    routing_table::RoutingTable,
 };
 use pinereel_port::{Adapter, store::Object};
 use rollout::{Rollout, TICK};
@@ -226,7 +226,7 @@
 }
 
 /// The services whose endpoints are engines.
-fn services(table: &Table) -> Vec<CompactString> {
+fn services(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter(|service| service.engine.is_some());
     engines.map(|service| service.name.clone()).collect()
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -24,7 +24,7 @@
     endpoint::{End, Key},
     hash,
     relay::{Attempts, Ended, Limits, Step, Verdict},
-    table,
+    routing_table,
 };
 use pinereel_port::{
     Adapter,
@@ -95,7 +95,7 @@
         let call = Rc::new(call);
         let list_age = self.parts.endpoints.age().unwrap_or_default();
         let mut news = self.parts.crashes.changes();
-        let Some(service) = table::service(&call.route, seed) else {
+        let Some(service) = routing_table::pick_service(&call.route, seed) else {
             return self.refuse(&call, "", ("no service", RETRY_AFTER), began);
         };
         let mut course = Course {
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -18,7 +18,7 @@
 };
 use bytes::Bytes;
 use compact_str::CompactString;
-use pinereel_core::table::{NoAccess, Table};
+use pinereel_core::routing_table::{AccessError, RoutingTable};
 use pinereel_port::{
     Adapter,
     config::{Kind, Route},
@@ -103,7 +103,7 @@
                 };
             }
         }
-        let Some(route) = table.find(&host, &path).cloned() else {
+        let Some(route) = table.route_for(&host, &path).cloned() else {
             self.metrics.count(&self.metrics.refused, &["no route"]);
             log::info!(
                 id = said.id.as_str(),
@@ -142,13 +142,18 @@
     ///
     /// A key that this instance does not know may be new while it is out of touch with the configuration: then the
     /// caller is asked to come again, to an instance that knows.
-    fn admit(&self, table: &Table, said: &live::Request, public: bool) -> Result<Caller, Response> {
-        let refused = match table.caller(said.key.as_ref(), public) {
+    fn admit(
+        &self,
+        table: &RoutingTable,
+        said: &live::Request,
+        public: bool,
+    ) -> Result<Caller, Response> {
+        let refused = match table.authenticate(said.key.as_ref(), public) {
             Ok(caller) => return Ok(caller),
             Err(refused) => refused,
         };
         let is_current = self.config.is_current();
-        let sure = is_current || refused == NoAccess::NoKey;
+        let sure = is_current || refused == AccessError::MissingKey;
         self.metrics.count(&self.metrics.refused, &["no access"]);
         log::info!(
             id = said.id.as_str(),
@@ -166,7 +171,7 @@
 
     /// The configuration in force, once it and the endpoint list are known; none if there is none
     /// soon. Not waited for while the store is away.
-    async fn first_table(&self) -> Option<Rc<Table>> {
+    async fn first_table(&self) -> Option<Rc<RoutingTable>> {
         let end = Instant::now() + FIRST_NEWS;
         loop {
             let table = self.config.table();
@@ -181,7 +186,7 @@
     async fn relay_call(
         &self,
         request: Request,
-        table: &Table,
+        table: &RoutingTable,
         (route, caller): (Route, Caller),
         said: &live::Request,
         body: Bytes,
--- a/crates/pinereel_core/src/lib.rs
+++ b/crates/pinereel_core/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`config::Document`]: the configuration that operators patch.
 //! - [`crash::Register`]: requests under which endpoints crash.
 //! - [`claim::Log`]: the idempotency keys of one shard.
-//! - [`table::Table`]: which route a request takes, on a platform whose operator writes the routes.
+//! - [`routing_table::RoutingTable`]: which route a request takes, on a platform whose operator writes the routes.
 //! - [`tree::Children`]: the tree over which instances pass on what one of them reads.
 //! - [`usage::Ledger`]: how many requests of each workspace began to run.
 //! - [`batch::Lot`]: one trainer step whose results are kept in the platform's object store.
@@ -37,9 +37,9 @@
 pub mod relay;
 pub mod rollout;
 pub mod route;
+pub mod routing_table;
 pub mod scale;
 pub mod staleness;
-pub mod table;
 pub mod time;
 pub mod tree;
 pub mod usage;
--- a/crates/pinereel_core/src/table.rs
+++ b/crates/pinereel_core/src/routing_table.rs
@@ -11,59 +11,66 @@
 
 /// A configuration, ready to be asked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
+pub struct RoutingTable {
     document: Document,
     /// Whose each key is; none if the configuration knows no workspaces.
-    holders: Option<BTreeMap<KeyDigest, CompactString>>,
+    workspace_by_key: Option<BTreeMap<KeyDigest, CompactString>>,
 }
 
 /// A request has no key that the configuration knows, and needs one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoAccess {
+pub enum AccessError {
     /// It has none.
     #[error("no key")]
-    NoKey,
+    MissingKey,
     /// The configuration does not know the key, or not any more.
     #[error("unknown key")]
     UnknownKey,
 }
 
-impl Table {
+impl RoutingTable {
     /// The table of `document`.
     pub fn new(mut document: Document) -> Self {
         // The longest prefix wins, so it is looked at first.
         document
             .routes
             .sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
-        let holders = document.workspaces.as_ref().map(|workspaces| {
+        let workspace_by_key = document.workspaces.as_ref().map(|workspaces| {
             let keys = workspaces.iter().flat_map(|workspace| {
                 let name = &workspace.name;
                 workspace.keys.iter().map(|key| (*key, name.clone()))
             });
             keys.collect()
         });
-        Self { document, holders }
+        Self {
+            document,
+            workspace_by_key,
+        }
     }
 
     /// On whose behalf a request with that key is made. `public` says that it needs none.
     ///
     /// # Errors
     /// If it may not run.
-    pub fn caller(&self, key: Option<&KeyDigest>, public: bool) -> Result<Caller, NoAccess> {
-        let Some(holders) = &self.holders else {
+    pub fn authenticate(
+        &self,
+        key: Option<&KeyDigest>,
+        public: bool,
+    ) -> Result<Caller, AccessError> {
+        let Some(workspace_by_key) = &self.workspace_by_key else {
             return Ok(Caller::Open);
         };
-        match key.map(|key| holders.get(key)) {
+        match key.map(|key| workspace_by_key.get(key)) {
             Some(Some(workspace)) => Ok(Caller::Workspace(workspace.clone())),
             _ if public => Ok(Caller::Anonymous),
-            Some(None) => Err(NoAccess::UnknownKey),
-            None => Err(NoAccess::NoKey),
+            Some(None) => Err(AccessError::UnknownKey),
+            None => Err(AccessError::MissingKey),
         }
     }
 
     /// On whose behalf a request is made that this side makes itself and that needs no workspace.
-    pub const fn nobody(&self) -> Caller {
-        match self.holders {
+    pub const fn internal_caller(&self) -> Caller {
+        match self.workspace_by_key {
             Some(_) => Caller::Anonymous,
             None => Caller::Open,
         }
@@ -82,7 +89,7 @@
     /// The route of a request: of those of its host the one with the longest prefix of its path.
     ///
     /// `host` may carry a port, which means nothing here.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
+    pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or_default();
         self.document
             .routes
@@ -104,18 +111,18 @@
 
 /// The service that runs a request of `route`. The same seed gets the same one; over many seeds
 /// each service gets its share.
-pub fn service(route: &Route, seed: u64) -> Option<&str> {
+pub fn pick_service(route: &Route, seed: u64) -> Option<&str> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     if total == 0 {
         return None;
     }
-    let mut left = hash::mix(seed) % total;
+    let mut remaining = hash::mix(seed) % total;
     for target in &route.targets {
         let weight = u64::from(target.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(&target.service);
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
--- a/crates/pinereel_core/tests/table_access.rs
+++ b/crates/pinereel_core/tests/table_access.rs
@@ -3,7 +3,7 @@
 //! Requests ran under any key and under none: 3,617 of a quiet day named no workspace to their endpoint, and up to 63 a day ran with a
 //! key that had been taken away 4 s before.
 
-use pinereel_core::table::{NoAccess, Table};
+use pinereel_core::routing_table::{AccessError, RoutingTable};
 use pinereel_port::{
     KeyDigest,
     config::{Document, Limits, Workspace},
@@ -11,8 +11,8 @@
 };
 use std::time::Duration;
 
-fn table(workspaces: Option<Vec<Workspace>>) -> Table {
-    Table::new(Document {
+fn table(workspaces: Option<Vec<Workspace>>) -> RoutingTable {
+    RoutingTable::new(Document {
         number: 1,
         routes: Vec::new(),
         services: Vec::new(),
@@ -44,34 +44,37 @@
         workspace("a", &["a1", "a2"]),
         workspace("b", &["b1"]),
     ]));
-    let caller = |key: &str, public| table.caller(Some(&key_of(key)), public);
+    let caller = |key: &str, public| table.authenticate(Some(&key_of(key)), public);
     let a = Caller::Workspace("a".into());
     assert_eq!(caller("a1", false), Ok(a.clone()));
     assert_eq!(caller("a2", true), Ok(a));
     assert_eq!(caller("b1", false), Ok(Caller::Workspace("b".into())));
-    assert_eq!(caller("c1", false), Err(NoAccess::UnknownKey));
+    assert_eq!(caller("c1", false), Err(AccessError::UnknownKey));
     assert_eq!(caller("c1", true), Ok(Caller::Anonymous));
-    assert_eq!(table.caller(None, false), Err(NoAccess::NoKey));
-    assert_eq!(table.caller(None, true), Ok(Caller::Anonymous));
-    assert_eq!(table.nobody(), Caller::Anonymous);
+    assert_eq!(
+        table.authenticate(None, false),
+        Err(AccessError::MissingKey)
+    );
+    assert_eq!(table.authenticate(None, true), Ok(Caller::Anonymous));
+    assert_eq!(table.internal_caller(), Caller::Anonymous);
 }
 
 #[test]
 fn a_key_that_is_taken_away_stands_for_nobody() {
     let before = table(Some(vec![workspace("a", &["a1", "a2"])]));
     let after = table(Some(vec![workspace("a", &["a2"])]));
-    let caller = |table: &Table| table.caller(Some(&key_of("a1")), false);
+    let caller = |table: &RoutingTable| table.authenticate(Some(&key_of("a1")), false);
     assert!(caller(&before).is_ok());
-    assert_eq!(caller(&after), Err(NoAccess::UnknownKey));
+    assert_eq!(caller(&after), Err(AccessError::UnknownKey));
     let none_left = table(Some(vec![workspace("a", &[])]));
-    assert_eq!(caller(&none_left), Err(NoAccess::UnknownKey));
+    assert_eq!(caller(&none_left), Err(AccessError::UnknownKey));
 }
 
 #[test]
 fn a_configuration_without_workspaces_lets_everybody_in() {
     let table = table(None);
-    assert_eq!(table.caller(None, false), Ok(Caller::Open));
-    let with_key = table.caller(Some(&key_of("a1")), false);
+    assert_eq!(table.authenticate(None, false), Ok(Caller::Open));
+    let with_key = table.authenticate(Some(&key_of("a1")), false);
     assert_eq!(with_key, Ok(Caller::Open));
-    assert_eq!(table.nobody(), Caller::Open);
+    assert_eq!(table.internal_caller(), Caller::Open);
 }
