--- a/crates/pinereel/src/controllers/config/relay.rs
+++ b/crates/pinereel/src/controllers/config/relay.rs
@@ -1,6 +1,6 @@
 //! Messages of a patch: carried out here, and passed on to the entries of a branch.
 //!
-//! Up to [`pinereel_core::member::FULL_MESH`] receivers each get their own message. Beyond that a
+//! Up to [`pinereel_core::member::MAX_FULL_MESH_SIZE`] receivers each get their own message. Beyond that a
 //! message takes two levels: relays in each availability zone pass it on.
 
 use super::{prepare as store, step};
--- a/crates/pinereel/src/controllers/follow.rs
+++ b/crates/pinereel/src/controllers/follow.rs
@@ -74,7 +74,7 @@
 
 /// How long a watch waits, so that all entries together keep their rate.
 fn wait(shared: &Shared) -> Duration {
-    let entries = shared.members.view().entries().len();
+    let entries = shared.members.view().members().len();
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
     let wait = Duration::from_secs(1) / WATCHES_PER_SECOND * entries;
     wait.clamp(SHORTEST, LONGEST)
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -104,7 +104,7 @@
     pub(super) fn of(shared: &Shared) -> Self {
         let view = shared.members.view();
         let live = view
-            .entries()
+            .members()
             .iter()
             .filter(|(_, e)| e.state == State::Live);
         let mut zones: BTreeMap<_, _> = live
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -14,7 +14,7 @@
 };
 use pinereel_core::{
     Time, hash,
-    member::{Branch, FULL_MESH, Listed, Object, View},
+    member::{MAX_FULL_MESH_SIZE, Object, PlatformStatus, RelayGroup, View},
 };
 use std::{
     cell::{Cell, RefCell},
@@ -144,7 +144,7 @@
 
 /// What a pause between lists is longer than the shortest, so that all together keep their rate.
 fn longer(shared: &Shared) -> Duration {
-    let count = shared.members.view().entries().len();
+    let count = shared.members.view().members().len();
     let count = u32::try_from(count).unwrap_or(u32::MAX);
     let pause = Duration::from_secs(1) / LISTS_PER_SECOND * count;
     pause.saturating_sub(PAUSE)
@@ -157,7 +157,7 @@
     let names: BTreeSet<_> = items.iter().map(|object| object.name.clone()).collect();
     let objects = items.iter().filter_map(|object| read(&object.value));
     let before = starts(&shared.members.view());
-    shared.members.view.borrow_mut().list(objects);
+    shared.members.view.borrow_mut().replace_all(objects);
     if starts(&shared.members.view()) != before {
         shared.config.keep(&names);
         link(shared);
@@ -167,7 +167,7 @@
 
 /// The known entries and their incarnations.
 fn starts(view: &View) -> BTreeMap<CompactString, u64> {
-    let entries = view.entries().iter();
+    let entries = view.members().iter();
     entries
         .map(|(name, entry)| (name.clone(), entry.object.incarnation))
         .collect()
@@ -186,7 +186,7 @@
 /// Writes the own member object again if it was removed. Patches may have been accepted without
 /// this entry meanwhile, so the configuration is read after that.
 async fn stay(shared: &Rc<Shared>) {
-    let there = shared.members.view().entries().contains_key(shared.name());
+    let there = shared.members.view().members().contains_key(shared.name());
     if there || shared.members.left.get() {
         return;
     }
@@ -201,9 +201,9 @@
     let view = shared.members.view();
     let own = shared.name();
     let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT);
-    if view.entries().len() > FULL_MESH {
+    if view.members().len() > MAX_FULL_MESH_SIZE {
         // Only the smaller name dials, so each must also know which links the others want.
-        let others = view.entries().keys().filter(|name| *name != own);
+        let others = view.members().keys().filter(|name| *name != own);
         let wanting = others.filter(|name| {
             view.links(name, LINKS_IN_ZONE, LINKS_OUT)
                 .contains(own.as_str())
@@ -215,7 +215,7 @@
 }
 
 fn peer(view: &View, name: &str) -> Option<Peer> {
-    let entry = view.entries().get(name)?;
+    let entry = view.members().get(name)?;
     Some(Peer {
         name: entry.object.name.clone(),
         address: entry.object.address.clone(),
@@ -226,26 +226,30 @@
 pub fn platform(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
     let listed = entries.iter().map(|(name, instance)| {
         let state = match instance.state {
-            Presence::Live => Listed::Live,
-            Presence::Leaving => Listed::Leaving,
+            Presence::Live => PlatformStatus::Live,
+            Presence::Leaving => PlatformStatus::Leaving,
         };
         (name.clone(), state)
     });
     let listed = listed.collect();
     let now = shared.now();
     shared.members.listed.set(now);
-    shared.members.view.borrow_mut().platform(now, &listed);
+    shared
+        .members
+        .view
+        .borrow_mut()
+        .apply_platform_list(now, &listed);
 }
 
 /// Notes a peer that spoke.
 pub fn met(shared: &Shared, from: &Hello, draining: bool) {
     let mut view = shared.members.view.borrow_mut();
-    let known = view.entries().get(&from.name);
+    let known = view.members().get(&from.name);
     if known.is_none_or(|entry| entry.object.incarnation < from.incarnation) {
         shared.members.wanted.notify_one();
     }
     if draining {
-        view.leave(&from.name, from.incarnation);
+        view.mark_leaving(&from.name, from.incarnation);
     }
 }
 
@@ -285,7 +289,7 @@
     let view = shared.members.view();
     let key = hash::stable(b"config");
     let own = hash::score(key, shared.name());
-    let before = view.entries().values().filter(|entry| {
+    let before = view.members().values().filter(|entry| {
         let better = hash::score(key, &entry.object.name) > own;
         better && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
     });
@@ -313,8 +317,8 @@
 }
 
 /// How to bring a message to many.
-pub fn branches(shared: &Shared, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<Branch> {
-    shared.members.view().branches(to, attempt)
+pub fn branches(shared: &Shared, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
+    shared.members.view().relay_groups(to, attempt)
 }
 
 /// Calls an entry, over its link or a connection for this call alone.
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -77,7 +77,7 @@
 async fn entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
     let heard = shared.config.heard();
-    let known = shared.members.view().entries().clone();
+    let known = shared.members.view().members().clone();
     let others = known.iter().filter(|(name, _)| *name != shared.name());
     let doubtful = others.filter(|(_, entry)| {
         let number = fresh(now, entry, &heard).map(|heard| heard.number);
@@ -85,7 +85,7 @@
     });
     let names = doubtful.map(|(name, _)| name.clone()).collect();
     let reports = members::reports(shared, names).await;
-    let describe = |(name, entry): (CompactString, member::Entry)| {
+    let describe = |(name, entry): (CompactString, member::Member)| {
         let report = reports.get(&name);
         let described = if name == *shared.name() {
             own(shared, &entry)
@@ -104,7 +104,7 @@
 /// What was heard of this incarnation lately.
 fn fresh<'a>(
     now: Time,
-    entry: &member::Entry,
+    entry: &member::Member,
     heard: &'a BTreeMap<CompactString, Heard>,
 ) -> Option<&'a Heard> {
     let last = heard.get(&entry.object.name)?;
@@ -112,7 +112,7 @@
     (same && now.since(last.at) < SILENT).then_some(last)
 }
 
-fn own(shared: &Shared, entry: &member::Entry) -> Entry {
+fn own(shared: &Shared, entry: &member::Member) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number: shared.config.number(),
@@ -121,7 +121,7 @@
     }
 }
 
-fn other(shared: &Shared, entry: &member::Entry, number: u64, silence: Duration) -> Entry {
+fn other(shared: &Shared, entry: &member::Member, number: u64, silence: Duration) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number,
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -14,11 +14,11 @@
 };
 
 /// Up to so many entries every one is linked with every other.
-pub const FULL_MESH: usize = 16;
+pub const MAX_FULL_MESH_SIZE: usize = 16;
 /// Most instances that one relay passes a message to.
-pub const BRANCH: usize = 20;
+pub const MAX_RELAY_LEAVES: usize = 20;
 /// So long the platform must have said "gone" before another entry may remove a member object.
-pub const GONE_GRACE: Duration = Duration::from_secs(10);
+pub const REMOVAL_GRACE: Duration = Duration::from_secs(10);
 
 /// Content of a member object, written by the entry itself when it starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 
 /// One known entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Member {
     /// Its member object.
     pub object: Object,
     /// Whether it takes new work.
@@ -56,7 +56,7 @@
 
 /// What the platform's list says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum PlatformStatus {
     /// It runs.
     Live,
     /// It is about to be stopped.
@@ -67,7 +67,7 @@
 
 /// A relay, and the instances that it passes a message to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Branch {
+pub struct RelayGroup {
     /// Gets the message and passes it on.
     pub relay: CompactString,
     /// The others of the branch, in order of their names.
@@ -77,42 +77,42 @@
 /// The entries that one entry knows of.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    entries: BTreeMap<CompactString, Entry>,
+    members: BTreeMap<CompactString, Member>,
 }
 
 impl View {
     /// An empty view.
     pub const fn new() -> Self {
         Self {
-            entries: BTreeMap::new(),
+            members: BTreeMap::new(),
         }
     }
 
     /// All known entries, by name.
-    pub const fn entries(&self) -> &BTreeMap<CompactString, Entry> {
-        &self.entries
+    pub const fn members(&self) -> &BTreeMap<CompactString, Member> {
+        &self.members
     }
 
     /// Takes a whole list of member objects: entries that it lacks are forgotten.
-    pub fn list(&mut self, objects: impl IntoIterator<Item = Object>) {
+    pub fn replace_all(&mut self, objects: impl IntoIterator<Item = Object>) {
         let mut names = BTreeSet::new();
         for object in objects {
             names.insert(object.name.clone());
-            self.add(object);
+            self.insert(object);
         }
-        self.entries.retain(|name, _| names.contains(name));
+        self.members.retain(|name, _| names.contains(name));
     }
 
     /// Takes one member object; an older incarnation than the known one is ignored.
-    pub fn add(&mut self, object: Object) {
-        let known = self.entries.get(&object.name).map(|e| e.object.incarnation);
+    pub fn insert(&mut self, object: Object) {
+        let known = self.members.get(&object.name).map(|e| e.object.incarnation);
         if known.is_some_and(|known| known >= object.incarnation) {
             return;
         }
         let name = object.name.clone();
-        self.entries.insert(
+        self.members.insert(
             name,
-            Entry {
+            Member {
                 object,
                 state: State::Live,
                 gone_since: None,
@@ -121,30 +121,34 @@
     }
 
     /// The entry, a peer or a refused connection says that this incarnation is leaving.
-    pub fn leave(&mut self, name: &str, incarnation: u64) {
-        if let Some(entry) = self.entries.get_mut(name)
-            && entry.object.incarnation == incarnation
+    pub fn mark_leaving(&mut self, name: &str, incarnation: u64) {
+        if let Some(member) = self.members.get_mut(name)
+            && member.object.incarnation == incarnation
         {
-            entry.state = State::Leaving;
+            member.state = State::Leaving;
         }
     }
 
     /// Takes the platform's list. It lags: it may say "live" of an entry that is leaving, and it
     /// may lack an entry that has just started, which therefore is not marked as leaving.
-    pub fn platform(&mut self, now: Time, listed: &BTreeMap<CompactString, Listed>) {
-        for (name, entry) in &mut self.entries {
+    pub fn apply_platform_list(
+        &mut self,
+        now: Time,
+        listed: &BTreeMap<CompactString, PlatformStatus>,
+    ) {
+        for (name, member) in &mut self.members {
             match listed.get(name) {
-                Some(Listed::Live) => entry.gone_since = None,
-                Some(Listed::Leaving) => {
-                    entry.gone_since = None;
-                    entry.state = State::Leaving;
+                Some(PlatformStatus::Live) => member.gone_since = None,
+                Some(PlatformStatus::Leaving) => {
+                    member.gone_since = None;
+                    member.state = State::Leaving;
                 }
-                Some(Listed::Gone) => {
-                    entry.state = State::Leaving;
-                    entry.gone_since.get_or_insert(now);
+                Some(PlatformStatus::Gone) => {
+                    member.state = State::Leaving;
+                    member.gone_since.get_or_insert(now);
                 }
                 None => {
-                    entry.gone_since.get_or_insert(now);
+                    member.gone_since.get_or_insert(now);
                 }
             }
         }
@@ -153,103 +157,104 @@
     /// Entries whose member objects may be removed by others: name and incarnation. The removal
     /// must be conditional on that incarnation.
     pub fn removable(&self, now: Time) -> Vec<(CompactString, u64)> {
-        let gone = self.entries.iter().filter(|(_, entry)| {
-            entry
+        let gone = self.members.iter().filter(|(_, member)| {
+            member
                 .gone_since
-                .is_some_and(|since| now.since(since) >= GONE_GRACE)
+                .is_some_and(|since| now.since(since) >= REMOVAL_GRACE)
         });
-        gone.map(|(name, entry)| (name.clone(), entry.object.incarnation))
+        gone.map(|(name, member)| (name.clone(), member.object.incarnation))
             .collect()
     }
 
     /// The live entry that owns a key.
     pub fn owner(&self, key: u64) -> Option<&CompactString> {
-        self.live()
+        self.live_names()
             .max_by_key(|name| (hash::score(key, name), *name))
     }
 
     /// Up to `n` live entries for a key, the owner first. Growth by one entry moves at most one.
     pub fn subset(&self, key: u64, n: usize) -> Vec<&CompactString> {
-        let mut names: Vec<_> = self.live().collect();
+        let mut names: Vec<_> = self.live_names().collect();
         names.sort_by_cached_key(|name| Reverse((hash::score(key, name), *name)));
         names.truncate(n);
         names
     }
 
-    /// The entries that `own` opens links to. All others up to [`FULL_MESH`]; else at most
+    /// The entries that `own` opens links to. All others up to [`MAX_FULL_MESH_SIZE`]; else at most
     /// `n_zone` in its availability zone and `n_remote` outside, at distances 1, 2, 4, … on rings
     /// in hash order, so that the links connect all entries in few hops. Leaving entries keep
     /// their links: they still hold state. Both numbers must be at least 1.
     pub fn links(&self, own: &str, n_zone: usize, n_remote: usize) -> BTreeSet<CompactString> {
-        if self.entries.len() <= FULL_MESH {
+        if self.members.len() <= MAX_FULL_MESH_SIZE {
             return self
-                .entries
+                .members
                 .keys()
                 .filter(|name| *name != own)
                 .cloned()
                 .collect();
         }
-        let Some(zone) = self.entries.get(own).map(|e| &e.object.zone) else {
+        let Some(zone) = self.members.get(own).map(|e| &e.object.zone) else {
             return BTreeSet::new();
         };
         let ring = self.ring(own);
         let (near, far): (Vec<_>, Vec<_>) = ring
             .into_iter()
-            .partition(|name| self.entries[*name].object.zone == *zone);
-        let mut links = fingers(&near, n_zone);
-        links.extend(fingers(&far, n_remote));
+            .partition(|name| self.members[*name].object.zone == *zone);
+        let mut links = ring_fingers(&near, n_zone);
+        links.extend(ring_fingers(&far, n_remote));
         links
     }
 
-    /// How to bring a message to many: each alone up to [`FULL_MESH`], else by relays of their own
+    /// How to bring a message to many: each alone up to [`MAX_FULL_MESH_SIZE`], else by relays of their own
     /// availability zone. Another `attempt` takes other relays, so a dead one does not stop it.
-    pub fn branches(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<Branch> {
-        let alone = |name: &CompactString| Branch {
+    pub fn relay_groups(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
+        let alone = |name: &CompactString| RelayGroup {
             relay: name.clone(),
             leaves: BTreeSet::new(),
         };
-        if to.len() <= FULL_MESH {
+        if to.len() <= MAX_FULL_MESH_SIZE {
             return to.iter().map(alone).collect();
         }
         let mut zones = BTreeMap::<_, Vec<_>>::new();
-        let mut branches = Vec::new();
+        let mut groups = Vec::new();
         for name in to {
-            match self.entries.get(name) {
-                Some(entry) => zones.entry(&entry.object.zone).or_default().push(name),
-                None => branches.push(alone(name)),
+            match self.members.get(name) {
+                Some(member) => zones.entry(&member.object.zone).or_default().push(name),
+                None => groups.push(alone(name)),
             }
         }
         for mut names in zones.into_values() {
             names.sort_by_cached_key(|name| hash::score(attempt, name));
-            branches.extend(names.chunks(BRANCH + 1).map(|chunk| Branch {
+            groups.extend(names.chunks(MAX_RELAY_LEAVES + 1).map(|chunk| RelayGroup {
                 relay: chunk[0].clone(),
                 leaves: chunk[1..].iter().map(|name| (*name).clone()).collect(),
             }));
         }
-        branches
+        groups
     }
 
-    fn live(&self) -> impl Iterator<Item = &CompactString> {
+    fn live_names(&self) -> impl Iterator<Item = &CompactString> {
         let live = self
-            .entries
+            .members
             .iter()
-            .filter(|(_, entry)| entry.state == State::Live);
+            .filter(|(_, member)| member.state == State::Live);
         live.map(|(name, _)| name)
     }
 
     /// The other entries in hash order, starting after `own`.
     fn ring(&self, own: &str) -> Vec<&CompactString> {
-        let place = |name: &str| hash::stable(name.as_bytes());
-        let mut names: Vec<_> = self.entries.keys().filter(|name| *name != own).collect();
-        names.sort_by_cached_key(|name| (place(name), *name));
-        let start = names.partition_point(|name| (place(name), name.as_str()) < (place(own), own));
+        let position = |name: &str| hash::stable(name.as_bytes());
+        let mut names: Vec<_> = self.members.keys().filter(|name| *name != own).collect();
+        names.sort_by_cached_key(|name| (position(name), *name));
+        let start =
+            names.partition_point(|name| (position(name), name.as_str()) < (position(own), own));
         names.rotate_left(start);
         names
     }
 }
 
 /// The entries at distances 1, 2, 4, … of a ring.
-fn fingers(ring: &[&CompactString], n: usize) -> BTreeSet<CompactString> {
+fn ring_fingers(ring: &[&CompactString], n: usize) -> BTreeSet<CompactString> {
     let distances = (0..n).map_while(|i| 1usize.checked_shl(u32::try_from(i).ok()?));
     distances
         .map_while(|distance| ring.get(distance - 1))
--- a/crates/pinereel_core/tests/member_view.rs
+++ b/crates/pinereel_core/tests/member_view.rs
@@ -4,7 +4,7 @@
 use pinereel_core::{
     Time,
     hash::stable,
-    member::{BRANCH, FULL_MESH, Listed, Object, State, View},
+    member::{MAX_FULL_MESH_SIZE, MAX_RELAY_LEAVES, Object, PlatformStatus, State, View},
 };
 use proptest::{
     prelude::*,
@@ -23,7 +23,7 @@
 
 fn view(count: usize, zones: usize) -> View {
     let mut view = View::new();
-    view.list((0..count).map(|i| object(i, zones, 1)));
+    view.replace_all((0..count).map(|i| object(i, zones, 1)));
     view
 }
 
@@ -40,28 +40,31 @@
 #[test]
 fn leaving_is_final_for_an_incarnation() {
     let mut view = view(3, 3);
-    view.leave("e1", 1);
-    let live = BTreeMap::from([("e1".into(), Listed::Live)]);
-    view.platform(Time::ZERO, &live);
-    view.add(object(1, 3, 1));
-    view.list((0..3).map(|i| object(i, 3, 1)));
-    assert_eq!(view.entries()["e1"].state, State::Leaving);
-    view.add(object(1, 3, 2));
-    view.leave("e1", 1);
-    assert_eq!(view.entries()["e1"].state, State::Live);
-    view.add(object(1, 3, 1));
-    assert_eq!(view.entries()["e1"].object.incarnation, 2);
+    view.mark_leaving("e1", 1);
+    let live = BTreeMap::from([("e1".into(), PlatformStatus::Live)]);
+    view.apply_platform_list(Time::ZERO, &live);
+    view.insert(object(1, 3, 1));
+    view.replace_all((0..3).map(|i| object(i, 3, 1)));
+    assert_eq!(view.members()["e1"].state, State::Leaving);
+    view.insert(object(1, 3, 2));
+    view.mark_leaving("e1", 1);
+    assert_eq!(view.members()["e1"].state, State::Live);
+    view.insert(object(1, 3, 1));
+    assert_eq!(view.members()["e1"].object.incarnation, 2);
 }
 
 #[test]
 fn removal_needs_an_unbroken_grace() {
     let mut view = view(2, 2);
-    let both = BTreeMap::from([("e0".into(), Listed::Live), ("e1".into(), Listed::Live)]);
-    let lacks = BTreeMap::from([("e0".into(), Listed::Live)]);
-    view.platform(Time::from_millis(0), &lacks);
+    let both = BTreeMap::from([
+        ("e0".into(), PlatformStatus::Live),
+        ("e1".into(), PlatformStatus::Live),
+    ]);
+    let lacks = BTreeMap::from([("e0".into(), PlatformStatus::Live)]);
+    view.apply_platform_list(Time::from_millis(0), &lacks);
     assert_eq!(view.removable(Time::from_millis(9_999)), []);
-    view.platform(Time::from_millis(9_000), &both);
-    view.platform(Time::from_millis(9_500), &lacks);
+    view.apply_platform_list(Time::from_millis(9_000), &both);
+    view.apply_platform_list(Time::from_millis(9_500), &lacks);
     assert_eq!(view.removable(Time::from_millis(19_499)), []);
     assert_eq!(
         view.removable(Time::from_millis(19_500)),
@@ -73,7 +76,7 @@
 fn links_at_the_target_size() {
     let view = view(350, 9);
     let links: Vec<_> = view
-        .entries()
+        .members()
         .keys()
         .map(|name| view.links(name, 4, 4))
         .collect();
@@ -85,11 +88,11 @@
     let opened = links.iter().map(BTreeSet::len).max();
     let graph = graph(&view);
     let hops = graph.keys().map(|from| hops(&graph, from)).max();
-    let branches = view.branches(&view.entries().keys().cloned().collect(), 0);
+    let groups = view.relay_groups(&view.members().keys().cloned().collect(), 0);
     let report = format!(
         "opened {opened:?}, taken {:?}, hops {hops:?}, branches {}",
         taken.values().max(),
-        branches.len()
+        groups.len()
     );
     insta::assert_snapshot!(report, @"opened Some(8), taken Some(12), hops Some(4), branches 18");
 }
@@ -99,7 +102,7 @@
 /// The links of all entries, in both directions.
 fn graph(view: &View) -> Graph {
     let mut graph = Graph::new();
-    for name in view.entries().keys() {
+    for name in view.members().keys() {
         for peer in view.links(name, 4, 4) {
             graph.entry(peer.clone()).or_default().insert(name.clone());
             graph.entry(name.clone()).or_default().insert(peer);
@@ -147,22 +150,22 @@
     #[test]
     fn branches_reach_each_once(count in 1usize..200, zones in 1usize..9, attempt: u64) {
         let view = view(count, zones);
-        let mut to: BTreeSet<CompactString> = view.entries().keys().cloned().collect();
+        let mut to: BTreeSet<CompactString> = view.members().keys().cloned().collect();
         to.insert("unknown".into());
-        let branches = view.branches(&to, attempt);
-        let leaves = branches.iter().flat_map(|b| &b.leaves);
-        let all: Vec<_> = branches.iter().map(|b| &b.relay).chain(leaves).collect();
+        let groups = view.relay_groups(&to, attempt);
+        let leaves = groups.iter().flat_map(|group| &group.leaves);
+        let all: Vec<_> = groups.iter().map(|group| &group.relay).chain(leaves).collect();
         prop_assert_eq!(all.len(), to.len());
         prop_assert!(all.iter().all(|name| to.contains(*name)));
-        prop_assert!(branches.iter().all(|b| b.leaves.len() <= BRANCH));
-        prop_assert!(to.len() > FULL_MESH || branches.len() == to.len());
+        prop_assert!(groups.iter().all(|group| group.leaves.len() <= MAX_RELAY_LEAVES));
+        prop_assert!(to.len() > MAX_FULL_MESH_SIZE || groups.len() == to.len());
     }
 }
 
 #[test]
 fn owners_are_spread_and_leave_no_leaver() {
     let mut view = view(9, 3);
-    view.leave("e4", 1);
+    view.mark_leaving("e4", 1);
     let mut owned = BTreeMap::<CompactString, usize>::new();
     for key in 0..9_000u64 {
         let owner = view
--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -165,7 +165,7 @@
     let (mut subsets, mut links, mut all) = (Vec::new(), Vec::new(), Vec::new());
     for count in [9, 90, 180, 350] {
         let mut view = View::new();
-        view.list((0..count).map(|i| member::Object {
+        view.replace_all((0..count).map(|i| member::Object {
             name: format_compact!("entry-{i}"),
             incarnation: 1,
             address: format_compact!("10.0.0.{i}:7000"),
@@ -181,7 +181,7 @@
         let linked = || view.links("entry-0", LINKS.0, LINKS.1).len();
         links.push((x, micros(linked)));
         let wanting = || {
-            let others = view.entries().keys();
+            let others = view.members().keys();
             others
                 .filter(|name| view.links(name, LINKS.0, LINKS.1).contains("entry-0"))
                 .count()
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -7,7 +7,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel::{entry::Entry, settings::Settings};
 use pinereel_api::object::{CONFIG, CONFIG_NAME, Instance, Presence};
-use pinereel_core::{config::Document, member::FULL_MESH};
+use pinereel_core::{config::Document, member::MAX_FULL_MESH_SIZE};
 use std::{
     fs, io,
     net::SocketAddr,
@@ -202,8 +202,8 @@
             self.entries.iter().all(|entry| {
                 let shared = &entry.shared;
                 let links = shared.mesh.linked().len() + 1;
-                let linked = links >= count || (count > FULL_MESH && links > 1);
-                let met = shared.members.view().entries().len() >= count;
+                let linked = links >= count || (count > MAX_FULL_MESH_SIZE && links > 1);
+                let met = shared.members.view().members().len() >= count;
                 let endpoints = shared.endpoints.list.endpoints().len();
                 let all = endpoints >= self.engines.len() + self.services.len();
                 let known = all && shared.endpoints.settled();
--- a/crates/pinereel_fakes/tests/claims/mod.rs
+++ b/crates/pinereel_fakes/tests/claims/mod.rs
@@ -287,7 +287,7 @@
     let count = site.entries.len();
     let known = || {
         let mut entries = site.entries.iter();
-        entries.all(|entry| entry.shared.members.view().entries().len() == count)
+        entries.all(|entry| entry.shared.members.view().members().len() == count)
     };
     until(known).await.unwrap();
 }
