--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -167,7 +167,7 @@
         let identity = identity();
         self.step(Source::Own, |register, now| {
             let mut changes = register.ended(now, identity);
-            changes.extend(register.answered(now, &start, now.before(took)));
+            changes.extend(register.answered(now, &start, now.earlier_by(took)));
             changes
         });
     }
--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -158,7 +158,7 @@
 
     /// Other calls of this instance have shown that the store became reachable again `ago`.
     pub fn note_store_recovered(&mut self, now: Time, ago: Duration) {
-        self.store_recovered_at = self.store_recovered_at.max(Some(now.before(ago)));
+        self.store_recovered_at = self.store_recovered_at.max(Some(now.earlier_by(ago)));
     }
 
     /// Sets how long this candidate waits once the lease is free; see [`Rank`](super::Rank).
--- a/crates/pinereel_core/src/time.rs
+++ b/crates/pinereel_core/src/time.rs
@@ -30,7 +30,7 @@
     }
 
     /// The moment `span` earlier; the clock's start if that is later.
-    pub fn before(self, span: Duration) -> Self {
+    pub fn earlier_by(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
