--- a/crates/pinereel/src/controllers/lots/placement.rs
+++ b/crates/pinereel/src/controllers/lots/placement.rs
@@ -29,7 +29,9 @@
     let mut placed: BTreeMap<CompactString, Vec<u32>> = BTreeMap::new();
     for group in groups {
         let key = key ^ u64::from(group);
-        let owner = runners.iter().max_by_key(|name| hash::score(key, name));
+        let owner = runners
+            .iter()
+            .max_by_key(|name| hash::rendezvous(key, name));
         if let Some(owner) = owner {
             placed.entry(owner.clone()).or_default().push(group);
         }
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -288,9 +288,9 @@
 pub fn watches(shared: &Shared) -> bool {
     let view = shared.members.view();
     let key = hash::stable(b"config");
-    let own = hash::score(key, shared.name());
+    let own = hash::rendezvous(key, shared.name());
     let before = view.members().values().filter(|entry| {
-        let better = hash::score(key, &entry.object.name) > own;
+        let better = hash::rendezvous(key, &entry.object.name) > own;
         better && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
     });
     before.count() < WATCHERS
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -384,7 +384,10 @@
 
     /// Keeps instances that start together from looking together.
     fn jitter(&self, duty: &str) -> Duration {
-        spread(hash::score(hash::stable(duty.as_bytes()), &self.instance))
+        spread(hash::rendezvous(
+            hash::stable(duty.as_bytes()),
+            &self.instance,
+        ))
     }
 
     /// How long this instance lets others go first.
--- a/crates/pinereel_core/src/endpoint/subset.rs
+++ b/crates/pinereel_core/src/endpoint/subset.rs
@@ -51,11 +51,11 @@
     let local = me.zone == zone;
     let count = if local { cover.local } else { cover.remote };
     let key = hash::stable(endpoint.as_bytes());
-    let mine = (hash::score(key, me.name), me.name);
+    let mine = (hash::rendezvous(key, me.name), me.name);
     let better = entries
         .iter()
         .filter(|e| (e.zone == zone) == local)
-        .filter(|e| (hash::score(key, e.name), e.name) > mine)
+        .filter(|e| (hash::rendezvous(key, e.name), e.name) > mine)
         .take(count)
         .count();
     better < count
--- a/crates/pinereel_core/src/hash.rs
+++ b/crates/pinereel_core/src/hash.rs
@@ -41,7 +41,7 @@
 }
 
 /// The rendezvous score of `node` for `key`; the node with the highest score owns the key.
-pub fn score(key: u64, node: &str) -> u64 {
+pub fn rendezvous(key: u64, node: &str) -> u64 {
     mix(key ^ stable(node.as_bytes()))
 }
 
--- a/crates/pinereel_core/src/lease/candidate/step.rs
+++ b/crates/pinereel_core/src/lease/candidate/step.rs
@@ -226,7 +226,7 @@
     /// Scales `base` by a pseudo-random factor between 3/4 and 5/4, so that candidates do not call in
     /// step.
     fn with_jitter(&self, base: Duration) -> Duration {
-        let spread = hash::score(self.write_count, &self.id) % 512;
+        let spread = hash::rendezvous(self.write_count, &self.id) % 512;
         base * (768 + u32::try_from(spread).expect("below 512")) / 1024
     }
 }
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -64,7 +64,7 @@
         let mut free: Vec<_> = free.collect();
         free.sort_by_cached_key(|(key, e)| {
             let tie = if self.policy.spread {
-                hash::score(turn, key)
+                hash::rendezvous(turn, key)
             } else {
                 0
             };
@@ -426,5 +426,5 @@
 }
 
 fn seed(lot: hash::Digest, index: u32) -> u64 {
-    hash::score(u64::from(index), &lot.to_string())
+    hash::rendezvous(u64::from(index), &lot.to_string())
 }
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -169,13 +169,13 @@
     /// The live entry that owns a key.
     pub fn owner(&self, key: u64) -> Option<&CompactString> {
         self.live_names()
-            .max_by_key(|name| (hash::score(key, name), *name))
+            .max_by_key(|name| (hash::rendezvous(key, name), *name))
     }
 
     /// Up to `n` live entries for a key, the owner first. Growth by one entry moves at most one.
     pub fn subset(&self, key: u64, n: usize) -> Vec<&CompactString> {
         let mut names: Vec<_> = self.live_names().collect();
-        names.sort_by_cached_key(|name| Reverse((hash::score(key, name), *name)));
+        names.sort_by_cached_key(|name| Reverse((hash::rendezvous(key, name), *name)));
         names.truncate(n);
         names
     }
@@ -224,7 +224,7 @@
             }
         }
         for mut names in zones.into_values() {
-            names.sort_by_cached_key(|name| hash::score(attempt, name));
+            names.sort_by_cached_key(|name| hash::rendezvous(attempt, name));
             groups.extend(names.chunks(MAX_RELAY_LEAVES + 1).map(|chunk| RelayGroup {
                 relay: chunk[0].clone(),
                 leaves: chunk[1..].iter().map(|name| (*name).clone()).collect(),
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -239,6 +239,6 @@
 
 /// `wait` made longer by up to a quarter, by the engine's name, so that retries don't bunch.
 fn spread(wait: Duration, name: &str, turn: u32) -> Duration {
-    let share = (hash::score(u64::from(turn), name) % 256) as u32;
+    let share = (hash::rendezvous(u64::from(turn), name) % 256) as u32;
     wait + wait * share / 1024
 }
--- a/crates/pinereel_core/src/rollout/share.rs
+++ b/crates/pinereel_core/src/rollout/share.rs
@@ -53,7 +53,7 @@
     let mut shares = BTreeMap::new();
     for (key, engine) in ordered {
         let open = demands.iter().enumerate().filter(|(at, _)| room[*at] > 0);
-        let best = open.max_by_key(|(_, demand)| hash::score(key, &demand.model));
+        let best = open.max_by_key(|(_, demand)| hash::rendezvous(key, &demand.model));
         if let Some((at, demand)) = best {
             room[at] -= 1;
             shares.insert(engine, demand.model.clone());
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -145,7 +145,7 @@
 }
 
 fn length(prompt: &str, seed: u64) -> u32 {
-    1 + (hash::score(seed, prompt) % u64::from(MAX_TOKENS)) as u32
+    1 + (hash::rendezvous(seed, prompt) % u64::from(MAX_TOKENS)) as u32
 }
 
 /// The scoring service: any change of the text changes it.
@@ -154,7 +154,7 @@
 }
 
 fn word(prompt: &str, seed: u64, at: u32) -> String {
-    format!(" {}", hash::score(seed ^ u64::from(at), prompt) % 97)
+    format!(" {}", hash::rendezvous(seed ^ u64::from(at), prompt) % 97)
 }
 
 impl World {
@@ -549,7 +549,7 @@
 /// The oracle: whole text, true spans, fresh enough.
 fn judge(sample: &Sample, version: Version, bound: u64) {
     let prompt = prompt(sample.index / MATES);
-    let seed = hash::score(u64::from(sample.index), &digest().to_string());
+    let seed = hash::rendezvous(u64::from(sample.index), &digest().to_string());
     let (mut reused, mut output, mut plain) = (Vec::new(), Vec::new(), String::new());
     let mut tokens = 0;
     for token in sample.text.split_terminator(' ').skip(1) {
--- a/crates/pinereel_fakes/src/experiment/collect.rs
+++ b/crates/pinereel_fakes/src/experiment/collect.rs
@@ -77,7 +77,7 @@
             let key = key ^ u64::from(group.index);
             let best = runners
                 .iter()
-                .max_by_key(|(_, e)| hash::score(key, &e.name));
+                .max_by_key(|(_, e)| hash::rendezvous(key, &e.name));
             let best = best.map(|(owner, _)| *owner);
             let moved = self.moved.get(&(trainer, step, group.index)).copied();
             let moved = moved.filter(|owner| self.policy.sticky && !away.contains(owner));
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -92,7 +92,7 @@
 
 /// The data of one event of an item: the same at every engine and version.
 pub fn data(item: &str, number: u64) -> String {
-    format!("{:016x}", hash::score(number, item))
+    format!("{:016x}", hash::rendezvous(number, item))
 }
 
 /// An item's whole text.
