--- a/crates/pinereel_core/src/hash.rs
+++ b/crates/pinereel_core/src/hash.rs
@@ -1,9 +1,10 @@
-//! Stable hashes: the same on every instance and in every build.
+//! Hashes that are the same on every instance and in every build, for digests, rendezvous hashing and
+//! jitter.
 
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// First 16 bytes of a SHA-256, used to compare bodies and lots.
+/// The first 16 bytes of a SHA-256 hash. Used to compare request bodies and lots.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -28,7 +29,7 @@
     }
 }
 
-/// A 64-bit hash of `bytes` (FNV-1a with a finishing mix), stable across builds.
+/// A 64-bit hash of `bytes`: FNV-1a with the finalizer of [`mix`].
 pub fn stable(bytes: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -40,12 +41,13 @@
     mix(hash)
 }
 
-/// The rendezvous score of `node` for `key`; the node with the highest score owns the key.
+/// The rendezvous (highest random weight) score of `node` for `key`: the node with the highest score
+/// owns the key.
 pub fn rendezvous(key: u64, node: &str) -> u64 {
     mix(key ^ stable(node.as_bytes()))
 }
 
-/// The finishing step of MurmurHash3, which spreads every input bit over all output bits.
+/// The finalizer of MurmurHash3, which spreads each input bit over all output bits.
 pub const fn mix(mut x: u64) -> u64 {
     x ^= x >> 33;
     x = x.wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -1,8 +1,9 @@
-//! Which entries there are, who owns a key, and who talks to whom.
+//! Membership: the known entries, the owner of a key, and the links and relays between entries.
 //!
-//! The view is built from the member objects, the platform's lagging list and peers' hints. It is
-//! used for placing work and links only. Who must confirm a patch is never read from here but
-//! from the member objects themselves.
+//! An entry is an instance that runs the entry daemon. The [`View`] is built from the member objects, the
+//! platform's list, which lags, and hints of peers. It serves only to place work and links. The set of
+//! entries that must confirm a configuration patch is read from the member objects themselves, never
+//! from here.
 
 use crate::{Time, hash};
 use compact_str::CompactString;
@@ -13,68 +14,69 @@
     time::Duration,
 };
 
-/// Up to so many entries every one is linked with every other.
+/// Most entries that are linked in a full mesh.
 pub const MAX_FULL_MESH_SIZE: usize = 16;
-/// Most instances that one relay passes a message to.
+/// Most instances to which one relay forwards a message.
 pub const MAX_RELAY_LEAVES: usize = 20;
-/// So long the platform must have said "gone" before another entry may remove a member object.
+/// How long the platform must have reported an entry as gone, without a break, before another entry
+/// may remove its member object.
 pub const REMOVAL_GRACE: Duration = Duration::from_secs(10);
 
-/// Content of a member object, written by the entry itself when it starts.
+/// Content of a member object, which each entry writes when it starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// The entry's name, unique among the instances that run at a time.
+    /// Name of the entry, unique among the instances that run at a time.
     pub name: CompactString,
-    /// Changes with each start; later starts have higher ones.
+    /// Incarnation of the entry; higher with each start.
     pub incarnation: u64,
-    /// Where its peer listener is, as `IP:PORT`.
+    /// Address of its listener for peers, as `IP:PORT`.
     pub address: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
 }
 
-/// What is known of an entry's life.
+/// Whether an entry takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// It takes new work.
     Live,
-    /// It takes no new work. Final for the incarnation.
+    /// It takes no new work. This state is final for the incarnation.
     Leaving,
 }
 
-/// One known entry.
+/// One entry of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its member object.
     pub object: Object,
     /// Whether it takes new work.
     pub state: State,
-    /// Since when the platform's list has said, without a break, that it is gone.
+    /// Since when the platform has reported it as gone, without a break.
     pub gone_since: Option<Time>,
 }
 
-/// What the platform's list says of an instance.
+/// State of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformStatus {
     /// It runs.
     Live,
     /// It is about to be stopped.
     Leaving,
-    /// It runs no more. Instances that the list lacks count as gone.
+    /// It no longer runs. An instance missing from the list counts as gone, too.
     Gone,
 }
 
-/// A relay, and the instances that it passes a message to.
+/// A relay and the instances to which it forwards a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayGroup {
-    /// Gets the message and passes it on.
+    /// Receives the message and forwards it.
     pub relay: CompactString,
-    /// The others of the branch, in order of their names.
+    /// The receivers, in order of their names.
     pub leaves: BTreeSet<CompactString>,
 }
 
-/// The entries that one entry knows of.
+/// The entries known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     members: BTreeMap<CompactString, Member>,
@@ -93,7 +95,7 @@
         &self.members
     }
 
-    /// Takes a whole list of member objects: entries that it lacks are forgotten.
+    /// Applies a complete list of member objects; entries missing from it are dropped.
     pub fn replace_all(&mut self, objects: impl IntoIterator<Item = Object>) {
         let mut names = BTreeSet::new();
         for object in objects {
@@ -103,7 +105,7 @@
         self.members.retain(|name, _| names.contains(name));
     }
 
-    /// Takes one member object; an older incarnation than the known one is ignored.
+    /// Applies one member object. An incarnation that is not newer than the known one is ignored.
     pub fn insert(&mut self, object: Object) {
         let known = self.members.get(&object.name).map(|e| e.object.incarnation);
         if known.is_some_and(|known| known >= object.incarnation) {
@@ -120,7 +122,8 @@
         );
     }
 
-    /// The entry, a peer or a refused connection says that this incarnation is leaving.
+    /// Marks an incarnation of an entry as leaving, as reported by itself, by a peer or by a refused
+    /// connection.
     pub fn mark_leaving(&mut self, name: &str, incarnation: u64) {
         if let Some(member) = self.members.get_mut(name)
             && member.object.incarnation == incarnation
@@ -129,8 +132,8 @@
         }
     }
 
-    /// Takes the platform's list. It lags: it may say "live" of an entry that is leaving, and it
-    /// may lack an entry that has just started, which therefore is not marked as leaving.
+    /// Applies the platform's list. The list lags: it may show an entry that is leaving as live, and it may
+    /// lack an entry that has just started. So an entry missing from it is not marked as leaving.
     pub fn apply_platform_list(
         &mut self,
         now: Time,
@@ -154,8 +157,8 @@
         }
     }
 
-    /// Entries whose member objects may be removed by others: name and incarnation. The removal
-    /// must be conditional on that incarnation.
+    /// Name and incarnation of the entries whose member objects other entries may remove. The removal must
+    /// be conditional on that incarnation.
     pub fn removable(&self, now: Time) -> Vec<(CompactString, u64)> {
         let gone = self.members.iter().filter(|(_, member)| {
             member
@@ -166,13 +169,13 @@
             .collect()
     }
 
-    /// The live entry that owns a key.
+    /// The live entry that owns `key`, by rendezvous hashing.
     pub fn owner(&self, key: u64) -> Option<&CompactString> {
         self.live_names()
             .max_by_key(|name| (hash::rendezvous(key, name), *name))
     }
 
-    /// Up to `n` live entries for a key, the owner first. Growth by one entry moves at most one.
+    /// Up to `n` live entries for `key`, the owner first. A new entry replaces at most one of them.
     pub fn subset(&self, key: u64, n: usize) -> Vec<&CompactString> {
         let mut names: Vec<_> = self.live_names().collect();
         names.sort_by_cached_key(|name| Reverse((hash::rendezvous(key, name), *name)));
@@ -180,10 +183,11 @@
         names
     }
 
-    /// The entries that `own` opens links to. All others up to [`MAX_FULL_MESH_SIZE`]; else at most
-    /// `n_zone` in its availability zone and `n_remote` outside, at distances 1, 2, 4, … on rings
-    /// in hash order, so that the links connect all entries in few hops. Leaving entries keep
-    /// their links: they still hold state. Both numbers must be at least 1.
+    /// The entries to which `own` opens links. With up to [`MAX_FULL_MESH_SIZE`] entries, these are all
+    /// others. With more, they are at most `n_zone` in its availability zone and `n_remote` outside, at
+    /// distances 1, 2, 4, … on rings in hash order (Chord fingers), so that the links connect all entries in
+    /// few hops. Both numbers must be at least 1. Leaving entries keep their links, as they still hold
+    /// state.
     pub fn links(&self, own: &str, n_zone: usize, n_remote: usize) -> BTreeSet<CompactString> {
         if self.members.len() <= MAX_FULL_MESH_SIZE {
             return self
@@ -205,8 +209,9 @@
         links
     }
 
-    /// How to bring a message to many: each alone up to [`MAX_FULL_MESH_SIZE`], else by relays of their own
-    /// availability zone. Another `attempt` takes other relays, so a dead one does not stop it.
+    /// How to send a message to many entries: directly up to [`MAX_FULL_MESH_SIZE`] receivers, otherwise
+    /// through relays in the receivers' availability zones. Each `attempt` picks other relays, so that a
+    /// dead relay does not block the message.
     pub fn relay_groups(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
         let alone = |name: &CompactString| RelayGroup {
             relay: name.clone(),
@@ -241,7 +246,7 @@
         live.map(|(name, _)| name)
     }
 
-    /// The other entries in hash order, starting after `own`.
+    /// All other entries in hash order, starting after `own`.
     fn ring(&self, own: &str) -> Vec<&CompactString> {
         let position = |name: &str| hash::stable(name.as_bytes());
         let mut names: Vec<_> = self.members.keys().filter(|name| *name != own).collect();
@@ -253,7 +258,7 @@
     }
 }
 
-/// The entries at distances 1, 2, 4, … of a ring.
+/// Up to `n` entries at distances 1, 2, 4, … of `ring`, as in a Chord finger table.
 fn ring_fingers(ring: &[&CompactString], n: usize) -> BTreeSet<CompactString> {
     let distances = (0..n).map_while(|i| 1usize.checked_shl(u32::try_from(i).ok()?));
     distances
--- a/crates/pinereel_core/src/routing_table.rs
+++ b/crates/pinereel_core/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, under one configuration.
+//! Routing table of one configuration: the route, the caller and the service of a request.
 
 use crate::hash;
 use compact_str::CompactString;
@@ -9,29 +9,29 @@
 };
 use std::collections::BTreeMap;
 
-/// A configuration, ready to be asked.
+/// The routing table of one configuration, indexed for lookups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
     document: Document,
-    /// Whose each key is; none if the configuration knows no workspaces.
+    /// The workspace of each API key; `None` if the configuration has no workspaces.
     workspace_by_key: Option<BTreeMap<KeyDigest, CompactString>>,
 }
 
-/// A request has no key that the configuration knows, and needs one.
+/// Why a request to a route that is not public is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccessError {
-    /// It has none.
+    /// The request has no key.
     #[error("no key")]
     MissingKey,
-    /// The configuration does not know the key, or not any more.
+    /// No workspace of the configuration has the key; it may have been removed.
     #[error("unknown key")]
     UnknownKey,
 }
 
 impl RoutingTable {
-    /// The table of `document`.
+    /// Builds the routing table of `document`.
     pub fn new(mut document: Document) -> Self {
-        // The longest prefix wins, so it is looked at first.
+        // The longest prefix wins, so it comes first.
         document
             .routes
             .sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -48,10 +48,11 @@
         }
     }
 
-    /// On whose behalf a request with that key is made. `public` says that it needs none.
+    /// The caller on whose behalf a request with `key` is made. `public` tells that its route needs no
+    /// key. Without workspaces in the configuration, every request is accepted.
     ///
     /// # Errors
-    /// If it may not run.
+    /// If the route needs a key, and the key is missing or unknown.
     pub fn authenticate(
         &self,
         key: Option<&KeyDigest>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// On whose behalf a request is made that this side makes itself and that needs no workspace.
+    /// The caller of a request that this instance makes itself and that belongs to no workspace.
     pub const fn internal_caller(&self) -> Caller {
         match self.workspace_by_key {
             Some(_) => Caller::Anonymous,
@@ -76,19 +77,18 @@
         }
     }
 
-    /// Number of the configuration.
+    /// Version number of the configuration.
     pub const fn number(&self) -> u64 {
         self.document.number
     }
 
-    /// The configuration itself, routes with longer prefixes first.
+    /// The configuration itself, with its routes sorted by the length of their prefixes, longest first.
     pub const fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The route of a request: of those of its host the one with the longest prefix of its path.
-    ///
-    /// `host` may carry a port, which means nothing here.
+    /// The route of a request: among the routes of its host, the one with the longest prefix of its path.
+    /// A port in `host` is ignored.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or_default();
         self.document
@@ -97,20 +97,20 @@
             .find(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(r.prefix.as_str()))
     }
 
-    /// The route of that name.
+    /// The route called `name`.
     pub fn route(&self, name: &str) -> Option<&Route> {
         self.document.routes.iter().find(|route| route.name == name)
     }
 
-    /// The service of that name.
+    /// The service called `name`.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let mut services = self.document.services.iter();
         services.find(|service| service.name == name)
     }
 }
 
-/// The service that runs a request of `route`. The same seed gets the same one; over many seeds
-/// each service gets its share.
+/// Picks one of the services of `route` by weight; `None` if all weights are zero. The same seed
+/// gives the same service, and over many seeds each service gets its share.
 pub fn pick_service(route: &Route, seed: u64) -> Option<&str> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     if total == 0 {
--- a/crates/pinereel_core/src/time.rs
+++ b/crates/pinereel_core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the core sees it: microseconds since an arbitrary start of the process's own clock.
+//! Monotonic time of one process, in microseconds since an arbitrary start.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -7,9 +7,9 @@
     time::Duration,
 };
 
-/// A moment on one process's monotonic clock, in microseconds since the clock's start.
+/// A time on the monotonic clock of one process, in microseconds since the start of that clock.
 ///
-/// Never compared between processes.
+/// Must not be compared between processes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,17 +19,17 @@
     /// The start of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// The moment `millis` milliseconds after the start of the clock.
+    /// The time `millis` milliseconds after the start of the clock.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies in the future.
+    /// The duration since `earlier`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` earlier; the clock's start if that is later.
+    /// The time `span` earlier, but not before the start of the clock.
     pub fn earlier_by(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
--- a/crates/pinereel_core/tests/member_view.rs
+++ b/crates/pinereel_core/tests/member_view.rs
@@ -1,4 +1,5 @@
-//! The membership view: leaving is final, links are few and connect all, relays reach all.
+//! The membership view: leaving is final for an incarnation, few links connect all entries, and relays
+//! reach each receiver once.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
@@ -111,7 +112,7 @@
     graph
 }
 
-/// The most links that lie between an entry and any other.
+/// The largest number of hops from an entry to any other.
 fn hops(graph: &Graph, from: &CompactString) -> usize {
     let mut reached = BTreeSet::from([from.clone()]);
     let mut edge = reached.clone();
@@ -119,7 +120,7 @@
     while reached.len() < graph.len() {
         let next: BTreeSet<_> = edge.iter().flat_map(|name| &graph[name]).cloned().collect();
         edge = next.difference(&reached).cloned().collect();
-        assert!(!edge.is_empty(), "not connected");
+        assert!(!edge.is_empty(), "the links do not connect all entries");
         reached.extend(edge.iter().cloned());
         count += 1;
     }
@@ -170,7 +171,7 @@
     for key in 0..9_000u64 {
         let owner = view
             .owner(stable(&key.to_le_bytes()))
-            .expect("there are live entries");
+            .expect("there is a live entry");
         *owned.entry(owner.clone()).or_default() += 1;
     }
     assert_eq!(owned.len(), 8);
--- a/crates/pinereel_core/tests/table_access.rs
+++ b/crates/pinereel_core/tests/table_access.rs
@@ -1,7 +1,8 @@
-//! Who may send a request, and on whose behalf it is made.
+//! Authentication of requests by the routing table.
 //!
-//! Requests ran under any key and under none: 3,617 of a quiet day named no workspace to their endpoint, and up to 63 a day ran with a
-//! key that had been taken away 4 s before.
+//! Guards against requests that run without a valid key. Without the check, 3,617 requests a day with
+//! low load reached an endpoint without a workspace, and up to 63 a day ran with a key that had been
+//! removed 4 s before.
 
 use pinereel_core::routing_table::{AccessError, RoutingTable};
 use pinereel_port::{
