--- a/crates/pinereel_core/src/hash.rs
+++ b/crates/pinereel_core/src/hash.rs
@@ -31,12 +31,12 @@
 
 /// A 64-bit hash of `bytes`: FNV-1a with the finalizer of [`mix`].
 pub fn stable(bytes: &[u8]) -> u64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0100_0000_01b3;
-    let mut hash = OFFSET;
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0100_0000_01b3;
+    let mut hash = FNV_OFFSET_BASIS;
     for byte in bytes {
         hash ^= u64::from(*byte);
-        hash = hash.wrapping_mul(PRIME);
+        hash = hash.wrapping_mul(FNV_PRIME);
     }
     mix(hash)
 }
