--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -111,12 +111,12 @@
     /// Splits `ranks`, whose first rank is this instance's own, into the ranks of each child's subtree.
     pub fn child_ranks(&self, ranks: RankRange, preferred: bool) -> Vec<(ChildKey, RankRange)> {
         let mut next = ranks.after(SubtreeSize::one(preferred));
-        let mut places = Vec::new();
+        let mut child_ranks = Vec::new();
         for (key, child) in &self.children {
-            places.push((key, next));
+            child_ranks.push((key, next));
             next = next.after(child.size);
         }
-        places
+        child_ranks
     }
 
     /// The standbys of this instance if it is the root: preferred children first, each in another zone as
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -14,9 +14,9 @@
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
 const NODE_COUNT: usize = 3;
-const DURATION_MS: u64 = 3_000;
-const MARGIN_MS: u64 = 200;
-const RETRY_MS: u64 = 400;
+const LEASE_DURATION_MS: u64 = 3_000;
+const CLOCK_MARGIN_MS: u64 = 200;
+const RETRY_INTERVAL_MS: u64 = 400;
 /// Step of virtual time while the last candidate recovers.
 const RECOVERY_STEP_MS: u64 = 50;
 
@@ -94,9 +94,9 @@
 struct Counts {
     cases: u64,
     steps: u64,
-    changes: u64,
-    late: u64,
-    corrected: u64,
+    holder_changes: u64,
+    late_effects: u64,
+    corrected_orders: u64,
     takeover_ms: u64,
 }
 
@@ -116,9 +116,9 @@
 
 fn timing() -> Timing {
     Timing {
-        duration: Duration::from_millis(DURATION_MS),
-        clock_margin: Duration::from_millis(MARGIN_MS),
-        retry_interval: Duration::from_millis(RETRY_MS),
+        duration: Duration::from_millis(LEASE_DURATION_MS),
+        clock_margin: Duration::from_millis(CLOCK_MARGIN_MS),
+        retry_interval: Duration::from_millis(RETRY_INTERVAL_MS),
     }
 }
 
@@ -182,7 +182,7 @@
             "fence {fence} of {id} after {:?}",
             self.last_acting
         );
-        self.counts.changes += u64::from(!same);
+        self.counts.holder_changes += u64::from(!same);
         self.last_acting = (*fence, id);
     }
 
@@ -275,7 +275,7 @@
             Op::ApplyLateCall { index } => {
                 if !self.late_calls.is_empty() {
                     let action = self.late_calls.remove(index % self.late_calls.len());
-                    self.counts.late += 1;
+                    self.counts.late_effects += 1;
                     self.effect(&action);
                 }
             }
@@ -300,7 +300,8 @@
         while self.fencing_token(at).is_none() {
             self.now += RECOVERY_STEP_MS;
             self.flush(at);
-            let bound = DURATION_MS + MARGIN_MS + 2 * RETRY_MS + 2 * RECOVERY_STEP_MS;
+            let bound =
+                LEASE_DURATION_MS + CLOCK_MARGIN_MS + 2 * RETRY_INTERVAL_MS + 2 * RECOVERY_STEP_MS;
             assert!(
                 self.now - began <= bound,
                 "no holder after {} ms",
@@ -313,7 +314,8 @@
             self.apply(Op::DeliverOrder { index: 0 });
         }
         let fence = self.fencing_token(at).unwrap();
-        self.counts.corrected += u64::from(self.ignoring.loaded_fence < self.checking.loaded_fence);
+        self.counts.corrected_orders +=
+            u64::from(self.ignoring.loaded_fence < self.checking.loaded_fence);
         self.order(fence);
         assert_eq!(
             (self.checking.loaded_fence, self.ignoring.loaded_fence),
@@ -338,7 +340,7 @@
         1 => at.clone().prop_map(|at| Op::Restart { at }),
         1 => at.prop_map(|at| Op::Drain { at }),
         6 => (1..700_u64).prop_map(|ms| Op::Advance { ms }),
-        2 => (DURATION_MS - 2 * MARGIN_MS..2 * DURATION_MS).prop_map(|ms| Op::Advance { ms }),
+        2 => (LEASE_DURATION_MS - 2 * CLOCK_MARGIN_MS..2 * LEASE_DURATION_MS).prop_map(|ms| Op::Advance { ms }),
     ];
     prop::collection::vec(op, 20..200)
 }
@@ -359,29 +361,29 @@
         let mut total = total.borrow_mut();
         total.cases += 1;
         total.steps += sim.counts.steps;
-        total.changes += sim.counts.changes;
-        total.late += sim.counts.late;
-        total.corrected += sim.counts.corrected;
+        total.holder_changes += sim.counts.holder_changes;
+        total.late_effects += sim.counts.late_effects;
+        total.corrected_orders += sim.counts.corrected_orders;
         total.takeover_ms = total.takeover_ms.max(sim.counts.takeover_ms);
         Ok(())
     });
     let Counts {
         cases,
         steps,
-        changes,
-        late,
-        corrected,
+        holder_changes,
+        late_effects,
+        corrected_orders,
         takeover_ms,
     } = total.into_inner();
     println!(
-        "cases {cases}, steps {steps}, holders {changes}, late effects {late}, \
-         late orders corrected {corrected}, longest takeover {takeover_ms} ms"
+        "cases {cases}, steps {steps}, holders {holder_changes}, late effects {late_effects}, \
+         late orders corrected {corrected_orders}, longest takeover {takeover_ms} ms"
     );
     if let Err(failure) = result {
         panic!("{failure}");
     }
     assert!(
-        changes > 0 && late > 0 && corrected > 0,
+        holder_changes > 0 && late_effects > 0 && corrected_orders > 0,
         "the run did not exercise the faults"
     );
 }
@@ -391,7 +393,7 @@
     let mut sim = Simulation::new();
     sim.flush(0);
     assert_eq!(sim.fencing_token(0), Some(1));
-    sim.now += DURATION_MS - MARGIN_MS;
+    sim.now += LEASE_DURATION_MS - CLOCK_MARGIN_MS;
     assert_eq!(
         sim.fencing_token(0),
         None,
