--- a/crates/pinereel_core/src/lease/cooldown.rs
+++ b/crates/pinereel_core/src/lease/cooldown.rs
@@ -17,8 +17,8 @@
 pub enum Cooldown {
     /// The previous holder recorded its cooldown: the new one may act from this time on.
     EndsAt(Time),
-    /// No cooldown was recorded, but the previous holder has not acted after this time. The caller adds
-    /// the gap that the duty needs.
+    /// No cooldown that applies was recorded, but the previous holder has not acted after this time. The
+    /// caller adds the gap that the duty needs.
     IdleSince(Time),
 }
 
--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -40,7 +40,7 @@
     size: SubtreeSize,
 }
 
-/// The children of one instance.
+/// The direct children of one instance, at most [`MAX_CHILDREN`].
 #[derive(Default)]
 pub struct Children {
     children: SlotMap<ChildKey, Child>,
@@ -93,11 +93,12 @@
         self.children.remove(key);
     }
 
+    /// Number of direct children, at most [`MAX_CHILDREN`].
     pub fn len(&self) -> usize {
         self.children.len()
     }
 
-    /// Whether there are no children.
+    /// Whether this instance is a leaf of the tree.
     pub fn is_empty(&self) -> bool {
         self.children.is_empty()
     }
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -170,9 +170,9 @@
             .is_some_and(|candidate| *candidate == self.own_address)
     }
 
-    /// Addresses to try for a parent, in this order: the holder of the duty, then from the last heartbeat
-    /// the root and the standbys before this instance, so that two standbys never wait for each other.
-    /// The current parent is left out: its data are too old.
+    /// Addresses to try for a parent, in this order: `holder`, which holds the duty to read the store, then
+    /// from the last heartbeat the root and the standbys before this instance, so that two standbys never
+    /// wait for each other. The current parent is left out: its data are too old.
     pub fn link_targets(&self, holder: Option<CompactString>) -> Vec<CompactString> {
         let parent = self
             .last_heartbeat
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -20,11 +20,16 @@
 /// Step of virtual time while the last candidate recovers.
 const RECOVERY_STEP_MS: u64 = 50;
 
+/// What becomes of a call to the store.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
+    /// It takes effect and is answered.
     Done,
+    /// It takes effect, and the answer is lost.
     Lost,
+    /// The answer is lost, and the call may take effect later.
     Late,
+    /// It takes no effect, and the answer is lost.
     Refused,
 }
 
