--- a/crates/pinereel_core/src/lease/rank.rs
+++ b/crates/pinereel_core/src/lease/rank.rs
@@ -12,14 +12,14 @@
 /// about seven write before the success of the first is known. A longer step would leave a duty
 /// without a holder for longer when the first followers have died.
 const TAKEOVER_STEP: Duration = Duration::from_millis(100);
-/// Most steps that a follower waits; those with higher ranks share the last step. A duty must not
-/// wait long for followers that have died, and eight dead ones at once are rare.
+/// Most steps that a follower waits; all that come later share the last step. A duty must not wait
+/// long for followers that have died, and eight dead ones at once are rare.
 const MAX_TAKEOVER_STEPS: u32 = 8;
 
 /// The rank of an instance among all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rank {
-    /// The rank, from 0. Preferred instances come first.
+    /// The rank itself, from 0. Preferred instances come first.
     pub number: u32,
     /// Number of preferred instances: those that should hold duties rather than the others.
     pub preferred: u32,
--- a/crates/pinereel_core/src/routing_table.rs
+++ b/crates/pinereel_core/src/routing_table.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The caller on whose behalf a request with `key` is made. `public` tells that its route needs no
+    /// The caller on whose behalf a request with `key` is made. `public` tells whether its route needs no
     /// key. Without workspaces in the configuration, every request is accepted.
     ///
     /// # Errors
--- a/crates/pinereel_core/src/tree/replay_buffer.rs
+++ b/crates/pinereel_core/src/tree/replay_buffer.rs
@@ -29,7 +29,7 @@
         };
     }
 
-    /// Appends the changes up to `revision`, and drops the oldest frames beyond [`MAX_FRAMES`] or
+    /// Appends the changes up to `revision`, and drops the oldest frames beyond `MAX_FRAMES` or
     /// `max_bytes` in total.
     pub fn push(&mut self, revision: u64, frame: Bytes, max_bytes: usize) {
         self.bytes += frame.len();
