--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -6,7 +6,10 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    tree::{Alive, Branch, Gate, Key, LEVEL, Own, Peer, Ranks, STALE, Uplink},
+    tree::{
+        ChildKey, Children, Heartbeat, MAX_AGE, MAX_AGE_PER_LEVEL, Peer, RankRange, RetryPacer,
+        StoreStatus, Uplink,
+    },
 };
 use pinereel_port::Adapter;
 use std::{
@@ -67,9 +70,9 @@
     pub(super) subscribed: BTreeSet<Topic>,
     /// Topics that were listed since this instance began to read the store.
     pub(super) listed: BTreeSet<Topic>,
-    pub(super) branch: Branch,
-    pub(super) gate: Gate,
-    pub(super) links: BTreeMap<Key, Link>,
+    pub(super) branch: Children,
+    pub(super) gate: RetryPacer,
+    pub(super) links: BTreeMap<ChildKey, Link>,
 }
 
 impl State {
@@ -112,10 +115,10 @@
     /// Sends all children to other parents, before this instance ends.
     pub fn leave(&self) {
         self.leaving.send_replace(true);
-        if self.uplink.borrow().leads() {
+        if self.uplink.borrow().reads_store() {
             // Until its end it hears and tells as a child of whoever stands in.
             let deputies = self.deputies();
-            self.uplink.borrow_mut().turn_to(deputies);
+            self.uplink.borrow_mut().set_parent_candidates(deputies);
         }
         let refer = Frame::Refer(self.targets());
         self.tell(&refer);
@@ -131,14 +134,14 @@
     }
 
     /// What this instance knows of the store itself: nothing before it has read every topic.
-    pub(super) fn own(&self) -> Own {
+    pub(super) fn own(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
         let store = &self.parts.store;
         let answered_ago = store.answered_ago();
-        Own {
+        StoreStatus {
             age: answered_ago.filter(|_| listed),
-            answers: answered_ago.is_some_and(|ago| ago < STALE),
-            calm: store.calm(),
+            is_answering: answered_ago.is_some_and(|ago| ago < MAX_AGE),
+            store_uptime: store.calm(),
         }
     }
 
@@ -158,18 +161,23 @@
 
     /// How much longer this instance stays with a parent whose news are not fresh.
     pub(super) fn patience(&self) -> Duration {
-        self.uplink.borrow().patience(self.now(), self.spare())
+        self.uplink
+            .borrow()
+            .remaining_grace(self.now(), self.spare())
     }
 
     /// Half of what the bound on a change leaves beyond the usual age of news; the other half is for finding another parent.
     fn spare(&self) -> Duration {
-        self.parts.leave_after.saturating_sub(STALE + LEVEL) / 2
+        self.parts
+            .leave_after
+            .saturating_sub(MAX_AGE + MAX_AGE_PER_LEVEL)
+            / 2
     }
 
     /// This instance begins to read the store itself.
     pub(super) fn begin_to_read(&self) {
         self.state.borrow_mut().listed.clear();
-        self.uplink.borrow_mut().lead(true);
+        self.uplink.borrow_mut().set_reads_store(true);
     }
 
     /// Sends a frame to all children; one that cannot take it is cut.
@@ -188,7 +196,7 @@
     }
 
     /// A child is linked.
-    pub(super) fn linked(&self, key: Key, link: Link) {
+    pub(super) fn linked(&self, key: ChildKey, link: Link) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
         self.state.borrow_mut().links.insert(key, link);
         topics.into_iter().for_each(|topic| self.subscribe(topic));
@@ -196,7 +204,7 @@
     }
 
     /// A child is gone.
-    pub(super) fn unlinked(&self, key: Key) {
+    pub(super) fn unlinked(&self, key: ChildKey) {
         let mut state = self.state.borrow_mut();
         state.links.remove(&key);
         state.branch.remove(key);
@@ -216,18 +224,18 @@
         let preferred = self.parts.peer.preferred;
         let ranks = self.ranks();
         if let Some(ranks) = ranks {
-            self.parts.feed.place(ranks.place(preferred));
+            self.parts.feed.place(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
-        if self.uplink.borrow().leads() {
-            self.parts.feed.set_calm(self.own().calm);
+        if self.uplink.borrow().reads_store() {
+            self.parts.feed.set_calm(self.own().store_uptime);
         }
         let Some(alive) = self.alive(ranks) else {
             return;
         };
-        let places = self.state.borrow().branch.ranks(ranks, preferred);
+        let places = self.state.borrow().branch.child_ranks(ranks, preferred);
         for (key, ranks) in places {
-            let alive = Alive {
+            let alive = Heartbeat {
                 ranks,
                 ..alive.clone()
             };
@@ -246,47 +254,49 @@
     }
 
     /// The heartbeat for children; none while there are no news, and none to be expected.
-    pub(super) fn alive(&self, ranks: Ranks) -> Option<Alive> {
+    pub(super) fn alive(&self, ranks: RankRange) -> Option<Heartbeat> {
         let (now, own) = (self.now(), self.own());
         let has_news = self.uplink.borrow().age(now, own).is_some();
         if !has_news && !self.is_fresh() && !self.is_recovering() {
             return None;
         }
         let uplink = self.uplink.borrow();
-        let deputies = match uplink.leads() {
+        let deputies = match uplink.reads_store() {
             true => self.deputies(),
             false => Vec::new(),
         };
-        Some(uplink.alive(now, own, ranks, deputies))
+        Some(uplink.heartbeat(now, own, ranks, deputies))
     }
 
     fn deputies(&self) -> Vec<CompactString> {
         let state = self.state.borrow();
-        state.branch.deputies(&self.parts.peer.zone)
+        state.branch.standbys(&self.parts.peer.zone)
     }
 
     /// The places of this instance and all below it; none without news.
-    fn ranks(&self) -> Option<Ranks> {
+    fn ranks(&self) -> Option<RankRange> {
         let ranks = self.find_ranks()?;
-        self.parts.usage.note_instances(ranks.of.all() as usize);
+        self.parts
+            .usage
+            .note_instances(ranks.total.count() as usize);
         Some(ranks)
     }
 
-    fn find_ranks(&self) -> Option<Ranks> {
+    fn find_ranks(&self) -> Option<RankRange> {
         let uplink = self.uplink.borrow();
-        if !uplink.leads() {
+        if !uplink.reads_store() {
             return uplink.ranks();
         }
         let preferred = self.parts.peer.preferred;
-        Some(Ranks {
-            of: self.state.borrow().branch.census(preferred),
-            ..Ranks::default()
+        Some(RankRange {
+            total: self.state.borrow().branch.subtree_size(preferred),
+            ..RankRange::default()
         })
     }
 
     /// Whom this instance may turn to for news.
     pub(super) fn targets(&self) -> Vec<CompactString> {
         let holder = self.parts.duties.address(super::DUTY);
-        self.uplink.borrow().targets(holder)
+        self.uplink.borrow().link_targets(holder)
     }
 }
--- a/crates/pinereel/src/hosted/bulletin/children.rs
+++ b/crates/pinereel/src/hosted/bulletin/children.rs
@@ -5,7 +5,7 @@
 };
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
-use pinereel_core::tree::{Admission, Key, Ranks};
+use pinereel_core::tree::{Admission, ChildKey, RankRange};
 use std::{collections::BTreeMap, rc::Rc, sync::Arc};
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -53,7 +53,7 @@
             return refuse(socket, &Frame::Refer(Vec::new())).await;
         }
         if !self.is_fresh() && !self.is_recovering() {
-            let wait = self.state.borrow_mut().gate.turn_away(self.now());
+            let wait = self.state.borrow_mut().gate.retry_after(self.now());
             return refuse(socket, &Frame::Later(wait)).await;
         }
         let admission = self.state.borrow_mut().branch.admit(peer);
@@ -73,12 +73,12 @@
     async fn serve(
         &self,
         mut socket: Socket,
-        key: Key,
+        key: ChildKey,
         topics: BTreeMap<Topic, u64>,
     ) -> &'static str {
         let (sender, mut frames) = mpsc::channel::<Bytes>(QUEUE);
         // Its place follows with the next sign of life.
-        let alive = self.alive(Ranks::default()).map(Frame::Alive);
+        let alive = self.alive(RankRange::default()).map(Frame::Alive);
         // Before the configuration and the list: what must not run is known before anything can.
         let crashes = self.known_crashes();
         for frame in alive.into_iter().chain(crashes) {
@@ -114,9 +114,9 @@
         }
     }
 
-    fn hear_child(&self, key: Key, bytes: &[u8]) {
+    fn hear_child(&self, key: ChildKey, bytes: &[u8]) {
         match Frame::decode(bytes) {
-            Some(Frame::Below(census)) => self.state.borrow_mut().branch.report(key, census),
+            Some(Frame::Below(census)) => self.state.borrow_mut().branch.set_size(key, census),
             Some(Frame::Subscribe { topic, revision }) => self.subscribed_by(key, topic, revision),
             Some(Frame::Crashes(reports)) => self.hear_crashes(reports),
             Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
--- a/crates/pinereel/src/hosted/bulletin/frame.rs
+++ b/crates/pinereel/src/hosted/bulletin/frame.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     crash::Report,
-    tree::{Alive, Census, Peer},
+    tree::{Heartbeat, Peer, SubtreeSize},
     usage,
 };
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
         calm: Duration,
     },
     /// The parent lives; the first frame that a child gets.
-    Alive(Alive),
+    Alive(Heartbeat),
     /// The first frame of a newcomer.
     Hello(Hello),
     /// A child wants one more topic, which it knows as of a revision.
@@ -77,7 +77,7 @@
         revision: u64,
     },
     /// A child says how many it and those below it are.
-    Below(Census),
+    Below(SubtreeSize),
     /// Requests under which endpoints crash: what is news to the sender, or all that it knows when the link
     /// is new. Goes up and down.
     Crashes(Vec<Report>),
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -7,7 +7,7 @@
 };
 use crate::hosted::duty::Standing;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
-use pinereel_core::tree::Census;
+use pinereel_core::tree::SubtreeSize;
 use pinereel_port::store::Freshness;
 use std::{rc::Rc, time::Duration};
 use tokio::{
@@ -89,7 +89,7 @@
     /// again; none if this instance has the duty.
     async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
         let has_children = !self.state.borrow().branch.is_empty();
-        let is_needed = has_children || self.uplink.borrow().is_deputy();
+        let is_needed = has_children || self.uplink.borrow().is_standby();
         if is_needed && !self.is_leaving() {
             return self.stand_in(standing).await;
         }
@@ -102,7 +102,7 @@
 
     /// Looks for a parent; none if this instance is the first to stand in for a root that is gone.
     async fn search_patiently(&self) -> Option<Link> {
-        if self.uplink.borrow().is_first_deputy() && !self.is_leaving() {
+        if self.uplink.borrow().is_first_standby() && !self.is_leaving() {
             return self.search_once().await;
         }
         Some(self.search(Needed::Any).await)
@@ -127,19 +127,23 @@
             ended = end => ended,
             () = self.read_store() => unreachable!("the store is followed for good"),
         };
-        self.uplink.borrow_mut().lead(false);
+        self.uplink.borrow_mut().set_reads_store(false);
         ended
     }
 
     /// Hears a parent's news as long as they are fresh.
     async fn stay(&self, mut link: Link, standing: &mut watch::Receiver<Standing>) -> Left {
         let address = link.address.clone();
-        if !self.uplink.borrow_mut().heard(self.now(), link.alive) {
+        if !self
+            .uplink
+            .borrow_mut()
+            .on_heartbeat(self.now(), link.alive)
+        {
             return Left::Lost;
         }
         let level = self.uplink.borrow().level();
         log::info!(address = address.as_str(), level; "bulletin: linked");
-        let mut told = Census::default();
+        let mut told = SubtreeSize::default();
         let mut better = OptionFuture::from(None);
         let mut is_stale = false;
         let mut heard_at = Instant::now();
@@ -203,7 +207,7 @@
             }
         };
         self.parts.feed.set_has_parent(false);
-        self.uplink.borrow_mut().lost();
+        self.uplink.borrow_mut().on_parent_lost();
         let why_text = why.as_str();
         log::info!(address = address.as_str(), why = why_text; "bulletin: link lost");
         why
@@ -225,7 +229,11 @@
         let (is_first, is_deputy, is_below_root) = {
             let uplink = self.uplink.borrow();
             let is_below_root = uplink.level() == 1;
-            (uplink.is_first_deputy(), uplink.is_deputy(), is_below_root)
+            (
+                uplink.is_first_standby(),
+                uplink.is_standby(),
+                is_below_root,
+            )
         };
         // Those further down have waited already.
         if !is_first && is_below_root {
@@ -248,9 +256,9 @@
         }
     }
 
-    fn census(&self) -> Census {
+    fn census(&self) -> SubtreeSize {
         let state = self.state.borrow();
-        state.branch.census(self.parts.peer.preferred)
+        state.branch.subtree_size(self.parts.peer.preferred)
     }
 
     /// Takes in what the parent says; says whether to stay with it.
@@ -291,8 +299,8 @@
                 if let Some(age) = alive.age {
                     metrics.observe(&metrics.ages, "news", age);
                 }
-                self.parts.feed.set_calm(alive.calm);
-                if !self.uplink.borrow_mut().heard(self.now(), alive) {
+                self.parts.feed.set_calm(alive.store_uptime);
+                if !self.uplink.borrow_mut().on_heartbeat(self.now(), alive) {
                     return false;
                 }
                 self.tell_alive();
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -17,7 +17,7 @@
     Time,
     batch::LotDemand,
     hash,
-    lease::{Action, Clear, Event, Holder, Limits, Place, unplaced_delay},
+    lease::{Action, Candidate, Cooldown, Event, Rank, Timing, unranked_takeover_delay},
 };
 use pinereel_port::store::Object;
 use std::{
@@ -36,14 +36,14 @@
 
 /// Times of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
 /// and an item must not wait for 5 s. A holder renews about every 0.7 s, which is one call.
-const LIMITS: Limits = Limits {
+const LIMITS: Timing = Timing {
     duration: Duration::from_millis(2_000),
-    margin: Duration::from_millis(200),
-    retry: Duration::from_millis(700),
+    clock_margin: Duration::from_millis(200),
+    retry_interval: Duration::from_millis(700),
 };
 
 /// Each duty that an instance holds already lets it wait so much longer before it takes another, so
-/// that they spread: about four turns of [`Place`], so that the loss of one instance seldom ends two
+/// that they spread: about four turns of [`Rank`], so that the loss of one instance seldom ends two
 /// duties.
 const HELD_DELAY: Duration = Duration::from_millis(400);
 /// An instance waits so long for each part that it lacks to [`AMPLE_CORES`].
@@ -110,7 +110,7 @@
     /// Somebody wants a look now.
     wanted: Notify,
     /// The place of this instance among all candidates, as it was last told.
-    place: Cell<Option<Place>>,
+    place: Cell<Option<Rank>>,
     /// Duties that are free, and that this instance is about to take.
     taking: RefCell<BTreeSet<CompactString>>,
     /// Candidates that wait for the next look.
@@ -267,11 +267,11 @@
 
     async fn run(&self, duty: &CompactString) {
         let prefix = format_compact!("{}/", self.instance);
-        let mut holder = Holder::new(self.now(), self.id.clone(), LIMITS)
-            .succeeding(prefix)
-            .reached_at(self.own_address.clone());
+        let mut holder = Candidate::new(self.now(), self.id.clone(), LIMITS)
+            .with_previous_id_prefix(prefix)
+            .with_address(self.own_address.clone());
         if let Some(span) = self.acts.borrow().get(duty) {
-            holder = holder.acting_for(*span);
+            holder = holder.with_max_acting_time(*span);
         }
         let mut told = false;
         let mut returns = self.store.returns();
@@ -291,21 +291,21 @@
                 return;
             }
             let now = self.now();
-            let mut next = holder.due().since(now);
-            if holder.acts(now).is_some() {
-                next = next.min(holder.until().since(now));
+            let mut next = holder.next_call_at().since(now);
+            if holder.fencing_token(now).is_some() {
+                next = next.min(holder.valid_until().since(now));
             }
             tokio::select! {
                 () = sleep(next.max(SHORTEST_SLEEP)) => {}
                 () = self.drain.notified() => {}
-                _ = returns.changed() => holder.hurry(self.now()),
+                _ = returns.changed() => holder.expedite(self.now()),
             }
             self.tell(duty, &holder);
         }
     }
 
     /// One event, and the calls that it leads to. Each action is carried out and answered.
-    async fn tick(&self, holder: &mut Holder, duty: &CompactString, event: Event) {
+    async fn tick(&self, holder: &mut Candidate, duty: &CompactString, event: Event) {
         let mut actions = self.step(holder, duty, event);
         while let Some(action) = actions.pop() {
             let event = self.call(holder, duty, action).await;
@@ -314,28 +314,29 @@
         }
     }
 
-    fn step(&self, holder: &mut Holder, duty: &CompactString, event: Event) -> Vec<Action> {
+    fn step(&self, holder: &mut Candidate, duty: &CompactString, event: Event) -> Vec<Action> {
         let place = self.place.get();
         let turn = place.map_or_else(
-            || unplaced_delay(self.is_preferred()),
-            |place| place.delay(duty),
+            || unranked_takeover_delay(self.is_preferred()),
+            |place| place.takeover_delay(duty),
         );
         if let Some((own, others)) = self.rests.borrow().get(duty) {
-            holder.set_rests(*own, *others);
+            holder.set_cooldown_ends(*own, *others);
         }
-        holder.set_turn(turn + self.modesty(duty));
+        holder.set_takeover_delay(turn + self.modesty(duty));
         if self.store.away_since().is_some() {
-            holder.note_away();
+            holder.note_store_unreachable();
         }
         let now = self.now();
         // A look that was asked for before the store was away may be answered now.
         if let Some(ago) = self.store.returned_ago() {
-            holder.note_return(now, ago);
+            holder.note_store_recovered(now, ago);
         }
         let actions = holder.step(now, event);
-        let takes = !holder.presumes() && actions.iter().any(|a| matches!(a, Action::Write { .. }));
+        let takes = !holder.is_presumed_holder()
+            && actions.iter().any(|a| matches!(a, Action::Write { .. }));
         let mut taking = self.taking.borrow_mut();
-        if takes || holder.awaits_turn(now) {
+        if takes || holder.awaits_takeover_delay(now) {
             taking.insert(duty.clone());
         } else {
             taking.remove(duty);
@@ -344,7 +345,7 @@
     }
 
     /// Publishes what the holder may do now.
-    fn tell(&self, duty: &CompactString, holder: &Holder) {
+    fn tell(&self, duty: &CompactString, holder: &Candidate) {
         let now = self.now();
         let joined = self.joined.borrow();
         let Some(sender) = joined.get(duty) else {
@@ -352,13 +353,16 @@
         };
         let stood = *sender.borrow();
         let before = stood.grant;
-        let grant = holder.acts(now).map(|fence| {
+        let grant = holder.fencing_token(now).map(|fence| {
             let known = before.filter(|grant| grant.fence == fence);
             let known = known.map(|grant| grant.clear);
             Grant {
                 fence,
-                until: holder.until(),
-                clear: holder.clear().or(known).unwrap_or(Clear::Idle(now)),
+                until: holder.valid_until(),
+                clear: holder
+                    .cooldown()
+                    .or(known)
+                    .unwrap_or(Cooldown::IdleSince(now)),
             }
         });
         if before.map(|grant| grant.fence) != grant.map(|grant| grant.fence) {
@@ -371,7 +375,7 @@
         }
         let standing = Standing {
             grant,
-            presumed: holder.presumes(),
+            presumed: holder.is_presumed_holder(),
         };
         if standing != stood {
             sender.send_replace(standing);
@@ -380,7 +384,10 @@
 
     /// Keeps instances that start together from looking together.
     fn jitter(&self, duty: &str) -> Duration {
-        spread(hash::score(hash::stable(duty.as_bytes()), &self.instance))
+        spread(hash::rendezvous(
+            hash::stable(duty.as_bytes()),
+            &self.instance,
+        ))
     }
 
     /// How long this instance lets others go first.
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -1,8 +1,9 @@
-//! Which entries there are, who owns a key, and who talks to whom.
+//! Membership: the known entries, the owner of a key, and the links and relays between entries.
 //!
-//! The view is built from the member objects, the platform's lagging list and peers' hints. It is
-//! used for placing work and links only. Who must confirm a patch is never read from here but
-//! from the member objects themselves.
+//! An entry is an instance that runs the entry daemon. The [`View`] is built from the member objects, the
+//! platform's list, which lags, and hints of peers. It serves only to place work and links. The set of
+//! entries that must confirm a configuration patch is read from the member objects themselves, never
+//! from here.
 
 use crate::{Time, hash};
 use compact_str::CompactString;
@@ -13,106 +14,107 @@
     time::Duration,
 };
 
-/// Up to so many entries every one is linked with every other.
-pub const FULL_MESH: usize = 16;
-/// Most instances that one relay passes a message to.
-pub const BRANCH: usize = 20;
-/// So long the platform must have said "gone" before another entry may remove a member object.
-pub const GONE_GRACE: Duration = Duration::from_secs(10);
+/// Most entries that are linked in a full mesh.
+pub const MAX_FULL_MESH_SIZE: usize = 16;
+/// Most instances to which one relay forwards a message.
+pub const MAX_RELAY_LEAVES: usize = 20;
+/// How long the platform must have reported an entry as gone, without a break, before another entry
+/// may remove its member object.
+pub const REMOVAL_GRACE: Duration = Duration::from_secs(10);
 
-/// Content of a member object, written by the entry itself when it starts.
+/// Content of a member object, which each entry writes when it starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// The entry's name, unique among the instances that run at a time.
+    /// Name of the entry, unique among the instances that run at a time.
     pub name: CompactString,
-    /// Changes with each start; later starts have higher ones.
+    /// Incarnation of the entry; higher with each start.
     pub incarnation: u64,
-    /// Where its peer listener is, as `IP:PORT`.
+    /// Address of its listener for peers, as `IP:PORT`.
     pub address: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
 }
 
-/// What is known of an entry's life.
+/// Whether an entry takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// It takes new work.
     Live,
-    /// It takes no new work. Final for the incarnation.
+    /// It takes no new work. This state is final for the incarnation.
     Leaving,
 }
 
-/// One known entry.
+/// One entry of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct Member {
     /// Its member object.
     pub object: Object,
     /// Whether it takes new work.
     pub state: State,
-    /// Since when the platform's list has said, without a break, that it is gone.
+    /// Since when the platform has reported it as gone, without a break.
     pub gone_since: Option<Time>,
 }
 
-/// What the platform's list says of an instance.
+/// State of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum PlatformStatus {
     /// It runs.
     Live,
     /// It is about to be stopped.
     Leaving,
-    /// It runs no more. Instances that the list lacks count as gone.
+    /// It no longer runs. An instance missing from the list counts as gone, too.
     Gone,
 }
 
-/// A relay, and the instances that it passes a message to.
+/// A relay and the instances to which it forwards a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Branch {
-    /// Gets the message and passes it on.
+pub struct RelayGroup {
+    /// Receives the message and forwards it.
     pub relay: CompactString,
-    /// The others of the branch, in order of their names.
+    /// The receivers, in order of their names.
     pub leaves: BTreeSet<CompactString>,
 }
 
-/// The entries that one entry knows of.
+/// The entries known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    entries: BTreeMap<CompactString, Entry>,
+    members: BTreeMap<CompactString, Member>,
 }
 
 impl View {
     /// An empty view.
     pub const fn new() -> Self {
         Self {
-            entries: BTreeMap::new(),
+            members: BTreeMap::new(),
         }
     }
 
     /// All known entries, by name.
-    pub const fn entries(&self) -> &BTreeMap<CompactString, Entry> {
-        &self.entries
+    pub const fn members(&self) -> &BTreeMap<CompactString, Member> {
+        &self.members
     }
 
-    /// Takes a whole list of member objects: entries that it lacks are forgotten.
-    pub fn list(&mut self, objects: impl IntoIterator<Item = Object>) {
+    /// Applies a complete list of member objects; entries missing from it are dropped.
+    pub fn replace_all(&mut self, objects: impl IntoIterator<Item = Object>) {
         let mut names = BTreeSet::new();
         for object in objects {
             names.insert(object.name.clone());
-            self.add(object);
+            self.insert(object);
         }
-        self.entries.retain(|name, _| names.contains(name));
+        self.members.retain(|name, _| names.contains(name));
     }
 
-    /// Takes one member object; an older incarnation than the known one is ignored.
-    pub fn add(&mut self, object: Object) {
-        let known = self.entries.get(&object.name).map(|e| e.object.incarnation);
+    /// Applies one member object. An incarnation that is not newer than the known one is ignored.
+    pub fn insert(&mut self, object: Object) {
+        let known = self.members.get(&object.name).map(|e| e.object.incarnation);
         if known.is_some_and(|known| known >= object.incarnation) {
             return;
         }
         let name = object.name.clone();
-        self.entries.insert(
+        self.members.insert(
             name,
-            Entry {
+            Member {
                 object,
                 state: State::Live,
                 gone_since: None,
@@ -120,136 +122,144 @@
         );
     }
 
-    /// The entry, a peer or a refused connection says that this incarnation is leaving.
-    pub fn leave(&mut self, name: &str, incarnation: u64) {
-        if let Some(entry) = self.entries.get_mut(name)
-            && entry.object.incarnation == incarnation
+    /// Marks an incarnation of an entry as leaving, as reported by itself, by a peer or by a refused
+    /// connection.
+    pub fn mark_leaving(&mut self, name: &str, incarnation: u64) {
+        if let Some(member) = self.members.get_mut(name)
+            && member.object.incarnation == incarnation
         {
-            entry.state = State::Leaving;
+            member.state = State::Leaving;
         }
     }
 
-    /// Takes the platform's list. It lags: it may say "live" of an entry that is leaving, and it
-    /// may lack an entry that has just started, which therefore is not marked as leaving.
-    pub fn platform(&mut self, now: Time, listed: &BTreeMap<CompactString, Listed>) {
-        for (name, entry) in &mut self.entries {
+    /// Applies the platform's list. The list lags: it may show an entry that is leaving as live, and it may
+    /// lack an entry that has just started. So an entry missing from it is not marked as leaving.
+    pub fn apply_platform_list(
+        &mut self,
+        now: Time,
+        listed: &BTreeMap<CompactString, PlatformStatus>,
+    ) {
+        for (name, member) in &mut self.members {
             match listed.get(name) {
-                Some(Listed::Live) => entry.gone_since = None,
-                Some(Listed::Leaving) => {
-                    entry.gone_since = None;
-                    entry.state = State::Leaving;
+                Some(PlatformStatus::Live) => member.gone_since = None,
+                Some(PlatformStatus::Leaving) => {
+                    member.gone_since = None;
+                    member.state = State::Leaving;
                 }
-                Some(Listed::Gone) => {
-                    entry.state = State::Leaving;
-                    entry.gone_since.get_or_insert(now);
+                Some(PlatformStatus::Gone) => {
+                    member.state = State::Leaving;
+                    member.gone_since.get_or_insert(now);
                 }
                 None => {
-                    entry.gone_since.get_or_insert(now);
+                    member.gone_since.get_or_insert(now);
                 }
             }
         }
     }
 
-    /// Entries whose member objects may be removed by others: name and incarnation. The removal
-    /// must be conditional on that incarnation.
+    /// Name and incarnation of the entries whose member objects other entries may remove. The removal must
+    /// be conditional on that incarnation.
     pub fn removable(&self, now: Time) -> Vec<(CompactString, u64)> {
-        let gone = self.entries.iter().filter(|(_, entry)| {
-            entry
+        let gone = self.members.iter().filter(|(_, member)| {
+            member
                 .gone_since
-                .is_some_and(|since| now.since(since) >= GONE_GRACE)
+                .is_some_and(|since| now.since(since) >= REMOVAL_GRACE)
         });
-        gone.map(|(name, entry)| (name.clone(), entry.object.incarnation))
+        gone.map(|(name, member)| (name.clone(), member.object.incarnation))
             .collect()
     }
 
-    /// The live entry that owns a key.
+    /// The live entry that owns `key`, by rendezvous hashing.
     pub fn owner(&self, key: u64) -> Option<&CompactString> {
-        self.live()
-            .max_by_key(|name| (hash::score(key, name), *name))
+        self.live_names()
+            .max_by_key(|name| (hash::rendezvous(key, name), *name))
     }
 
-    /// Up to `n` live entries for a key, the owner first. Growth by one entry moves at most one.
+    /// Up to `n` live entries for `key`, the owner first. A new entry replaces at most one of them.
     pub fn subset(&self, key: u64, n: usize) -> Vec<&CompactString> {
-        let mut names: Vec<_> = self.live().collect();
-        names.sort_by_cached_key(|name| Reverse((hash::score(key, name), *name)));
+        let mut names: Vec<_> = self.live_names().collect();
+        names.sort_by_cached_key(|name| Reverse((hash::rendezvous(key, name), *name)));
         names.truncate(n);
         names
     }
 
-    /// The entries that `own` opens links to. All others up to [`FULL_MESH`]; else at most
-    /// `n_zone` in its availability zone and `n_remote` outside, at distances 1, 2, 4, … on rings
-    /// in hash order, so that the links connect all entries in few hops. Leaving entries keep
-    /// their links: they still hold state. Both numbers must be at least 1.
+    /// The entries to which `own` opens links. With up to [`MAX_FULL_MESH_SIZE`] entries, these are all
+    /// others. With more, they are at most `n_zone` in its availability zone and `n_remote` outside, at
+    /// distances 1, 2, 4, … on rings in hash order (Chord fingers), so that the links connect all entries in
+    /// few hops. Both numbers must be at least 1. Leaving entries keep their links, as they still hold
+    /// state.
     pub fn links(&self, own: &str, n_zone: usize, n_remote: usize) -> BTreeSet<CompactString> {
-        if self.entries.len() <= FULL_MESH {
+        if self.members.len() <= MAX_FULL_MESH_SIZE {
             return self
-                .entries
+                .members
                 .keys()
                 .filter(|name| *name != own)
                 .cloned()
                 .collect();
         }
-        let Some(zone) = self.entries.get(own).map(|e| &e.object.zone) else {
+        let Some(zone) = self.members.get(own).map(|e| &e.object.zone) else {
             return BTreeSet::new();
         };
         let ring = self.ring(own);
         let (near, far): (Vec<_>, Vec<_>) = ring
             .into_iter()
-            .partition(|name| self.entries[*name].object.zone == *zone);
-        let mut links = fingers(&near, n_zone);
-        links.extend(fingers(&far, n_remote));
+            .partition(|name| self.members[*name].object.zone == *zone);
+        let mut links = ring_fingers(&near, n_zone);
+        links.extend(ring_fingers(&far, n_remote));
         links
     }
 
-    /// How to bring a message to many: each alone up to [`FULL_MESH`], else by relays of their own
-    /// availability zone. Another `attempt` takes other relays, so a dead one does not stop it.
-    pub fn branches(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<Branch> {
-        let alone = |name: &CompactString| Branch {
+    /// How to send a message to many entries: directly up to [`MAX_FULL_MESH_SIZE`] receivers, otherwise
+    /// through relays in the receivers' availability zones. Each `attempt` picks other relays, so that a
+    /// dead relay does not block the message.
+    pub fn relay_groups(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
+        let alone = |name: &CompactString| RelayGroup {
             relay: name.clone(),
             leaves: BTreeSet::new(),
         };
-        if to.len() <= FULL_MESH {
+        if to.len() <= MAX_FULL_MESH_SIZE {
             return to.iter().map(alone).collect();
         }
         let mut zones = BTreeMap::<_, Vec<_>>::new();
-        let mut branches = Vec::new();
+        let mut groups = Vec::new();
         for name in to {
-            match self.entries.get(name) {
-                Some(entry) => zones.entry(&entry.object.zone).or_default().push(name),
-                None => branches.push(alone(name)),
+            match self.members.get(name) {
+                Some(member) => zones.entry(&member.object.zone).or_default().push(name),
+                None => groups.push(alone(name)),
             }
         }
         for mut names in zones.into_values() {
-            names.sort_by_cached_key(|name| hash::score(attempt, name));
-            branches.extend(names.chunks(BRANCH + 1).map(|chunk| Branch {
+            names.sort_by_cached_key(|name| hash::rendezvous(attempt, name));
+            groups.extend(names.chunks(MAX_RELAY_LEAVES + 1).map(|chunk| RelayGroup {
                 relay: chunk[0].clone(),
                 leaves: chunk[1..].iter().map(|name| (*name).clone()).collect(),
             }));
         }
-        branches
+        groups
     }
 
-    fn live(&self) -> impl Iterator<Item = &CompactString> {
+    fn live_names(&self) -> impl Iterator<Item = &CompactString> {
         let live = self
-            .entries
+            .members
             .iter()
-            .filter(|(_, entry)| entry.state == State::Live);
+            .filter(|(_, member)| member.state == State::Live);
         live.map(|(name, _)| name)
     }
 
-    /// The other entries in hash order, starting after `own`.
+    /// All other entries in hash order, starting after `own`.
     fn ring(&self, own: &str) -> Vec<&CompactString> {
-        let place = |name: &str| hash::stable(name.as_bytes());
-        let mut names: Vec<_> = self.entries.keys().filter(|name| *name != own).collect();
-        names.sort_by_cached_key(|name| (place(name), *name));
-        let start = names.partition_point(|name| (place(name), name.as_str()) < (place(own), own));
+        let position = |name: &str| hash::stable(name.as_bytes());
+        let mut names: Vec<_> = self.members.keys().filter(|name| *name != own).collect();
+        names.sort_by_cached_key(|name| (position(name), *name));
+        let start =
+            names.partition_point(|name| (position(name), name.as_str()) < (position(own), own));
         names.rotate_left(start);
         names
     }
 }
 
-/// The entries at distances 1, 2, 4, … of a ring.
-fn fingers(ring: &[&CompactString], n: usize) -> BTreeSet<CompactString> {
+/// Up to `n` entries at distances 1, 2, 4, … of `ring`, as in a Chord finger table.
+fn ring_fingers(ring: &[&CompactString], n: usize) -> BTreeSet<CompactString> {
     let distances = (0..n).map_while(|i| 1usize.checked_shl(u32::try_from(i).ok()?));
     distances
         .map_while(|distance| ring.get(distance - 1))
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_holder.rs
@@ -1,10 +1,11 @@
-//! Candidates for one lease under lost answers, late effects, outages, pauses and restarts.
+//! Property test of lease candidates: at most one acts at a time, under lost answers, late writes,
+//! outages, pauses and restarts.
 
 #![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
 
 use pinereel_core::{
     Time,
-    lease::{Action, Event, Holder, Lease, Limits},
+    lease::{Action, Candidate, Event, Lease, Timing},
 };
 use proptest::{
     prelude::*,
@@ -12,18 +13,23 @@
 };
 use std::{cell::RefCell, collections::VecDeque, time::Duration};
 
-const HOLDERS: usize = 3;
-const DURATION_MS: u64 = 3_000;
-const MARGIN_MS: u64 = 200;
-const RETRY_MS: u64 = 400;
-/// A step of the quiet phase at the end.
-const STEP_MS: u64 = 50;
+const NODE_COUNT: usize = 3;
+const LEASE_DURATION_MS: u64 = 3_000;
+const CLOCK_MARGIN_MS: u64 = 200;
+const RETRY_INTERVAL_MS: u64 = 400;
+/// Step of virtual time while the last candidate recovers.
+const RECOVERY_STEP_MS: u64 = 50;
 
+/// What becomes of a call to the store.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Outcome {
+    /// It takes effect and is answered.
     Done,
+    /// It takes effect, and the answer is lost.
     Lost,
+    /// The answer is lost, and the call may take effect later.
     Late,
+    /// It takes no effect, and the answer is lost.
     Refused,
 }
 
@@ -31,7 +37,7 @@
 enum Op {
     Call {
         at: usize,
-        fate: Fate,
+        outcome: Outcome,
     },
     Run {
         at: usize,
@@ -39,18 +45,18 @@
     Flush {
         at: usize,
     },
-    /// Asks for the fence and orders the engines at once.
+    /// Asks for the fencing token and orders the engines at once.
     Order {
         at: usize,
     },
-    /// Asks for the fence now; the order arrives later.
+    /// Asks for the fencing token now; the order arrives later.
     SlowOrder {
         at: usize,
     },
-    Arrive {
+    DeliverOrder {
         index: usize,
     },
-    Land {
+    ApplyLateCall {
         index: usize,
     },
     Restart {
@@ -64,25 +70,26 @@
     },
 }
 
-/// A stand-in engine: the last order it took. One kind refuses old fences.
+/// A simulated engine and the fence of the last order it took. With `checks_fence` it rejects orders
+/// with an older fence.
 #[derive(Default)]
 struct Engine {
-    checks: bool,
-    seen: u64,
-    loaded: u64,
+    checks_fence: bool,
+    highest_fence: u64,
+    loaded_fence: u64,
 }
 
 impl Engine {
     fn order(&mut self, fence: u64) {
-        if !self.checks || fence >= self.seen {
-            self.seen = self.seen.max(fence);
-            self.loaded = fence;
+        if !self.checks_fence || fence >= self.highest_fence {
+            self.highest_fence = self.highest_fence.max(fence);
+            self.loaded_fence = fence;
         }
     }
 }
 
-struct Candidate {
-    holder: Holder,
+struct Node {
+    candidate: Candidate,
     call: Option<Action>,
     inbox: VecDeque<Event>,
     starts: u64,
@@ -92,62 +99,62 @@
 struct Counts {
     cases: u64,
     steps: u64,
-    changes: u64,
-    late: u64,
-    corrected: u64,
+    holder_changes: u64,
+    late_effects: u64,
+    corrected_orders: u64,
     takeover_ms: u64,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     version: u64,
     lease: Option<(u64, Lease)>,
-    late: Vec<Action>,
-    orders: Vec<u64>,
-    candidates: Vec<Candidate>,
+    late_calls: Vec<Action>,
+    delayed_orders: Vec<u64>,
+    nodes: Vec<Node>,
     checking: Engine,
     ignoring: Engine,
-    /// The last fence that acted, and its holder.
-    acted: (u64, String),
+    /// The last fence with which a candidate could act, and the id of that candidate.
+    last_acting: (u64, String),
     counts: Counts,
 }
 
-fn limits() -> Limits {
-    Limits {
-        duration: Duration::from_millis(DURATION_MS),
-        margin: Duration::from_millis(MARGIN_MS),
-        retry: Duration::from_millis(RETRY_MS),
+fn timing() -> Timing {
+    Timing {
+        duration: Duration::from_millis(LEASE_DURATION_MS),
+        clock_margin: Duration::from_millis(CLOCK_MARGIN_MS),
+        retry_interval: Duration::from_millis(RETRY_INTERVAL_MS),
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: 1_000,
             version: 0,
             lease: None,
-            late: Vec::new(),
-            orders: Vec::new(),
-            candidates: Vec::new(),
+            late_calls: Vec::new(),
+            delayed_orders: Vec::new(),
+            nodes: Vec::new(),
             checking: Engine {
-                checks: true,
+                checks_fence: true,
                 ..Engine::default()
             },
             ignoring: Engine::default(),
-            acted: (0, String::new()),
+            last_acting: (0, String::new()),
             counts: Counts::default(),
         };
-        for at in 0..HOLDERS {
-            let candidate = world.start(at, 0);
-            world.candidates.push(candidate);
+        for at in 0..NODE_COUNT {
+            let node = sim.start(at, 0);
+            sim.nodes.push(node);
         }
-        world
+        sim
     }
 
-    fn start(&self, at: usize, starts: u64) -> Candidate {
-        let holder = Holder::new(self.clock(at), format!("c{at}-{starts}"), limits());
-        Candidate {
-            holder,
+    fn start(&self, at: usize, starts: u64) -> Node {
+        let candidate = Candidate::new(self.clock(at), format!("c{at}-{starts}"), timing());
+        Node {
+            candidate,
             call: None,
             inbox: VecDeque::new(),
             starts,
@@ -158,38 +165,38 @@
         Time::from_millis(self.now + 5_555 * at as u64)
     }
 
-    fn acts(&self, at: usize) -> Option<u64> {
-        self.candidates[at].holder.acts(self.clock(at))
+    fn fencing_token(&self, at: usize) -> Option<u64> {
+        self.nodes[at].candidate.fencing_token(self.clock(at))
     }
 
-    /// The oracle: at most one candidate may act at any moment, and fences grow with the holder.
+    /// Checks that at most one candidate may act, and that the fence grows with each change of holder.
     fn check(&mut self) {
-        let acting: Vec<_> = (0..HOLDERS)
-            .filter_map(|at| Some((at, self.acts(at)?)))
+        let acting: Vec<_> = (0..NODE_COUNT)
+            .filter_map(|at| Some((at, self.fencing_token(at)?)))
             .collect();
-        assert!(acting.len() <= 1, "two act at once: {acting:?}");
+        assert!(acting.len() <= 1, "two candidates act at once: {acting:?}");
         let Some((at, fence)) = acting.first() else {
             return;
         };
-        let who = format!("c{at}-{}", self.candidates[*at].starts);
-        // One that lost the lease and took it again has a new fence, so only a fence of another's
-        // or an older one is wrong.
-        let same = (*fence, &who) == (self.acted.0, &self.acted.1);
+        let id = format!("c{at}-{}", self.nodes[*at].starts);
+        // A candidate that lost the lease and took it again has a new fence. Only the fence of another
+        // candidate, or an older one, is wrong.
+        let same = (*fence, &id) == (self.last_acting.0, &self.last_acting.1);
         assert!(
-            same || *fence > self.acted.0,
-            "fence {fence} of {who} after {:?}",
-            self.acted
+            same || *fence > self.last_acting.0,
+            "fence {fence} of {id} after {:?}",
+            self.last_acting
         );
-        self.counts.changes += u64::from(!same);
-        self.acted = (*fence, who);
+        self.counts.holder_changes += u64::from(!same);
+        self.last_acting = (*fence, id);
     }
 
     fn step(&mut self, at: usize, event: Event) {
         self.counts.steps += 1;
         let now = self.clock(at);
-        for action in self.candidates[at].holder.step(now, event) {
-            assert!(self.candidates[at].call.is_none(), "two calls open at once");
-            self.candidates[at].call = Some(action);
+        for action in self.nodes[at].candidate.step(now, event) {
+            assert!(self.nodes[at].call.is_none(), "two calls open at once");
+            self.nodes[at].call = Some(action);
         }
         self.check();
     }
@@ -206,29 +213,29 @@
         Event::Written(self.version)
     }
 
-    fn call(&mut self, at: usize, fate: Fate) {
-        let Some(action) = self.candidates[at].call.take() else {
+    fn call(&mut self, at: usize, outcome: Outcome) {
+        let Some(action) = self.nodes[at].call.take() else {
             return;
         };
         let reads = matches!(action, Action::Read);
         let lost = if reads { Event::Failed } else { Event::Unknown };
-        let event = match fate {
-            Fate::Done => self.effect(&action),
-            Fate::Lost => {
+        let event = match outcome {
+            Outcome::Done => self.effect(&action),
+            Outcome::Lost => {
                 self.effect(&action);
                 lost
             }
-            Fate::Late => {
-                self.late.push(action);
+            Outcome::Late => {
+                self.late_calls.push(action);
                 lost
             }
-            Fate::Refused => lost,
+            Outcome::Refused => lost,
         };
-        self.candidates[at].inbox.push_back(event);
+        self.nodes[at].inbox.push_back(event);
     }
 
     fn run(&mut self, at: usize) {
-        while let Some(event) = self.candidates[at].inbox.pop_front() {
+        while let Some(event) = self.nodes[at].inbox.pop_front() {
             self.step(at, event);
         }
         self.step(at, Event::Tick);
@@ -237,7 +244,7 @@
     fn flush(&mut self, at: usize) {
         for _ in 0..10 {
             self.run(at);
-            self.call(at, Fate::Done);
+            self.call(at, Outcome::Done);
         }
     }
 
@@ -248,34 +255,39 @@
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Call { at, fate } => self.call(at, fate),
+            Op::Call { at, outcome } => self.call(at, outcome),
             Op::Run { at } => self.run(at),
             Op::Flush { at } => self.flush(at),
             Op::Order { at } => {
-                if let Some(fence) = self.acts(at) {
+                if let Some(fence) = self.fencing_token(at) {
                     self.order(fence);
                 }
             }
-            Op::SlowOrder { at } => self.orders.extend(self.acts(at)),
-            Op::Arrive { index } => {
-                if !self.orders.is_empty() {
-                    let fence = self.orders.remove(index % self.orders.len());
-                    let seen = self.checking.seen;
+            Op::SlowOrder { at } => self.delayed_orders.extend(self.fencing_token(at)),
+            Op::DeliverOrder { index } => {
+                if !self.delayed_orders.is_empty() {
+                    let fence = self
+                        .delayed_orders
+                        .remove(index % self.delayed_orders.len());
+                    let highest = self.checking.highest_fence;
                     self.order(fence);
-                    assert!(self.checking.loaded >= seen, "an old order was taken");
+                    assert!(
+                        self.checking.loaded_fence >= highest,
+                        "an engine took an order with an older fence"
+                    );
                 }
             }
-            Op::Land { index } => {
-                if !self.late.is_empty() {
-                    let action = self.late.remove(index % self.late.len());
-                    self.counts.late += 1;
+            Op::ApplyLateCall { index } => {
+                if !self.late_calls.is_empty() {
+                    let action = self.late_calls.remove(index % self.late_calls.len());
+                    self.counts.late_effects += 1;
                     self.effect(&action);
                 }
             }
             Op::Restart { at } => {
-                let starts = self.candidates[at].starts + 1;
-                self.late.extend(self.candidates[at].call.take());
-                self.candidates[at] = self.start(at, starts);
+                let starts = self.nodes[at].starts + 1;
+                self.late_calls.extend(self.nodes[at].call.take());
+                self.nodes[at] = self.start(at, starts);
             }
             Op::Drain { at } => self.step(at, Event::Drain),
             Op::Advance { ms } => self.now += ms,
@@ -283,16 +295,18 @@
         self.check();
     }
 
-    /// All but the last candidate are gone for good; it must hold within the documented bound.
-    fn heal(&mut self) {
-        let at = HOLDERS - 1;
-        let starts = self.candidates[at].starts + 1;
-        self.candidates[at] = self.start(at, starts);
+    /// All candidates but the last end for good; that one must hold the lease within the bound that
+    /// follows from the timing.
+    fn recover(&mut self) {
+        let at = NODE_COUNT - 1;
+        let starts = self.nodes[at].starts + 1;
+        self.nodes[at] = self.start(at, starts);
         let began = self.now;
-        while self.acts(at).is_none() {
-            self.now += STEP_MS;
+        while self.fencing_token(at).is_none() {
+            self.now += RECOVERY_STEP_MS;
             self.flush(at);
-            let bound = DURATION_MS + MARGIN_MS + 2 * RETRY_MS + 2 * STEP_MS;
+            let bound =
+                LEASE_DURATION_MS + CLOCK_MARGIN_MS + 2 * RETRY_INTERVAL_MS + 2 * RECOVERY_STEP_MS;
             assert!(
                 self.now - began <= bound,
                 "no holder after {} ms",
@@ -300,34 +314,38 @@
             );
         }
         self.counts.takeover_ms = self.now - began;
-        // A level-triggered round: every late order arrives, then the holder orders again.
-        while !self.orders.is_empty() {
-            self.apply(Op::Arrive { index: 0 });
+        // Every delayed order arrives, then the holder repeats its order, which is level-triggered.
+        while !self.delayed_orders.is_empty() {
+            self.apply(Op::DeliverOrder { index: 0 });
         }
-        let fence = self.acts(at).unwrap();
-        self.counts.corrected += u64::from(self.ignoring.loaded < self.checking.loaded);
+        let fence = self.fencing_token(at).unwrap();
+        self.counts.corrected_orders +=
+            u64::from(self.ignoring.loaded_fence < self.checking.loaded_fence);
         self.order(fence);
-        assert_eq!((self.checking.loaded, self.ignoring.loaded), (fence, fence));
+        assert_eq!(
+            (self.checking.loaded_fence, self.ignoring.loaded_fence),
+            (fence, fence)
+        );
     }
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
-    let at = 0..HOLDERS;
-    let fate = prop_oneof![
-        5 => Just(Fate::Done), 1 => Just(Fate::Lost), 1 => Just(Fate::Late), 1 => Just(Fate::Refused)
+    let at = 0..NODE_COUNT;
+    let outcome = prop_oneof![
+        5 => Just(Outcome::Done), 1 => Just(Outcome::Lost), 1 => Just(Outcome::Late), 1 => Just(Outcome::Refused)
     ];
     let op = prop_oneof![
-        8 => (at.clone(), fate).prop_map(|(at, fate)| Op::Call { at, fate }),
+        8 => (at.clone(), outcome).prop_map(|(at, outcome)| Op::Call { at, outcome }),
         8 => at.clone().prop_map(|at| Op::Run { at }),
         6 => at.clone().prop_map(|at| Op::Flush { at }),
         3 => at.clone().prop_map(|at| Op::Order { at }),
         2 => at.clone().prop_map(|at| Op::SlowOrder { at }),
-        2 => (0..9_usize).prop_map(|index| Op::Arrive { index }),
-        2 => (0..9_usize).prop_map(|index| Op::Land { index }),
+        2 => (0..9_usize).prop_map(|index| Op::DeliverOrder { index }),
+        2 => (0..9_usize).prop_map(|index| Op::ApplyLateCall { index }),
         1 => at.clone().prop_map(|at| Op::Restart { at }),
         1 => at.prop_map(|at| Op::Drain { at }),
         6 => (1..700_u64).prop_map(|ms| Op::Advance { ms }),
-        2 => (DURATION_MS - 2 * MARGIN_MS..2 * DURATION_MS).prop_map(|ms| Op::Advance { ms }),
+        2 => (LEASE_DURATION_MS - 2 * CLOCK_MARGIN_MS..2 * LEASE_DURATION_MS).prop_map(|ms| Op::Advance { ms }),
     ];
     prop::collection::vec(op, 20..200)
 }
@@ -342,89 +360,99 @@
     };
     let total = RefCell::new(Counts::default());
     let result = TestRunner::new(config).run(&ops(), |ops| {
-        let mut world = World::new();
-        ops.into_iter().for_each(|op| world.apply(op));
-        world.heal();
+        let mut sim = Simulation::new();
+        ops.into_iter().for_each(|op| sim.apply(op));
+        sim.recover();
         let mut total = total.borrow_mut();
         total.cases += 1;
-        total.steps += world.counts.steps;
-        total.changes += world.counts.changes;
-        total.late += world.counts.late;
-        total.corrected += world.counts.corrected;
-        total.takeover_ms = total.takeover_ms.max(world.counts.takeover_ms);
+        total.steps += sim.counts.steps;
+        total.holder_changes += sim.counts.holder_changes;
+        total.late_effects += sim.counts.late_effects;
+        total.corrected_orders += sim.counts.corrected_orders;
+        total.takeover_ms = total.takeover_ms.max(sim.counts.takeover_ms);
         Ok(())
     });
     let Counts {
         cases,
         steps,
-        changes,
-        late,
-        corrected,
+        holder_changes,
+        late_effects,
+        corrected_orders,
         takeover_ms,
     } = total.into_inner();
     println!(
-        "cases {cases}, steps {steps}, holders {changes}, late effects {late}, \
-         late orders corrected {corrected}, longest takeover {takeover_ms} ms"
+        "cases {cases}, steps {steps}, holders {holder_changes}, late effects {late_effects}, \
+         late orders corrected {corrected_orders}, longest takeover {takeover_ms} ms"
     );
     if let Err(failure) = result {
         panic!("{failure}");
     }
     assert!(
-        changes > 0 && late > 0 && corrected > 0,
-        "the faults were not reached"
+        holder_changes > 0 && late_effects > 0 && corrected_orders > 0,
+        "the run did not exercise the faults"
     );
 }
 
 #[test]
 fn an_outage_ends_the_lease_and_a_drain_frees_it_at_once() {
-    let mut world = World::new();
-    world.flush(0);
-    assert_eq!(world.acts(0), Some(1));
-    world.now += DURATION_MS - MARGIN_MS;
-    assert_eq!(world.acts(0), None, "not renewed, so not acting");
-    world.flush(0);
+    let mut sim = Simulation::new();
+    sim.flush(0);
+    assert_eq!(sim.fencing_token(0), Some(1));
+    sim.now += LEASE_DURATION_MS - CLOCK_MARGIN_MS;
+    assert_eq!(
+        sim.fencing_token(0),
+        None,
+        "a holder that cannot renew must not act"
+    );
+    sim.flush(0);
     assert_eq!(
-        world.acts(0),
+        sim.fencing_token(0),
         Some(1),
-        "nobody took it: same holder, same fence"
+        "no other candidate took it: same holder, same fence"
+    );
+    sim.apply(Op::Drain { at: 0 });
+    assert_eq!(sim.fencing_token(0), None);
+    sim.flush(0);
+    assert!(sim.nodes[0].candidate.is_released());
+    sim.flush(1);
+    assert_eq!(
+        sim.fencing_token(1),
+        Some(2),
+        "a released lease is taken without a wait"
     );
-    world.apply(Op::Drain { at: 0 });
-    assert_eq!(world.acts(0), None);
-    world.flush(0);
-    assert!(world.candidates[0].holder.is_released());
-    world.flush(1);
-    assert_eq!(world.acts(1), Some(2), "taken without a wait");
 }
 
 #[test]
 fn a_follower_looks_seldom_until_a_lease_is_not_renewed() {
-    use pinereel_core::lease::{Glance, Looks};
+    use pinereel_core::lease::{PollSchedule, PolledLease};
     let wait = Duration::from_millis(2_200);
-    let glance = |version| [("duty".into(), Glance { version, wait })];
-    for (eager, most) in [(true, 36), (false, 14)] {
-        let mut looks = Looks::new(eager, 7);
+    let polled = |version| [("duty".into(), PolledLease { version, wait })];
+    for (preferred, most) in [(true, 36), (false, 14)] {
+        let mut schedule = PollSchedule::new(preferred, 7);
         let (mut now, mut count) = (Time::from_millis(1), 0);
-        // Renewed all along, about every 0.7 s.
+        // The lease is renewed about every 0.7 s.
         while now < Time::from_millis(60_000) {
-            now = looks.looked(now, glance(now.0 / 700_000));
+            now = schedule.record(now, polled(now.0 / 700_000));
             count += 1;
         }
-        assert!(count <= most, "{count} looks in a minute");
-        // Not renewed any more: found by the second look, and due when it may be taken.
+        assert!(count <= most, "{count} polls in a minute");
+        // The lease is no longer renewed: the second poll finds that, and the next one is due when the
+        // lease may be taken.
         let first = now;
-        let second = looks.looked(first, glance(1_000_000));
-        let ripe = looks.looked(second, glance(1_000_000));
+        let second = schedule.record(first, polled(1_000_000));
+        let takeover_at = schedule.record(second, polled(1_000_000));
         let soon = second + Duration::from_millis(110);
-        assert_eq!(ripe, soon.max(first + wait));
+        assert_eq!(takeover_at, soon.max(first + wait));
     }
 }
 
 #[test]
 fn an_instance_takes_its_own_earlier_lease_at_once() {
-    use pinereel_core::lease::{Action, Event, Holder, Lease, Limits};
+    use pinereel_core::lease::{Action, Candidate, Event, Lease, Timing};
     let now = Time::from_millis(1);
-    let mut holder = Holder::new(now, "front-1/b", Limits::default()).succeeding("front-1/");
-    assert_eq!(holder.step(now, Event::Tick), [Action::Read]);
+    let mut candidate =
+        Candidate::new(now, "front-1/b", Timing::default()).with_previous_id_prefix("front-1/");
+    assert_eq!(candidate.step(now, Event::Tick), [Action::Read]);
     let lease = Lease {
         holder: "front-1/a".into(),
         fence: 4,
@@ -432,9 +460,9 @@
         write_id: "w".into(),
         address: "".into(),
         acts_ms: None,
-        rests: None,
+        remaining_cooldown: None,
     };
-    let actions = holder.step(now, Event::Read(Some((9, lease))));
+    let actions = candidate.step(now, Event::Read(Some((9, lease))));
     assert!(
         matches!(&actions[..], [Action::Write { expected: Some(9), lease }] if lease.fence == 5),
         "{actions:?}"
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -148,7 +148,7 @@
 }
 
 fn length(prompt: &str, seed: u64) -> u32 {
-    1 + (hash::score(seed, prompt) % u64::from(MAX_TOKENS)) as u32
+    1 + (hash::rendezvous(seed, prompt) % u64::from(MAX_TOKENS)) as u32
 }
 
 /// Fake scoring service: different texts get different scores.
@@ -157,7 +157,7 @@
 }
 
 fn word(prompt: &str, seed: u64, at: u32) -> String {
-    format!(" {}", hash::score(seed ^ u64::from(at), prompt) % 97)
+    format!(" {}", hash::rendezvous(seed ^ u64::from(at), prompt) % 97)
 }
 
 impl Simulation {
@@ -562,7 +562,7 @@
 /// Checks by the text of a sample that it is complete, has correct spans and meets the bound.
 fn check_sample(sample: &Sample, version: Version, bound: u64) {
     let prompt = prompt(sample.index / SAMPLES_PER_GROUP);
-    let seed = hash::score(u64::from(sample.index), &digest().to_string());
+    let seed = hash::rendezvous(u64::from(sample.index), &digest().to_string());
     let (mut reused, mut output, mut words_found) = (Vec::new(), Vec::new(), String::new());
     let mut tokens = 0;
     for token in sample.text.split_terminator(' ').skip(1) {
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -1,11 +1,15 @@
-//! A fleet in virtual time: instances that start together, lose relays and lose their root.
+//! Simulation of a fleet in virtual time: instances that start together, and failures of inner nodes
+//! and of the root of the broadcast tree.
 //!
-//! The decisions are those of the daemon ([`Branch`], [`Uplink`]); links are calls that take
-//! [`HOP`], and the store answers the root at once.
+//! The decisions are those of the daemon ([`Children`], [`Uplink`]). Links are function calls, and the
+//! data of a root that reaches the store are always [`ROOT_DATA_AGE`] old.
 
 use pinereel_core::{
     Time,
-    tree::{Admission, Alive, Branch, CHILDREN, Gate, Key, Own, Peer, Ranks, Uplink},
+    tree::{
+        Admission, ChildKey, Children, Heartbeat, MAX_CHILDREN, Peer, RankRange, RetryPacer,
+        StoreStatus, Uplink,
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,40 +17,40 @@
 };
 
 const STEP: Duration = Duration::from_millis(50);
-const BEAT: Duration = Duration::from_millis(300);
-const HOP: Duration = Duration::from_millis(20);
-const PATIENCE: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const ROOT_DATA_AGE: Duration = Duration::from_millis(20);
+const STANDBY_DELAY: Duration = Duration::from_millis(500);
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 struct Node {
     peer: Peer,
-    branch: Branch,
+    branch: Children,
     uplink: Uplink,
-    parent: Option<(String, Key)>,
-    children: BTreeMap<Key, String>,
-    alone_since: Option<Time>,
+    parent: Option<(String, ChildKey)>,
+    children: BTreeMap<ChildKey, String>,
+    without_parent_since: Option<Time>,
     alive: bool,
-    /// Whether its way to the store is open.
-    reaches: bool,
+    /// Whether it can reach the store.
+    reaches_store: bool,
     /// Since when it reads the store.
     reads_since: Option<Time>,
-    /// Not before then: it was turned away.
-    seeks_from: Time,
-    gate: Gate,
+    /// Earliest time of the next link attempt, after a rejection.
+    retry_at: Time,
+    retry_pacer: RetryPacer,
 }
 
 struct Fleet {
     now: Time,
     nodes: BTreeMap<String, Node>,
     holder: Option<String>,
-    /// Tries to link, by target.
-    tries: BTreeMap<String, u32>,
-    /// Steps in which an instance read the store itself, by instance.
-    readers: BTreeMap<String, u32>,
-    /// Time that it takes to read the store.
-    reading: Duration,
-    /// What the bound on a leave allows beyond the usual age of news.
-    spare: Duration,
+    /// Number of link attempts, by target.
+    link_attempts: BTreeMap<String, u32>,
+    /// Number of steps in which an instance read the store itself, by instance.
+    reader_steps: BTreeMap<String, u32>,
+    /// Time that it takes to read all data from the store.
+    loading_time: Duration,
+    /// Time that the bound on the removal of an endpoint leaves beyond the usual age of the data.
+    slack: Duration,
 }
 
 impl Fleet {
@@ -61,15 +65,15 @@
             let node = Node {
                 uplink: Uplink::new(peer.address.clone()),
                 peer,
-                branch: Branch::default(),
+                branch: Children::default(),
                 parent: None,
                 children: BTreeMap::new(),
-                alone_since: None,
+                without_parent_since: None,
                 alive: true,
-                reaches: true,
+                reaches_store: true,
                 reads_since: None,
-                seeks_from: Time::ZERO,
-                gate: Gate::default(),
+                retry_at: Time::ZERO,
+                retry_pacer: RetryPacer::default(),
             };
             (name, node)
         });
@@ -77,56 +81,58 @@
             now: Time::ZERO,
             nodes: nodes.collect(),
             holder: Some("i-0000".into()),
-            tries: BTreeMap::new(),
-            readers: BTreeMap::new(),
-            reading: Duration::ZERO,
-            spare: Duration::ZERO,
+            link_attempts: BTreeMap::new(),
+            reader_steps: BTreeMap::new(),
+            loading_time: Duration::ZERO,
+            slack: Duration::ZERO,
         }
     }
 
-    fn own(&self, name: &str) -> Own {
+    fn store_status(&self, name: &str) -> StoreStatus {
         let node = &self.nodes[name];
-        let age = if node.reaches {
-            HOP
+        let age = if node.reaches_store {
+            ROOT_DATA_AGE
         } else {
             Duration::from_secs(60)
         };
         let reads_since = node.reads_since.unwrap_or(Time::ZERO);
-        let has_read = self.now.since(reads_since) >= self.reading;
-        Own {
+        let has_read = self.now.since(reads_since) >= self.loading_time;
+        StoreStatus {
             age: has_read.then_some(age),
-            answers: node.reaches,
-            calm: Duration::ZERO,
+            is_answering: node.reaches_store,
+            store_uptime: Duration::ZERO,
         }
     }
 
-    fn lead(&mut self, name: &str) {
+    fn start_reading(&mut self, name: &str) {
         let now = self.now;
         let node = self.nodes.get_mut(name).expect("known");
-        if !node.uplink.leads() {
-            node.uplink.lead(true);
+        if !node.uplink.reads_store() {
+            node.uplink.set_reads_store(true);
         }
         node.reads_since.get_or_insert(now);
     }
 
-    /// Whether it has something to say to its children, or will have soon.
-    fn beats(&self, name: &str) -> bool {
-        let age = self.nodes[name].uplink.age(self.now, self.own(name));
-        self.nodes[name].alive && age.is_some() || self.admits(name)
+    /// Whether it has data for its children, or will have soon.
+    fn sends_heartbeats(&self, name: &str) -> bool {
+        let age = self.nodes[name]
+            .uplink
+            .age(self.now, self.store_status(name));
+        self.nodes[name].alive && age.is_some() || self.accepts_children(name)
     }
 
-    /// Whether it takes newcomers.
-    fn admits(&self, name: &str) -> bool {
+    /// Whether it accepts newcomers.
+    fn accepts_children(&self, name: &str) -> bool {
         let node = &self.nodes[name];
-        let is_recovering = node
-            .uplink
-            .is_recovering(self.now, self.own(name), self.spare);
-        node.alive && (self.fresh(name) || is_recovering)
+        let is_recovering =
+            node.uplink
+                .is_recovering(self.now, self.store_status(name), self.slack);
+        node.alive && (self.is_fresh(name) || is_recovering)
     }
 
-    fn fresh(&self, name: &str) -> bool {
+    fn is_fresh(&self, name: &str) -> bool {
         let node = &self.nodes[name];
-        node.alive && node.uplink.is_fresh(self.now, self.own(name))
+        node.alive && node.uplink.is_fresh(self.now, self.store_status(name))
     }
 
     fn run(&mut self, span: Duration) {
@@ -145,84 +151,86 @@
             }
             if self.holder.as_ref() == Some(name) {
                 self.unlink(name);
-                self.lead(name);
-            } else if !self.stays(name) && self.now >= self.nodes[name].seeks_from {
-                self.seek(name);
+                self.start_reading(name);
+            } else if !self.keeps_parent(name) && self.now >= self.nodes[name].retry_at {
+                self.find_parent(name);
             }
-            let own = self.own(name);
+            let status = self.store_status(name);
             let now = self.now;
             let node = self.nodes.get_mut(name).expect("known");
-            node.uplink.observe(now, own);
-            if self.nodes[name].uplink.leads() {
-                *self.readers.entry(name.clone()).or_default() += 1;
+            node.uplink.observe(now, status);
+            if self.nodes[name].uplink.reads_store() {
+                *self.reader_steps.entry(name.clone()).or_default() += 1;
             }
         }
         if self
             .now
             .since(Time::ZERO)
             .as_millis()
-            .is_multiple_of(BEAT.as_millis())
+            .is_multiple_of(HEARTBEAT_INTERVAL.as_millis())
         {
             let roots: Vec<_> = names
                 .iter()
-                .filter(|name| self.nodes[*name].parent.is_none() && self.beats(name))
+                .filter(|name| self.nodes[*name].parent.is_none() && self.sends_heartbeats(name))
                 .cloned()
                 .collect();
             for root in roots {
                 let node = &self.nodes[&root];
-                let of = node.branch.census(node.peer.preferred);
-                let ranks = Ranks {
-                    of,
-                    ..Ranks::default()
+                let total = node.branch.subtree_size(node.peer.preferred);
+                let ranks = RankRange {
+                    total,
+                    ..RankRange::default()
                 };
-                self.beat(&root, ranks);
+                self.send_heartbeats(&root, ranks);
             }
         }
     }
 
-    fn stays(&self, name: &str) -> bool {
+    fn keeps_parent(&self, name: &str) -> bool {
         let node = &self.nodes[name];
         let parent = node.parent.as_ref();
-        let waits = !node.uplink.patience(self.now, self.spare).is_zero();
+        let waits = !node.uplink.remaining_grace(self.now, self.slack).is_zero();
         let has_parent = parent.is_some_and(|(parent, _)| self.nodes[parent].alive);
-        has_parent && (self.fresh(name) || waits)
+        has_parent && (self.is_fresh(name) || waits)
     }
 
-    /// Tells all below that the root lives; children say how many they are on the way back.
-    fn beat(&mut self, name: &str, ranks: Ranks) {
-        let own = self.own(name);
+    /// Sends heartbeats down the subtree of `name`; on the way back the children report their sizes.
+    fn send_heartbeats(&mut self, name: &str, ranks: RankRange) {
+        let status = self.store_status(name);
         let node = &self.nodes[name];
-        let deputies = node.branch.deputies(&node.peer.zone);
-        let places = node.branch.ranks(ranks, node.peer.preferred);
-        for (key, ranks) in places {
+        let standbys = node.branch.standbys(&node.peer.zone);
+        let child_ranks = node.branch.child_ranks(ranks, node.peer.preferred);
+        for (key, ranks) in child_ranks {
             let node = &self.nodes[name];
-            let alive: Alive = node.uplink.alive(self.now, own, ranks, deputies.clone());
+            let heartbeat: Heartbeat =
+                node.uplink
+                    .heartbeat(self.now, status, ranks, standbys.clone());
             let Some(child) = node.children.get(&key).cloned() else {
                 continue;
             };
             if !self.nodes[&child].alive {
                 continue;
             }
-            let stays = {
+            let is_accepted = {
                 let child = self.nodes.get_mut(&child).expect("known");
-                child.uplink.heard(self.now, alive)
+                child.uplink.on_heartbeat(self.now, heartbeat)
             };
-            if !stays {
+            if !is_accepted {
                 self.unlink(&child);
                 continue;
             }
-            self.beat(&child, ranks);
+            self.send_heartbeats(&child, ranks);
             let below = &self.nodes[&child];
-            let census = below.branch.census(below.peer.preferred);
+            let size = below.branch.subtree_size(below.peer.preferred);
             let parent = self.nodes.get_mut(name).expect("known");
-            parent.branch.report(key, census);
+            parent.branch.set_size(key, size);
         }
     }
 
-    /// Leaves the parent.
+    /// Ends the link to the parent.
     fn unlink(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).expect("known");
-        node.uplink.lost();
+        node.uplink.on_parent_lost();
         if let Some((parent, key)) = node.parent.take() {
             let parent = self.nodes.get_mut(&parent).expect("known");
             parent.branch.remove(key);
@@ -230,79 +238,80 @@
         }
     }
 
-    fn seek(&mut self, name: &str) {
+    fn find_parent(&mut self, name: &str) {
         let now = self.now;
         let holder = self.holder.as_deref().map(Into::into);
-        let targets = self.nodes[name].uplink.targets(holder);
+        let targets = self.nodes[name].uplink.link_targets(holder);
         for target in targets {
             if self.link(name, &target) {
                 let node = self.nodes.get_mut(name).expect("known");
-                node.uplink.lead(false);
+                node.uplink.set_reads_store(false);
                 node.reads_since = None;
-                node.alone_since = None;
+                node.without_parent_since = None;
                 return;
             }
         }
         let node = self.nodes.get_mut(name).expect("known");
-        let since = *node.alone_since.get_or_insert(now);
-        let needed = !node.branch.is_empty() || node.uplink.is_deputy();
-        let patience = if node.uplink.is_first_deputy() {
+        let since = *node.without_parent_since.get_or_insert(now);
+        let needed = !node.branch.is_empty() || node.uplink.is_standby();
+        let delay = if node.uplink.is_first_standby() {
             Duration::ZERO
         } else {
-            PATIENCE
+            STANDBY_DELAY
         };
-        if needed && now.since(since) >= patience && self.nodes[name].reaches {
+        if needed && now.since(since) >= delay && self.nodes[name].reaches_store {
             self.unlink(name);
-            self.lead(name);
+            self.start_reading(name);
         }
     }
 
-    /// Goes from a target to those that it refers to, until one takes it.
+    /// Tries a target and the instances to which it refers, until one accepts `name`.
     fn link(&mut self, name: &str, target: &str) -> bool {
         let mut left = vec![target.to_owned()];
         for _ in 0..12 {
             let Some(target) = left.pop() else {
                 return false;
             };
-            *self.tries.entry(target.clone()).or_default() += 1;
-            let reads = self.nodes[name].uplink.leads();
-            let is_of_use = self.nodes[&target].alive && (!reads || self.fresh(&target));
+            *self.link_attempts.entry(target.clone()).or_default() += 1;
+            let reads = self.nodes[name].uplink.reads_store();
+            let is_of_use = self.nodes[&target].alive && (!reads || self.is_fresh(&target));
             if target == name || !is_of_use {
                 continue;
             }
-            if !self.admits(&target) {
+            if !self.accepts_children(&target) {
                 let now = self.now;
                 let wait = self
                     .nodes
                     .get_mut(&target)
                     .expect("known")
-                    .gate
-                    .turn_away(now);
+                    .retry_pacer
+                    .retry_after(now);
                 let node = self.nodes.get_mut(name).expect("known");
-                node.seeks_from = node.seeks_from.max(now + wait);
+                node.retry_at = node.retry_at.max(now + wait);
                 continue;
             }
             let peer = self.nodes[name].peer.clone();
             let parent = self.nodes.get_mut(&target).expect("known");
             match parent.branch.admit(peer) {
                 Admission::Child(key) => {
-                    let own = self.own(&target);
+                    let status = self.store_status(&target);
                     let parent = &self.nodes[&target];
-                    let alive = parent
-                        .uplink
-                        .alive(self.now, own, Ranks::default(), Vec::new());
+                    let heartbeat =
+                        parent
+                            .uplink
+                            .heartbeat(self.now, status, RankRange::default(), Vec::new());
                     let node = self.nodes.get_mut(name).expect("known");
-                    let ranks = node.uplink.clone();
-                    if !node.uplink.heard(self.now, alive) {
-                        node.uplink = ranks;
+                    let previous = node.uplink.clone();
+                    if !node.uplink.on_heartbeat(self.now, heartbeat) {
+                        node.uplink = previous;
                         let parent = self.nodes.get_mut(&target).expect("known");
                         parent.branch.remove(key);
                         continue;
                     }
-                    let fresh = node.uplink.clone();
+                    let linked = node.uplink.clone();
                     self.unlink(name);
                     let node = self.nodes.get_mut(name).expect("known");
-                    node.uplink = fresh;
+                    node.uplink = linked;
                     node.parent = Some((target.clone(), key));
                     let parent = self.nodes.get_mut(&target).expect("known");
                     parent.children.insert(key, name.to_owned());
@@ -320,53 +329,64 @@
         self.unlink(name);
         let node = self.nodes.get_mut(name).expect("known");
         node.alive = false;
-        // Its links end with it.
+        // The links to its children end.
         for child in std::mem::take(&mut node.children).into_values() {
             let child = self.nodes.get_mut(&child).expect("known");
-            child.uplink.lost();
+            child.uplink.on_parent_lost();
             child.parent = None;
         }
     }
 
-    fn living(&self) -> impl Iterator<Item = (&String, &Node)> {
+    fn live_nodes(&self) -> impl Iterator<Item = (&String, &Node)> {
         self.nodes.iter().filter(|(_, node)| node.alive)
     }
 
-    /// Instances that have no fresh news.
-    fn in_the_dark(&self) -> Vec<&String> {
-        let dark = self.living().filter(|(name, _)| !self.fresh(name));
-        dark.map(|(name, _)| name).collect()
+    /// Instances whose data are not fresh.
+    fn stale_nodes(&self) -> Vec<&String> {
+        let stale = self.live_nodes().filter(|(name, _)| !self.is_fresh(name));
+        stale.map(|(name, _)| name).collect()
     }
 
-    fn most_children(&self) -> usize {
-        let children = self.living().map(|(_, node)| node.branch.len());
+    fn max_children(&self) -> usize {
+        let children = self.live_nodes().map(|(_, node)| node.branch.len());
         children.max().unwrap_or_default()
     }
 
-    fn deepest(&self) -> u32 {
-        let levels = self.living().map(|(_, node)| node.uplink.level());
+    fn max_level(&self) -> u32 {
+        let levels = self.live_nodes().map(|(_, node)| node.uplink.level());
         levels.max().unwrap_or_default()
     }
 
-    fn readers_since(&mut self) -> BTreeSet<String> {
-        std::mem::take(&mut self.readers).into_keys().collect()
+    fn take_readers(&mut self) -> BTreeSet<String> {
+        std::mem::take(&mut self.reader_steps).into_keys().collect()
     }
 }
 
-const SIZES: [usize; 5] = [9, 30, 165, 350, 1_000];
+const FLEET_SIZES: [usize; 5] = [9, 30, 165, 350, 1_000];
 
 #[test]
 fn all_are_told_with_few_links_each_whatever_the_size() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert!(fleet.most_children() <= CHILDREN);
-        assert!(fleet.deepest() <= 2, "{} levels of {size}", fleet.deepest());
-        assert_eq!(fleet.readers_since().len(), 1, "one reads for {size}");
-        // One try at the root, and one where it was referred to.
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 2 * size, "{tries} tries of {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert!(fleet.max_children() <= MAX_CHILDREN);
+        assert!(
+            fleet.max_level() <= 2,
+            "{} levels of {size}",
+            fleet.max_level()
+        );
+        assert_eq!(
+            fleet.take_readers().len(),
+            1,
+            "one instance reads the store, of {size}"
+        );
+        // One attempt at the root, and one at a child to which it was referred.
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 2 * size,
+            "{link_attempts} link attempts of {size}"
+        );
     }
 }
 
@@ -374,76 +394,76 @@
 fn each_has_a_place_of_its_own() {
     let mut fleet = Fleet::new(165);
     fleet.run(Duration::from_secs(3));
-    let places = fleet.living().filter_map(|(name, node)| {
+    let ranks = fleet.live_nodes().filter_map(|(name, node)| {
         let ranks = node.uplink.ranks()?;
-        let place = ranks.place(node.peer.preferred);
-        assert_eq!((place.preferred, place.of), (19, 165), "{name}");
-        assert_eq!(place.number < 19, node.peer.preferred);
-        Some(place.number)
+        let rank = ranks.rank(node.peer.preferred);
+        assert_eq!((rank.preferred, rank.total), (19, 165), "{name}");
+        assert_eq!(rank.number < 19, node.peer.preferred);
+        Some(rank.number)
     });
-    // The root has the first one.
-    assert_eq!(places.collect::<BTreeSet<_>>().len(), 164);
+    // The root takes the remaining rank, the first one.
+    assert_eq!(ranks.collect::<BTreeSet<_>>().len(), 164);
 }
 
-/// Load pattern: an instance that passes news on is killed or cut off; those below it must neither go
-/// without news nor ask the store.
+/// An instance that forwards data is killed or cut off. The instances below it must neither have stale
+/// data nor read the store.
 #[test]
 fn the_loss_of_a_relay_costs_links_alone() {
     for size in [165, 350, 1_000] {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.readers_since();
+        fleet.take_readers();
         let relay = fleet.nodes["i-0000"].children.values().next().cloned();
         fleet.kill(&relay.expect("the root has children"));
         fleet.run(STEP * 4);
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert_eq!(fleet.readers_since().len(), 1);
-        assert!(fleet.most_children() <= CHILDREN);
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert_eq!(fleet.take_readers().len(), 1);
+        assert!(fleet.max_children() <= MAX_CHILDREN);
     }
 }
 
-/// Load pattern: the root is killed. In a star each of 165 instances listed and watched the store.
+/// The root is killed. In a star, each of 165 instances would list and watch the store.
 #[test]
 fn the_loss_of_the_root_is_borne_by_its_deputies() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.readers_since();
+        fleet.take_readers();
         fleet.kill("i-0000");
         fleet.run(Duration::from_secs(2));
-        let dark = fleet.in_the_dark();
-        assert_eq!(dark, Vec::<&String>::new(), "of {size}");
-        let readers = fleet.readers_since();
-        assert!(readers.len() <= 3, "{readers:?} read of {size}");
-        // The next holder may be anyone; all are told again, and one reads.
+        let stale = fleet.stale_nodes();
+        assert_eq!(stale, Vec::<&String>::new(), "of {size}");
+        let readers = fleet.take_readers();
+        assert!(readers.len() <= 3, "{readers:?} read the store, of {size}");
+        // Any instance may be the next holder. All get data again, and only one reads the store.
         fleet.holder = Some("i-0009".into())
             .filter(|_| size > 9)
             .or(Some("i-0004".into()));
         fleet.run(Duration::from_secs(2));
-        fleet.readers_since();
+        fleet.take_readers();
         fleet.run(Duration::from_secs(1));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        assert_eq!(fleet.readers_since().len(), 1, "of {size}");
-        assert!(fleet.most_children() <= CHILDREN);
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        assert_eq!(fleet.take_readers().len(), 1, "of {size}");
+        assert!(fleet.max_children() <= MAX_CHILDREN);
     }
 }
 
-/// Load pattern: the root is cut off from the store and keeps its links. Its news grow old, and those that
+/// The root is cut off from the store and keeps its links. Its data become stale, and instances that
 /// reach the store take over within two seconds.
 #[test]
 fn a_root_that_the_store_does_not_answer_is_left() {
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
-        fleet.nodes.get_mut("i-0000").expect("it is there").reaches = false;
+        fleet.nodes.get_mut("i-0000").expect("known").reaches_store = false;
         fleet.run(Duration::from_millis(2_500));
-        let dark: Vec<_> = fleet.in_the_dark().into_iter().cloned().collect();
-        // The root itself keeps its duty until its lease ends.
-        assert_eq!(dark, vec!["i-0000".to_owned()], "of {size}");
+        let stale: Vec<_> = fleet.stale_nodes().into_iter().cloned().collect();
+        // The old root keeps the duty until its lease ends.
+        assert_eq!(stale, vec!["i-0000".to_owned()], "of {size}");
     }
 }
 
-/// Load pattern: one instance after the other is stopped and comes back, as in a rolling restart.
+/// Instances are stopped and started again one after another, as in a rolling restart.
 #[test]
 fn a_rolling_restart_leaves_nobody_behind() {
     let mut fleet = Fleet::new(165);
@@ -452,77 +472,93 @@
         let name = format!("i-{number:04}");
         fleet.kill(&name);
         fleet.run(STEP * 2);
-        let node = fleet.nodes.get_mut(&name).expect("it is there");
-        let own = node.peer.address.clone();
-        node.uplink = Uplink::new(own);
-        node.branch = Branch::default();
+        let node = fleet.nodes.get_mut(&name).expect("known");
+        let address = node.peer.address.clone();
+        node.uplink = Uplink::new(address);
+        node.branch = Children::default();
         node.alive = true;
         fleet.run(STEP * 2);
     }
     fleet.run(Duration::from_secs(1));
-    assert_eq!(fleet.in_the_dark(), Vec::<&String>::new());
-    assert!(fleet.most_children() <= CHILDREN);
-    assert!(fleet.deepest() <= 3, "{} levels", fleet.deepest());
+    assert_eq!(fleet.stale_nodes(), Vec::<&String>::new());
+    assert!(fleet.max_children() <= MAX_CHILDREN);
+    assert!(fleet.max_level() <= 3, "{} levels", fleet.max_level());
 }
 
-/// A root that was told to stop knew nobody to turn to: for up to 2.5 s it told nobody of the crashes that it saw, and the others began
-/// anew with a request that had crashed three endpoints.
+/// A root that shuts down must know a parent to link to. Without one, it reported the crashes that it
+/// saw to nobody for up to 2.5 s, and the others started over with a request that had crashed three
+/// endpoints.
 #[test]
 fn a_root_that_leaves_turns_to_its_deputies() {
     let mut uplink = Uplink::new("root".into());
-    uplink.lead(true);
+    uplink.set_reads_store(true);
     assert_eq!(
-        uplink.targets(Some("root".into())),
+        uplink.link_targets(Some("root".into())),
         Vec::<compact_str::CompactString>::new()
     );
-    uplink.turn_to(vec!["first".into(), "second".into()]);
-    uplink.lead(false);
-    assert_eq!(uplink.targets(Some("root".into())), ["first", "second"]);
+    uplink.set_parent_candidates(vec!["first".into(), "second".into()]);
+    uplink.set_reads_store(false);
+    assert_eq!(
+        uplink.link_targets(Some("root".into())),
+        ["first", "second"]
+    );
 }
 
-/// Load pattern: all instances start, and the root reads thousands of endpoints before it has anything to tell. When it
-/// turned newcomers away until then, each came four times a second.
+/// All instances start, and the root reads thousands of endpoints before it has data to send. When it
+/// rejected newcomers until then, each of them tried four times a second.
 #[test]
 fn a_start_costs_each_instance_two_links_however_long_the_root_reads() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
-        fleet.reading = Duration::from_millis(1_500);
-        fleet.spare = Duration::from_millis(1_500);
+        fleet.loading_time = Duration::from_millis(1_500);
+        fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 3 * size, "{tries} tries of {size}");
-        assert_eq!(fleet.readers_since().len(), 1, "one reads for {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 3 * size,
+            "{link_attempts} link attempts of {size}"
+        );
+        assert_eq!(
+            fleet.take_readers().len(),
+            1,
+            "one instance reads the store, of {size}"
+        );
     }
 }
 
-/// Load pattern: the root is killed, and its successor reads thousands of endpoints first. Its children alone look for
-/// the successor; when all those below them did as well, the links grew with the fleet.
+/// The root is killed, and its successor first reads thousands of endpoints. Only the root's children
+/// look for the successor. When all instances below them did as well, the number of link attempts grew
+/// with the fleet.
 #[test]
 fn the_loss_of_a_root_costs_the_links_of_its_children() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
-        fleet.reading = Duration::from_millis(1_000);
-        fleet.spare = Duration::from_millis(1_500);
+        fleet.loading_time = Duration::from_millis(1_000);
+        fleet.slack = Duration::from_millis(1_500);
         fleet.run(Duration::from_secs(4));
-        fleet.tries.clear();
+        fleet.link_attempts.clear();
         fleet.kill("i-0000");
         fleet.run(Duration::from_secs(4));
-        assert_eq!(fleet.in_the_dark(), Vec::<&String>::new(), "of {size}");
-        let tries: u32 = fleet.tries.values().sum();
-        assert!(tries as usize <= 8 * CHILDREN, "{tries} tries of {size}");
+        assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
+        let link_attempts: u32 = fleet.link_attempts.values().sum();
+        assert!(
+            link_attempts as usize <= 8 * MAX_CHILDREN,
+            "{link_attempts} link attempts of {size}"
+        );
     }
 }
 
-/// Load pattern: hundreds look for an instance that has nothing to tell. Its work a second is bounded whatever their number.
+/// Hundreds of instances try to link to one that has no data yet. The attempts per second that it has
+/// to reject are bounded whatever their number.
 #[test]
 fn those_turned_away_return_in_turns() {
     for newcomers in [400, 800, 1_600] {
-        let mut gate = Gate::default();
+        let mut pacer = RetryPacer::default();
         let now = Time::ZERO + Duration::from_secs(1);
-        let mut returns: Vec<_> = (0..newcomers).map(|_| gate.turn_away(now)).collect();
+        let mut returns: Vec<_> = (0..newcomers).map(|_| pacer.retry_after(now)).collect();
         returns.dedup();
-        assert_eq!(returns.len(), newcomers, "each has a turn of its own");
+        assert_eq!(returns.len(), newcomers, "each has its own retry time");
         let most = (0..20)
             .map(|second| {
                 let second = Duration::from_secs(second);
@@ -534,78 +570,84 @@
     }
 }
 
-/// Load pattern: the store turns half of the instances away, the root among them, and serves the others. One that it does
-/// not answer has nothing to read, so that nobody may wait for its news.
+/// The store rejects half of the instances, the root among them, and serves the others. An instance
+/// that gets no answers cannot read, so nobody may wait for its data.
 #[test]
 fn an_instance_that_the_store_turns_away_takes_no_newcomer() {
     let now = Time::ZERO + Duration::from_secs(10);
-    let own = |answers| Own {
+    let status = |is_answering| StoreStatus {
         age: None,
-        calm: Duration::ZERO,
-        answers,
+        store_uptime: Duration::ZERO,
+        is_answering,
     };
     let mut uplink = Uplink::new("turned-away".into());
-    uplink.lead(true);
-    uplink.observe(now, own(false));
-    assert!(!uplink.is_recovering(now, own(false), Duration::ZERO));
-    assert!(uplink.is_recovering(now, own(true), Duration::ZERO));
-    let alive = |answers| uplink.alive(now, own(answers), Ranks::default(), Vec::new());
-    assert!(!alive(false).is_reading());
-    assert!(alive(true).is_reading());
+    uplink.set_reads_store(true);
+    uplink.observe(now, status(false));
+    assert!(!uplink.is_recovering(now, status(false), Duration::ZERO));
+    assert!(uplink.is_recovering(now, status(true), Duration::ZERO));
+    let heartbeat =
+        |answers| uplink.heartbeat(now, status(answers), RankRange::default(), Vec::new());
+    assert!(!heartbeat(false).is_loading());
+    assert!(heartbeat(true).is_loading());
     assert!(
-        !alive(true).is_fresh(),
-        "it is no reason to give up reading"
+        !heartbeat(true).is_fresh(),
+        "it gives no reason to stop reading the store"
     );
 }
 
-/// Load pattern: the news of a whole branch grow old. Who joins it there would learn of a change later than its bound allows.
+/// The data of a whole subtree become stale. A newcomer in that subtree would learn of a change later
+/// than the bound allows.
 #[test]
 fn an_instance_with_old_news_takes_no_newcomer() {
-    let spare = Duration::from_millis(1_500);
-    let own = Own::default();
+    let slack = Duration::from_millis(1_500);
+    let status = StoreStatus::default();
     let mut uplink = Uplink::new("relay".into());
     let now = Time::ZERO + Duration::from_secs(10);
-    let alive = Alive {
-        lineage: vec!["root".into(), "parent".into()],
-        deputies: Vec::new(),
+    let heartbeat = Heartbeat {
+        ancestors: vec!["root".into(), "parent".into()],
+        standbys: Vec::new(),
         age: Some(Duration::from_secs(3)),
-        reads: false,
-        calm: Duration::ZERO,
-        ranks: Ranks::default(),
+        reads_store: false,
+        store_uptime: Duration::ZERO,
+        ranks: RankRange::default(),
     };
-    assert!(uplink.heard(now, alive));
-    uplink.observe(now, own);
-    assert!(!uplink.patience(now, spare).is_zero(), "it stays itself");
-    assert!(!uplink.is_recovering(now, own, spare));
+    assert!(uplink.on_heartbeat(now, heartbeat));
+    uplink.observe(now, status);
+    assert!(
+        !uplink.remaining_grace(now, slack).is_zero(),
+        "it stays with its parent"
+    );
+    assert!(!uplink.is_recovering(now, status, slack));
 }
 
-/// Load pattern: the store turns a part of the instances away while a configuration changes. A child whose news have grown
-/// old once waited for a parent that had begun to read, 1.6 s more, and had the change 3.1 s late where 3 s are allowed.
+/// The store rejects a part of the instances while a configuration changes. When a child with stale
+/// data waited 1.6 s more for a parent that had begun to read, it got the change after 3.1 s, where
+/// 3 s are allowed.
 #[test]
 fn a_child_with_old_news_waits_for_a_reader_no_longer_than_the_bound_allows() {
     let now = Time::ZERO + Duration::from_secs(10);
-    let spare = Duration::from_millis(500);
-    let alive = |age| Alive {
-        lineage: vec!["root".into()],
-        deputies: Vec::new(),
+    let slack = Duration::from_millis(500);
+    let heartbeat = |age| Heartbeat {
+        ancestors: vec!["root".into()],
+        standbys: Vec::new(),
         age,
-        reads: true,
-        calm: Duration::ZERO,
-        ranks: Ranks::default(),
+        reads_store: true,
+        store_uptime: Duration::ZERO,
+        ranks: RankRange::default(),
     };
     let mut newcomer = Uplink::new("newcomer".into());
-    assert!(newcomer.heard(now, alive(None)));
-    newcomer.observe(now, Own::default());
+    assert!(newcomer.on_heartbeat(now, heartbeat(None)));
+    newcomer.observe(now, StoreStatus::default());
     assert!(
-        newcomer.patience(now, spare) > spare,
-        "it knows nothing that grows old"
+        newcomer.remaining_grace(now, slack) > slack,
+        "it has no data that become stale"
     );
     let mut child = Uplink::new("child".into());
-    assert!(child.heard(now, alive(Some(HOP))));
-    child.observe(now, Own::default());
-    assert!(child.heard(now, alive(None)));
-    child.observe(now, Own::default());
-    assert_eq!(child.patience(now, spare), spare);
-    let later = now + spare;
-    assert_eq!(child.patience(later, spare), Duration::ZERO);
+    assert!(child.on_heartbeat(now, heartbeat(Some(ROOT_DATA_AGE))));
+    child.observe(now, StoreStatus::default());
+    assert!(child.on_heartbeat(now, heartbeat(None)));
+    child.observe(now, StoreStatus::default());
+    assert_eq!(child.remaining_grace(now, slack), slack);
+    let later = now + slack;
+    assert_eq!(child.remaining_grace(later, slack), Duration::ZERO);
 }
