--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -14,7 +14,7 @@
 use pinereel_core::{
     config::Kind,
     endpoint::{Endpoint, State},
-    rollout::{Action, Controller, Event, Lease, Settings, Sight},
+    rollout::{Action, Controller, Event, Lease, Settings, Status},
 };
 use std::{
     cell::RefCell,
@@ -208,7 +208,7 @@
     let event = match address(shared, &name) {
         Some(address) => match engines::state(&shared.http, &address, TIMEOUT).await {
             Ok(state) => Event::Seen {
-                sight: sight(&state),
+                status: status(&state),
                 name,
             },
             Err(error) => failed(name, &error),
@@ -246,7 +246,7 @@
     };
     match engines::order(&shared.http, &address, &order, TIMEOUT).await {
         Ok(state) => Event::Taken {
-            sight: sight(&state),
+            status: status(&state),
             name,
             fence,
         },
@@ -272,8 +272,8 @@
     listed.get(name).map(|instance| instance.address.clone())
 }
 
-fn sight(state: &engine::State) -> Sight {
-    Sight {
+fn status(state: &engine::State) -> Status {
+    Status {
         incarnation: state.incarnation,
         version: state.version,
         loading: state.loading,
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Sight, loads},
+    rollout::{Action, Controller, Event, Lease, Status, loads},
 };
 use pinereel_port::{
     endpoint::Entry,
@@ -148,14 +148,14 @@
         });
         // An engine lists a new version as soon as it serves it; its report lags behind.
         if before.is_some_and(|(_, before)| before != version) {
-            let sight = Sight {
+            let status = Status {
                 incarnation: entry.incarnation,
                 version: Some(Version(version)),
                 loading: None,
                 failed: false,
             };
             let name = entry.id;
-            self.step(Event::Seen { name, sight });
+            self.step(Event::Seen { name, status });
         }
         Some((entry.incarnation, version))
     }
@@ -214,7 +214,7 @@
         };
         let event = match report {
             Ok(report) => Event::Seen {
-                sight: self.sight(&report),
+                status: self.status(&report),
                 name,
             },
             Err(no_answer) => no_answer.event(name),
@@ -222,9 +222,9 @@
         self.step(event);
     }
 
-    fn sight(&self, report: &Report) -> Sight {
+    fn status(&self, report: &Report) -> Status {
         let named = self.orders.named.borrow().get(&self.model).copied();
-        Sight {
+        Status {
             incarnation: report.incarnation,
             version: report.models.get(&self.model).copied().map(Version),
             // The report does not say which version is loaded; orders are given for the newest.
@@ -283,16 +283,16 @@
             &[verdict.map_or("no answer", Verdict::as_str)],
         );
         let name = name.clone();
-        let mut sight = self.sight(&before);
+        let mut status = self.status(&before);
         match verdict? {
             Verdict::Accepted => {
-                sight.loading = Some(version);
-                Ok(Event::Taken { name, fence, sight })
+                status.loading = Some(version);
+                Ok(Event::Taken { name, fence, status })
             }
             Verdict::Holds => {
-                sight.version = Some(version);
-                sight.loading = None;
-                Ok(Event::Taken { name, fence, sight })
+                status.version = Some(version);
+                status.loading = None;
+                Ok(Event::Taken { name, fence, status })
             }
             Verdict::Fenced => Ok(Event::Refused { name, fence }),
             Verdict::Busy | Verdict::OtherEndpoint | Verdict::Refused => Err(NoAnswer::Lost),
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -3,7 +3,7 @@
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Settings, Sight},
+    rollout::{Action, Controller, Event, Lease, Settings, Status},
 };
 use std::{hint::black_box, time::Duration};
 
@@ -46,7 +46,7 @@
     version: Version,
     loading: Option<Version>,
 ) {
-    let sight = Sight {
+    let status = Status {
         incarnation: 1,
         version: Some(version),
         loading,
@@ -56,12 +56,12 @@
         let event = match action {
             Action::Read { name } => Event::Seen {
                 name: name.clone(),
-                sight,
+                status,
             },
             Action::Order { name, fence, .. } => Event::Taken {
                 name: name.clone(),
                 fence: *fence,
-                sight,
+                status,
             },
             _ => continue,
         };
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -1,7 +1,7 @@
 //! The rollout's state machine.
 
 use super::{
-    Action, Event, Lease, Plan, Settings, Sight,
+    Action, Event, Lease, Plan, Settings, Status,
     engine::{Engine, Phase},
 };
 use crate::{Time, Version};
@@ -81,9 +81,9 @@
                     engine.reported(version, loading);
                 }
             }
-            Event::Seen { name, sight } => self.seen(now, &name, sight, &mut actions),
-            Event::Taken { name, fence, sight } => {
-                self.taken(now, &name, fence, sight, &mut actions);
+            Event::Seen { name, status } => self.seen(now, &name, status, &mut actions),
+            Event::Taken { name, fence, status } => {
+                self.taken(now, &name, fence, status, &mut actions);
             }
             Event::Refused { name, fence } => self.refused(now, &name, fence, &mut actions),
             Event::Silent { name } => {
@@ -125,8 +125,8 @@
         let mut counts = (0, 0, 0);
         for engine in self.engines.values().filter(|e| !e.leaving) {
             let differs = matches!(engine.phase, Phase::Unknown { .. })
-                || engine.sight.loading.is_some()
-                || engine.sight.version != Some(target);
+                || engine.status.loading.is_some()
+                || engine.status.version != Some(target);
             let quarantined = engine.phase == Phase::Quarantine;
             counts.0 += 1;
             counts.1 += usize::from(differs && !quarantined);
@@ -182,7 +182,7 @@
         }
     }
 
-    fn seen(&mut self, now: Time, name: &str, sight: Sight, actions: &mut Vec<Action>) {
+    fn seen(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let target = self.target;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
@@ -190,9 +190,9 @@
         engine.reading = None;
         engine.silences = 0;
         engine.unreached = 0;
-        let before = engine.sight;
-        if before.incarnation != sight.incarnation {
-            self.restarted(now, name, sight, actions);
+        let before = engine.status;
+        if before.incarnation != status.incarnation {
+            self.restarted(now, name, status, actions);
             return;
         }
         match engine.phase {
@@ -200,50 +200,50 @@
             Phase::Ordered {
                 answered: false, ..
             } => return,
-            Phase::Ordered { .. } => self.loaded(now, name, sight, actions),
-            Phase::Unknown { .. } => engine.adopt(sight, now, &self.settings),
-            Phase::Rest | Phase::Quarantine if engine.is_outdated(&sight, now) => {
+            Phase::Ordered { .. } => self.loaded(now, name, status, actions),
+            Phase::Unknown { .. } => engine.adopt(status, now, &self.settings),
+            Phase::Rest | Phase::Quarantine if engine.is_outdated(&status, now) => {
                 engine.differs_by_report = true;
                 return;
             }
             Phase::Rest | Phase::Quarantine => {
-                let strayed = before.version != sight.version && sight.version != target;
+                let strayed = before.version != status.version && status.version != target;
                 if strayed {
                     let name = name.into();
-                    let version = sight.version;
+                    let version = status.version;
                     actions.push(Action::Strayed { name, version });
                     self.complete = false;
                 }
             }
         }
         if let Some(engine) = self.engines.get_mut(name) {
-            if engine.sight.version != sight.version {
+            if engine.status.version != status.version {
                 engine.version_at = now;
             }
             engine.differs_by_report = false;
-            engine.sight = sight;
+            engine.status = status;
             engine.seen_at = Some(now);
         }
     }
 
     /// An engine shows another incarnation. If it had an order, the load may have ended it.
-    fn restarted(&mut self, now: Time, name: &str, sight: Sight, actions: &mut Vec<Action>) {
+    fn restarted(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         let ordered = matches!(engine.phase, Phase::Ordered { .. });
-        engine.sight = sight;
+        engine.status = status;
         engine.seen_at = Some(now);
         if !ordered {
-            engine.adopt(sight, now, &settings);
+            engine.adopt(status, now, &settings);
         } else if engine.fail(now, name, &settings) {
             actions.push(quarantined(name, engine));
         }
     }
 
     /// An engine with an order shows its state.
-    fn loaded(&mut self, now: Time, name: &str, sight: Sight, actions: &mut Vec<Action>) {
+    fn loaded(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
         let expected = self.load_time;
         let Some(engine) = self.engines.get_mut(name) else {
@@ -256,11 +256,11 @@
             return;
         };
         let took = now.since(at);
-        let done = sight.loading.is_none() && sight.version == Some(version);
-        let loads = sight.loading == Some(version) && took < settings.load_timeout;
-        let not_begun = sight.loading.is_none() && !sight.failed && took < expected;
+        let done = status.loading.is_none() && status.version == Some(version);
+        let loads = status.loading == Some(version) && took < settings.load_timeout;
+        let not_begun = status.loading.is_none() && !status.failed && took < expected;
         if done {
-            let loaded = engine.sight.loading == Some(version);
+            let loaded = engine.status.loading == Some(version);
             engine.succeed();
             // A load that was under way or over before says nothing about the time of one.
             if own && loaded {
@@ -268,7 +268,7 @@
             }
         } else if loads || not_begun {
             // Goes on.
-        } else if sight.loading.is_some_and(|other| other != version) {
+        } else if status.loading.is_some_and(|other| other != version) {
             // Another's order came after ours: not the engine's fault.
             engine.phase = Phase::Rest;
         } else if engine.fail(now, name, &settings) {
@@ -281,7 +281,7 @@
         now: Time,
         name: &str,
         fence: u64,
-        sight: Sight,
+        status: Status,
         actions: &mut Vec<Action>,
     ) {
         let held = self.lease.is_some_and(|lease| lease.fence == fence);
@@ -291,10 +291,10 @@
         if let Phase::Ordered { answered, .. } = &mut engine.phase {
             *answered = true;
             // A restart before the order was taken is no failure of its load.
-            engine.sight.incarnation = sight.incarnation;
-            engine.sight.loading = sight.loading;
+            engine.status.incarnation = status.incarnation;
+            engine.status.loading = status.loading;
         }
-        self.seen(now, name, sight, actions);
+        self.seen(now, name, status, actions);
     }
 
     fn refused(&mut self, now: Time, name: &str, fence: u64, actions: &mut Vec<Action>) {
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -1,6 +1,6 @@
 //! One engine, as the rollout's holder sees it.
 
-use super::{Settings, Sight};
+use super::{Settings, Status};
 use crate::{Time, Version, hash};
 use compact_str::CompactString;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     pub(super) outstanding: u32,
     pub(super) leaving: bool,
     pub(super) phase: Phase,
-    pub(super) sight: Sight,
+    pub(super) status: Status,
     pub(super) seen_at: Option<Time>,
     /// When it was first seen with its present version.
     pub(super) version_at: Time,
@@ -69,7 +69,7 @@
             outstanding: 0,
             leaving: false,
             phase: Phase::Unknown { since: now },
-            sight: Sight::default(),
+            status: Status::default(),
             seen_at: None,
             version_at: now,
             differs_by_report: false,
@@ -92,7 +92,7 @@
                 version: ordered, ..
             } => loading.is_none() && version == Some(ordered),
             Phase::Rest | Phase::Quarantine => {
-                (version, loading) != (self.sight.version, self.sight.loading)
+                (version, loading) != (self.status.version, self.status.loading)
             }
         };
     }
@@ -120,8 +120,8 @@
     }
 
     /// Takes over what a first read shows.
-    pub(super) fn adopt(&mut self, sight: Sight, now: Time, settings: &Settings) {
-        self.phase = match sight.loading {
+    pub(super) fn adopt(&mut self, status: Status, now: Time, settings: &Settings) {
+        self.phase = match status.loading {
             Some(version) => Phase::Ordered {
                 version,
                 at: now,
@@ -138,14 +138,14 @@
     /// The platform's list shows a new version sooner than the engine's own report, which may be some
     /// 100 ms old. Taken for a change, such reports made engines look 54 times on a quiet day as if they had
     /// lost their version.
-    pub(super) fn is_outdated(&self, sight: &Sight, now: Time) -> bool {
-        sight.version < self.sight.version && now.since(self.version_at) < REPORT_LAG
+    pub(super) fn is_outdated(&self, status: &Status, now: Time) -> bool {
+        status.version < self.status.version && now.since(self.version_at) < REPORT_LAG
     }
 
     /// Whether it is known to serve requests now.
     pub(super) fn serves(&self) -> bool {
         let calm = matches!(self.phase, Phase::Rest | Phase::Quarantine);
-        calm && self.sight.version.is_some() && self.sight.loading.is_none()
+        calm && self.status.version.is_some() && self.status.loading.is_none()
     }
 
     /// Whether it loads weights, or may do so for all that is known.
@@ -157,7 +157,7 @@
             Phase::Unknown { .. } if self.is_dead() => false,
             Phase::Unknown { since } => now.since(since) < settings.load_timeout,
             Phase::Ordered { .. } => true,
-            Phase::Rest | Phase::Quarantine => self.sight.loading.is_some(),
+            Phase::Rest | Phase::Quarantine => self.status.loading.is_some(),
         }
     }
 
@@ -170,7 +170,7 @@
         }
         match self.phase {
             Phase::Rest | Phase::Quarantine => {
-                let loads = self.sight.loading.is_some();
+                let loads = self.status.loading.is_some();
                 self.differs(target) && (settings.replaces || !loads)
             }
             // Its load is of no use any more: straight to the newest.
@@ -183,9 +183,9 @@
 
     /// Whether it serves or will serve something else than `target`.
     pub(super) fn differs(&self, target: Version) -> bool {
-        match self.sight.loading {
+        match self.status.loading {
             Some(loading) => loading != target,
-            None => self.sight.version != Some(target),
+            None => self.status.version != Some(target),
         }
     }
 
@@ -203,7 +203,7 @@
                 answered && due && older(settings.poll)
             }
             Phase::Rest | Phase::Quarantine
-                if self.sight.loading.is_some() || self.differs_by_report =>
+                if self.status.loading.is_some() || self.differs_by_report =>
             {
                 older(settings.poll)
             }
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -84,7 +84,7 @@
 
 /// What an engine says of its weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sight {
+pub struct Status {
     /// Its incarnation.
     pub incarnation: u64,
     /// Version that it serves; `None` before its first load or after one broke off.
@@ -133,7 +133,7 @@
         /// Its name.
         name: CompactString,
         /// What it said.
-        sight: Sight,
+        status: Status,
     },
     /// The engine took an order; its state after that.
     Taken {
@@ -142,7 +142,7 @@
         /// Fencing token of the order.
         fence: u64,
         /// What it said.
-        sight: Sight,
+        status: Status,
     },
     /// The engine refused an order, since it has seen a higher fencing token.
     Refused {
--- a/crates/pinereel_core/src/rollout/order.rs
+++ b/crates/pinereel_core/src/rollout/order.rs
@@ -90,7 +90,7 @@
             let cost = self.cost(engine, now);
             let wants = engine.wants(target, now, &self.settings);
             if wants && (replaces || cost != Cost::Nothing) {
-                let version = engine.sight.version;
+                let version = engine.status.version;
                 let candidate = (cost, version, engine.outstanding, name.clone());
                 zones
                     .entry(engine.zone.clone())
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -4,7 +4,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Settings, Sight},
+    rollout::{Action, Controller, Event, Lease, Settings, Status},
 };
 use proptest::{
     prelude::*,
@@ -20,7 +20,7 @@
 /// One engine: what it serves and loads.
 #[derive(Clone, Default)]
 struct Engine {
-    sight: Sight,
+    status: Status,
     fence: u64,
     /// End of the load, and whether it goes well.
     load: Option<(Time, bool)>,
@@ -76,8 +76,8 @@
         for i in 0..count {
             let name = format!("engine-{i:04}");
             let mut engine = Engine::default();
-            engine.sight.incarnation = 1;
-            engine.sight.version = Some(Version(1));
+            engine.status.incarnation = 1;
+            engine.status.version = Some(Version(1));
             world.engines.insert(name.clone(), engine);
             world.tell(Event::Listed {
                 name: name.into(),
@@ -144,7 +144,7 @@
         let event = match self.engines.get(name) {
             Some(engine) if !lost => Event::Seen {
                 name: name.into(),
-                sight: engine.sight,
+                status: engine.status,
             },
             _ => Event::Silent { name: name.into() },
         };
@@ -165,14 +165,14 @@
         };
         let name = name.into();
         self.inbox.push(match taken {
-            Some(Some(sight)) if !answer_lost => Event::Taken { name, fence, sight },
+            Some(Some(status)) if !answer_lost => Event::Taken { name, fence, status },
             Some(None) if !answer_lost => Event::Refused { name, fence },
             _ => Event::Silent { name },
         });
     }
 
     /// What an engine does with an order; `None` if it refuses it.
-    fn load(&mut self, name: &str, version: Version, fence: u64) -> Option<Sight> {
+    fn load(&mut self, name: &str, version: Version, fence: u64) -> Option<Status> {
         let good = !self.fault() && self.broken.as_deref() != Some(name);
         let done = self.now + self.load_time;
         let engine = self.engines.get_mut(name)?;
@@ -180,13 +180,13 @@
             return None;
         }
         engine.fence = engine.fence.max(fence);
-        if engine.sight.version != Some(version) || engine.load.is_some() {
-            engine.out |= engine.load.is_none() && engine.sight.version.is_some() && engine.known;
-            engine.sight.loading = Some(version);
-            engine.sight.failed = false;
+        if engine.status.version != Some(version) || engine.load.is_some() {
+            engine.out |= engine.load.is_none() && engine.status.version.is_some() && engine.known;
+            engine.status.loading = Some(version);
+            engine.status.failed = false;
             engine.load = Some((done, good));
         }
-        Some(engine.sight)
+        Some(engine.status)
     }
 
     /// An order of a former holder that was paused arrives.
@@ -206,19 +206,19 @@
                 let _ = done;
                 // A load that breaks off leaves the engine with no weights half of the time.
                 let half = self.rng.random_bool(0.5);
-                let old = engine.sight.version.filter(|_| half);
-                engine.sight.version = if good { engine.sight.loading } else { old };
-                engine.sight.loading = None;
-                engine.sight.failed = !good;
+                let old = engine.status.version.filter(|_| half);
+                engine.status.version = if good { engine.status.loading } else { old };
+                engine.status.loading = None;
+                engine.status.failed = !good;
                 engine.load = None;
                 engine.out = false;
                 engine.foreign = false;
             }
         }
         for event in std::mem::take(&mut self.inbox) {
-            if let Event::Seen { name, sight } | Event::Taken { name, sight, .. } = &event {
+            if let Event::Seen { name, status } | Event::Taken { name, status, .. } = &event {
                 let engine = self.engines.get_mut(name.as_str()).expect("listed");
-                engine.known = sight.version.is_some() && sight.loading.is_none();
+                engine.known = status.version.is_some() && status.loading.is_none();
             }
             self.tell(event);
         }
@@ -249,17 +249,17 @@
         engine.out = false;
         engine.foreign = false;
         engine.fence = 0;
-        engine.sight = Sight {
-            incarnation: engine.sight.incarnation + 1,
-            version: engine.sight.version.filter(|_| !empty),
-            ..Sight::default()
+        engine.status = Status {
+            incarnation: engine.status.incarnation + 1,
+            version: engine.status.version.filter(|_| !empty),
+            ..Status::default()
         };
     }
 
     fn all_serve(&self, version: u64) -> bool {
         let mut engines = self.engines.iter();
         engines.all(|(name, e)| {
-            e.sight.version == Some(Version(version)) || self.broken.as_ref() == Some(name)
+            e.status.version == Some(Version(version)) || self.broken.as_ref() == Some(name)
         })
     }
 
@@ -374,7 +374,7 @@
     world.take_lease(2, LONG);
     assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
     world.load("engine-0001", Version(2), 1);
-    let strayed = |w: &World| w.engines["engine-0001"].sight.version == Some(Version(2));
+    let strayed = |w: &World| w.engines["engine-0001"].status.version == Some(Version(2));
     assert!(world.run_until(Duration::from_secs(10), strayed));
     assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
     let told = world.log.iter().any(|a| {
@@ -550,7 +550,7 @@
     world.take_lease(1, LONG);
     let others = |world: &World| {
         let mut engines = world.engines.iter();
-        engines.all(|(name, e)| world.is_dead(name) || e.sight.version == Some(Version(2)))
+        engines.all(|(name, e)| world.is_dead(name) || e.status.version == Some(Version(2)))
     };
     // Two loads of 3 s, one after the other, and the time to find it dead.
     assert!(world.run_until(Duration::from_secs(9), others));
@@ -564,7 +564,7 @@
     };
     let mut world = World::new(1, 6, settings);
     for (name, engine) in &mut world.engines {
-        engine.sight.version = Some(Version(if name == "engine-0004" { 1 } else { 3 }));
+        engine.status.version = Some(Version(if name == "engine-0004" { 1 } else { 3 }));
     }
     world.tell(Event::Published(Version(4)));
     world.take_lease(1, LONG);
@@ -606,13 +606,13 @@
 fn a_report_from_before_the_end_of_a_load_is_no_change() {
     let mut controller = Controller::new(Settings::default());
     let mut now = Time::from_millis(1_000);
-    let sight = |version| Sight {
+    let status = |version| Status {
         version: Some(Version(version)),
-        ..Sight::default()
+        ..Status::default()
     };
     let seen = |name: &CompactString, version| Event::Seen {
         name: name.clone(),
-        sight: sight(version),
+        status: status(version),
     };
     let engines: [CompactString; 4] = ["e-0", "e-1", "e-2", "e-3"].map(Into::into);
     controller.step(now, Event::Published(Version(2)));
@@ -631,9 +631,9 @@
     let taken = Event::Taken {
         name: name.clone(),
         fence: 1,
-        sight: Sight {
+        status: Status {
             loading: Some(Version(2)),
-            ..sight(1)
+            ..status(1)
         },
     };
     controller.step(now, taken);
@@ -671,11 +671,11 @@
     for number in 0..40 {
         let name: CompactString = format!("e-{number}").into();
         controller.step(now, listed(&name));
-        let sight = Sight {
+        let status = Status {
             version: Some(Version(1)),
-            ..Sight::default()
+            ..Status::default()
         };
-        controller.step(now, Event::Seen { name, sight });
+        controller.step(now, Event::Seen { name, status });
     }
     assert_eq!(controller.step(now, Event::Lease(None)), []);
     assert_eq!(reads(&controller.step(now, lease(3))), 0);
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -4,7 +4,7 @@
 use pinereel_core::{
     Time, Version,
     endpoint::Index,
-    rollout::{Action, Controller, Demand, Event, Lease, Settings, Sight, share, working_set},
+    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, share, working_set},
 };
 use std::{collections::BTreeSet, time::Duration};
 
@@ -117,12 +117,12 @@
         actions.extend(controller.step(now, Event::Tick));
         while let Some(action) = actions.pop() {
             calls += 1;
-            let sight = Sight {
+            let status = Status {
                 version: Some(Version(1)),
-                ..Sight::default()
+                ..Status::default()
             };
             if let Action::Read { name } = action {
-                controller.step(now, Event::Seen { name, sight });
+                controller.step(now, Event::Seen { name, status });
                 actions.extend(controller.step(now, Event::Tick));
             }
         }
--- a/crates/pinereel_fakes/src/capacity/rollout.rs
+++ b/crates/pinereel_fakes/src/capacity/rollout.rs
@@ -4,7 +4,7 @@
 use compact_str::format_compact;
 use pinereel_core::{
     Time, Version,
-    rollout::{self, Controller, Sight},
+    rollout::{self, Controller, Status},
 };
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     version: Version,
     loading: Option<Version>,
 ) -> usize {
-    let sight = Sight {
+    let status = Status {
         incarnation: 1,
         version: Some(version),
         loading,
@@ -59,12 +59,12 @@
         let event = match action {
             rollout::Action::Read { name } => rollout::Event::Seen {
                 name: name.clone(),
-                sight,
+                status,
             },
             rollout::Action::Order { name, fence, .. } => rollout::Event::Taken {
                 name: name.clone(),
                 fence: *fence,
-                sight,
+                status,
             },
             _ => continue,
         };
--- a/crates/pinereel_fakes/src/experiment/engines.rs
+++ b/crates/pinereel_fakes/src/experiment/engines.rs
@@ -11,7 +11,7 @@
     Time, Version,
     endpoint::{End, Report},
     lot::Failure,
-    rollout::Sight,
+    rollout::Status,
 };
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -61,8 +61,8 @@
     }
 
     /// What it says of its weights.
-    pub(super) fn sight(&self) -> Sight {
-        Sight {
+    pub(super) fn status(&self) -> Status {
+        Status {
             incarnation: self.incarnation,
             version: self.batch.version(),
             loading: self.batch.loading(),
@@ -222,9 +222,9 @@
     /// Tells the rollout what the engine shows.
     pub(super) fn answer_rollout(&mut self, index: usize, fence: Option<u64>) {
         let engine = &self.engines[index];
-        let sight = engine.up.then(|| engine.sight());
+        let status = engine.up.then(|| engine.status());
         let after = self.between(engine.zone, self.entries[super::weights::HOLDER].zone);
         self.queue
-            .send(self.now, after, Job::Sight(index, fence, sight));
+            .send(self.now, after, Job::Status(index, fence, status));
     }
 }
--- a/crates/pinereel_fakes/src/experiment/job.rs
+++ b/crates/pinereel_fakes/src/experiment/job.rs
@@ -8,7 +8,7 @@
     cursor::Token,
     endpoint::{End, Report},
     lot::{AttemptKey, Failure, Sample, Spec},
-    rollout::Sight,
+    rollout::Status,
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -82,7 +82,7 @@
     /// A read by the rollout arrives at an engine.
     Read(usize),
     /// An answer to the rollout; with a fencing token: to an order.
-    Sight(usize, Option<u64>, Option<Sight>),
+    Status(usize, Option<u64>, Option<Status>),
     /// A live caller's request arrives at an entry.
     Live(u64),
     /// Live requests that wait at an entry look for room.
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -7,7 +7,7 @@
 };
 use pinereel_core::{
     Version,
-    rollout::{Action, Event, Lease, Settings, Sight},
+    rollout::{Action, Event, Lease, Settings, Status},
 };
 use std::time::Duration;
 
@@ -142,12 +142,12 @@
     }
 
     /// What an engine shows arrives at the rollout.
-    pub(super) fn sight(&mut self, index: usize, fence: Option<u64>, sight: Option<Sight>) {
+    pub(super) fn status(&mut self, index: usize, fence: Option<u64>, status: Option<Status>) {
         let name = self.engines[index].name.clone();
-        let event = match (sight, fence) {
+        let event = match (status, fence) {
             (None, _) => Event::Silent { name },
-            (Some(sight), None) => Event::Seen { name, sight },
-            (Some(sight), Some(fence)) => Event::Taken { name, fence, sight },
+            (Some(status), None) => Event::Seen { name, status },
+            (Some(status), Some(fence)) => Event::Taken { name, fence, status },
         };
         self.rollout_step(event);
     }
--- a/crates/pinereel_fakes/src/experiment/world.rs
+++ b/crates/pinereel_fakes/src/experiment/world.rs
@@ -182,7 +182,7 @@
             Job::Rollout => self.rollout_tick(),
             Job::Order(engine, version) => self.order(engine, version),
             Job::Read(engine) => self.answer_rollout(engine, None),
-            Job::Sight(engine, fence, sight) => self.sight(engine, fence, sight),
+            Job::Status(engine, fence, status) => self.status(engine, fence, status),
             Job::Live(call) => self.live_arrived(call),
             Job::Room(life) => self.room(life),
             Job::Fault(index) => self.fault(index),
