--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -207,13 +207,13 @@
 async fn read(shared: &Rc<Shared>, pool: &CompactString, name: CompactString) {
     let event = match address(shared, &name) {
         Some(address) => match engines::state(&shared.http, &address, TIMEOUT).await {
-            Ok(state) => Event::Seen {
+            Ok(state) => Event::Observed {
                 status: status(&state),
                 name,
             },
             Err(error) => failed(name, &error),
         },
-        None => Event::Silent { name },
+        None => Event::NoAnswer { name },
     };
     step(shared, pool, event);
 }
@@ -237,7 +237,7 @@
         address(shared, &name),
         held.map(|(f, _)| f) == Some(fence),
     ) else {
-        return Event::Silent { name };
+        return Event::NoAnswer { name };
     };
     let order = Order {
         fence,
@@ -245,12 +245,12 @@
         version,
     };
     match engines::order(&shared.http, &address, &order, TIMEOUT).await {
-        Ok(state) => Event::Taken {
+        Ok(state) => Event::Accepted {
             status: status(&state),
             name,
             fence,
         },
-        Err(Error::Fenced) => Event::Refused { name, fence },
+        Err(Error::Fenced) => Event::Fenced { name, fence },
         Err(error) => failed(name, &error),
     }
 }
@@ -258,8 +258,8 @@
 /// What a call without an answer says of its engine.
 fn failed(name: CompactString, error: &Error) -> Event {
     match error {
-        Error::NotOpened(_) => Event::Unreached { name },
-        _ => Event::Silent { name },
+        Error::NotOpened(_) => Event::Unreachable { name },
+        _ => Event::NoAnswer { name },
     }
 }
 
--- a/crates/pinereel/src/hosted/orders/call.rs
+++ b/crates/pinereel/src/hosted/orders/call.rs
@@ -33,8 +33,8 @@
 impl NoAnswer {
     pub(super) const fn event(self, name: CompactString) -> Event {
         match self {
-            Self::NotOpened => Event::Unreached { name },
-            Self::Lost => Event::Silent { name },
+            Self::NotOpened => Event::Unreachable { name },
+            Self::Lost => Event::NoAnswer { name },
         }
     }
 }
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -155,7 +155,7 @@
                 failed: false,
             };
             let name = entry.id;
-            self.step(Event::Seen { name, status });
+            self.step(Event::Observed { name, status });
         }
         Some((entry.incarnation, version))
     }
@@ -213,7 +213,7 @@
             None => Err(NoAnswer::Lost),
         };
         let event = match report {
-            Ok(report) => Event::Seen {
+            Ok(report) => Event::Observed {
                 status: self.status(&report),
                 name,
             },
@@ -287,14 +287,14 @@
         match verdict? {
             Verdict::Accepted => {
                 status.loading = Some(version);
-                Ok(Event::Taken { name, fence, status })
+                Ok(Event::Accepted { name, fence, status })
             }
             Verdict::Holds => {
                 status.version = Some(version);
                 status.loading = None;
-                Ok(Event::Taken { name, fence, status })
+                Ok(Event::Accepted { name, fence, status })
             }
-            Verdict::Fenced => Ok(Event::Refused { name, fence }),
+            Verdict::Fenced => Ok(Event::Fenced { name, fence }),
             Verdict::Busy | Verdict::OtherEndpoint | Verdict::Refused => Err(NoAnswer::Lost),
         }
     }
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -54,11 +54,11 @@
     };
     for action in actions {
         let event = match action {
-            Action::Read { name } => Event::Seen {
+            Action::Read { name } => Event::Observed {
                 name: name.clone(),
                 status,
             },
-            Action::Order { name, fence, .. } => Event::Taken {
+            Action::Order { name, fence, .. } => Event::Accepted {
                 name: name.clone(),
                 fence: *fence,
                 status,
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -81,18 +81,18 @@
                     engine.reported(version, loading);
                 }
             }
-            Event::Seen { name, status } => self.seen(now, &name, status, &mut actions),
-            Event::Taken { name, fence, status } => {
+            Event::Observed { name, status } => self.seen(now, &name, status, &mut actions),
+            Event::Accepted { name, fence, status } => {
                 self.taken(now, &name, fence, status, &mut actions);
             }
-            Event::Refused { name, fence } => self.refused(now, &name, fence, &mut actions),
-            Event::Silent { name } => {
+            Event::Fenced { name, fence } => self.refused(now, &name, fence, &mut actions),
+            Event::NoAnswer { name } => {
                 if let Some(engine) = self.engines.get_mut(&name) {
                     engine.silent(now, &self.settings);
                     engine.unreached = 0;
                 }
             }
-            Event::Unreached { name } => {
+            Event::Unreachable { name } => {
                 if let Some(engine) = self.engines.get_mut(&name) {
                     engine.silent(now, &self.settings);
                     engine.unreached += 1;
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -129,14 +129,14 @@
         loading: Option<Version>,
     },
     /// The engine answered a read.
-    Seen {
+    Observed {
         /// Its name.
         name: CompactString,
         /// What it said.
         status: Status,
     },
     /// The engine took an order; its state after that.
-    Taken {
+    Accepted {
         /// Its name.
         name: CompactString,
         /// Fencing token of the order.
@@ -145,19 +145,19 @@
         status: Status,
     },
     /// The engine refused an order, since it has seen a higher fencing token.
-    Refused {
+    Fenced {
         /// Its name.
         name: CompactString,
         /// Fencing token of the order.
         fence: u64,
     },
     /// A read or an order got no answer, so it may or may not have been taken.
-    Silent {
+    NoAnswer {
         /// Its name.
         name: CompactString,
     },
     /// No connection to the engine could be opened: nothing was taken.
-    Unreached {
+    Unreachable {
         /// Its name.
         name: CompactString,
     },
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -137,16 +137,16 @@
     fn read(&mut self, name: &str) {
         if self.is_dead(name) {
             let name = name.into();
-            self.inbox.push(Event::Unreached { name });
+            self.inbox.push(Event::Unreachable { name });
             return;
         }
         let lost = self.fault();
         let event = match self.engines.get(name) {
-            Some(engine) if !lost => Event::Seen {
+            Some(engine) if !lost => Event::Observed {
                 name: name.into(),
                 status: engine.status,
             },
-            _ => Event::Silent { name: name.into() },
+            _ => Event::NoAnswer { name: name.into() },
         };
         self.inbox.push(event);
     }
@@ -154,7 +154,7 @@
     fn order(&mut self, name: &str, version: Version, fence: u64) {
         if self.is_dead(name) {
             let name = name.into();
-            self.inbox.push(Event::Unreached { name });
+            self.inbox.push(Event::Unreachable { name });
             return;
         }
         let (lost, answer_lost) = (self.fault(), self.fault());
@@ -165,9 +165,9 @@
         };
         let name = name.into();
         self.inbox.push(match taken {
-            Some(Some(status)) if !answer_lost => Event::Taken { name, fence, status },
-            Some(None) if !answer_lost => Event::Refused { name, fence },
-            _ => Event::Silent { name },
+            Some(Some(status)) if !answer_lost => Event::Accepted { name, fence, status },
+            Some(None) if !answer_lost => Event::Fenced { name, fence },
+            _ => Event::NoAnswer { name },
         });
     }
 
@@ -216,7 +216,7 @@
             }
         }
         for event in std::mem::take(&mut self.inbox) {
-            if let Event::Seen { name, status } | Event::Taken { name, status, .. } = &event {
+            if let Event::Observed { name, status } | Event::Accepted { name, status, .. } = &event {
                 let engine = self.engines.get_mut(name.as_str()).expect("listed");
                 engine.known = status.version.is_some() && status.loading.is_none();
             }
@@ -610,7 +610,7 @@
         version: Some(Version(version)),
         ..Status::default()
     };
-    let seen = |name: &CompactString, version| Event::Seen {
+    let seen = |name: &CompactString, version| Event::Observed {
         name: name.clone(),
         status: status(version),
     };
@@ -628,7 +628,7 @@
     let Some(Action::Order { name, .. }) = actions.first() else {
         panic!("one is ordered: {actions:?}");
     };
-    let taken = Event::Taken {
+    let taken = Event::Accepted {
         name: name.clone(),
         fence: 1,
         status: Status {
@@ -675,7 +675,7 @@
             version: Some(Version(1)),
             ..Status::default()
         };
-        controller.step(now, Event::Seen { name, status });
+        controller.step(now, Event::Observed { name, status });
     }
     assert_eq!(controller.step(now, Event::Lease(None)), []);
     assert_eq!(reads(&controller.step(now, lease(3))), 0);
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -122,7 +122,7 @@
                 ..Status::default()
             };
             if let Action::Read { name } = action {
-                controller.step(now, Event::Seen { name, status });
+                controller.step(now, Event::Observed { name, status });
                 actions.extend(controller.step(now, Event::Tick));
             }
         }
--- a/crates/pinereel_fakes/src/capacity/rollout.rs
+++ b/crates/pinereel_fakes/src/capacity/rollout.rs
@@ -57,11 +57,11 @@
     let mut answered = 0;
     for action in actions {
         let event = match action {
-            rollout::Action::Read { name } => rollout::Event::Seen {
+            rollout::Action::Read { name } => rollout::Event::Observed {
                 name: name.clone(),
                 status,
             },
-            rollout::Action::Order { name, fence, .. } => rollout::Event::Taken {
+            rollout::Action::Order { name, fence, .. } => rollout::Event::Accepted {
                 name: name.clone(),
                 fence: *fence,
                 status,
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -145,9 +145,9 @@
     pub(super) fn status(&mut self, index: usize, fence: Option<u64>, status: Option<Status>) {
         let name = self.engines[index].name.clone();
         let event = match (status, fence) {
-            (None, _) => Event::Silent { name },
-            (Some(status), None) => Event::Seen { name, status },
-            (Some(status), Some(fence)) => Event::Taken { name, fence, status },
+            (None, _) => Event::NoAnswer { name },
+            (Some(status), None) => Event::Observed { name, status },
+            (Some(status), Some(fence)) => Event::Accepted { name, fence, status },
         };
         self.rollout_step(event);
     }
