--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -58,8 +58,8 @@
             continue;
         }
         let settings = Settings {
-            floor: pool.floor,
-            loads: pool.loads as usize,
+            min_serving_share: pool.floor,
+            max_loads: pool.loads as usize,
             ..Settings::default()
         };
         let controller = Controller::new(settings);
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -194,13 +194,13 @@
 
     fn settings(&self) -> Settings {
         Settings {
-            loads: self.parts.settings.loads,
-            load_time: LOAD_TIME,
+            max_loads: self.parts.settings.loads,
+            initial_load_time: LOAD_TIME,
             load_timeout: LOAD_TIMEOUT,
             answer_timeout: ANSWER + TICK,
-            poll: POLL,
+            poll_interval: POLL,
             // An engine that loads answers that it is busy.
-            replaces: false,
+            can_replace_load: false,
             ..Settings::default()
         }
     }
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -100,7 +100,7 @@
         let own = shares.of(&self.model);
         let least = self.orders.parts.settings.loads;
         let at_once = loads(shares.listed, shares.len(), own.len(), least);
-        self.controller.borrow_mut().set_loads(at_once);
+        self.controller.borrow_mut().set_max_loads(at_once);
         let change = self.orders.parts.endpoints.change();
         if listed.change == Some(change) && listed.own == own {
             return;
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -14,8 +14,8 @@
 /// All engines serve version 1, which is the target.
 fn at_rest(count: usize) -> Controller {
     let mut controller = Controller::new(Settings {
-        loads: count,
-        reads: count,
+        max_loads: count,
+        max_reads: count,
         ..Settings::default()
     });
     for i in 0..count {
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -31,7 +31,7 @@
     /// A controller without lease, engines or target.
     pub fn new(settings: Settings) -> Self {
         Self {
-            load_time: settings.load_time,
+            load_time: settings.initial_load_time,
             settings,
             lease: None,
             held: None,
@@ -110,8 +110,8 @@
     }
 
     /// Sets how many engines may load at once from now on.
-    pub const fn set_loads(&mut self, loads: usize) {
-        self.settings.loads = loads;
+    pub const fn set_max_loads(&mut self, max_loads: usize) {
+        self.settings.max_loads = max_loads;
     }
 
     /// Whether orders may be given now.
@@ -336,7 +336,7 @@
 
     fn read(&mut self, now: Time, actions: &mut Vec<Action>) {
         let reading = self.engines.values().filter(|e| e.reading.is_some());
-        let room = self.settings.reads.saturating_sub(reading.count());
+        let room = self.settings.max_reads.saturating_sub(reading.count());
         let (load_time, settings) = (self.load_time, self.settings);
         let due = self
             .engines
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -108,8 +108,8 @@
     /// No answer came: forgets what was seen, and asks less and less often.
     pub(super) fn silent(&mut self, now: Time, settings: &Settings) {
         self.forget(now);
-        let wait = settings.poll * 2u32.pow(self.silences.min(10));
-        self.read_after = now + wait.min(settings.recheck);
+        let wait = settings.poll_interval * 2u32.pow(self.silences.min(10));
+        self.read_after = now + wait.min(settings.recheck_interval);
         self.silences += 1;
     }
 
@@ -128,7 +128,7 @@
                 answered: true,
                 own: false,
             },
-            None if self.failures >= settings.failures => Phase::Quarantine,
+            None if self.failures >= settings.max_failures => Phase::Quarantine,
             None => Phase::Rest,
         };
     }
@@ -171,12 +171,12 @@
         match self.phase {
             Phase::Rest | Phase::Quarantine => {
                 let loads = self.status.loading.is_some();
-                self.differs(target) && (settings.replaces || !loads)
+                self.differs(target) && (settings.can_replace_load || !loads)
             }
             // Its load is of no use any more: straight to the newest.
             Phase::Ordered {
                 version, answered, ..
-            } => settings.replaces && answered && version < target,
+            } => settings.can_replace_load && answered && version < target,
             Phase::Unknown { .. } => false,
         }
     }
@@ -200,27 +200,27 @@
             Phase::Unknown { .. } => now >= self.read_after,
             Phase::Ordered { at, answered, .. } => {
                 let due = now.since(at) >= load_time.mul_f64(EARLY) || self.differs_by_report;
-                answered && due && older(settings.poll)
+                answered && due && older(settings.poll_interval)
             }
             Phase::Rest | Phase::Quarantine
                 if self.status.loading.is_some() || self.differs_by_report =>
             {
-                older(settings.poll)
+                older(settings.poll_interval)
             }
-            Phase::Rest | Phase::Quarantine => older(settings.recheck),
+            Phase::Rest | Phase::Quarantine => older(settings.recheck_interval),
         }
     }
 
     /// Counts a failed load; says whether that leads to quarantine.
     pub(super) fn fail(&mut self, now: Time, name: &str, settings: &Settings) -> bool {
         self.failures += 1;
-        if self.failures < settings.failures {
-            let doubled = settings.backoff * 2u32.pow((self.failures - 1).min(10));
+        if self.failures < settings.max_failures {
+            let doubled = settings.initial_backoff * 2u32.pow((self.failures - 1).min(10));
             self.not_before = now + spread(doubled, name, self.failures);
             self.phase = Phase::Rest;
             return false;
         }
-        let doubled = settings.quarantine * 2u32.pow(self.quarantines.min(10));
+        let doubled = settings.initial_quarantine * 2u32.pow(self.quarantines.min(10));
         let wait = doubled.min(settings.max_quarantine);
         self.not_before = now + spread(wait, name, self.failures);
         self.quarantines += 1;
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -26,49 +26,49 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Most engines that load at once: the weight store's rate by the rate of one load.
-    pub loads: usize,
+    pub max_loads: usize,
     /// Share of the engines (0 to 1) that stays in service.
-    pub floor: f64,
+    pub min_serving_share: f64,
     /// Expected time of one load, until loads have been seen.
-    pub load_time: Duration,
+    pub initial_load_time: Duration,
     /// Longest time of one load; a longer one has failed.
     pub load_timeout: Duration,
     /// Longest wait for the answer to an order or a read.
     pub answer_timeout: Duration,
     /// Time between reads of an engine that loads, once its load should be over.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Age at which what is known of an engine at rest is read again.
-    pub recheck: Duration,
+    pub recheck_interval: Duration,
     /// Most reads in flight.
-    pub reads: usize,
+    pub max_reads: usize,
     /// Failures in a row until quarantine.
-    pub failures: u32,
+    pub max_failures: u32,
     /// Wait after the first failure; doubles with each further one.
-    pub backoff: Duration,
+    pub initial_backoff: Duration,
     /// Wait in quarantine before a load is tried again; doubles up to `max_quarantine`.
-    pub quarantine: Duration,
+    pub initial_quarantine: Duration,
     /// Longest wait in quarantine.
     pub max_quarantine: Duration,
     /// Whether an engine takes an order while it loads; if not, it gets none until then.
-    pub replaces: bool,
+    pub can_replace_load: bool,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            loads: 64,
-            floor: 0.5,
-            load_time: Duration::from_secs(3),
+            max_loads: 64,
+            min_serving_share: 0.5,
+            initial_load_time: Duration::from_secs(3),
             load_timeout: Duration::from_secs(30),
             answer_timeout: Duration::from_secs(2),
-            poll: Duration::from_millis(250),
-            recheck: Duration::from_secs(60),
-            reads: 256,
-            failures: 3,
-            backoff: Duration::from_millis(500),
-            quarantine: Duration::from_secs(30),
+            poll_interval: Duration::from_millis(250),
+            recheck_interval: Duration::from_secs(60),
+            max_reads: 256,
+            max_failures: 3,
+            initial_backoff: Duration::from_millis(500),
+            initial_quarantine: Duration::from_secs(30),
             max_quarantine: Duration::from_secs(600),
-            replaces: true,
+            can_replace_load: true,
         }
     }
 }
--- a/crates/pinereel_core/src/rollout/order.rs
+++ b/crates/pinereel_core/src/rollout/order.rs
@@ -40,7 +40,7 @@
             .values()
             .filter(|e| e.may_load(now, &settings))
             .count();
-        let mut room = settings.loads.saturating_sub(loading);
+        let mut room = settings.max_loads.saturating_sub(loading);
         if !self
             .engines
             .values()
@@ -48,12 +48,12 @@
         {
             return;
         }
-        let needed = required(present().count(), self.settings.floor);
+        let needed = required(present().count(), self.settings.min_serving_share);
         let serving = present().filter(|e| e.serves()).count();
         let mut spare = serving.saturating_sub(needed);
         // A load that was seen may just have ended. Replacing it is then a new load of an engine
         // in service, so it has to fit too; late orders of a former holder may have used that up.
-        let replaces = loading <= settings.loads && serving >= needed;
+        let replaces = loading <= settings.max_loads && serving >= needed;
         let mut zones = self.candidates(target, now, replaces);
         let mut out = self.out_by_zone();
         while let Some(name) = next(&mut zones, &out, room, spare) {
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -227,7 +227,7 @@
     }
 
     fn check(&self) {
-        let needed = (self.engines.len() as f64 * self.settings.floor).ceil() as usize;
+        let needed = (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
         let out = self.engines.values().filter(|e| e.out).count();
         assert!(
             self.engines.len() - out >= needed,
@@ -238,7 +238,7 @@
             .values()
             .filter(|e| e.load.is_some() && !e.foreign)
             .count();
-        assert!(loading <= self.settings.loads, "beyond the store's rate");
+        assert!(loading <= self.settings.max_loads, "beyond the store's rate");
     }
 
     /// Kills an engine; it comes back at once, without weights half of the time.
@@ -273,12 +273,12 @@
 }
 
 /// A minute of random faults, then none; whether all engines reach the newest version.
-fn survives(seed: u64, count: usize, loads: usize, floor: f64, faults: f64, checks: bool) -> bool {
-    let floor = floor.min(1.0 - 1.0 / count as f64);
+fn survives(seed: u64, count: usize, max_loads: usize, min_serving_share: f64, faults: f64, checks: bool) -> bool {
+    let min_serving_share = min_serving_share.min(1.0 - 1.0 / count as f64);
     let settings = Settings {
-        loads,
-        floor,
-        recheck: Duration::from_secs(20),
+        max_loads,
+        min_serving_share,
+        recheck_interval: Duration::from_secs(20),
         ..Settings::default()
     };
     let mut world = World::new(seed, count, settings);
@@ -338,12 +338,12 @@
     fn the_floor_holds_under_faults_and_all_get_there_after_them(
         seed in any::<u64>(),
         count in 2..14usize,
-        loads in 1..8usize,
-        floor in 0.0..0.75f64,
+        max_loads in 1..8usize,
+        min_serving_share in 0.0..0.75f64,
         faults in 0.0..0.3f64,
         checks in any::<bool>(),
     ) {
-        prop_assert!(survives(seed, count, loads, floor, faults, checks));
+        prop_assert!(survives(seed, count, max_loads, min_serving_share, faults, checks));
     }
 }
 
@@ -351,12 +351,12 @@
 /// one load too many.
 #[test]
 fn replacing_a_load_that_just_ended_stays_within_the_rate() {
-    let (floor, faults) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
+    let (min_serving_share, faults) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
     assert!(survives(
         5_820_213_897_200_143_410,
         12,
         4,
-        floor,
+        min_serving_share,
         faults,
         false
     ));
@@ -365,7 +365,7 @@
 #[test]
 fn a_late_order_of_a_paused_holder_is_corrected() {
     let settings = Settings {
-        recheck: Duration::from_secs(10),
+        recheck_interval: Duration::from_secs(10),
         ..Settings::default()
     };
     let mut world = World::new(1, 4, settings);
@@ -436,7 +436,7 @@
         1,
         8,
         Settings {
-            loads: 1,
+            max_loads: 1,
             ..Settings::default()
         },
     );
@@ -504,8 +504,8 @@
 #[test]
 fn a_fleet_of_2900_takes_two_waves_within_its_prediction() {
     let settings = Settings {
-        loads: 2_900,
-        reads: 2_900,
+        max_loads: 2_900,
+        max_reads: 2_900,
         ..Settings::default()
     };
     let mut world = World::new(1, 2_900, settings);
@@ -527,7 +527,7 @@
         1,
         12,
         Settings {
-            loads: 6,
+            max_loads: 6,
             ..Settings::default()
         },
     );
@@ -559,7 +559,7 @@
 #[test]
 fn the_engine_furthest_behind_loads_first() {
     let settings = Settings {
-        loads: 1,
+        max_loads: 1,
         ..Settings::default()
     };
     let mut world = World::new(1, 6, settings);
@@ -579,7 +579,7 @@
 #[test]
 fn an_engine_that_takes_no_order_while_it_loads_gets_none() {
     let settings = Settings {
-        replaces: false,
+        can_replace_load: false,
         ..Settings::default()
     };
     let mut world = World::new(1, 4, settings);
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -89,8 +89,8 @@
     let mut calls = 0;
     for demand in &demands {
         let settings = Settings {
-            loads: listed,
-            floor: 0.0,
+            max_loads: listed,
+            min_serving_share: 0.0,
             ..Settings::default()
         };
         let mut controller = Controller::new(settings);
--- a/crates/pinereel_fakes/src/capacity/rollout.rs
+++ b/crates/pinereel_fakes/src/capacity/rollout.rs
@@ -16,8 +16,8 @@
 /// All engines serve version 1, which is the target.
 fn at_rest(count: usize) -> Controller {
     let settings = rollout::Settings {
-        loads: count,
-        reads: count,
+        max_loads: count,
+        max_reads: count,
         ..rollout::Settings::default()
     };
     let mut controller = Controller::new(settings);
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -29,22 +29,22 @@
 /// The rollout's settings, scaled to steps of about a second.
 pub(super) fn settings(waves: bool, swap: Duration) -> Settings {
     let all = Settings {
-        loads: usize::MAX,
-        floor: 0.0,
-        load_time: swap,
+        max_loads: usize::MAX,
+        min_serving_share: 0.0,
+        initial_load_time: swap,
         load_timeout: Duration::from_secs(2),
         answer_timeout: Duration::from_millis(300),
-        poll: Duration::from_millis(25),
-        recheck: Duration::from_secs(1),
-        backoff: Duration::from_millis(100),
-        quarantine: Duration::from_secs(1),
+        poll_interval: Duration::from_millis(25),
+        recheck_interval: Duration::from_secs(1),
+        initial_backoff: Duration::from_millis(100),
+        initial_quarantine: Duration::from_secs(1),
         max_quarantine: Duration::from_secs(4),
         ..Settings::default()
     };
     if waves {
         return Settings {
-            loads: 4,
-            floor: 0.5,
+            max_loads: 4,
+            min_serving_share: 0.5,
             ..all
         };
     }
