--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -84,7 +84,7 @@
     let mut held = false;
     loop {
         let lease = shared.leases.held(&duty, shared.now());
-        let lease = lease.map(|(fence, until)| Lease { fence, until });
+        let lease = lease.map(|(fence, expires_at)| Lease { fence, expires_at });
         if lease.is_some() || held {
             // Also once without a lease, so that the controller stops.
             step(shared, pool, Event::Lease(lease));
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -72,7 +72,7 @@
         }
         settled.then_some(Lease {
             fence: grant.fence,
-            until: grant.until,
+            expires_at: grant.until,
         })
     }
 
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -32,7 +32,7 @@
     controller.step(Time::ZERO, Event::Published(Version(1)));
     let lease = Lease {
         fence: 1,
-        until: Time::ZERO + HOUR,
+        expires_at: Time::ZERO + HOUR,
     };
     let reads = controller.step(Time::ZERO, Event::Lease(Some(lease)));
     answer(&mut controller, Time::ZERO, &reads, Version(1), None);
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -116,7 +116,7 @@
 
     /// Whether orders may be given now.
     pub fn acts(&self, now: Time) -> bool {
-        self.lease.is_some_and(|lease| now < lease.until)
+        self.lease.is_some_and(|lease| now < lease.expires_at)
     }
 
     /// What is left to do; `None` before a version is published.
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -79,7 +79,7 @@
     /// Its fencing token.
     pub fence: u64,
     /// Moment on the holder's own clock from which it must not act any more.
-    pub until: Time,
+    pub expires_at: Time,
 }
 
 /// What an engine says of its weights.
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -92,7 +92,7 @@
     fn take_lease(&mut self, fence: u64, length: Duration) {
         self.lease = Some(Lease {
             fence,
-            until: self.now + length,
+            expires_at: self.now + length,
         });
         self.tell(Event::Lease(self.lease));
     }
@@ -115,7 +115,7 @@
                     fence,
                 } => {
                     let lease = self.lease.expect("no order without a lease");
-                    assert!(self.now < lease.until, "no order after the lease");
+                    assert!(self.now < lease.expires_at, "no order after the lease");
                     assert_eq!(lease.fence, *fence, "orders carry the lease's token");
                     self.order(name.as_str(), *version, *fence);
                 }
@@ -310,7 +310,7 @@
             }
             _ => {}
         }
-        if world.lease.is_some_and(|l| l.until <= world.now + STEP) {
+        if world.lease.is_some_and(|l| l.expires_at <= world.now + STEP) {
             fence += 1;
             world.take_lease(fence, Duration::from_secs(20));
         }
@@ -619,8 +619,8 @@
     for name in &engines {
         controller.step(now, listed(name));
     }
-    let until = now + LONG;
-    controller.step(now, Event::Lease(Some(Lease { fence: 1, until })));
+    let expires_at = now + LONG;
+    controller.step(now, Event::Lease(Some(Lease { fence: 1, expires_at })));
     for name in &engines {
         controller.step(now, seen(name, 1));
     }
@@ -660,8 +660,8 @@
     let now = Time::from_millis(1_000);
     controller.step(now, Event::Published(Version(1)));
     let lease = |fence| {
-        let until = now + LONG;
-        Event::Lease(Some(Lease { fence, until }))
+        let expires_at = now + LONG;
+        Event::Lease(Some(Lease { fence, expires_at }))
     };
     controller.step(now, lease(3));
     let reads = |actions: &[Action]| {
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -110,7 +110,7 @@
         }
         let lease = Lease {
             fence: 1,
-            until: now + Duration::from_secs(60),
+            expires_at: now + Duration::from_secs(60),
         };
         let mut actions = controller.step(now, Event::Lease(Some(lease)));
         actions.extend(controller.step(now, Event::Published(Version(2))));
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -117,7 +117,7 @@
             if !self.outage {
                 let lease = Lease {
                     fence: FENCE,
-                    until: self.now + LEASE,
+                    expires_at: self.now + LEASE,
                 };
                 self.rollout_step(Event::Lease(Some(lease)));
             }
