--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -190,7 +190,7 @@
                 let until = until.to_string();
                 log::warn!(service, endpoint = name.as_str(), failures, until = until.as_str(); "engine's loads fail");
             }
-            Action::Strayed { name, version } => {
+            Action::UnexpectedVersion { name, version } => {
                 log::warn!(service, endpoint = name.as_str(), version:serde = version; "engine strayed");
             }
             Action::LeaseLost { fence } => {
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -207,11 +207,11 @@
                 return;
             }
             Phase::Rest | Phase::Quarantine => {
-                let strayed = before.version != status.version && status.version != target;
-                if strayed {
+                let unexpected = before.version != status.version && status.version != target;
+                if unexpected {
                     let name = name.into();
                     let version = status.version;
-                    actions.push(Action::Strayed { name, version });
+                    actions.push(Action::UnexpectedVersion { name, version });
                     self.complete = false;
                 }
             }
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -194,7 +194,8 @@
     },
     /// Log: an engine shows another version than it was last seen to serve, without an order of
     /// this holder.
-    Strayed {
+    #[serde(rename = "strayed")]
+    UnexpectedVersion {
         /// Its name.
         name: CompactString,
         /// What it shows.
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -374,13 +374,13 @@
     world.take_lease(2, LONG);
     assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
     world.load("engine-0001", Version(2), 1);
-    let strayed = |w: &World| w.engines["engine-0001"].status.version == Some(Version(2));
-    assert!(world.run_until(Duration::from_secs(10), strayed));
+    let unexpected = |w: &World| w.engines["engine-0001"].status.version == Some(Version(2));
+    assert!(world.run_until(Duration::from_secs(10), unexpected));
     assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
     let told = world.log.iter().any(|a| {
         matches!(
             a,
-            Action::Strayed {
+            Action::UnexpectedVersion {
                 version: Some(Version(2)),
                 ..
             }
@@ -641,8 +641,8 @@
     controller.step(now, seen(name, 2));
     now = now + Duration::from_millis(100);
     let told = |actions: Vec<Action>| {
-        let strayed = |action: &Action| matches!(action, Action::Strayed { .. });
-        actions.iter().any(strayed)
+        let unexpected = |action: &Action| matches!(action, Action::UnexpectedVersion { .. });
+        actions.iter().any(unexpected)
     };
     assert!(!told(controller.step(now, seen(name, 1))), "it is outdated");
     // It is read again soon, and what it shows then counts.
