--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -9,7 +9,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Share of a new load's time in the moving average.
-const LOAD_GAIN: f64 = 0.1;
+const LOAD_TIME_GAIN: f64 = 0.1;
 
 /// Brings one pool's engines to the newest published version, while it holds the lease.
 #[derive(Clone, Debug)]
@@ -17,29 +17,29 @@
     pub(super) settings: Settings,
     pub(super) lease: Option<Lease>,
     pub(super) target: Option<Version>,
-    since: Time,
-    complete: bool,
-    load_time: Duration,
+    target_since: Time,
+    is_complete: bool,
+    mean_load_time: Duration,
     pub(super) engines: BTreeMap<CompactString, Engine>,
     /// Fencing token of the last lease held.
-    held: Option<u64>,
+    last_fence: Option<u64>,
     /// Highest fencing token that an engine has refused.
-    lost: Option<u64>,
+    fenced: Option<u64>,
 }
 
 impl Controller {
     /// A controller without lease, engines or target.
     pub fn new(settings: Settings) -> Self {
         Self {
-            load_time: settings.initial_load_time,
+            mean_load_time: settings.initial_load_time,
             settings,
             lease: None,
-            held: None,
+            last_fence: None,
             target: None,
-            since: Time::ZERO,
-            complete: false,
+            target_since: Time::ZERO,
+            is_complete: false,
             engines: BTreeMap::new(),
-            lost: None,
+            fenced: None,
         }
     }
 
@@ -54,7 +54,7 @@
         let decides = matches!(event, Event::Tick | Event::Published(_) | Event::Lease(_));
         match event {
             Event::Lease(lease) => self.set_lease(now, lease),
-            Event::Published(version) => self.published(now, version),
+            Event::Published(version) => self.set_target(now, version),
             Event::Listed {
                 name,
                 zone,
@@ -78,32 +78,32 @@
                 loading,
             } => {
                 if let Some(engine) = self.engines.get_mut(&name) {
-                    engine.reported(version, loading);
+                    engine.note_report(version, loading);
                 }
             }
-            Event::Observed { name, status } => self.seen(now, &name, status, &mut actions),
+            Event::Observed { name, status } => self.on_status(now, &name, status, &mut actions),
             Event::Accepted { name, fence, status } => {
-                self.taken(now, &name, fence, status, &mut actions);
+                self.on_accepted(now, &name, fence, status, &mut actions);
             }
-            Event::Fenced { name, fence } => self.refused(now, &name, fence, &mut actions),
+            Event::Fenced { name, fence } => self.on_fenced(now, &name, fence, &mut actions),
             Event::NoAnswer { name } => {
                 if let Some(engine) = self.engines.get_mut(&name) {
-                    engine.silent(now, &self.settings);
-                    engine.unreached = 0;
+                    engine.note_no_answer(now, &self.settings);
+                    engine.failed_connects = 0;
                 }
             }
             Event::Unreachable { name } => {
                 if let Some(engine) = self.engines.get_mut(&name) {
-                    engine.silent(now, &self.settings);
-                    engine.unreached += 1;
+                    engine.note_no_answer(now, &self.settings);
+                    engine.failed_connects += 1;
                 }
             }
             Event::Tick => {}
         }
-        if decides && self.acts(now) {
-            self.time_out(now, &mut actions);
-            self.order(now, &mut actions);
-            self.read(now, &mut actions);
+        if decides && self.may_order(now) {
+            self.check_timeouts(now, &mut actions);
+            self.issue_orders(now, &mut actions);
+            self.issue_reads(now, &mut actions);
             self.check_complete(now, &mut actions);
         }
         actions
@@ -115,7 +115,7 @@
     }
 
     /// Whether orders may be given now.
-    pub fn acts(&self, now: Time) -> bool {
+    pub fn may_order(&self, now: Time) -> bool {
         self.lease.is_some_and(|lease| now < lease.expires_at)
     }
 
@@ -133,7 +133,7 @@
             counts.2 += usize::from(quarantined);
         }
         let (engines, pending, quarantined) = counts;
-        let (load, settings) = (self.load_time, &self.settings);
+        let (load, settings) = (self.mean_load_time, &self.settings);
         Some(Plan::new(
             target,
             engines,
@@ -146,137 +146,137 @@
 
     /// Engines in quarantine: failures in a row and the time of the next trial.
     pub fn quarantined(&self) -> impl Iterator<Item = (&CompactString, u32, Time)> {
-        let held = self
+        let in_quarantine = self
             .engines
             .iter()
             .filter(|(_, e)| e.phase == Phase::Quarantine);
-        held.map(|(name, e)| (name, e.failures, e.not_before))
+        in_quarantine.map(|(name, e)| (name, e.failures, e.next_order_at))
     }
 
     fn set_lease(&mut self, now: Time, lease: Option<Lease>) {
         // A token that an engine has refused is behind another holder's.
-        self.lease = lease.filter(|l| Some(l.fence) > self.lost);
+        self.lease = lease.filter(|l| Some(l.fence) > self.fenced);
         let Some(lease) = self.lease else {
             return;
         };
         // Whatever happened while another may have held the lease is unknown. Under the same token nobody has:
         // a holder of 2,200 engines that renewed late forgot and read them all again, was late by that, and
         // gave no order at all.
-        if self.held.replace(lease.fence) != Some(lease.fence) {
-            self.engines.values_mut().for_each(|e| e.forget(now));
-            self.since = now;
-            self.complete = false;
+        if self.last_fence.replace(lease.fence) != Some(lease.fence) {
+            self.engines.values_mut().for_each(|e| e.reset_phase(now));
+            self.target_since = now;
+            self.is_complete = false;
         }
     }
 
-    fn published(&mut self, now: Time, version: Version) {
+    fn set_target(&mut self, now: Time, version: Version) {
         if self.target.is_some_and(|target| target >= version) {
             return;
         }
         self.target = Some(version);
-        self.since = now;
-        self.complete = false;
+        self.target_since = now;
+        self.is_complete = false;
         // Other weights may load where the last ones didn't.
         for engine in self.engines.values_mut() {
-            engine.not_before = now;
+            engine.next_order_at = now;
         }
     }
 
-    fn seen(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
+    fn on_status(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let target = self.target;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        engine.reading = None;
-        engine.silences = 0;
-        engine.unreached = 0;
+        engine.read_since = None;
+        engine.unanswered_calls = 0;
+        engine.failed_connects = 0;
         let before = engine.status;
         if before.incarnation != status.incarnation {
-            self.restarted(now, name, status, actions);
+            self.on_restart(now, name, status, actions);
             return;
         }
         match engine.phase {
             // The order may still be on its way; what was seen may be older than it.
             Phase::Ordered {
-                answered: false, ..
+                is_accepted: false, ..
             } => return,
-            Phase::Ordered { .. } => self.loaded(now, name, status, actions),
-            Phase::Unknown { .. } => engine.adopt(status, now, &self.settings),
-            Phase::Rest | Phase::Quarantine if engine.is_outdated(&status, now) => {
-                engine.differs_by_report = true;
+            Phase::Ordered { .. } => self.on_load_status(now, name, status, actions),
+            Phase::Unknown { .. } => engine.init_phase(status, now, &self.settings),
+            Phase::Idle | Phase::Quarantine if engine.is_stale(&status, now) => {
+                engine.report_differs = true;
                 return;
             }
-            Phase::Rest | Phase::Quarantine => {
+            Phase::Idle | Phase::Quarantine => {
                 let unexpected = before.version != status.version && status.version != target;
                 if unexpected {
                     let name = name.into();
                     let version = status.version;
                     actions.push(Action::UnexpectedVersion { name, version });
-                    self.complete = false;
+                    self.is_complete = false;
                 }
             }
         }
         if let Some(engine) = self.engines.get_mut(name) {
             if engine.status.version != status.version {
-                engine.version_at = now;
+                engine.version_since = now;
             }
-            engine.differs_by_report = false;
+            engine.report_differs = false;
             engine.status = status;
-            engine.seen_at = Some(now);
+            engine.status_at = Some(now);
         }
     }
 
     /// An engine shows another incarnation. If it had an order, the load may have ended it.
-    fn restarted(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
+    fn on_restart(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         let ordered = matches!(engine.phase, Phase::Ordered { .. });
         engine.status = status;
-        engine.seen_at = Some(now);
+        engine.status_at = Some(now);
         if !ordered {
-            engine.adopt(status, now, &settings);
-        } else if engine.fail(now, name, &settings) {
-            actions.push(quarantined(name, engine));
+            engine.init_phase(status, now, &settings);
+        } else if engine.note_load_failure(now, name, &settings) {
+            actions.push(quarantine_action(name, engine));
         }
     }
 
     /// An engine with an order shows its state.
-    fn loaded(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
+    fn on_load_status(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
-        let expected = self.load_time;
+        let expected = self.mean_load_time;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         let Phase::Ordered {
-            version, at, own, ..
+            version, ordered_at, start_observed, ..
         } = engine.phase
         else {
             return;
         };
-        let took = now.since(at);
-        let done = status.loading.is_none() && status.version == Some(version);
-        let loads = status.loading == Some(version) && took < settings.load_timeout;
-        let not_begun = status.loading.is_none() && !status.failed && took < expected;
-        if done {
-            let loaded = engine.status.loading == Some(version);
-            engine.succeed();
+        let took = now.since(ordered_at);
+        let is_done = status.loading.is_none() && status.version == Some(version);
+        let is_loading = status.loading == Some(version) && took < settings.load_timeout;
+        let is_not_begun = status.loading.is_none() && !status.failed && took < expected;
+        if is_done {
+            let was_loading = engine.status.loading == Some(version);
+            engine.note_load_success();
             // A load that was under way or over before says nothing about the time of one.
-            if own && loaded {
-                self.learn(took);
+            if start_observed && was_loading {
+                self.update_load_time(took);
             }
-        } else if loads || not_begun {
+        } else if is_loading || is_not_begun {
             // Goes on.
         } else if status.loading.is_some_and(|other| other != version) {
             // Another's order came after ours: not the engine's fault.
-            engine.phase = Phase::Rest;
-        } else if engine.fail(now, name, &settings) {
-            actions.push(quarantined(name, engine));
+            engine.phase = Phase::Idle;
+        } else if engine.note_load_failure(now, name, &settings) {
+            actions.push(quarantine_action(name, engine));
         }
     }
 
-    fn taken(
+    fn on_accepted(
         &mut self,
         now: Time,
         name: &str,
@@ -288,62 +288,62 @@
         let Some(engine) = self.engines.get_mut(name).filter(|_| held) else {
             return;
         };
-        if let Phase::Ordered { answered, .. } = &mut engine.phase {
-            *answered = true;
+        if let Phase::Ordered { is_accepted, .. } = &mut engine.phase {
+            *is_accepted = true;
             // A restart before the order was taken is no failure of its load.
             engine.status.incarnation = status.incarnation;
             engine.status.loading = status.loading;
         }
-        self.seen(now, name, status, actions);
+        self.on_status(now, name, status, actions);
     }
 
-    fn refused(&mut self, now: Time, name: &str, fence: u64, actions: &mut Vec<Action>) {
+    fn on_fenced(&mut self, now: Time, name: &str, fence: u64, actions: &mut Vec<Action>) {
         if let Some(engine) = self.engines.get_mut(name) {
-            engine.forget(now);
+            engine.reset_phase(now);
         }
         // A refusal of an earlier lease's order says nothing about this one.
         if self.lease.is_some_and(|lease| lease.fence == fence) {
             self.lease = None;
-            self.lost = Some(fence);
+            self.fenced = Some(fence);
             actions.push(Action::LeaseLost { fence });
         }
     }
 
     /// Orders and reads without an answer, and loads without an end.
-    fn time_out(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn check_timeouts(&mut self, now: Time, actions: &mut Vec<Action>) {
         let settings = self.settings;
         for (name, engine) in &mut self.engines {
-            let late = |at: Time, limit: Duration| now.since(at) >= limit;
+            let late = |since: Time, limit: Duration| now.since(since) >= limit;
             if engine
-                .reading
+                .read_since
                 .is_some_and(|at| late(at, settings.answer_timeout))
             {
-                engine.silent(now, &settings);
+                engine.note_no_answer(now, &settings);
             }
-            let Phase::Ordered { at, answered, .. } = engine.phase else {
+            let Phase::Ordered { ordered_at, is_accepted, .. } = engine.phase else {
                 continue;
             };
-            if !answered && late(at, settings.answer_timeout) {
-                engine.silent(now, &settings);
-            } else if answered
-                && late(at, settings.load_timeout)
-                && engine.fail(now, name, &settings)
+            if !is_accepted && late(ordered_at, settings.answer_timeout) {
+                engine.note_no_answer(now, &settings);
+            } else if is_accepted
+                && late(ordered_at, settings.load_timeout)
+                && engine.note_load_failure(now, name, &settings)
             {
-                actions.push(quarantined(name, engine));
+                actions.push(quarantine_action(name, engine));
             }
         }
     }
 
-    fn read(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let reading = self.engines.values().filter(|e| e.reading.is_some());
-        let room = self.settings.max_reads.saturating_sub(reading.count());
-        let (load_time, settings) = (self.load_time, self.settings);
+    fn issue_reads(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let in_flight = self.engines.values().filter(|e| e.read_since.is_some());
+        let room = self.settings.max_reads.saturating_sub(in_flight.count());
+        let (mean_load_time, settings) = (self.mean_load_time, self.settings);
         let due = self
             .engines
             .iter_mut()
-            .filter(|(_, e)| e.wants_read(now, load_time, &settings));
+            .filter(|(_, e)| e.needs_read(now, mean_load_time, &settings));
         for (name, engine) in due.take(room) {
-            engine.reading = Some(now);
+            engine.read_since = Some(now);
             let name = name.clone();
             actions.push(Action::Read { name });
         }
@@ -353,26 +353,26 @@
         let Some(plan) = self.plan().filter(|p| p.engines > 0 && p.pending == 0) else {
             return;
         };
-        if !self.complete {
-            self.complete = true;
+        if !self.is_complete {
+            self.is_complete = true;
             actions.push(Action::Complete {
                 version: plan.target,
-                took: now.since(self.since),
+                took: now.since(self.target_since),
             });
         }
     }
 
-    fn learn(&mut self, took: Duration) {
-        let mean = self.load_time.as_secs_f64();
-        let next = mean + LOAD_GAIN * (took.as_secs_f64() - mean);
-        self.load_time = Duration::from_secs_f64(next);
+    fn update_load_time(&mut self, took: Duration) {
+        let mean = self.mean_load_time.as_secs_f64();
+        let next = mean + LOAD_TIME_GAIN * (took.as_secs_f64() - mean);
+        self.mean_load_time = Duration::from_secs_f64(next);
     }
 }
 
-fn quarantined(name: &str, engine: &Engine) -> Action {
+fn quarantine_action(name: &str, engine: &Engine) -> Action {
     Action::Quarantined {
         name: name.into(),
         failures: engine.failures,
-        until: engine.not_before,
+        until: engine.next_order_at,
     }
 }
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -7,14 +7,14 @@
 
 /// Share of a load's expected time after which it is looked at; below 1, so that loads that got
 /// shorter are noticed.
-const EARLY: f64 = 0.8;
+const FIRST_POLL_SHARE: f64 = 0.8;
 
 /// A report is so old at most.
-const REPORT_LAG: Duration = Duration::from_millis(1_000);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_000);
 
 /// Connections in a row that could not be opened, after which an engine counts as dead: one may
 /// fail by chance.
-const UNREACHED: u32 = 2;
+const UNREACHABLE_AFTER_FAILED_CONNECTS: u32 = 2;
 
 /// What the holder waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,14 +22,14 @@
     /// Its state must be read before anything is ordered.
     Unknown { since: Time },
     /// Its state is known and nothing is under way.
-    Rest,
+    Idle,
     /// An order is under way: not answered yet, or being loaded.
     Ordered {
         version: Version,
-        at: Time,
-        answered: bool,
+        ordered_at: Time,
+        is_accepted: bool,
         /// Whether this holder saw its begin.
-        own: bool,
+        start_observed: bool,
     },
     /// Loads failed too often; the next trial is at `Engine::not_before`.
     Quarantine,
@@ -43,23 +43,23 @@
     pub(super) leaving: bool,
     pub(super) phase: Phase,
     pub(super) status: Status,
-    pub(super) seen_at: Option<Time>,
+    pub(super) status_at: Option<Time>,
     /// When it was first seen with its present version.
-    pub(super) version_at: Time,
+    pub(super) version_since: Time,
     /// Whether a load report, or an outdated one, differs from what was seen: it is read again soon.
-    pub(super) differs_by_report: bool,
+    pub(super) report_differs: bool,
     /// A read in flight, since when.
-    pub(super) reading: Option<Time>,
+    pub(super) read_since: Option<Time>,
     pub(super) failures: u32,
     pub(super) quarantines: u32,
     /// No order before.
-    pub(super) not_before: Time,
+    pub(super) next_order_at: Time,
     /// Reads and orders in a row without an answer.
-    pub(super) silences: u32,
+    pub(super) unanswered_calls: u32,
     /// Connections in a row that could not be opened.
-    pub(super) unreached: u32,
+    pub(super) failed_connects: u32,
     /// No read before.
-    pub(super) read_after: Time,
+    pub(super) next_read_at: Time,
 }
 
 impl Engine {
@@ -70,66 +70,66 @@
             leaving: false,
             phase: Phase::Unknown { since: now },
             status: Status::default(),
-            seen_at: None,
-            version_at: now,
-            differs_by_report: false,
-            reading: None,
+            status_at: None,
+            version_since: now,
+            report_differs: false,
+            read_since: None,
             failures: 0,
             quarantines: 0,
-            not_before: Time::ZERO,
-            silences: 0,
-            unreached: 0,
-            read_after: Time::ZERO,
+            next_order_at: Time::ZERO,
+            unanswered_calls: 0,
+            failed_connects: 0,
+            next_read_at: Time::ZERO,
         }
     }
 
     /// Notes whether a load report shows something new: weights that nobody here ordered, or the
     /// end of a load.
-    pub(super) fn reported(&mut self, version: Option<Version>, loading: Option<Version>) {
-        self.differs_by_report = match self.phase {
+    pub(super) fn note_report(&mut self, version: Option<Version>, loading: Option<Version>) {
+        self.report_differs = match self.phase {
             Phase::Unknown { .. } => false,
             Phase::Ordered {
                 version: ordered, ..
             } => loading.is_none() && version == Some(ordered),
-            Phase::Rest | Phase::Quarantine => {
+            Phase::Idle | Phase::Quarantine => {
                 (version, loading) != (self.status.version, self.status.loading)
             }
         };
     }
 
     /// Forgets what was seen; failures and waits stay, since they belong to the engine.
-    pub(super) fn forget(&mut self, now: Time) {
+    pub(super) fn reset_phase(&mut self, now: Time) {
         if !matches!(self.phase, Phase::Unknown { .. }) {
             self.phase = Phase::Unknown { since: now };
         }
-        self.reading = None;
+        self.read_since = None;
     }
 
     /// No answer came: forgets what was seen, and asks less and less often.
-    pub(super) fn silent(&mut self, now: Time, settings: &Settings) {
-        self.forget(now);
-        let wait = settings.poll_interval * 2u32.pow(self.silences.min(10));
-        self.read_after = now + wait.min(settings.recheck_interval);
-        self.silences += 1;
+    pub(super) fn note_no_answer(&mut self, now: Time, settings: &Settings) {
+        self.reset_phase(now);
+        let wait = settings.poll_interval * 2u32.pow(self.unanswered_calls.min(10));
+        self.next_read_at = now + wait.min(settings.recheck_interval);
+        self.unanswered_calls += 1;
     }
 
     /// Whether nothing listens at its address: it serves nobody and loads nothing, so that it
     /// counts neither for the floor nor against the store's rate.
-    pub(super) fn is_dead(&self) -> bool {
-        self.unreached >= UNREACHED
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.failed_connects >= UNREACHABLE_AFTER_FAILED_CONNECTS
     }
 
     /// Takes over what a first read shows.
-    pub(super) fn adopt(&mut self, status: Status, now: Time, settings: &Settings) {
+    pub(super) fn init_phase(&mut self, status: Status, now: Time, settings: &Settings) {
         self.phase = match status.loading {
             Some(version) => Phase::Ordered {
                 version,
-                at: now,
-                answered: true,
-                own: false,
+                ordered_at: now,
+                is_accepted: true,
+                start_observed: false,
             },
             None if self.failures >= settings.max_failures => Phase::Quarantine,
-            None => Phase::Rest,
+            None => Phase::Idle,
         };
     }
 
@@ -138,14 +138,14 @@
     /// The platform's list shows a new version sooner than the engine's own report, which may be some
     /// 100 ms old. Taken for a change, such reports made engines look 54 times on a quiet day as if they had
     /// lost their version.
-    pub(super) fn is_outdated(&self, status: &Status, now: Time) -> bool {
-        status.version < self.status.version && now.since(self.version_at) < REPORT_LAG
+    pub(super) fn is_stale(&self, status: &Status, now: Time) -> bool {
+        status.version < self.status.version && now.since(self.version_since) < MAX_REPORT_AGE
     }
 
     /// Whether it is known to serve requests now.
     pub(super) fn serves(&self) -> bool {
-        let calm = matches!(self.phase, Phase::Rest | Phase::Quarantine);
-        calm && self.status.version.is_some() && self.status.loading.is_none()
+        let is_idle = matches!(self.phase, Phase::Idle | Phase::Quarantine);
+        is_idle && self.status.version.is_some() && self.status.loading.is_none()
     }
 
     /// Whether it loads weights, or may do so for all that is known.
@@ -154,29 +154,29 @@
     /// answer would use up the store's rate for good.
     pub(super) fn may_load(&self, now: Time, settings: &Settings) -> bool {
         match self.phase {
-            Phase::Unknown { .. } if self.is_dead() => false,
+            Phase::Unknown { .. } if self.is_unreachable() => false,
             Phase::Unknown { since } => now.since(since) < settings.load_timeout,
             Phase::Ordered { .. } => true,
-            Phase::Rest | Phase::Quarantine => self.status.loading.is_some(),
+            Phase::Idle | Phase::Quarantine => self.status.loading.is_some(),
         }
     }
 
     /// Whether it needs an order to serve `target`, and one may be given now.
     ///
     /// None is given while a read is under way: its answer could be taken for the order's effect.
-    pub(super) fn wants(&self, target: Version, now: Time, settings: &Settings) -> bool {
-        if self.leaving || self.reading.is_some() || now < self.not_before {
+    pub(super) fn needs_order(&self, target: Version, now: Time, settings: &Settings) -> bool {
+        if self.leaving || self.read_since.is_some() || now < self.next_order_at {
             return false;
         }
         match self.phase {
-            Phase::Rest | Phase::Quarantine => {
-                let loads = self.status.loading.is_some();
-                self.differs(target) && (settings.can_replace_load || !loads)
+            Phase::Idle | Phase::Quarantine => {
+                let is_loading = self.status.loading.is_some();
+                self.differs(target) && (settings.can_replace_load || !is_loading)
             }
             // Its load is of no use any more: straight to the newest.
             Phase::Ordered {
-                version, answered, ..
-            } => settings.can_replace_load && answered && version < target,
+                version, is_accepted, ..
+            } => settings.can_replace_load && is_accepted && version < target,
             Phase::Unknown { .. } => false,
         }
     }
@@ -190,55 +190,55 @@
     }
 
     /// Whether its state should be read now.
-    pub(super) fn wants_read(&self, now: Time, load_time: Duration, settings: &Settings) -> bool {
-        if self.reading.is_some() || self.leaving {
+    pub(super) fn needs_read(&self, now: Time, mean_load_time: Duration, settings: &Settings) -> bool {
+        if self.read_since.is_some() || self.leaving {
             return false;
         }
-        let age = self.seen_at.map(|at| now.since(at));
+        let age = self.status_at.map(|at| now.since(at));
         let older = |limit| age.is_none_or(|age| age >= limit);
         match self.phase {
-            Phase::Unknown { .. } => now >= self.read_after,
-            Phase::Ordered { at, answered, .. } => {
-                let due = now.since(at) >= load_time.mul_f64(EARLY) || self.differs_by_report;
-                answered && due && older(settings.poll_interval)
+            Phase::Unknown { .. } => now >= self.next_read_at,
+            Phase::Ordered { ordered_at, is_accepted, .. } => {
+                let due = now.since(ordered_at) >= mean_load_time.mul_f64(FIRST_POLL_SHARE) || self.report_differs;
+                is_accepted && due && older(settings.poll_interval)
             }
-            Phase::Rest | Phase::Quarantine
-                if self.status.loading.is_some() || self.differs_by_report =>
+            Phase::Idle | Phase::Quarantine
+                if self.status.loading.is_some() || self.report_differs =>
             {
                 older(settings.poll_interval)
             }
-            Phase::Rest | Phase::Quarantine => older(settings.recheck_interval),
+            Phase::Idle | Phase::Quarantine => older(settings.recheck_interval),
         }
     }
 
     /// Counts a failed load; says whether that leads to quarantine.
-    pub(super) fn fail(&mut self, now: Time, name: &str, settings: &Settings) -> bool {
+    pub(super) fn note_load_failure(&mut self, now: Time, name: &str, settings: &Settings) -> bool {
         self.failures += 1;
         if self.failures < settings.max_failures {
             let doubled = settings.initial_backoff * 2u32.pow((self.failures - 1).min(10));
-            self.not_before = now + spread(doubled, name, self.failures);
-            self.phase = Phase::Rest;
+            self.next_order_at = now + add_jitter(doubled, name, self.failures);
+            self.phase = Phase::Idle;
             return false;
         }
         let doubled = settings.initial_quarantine * 2u32.pow(self.quarantines.min(10));
         let wait = doubled.min(settings.max_quarantine);
-        self.not_before = now + spread(wait, name, self.failures);
+        self.next_order_at = now + add_jitter(wait, name, self.failures);
         self.quarantines += 1;
         self.phase = Phase::Quarantine;
         true
     }
 
     /// A load went well.
-    pub(super) fn succeed(&mut self) {
-        self.phase = Phase::Rest;
+    pub(super) fn note_load_success(&mut self) {
+        self.phase = Phase::Idle;
         self.failures = 0;
         self.quarantines = 0;
-        self.not_before = Time::ZERO;
+        self.next_order_at = Time::ZERO;
     }
 }
 
 /// `wait` made longer by up to a quarter, by the engine's name, so that retries don't bunch.
-fn spread(wait: Duration, name: &str, turn: u32) -> Duration {
-    let share = (hash::score(u64::from(turn), name) % 256) as u32;
+fn add_jitter(wait: Duration, name: &str, attempt: u32) -> Duration {
+    let share = (hash::score(u64::from(attempt), name) % 256) as u32;
     wait + wait * share / 1024
 }
--- a/crates/pinereel_core/src/rollout/order.rs
+++ b/crates/pinereel_core/src/rollout/order.rs
@@ -26,14 +26,14 @@
 
 impl Controller {
     /// Orders as many engines as the store's rate and the floor allow.
-    pub(super) fn order(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn issue_orders(&mut self, now: Time, actions: &mut Vec<Action>) {
         let (Some(target), Some(lease)) = (self.target, self.lease) else {
             return;
         };
         let settings = self.settings;
         let present = || {
             let engines = self.engines.values();
-            engines.filter(|e| !e.leaving && !e.is_dead())
+            engines.filter(|e| !e.leaving && !e.is_unreachable())
         };
         let loading = self
             .engines
@@ -44,7 +44,7 @@
         if !self
             .engines
             .values()
-            .any(|e| e.wants(target, now, &settings))
+            .any(|e| e.needs_order(target, now, &settings))
         {
             return;
         }
@@ -65,9 +65,9 @@
             *out.entry(engine.zone.clone()).or_default() += 1;
             engine.phase = Phase::Ordered {
                 version: target,
-                at: now,
-                answered: false,
-                own: true,
+                ordered_at: now,
+                is_accepted: false,
+                start_observed: true,
             };
             actions.push(Action::Order {
                 name,
@@ -88,8 +88,8 @@
         let mut zones: BTreeMap<CompactString, Vec<Candidate>> = BTreeMap::new();
         for (name, engine) in &self.engines {
             let cost = self.cost(engine, now);
-            let wants = engine.wants(target, now, &self.settings);
-            if wants && (replaces || cost != Cost::Nothing) {
+            let is_due = engine.needs_order(target, now, &self.settings);
+            if is_due && (replaces || cost != Cost::Nothing) {
                 let version = engine.status.version;
                 let candidate = (cost, version, engine.outstanding, name.clone());
                 zones
