--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -7,7 +7,7 @@
 
 mod controller;
 mod engine;
-mod order;
+mod schedule;
 mod plan;
 mod share;
 mod working_set;
--- a/crates/pinereel_core/src/rollout/plan.rs
+++ b/crates/pinereel_core/src/rollout/plan.rs
@@ -37,15 +37,15 @@
     ) -> Self {
         let wave = settings
             .max_loads
-            .min(engines - required(engines, settings.min_serving_share));
+            .min(engines - min_serving(engines, settings.min_serving_share));
         let waves = if pending == 0 {
             0
         } else {
             pending.div_ceil(wave.max(1))
         };
         // A wave's end is seen by a read that comes up to `poll` late.
-        let each = load_time + settings.poll_interval;
-        let predicted = (wave > 0 || pending == 0).then(|| each * waves as u32);
+        let wave_time = load_time + settings.poll_interval;
+        let predicted = (wave > 0 || pending == 0).then(|| wave_time * waves as u32);
         Self {
             target,
             engines,
@@ -62,7 +62,7 @@
 ///
 /// One may always be taken out unless the floor is 1: else a pool of one engine would never get
 /// new weights.
-pub(super) fn required(engines: usize, min_serving_share: f64) -> usize {
+pub(super) fn min_serving(engines: usize, min_serving_share: f64) -> usize {
     let needed = (engines as f64 * min_serving_share).ceil() as usize;
     if min_serving_share >= 1.0 {
         return engines;
--- a/crates/pinereel_core/src/rollout/order.rs
+++ b/crates/pinereel_core/src/rollout/schedule.rs
@@ -3,7 +3,7 @@
 use super::{
     Action, Controller,
     engine::{Engine, Phase},
-    plan::required,
+    plan::min_serving,
 };
 use crate::{Time, Version};
 use compact_str::CompactString;
@@ -31,7 +31,7 @@
             return;
         };
         let settings = self.settings;
-        let present = || {
+        let reachable = || {
             let engines = self.engines.values();
             engines.filter(|e| !e.leaving && !e.is_unreachable())
         };
@@ -40,7 +40,7 @@
             .values()
             .filter(|e| e.may_load(now, &settings))
             .count();
-        let mut room = settings.max_loads.saturating_sub(loading);
+        let mut load_slots = settings.max_loads.saturating_sub(loading);
         if !self
             .engines
             .values()
@@ -48,21 +48,21 @@
         {
             return;
         }
-        let needed = required(present().count(), self.settings.min_serving_share);
-        let serving = present().filter(|e| e.serves()).count();
-        let mut spare = serving.saturating_sub(needed);
+        let needed = min_serving(reachable().count(), self.settings.min_serving_share);
+        let serving = reachable().filter(|e| e.serves()).count();
+        let mut spare_serving = serving.saturating_sub(needed);
         // A load that was seen may just have ended. Replacing it is then a new load of an engine
         // in service, so it has to fit too; late orders of a former holder may have used that up.
-        let replaces = loading <= settings.max_loads && serving >= needed;
-        let mut zones = self.candidates(target, now, replaces);
-        let mut out = self.out_by_zone();
-        while let Some(name) = next(&mut zones, &out, room, spare) {
+        let may_replace = loading <= settings.max_loads && serving >= needed;
+        let mut zones = self.candidates(target, now, may_replace);
+        let mut out_of_service = self.out_of_service_by_zone();
+        while let Some(name) = next_engine(&mut zones, &out_of_service, load_slots, spare_serving) {
             let Some(engine) = self.engines.get_mut(&name) else {
                 return;
             };
-            spare -= usize::from(engine.serves());
-            room -= usize::from(!engine.may_load(now, &settings));
-            *out.entry(engine.zone.clone()).or_default() += 1;
+            spare_serving -= usize::from(engine.serves());
+            load_slots -= usize::from(!engine.may_load(now, &settings));
+            *out_of_service.entry(engine.zone.clone()).or_default() += 1;
             engine.phase = Phase::Ordered {
                 version: target,
                 ordered_at: now,
@@ -83,13 +83,13 @@
         &self,
         target: Version,
         now: Time,
-        replaces: bool,
+        may_replace: bool,
     ) -> BTreeMap<CompactString, Vec<Candidate>> {
         let mut zones: BTreeMap<CompactString, Vec<Candidate>> = BTreeMap::new();
         for (name, engine) in &self.engines {
-            let cost = self.cost(engine, now);
+            let cost = self.order_cost(engine, now);
             let is_due = engine.needs_order(target, now, &self.settings);
-            if is_due && (replaces || cost != Cost::Nothing) {
+            if is_due && (may_replace || cost != Cost::Nothing) {
                 let version = engine.status.version;
                 let candidate = (cost, version, engine.outstanding, name.clone());
                 zones
@@ -104,7 +104,7 @@
         zones
     }
 
-    fn cost(&self, engine: &Engine, now: Time) -> Cost {
+    fn order_cost(&self, engine: &Engine, now: Time) -> Cost {
         if engine.serves() {
             Cost::Service
         } else if engine.may_load(now, &self.settings) {
@@ -114,27 +114,27 @@
         }
     }
 
-    fn out_by_zone(&self) -> BTreeMap<CompactString, usize> {
-        let mut out = BTreeMap::new();
+    fn out_of_service_by_zone(&self) -> BTreeMap<CompactString, usize> {
+        let mut out_of_service = BTreeMap::new();
         for engine in self.engines.values().filter(|e| !e.serves()) {
-            *out.entry(engine.zone.clone()).or_default() += 1;
+            *out_of_service.entry(engine.zone.clone()).or_default() += 1;
         }
-        out
+        out_of_service
     }
 }
 
 /// The next engine to order: the furthest behind, and of these one of the zone with the fewest
 /// engines out.
-fn next(
+fn next_engine(
     zones: &mut BTreeMap<CompactString, Vec<Candidate>>,
-    out: &BTreeMap<CompactString, usize>,
-    room: usize,
-    spare: usize,
+    out_of_service: &BTreeMap<CompactString, usize>,
+    load_slots: usize,
+    spare_serving: usize,
 ) -> Option<CompactString> {
     let allowed = |queue: &[Candidate]| match queue.last() {
         Some((Cost::Nothing, ..)) => true,
-        Some((Cost::Load, ..)) => room > 0,
-        Some((Cost::Service, ..)) => room > 0 && spare > 0,
+        Some((Cost::Load, ..)) => load_slots > 0,
+        Some((Cost::Service, ..)) => load_slots > 0 && spare_serving > 0,
         None => false,
     };
     let (_, queue) = zones
@@ -142,7 +142,7 @@
         .filter(|(_, queue)| allowed(queue))
         .min_by_key(|(zone, queue)| {
             let version = queue.last().map(|(_, version, ..)| *version);
-            (version, out.get(*zone).copied().unwrap_or_default())
+            (version, out_of_service.get(*zone).copied().unwrap_or_default())
         })?;
     queue.pop().map(|(.., name)| name)
 }
