--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Status, loads},
+    rollout::{Action, Controller, Event, Lease, Status, max_loads},
 };
 use pinereel_port::{
     endpoint::Entry,
@@ -99,7 +99,7 @@
         };
         let own = shares.of(&self.model);
         let least = self.orders.parts.settings.loads;
-        let at_once = loads(shares.listed, shares.len(), own.len(), least);
+        let at_once = max_loads(shares.listed, shares.len(), own.len(), least);
         self.controller.borrow_mut().set_max_loads(at_once);
         let change = self.orders.parts.endpoints.change();
         if listed.change == Some(change) && listed.own == own {
--- a/crates/pinereel/src/hosted/orders/shares.rs
+++ b/crates/pinereel/src/hosted/orders/shares.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    rollout::{Demand, is_worth_a_change, share, working_set},
+    rollout::{Demand, assign_models, should_reassign, working_set},
 };
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 
     fn set(&mut self, engines: Vec<CompactString>, demands: Vec<Demand>) {
         self.by_model.clear();
-        for (engine, model) in share(engines.iter().cloned(), &demands) {
+        for (engine, model) in assign_models(engines.iter().cloned(), &demands) {
             self.by_model.entry(model).or_default().push(engine);
         }
         self.engines = engines;
@@ -67,7 +67,7 @@
         let engines = parts
             .endpoints
             .first(service, count, [], |entry| entry.id.clone());
-        let worth = is_worth_a_change(engines.len(), &shares.demands, &demands);
+        let worth = should_reassign(engines.len(), &shares.demands, &demands);
         if worth {
             log::info!(
                 service = service.as_str(),
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -9,12 +9,12 @@
 mod engine;
 mod schedule;
 mod plan;
-mod share;
+mod assignment;
 mod working_set;
 
 pub use controller::Controller;
 pub use plan::Plan;
-pub use share::{Demand, is_worth_a_change, loads, share};
+pub use assignment::{Demand, assign_models, max_loads, should_reassign};
 pub use working_set::{rank, working_set};
 
 use crate::{Time, Version};
--- a/crates/pinereel_core/tests/rollout_share.rs
+++ b/crates/pinereel_core/tests/rollout_share.rs
@@ -1,7 +1,7 @@
 //! Models share the engines of a service alike, and keep their shares when engines come and go.
 
 use compact_str::{CompactString, format_compact};
-use pinereel_core::rollout::{Demand, is_worth_a_change, loads, share};
+use pinereel_core::rollout::{Demand, assign_models, max_loads, should_reassign};
 use std::collections::BTreeMap;
 
 fn engines(count: usize) -> Vec<CompactString> {
@@ -22,9 +22,9 @@
     demands(&vec![0; count])
 }
 
-fn counts(shares: &BTreeMap<CompactString, CompactString>) -> Vec<usize> {
+fn counts(assigned: &BTreeMap<CompactString, CompactString>) -> Vec<usize> {
     let mut counts = BTreeMap::new();
-    for model in shares.values() {
+    for model in assigned.values() {
         *counts.entry(model.clone()).or_insert(0) += 1;
     }
     counts.into_values().collect()
@@ -32,23 +32,23 @@
 
 #[test]
 fn one_model_gets_all_engines() {
-    assert_eq!(counts(&share(engines(8), &models(1))), [8]);
+    assert_eq!(counts(&assign_models(engines(8), &models(1))), [8]);
 }
 
 #[test]
 fn models_share_alike() {
-    assert_eq!(counts(&share(engines(44), &models(4))), [11, 11, 11, 11]);
-    assert_eq!(counts(&share(engines(10), &models(4))), [3, 3, 2, 2]);
-    assert_eq!(counts(&share(engines(2), &models(4))), [1, 1]);
+    assert_eq!(counts(&assign_models(engines(44), &models(4))), [11, 11, 11, 11]);
+    assert_eq!(counts(&assign_models(engines(10), &models(4))), [3, 3, 2, 2]);
+    assert_eq!(counts(&assign_models(engines(2), &models(4))), [1, 1]);
 }
 
 #[test]
 fn an_engine_that_goes_changes_few_others() {
     let (all, models) = (engines(44), models(4));
-    let before = share(all.clone(), &models);
+    let before = assign_models(all.clone(), &models);
     for gone in &all {
         let left = all.iter().filter(|engine| *engine != gone).cloned();
-        let after = share(left, &models);
+        let after = assign_models(left, &models);
         let moved = after
             .iter()
             .filter(|(engine, model)| before[*engine] != **model);
@@ -61,35 +61,35 @@
 #[test]
 fn a_model_with_more_work_gets_more_engines() {
     let asked = demands(&[1_024, 2_412, 2_363, 1_288]);
-    assert_eq!(counts(&share(engines(44), &asked)), [6, 15, 15, 8]);
+    assert_eq!(counts(&assign_models(engines(44), &asked)), [6, 15, 15, 8]);
 }
 
 #[test]
 fn a_model_that_asks_for_little_keeps_some_engines() {
     let asked = demands(&[1, 1_000, 1_000, 1_000]);
-    assert_eq!(counts(&share(engines(44), &asked)), [4, 14, 13, 13]);
+    assert_eq!(counts(&assign_models(engines(44), &asked)), [4, 14, 13, 13]);
 }
 
 #[test]
 fn a_model_of_which_nothing_is_known_gets_an_equal_share() {
     let asked = demands(&[0, 1_000, 1_000, 1_000]);
-    assert_eq!(counts(&share(engines(44), &asked)), [11, 11, 11, 11]);
+    assert_eq!(counts(&assign_models(engines(44), &asked)), [11, 11, 11, 11]);
 }
 
 #[test]
 fn engines_change_hands_only_for_more_than_one() {
     let old = demands(&[1_000, 1_000]);
-    assert!(!is_worth_a_change(20, &old, &demands(&[1_300, 1_000])));
-    assert!(is_worth_a_change(20, &old, &demands(&[3_000, 1_000])));
-    assert!(is_worth_a_change(8, &[], &old));
+    assert!(!should_reassign(20, &old, &demands(&[1_300, 1_000])));
+    assert!(should_reassign(20, &old, &demands(&[3_000, 1_000])));
+    assert!(should_reassign(8, &[], &old));
 }
 
 #[test]
 fn loads_stay_within_what_the_store_bears() {
-    assert_eq!(loads(8, 8, 8, 2), 2);
-    assert_eq!(loads(44, 44, 11, 2), 2);
-    assert_eq!(loads(44, 44, 44, 2), 9);
-    assert_eq!(loads(1, 1, 1, 2), 2);
-    let shared: Vec<_> = [6, 15, 15, 8].map(|own| loads(44, 44, own, 2)).into();
+    assert_eq!(max_loads(8, 8, 8, 2), 2);
+    assert_eq!(max_loads(44, 44, 11, 2), 2);
+    assert_eq!(max_loads(44, 44, 44, 2), 9);
+    assert_eq!(max_loads(1, 1, 1, 2), 2);
+    let shared: Vec<_> = [6, 15, 15, 8].map(|own| max_loads(44, 44, own, 2)).into();
     assert_eq!(shared, [1, 3, 3, 2]);
 }
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -4,7 +4,7 @@
 use pinereel_core::{
     Time, Version,
     endpoint::Index,
-    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, share, working_set},
+    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, assign_models, working_set},
 };
 use std::{collections::BTreeSet, time::Duration};
 
@@ -84,7 +84,7 @@
 /// Orders and reads for one new version of each model, and engines that a holder's tick looks at.
 fn calls(listed: usize) -> (usize, usize) {
     let (index, demands) = (index(listed), steps());
-    let shares = share(members(&index, &demands), &demands);
+    let assigned = assign_models(members(&index, &demands), &demands);
     let now = Time::ZERO + Duration::from_secs(1);
     let mut calls = 0;
     for demand in &demands {
@@ -94,7 +94,7 @@
             ..Settings::default()
         };
         let mut controller = Controller::new(settings);
-        let own = shares.iter().filter(|(_, model)| **model == demand.model);
+        let own = assigned.iter().filter(|(_, model)| **model == demand.model);
         for (name, _) in own {
             let (name, zone) = (name.clone(), "a".into());
             let (outstanding, leaving) = (0, false);
@@ -127,7 +127,7 @@
             }
         }
     }
-    (calls, shares.len())
+    (calls, assigned.len())
 }
 
 /// Load pattern: thousands of engines, of which the steps fill a few hundred slots. When all were kept up to date, each
