--- a/crates/pinereel/src/hosted/orders/shares.rs
+++ b/crates/pinereel/src/hosted/orders/shares.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    rollout::{Demand, assign_models, should_reassign, working_set},
+    rollout::{Demand, assign_models, should_reassign, working_set_size},
 };
 use std::collections::BTreeMap;
 
@@ -63,7 +63,7 @@
         shares.listed = parts.endpoints.count(service);
         let demands = demand::demands(&parts.config, &parts.duties, service);
         let slots = demand::slots(&parts.config, service);
-        let count = working_set(shares.listed, slots, &demands);
+        let count = working_set_size(shares.listed, slots, &demands);
         let engines = parts
             .endpoints
             .first(service, count, [], |entry| entry.id.clone());
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -15,7 +15,7 @@
 pub use controller::Controller;
 pub use plan::Plan;
 pub use assignment::{Demand, assign_models, max_loads, should_reassign};
-pub use working_set::{rank, working_set};
+pub use working_set::{rank, working_set_size};
 
 use crate::{Time, Version};
 use compact_str::CompactString;
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -4,7 +4,7 @@
 use pinereel_core::{
     Time, Version,
     endpoint::Index,
-    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, assign_models, working_set},
+    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, assign_models, working_set_size},
 };
 use std::{collections::BTreeSet, time::Duration};
 
@@ -34,38 +34,38 @@
 }
 
 fn members(index: &Index, demands: &[Demand]) -> BTreeSet<CompactString> {
-    let count = working_set(index.count(&SERVICE), 6, demands);
+    let count = working_set_size(index.count(&SERVICE), 6, demands);
     index.ranked(&SERVICE).take(count).cloned().collect()
 }
 
 #[test]
 fn it_grows_with_the_work_and_not_with_the_list() {
     for listed in [1_000, 2_000, 4_000, 12_000] {
-        assert_eq!(working_set(listed, 6, &steps()), 384);
+        assert_eq!(working_set_size(listed, 6, &steps()), 384);
     }
     let twice: Vec<_> = steps().into_iter().chain(steps()).collect();
-    assert_eq!(working_set(12_000, 6, &twice), 768);
-    assert_eq!(working_set(12_000, 12, &steps()), 192);
+    assert_eq!(working_set_size(12_000, 6, &twice), 768);
+    assert_eq!(working_set_size(12_000, 12, &steps()), 192);
 }
 
 #[test]
 fn it_is_all_engines_where_there_are_few() {
-    assert_eq!(working_set(44, 6, &steps()), 44);
-    assert_eq!(working_set(8, 8, &demands(&[80])), 8);
-    assert_eq!(working_set(0, 6, &steps()), 0);
+    assert_eq!(working_set_size(44, 6, &steps()), 44);
+    assert_eq!(working_set_size(8, 8, &demands(&[80])), 8);
+    assert_eq!(working_set_size(0, 6, &steps()), 0);
 }
 
 #[test]
 fn a_step_with_a_few_items_more_leaves_it_as_it_is() {
-    assert_eq!(working_set(5_000, 6, &demands(&[200])), 96);
-    assert_eq!(working_set(5_000, 6, &demands(&[210])), 96);
+    assert_eq!(working_set_size(5_000, 6, &demands(&[200])), 96);
+    assert_eq!(working_set_size(5_000, 6, &demands(&[210])), 96);
 }
 
 #[test]
 fn items_that_found_no_slot_make_it_larger() {
     let mut demands = demands(&[200]);
     demands[0].short = 400;
-    assert_eq!(working_set(5_000, 6, &demands), 256);
+    assert_eq!(working_set_size(5_000, 6, &demands), 256);
 }
 
 #[test]
