--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -10,7 +10,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    admit::{Action, Event, Limits, Queue, Reason, Ticket},
+    admit::{Action, Event, Limits, Queue, Reason, RequestKey},
     budget::{self, Bucket},
     endpoint::State,
     route::Priority,
@@ -40,7 +40,7 @@
 struct Pool {
     queue: Queue,
     slots: u32,
-    places: BTreeMap<Ticket, Place>,
+    places: BTreeMap<RequestKey, Place>,
     budget: Bucket,
 }
 
@@ -81,7 +81,7 @@
 pub struct Turn {
     shared: Rc<Shared>,
     arrival: Arrival,
-    ticket: Ticket,
+    key: RequestKey,
     /// Whether it got its whole answer.
     whole: Cell<bool>,
 }
@@ -140,18 +140,18 @@
     fn tell(&mut self, action: Action) {
         // One that is gone by now frees its place when its turn is dropped.
         match action {
-            Action::Start { ticket } => {
-                let place = self.places.insert(ticket, Place::Started);
+            Action::Start { key } => {
+                let place = self.places.insert(key, Place::Started);
                 if let Some(Place::Waiting(sender)) = place {
                     let _ = sender.send(Ok(()));
                 }
             }
             Action::Refuse {
-                ticket,
+                key,
                 reason,
                 retry_after,
             } => {
-                if let Some(Place::Waiting(sender)) = self.places.remove(&ticket) {
+                if let Some(Place::Waiting(sender)) = self.places.remove(&key) {
                     let _ = sender.send(Err(Refused {
                         reason,
                         retry_after,
@@ -172,11 +172,11 @@
     let turn = Turn {
         shared: Rc::clone(shared),
         whole: Cell::new(false),
-        ticket: Ticket(number),
+        key: RequestKey(number),
         arrival,
     };
     turn.queue(Event::Arrived {
-        ticket: turn.ticket,
+        key: turn.key,
         priority: turn.arrival.priority,
         deadline: turn.arrival.deadline,
     })
@@ -214,8 +214,8 @@
     /// # Errors
     /// The deadline passed.
     pub async fn again(&self) -> Result<(), Refused> {
-        let ticket = self.ticket;
-        self.queue(Event::Returned { ticket }).await
+        let key = self.key;
+        self.queue(Event::Returned { key }).await
     }
 
     /// Sends the event and waits for what comes of it, until the deadline at most.
@@ -227,7 +227,7 @@
                 waiting: self.arrival.most,
                 ..Limits::default()
             });
-            pool.places.insert(self.ticket, place);
+            pool.places.insert(self.key, place);
             pool.step(now, event);
         });
         let told = self.told(verdict).await;
@@ -261,12 +261,12 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        let ticket = self.ticket;
+        let key = self.key;
         let whole = self.whole.get();
-        self.with(|pool, now| match pool.places.remove(&ticket) {
-            Some(Place::Started) if whole => pool.step(now, Event::Finished { ticket }),
-            Some(Place::Started) => pool.step(now, Event::Aborted { ticket }),
-            Some(Place::Waiting(_)) => pool.step(now, Event::Cancelled { ticket }),
+        self.with(|pool, now| match pool.places.remove(&key) {
+            Some(Place::Started) if whole => pool.step(now, Event::Finished { key }),
+            Some(Place::Started) => pool.step(now, Event::Aborted { key }),
+            Some(Place::Waiting(_)) => pool.step(now, Event::Cancelled { key }),
             None => {}
         });
     }
--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -16,7 +16,7 @@
 /// Names one request in a queue; never reused while the request is in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
-pub struct Ticket(pub u64);
+pub struct RequestKey(pub u64);
 
 /// Bounds of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// A request came in.
     Arrived {
         /// Its name.
-        ticket: Ticket,
+        key: RequestKey,
         /// Its priority.
         priority: Priority,
         /// When its answer is worth nothing any more.
@@ -51,24 +51,24 @@
     /// A started request got its whole answer.
     Finished {
         /// Its name.
-        ticket: Ticket,
+        key: RequestKey,
     },
     /// A started request ended in another way: how long that took says nothing of how long an
     /// answer takes.
     Aborted {
         /// Its name.
-        ticket: Ticket,
+        key: RequestKey,
     },
     /// A started request found no endpoint with room; it goes back to the front.
     Returned {
         /// Its name.
-        ticket: Ticket,
+        key: RequestKey,
     },
     /// The caller is gone before the request was started; one that was started must end by
     /// `Finished` or `Aborted`.
     Cancelled {
         /// Its name.
-        ticket: Ticket,
+        key: RequestKey,
     },
     /// Requests that the pool's endpoints take at once from this entry (the sum of their limits).
     Capacity {
@@ -86,12 +86,14 @@
     /// Route and send the request now.
     Start {
         /// Its name.
-        ticket: Ticket,
+        #[serde(rename = "ticket")]
+        key: RequestKey,
     },
     /// Answer "not run" now.
     Refuse {
         /// Its name.
-        ticket: Ticket,
+        #[serde(rename = "ticket")]
+        key: RequestKey,
         /// Why.
         reason: Reason,
         /// When the request would be admitted, by the queue's drain estimate.
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -1,6 +1,6 @@
 //! The bounded queue of one pool.
 
-use super::{Action, Estimate, Event, Limits, Reason, Ticket, rate::Rate};
+use super::{Action, Estimate, Event, Limits, Reason, RequestKey, rate::Rate};
 use crate::{Time, hash, route::Priority};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -20,8 +20,8 @@
     limits: Limits,
     slots: u32,
     waiting: BTreeMap<Priority, VecDeque<Waiting>>,
-    deadlines: BTreeSet<(Time, Ticket)>,
-    running: BTreeMap<Ticket, Running>,
+    deadlines: BTreeSet<(Time, RequestKey)>,
+    running: BTreeMap<RequestKey, Running>,
     /// Highest priority that found no endpoint although slots are free: nothing up to it starts
     /// before something changes.
     blocked: Option<Priority>,
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
-    ticket: Ticket,
+    key: RequestKey,
     deadline: Time,
     /// Time from the arrival to the deadline.
     budget: Duration,
@@ -74,22 +74,22 @@
         let mut actions = Vec::new();
         match event {
             Event::Arrived {
-                ticket,
+                key,
                 priority,
                 deadline,
             } => {
                 let budget = deadline.since(now);
                 let request = Waiting {
-                    ticket,
+                    key,
                     deadline,
                     budget,
                 };
                 actions.extend(self.arrived(now, priority, request));
             }
-            Event::Finished { ticket } => self.finished(now, ticket, busy),
-            Event::Aborted { ticket } => self.aborted(ticket, busy),
-            Event::Returned { ticket } => self.returned(ticket),
-            Event::Cancelled { ticket } => self.remove(ticket),
+            Event::Finished { key } => self.finished(now, key, busy),
+            Event::Aborted { key } => self.aborted(key, busy),
+            Event::Returned { key } => self.returned(key),
+            Event::Cancelled { key } => self.remove(key),
             Event::Capacity { slots } => {
                 self.slots = slots;
                 self.blocked = None;
@@ -147,57 +147,57 @@
         if let Some(reason) = self.judge(priority, request.budget) {
             let retry_after = self.retry_after(now, priority, request);
             return Some(Action::Refuse {
-                ticket: request.ticket,
+                key: request.key,
                 reason,
                 retry_after,
             });
         }
-        self.deadlines.insert((request.deadline, request.ticket));
+        self.deadlines.insert((request.deadline, request.key));
         self.queue(priority).push_back(request);
         None
     }
 
-    fn finished(&mut self, now: Time, ticket: Ticket, busy: bool) {
-        if let Some(running) = self.running.remove(&ticket) {
+    fn finished(&mut self, now: Time, key: RequestKey, busy: bool) {
+        if let Some(running) = self.running.remove(&key) {
             self.rate.finished(now.since(running.since), busy);
             self.blocked = None;
         }
     }
 
-    fn aborted(&mut self, ticket: Ticket, busy: bool) {
-        if self.running.remove(&ticket).is_some() {
+    fn aborted(&mut self, key: RequestKey, busy: bool) {
+        if self.running.remove(&key).is_some() {
             self.rate.aborted(busy);
             self.blocked = None;
         }
     }
 
-    fn returned(&mut self, ticket: Ticket) {
-        let Some(running) = self.running.remove(&ticket) else {
+    fn returned(&mut self, key: RequestKey) {
+        let Some(running) = self.running.remove(&key) else {
             return;
         };
         let Running {
             request, priority, ..
         } = running;
-        self.deadlines.insert((request.deadline, ticket));
+        self.deadlines.insert((request.deadline, key));
         self.queue(priority).push_front(request);
         self.blocked = self.blocked.max(Some(priority));
     }
 
     /// Refuses what has waited until its deadline.
     fn expire(&mut self, now: Time, actions: &mut Vec<Action>) {
-        while let Some((deadline, ticket)) = self.deadlines.first().copied() {
+        while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
                 return;
             }
-            let (priority, request) = self.find(ticket);
-            self.remove(ticket);
+            let (priority, request) = self.find(key);
+            self.remove(key);
             actions.push(self.refuse(now, priority, request));
         }
     }
 
     fn refuse(&mut self, now: Time, priority: Priority, request: Waiting) -> Action {
         Action::Refuse {
-            ticket: request.ticket,
+            key: request.key,
             reason: Reason::Expired,
             retry_after: self.retry_after(now, priority, request),
         }
@@ -219,7 +219,7 @@
             let Some((priority, next)) = self.pop() else {
                 return;
             };
-            self.deadlines.remove(&(next.deadline, next.ticket));
+            self.deadlines.remove(&(next.deadline, next.key));
             if self.is_hopeless(now, &next) {
                 actions.push(self.refuse(now, priority, next));
                 continue;
@@ -229,9 +229,9 @@
                 priority,
                 since: now,
             };
-            self.running.insert(next.ticket, running);
-            let ticket = next.ticket;
-            actions.push(Action::Start { ticket });
+            self.running.insert(next.key, running);
+            let key = next.key;
+            actions.push(Action::Start { key });
         }
     }
 
@@ -247,19 +247,19 @@
         self.waiting.entry(priority).or_default()
     }
 
-    fn find(&self, ticket: Ticket) -> (Priority, Waiting) {
+    fn find(&self, key: RequestKey) -> (Priority, Waiting) {
         self.waiting
             .iter()
             .flat_map(|(priority, queue)| queue.iter().map(|w| (*priority, *w)))
-            .find(|(_, waiting)| waiting.ticket == ticket)
+            .find(|(_, waiting)| waiting.key == key)
             .expect("whatever has a deadline waits")
     }
 
-    fn remove(&mut self, ticket: Ticket) {
+    fn remove(&mut self, key: RequestKey) {
         for queue in self.waiting.values_mut() {
-            queue.retain(|w| w.ticket != ticket);
+            queue.retain(|w| w.key != key);
         }
-        self.deadlines.retain(|(_, t)| *t != ticket);
+        self.deadlines.retain(|(_, t)| *t != key);
     }
 
     fn is_busy(&self) -> bool {
@@ -287,9 +287,9 @@
     /// all come back for the same place. The line reaches one budget beyond the drain: under
     /// lasting overload new arrivals take the places, and a longer line would be an idle promise.
     fn retry_after(&mut self, now: Time, priority: Priority, request: Waiting) -> Duration {
-        let Waiting { ticket, budget, .. } = request;
+        let Waiting { key, budget, .. } = request;
         let Some(rate) = self.rate.per_second(self.slots).filter(|r| *r > 0.0) else {
-            return self.jitter(UNKNOWN_RETRY, ticket);
+            return self.jitter(UNKNOWN_RETRY, key);
         };
         let estimate = self.estimate(priority);
         let over_bound = (self.waiting(priority) + 1).saturating_sub(self.limits.waiting);
@@ -304,12 +304,12 @@
         let line = (last + place).since(now).min(drain + budget);
         let due = drain.max(place).max(line);
         self.promised.insert(priority, now + due);
-        let told = self.jitter(due, ticket);
+        let told = self.jitter(due, key);
         told.min(self.limits.retry_after)
     }
 
-    fn jitter(&self, base: Duration, ticket: Ticket) -> Duration {
-        let chance = hash::mix(self.seed ^ hash::mix(ticket.0)) >> 11;
+    fn jitter(&self, base: Duration, key: RequestKey) -> Duration {
+        let chance = hash::mix(self.seed ^ hash::mix(key.0)) >> 11;
         let share = chance as f64 / (1u64 << 53) as f64;
         base.mul_f64(1.0 + JITTER * share)
     }
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    admit::{Action, Event, Limits, Queue, Reason, Ticket},
+    admit::{Action, Event, Limits, Queue, Reason, RequestKey},
     hash,
     route::Priority,
 };
@@ -25,29 +25,29 @@
 /// What the oracle knows of the queue: who waits and who runs.
 #[derive(Default)]
 struct Oracle {
-    waiting: BTreeMap<Ticket, (Priority, Time)>,
-    running: Vec<Ticket>,
-    priorities: BTreeMap<Ticket, (Priority, Time)>,
+    waiting: BTreeMap<RequestKey, (Priority, Time)>,
+    running: Vec<RequestKey>,
+    priorities: BTreeMap<RequestKey, (Priority, Time)>,
 }
 
 impl Oracle {
     fn take(&mut self, actions: &[Action], now: Time, slots: u32) {
         for action in actions {
             match *action {
-                Action::Start { ticket } => {
-                    let (priority, deadline) = self.waiting.remove(&ticket).expect("it waits");
+                Action::Start { key } => {
+                    let (priority, deadline) = self.waiting.remove(&key).expect("it waits");
                     assert!(deadline > now, "started after its deadline");
                     let first = self.waiting.values().all(|(p, _)| *p <= priority);
                     assert!(first, "a lower priority overtook");
-                    self.running.push(ticket);
+                    self.running.push(key);
                     assert!(self.running.len() <= slots as usize, "beyond the slots");
                 }
                 Action::Refuse {
-                    ticket,
+                    key,
                     retry_after,
                     ..
                 } => {
-                    self.waiting.remove(&ticket).expect("it waits or just came");
+                    self.waiting.remove(&key).expect("it waits or just came");
                     assert!(retry_after <= LIMITS.retry_after);
                 }
             }
@@ -74,26 +74,26 @@
             let mut blocked = false;
             let event = match op {
                 0..6 => {
-                    let ticket = Ticket(number as u64);
+                    let key = RequestKey(number as u64);
                     let (priority, deadline) = (ORDER[priority], now + Duration::from_millis(budget));
-                    oracle.waiting.insert(ticket, (priority, deadline));
-                    oracle.priorities.insert(ticket, (priority, deadline));
-                    Event::Arrived { ticket, priority, deadline }
+                    oracle.waiting.insert(key, (priority, deadline));
+                    oracle.priorities.insert(key, (priority, deadline));
+                    Event::Arrived { key, priority, deadline }
                 }
                 6..9 if !oracle.running.is_empty() => {
-                    let ticket = oracle.running.remove(0);
-                    Event::Finished { ticket }
+                    let key = oracle.running.remove(0);
+                    Event::Finished { key }
                 }
                 9 if !oracle.running.is_empty() => {
-                    let ticket = oracle.running.remove(0);
-                    oracle.waiting.insert(ticket, oracle.priorities[&ticket]);
+                    let key = oracle.running.remove(0);
+                    oracle.waiting.insert(key, oracle.priorities[&key]);
                     blocked = true;
-                    Event::Returned { ticket }
+                    Event::Returned { key }
                 }
                 10 => match oracle.waiting.keys().next().copied() {
-                    Some(ticket) => {
-                        oracle.waiting.remove(&ticket);
-                        Event::Cancelled { ticket }
+                    Some(key) => {
+                        oracle.waiting.remove(&key);
+                        Event::Cancelled { key }
                     }
                     None => Event::Tick,
                 },
@@ -107,9 +107,9 @@
             if blocked {
                 // The returned one and those below it wait; only higher ones may start.
                 for action in &actions {
-                    if let Action::Start { ticket } = action {
-                        oracle.running.push(*ticket);
-                        oracle.waiting.remove(ticket);
+                    if let Action::Start { key } = action {
+                        oracle.running.push(*key);
+                        oracle.waiting.remove(key);
                     }
                 }
                 let refused: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).copied().collect();
@@ -131,9 +131,9 @@
     }
 }
 
-fn arrive(queue: &mut Queue, at: u64, ticket: u64, priority: Priority, budget: u64) -> Vec<Action> {
+fn arrive(queue: &mut Queue, at: u64, key: u64, priority: Priority, budget: u64) -> Vec<Action> {
     let event = Event::Arrived {
-        ticket: Ticket(ticket),
+        key: RequestKey(key),
         priority,
         deadline: Time::from_millis(at + budget),
     };
@@ -143,16 +143,16 @@
 #[test]
 fn live_before_straggler_before_bulk() {
     let mut queue = Queue::new(LIMITS, 1);
-    for (ticket, priority) in ORDER.into_iter().enumerate() {
+    for (key, priority) in ORDER.into_iter().enumerate() {
         queue.step(Time::ZERO, Event::Capacity { slots: 1 });
-        arrive(&mut queue, 0, 10 + ticket as u64, priority, 90_000);
+        arrive(&mut queue, 0, 10 + key as u64, priority, 90_000);
     }
     let mut order = vec![10];
     for at in 1..3 {
-        let ticket = Ticket(order[order.len() - 1]);
-        for action in queue.step(Time::from_millis(at), Event::Finished { ticket }) {
-            if let Action::Start { ticket } = action {
-                order.push(ticket.0);
+        let key = RequestKey(order[order.len() - 1]);
+        for action in queue.step(Time::from_millis(at), Event::Finished { key }) {
+            if let Action::Start { key } = action {
+                order.push(key.0);
             }
         }
     }
@@ -163,9 +163,9 @@
 fn a_full_queue_refuses_at_once() {
     let mut queue = Queue::new(LIMITS, 1);
     queue.step(Time::ZERO, Event::Capacity { slots: 1 });
-    for ticket in 0..9 {
-        let actions = arrive(&mut queue, 0, ticket, Priority::Bulk, 60_000);
-        assert_eq!(actions.is_empty(), ticket > 0);
+    for key in 0..9 {
+        let actions = arrive(&mut queue, 0, key, Priority::Bulk, 60_000);
+        assert_eq!(actions.is_empty(), key > 0);
     }
     let actions = arrive(&mut queue, 0, 9, Priority::Bulk, 60_000);
     let [Action::Refuse { reason, .. }] = actions[..] else {
@@ -192,32 +192,32 @@
     let budget = Duration::from_millis(800);
     for at in 0..60_000 {
         let mut actions = Vec::new();
-        while let Some((when, ticket)) = finish.first().copied() {
+        while let Some((when, key)) = finish.first().copied() {
             if when > at {
                 break;
             }
-            finish.remove(&(when, ticket));
-            let in_time = deadlines[&ticket] >= at;
+            finish.remove(&(when, key));
+            let in_time = deadlines[&key] >= at;
             served += u32::from(in_time);
             late += u32::from(!in_time);
-            let ticket = Ticket(ticket);
-            actions.extend(queue.step(Time::from_millis(at), Event::Finished { ticket }));
+            let key = RequestKey(key);
+            actions.extend(queue.step(Time::from_millis(at), Event::Finished { key }));
         }
         for n in 0..arrivals(at) {
-            let ticket = at * 1_000 + n * 10;
-            deadlines.insert(ticket, at + 800);
-            actions.extend(arrive(&mut queue, at, ticket, Priority::Live, 800));
+            let key = at * 1_000 + n * 10;
+            deadlines.insert(key, at + 800);
+            actions.extend(arrive(&mut queue, at, key, Priority::Live, 800));
         }
-        while let Some((when, ticket)) = back.first().copied() {
+        while let Some((when, key)) = back.first().copied() {
             if when > at {
                 break;
             }
-            back.remove(&(when, ticket));
+            back.remove(&(when, key));
             returned += 1;
-            deadlines.insert(ticket + 1, at + 800);
-            let answer = arrive(&mut queue, at, ticket + 1, Priority::Live, 800);
+            deadlines.insert(key + 1, at + 800);
+            let answer = arrive(&mut queue, at, key + 1, Priority::Live, 800);
             let refused =
-                |a: &Action| matches!(a, Action::Refuse { ticket: t, .. } if t.0 == ticket + 1);
+                |a: &Action| matches!(a, Action::Refuse { key: t, .. } if t.0 == key + 1);
             admitted += u32::from(!answer.iter().any(refused));
             actions.extend(answer);
         }
@@ -228,23 +228,23 @@
         }
         for action in actions {
             match action {
-                Action::Start { ticket } => {
-                    let jitter = hash::mix(ticket.0) % 100;
-                    finish.insert((at + 150 + jitter, ticket.0));
+                Action::Start { key } => {
+                    let jitter = hash::mix(key.0) % 100;
+                    finish.insert((at + 150 + jitter, key.0));
                 }
                 Action::Refuse {
                     reason: Reason::Expired,
                     ..
                 } => expired += 1,
                 Action::Refuse {
-                    ticket,
+                    key,
                     retry_after,
                     ..
                 } => {
                     let due = at + retry_after.as_millis() as u64;
                     asked.push(due);
-                    if ticket.0 % 10 < 5 {
-                        back.insert((due, ticket.0));
+                    if key.0 % 10 < 5 {
+                        back.insert((due, key.0));
                     }
                 }
             }
@@ -277,15 +277,15 @@
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 1 });
     arrive(&mut queue, 0, 0, Priority::Live, 60_000);
-    queue.step(ms(1_000), Event::Finished { ticket: Ticket(0) });
+    queue.step(ms(1_000), Event::Finished { key: RequestKey(0) });
     let before = queue.estimate(Priority::Live).service;
     assert_eq!(before, Duration::from_secs(1));
-    for ticket in 1..20 {
-        arrive(&mut queue, 1_000, ticket, Priority::Live, 60_000);
+    for key in 1..20 {
+        arrive(&mut queue, 1_000, key, Priority::Live, 60_000);
         queue.step(
             ms(1_000),
             Event::Aborted {
-                ticket: Ticket(ticket),
+                key: RequestKey(key),
             },
         );
     }
@@ -299,9 +299,9 @@
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 1 });
     arrive(&mut queue, 0, 0, Priority::Live, 60_000);
-    queue.step(ms(10_000), Event::Finished { ticket: Ticket(0) });
+    queue.step(ms(10_000), Event::Finished { key: RequestKey(0) });
     // Ten seconds on average; with 500 ms it starts all the same, else the average never changes.
-    let start = Action::Start { ticket: Ticket(1) };
+    let start = Action::Start { key: RequestKey(1) };
     assert_eq!(arrive(&mut queue, 10_000, 1, Priority::Live, 500), [start]);
     let refused = arrive(&mut queue, 10_000, 2, Priority::Live, 500);
     assert!(matches!(
@@ -318,25 +318,25 @@
     let mut queue = Queue::new(LIMITS, 1);
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 2 });
-    for ticket in 0..2 {
-        arrive(&mut queue, 0, ticket, Priority::Live, 60_000);
+    for key in 0..2 {
+        arrive(&mut queue, 0, key, Priority::Live, 60_000);
     }
-    queue.step(ms(1_000), Event::Finished { ticket: Ticket(0) });
+    queue.step(ms(1_000), Event::Finished { key: RequestKey(0) });
     arrive(&mut queue, 1_000, 2, Priority::Live, 60_000);
     // Admitted on the estimate of a wait of a second, which becomes longer.
     assert_eq!(arrive(&mut queue, 1_000, 3, Priority::Live, 2_100), []);
     assert_eq!(arrive(&mut queue, 1_000, 4, Priority::Live, 60_000), []);
-    let actions = queue.step(ms(2_500), Event::Finished { ticket: Ticket(1) });
+    let actions = queue.step(ms(2_500), Event::Finished { key: RequestKey(1) });
     assert!(
         matches!(
             actions[..],
             [
                 Action::Refuse {
-                    ticket: Ticket(3),
+                    key: RequestKey(3),
                     reason: Reason::Expired,
                     ..
                 },
-                Action::Start { ticket: Ticket(4) },
+                Action::Start { key: RequestKey(4) },
             ]
         ),
         "{actions:?}"
--- a/crates/pinereel_fakes/src/capacity/routing.rs
+++ b/crates/pinereel_fakes/src/capacity/routing.rs
@@ -7,7 +7,7 @@
 use compact_str::format_compact;
 use pinereel_core::{
     Time, Version,
-    admit::{self, Queue, Ticket},
+    admit::{self, Queue, RequestKey},
     endpoint::{End, Event, Instance, Key, Report, Set, subset},
     route::{Policy, Priority, Request, choose},
 };
@@ -188,7 +188,7 @@
         let mut arrive = |queue: &mut Queue, now| {
             next += 1;
             let event = admit::Event::Arrived {
-                ticket: Ticket(next),
+                key: RequestKey(next),
                 priority: Priority::Live,
                 deadline: far,
             };
@@ -204,8 +204,8 @@
             oldest += 1;
             let now = Time::from_millis(oldest);
             arrive(&mut queue, now);
-            let ticket = Ticket(oldest);
-            queue.step(now, admit::Event::Finished { ticket })
+            let key = RequestKey(oldest);
+            queue.step(now, admit::Event::Finished { key })
         });
         points.push((waiting as f64, took));
     }
