--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -224,7 +224,7 @@
         let place = Place::Waiting(sender);
         self.with(|pool, now| {
             pool.queue.bound(Limits {
-                waiting: self.arrival.most,
+                max_waiting: self.arrival.most,
                 ..Limits::default()
             });
             pool.places.insert(self.key, place);
--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -22,16 +22,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most requests waiting, for each priority.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Longest Retry-After.
-    pub retry_after: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            waiting: 256,
-            retry_after: Duration::from_secs(60),
+            max_waiting: 256,
+            max_retry_after: Duration::from_secs(60),
         }
     }
 }
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -134,7 +134,7 @@
         let estimate = self.estimate(priority);
         if self.slots == 0 {
             Some(Reason::NoCapacity)
-        } else if self.waiting(priority) >= self.limits.waiting {
+        } else if self.waiting(priority) >= self.limits.max_waiting {
             Some(Reason::QueueFull)
         } else if !estimate.wait.is_zero() && estimate.wait + estimate.service > budget {
             Some(Reason::TooLate)
@@ -292,7 +292,7 @@
             return self.jitter(UNKNOWN_RETRY, key);
         };
         let estimate = self.estimate(priority);
-        let over_bound = (self.waiting(priority) + 1).saturating_sub(self.limits.waiting);
+        let over_bound = (self.waiting(priority) + 1).saturating_sub(self.limits.max_waiting);
         let fits = budget.saturating_sub(estimate.service);
         let drain = estimate
             .wait
@@ -305,7 +305,7 @@
         let due = drain.max(place).max(line);
         self.promised.insert(priority, now + due);
         let told = self.jitter(due, key);
-        told.min(self.limits.retry_after)
+        told.min(self.limits.max_retry_after)
     }
 
     fn jitter(&self, base: Duration, key: RequestKey) -> Duration {
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -17,8 +17,8 @@
 };
 
 const LIMITS: Limits = Limits {
-    waiting: 8,
-    retry_after: Duration::from_secs(60),
+    max_waiting: 8,
+    max_retry_after: Duration::from_secs(60),
 };
 const ORDER: [Priority; 3] = [Priority::Bulk, Priority::Straggler, Priority::Live];
 
@@ -48,7 +48,7 @@
                     ..
                 } => {
                     self.waiting.remove(&key).expect("it waits or just came");
-                    assert!(retry_after <= LIMITS.retry_after);
+                    assert!(retry_after <= LIMITS.max_retry_after);
                 }
             }
         }
@@ -123,7 +123,7 @@
                 let count = oracle.waiting.values().filter(|(p, _)| *p == priority).count();
                 prop_assert_eq!(queue.waiting(priority), count);
                 // One that was returned may stand one beyond the bound for each slot.
-                prop_assert!(count <= LIMITS.waiting + 5);
+                prop_assert!(count <= LIMITS.max_waiting + 5);
             }
             let first = oracle.waiting.values().map(|(_, deadline)| *deadline).min();
             prop_assert_eq!(queue.wake(), first);
--- a/crates/pinereel_fakes/src/capacity/routing.rs
+++ b/crates/pinereel_fakes/src/capacity/routing.rs
@@ -178,7 +178,7 @@
     let mut points = Vec::new();
     for waiting in [0, 64, 256, 1_000] {
         let limits = admit::Limits {
-            waiting: waiting + 8,
+            max_waiting: waiting + 8,
             ..admit::Limits::default()
         };
         let mut queue = Queue::new(limits, 1);
