--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -215,7 +215,7 @@
     /// The deadline passed.
     pub async fn again(&self) -> Result<(), Refused> {
         let key = self.key;
-        self.queue(Event::Returned { key }).await
+        self.queue(Event::Requeued { key }).await
     }
 
     /// Sends the event and waits for what comes of it, until the deadline at most.
@@ -223,7 +223,7 @@
         let (sender, verdict) = oneshot::channel();
         let place = Place::Waiting(sender);
         self.with(|pool, now| {
-            pool.queue.bound(Limits {
+            pool.queue.set_limits(Limits {
                 max_waiting: self.arrival.most,
                 ..Limits::default()
             });
--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -60,7 +60,7 @@
         key: RequestKey,
     },
     /// A started request found no endpoint with room; it goes back to the front.
-    Returned {
+    Requeued {
         /// Its name.
         key: RequestKey,
     },
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -63,7 +63,7 @@
     }
 
     /// Changes the bounds; what waits already stays.
-    pub const fn bound(&mut self, limits: Limits) {
+    pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
@@ -88,7 +88,7 @@
             }
             Event::Finished { key } => self.finished(now, key, busy),
             Event::Aborted { key } => self.aborted(key, busy),
-            Event::Returned { key } => self.returned(key),
+            Event::Requeued { key } => self.returned(key),
             Event::Cancelled { key } => self.remove(key),
             Event::Capacity { slots } => {
                 self.slots = slots;
@@ -102,7 +102,7 @@
     }
 
     /// When an [`Event::Tick`] is needed next: the earliest deadline of those that wait.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_tick_at(&self) -> Option<Time> {
         self.deadlines.first().map(|(time, _)| *time)
     }
 
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -88,7 +88,7 @@
                     let key = oracle.running.remove(0);
                     oracle.waiting.insert(key, oracle.priorities[&key]);
                     blocked = true;
-                    Event::Returned { key }
+                    Event::Requeued { key }
                 }
                 10 => match oracle.waiting.keys().next().copied() {
                     Some(key) => {
@@ -126,7 +126,7 @@
                 prop_assert!(count <= LIMITS.max_waiting + 5);
             }
             let first = oracle.waiting.values().map(|(_, deadline)| *deadline).min();
-            prop_assert_eq!(queue.wake(), first);
+            prop_assert_eq!(queue.next_tick_at(), first);
         }
     }
 }
