--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -8,42 +8,42 @@
 };
 
 /// Priorities in the order of service.
-const ORDER: [Priority; 3] = [Priority::Live, Priority::Straggler, Priority::Bulk];
+const PRIORITIES: [Priority; 3] = [Priority::Live, Priority::Straggler, Priority::Bulk];
 /// Retry-After before any request has shown how long one takes.
-const UNKNOWN_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Largest share by which Retry-After is made longer at random.
-const JITTER: f64 = 0.1;
+const MAX_JITTER_SHARE: f64 = 0.1;
 
 /// Requests of one pool that wait for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Queue {
     limits: Limits,
     slots: u32,
-    waiting: BTreeMap<Priority, VecDeque<Waiting>>,
+    waiting: BTreeMap<Priority, VecDeque<Request>>,
     deadlines: BTreeSet<(Time, RequestKey)>,
     running: BTreeMap<RequestKey, Running>,
     /// Highest priority that found no endpoint although slots are free: nothing up to it starts
     /// before something changes.
-    blocked: Option<Priority>,
+    blocked_up_to: Option<Priority>,
     rate: Rate,
     /// Place of the last Retry-After, for each priority: the next one comes after it.
-    promised: BTreeMap<Priority, Time>,
+    last_retry_at: BTreeMap<Priority, Time>,
     seed: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct Request {
     key: RequestKey,
     deadline: Time,
     /// Time from the arrival to the deadline.
-    budget: Duration,
+    time_budget: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
-    request: Waiting,
+    request: Request,
     priority: Priority,
-    since: Time,
+    started_at: Time,
 }
 
 impl Queue {
@@ -52,12 +52,12 @@
         Self {
             limits,
             slots: 0,
-            waiting: ORDER.into_iter().map(|p| (p, VecDeque::new())).collect(),
+            waiting: PRIORITIES.into_iter().map(|p| (p, VecDeque::new())).collect(),
             deadlines: BTreeSet::new(),
             running: BTreeMap::new(),
-            blocked: None,
+            blocked_up_to: None,
             rate: Rate::default(),
-            promised: BTreeMap::new(),
+            last_retry_at: BTreeMap::new(),
             seed,
         }
     }
@@ -70,7 +70,7 @@
     /// Takes in one event; returns what to do, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let busy = self.is_busy();
-        self.rate.pass(now, busy);
+        self.rate.advance(now, busy);
         let mut actions = Vec::new();
         match event {
             Event::Arrived {
@@ -78,26 +78,26 @@
                 priority,
                 deadline,
             } => {
-                let budget = deadline.since(now);
-                let request = Waiting {
+                let time_budget = deadline.since(now);
+                let request = Request {
                     key,
                     deadline,
-                    budget,
+                    time_budget,
                 };
-                actions.extend(self.arrived(now, priority, request));
+                actions.extend(self.admit(now, priority, request));
             }
-            Event::Finished { key } => self.finished(now, key, busy),
-            Event::Aborted { key } => self.aborted(key, busy),
-            Event::Requeued { key } => self.returned(key),
+            Event::Finished { key } => self.on_finished(now, key, busy),
+            Event::Aborted { key } => self.on_aborted(key, busy),
+            Event::Requeued { key } => self.requeue(key),
             Event::Cancelled { key } => self.remove(key),
             Event::Capacity { slots } => {
                 self.slots = slots;
-                self.blocked = None;
+                self.blocked_up_to = None;
             }
-            Event::Tick => self.blocked = None,
+            Event::Tick => self.blocked_up_to = None,
         }
         self.expire(now, &mut actions);
-        self.start(now, &mut actions);
+        self.start_waiting(now, &mut actions);
         actions
     }
 
@@ -118,33 +118,33 @@
 
     /// What a request of `priority` has to expect if it arrives now.
     pub fn estimate(&self, priority: Priority) -> Estimate {
-        let service = Duration::from_secs_f64(self.rate.service());
+        let service = Duration::from_secs_f64(self.rate.service_bound());
         Estimate {
-            wait: self.time_of(self.places_before(priority)),
+            wait: self.drain_time(self.completions_before_start(priority)),
             service,
         }
     }
 
     /// Whether a request that must be answered within `budget` would be admitted now.
-    pub fn admits(&self, priority: Priority, budget: Duration) -> bool {
-        self.judge(priority, budget).is_none()
+    pub fn admits(&self, priority: Priority, time_budget: Duration) -> bool {
+        self.refusal_reason(priority, time_budget).is_none()
     }
 
-    fn judge(&self, priority: Priority, budget: Duration) -> Option<Reason> {
+    fn refusal_reason(&self, priority: Priority, time_budget: Duration) -> Option<Reason> {
         let estimate = self.estimate(priority);
         if self.slots == 0 {
             Some(Reason::NoCapacity)
         } else if self.waiting(priority) >= self.limits.max_waiting {
             Some(Reason::QueueFull)
-        } else if !estimate.wait.is_zero() && estimate.wait + estimate.service > budget {
+        } else if !estimate.wait.is_zero() && estimate.wait + estimate.service > time_budget {
             Some(Reason::TooLate)
         } else {
             None
         }
     }
 
-    fn arrived(&mut self, now: Time, priority: Priority, request: Waiting) -> Option<Action> {
-        if let Some(reason) = self.judge(priority, request.budget) {
+    fn admit(&mut self, now: Time, priority: Priority, request: Request) -> Option<Action> {
+        if let Some(reason) = self.refusal_reason(priority, request.time_budget) {
             let retry_after = self.retry_after(now, priority, request);
             return Some(Action::Refuse {
                 key: request.key,
@@ -153,25 +153,25 @@
             });
         }
         self.deadlines.insert((request.deadline, request.key));
-        self.queue(priority).push_back(request);
+        self.queue_mut(priority).push_back(request);
         None
     }
 
-    fn finished(&mut self, now: Time, key: RequestKey, busy: bool) {
+    fn on_finished(&mut self, now: Time, key: RequestKey, busy: bool) {
         if let Some(running) = self.running.remove(&key) {
-            self.rate.finished(now.since(running.since), busy);
-            self.blocked = None;
+            self.rate.finished(now.since(running.started_at), busy);
+            self.blocked_up_to = None;
         }
     }
 
-    fn aborted(&mut self, key: RequestKey, busy: bool) {
+    fn on_aborted(&mut self, key: RequestKey, busy: bool) {
         if self.running.remove(&key).is_some() {
             self.rate.aborted(busy);
-            self.blocked = None;
+            self.blocked_up_to = None;
         }
     }
 
-    fn returned(&mut self, key: RequestKey) {
+    fn requeue(&mut self, key: RequestKey) {
         let Some(running) = self.running.remove(&key) else {
             return;
         };
@@ -179,8 +179,8 @@
             request, priority, ..
         } = running;
         self.deadlines.insert((request.deadline, key));
-        self.queue(priority).push_front(request);
-        self.blocked = self.blocked.max(Some(priority));
+        self.queue_mut(priority).push_front(request);
+        self.blocked_up_to = self.blocked_up_to.max(Some(priority));
     }
 
     /// Refuses what has waited until its deadline.
@@ -189,13 +189,13 @@
             if deadline > now {
                 return;
             }
-            let (priority, request) = self.find(key);
+            let (priority, request) = self.find_waiting(key);
             self.remove(key);
-            actions.push(self.refuse(now, priority, request));
+            actions.push(self.refuse_expired(now, priority, request));
         }
     }
 
-    fn refuse(&mut self, now: Time, priority: Priority, request: Waiting) -> Action {
+    fn refuse_expired(&mut self, now: Time, priority: Priority, request: Request) -> Action {
         Action::Refuse {
             key: request.key,
             reason: Reason::Expired,
@@ -205,29 +205,29 @@
 
     /// Whether a request has waited until it can't be answered in time, by the mean service time.
     /// One that starts as it arrives gets its chance: else nothing would ever correct the mean.
-    fn is_hopeless(&self, now: Time, request: &Waiting) -> bool {
+    fn misses_deadline(&self, now: Time, request: &Request) -> bool {
         let left = request.deadline.since(now);
-        let service = Duration::from_secs_f64(self.rate.service());
-        left < request.budget && left < service
+        let service = Duration::from_secs_f64(self.rate.service_bound());
+        left < request.time_budget && left < service
     }
 
     /// Starts what there is room for, live before straggler before bulk. What has waited too long
     /// to be answered in time is refused in its stead: started, it would take the place of one
     /// that still can be.
-    fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn start_waiting(&mut self, now: Time, actions: &mut Vec<Action>) {
         while self.running.len() < self.slots as usize {
             let Some((priority, next)) = self.pop() else {
                 return;
             };
             self.deadlines.remove(&(next.deadline, next.key));
-            if self.is_hopeless(now, &next) {
-                actions.push(self.refuse(now, priority, next));
+            if self.misses_deadline(now, &next) {
+                actions.push(self.refuse_expired(now, priority, next));
                 continue;
             }
             let running = Running {
                 request: next,
                 priority,
-                since: now,
+                started_at: now,
             };
             self.running.insert(next.key, running);
             let key = next.key;
@@ -235,19 +235,19 @@
         }
     }
 
-    fn pop(&mut self) -> Option<(Priority, Waiting)> {
-        let blocked = self.blocked;
-        ORDER
+    fn pop(&mut self) -> Option<(Priority, Request)> {
+        let blocked_up_to = self.blocked_up_to;
+        PRIORITIES
             .into_iter()
-            .filter(|p| Some(*p) > blocked)
-            .find_map(|p| Some((p, self.queue(p).pop_front()?)))
+            .filter(|p| Some(*p) > blocked_up_to)
+            .find_map(|p| Some((p, self.queue_mut(p).pop_front()?)))
     }
 
-    fn queue(&mut self, priority: Priority) -> &mut VecDeque<Waiting> {
+    fn queue_mut(&mut self, priority: Priority) -> &mut VecDeque<Request> {
         self.waiting.entry(priority).or_default()
     }
 
-    fn find(&self, key: RequestKey) -> (Priority, Waiting) {
+    fn find_waiting(&self, key: RequestKey) -> (Priority, Request) {
         self.waiting
             .iter()
             .flat_map(|(priority, queue)| queue.iter().map(|w| (*priority, *w)))
@@ -264,19 +264,19 @@
 
     fn is_busy(&self) -> bool {
         let full = self.running.len() >= self.slots as usize;
-        self.slots > 0 && (full || self.blocked.is_some())
+        self.slots > 0 && (full || self.blocked_up_to.is_some())
     }
 
     /// Completions needed before a new request of `priority` starts.
-    fn places_before(&self, priority: Priority) -> f64 {
+    fn completions_before_start(&self, priority: Priority) -> f64 {
         let ahead: usize = self.waiting.range(priority..).map(|(_, q)| q.len()).sum();
         let free = i64::from(self.slots) - self.running.len() as i64;
         (ahead as i64 + 1 - free).max(0) as f64
     }
 
-    fn time_of(&self, places: f64) -> Duration {
+    fn drain_time(&self, completions: f64) -> Duration {
         let rate = self.rate.per_second(self.slots).filter(|r| *r > 0.0);
-        let seconds = rate.map_or(0.0, |rate| places / rate);
+        let seconds = rate.map_or(0.0, |rate| completions / rate);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
@@ -286,31 +286,31 @@
     /// Requests refused together get places in a line, one completion apart, so that they don't
     /// all come back for the same place. The line reaches one budget beyond the drain: under
     /// lasting overload new arrivals take the places, and a longer line would be an idle promise.
-    fn retry_after(&mut self, now: Time, priority: Priority, request: Waiting) -> Duration {
-        let Waiting { key, budget, .. } = request;
+    fn retry_after(&mut self, now: Time, priority: Priority, request: Request) -> Duration {
+        let Request { key, time_budget, .. } = request;
         let Some(rate) = self.rate.per_second(self.slots).filter(|r| *r > 0.0) else {
-            return self.jitter(UNKNOWN_RETRY, key);
+            return self.jitter(DEFAULT_RETRY_AFTER, key);
         };
         let estimate = self.estimate(priority);
-        let over_bound = (self.waiting(priority) + 1).saturating_sub(self.limits.max_waiting);
-        let fits = budget.saturating_sub(estimate.service);
+        let over_limit = (self.waiting(priority) + 1).saturating_sub(self.limits.max_waiting);
+        let max_wait = time_budget.saturating_sub(estimate.service);
         let drain = estimate
             .wait
-            .saturating_sub(fits)
-            .max(Duration::from_secs_f64(over_bound as f64 / rate));
+            .saturating_sub(max_wait)
+            .max(Duration::from_secs_f64(over_limit as f64 / rate));
         // One completion at least, else the same refusal would come again.
-        let place = Duration::from_secs_f64(1.0 / rate);
-        let last = self.promised.get(&priority).copied().unwrap_or_default();
-        let line = (last + place).since(now).min(drain + budget);
-        let due = drain.max(place).max(line);
-        self.promised.insert(priority, now + due);
-        let told = self.jitter(due, key);
-        told.min(self.limits.max_retry_after)
+        let one_completion = Duration::from_secs_f64(1.0 / rate);
+        let previous = self.last_retry_at.get(&priority).copied().unwrap_or_default();
+        let next_in_line = (previous + one_completion).since(now).min(drain + time_budget);
+        let due = drain.max(one_completion).max(next_in_line);
+        self.last_retry_at.insert(priority, now + due);
+        let jittered = self.jitter(due, key);
+        jittered.min(self.limits.max_retry_after)
     }
 
     fn jitter(&self, base: Duration, key: RequestKey) -> Duration {
-        let chance = hash::mix(self.seed ^ hash::mix(key.0)) >> 11;
-        let share = chance as f64 / (1u64 << 53) as f64;
-        base.mul_f64(1.0 + JITTER * share)
+        let random = hash::mix(self.seed ^ hash::mix(key.0)) >> 11;
+        let share = random as f64 / (1u64 << 53) as f64;
+        base.mul_f64(1.0 + MAX_JITTER_SHARE * share)
     }
 }
