--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -12,7 +12,7 @@
 use crate::settings;
 use pinereel_core::{
     Time,
-    usage::{Attendance, Clock, Ledger, Report, Wall, Window},
+    usage::{InstanceCount, Clock, Ledger, Report, Wall, Window},
 };
 use pinereel_port::live::Caller;
 use std::{
@@ -42,7 +42,7 @@
     clock: fn() -> Time,
     changed: watch::Sender<u64>,
     /// Instances in all, as far as this one knows.
-    attendance: RefCell<Attendance>,
+    instance_count: RefCell<InstanceCount>,
 }
 
 /// A request that counts as begun.
@@ -61,7 +61,7 @@
             wall: RefCell::new(Clock::new(clock(), time_of_day())),
             clock,
             changed: watch::channel(0).0,
-            attendance: RefCell::default(),
+            instance_count: RefCell::default(),
         });
         if let Some(length) = usage.length {
             let state = Rc::clone(&usage);
@@ -123,12 +123,12 @@
     /// So many instances are in the tree now.
     pub fn note_instances(&self, count: usize) {
         let now = (self.clock)();
-        self.attendance.borrow_mut().note(now, count);
+        self.instance_count.borrow_mut().observe(now, count);
     }
 
     /// Instances whose counts are waited for.
     fn instances(&self) -> usize {
-        self.attendance.borrow().count()
+        self.instance_count.borrow().expected()
     }
 
     fn note_change(&self) {
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -5,12 +5,12 @@
 //! them up once all instances have closed the window, or after some patience ([`Collector`]). What was once added up is kept,
 //! and never added up again: all later holders of the duty report the same.
 
-mod attendance;
+mod instance_count;
 mod clock;
 mod collector;
 mod ledger;
 
-pub use attendance::Attendance;
+pub use instance_count::InstanceCount;
 pub use clock::Clock;
 pub use collector::{Collector, Patience};
 pub use ledger::{Ledger, Report};
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -6,7 +6,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    usage::{Attendance, Clock, Collector, Counts, Ledger, Patience, Report, Wall, Window},
+    usage::{InstanceCount, Clock, Collector, Counts, Ledger, Patience, Report, Wall, Window},
 };
 use proptest::prelude::{Just, Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::{collections::BTreeMap, time::Duration};
@@ -123,14 +123,14 @@
 /// would stand for good.
 #[test]
 fn a_new_root_waits_for_those_that_have_not_come_to_it_yet() {
-    let mut attendance = Attendance::default();
-    attendance.note(Time::from_millis(1_000), 67);
+    let mut instance_count = InstanceCount::default();
+    instance_count.observe(Time::from_millis(1_000), 67);
     for (millis, count) in [(3_000, 1), (3_300, 9), (3_600, 40)] {
-        attendance.note(Time::from_millis(millis), count);
-        assert_eq!(attendance.count(), 67);
+        instance_count.observe(Time::from_millis(millis), count);
+        assert_eq!(instance_count.expected(), 67);
     }
-    attendance.note(Time::from_millis(16_000), 66);
-    assert_eq!(attendance.count(), 66, "one is gone for good");
+    instance_count.observe(Time::from_millis(16_000), 66);
+    assert_eq!(instance_count.expected(), 66, "one is gone for good");
 }
 
 #[test]
