--- a/crates/pinereel_core/src/usage/collector.rs
+++ b/crates/pinereel_core/src/usage/collector.rs
@@ -1,6 +1,6 @@
 //! When a window's counts are added up.
 
-use super::{Counts, Ledger, Wall, Window};
+use super::{Counts, Ledger, WallTime, Window};
 use std::{collections::BTreeMap, time::Duration};
 
 /// How long a collector waits for counts.
@@ -26,7 +26,7 @@
 
 impl Collector {
     /// Goes on after the last of the windows that were `fixed` before; with the window that `now` is in if there are none.
-    pub fn new(patience: Patience, now: Wall, fixed: &BTreeMap<Window, Counts>) -> Self {
+    pub fn new(patience: Patience, now: WallTime, fixed: &BTreeMap<Window, Counts>) -> Self {
         let mut collector = Self {
             patience,
             next: now.window(patience.window),
@@ -48,7 +48,7 @@
     /// [`Collector::fixed`].
     pub fn due(
         &mut self,
-        now: Wall,
+        now: WallTime,
         ledger: &Ledger,
         instances: usize,
     ) -> Option<(Window, Counts)> {
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -6,12 +6,12 @@
 //! and never added up again: all later holders of the duty report the same.
 
 mod instance_count;
-mod clock;
+mod wall_clock;
 mod collector;
 mod ledger;
 
 pub use instance_count::InstanceCount;
-pub use clock::Clock;
+pub use wall_clock::WallClock;
 pub use collector::{Collector, Patience};
 pub use ledger::{Ledger, Report};
 
@@ -38,9 +38,9 @@
 
 /// A moment of true time: milliseconds since the start of 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wall(pub u64);
+pub struct WallTime(pub u64);
 
-impl Wall {
+impl WallTime {
     /// The window that the moment is in.
     pub fn window(self, length: Duration) -> Window {
         Window(self.0 / millis(length))
@@ -55,8 +55,8 @@
 
 impl Window {
     /// Its end.
-    pub fn end(self, length: Duration) -> Wall {
-        Wall((self.0 + 1) * millis(length))
+    pub fn end(self, length: Duration) -> WallTime {
+        WallTime((self.0 + 1) * millis(length))
     }
 
     /// The one after it.
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -6,7 +6,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    usage::{InstanceCount, Clock, Collector, Counts, Ledger, Patience, Report, Wall, Window},
+    usage::{InstanceCount, WallClock, Collector, Counts, Ledger, Patience, Report, WallTime, Window},
 };
 use proptest::prelude::{Just, Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::{collections::BTreeMap, time::Duration};
@@ -62,10 +62,10 @@
 #[test]
 fn a_window_is_added_up_once_all_have_closed_it_or_after_some_patience() {
     let (mut ledger, mut other) = (Ledger::new("root"), Ledger::new("a"));
-    let mut collector = Collector::new(PATIENCE, Wall(END - 1_000), &BTreeMap::new());
+    let mut collector = Collector::new(PATIENCE, WallTime(END - 1_000), &BTreeMap::new());
     ledger.count(WINDOW, "w", 1);
     ledger.close(WINDOW);
-    let due = |collector: &mut Collector, ledger: &Ledger, at| collector.due(Wall(at), ledger, 2);
+    let due = |collector: &mut Collector, ledger: &Ledger, at| collector.due(WallTime(at), ledger, 2);
     assert_eq!(
         due(&mut collector, &ledger, END + 4_000),
         None,
@@ -88,14 +88,14 @@
 #[test]
 fn a_successor_adds_nothing_up_again() {
     let fixed = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
-    let mut collector = Collector::new(PATIENCE, Wall(END + 2_000), &fixed);
+    let mut collector = Collector::new(PATIENCE, WallTime(END + 2_000), &fixed);
     let mut ledger = Ledger::new("successor");
     ledger.count(WINDOW, "w", 7);
-    assert_eq!(collector.due(Wall(END + 9_000), &ledger, 1), None);
-    let next = collector.due(Wall(END + 5_000 + 5_001), &ledger, 1);
+    assert_eq!(collector.due(WallTime(END + 9_000), &ledger, 1), None);
+    let next = collector.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
     assert_eq!(next, Some((WINDOW.next(), counts(&[]))));
     // Nobody collected for a long time: what is too late is left.
-    let much_later = Wall(END + 60_000);
+    let much_later = WallTime(END + 60_000);
     let mut collector = Collector::new(PATIENCE, much_later, &fixed);
     let first = collector
         .due(much_later, &ledger, 0)
@@ -107,15 +107,15 @@
 #[test]
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
-    let mut collector = Collector::new(PATIENCE, Wall(END - 1_000), &BTreeMap::new());
+    let mut collector = Collector::new(PATIENCE, WallTime(END - 1_000), &BTreeMap::new());
     ledger.count(WINDOW, "w", 1);
-    assert!(collector.due(Wall(END + 5_001), &ledger, 0).is_some());
+    assert!(collector.due(WallTime(END + 5_001), &ledger, 0).is_some());
     collector.resume(&BTreeMap::new());
-    let again = collector.due(Wall(END + 9_000), &ledger, 0);
+    let again = collector.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(again, Some((WINDOW, counts(&[("w", 1)]))));
     // Another holder has kept it.
     collector.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
-    let next = collector.due(Wall(END + 9_000), &ledger, 0);
+    let next = collector.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(next, None);
 }
 
@@ -148,18 +148,18 @@
 #[test]
 fn a_time_of_day_that_jumps_and_goes_back_moves_no_window() {
     let at = |millis| Time::from_millis(millis);
-    let mut clock = Clock::new(at(1_000), 500_000);
-    clock.look(at(1_100), 500_105);
-    clock.look(at(2_000), 503_400);
-    clock.look(at(7_000), 508_400);
-    let now = clock.at(at(7_000)).0;
+    let mut clock = WallClock::new(at(1_000), 500_000);
+    clock.observe(at(1_100), 500_105);
+    clock.observe(at(2_000), 503_400);
+    clock.observe(at(7_000), 508_400);
+    let now = clock.wall_time(at(7_000)).0;
     assert!(now.abs_diff(506_000) <= 40, "{now}");
-    clock.look(at(8_000), 507_000);
-    assert!(clock.at(at(8_000)).0.abs_diff(507_000) <= 40);
+    clock.observe(at(8_000), 507_000);
+    assert!(clock.wall_time(at(8_000)).0.abs_diff(507_000) <= 40);
     // It was set right, for good.
-    clock.look(at(9_000), 518_000);
-    clock.look(at(130_000), 639_000);
-    assert_eq!(clock.at(at(130_000)).0, 639_000);
+    clock.observe(at(9_000), 518_000);
+    clock.observe(at(130_000), 639_000);
+    assert_eq!(clock.wall_time(at(130_000)).0, 639_000);
 }
 
 /// What may happen to three instances and the way between them.
