--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -38,7 +38,7 @@
     /// Length of a window; none if nothing is reported.
     length: Option<Duration>,
     ledger: RefCell<Ledger>,
-    wall_clock: RefCell<WallClock>,
+    wall: RefCell<WallClock>,
     clock: fn() -> Time,
     changed: watch::Sender<u64>,
     /// Instances in all, as far as this one knows.
@@ -58,7 +58,7 @@
         let usage = Rc::new(Self {
             length: settings.map(|settings| settings.window),
             ledger: RefCell::new(Ledger::new(id)),
-            wall_clock: RefCell::new(WallClock::new(clock(), time_of_day())),
+            wall: RefCell::new(WallClock::new(clock(), time_of_day())),
             clock,
             changed: watch::channel(0).0,
             instance_count: RefCell::default(),
@@ -72,7 +72,7 @@
 
     /// True time.
     pub fn now(&self) -> WallTime {
-        self.wall_clock.borrow().wall_time((self.clock)())
+        self.wall.borrow().wall_time((self.clock)())
     }
 
     /// A request begins to run.
@@ -143,7 +143,7 @@
         loop {
             sleep(LOOK).await;
             let now = (self.clock)();
-            self.wall_clock.borrow_mut().observe(now, time_of_day());
+            self.wall.borrow_mut().observe(now, time_of_day());
             let window = self.now().window(length);
             let over = Window(window.0.saturating_sub(1));
             if closed >= Some(over) || self.now() < over.end(length).after(CLOSE) {
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -16,7 +16,7 @@
     settings,
     upstream::pool::Pool,
 };
-use pinereel_core::usage::{Collector, Counts, Patience, Window};
+use pinereel_core::usage::{Aggregator, Counts, Timing, Window};
 use pinereel_port::{
     Adapter,
     duty::{Holder, Verdict},
@@ -94,18 +94,18 @@
 impl Parts {
     async fn work(&self) {
         let mut sums = self.read().await;
-        let mut collector = Collector::new(self.patience(), self.usage.now(), &sums.by_window);
+        let mut aggregator = Aggregator::new(self.timing(), self.usage.now(), &sums.by_window);
         let mut sent = BTreeSet::new();
         loop {
             sleep(LOOK).await;
-            if let Some((window, counts)) = self.due(&mut collector) {
+            if let Some((window, counts)) = self.due(&mut aggregator) {
                 match self.fix(&mut sums, window, counts).await {
-                    Ok(()) => collector.fixed(window),
+                    Ok(()) => aggregator.mark_finalized(window),
                     Err(error) => {
                         log::info!(window = window.0, error:% = error; "usage: sum not kept yet");
                         // It may be there after all, or another holder's.
                         sums = self.read().await;
-                        collector.resume(&sums.by_window);
+                        aggregator.resume(&sums.by_window);
                     }
                 }
             }
@@ -113,18 +113,18 @@
         }
     }
 
-    fn due(&self, collector: &mut Collector) -> Option<(Window, Counts)> {
+    fn due(&self, aggregator: &mut Aggregator) -> Option<(Window, Counts)> {
         let ledger = self.usage.ledger.borrow();
-        collector.due(self.usage.now(), &ledger, self.usage.instances())
+        aggregator.due(self.usage.now(), &ledger, self.usage.instances())
     }
 
-    fn patience(&self) -> Patience {
-        let late = self.settings.late;
-        Patience {
-            window: self.settings.window,
-            least: LEAST,
-            most: late.mul_f64(WAIT_SHARE),
-            late,
+    fn timing(&self) -> Timing {
+        let max_age = self.settings.late;
+        Timing {
+            window_length: self.settings.window,
+            min_delay: LEAST,
+            max_delay: max_age.mul_f64(WAIT_SHARE),
+            max_age,
         }
     }
 
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -7,12 +7,12 @@
 
 mod instance_count;
 mod wall_clock;
-mod collector;
+mod aggregator;
 mod ledger;
 
 pub use instance_count::InstanceCount;
 pub use wall_clock::WallClock;
-pub use collector::{Collector, Patience};
+pub use aggregator::{Aggregator, Timing};
 pub use ledger::{Ledger, Report};
 
 use compact_str::CompactString;
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -6,17 +6,17 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    usage::{InstanceCount, WallClock, Collector, Counts, Ledger, Patience, Report, WallTime, Window},
+    usage::{InstanceCount, WallClock, Aggregator, Counts, Ledger, Timing, Report, WallTime, Window},
 };
 use proptest::prelude::{Just, Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::{collections::BTreeMap, time::Duration};
 
 const LENGTH: Duration = Duration::from_secs(5);
-const PATIENCE: Patience = Patience {
-    window: LENGTH,
-    least: Duration::from_millis(700),
-    most: Duration::from_secs(5),
-    late: Duration::from_secs(10),
+const TIMING: Timing = Timing {
+    window_length: LENGTH,
+    min_delay: Duration::from_millis(700),
+    max_delay: Duration::from_secs(5),
+    max_age: Duration::from_secs(10),
 };
 /// A window, and its end in milliseconds.
 const WINDOW: Window = Window(100);
@@ -62,42 +62,42 @@
 #[test]
 fn a_window_is_added_up_once_all_have_closed_it_or_after_some_patience() {
     let (mut ledger, mut other) = (Ledger::new("root"), Ledger::new("a"));
-    let mut collector = Collector::new(PATIENCE, WallTime(END - 1_000), &BTreeMap::new());
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
     ledger.count(WINDOW, "w", 1);
     ledger.close(WINDOW);
-    let due = |collector: &mut Collector, ledger: &Ledger, at| collector.due(WallTime(at), ledger, 2);
+    let due = |aggregator: &mut Aggregator, ledger: &Ledger, at| aggregator.due(WallTime(at), ledger, 2);
     assert_eq!(
-        due(&mut collector, &ledger, END + 4_000),
+        due(&mut aggregator, &ledger, END + 4_000),
         None,
         "one is missing"
     );
-    let mut late = collector.clone();
-    let after_patience = due(&mut late, &ledger, END + 5_001);
-    assert_eq!(after_patience, Some((WINDOW, counts(&[("w", 1)]))));
+    let mut late = aggregator.clone();
+    let after_max_delay = due(&mut late, &ledger, END + 5_001);
+    assert_eq!(after_max_delay, Some((WINDOW, counts(&[("w", 1)]))));
     other.count(WINDOW, "w", 1);
     other.close(WINDOW);
     ledger.heard(other.untold(9));
-    assert_eq!(due(&mut collector, &ledger, END + 600), None, "too soon");
-    let whole = due(&mut collector, &ledger, END + 800);
-    assert_eq!(whole, Some((WINDOW, counts(&[("w", 2)]))));
-    collector.fixed(WINDOW);
-    assert_eq!(due(&mut collector, &ledger, END + 800), None, "once");
+    assert_eq!(due(&mut aggregator, &ledger, END + 600), None, "too soon");
+    let all_closed = due(&mut aggregator, &ledger, END + 800);
+    assert_eq!(all_closed, Some((WINDOW, counts(&[("w", 2)]))));
+    aggregator.mark_finalized(WINDOW);
+    assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "once");
 }
 
 /// The holder dies between fixing and sending: its successor has the sum from the store, and goes on after it.
 #[test]
 fn a_successor_adds_nothing_up_again() {
-    let fixed = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
-    let mut collector = Collector::new(PATIENCE, WallTime(END + 2_000), &fixed);
+    let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END + 2_000), &finalized);
     let mut ledger = Ledger::new("successor");
     ledger.count(WINDOW, "w", 7);
-    assert_eq!(collector.due(WallTime(END + 9_000), &ledger, 1), None);
-    let next = collector.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
+    assert_eq!(aggregator.due(WallTime(END + 9_000), &ledger, 1), None);
+    let next = aggregator.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
     assert_eq!(next, Some((WINDOW.next(), counts(&[]))));
     // Nobody collected for a long time: what is too late is left.
     let much_later = WallTime(END + 60_000);
-    let mut collector = Collector::new(PATIENCE, much_later, &fixed);
-    let first = collector
+    let mut aggregator = Aggregator::new(TIMING, much_later, &finalized);
+    let first = aggregator
         .due(much_later, &ledger, 0)
         .map(|(window, _)| window);
     assert_eq!(first, Some(Window(WINDOW.0 + 10)));
@@ -107,15 +107,15 @@
 #[test]
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
-    let mut collector = Collector::new(PATIENCE, WallTime(END - 1_000), &BTreeMap::new());
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
     ledger.count(WINDOW, "w", 1);
-    assert!(collector.due(WallTime(END + 5_001), &ledger, 0).is_some());
-    collector.resume(&BTreeMap::new());
-    let again = collector.due(WallTime(END + 9_000), &ledger, 0);
+    assert!(aggregator.due(WallTime(END + 5_001), &ledger, 0).is_some());
+    aggregator.resume(&BTreeMap::new());
+    let again = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(again, Some((WINDOW, counts(&[("w", 1)]))));
     // Another holder has kept it.
-    collector.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
-    let next = collector.due(WallTime(END + 9_000), &ledger, 0);
+    aggregator.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
+    let next = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(next, None);
 }
 
