--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -79,7 +79,7 @@
     pub fn begin(&self, caller: &Caller) -> Option<Begun> {
         let workspace = caller.workspace()?;
         let window = self.now().window(self.length?);
-        self.ledger.borrow_mut().count(window, workspace, 1);
+        self.ledger.borrow_mut().add(window, workspace, 1);
         self.note_change();
         Some(Begun {
             window,
@@ -90,7 +90,7 @@
     /// It did not run after all.
     pub fn undo(&self, begun: Begun) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.count(begun.window, &begun.workspace, -1);
+        ledger.add(begun.window, &begun.workspace, -1);
         drop(ledger);
         self.note_change();
     }
@@ -100,18 +100,18 @@
         if self.length.is_none() {
             return;
         }
-        self.ledger.borrow_mut().heard(reports);
+        self.ledger.borrow_mut().merge(reports);
         self.note_change();
     }
 
     /// All that is known, for a new parent.
     pub fn all(&self) -> Vec<Report> {
-        self.ledger.borrow().all()
+        self.ledger.borrow().all_reports()
     }
 
     /// Waits until others are to be told something, and gives it.
     pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.ledger.borrow_mut().untold(BATCH);
+        let untold = || self.ledger.borrow_mut().take_unsent(BATCH);
         news::next(self.changed.subscribe(), untold).await
     }
 
@@ -132,7 +132,7 @@
     }
 
     fn note_change(&self) {
-        if self.ledger.borrow().has_untold() {
+        if self.ledger.borrow().has_unsent() {
             self.changed.send_modify(|changes| *changes += 1);
         }
     }
@@ -152,7 +152,7 @@
             closed = Some(over);
             let mut ledger = self.ledger.borrow_mut();
             ledger.close(over);
-            ledger.forget(Window(window.0.saturating_sub(KEPT)));
+            ledger.forget_before(Window(window.0.saturating_sub(KEPT)));
             let counts = ledger.own_counts(over);
             drop(ledger);
             if !counts.is_empty() {
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -170,7 +170,7 @@
             requests = counts.values().sum::<u64>(),
             workspaces = counts.len(),
             instances = self.usage.instances(),
-            closed = ledger.closed(window),
+            closed = ledger.closed_count(window),
             after_ms = self.usage.now().0.saturating_sub(window.end(self.settings.window).0),
             revision = object.revision;
             "usage: window added up"
--- a/crates/pinereel_core/src/usage/aggregator.rs
+++ b/crates/pinereel_core/src/usage/aggregator.rs
@@ -62,7 +62,7 @@
             self.next = self.next.next();
         }
         let end = self.next.end(window_length);
-        let all_closed = instances > 0 && ledger.closed(self.next) >= instances;
+        let all_closed = instances > 0 && ledger.closed_count(self.next) >= instances;
         let due = now >= end.after(max_delay) || (all_closed && now >= end.after(min_delay));
         due.then(|| (self.next, ledger.total(self.next)))
     }
--- a/crates/pinereel_core/src/usage/ledger.rs
+++ b/crates/pinereel_core/src/usage/ledger.rs
@@ -23,39 +23,39 @@
 /// All counts that an instance knows of.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    own: CompactString,
+    source: CompactString,
     reports: BTreeMap<Window, BTreeMap<CompactString, Report>>,
-    untold: BTreeSet<(Window, CompactString)>,
+    unsent: BTreeSet<(Window, CompactString)>,
     /// Own windows before this one are closed.
-    open_from: Window,
+    first_open: Window,
     /// Windows before this one are forgotten.
-    known_from: Window,
+    first_kept: Window,
 }
 
 impl Ledger {
     /// An empty ledger of the instance start `own`.
-    pub fn new(own: impl Into<CompactString>) -> Self {
+    pub fn new(source: impl Into<CompactString>) -> Self {
         Self {
-            own: own.into(),
+            source: source.into(),
             ..Self::default()
         }
     }
 
     /// Requests of a workspace began here, or, below zero, turn out not to have begun. A window that is closed takes nothing
     /// more: what is late goes to the first open one.
-    pub fn count(&mut self, window: Window, workspace: &str, change: i64) {
-        let window = window.max(self.open_from);
+    pub fn add(&mut self, window: Window, workspace: &str, change: i64) {
+        let window = window.max(self.first_open);
         let report = self.own_report(window);
         let count = report.counts.entry(workspace.into()).or_default();
         *count = count.saturating_add_signed(change);
         report.serial += 1;
-        self.untold.insert((window, self.own.clone()));
+        self.unsent.insert((window, self.source.clone()));
     }
 
     /// Closes all own windows up to `last`, those without any request too. The first one that is closed is the first that
     /// this instance knows whole or in part.
     pub fn close(&mut self, last: Window) {
-        let first = match self.open_from {
+        let first = match self.first_open {
             Window(0) => last,
             from => from,
         };
@@ -64,16 +64,16 @@
             let report = self.own_report(window);
             report.closed = true;
             report.serial += 1;
-            self.untold.insert((window, self.own.clone()));
+            self.unsent.insert((window, self.source.clone()));
         }
-        self.open_from = self.open_from.max(last.next());
+        self.first_open = self.first_open.max(last.next());
     }
 
     fn own_report(&mut self, window: Window) -> &mut Report {
         let reports = self.reports.entry(window).or_default();
-        let own = &self.own;
-        reports.entry(own.clone()).or_insert_with(|| Report {
-            source: own.clone(),
+        let source = &self.source;
+        reports.entry(source.clone()).or_insert_with(|| Report {
+            source: source.clone(),
             window,
             serial: 0,
             closed: false,
@@ -82,9 +82,9 @@
     }
 
     /// Another instance tells. What is news is told on.
-    pub fn heard(&mut self, told: impl IntoIterator<Item = Report>) {
-        for report in told {
-            if report.window < self.known_from || report.source == self.own {
+    pub fn merge(&mut self, received: impl IntoIterator<Item = Report>) {
+        for report in received {
+            if report.window < self.first_kept || report.source == self.source {
                 continue;
             }
             let known = self.reports.entry(report.window).or_default();
@@ -94,43 +94,43 @@
             }
             let (window, source) = (report.window, report.source.clone());
             known.insert(source.clone(), report);
-            self.untold.insert((window, source));
+            self.unsent.insert((window, source));
         }
     }
 
     /// Whether others are to be told something.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    pub fn has_unsent(&self) -> bool {
+        !self.unsent.is_empty()
     }
 
     /// What others are to be told, at most `most` reports.
-    pub fn untold(&mut self, most: usize) -> Vec<Report> {
-        let mut told = Vec::new();
-        while told.len() < most
-            && let Some((window, source)) = self.untold.pop_first()
+    pub fn take_unsent(&mut self, limit: usize) -> Vec<Report> {
+        let mut taken = Vec::new();
+        while taken.len() < limit
+            && let Some((window, source)) = self.unsent.pop_first()
         {
             let report = self.reports.get(&window).and_then(|r| r.get(&source));
-            told.extend(report.cloned());
+            taken.extend(report.cloned());
         }
-        told
+        taken
     }
 
     /// All that is known.
-    pub fn all(&self) -> Vec<Report> {
+    pub fn all_reports(&self) -> Vec<Report> {
         let reports = self.reports.values().flat_map(BTreeMap::values);
         reports.cloned().collect()
     }
 
     /// What was counted here in a window.
     pub fn own_counts(&self, window: Window) -> Counts {
-        let report = self.reports.get(&window).and_then(|r| r.get(&self.own));
+        let report = self.reports.get(&window).and_then(|r| r.get(&self.source));
         report
             .map(|report| report.counts.clone())
             .unwrap_or_default()
     }
 
     /// How many instances have closed a window.
-    pub fn closed(&self, window: Window) -> usize {
+    pub fn closed_count(&self, window: Window) -> usize {
         let reports = self.reports.get(&window).into_iter();
         let closed = reports.flat_map(BTreeMap::values);
         closed.filter(|report| report.closed).count()
@@ -151,9 +151,9 @@
     }
 
     /// Forgets the windows before `first`.
-    pub fn forget(&mut self, first: Window) {
-        self.known_from = self.known_from.max(first);
+    pub fn forget_before(&mut self, first: Window) {
+        self.first_kept = self.first_kept.max(first);
         self.reports = self.reports.split_off(&first);
-        self.untold.retain(|(window, _)| *window >= first);
+        self.unsent.retain(|(window, _)| *window >= first);
     }
 }
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -32,18 +32,18 @@
 #[test]
 fn what_all_instances_counted_is_added_up() {
     let (mut a, mut b, mut root) = (Ledger::new("a"), Ledger::new("b"), Ledger::new("root"));
-    a.count(WINDOW, "w", 2);
-    b.count(WINDOW, "w", 1);
-    b.count(WINDOW, "x", 1);
-    root.count(WINDOW, "x", 3);
+    a.add(WINDOW, "w", 2);
+    b.add(WINDOW, "w", 1);
+    b.add(WINDOW, "x", 1);
+    root.add(WINDOW, "x", 3);
     // One turns out not to have run.
-    b.count(WINDOW, "x", -1);
+    b.add(WINDOW, "x", -1);
     for ledger in [&mut a, &mut b, &mut root] {
         ledger.close(WINDOW);
     }
-    b.heard(a.untold(9));
-    root.heard(b.untold(9));
-    assert_eq!(root.closed(WINDOW), 3);
+    b.merge(a.take_unsent(9));
+    root.merge(b.take_unsent(9));
+    assert_eq!(root.closed_count(WINDOW), 3);
     assert_eq!(root.total(WINDOW), counts(&[("w", 3), ("x", 3)]));
 }
 
@@ -52,9 +52,9 @@
     let mut ledger = Ledger::new("a");
     ledger.close(Window(98));
     ledger.close(WINDOW);
-    assert_eq!(ledger.closed(Window(99)), 1);
+    assert_eq!(ledger.closed_count(Window(99)), 1);
     assert_eq!(ledger.total(WINDOW), counts(&[]));
-    ledger.count(WINDOW, "w", 1);
+    ledger.add(WINDOW, "w", 1);
     assert_eq!(ledger.total(WINDOW), counts(&[]));
     assert_eq!(ledger.total(WINDOW.next()), counts(&[("w", 1)]));
 }
@@ -63,7 +63,7 @@
 fn a_window_is_added_up_once_all_have_closed_it_or_after_some_patience() {
     let (mut ledger, mut other) = (Ledger::new("root"), Ledger::new("a"));
     let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
-    ledger.count(WINDOW, "w", 1);
+    ledger.add(WINDOW, "w", 1);
     ledger.close(WINDOW);
     let due = |aggregator: &mut Aggregator, ledger: &Ledger, at| aggregator.due(WallTime(at), ledger, 2);
     assert_eq!(
@@ -74,9 +74,9 @@
     let mut late = aggregator.clone();
     let after_max_delay = due(&mut late, &ledger, END + 5_001);
     assert_eq!(after_max_delay, Some((WINDOW, counts(&[("w", 1)]))));
-    other.count(WINDOW, "w", 1);
+    other.add(WINDOW, "w", 1);
     other.close(WINDOW);
-    ledger.heard(other.untold(9));
+    ledger.merge(other.take_unsent(9));
     assert_eq!(due(&mut aggregator, &ledger, END + 600), None, "too soon");
     let all_closed = due(&mut aggregator, &ledger, END + 800);
     assert_eq!(all_closed, Some((WINDOW, counts(&[("w", 2)]))));
@@ -90,7 +90,7 @@
     let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
     let mut aggregator = Aggregator::new(TIMING, WallTime(END + 2_000), &finalized);
     let mut ledger = Ledger::new("successor");
-    ledger.count(WINDOW, "w", 7);
+    ledger.add(WINDOW, "w", 7);
     assert_eq!(aggregator.due(WallTime(END + 9_000), &ledger, 1), None);
     let next = aggregator.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
     assert_eq!(next, Some((WINDOW.next(), counts(&[]))));
@@ -108,7 +108,7 @@
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
     let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
-    ledger.count(WINDOW, "w", 1);
+    ledger.add(WINDOW, "w", 1);
     assert!(aggregator.due(WallTime(END + 5_001), &ledger, 0).is_some());
     aggregator.resume(&BTreeMap::new());
     let again = aggregator.due(WallTime(END + 9_000), &ledger, 0);
@@ -136,12 +136,12 @@
 #[test]
 fn what_a_dead_instance_and_a_dead_root_told_is_not_lost() {
     let (mut dead, mut relay) = (Ledger::new("dead"), Ledger::new("relay"));
-    dead.count(WINDOW, "w", 2);
-    relay.heard(dead.untold(9));
+    dead.add(WINDOW, "w", 2);
+    relay.merge(dead.take_unsent(9));
     // Told to a root that is gone; the next one is told all again.
-    relay.untold(9);
+    relay.take_unsent(9);
     let mut root = Ledger::new("next root");
-    root.heard(relay.all());
+    root.merge(relay.all_reports());
     assert_eq!(root.total(WINDOW), counts(&[("w", 2)]));
 }
 
@@ -211,7 +211,7 @@
             match event {
                 Event::Count { at, window, workspace } => {
                     let name = format_compact!("w{workspace}");
-                    ledgers[at].count(Window(window), &name, 1);
+                    ledgers[at].add(Window(window), &name, 1);
                     truth.entry((window, workspace)).or_default()[at] += 1;
                 }
                 Event::Undo { at, window, workspace } => {
@@ -219,28 +219,28 @@
                     if known[at] > 0 {
                         known[at] -= 1;
                         let name = format_compact!("w{workspace}");
-                        ledgers[at].count(Window(window), &name, -1);
+                        ledgers[at].add(Window(window), &name, -1);
                     }
                 }
                 Event::Tell { from, to, times } => {
-                    let told = ledgers[from].untold(2);
+                    let told = ledgers[from].take_unsent(2);
                     late.extend(told.clone());
                     for _ in 0..times {
-                        ledgers[to].heard(told.clone());
+                        ledgers[to].merge(told.clone());
                     }
                 }
                 Event::TellAll { from, to } => {
-                    let all = ledgers[from].all();
-                    ledgers[to].heard(all);
+                    let all = ledgers[from].all_reports();
+                    ledgers[to].merge(all);
                 }
             }
         }
         // Old reports that come last change nothing.
         for from in 0..3 {
             for to in 0..3 {
-                let all = ledgers[from].all();
-                ledgers[to].heard(all);
-                ledgers[to].heard(late.clone());
+                let all = ledgers[from].all_reports();
+                ledgers[to].merge(all);
+                ledgers[to].merge(late.clone());
             }
         }
         for window in 100..103 {
