--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/sizing.rs
@@ -3,7 +3,7 @@
 use super::Orders;
 use crate::hosted::{duty::Grant, lots, platform};
 use compact_str::CompactString;
-use pinereel_core::scale::{Order, Sizer, Terms, Zone};
+use pinereel_core::scale::{Request, Autoscaler, Settings, Zone};
 use pinereel_port::{
     config::{Scale, Service},
     duty::{Holder, Size, Verdict},
@@ -25,7 +25,7 @@
 impl Sizing {
     /// Gives orders as long as they are this instance's to give.
     pub(super) async fn run(self) {
-        let mut sizer = Sizer::default();
+        let mut autoscaler = Autoscaler::default();
         loop {
             sleep(LOOK).await;
             let Some(grant) = self.grant() else { continue };
@@ -35,16 +35,16 @@
                 continue;
             };
             let (lacking, zones) = (self.lacking(&service), self.zones(&scale));
-            let terms = Terms {
-                most: scale.most,
-                start: scale.start,
-                spot: scale.spot_price.is_some(),
+            let settings = Settings {
+                max_per_zone: scale.most,
+                startup_time: scale.start,
+                use_spot: scale.spot_price.is_some(),
             };
             let now = self.orders.parts.duties.now();
-            for order in sizer.due(now, terms, lacking, &zones) {
+            for order in autoscaler.due_requests(now, settings, lacking, &zones) {
                 let done = self.order(&grant, &order, (lacking, &zones)).await;
                 let now = self.orders.parts.duties.now();
-                sizer.answered(now, &order.zone, done);
+                autoscaler.note_result(now, &order.zone, done);
             }
         }
     }
@@ -88,7 +88,7 @@
     async fn order(
         &self,
         grant: &Grant,
-        order: &Order,
+        order: &Request,
         (lacking, zones): (u32, &BTreeMap<CompactString, Zone>),
     ) -> bool {
         let parts = &self.orders.parts;
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -14,24 +14,24 @@
 
 /// Fewer endpoints are asked for only once so many were enough for so long: a step comes every few seconds, and an endpoint that
 /// comes back has to start first.
-const SHRINK_AFTER: Duration = Duration::from_secs(60);
+const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
 /// Endpoints are added if they are one of so many of the usual ones, or more: each that comes or goes changes which model others serve,
 /// and loads each version.
-const WORTH_AN_ORDER: u32 = 2;
+const MIN_SHORTAGE_DIVISOR: u32 = 2;
 /// After an order that was declined or lost its zone is asked again after so long.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Endpoints that were ordered are listed after their start, and so long after that at the latest.
-const LISTED: Duration = Duration::from_secs(3);
+const MAX_LISTING_DELAY: Duration = Duration::from_secs(3);
 
 /// What the operator allows and says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Settings {
     /// Most endpoints in a zone, of both kinds together.
-    pub most: u32,
+    pub max_per_zone: u32,
     /// Time from an order until its endpoints serve.
-    pub start: Duration,
+    pub startup_time: Duration,
     /// Whether there is a cheap kind, which may be taken away at short notice.
-    pub spot: bool,
+    pub use_spot: bool,
 }
 
 /// A zone of the service, as the list shows it.
@@ -47,7 +47,7 @@
 
 /// An order: so many endpoints of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct Request {
     /// The zone.
     pub zone: CompactString,
     /// Number of endpoints of that kind.
@@ -58,167 +58,166 @@
 
 /// What was asked for in a zone.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct LastRequest {
     count: u32,
-    at: Time,
+    requested_at: Time,
     /// Not before then, after an order that brought nothing.
-    not_before: Time,
+    next_request_at: Time,
     /// Whether the last order was declined or lost.
     failed: bool,
 }
 
 /// Decides about the orders of one service.
 #[derive(Clone, Debug, Default)]
-pub struct Sizer {
+pub struct Autoscaler {
     /// Endpoints of the usual kind that each zone had when this began: only what is added is decided here.
-    base: BTreeMap<CompactString, u32>,
-    asked: BTreeMap<CompactString, Asked>,
+    baseline: BTreeMap<CompactString, u32>,
+    last_requests: BTreeMap<CompactString, LastRequest>,
     /// Numbers of endpoints that were lacking lately.
-    lacking: VecDeque<(Time, u32)>,
+    recent_shortages: VecDeque<(Time, u32)>,
 }
 
-impl Sizer {
+impl Autoscaler {
     /// The orders that are due, with `lacking` endpoints more than the usual ones. Each is answered for with [`Sizer::answered`].
-    pub fn due(
+    pub fn due_requests(
         &mut self,
         now: Time,
-        terms: Terms,
-        lacking: u32,
+        settings: Settings,
+        shortage: u32,
         zones: &BTreeMap<CompactString, Zone>,
-    ) -> Vec<Order> {
+    ) -> Vec<Request> {
         for (name, zone) in zones {
-            let base = self.base.entry(name.clone()).or_insert(zone.regular);
-            if terms.spot {
+            let baseline = self.baseline.entry(name.clone()).or_insert(zone.regular);
+            if settings.use_spot {
                 // Those that crashed come back; none of them is an added one.
-                *base = zone.regular.max(*base).min(terms.most);
+                *baseline = zone.regular.max(*baseline).min(settings.max_per_zone);
             }
         }
-        let lacking = self.note_lacking(now, lacking);
-        let usual: u32 = self.base.values().sum();
-        let is_worth_it = lacking.saturating_mul(WORTH_AN_ORDER) >= usual;
-        let lacking = if is_worth_it { lacking } else { 0 };
-        let extra = self.spread(now, terms, lacking, zones);
-        let mut orders = Vec::new();
+        let shortage = self.peak_shortage(now, shortage);
+        let baseline_total: u32 = self.baseline.values().sum();
+        let is_large_enough = shortage.saturating_mul(MIN_SHORTAGE_DIVISOR) >= baseline_total;
+        let shortage = if is_large_enough { shortage } else { 0 };
+        let targets = self.distribute(now, settings, shortage, zones);
+        let mut requests = Vec::new();
         for (name, zone) in zones {
-            let target = extra.get(name).copied().unwrap_or_default();
-            if self.is_due(now, terms, name, zone, target) {
-                let base = self.base.get(name).copied().unwrap_or_default();
-                orders.push(Order {
+            let target = targets.get(name).copied().unwrap_or_default();
+            if self.is_due(now, settings, name, zone, target) {
+                let baseline = self.baseline.get(name).copied().unwrap_or_default();
+                requests.push(Request {
                     zone: name.clone(),
-                    count: if terms.spot { target } else { base + target },
-                    spot: terms.spot,
+                    count: if settings.use_spot { target } else { baseline + target },
+                    spot: settings.use_spot,
                 });
-                self.note_asked(now, name, target);
+                self.note_request(now, name, target);
             }
         }
-        orders
+        requests
     }
 
     /// An order was carried out or not.
-    pub fn answered(&mut self, now: Time, zone: &str, done: bool) {
-        if let Some(asked) = self.asked.get_mut(zone) {
-            asked.failed = !done;
-            if !done {
-                asked.not_before = now + RETRY;
+    pub fn note_result(&mut self, now: Time, zone: &str, succeeded: bool) {
+        if let Some(last) = self.last_requests.get_mut(zone) {
+            last.failed = !succeeded;
+            if !succeeded {
+                last.next_request_at = now + RETRY_DELAY;
             }
         }
     }
 
     /// The most that was lacking lately: those that were added are why less is lacking now.
-    fn note_lacking(&mut self, now: Time, lacking: u32) -> u32 {
-        self.lacking.push_back((now, lacking));
-        self.lacking
-            .retain(|(at, _)| now.since(*at) <= SHRINK_AFTER);
-        let most = self.lacking.iter().map(|(_, lacking)| *lacking).max();
-        most.unwrap_or(lacking)
+    fn peak_shortage(&mut self, now: Time, shortage: u32) -> u32 {
+        self.recent_shortages.push_back((now, shortage));
+        self.recent_shortages
+            .retain(|(at, _)| now.since(*at) <= SCALE_DOWN_DELAY);
+        let peak = self.recent_shortages.iter().map(|(_, shortage)| *shortage).max();
+        peak.unwrap_or(shortage)
     }
 
-    fn note_asked(&mut self, now: Time, zone: &CompactString, count: u32) {
-        let asked = Asked {
+    fn note_request(&mut self, now: Time, zone: &CompactString, count: u32) {
+        let request = LastRequest {
             count,
-            at: now,
-            not_before: now,
+            requested_at: now,
+            next_request_at: now,
             failed: false,
         };
-        self.asked.insert(zone.clone(), asked);
+        self.last_requests.insert(zone.clone(), request);
     }
 
     /// So many more endpoints, spread evenly over the zones; what is left over goes to the cheapest. A zone that has just declined
     /// counts with what it has.
-    fn spread(
+    fn distribute(
         &self,
         now: Time,
-        terms: Terms,
-        extra: u32,
+        settings: Settings,
+        added: u32,
         zones: &BTreeMap<CompactString, Zone>,
     ) -> BTreeMap<CompactString, u32> {
-        let mut rooms: Vec<_> = zones
+        let mut capacities: Vec<_> = zones
             .iter()
             .map(|(name, zone)| {
-                let base = self.base.get(name).copied().unwrap_or_default();
-                let most = terms.most.saturating_sub(base);
-                let added = self.added(terms, name, zone);
-                let declines = self
-                    .asked
+                let baseline = self.baseline.get(name).copied().unwrap_or_default();
+                let max_added = settings.max_per_zone.saturating_sub(baseline);
+                let added = self.added(settings, name, zone);
+                let is_backing_off = self.last_requests
                     .get(name)
-                    .is_some_and(|a| a.failed && now < a.not_before);
-                let room = if declines { added.min(most) } else { most };
-                (zone.price, name.clone(), room)
+                    .is_some_and(|last| last.failed && now < last.next_request_at);
+                let capacity = if is_backing_off { added.min(max_added) } else { max_added };
+                (zone.price, name.clone(), capacity)
             })
             .collect();
-        rooms.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-        let mut spread: BTreeMap<CompactString, u32> = BTreeMap::new();
-        let mut left = extra;
+        capacities.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
+        let mut distributed: BTreeMap<CompactString, u32> = BTreeMap::new();
+        let mut left = added;
         while left > 0 {
-            let mut gave = false;
-            for (_, name, room) in &rooms {
-                let has = spread.entry(name.clone()).or_default();
-                if left > 0 && *has < *room {
-                    *has += 1;
+            let mut placed = false;
+            for (_, name, capacity) in &capacities {
+                let assigned = distributed.entry(name.clone()).or_default();
+                if left > 0 && *assigned < *capacity {
+                    *assigned += 1;
                     left -= 1;
-                    gave = true;
+                    placed = true;
                 }
             }
-            if !gave {
+            if !placed {
                 break;
             }
         }
-        spread
+        distributed
     }
 
     /// Endpoints of a zone that were added here.
-    fn added(&self, terms: Terms, name: &str, zone: &Zone) -> u32 {
-        match terms.spot {
+    fn added(&self, settings: Settings, name: &str, zone: &Zone) -> u32 {
+        match settings.use_spot {
             true => zone.spot,
             false => zone
                 .regular
-                .saturating_sub(self.base.get(name).copied().unwrap_or_default()),
+                .saturating_sub(self.baseline.get(name).copied().unwrap_or_default()),
         }
     }
 
     fn is_due(
         &self,
         now: Time,
-        terms: Terms,
+        settings: Settings,
         name: &CompactString,
         zone: &Zone,
         target: u32,
     ) -> bool {
-        let Some(asked) = self.asked.get(name) else {
-            return target > self.added(terms, name, zone);
+        let Some(last) = self.last_requests.get(name) else {
+            return target > self.added(settings, name, zone);
         };
-        if now < asked.not_before {
+        if now < last.next_request_at {
             return false;
         }
-        if asked.failed || target > asked.count {
+        if last.failed || target > last.count {
             return true;
         }
-        if target < asked.count {
+        if target < last.count {
             // It took the part of a zone that had none for a while.
-            return now.since(asked.at) >= SHRINK_AFTER;
+            return now.since(last.requested_at) >= SCALE_DOWN_DELAY;
         }
         // The list answers for what was ordered.
-        let settled = now.since(asked.at) >= terms.start + LISTED;
-        settled && self.added(terms, name, zone) < target
+        let has_settled = now.since(last.requested_at) >= settings.startup_time + MAX_LISTING_DELAY;
+        has_settled && self.added(settings, name, zone) < target
     }
 }
--- a/crates/pinereel_core/tests/scale_sizer.rs
+++ b/crates/pinereel_core/tests/scale_sizer.rs
@@ -8,14 +8,14 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    scale::{Order, Sizer, Terms, Zone},
+    scale::{Request, Autoscaler, Settings, Zone},
 };
 use std::{collections::BTreeMap, time::Duration};
 
-const TERMS: Terms = Terms {
-    most: 22,
-    start: Duration::from_secs(4),
-    spot: true,
+const SETTINGS: Settings = Settings {
+    max_per_zone: 22,
+    startup_time: Duration::from_secs(4),
+    use_spot: true,
 };
 
 type Zones = BTreeMap<CompactString, Zone>;
@@ -37,39 +37,39 @@
     Time::from_millis(millis)
 }
 
-fn shown(orders: &[Order]) -> Vec<(&str, u32, bool)> {
-    let orders = orders.iter();
-    orders
-        .map(|order| (&*order.zone, order.count, order.spot))
+fn shown(requests: &[Request]) -> Vec<(&str, u32, bool)> {
+    let requests = requests.iter();
+    requests
+        .map(|request| (&*request.zone, request.count, request.spot))
         .collect()
 }
 
 /// Gives orders that are all carried out.
-fn order(sizer: &mut Sizer, now: Time, lacking: u32, zones: &Zones) -> Vec<Order> {
-    let orders = sizer.due(now, TERMS, lacking, zones);
-    for order in &orders {
-        sizer.answered(now, &order.zone, true);
+fn request(autoscaler: &mut Autoscaler, now: Time, shortage: u32, zones: &Zones) -> Vec<Request> {
+    let requests = autoscaler.due_requests(now, SETTINGS, shortage, zones);
+    for request in &requests {
+        autoscaler.note_result(now, &request.zone, true);
     }
-    orders
+    requests
 }
 
 #[test]
 fn a_crowd_of_items_gets_engines_spread_over_the_zones_the_cheapest_first() {
-    let mut sizer = Sizer::default();
-    let orders = order(&mut sizer, at(0), 30, &zones(0));
+    let mut autoscaler = Autoscaler::default();
+    let requests = request(&mut autoscaler, at(0), 30, &zones(0));
     let expected = [
         ("a", 8, true),
         ("b", 7, true),
         ("c", 8, true),
         ("d", 7, true),
     ];
-    assert_eq!(shown(&orders), expected);
+    assert_eq!(shown(&requests), expected);
     assert_eq!(
-        shown(&order(&mut sizer, at(300), 30, &zones(0))),
+        shown(&request(&mut autoscaler, at(300), 30, &zones(0))),
         [],
         "once"
     );
-    let all: Vec<_> = shown(&order(&mut sizer, at(600), 1_000, &zones(0)))
+    let all: Vec<_> = shown(&request(&mut autoscaler, at(600), 1_000, &zones(0)))
         .iter()
         .map(|(_, count, _)| *count)
         .collect();
@@ -78,21 +78,21 @@
 
 #[test]
 fn nothing_is_ordered_while_what_is_there_is_enough() {
-    let mut sizer = Sizer::default();
-    assert_eq!(shown(&order(&mut sizer, at(0), 0, &zones(0))), []);
-    let few = order(&mut sizer, at(300), 21, &zones(0));
+    let mut autoscaler = Autoscaler::default();
+    assert_eq!(shown(&request(&mut autoscaler, at(0), 0, &zones(0))), []);
+    let few = request(&mut autoscaler, at(300), 21, &zones(0));
     assert_eq!(shown(&few), [], "too few to be worth it");
 }
 
 /// Load pattern: steps come every four seconds, and between them nothing is asked for.
 #[test]
 fn engines_are_kept_between_steps_and_given_back_after_a_minute() {
-    let mut sizer = Sizer::default();
-    order(&mut sizer, at(0), 24, &zones(0));
+    let mut autoscaler = Autoscaler::default();
+    request(&mut autoscaler, at(0), 24, &zones(0));
     for millis in (5_000..59_000).step_by(1_000) {
-        assert_eq!(shown(&order(&mut sizer, at(millis), 0, &zones(6))), []);
+        assert_eq!(shown(&request(&mut autoscaler, at(millis), 0, &zones(6))), []);
     }
-    let back = order(&mut sizer, at(61_000), 0, &zones(6));
+    let back = request(&mut autoscaler, at(61_000), 0, &zones(6));
     assert_eq!(
         shown(&back),
         [
@@ -107,22 +107,22 @@
 /// Load pattern: all cheap endpoints of a zone are taken away, and for seconds there are none to be had there.
 #[test]
 fn a_zone_that_has_none_is_asked_again_and_others_take_its_part() {
-    let mut sizer = Sizer::default();
-    order(&mut sizer, at(0), 24, &zones(0));
+    let mut autoscaler = Autoscaler::default();
+    request(&mut autoscaler, at(0), 24, &zones(0));
     let mut there = zones(6);
     there.get_mut("b").expect("listed").spot = 0;
-    let again = sizer.due(at(8_000), TERMS, 24, &there);
+    let again = autoscaler.due_requests(at(8_000), SETTINGS, 24, &there);
     assert_eq!(shown(&again), [("b", 6, true)], "what was taken away");
-    sizer.answered(at(8_000), "b", false);
-    let others = order(&mut sizer, at(8_300), 24, &there);
+    autoscaler.note_result(at(8_000), "b", false);
+    let others = request(&mut autoscaler, at(8_300), 24, &there);
     assert_eq!(
         shown(&others),
         [("a", 8, true), ("c", 8, true), ("d", 8, true)]
     );
     // It has some again: the others give theirs back, but not at once.
-    let later = order(&mut sizer, at(10_100), 24, &there);
+    let later = request(&mut autoscaler, at(10_100), 24, &there);
     assert_eq!(shown(&later), [("b", 6, true)]);
-    let much_later = order(&mut sizer, at(69_000), 24, &zones(6));
+    let much_later = request(&mut autoscaler, at(69_000), 24, &zones(6));
     let expected = [("a", 6, true), ("c", 6, true), ("d", 6, true)];
     assert_eq!(shown(&much_later), expected);
 }
@@ -130,32 +130,32 @@
 /// An order without an answer may be carried out later; it is given again.
 #[test]
 fn an_order_that_is_lost_is_given_again_after_a_pause() {
-    let mut sizer = Sizer::default();
-    for order in sizer.due(at(0), TERMS, 24, &zones(0)) {
-        sizer.answered(at(0), &order.zone, order.zone != "c");
+    let mut autoscaler = Autoscaler::default();
+    for request in autoscaler.due_requests(at(0), SETTINGS, 24, &zones(0)) {
+        autoscaler.note_result(at(0), &request.zone, request.zone != "c");
     }
     assert_eq!(
-        sizer.due(at(300), TERMS, 24, &zones(0)).len(),
+        autoscaler.due_requests(at(300), SETTINGS, 24, &zones(0)).len(),
         3,
         "the others take its part"
     );
-    let again = sizer.due(at(2_100), TERMS, 24, &zones(0));
+    let again = autoscaler.due_requests(at(2_100), SETTINGS, 24, &zones(0));
     assert!(shown(&again).contains(&("c", 6, true)), "{again:?}");
 }
 
 #[test]
 fn without_a_cheap_kind_the_usual_one_is_ordered_in_all() {
-    let mut sizer = Sizer::default();
-    let terms = Terms {
-        spot: false,
-        ..TERMS
+    let mut autoscaler = Autoscaler::default();
+    let settings = Settings {
+        use_spot: false,
+        ..SETTINGS
     };
-    let orders = sizer.due(at(0), terms, 24, &zones(0));
+    let requests = autoscaler.due_requests(at(0), settings, 24, &zones(0));
     let expected = [
         ("a", 17, false),
         ("b", 17, false),
         ("c", 17, false),
         ("d", 17, false),
     ];
-    assert_eq!(shown(&orders), expected);
+    assert_eq!(shown(&requests), expected);
 }
