--- a/crates/pinereel_core/src/fair.rs
+++ b/crates/pinereel_core/src/fair.rs
@@ -30,48 +30,48 @@
 }
 
 /// Virtual time per unit of cost at weight 1.
-const SCALE: u64 = 1_000;
+const VIRTUAL_TIME_PER_COST: u64 = 1_000;
 
 /// Most flows remembered; the one that lies furthest back is forgotten first.
 const MAX_FLOWS: usize = 1_024;
 
 /// Who has had how much of a shared resource.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
-    flows: BTreeMap<CompactString, u64>,
-    now: u64,
+pub struct Scheduler {
+    finish_times: BTreeMap<CompactString, u64>,
+    virtual_time: u64,
 }
 
-impl Share {
+impl Scheduler {
     /// Which of the `backlogged` flows goes next; ties go to the first in order of name.
-    pub fn next<'a>(&self, backlogged: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-        let starts = backlogged.into_iter().map(|flow| (self.start(flow), flow));
+    pub fn next_flow<'a>(&self, backlogged: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+        let starts = backlogged.into_iter().map(|flow| (self.start_time(flow), flow));
         starts.min().map(|(_, flow)| flow)
     }
 
     /// Notes that `flow` was given work of `cost` units; a weight of 0 counts as 1.
     pub fn charge(&mut self, flow: &str, weight: u32, cost: u64) {
-        let start = self.start(flow);
-        self.now = self.now.max(start);
-        let work = cost.max(1).saturating_mul(SCALE) / u64::from(weight.max(1));
-        let finish = start.saturating_add(work.max(1));
-        self.flows.insert(flow.into(), finish);
-        self.forget();
+        let start = self.start_time(flow);
+        self.virtual_time = self.virtual_time.max(start);
+        let duration = cost.max(1).saturating_mul(VIRTUAL_TIME_PER_COST) / u64::from(weight.max(1));
+        let finish = start.saturating_add(duration.max(1));
+        self.finish_times.insert(flow.into(), finish);
+        self.evict_flows();
     }
 
-    fn start(&self, flow: &str) -> u64 {
-        self.flows.get(flow).map_or(self.now, |f| self.now.max(*f))
+    fn start_time(&self, flow: &str) -> u64 {
+        self.finish_times.get(flow).map_or(self.virtual_time, |f| self.virtual_time.max(*f))
     }
 
     /// A flow whose finish time has passed is as good as unknown.
-    fn forget(&mut self) {
-        if self.flows.len() <= MAX_FLOWS {
+    fn evict_flows(&mut self) {
+        if self.finish_times.len() <= MAX_FLOWS {
             return;
         }
-        let now = self.now;
-        self.flows.retain(|_, finish| *finish > now);
-        if self.flows.len() > MAX_FLOWS {
-            self.flows.pop_first();
+        let virtual_time = self.virtual_time;
+        self.finish_times.retain(|_, finish| *finish > virtual_time);
+        if self.finish_times.len() > MAX_FLOWS {
+            self.finish_times.pop_first();
         }
     }
 }
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     classes: BTreeMap<Class, BTreeMap<CompactString, VecDeque<Item<T>>>>,
-    share: Share,
+    scheduler: Scheduler,
     len: usize,
-    limit: usize,
+    max_len: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -94,15 +94,15 @@
 
 impl<T> Queue<T> {
     /// An empty queue of at most `limit` items.
-    pub const fn new(limit: usize) -> Self {
+    pub const fn new(max_len: usize) -> Self {
         Self {
             classes: BTreeMap::new(),
-            share: Share {
-                flows: BTreeMap::new(),
-                now: 0,
+            scheduler: Scheduler {
+                finish_times: BTreeMap::new(),
+                virtual_time: 0,
             },
             len: 0,
-            limit,
+            max_len,
         }
     }
 
@@ -128,7 +128,7 @@
         cost: u64,
         value: T,
     ) -> Result<(), T> {
-        if self.len >= self.limit {
+        if self.len >= self.max_len {
             return Err(value);
         }
         let flows = self.classes.entry(class).or_default();
@@ -145,7 +145,7 @@
     pub fn pop(&mut self) -> Option<T> {
         let (class, flows) = self.classes.iter_mut().next_back()?;
         let class = *class;
-        let flow = self.share.next(flows.keys().map(CompactString::as_str))?;
+        let flow = self.scheduler.next_flow(flows.keys().map(CompactString::as_str))?;
         let flow = CompactString::from(flow);
         let items = flows.get_mut(&flow)?;
         let item = items.pop_front()?;
@@ -155,7 +155,7 @@
         if flows.is_empty() {
             self.classes.remove(&class);
         }
-        self.share.charge(&flow, item.weight, item.cost);
+        self.scheduler.charge(&flow, item.weight, item.cost);
         self.len -= 1;
         Some(item.value)
     }
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -4,7 +4,7 @@
     Action, Event, Failure, Finish, Limits, Lot, Offer, Policy, Sample,
     state::{Attempt, AttemptKey, Endpoint, Entry, Finished, Progress, SampleKey},
 };
-use crate::{Time, Version, fair::Share, provenance, staleness, staleness::Pace};
+use crate::{Time, Version, fair::Scheduler, provenance, staleness, staleness::Pace};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{
@@ -47,7 +47,7 @@
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     pub(super) endpoints: BTreeMap<CompactString, Endpoint>,
     pub(super) paces: BTreeMap<CompactString, Pace>,
-    pub(super) share: Share,
+    pub(super) share: Scheduler,
     /// Samples that wait for the retry budget.
     pub(super) parked: VecDeque<SampleKey>,
     /// Retries left, in hundredths.
@@ -78,7 +78,7 @@
             attempts: SlotMap::with_key(),
             endpoints: BTreeMap::new(),
             paces: BTreeMap::new(),
-            share: Share::default(),
+            share: Scheduler::default(),
             parked: VecDeque::new(),
             credit: u64::from(limits.retry_burst) * RETRY,
             ticked: Time::ZERO,
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -131,7 +131,7 @@
         while !lots.is_empty() {
             let mut flows = lots.iter().map(|lot| lot.spec.trainer.as_str());
             let flow = if self.policy.fair {
-                self.share.next(flows)?
+                self.share.next_flow(flows)?
             } else {
                 flows.next()?
             };
