--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -193,7 +193,7 @@
     /// The request got its whole answer: that earns a part of a retry.
     pub fn succeeded(&self) {
         self.whole.set(true);
-        self.with(|pool, now| pool.budget.success(now));
+        self.with(|pool, now| pool.budget.note_success(now));
     }
 
     /// What is told to a request whose deadline passed before it was sent.
@@ -275,7 +275,7 @@
 /// Takes a retry from the pool's budget and counts it; false if the budget is used up.
 pub fn retry(shared: &Shared, pool: &CompactString) -> bool {
     let mut granted = false;
-    with(shared, pool, |pool, now| granted = pool.budget.take(now));
+    with(shared, pool, |pool, now| granted = pool.budget.try_take(now));
     if granted {
         shared.metrics.retries.with_label_values(&[pool]).inc();
     }
--- a/crates/pinereel_core/src/budget.rs
+++ b/crates/pinereel_core/src/budget.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Extra attempts for each success (0.1 allows one in ten).
-    pub share: f64,
+    pub tokens_per_success: f64,
     /// Extra attempts a second that are always allowed, so that quiet times can retry too.
-    pub min_rate: f64,
+    pub tokens_per_second: f64,
     /// Most extra attempts saved up.
     pub burst: f64,
 }
@@ -16,15 +16,15 @@
 impl Settings {
     /// For retries after a failure that is known not to have run, or may run twice.
     pub const RETRY: Self = Self {
-        share: 0.1,
-        min_rate: 1.0,
+        tokens_per_success: 0.1,
+        tokens_per_second: 1.0,
         burst: 20.0,
     };
 
     /// For duplicates of a slow request; tighter, since the first attempt still runs.
     pub const HEDGE: Self = Self {
-        share: 0.02,
-        min_rate: 0.2,
+        tokens_per_success: 0.02,
+        tokens_per_second: 0.2,
         burst: 5.0,
     };
 }
@@ -36,7 +36,7 @@
 pub struct Bucket {
     settings: Settings,
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl Bucket {
@@ -45,19 +45,19 @@
         Self {
             settings,
             tokens: settings.burst,
-            filled: now,
+            refilled_at: now,
         }
     }
 
     /// A request got its whole answer.
-    pub fn success(&mut self, now: Time) {
-        self.fill(now);
-        self.add(self.settings.share);
+    pub fn note_success(&mut self, now: Time) {
+        self.refill(now);
+        self.add(self.settings.tokens_per_success);
     }
 
     /// Takes one extra attempt; false if the budget is used up.
-    pub fn take(&mut self, now: Time) -> bool {
-        self.fill(now);
+    pub fn try_take(&mut self, now: Time) -> bool {
+        self.refill(now);
         if self.tokens < 1.0 {
             return false;
         }
@@ -70,10 +70,10 @@
         self.tokens
     }
 
-    fn fill(&mut self, now: Time) {
-        let passed = now.since(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.add(passed * self.settings.min_rate);
+    fn refill(&mut self, now: Time) {
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.add(elapsed * self.settings.tokens_per_second);
     }
 
     fn add(&mut self, tokens: f64) {
--- a/crates/pinereel_core/tests/budget_bucket.rs
+++ b/crates/pinereel_core/tests/budget_bucket.rs
@@ -31,16 +31,16 @@
             match op {
                 0 => now = now + Duration::from_millis(millis),
                 1 => {
-                    bucket.success(now);
+                    bucket.note_success(now);
                     successes += 1.0;
                 }
-                _ if bucket.take(now) => granted += 1.0,
+                _ if bucket.try_take(now) => granted += 1.0,
                 _ => refused += 1,
             }
-            let line = settings.burst
-                + settings.share * successes
-                + settings.min_rate * now.since(Time::ZERO).as_secs_f64();
-            prop_assert!(granted <= line + 1e-6);
+            let bound = settings.burst
+                + settings.tokens_per_success * successes
+                + settings.tokens_per_second * now.since(Time::ZERO).as_secs_f64();
+            prop_assert!(granted <= bound + 1e-6);
             prop_assert!(refused == 0 || granted >= settings.burst.floor());
         }
     }
@@ -49,8 +49,8 @@
 #[test]
 fn quiet_times_can_retry_again() {
     let mut bucket = Bucket::new(Settings::RETRY, Time::ZERO);
-    let granted = (0..100).filter(|_| bucket.take(Time::ZERO)).count();
+    let granted = (0..100).filter(|_| bucket.try_take(Time::ZERO)).count();
     assert_eq!(granted, 20);
-    assert!(bucket.take(Time::from_millis(1_000)));
-    assert!(!bucket.take(Time::from_millis(1_000)));
+    assert!(bucket.try_take(Time::from_millis(1_000)));
+    assert!(!bucket.try_take(Time::from_millis(1_000)));
 }
