--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -6,7 +6,7 @@
     state::Shared,
 };
 use pinereel_core::{
-    drain::{self, Action, Event, Machine, Phase},
+    drain::{self, Action, Event, StateMachine, Phase},
     lot,
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
@@ -78,10 +78,10 @@
 /// the entry leaves.
 pub async fn run(shared: &Rc<Shared>, callers: &Server) {
     let settings = &shared.settings.drain;
-    let mut machine = Machine::new(drain::Settings {
-        lag: settings.balancer_lag,
-        finish: settings.longest,
-        hand_over: HAND_OVER,
+    let mut machine = StateMachine::new(drain::Settings {
+        balancer_lag: settings.balancer_lag,
+        max_finish: settings.longest,
+        max_hand_over: HAND_OVER,
     });
     while machine.phase() != Phase::Done {
         for event in events(shared, machine.phase()) {
@@ -102,7 +102,7 @@
 fn events(shared: &Shared, phase: Phase) -> Vec<Event> {
     let mut events = Vec::new();
     if phase == Phase::Serving && shared.drain.asked() {
-        events.push(Event::Signal);
+        events.push(Event::StopRequested);
     }
     events.push(Event::InFlight(left(shared)));
     if phase == Phase::HandingOver && shared.leases.released() && shared.lots.in_flight() == 0 {
--- a/crates/pinereel_core/src/drain.rs
+++ b/crates/pinereel_core/src/drain.rs
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// How long the balancer may still send new requests after readiness is off.
-    pub lag: Duration,
+    pub balancer_lag: Duration,
     /// Longest wait for requests in flight, after the lag.
-    pub finish: Duration,
+    pub max_finish: Duration,
     /// Longest wait for the hand-over of samples and leases.
-    pub hand_over: Duration,
+    pub max_hand_over: Duration,
 }
 
 /// Where a stop stands.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A stop was asked for.
-    Signal,
+    StopRequested,
     /// Requests in flight now.
     InFlight(u32),
     /// All samples and leases are handed over.
@@ -74,23 +74,23 @@
 
 /// The state machine of one entry's stop.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct StateMachine {
     settings: Settings,
     phase: Phase,
-    until: Time,
+    phase_deadline: Time,
     in_flight: u32,
-    handed_over: bool,
+    is_handed_over: bool,
 }
 
-impl Machine {
+impl StateMachine {
     /// A serving entry.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
             phase: Phase::Serving,
-            until: Time::ZERO,
+            phase_deadline: Time::ZERO,
             in_flight: 0,
-            handed_over: false,
+            is_handed_over: false,
         }
     }
 
@@ -105,27 +105,27 @@
     }
 
     /// Whether to take new requests.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.phase <= Phase::Announced
     }
 
     /// When a [`Event::Tick`] is needed next.
-    pub fn wake(&self) -> Option<Time> {
-        let waits = !matches!(self.phase, Phase::Serving | Phase::Done);
-        waits.then_some(self.until)
+    pub fn next_tick_at(&self) -> Option<Time> {
+        let is_waiting = !matches!(self.phase, Phase::Serving | Phase::Done);
+        is_waiting.then_some(self.phase_deadline)
     }
 
     /// Takes in one event; returns what to do, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Signal if self.phase == Phase::Serving => {
-                self.enter(Phase::Announced, now + self.settings.lag);
+            Event::StopRequested if self.phase == Phase::Serving => {
+                self.enter(Phase::Announced, now + self.settings.balancer_lag);
                 actions.push(Action::ReadinessOff);
             }
-            Event::Signal | Event::Tick => {}
+            Event::StopRequested | Event::Tick => {}
             Event::InFlight(count) => self.in_flight = count,
-            Event::HandedOver => self.handed_over |= self.phase == Phase::HandingOver,
+            Event::HandedOver => self.is_handed_over |= self.phase == Phase::HandingOver,
         }
         while let Some(action) = self.advance(now, &mut actions) {
             actions.push(action);
@@ -135,19 +135,19 @@
 
     /// Goes on by one phase if its time has come.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) -> Option<Action> {
-        let late = now >= self.until;
+        let is_overdue = now >= self.phase_deadline;
         match self.phase {
-            Phase::Announced if late => {
-                self.enter(Phase::Finishing, now + self.settings.finish);
+            Phase::Announced if is_overdue => {
+                self.enter(Phase::Finishing, now + self.settings.max_finish);
                 Some(Action::StopAccepting)
             }
-            Phase::Finishing if late || self.in_flight == 0 => {
+            Phase::Finishing if is_overdue || self.in_flight == 0 => {
                 self.report(self.in_flight > 0, actions);
-                self.enter(Phase::HandingOver, now + self.settings.hand_over);
+                self.enter(Phase::HandingOver, now + self.settings.max_hand_over);
                 Some(Action::HandOver)
             }
-            Phase::HandingOver if late || self.handed_over => {
-                self.report(!self.handed_over, actions);
+            Phase::HandingOver if is_overdue || self.is_handed_over => {
+                self.report(!self.is_handed_over, actions);
                 self.enter(Phase::Done, now);
                 Some(Action::Exit)
             }
@@ -155,9 +155,9 @@
         }
     }
 
-    fn enter(&mut self, phase: Phase, until: Time) {
+    fn enter(&mut self, phase: Phase, deadline: Time) {
         self.phase = phase;
-        self.until = until;
+        self.phase_deadline = deadline;
     }
 
     fn report(&self, unfinished: bool, actions: &mut Vec<Action>) {
--- a/crates/pinereel_core/tests/drain_machine.rs
+++ b/crates/pinereel_core/tests/drain_machine.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    drain::{Action, Event, Machine, Phase, Settings},
+    drain::{Action, Event, StateMachine, Phase, Settings},
 };
 use proptest::{
     collection::vec,
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 const SETTINGS: Settings = Settings {
-    lag: Duration::from_secs(5),
-    finish: Duration::from_secs(60),
-    hand_over: Duration::from_secs(10),
+    balancer_lag: Duration::from_secs(5),
+    max_finish: Duration::from_secs(60),
+    max_hand_over: Duration::from_secs(10),
 };
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        1 => Just(Event::Signal),
+        1 => Just(Event::StopRequested),
         3 => (0..3u32).prop_map(Event::InFlight),
         1 => Just(Event::HandedOver),
         2 => Just(Event::Tick),
@@ -36,11 +36,11 @@
 
     #[test]
     fn phases_come_in_order_and_in_time(steps in vec((0..9_000u64, event()), 1..60)) {
-        let (mut now, mut machine) = (Time::ZERO, Machine::new(SETTINGS));
+        let (mut now, mut machine) = (Time::ZERO, StateMachine::new(SETTINGS));
         let (mut signal, mut in_flight, mut log) = (None, 0, Vec::new());
         for (millis, event) in steps {
             now = now + Duration::from_millis(millis);
-            if event == Event::Signal && signal.is_none() {
+            if event == Event::StopRequested && signal.is_none() {
                 signal = Some(now);
             }
             if let Event::InFlight(count) = event {
@@ -48,24 +48,24 @@
             }
             let actions = machine.step(now, event);
             if actions.contains(&Action::HandOver) && in_flight > 0 {
-                let least = signal.unwrap() + SETTINGS.lag + SETTINGS.finish;
+                let least = signal.unwrap() + SETTINGS.balancer_lag + SETTINGS.max_finish;
                 prop_assert!(now >= least, "cut before the limit");
                 let left = Action::Report { phase: Phase::Finishing, left: in_flight };
                 prop_assert!(actions.contains(&left), "what is left is reported");
             }
             if actions.contains(&Action::StopAccepting) {
-                prop_assert!(now >= signal.unwrap() + SETTINGS.lag);
+                prop_assert!(now >= signal.unwrap() + SETTINGS.balancer_lag);
             }
             prop_assert_eq!(machine.is_ready(), signal.is_none());
-            prop_assert_eq!(machine.wake().is_none(), !(Phase::Announced..Phase::Done).contains(&machine.phase()));
+            prop_assert_eq!(machine.next_tick_at().is_none(), !(Phase::Announced..Phase::Done).contains(&machine.phase()));
             log.extend(actions.into_iter().filter(|a| !matches!(a, Action::Report { .. })));
             let order = [Action::ReadinessOff, Action::StopAccepting, Action::HandOver, Action::Exit];
             prop_assert!(order.starts_with(&log), "{:?}", log);
         }
         // However it stands, the limits bring it to its end.
-        machine.step(now, Event::Signal);
+        machine.step(now, Event::StopRequested);
         for _ in 0..3 {
-            if let Some(wake) = machine.wake() {
+            if let Some(wake) = machine.next_tick_at() {
                 machine.step(wake, Event::Tick);
             }
         }
@@ -75,15 +75,15 @@
 
 #[test]
 fn a_stop_with_a_stream_longer_than_the_limit() {
-    let mut machine = Machine::new(SETTINGS);
+    let mut machine = StateMachine::new(SETTINGS);
     let mut log = Vec::new();
     let steps = [
         (0, Event::InFlight(2)),
-        (1, Event::Signal),
-        (2, Event::Signal),
+        (1, Event::StopRequested),
+        (2, Event::StopRequested),
         (5_001, Event::Tick),
         (9_000, Event::InFlight(1)),
-        (65_000, Event::Signal),
+        (65_000, Event::StopRequested),
         (65_001, Event::Tick),
         (65_002, Event::HandedOver),
     ];
