--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -6,7 +6,7 @@
     state::Shared,
 };
 use pinereel_core::{
-    drain::{self, Action, Event, StateMachine, Phase},
+    drain::{self, Action, Event, Phase, StateMachine},
     lot,
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -287,12 +287,20 @@
         match verdict? {
             Verdict::Accepted => {
                 status.loading = Some(version);
-                Ok(Event::Accepted { name, fence, status })
+                Ok(Event::Accepted {
+                    name,
+                    fence,
+                    status,
+                })
             }
             Verdict::Holds => {
                 status.version = Some(version);
                 status.loading = None;
-                Ok(Event::Accepted { name, fence, status })
+                Ok(Event::Accepted {
+                    name,
+                    fence,
+                    status,
+                })
             }
             Verdict::Fenced => Ok(Event::Fenced { name, fence }),
             Verdict::Busy | Verdict::OtherEndpoint | Verdict::Refused => Err(NoAnswer::Lost),
--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/sizing.rs
@@ -3,7 +3,7 @@
 use super::Orders;
 use crate::hosted::{duty::Grant, lots, platform};
 use compact_str::CompactString;
-use pinereel_core::scale::{Request, Autoscaler, Settings, Zone};
+use pinereel_core::scale::{Autoscaler, Request, Settings, Zone};
 use pinereel_port::{
     config::{Scale, Service},
     duty::{Holder, Size, Verdict},
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -12,7 +12,7 @@
 use crate::settings;
 use pinereel_core::{
     Time,
-    usage::{InstanceCount, WallClock, Ledger, Report, WallTime, Window},
+    usage::{InstanceCount, Ledger, Report, WallClock, WallTime, Window},
 };
 use pinereel_port::live::Caller;
 use std::{
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -1,4 +1,4 @@
-//! Time of a rollout's decisions against the number of engines.
+//! Benchmarks the rollout controller against the number of engines.
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use pinereel_core::{
@@ -7,11 +7,11 @@
 };
 use std::{hint::black_box, time::Duration};
 
-/// Engines of the pool; 2,900 is the whole fleet.
+/// Numbers of engines in the pool; 2,900 is the whole fleet.
 const SIZES: [usize; 3] = [8, 290, 2_900];
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// All engines serve version 1, which is the target.
+/// A controller whose engines all serve version 1, which is the target.
 fn at_rest(count: usize) -> Controller {
     let mut controller = Controller::new(Settings {
         max_loads: count,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Two waves from version 1 to 2, with a tick every 50 ms.
+/// Rolls version 2 out in two waves, with a tick every 50 ms; returns the number of ticks.
 fn roll(controller: &mut Controller) -> usize {
     let mut now = Time::from_millis(1);
     let mut actions = controller.step(now, Event::Published(Version(2)));
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -52,7 +52,10 @@
         Self {
             limits,
             slots: 0,
-            waiting: PRIORITIES.into_iter().map(|p| (p, VecDeque::new())).collect(),
+            waiting: PRIORITIES
+                .into_iter()
+                .map(|p| (p, VecDeque::new()))
+                .collect(),
             deadlines: BTreeSet::new(),
             running: BTreeMap::new(),
             blocked_up_to: None,
@@ -287,7 +290,9 @@
     /// all come back for the same place. The line reaches one budget beyond the drain: under
     /// lasting overload new arrivals take the places, and a longer line would be an idle promise.
     fn retry_after(&mut self, now: Time, priority: Priority, request: Request) -> Duration {
-        let Request { key, time_budget, .. } = request;
+        let Request {
+            key, time_budget, ..
+        } = request;
         let Some(rate) = self.rate.per_second(self.slots).filter(|r| *r > 0.0) else {
             return self.jitter(DEFAULT_RETRY_AFTER, key);
         };
@@ -300,8 +305,14 @@
             .max(Duration::from_secs_f64(over_limit as f64 / rate));
         // One completion at least, else the same refusal would come again.
         let one_completion = Duration::from_secs_f64(1.0 / rate);
-        let previous = self.last_retry_at.get(&priority).copied().unwrap_or_default();
-        let next_in_line = (previous + one_completion).since(now).min(drain + time_budget);
+        let previous = self
+            .last_retry_at
+            .get(&priority)
+            .copied()
+            .unwrap_or_default();
+        let next_in_line = (previous + one_completion)
+            .since(now)
+            .min(drain + time_budget);
         let due = drain.max(one_completion).max(next_in_line);
         self.last_retry_at.insert(priority, now + due);
         let jittered = self.jitter(due, key);
--- a/crates/pinereel_core/src/fair.rs
+++ b/crates/pinereel_core/src/fair.rs
@@ -45,7 +45,9 @@
 impl Scheduler {
     /// Which of the `backlogged` flows goes next; ties go to the first in order of name.
     pub fn next_flow<'a>(&self, backlogged: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-        let starts = backlogged.into_iter().map(|flow| (self.start_time(flow), flow));
+        let starts = backlogged
+            .into_iter()
+            .map(|flow| (self.start_time(flow), flow));
         starts.min().map(|(_, flow)| flow)
     }
 
@@ -60,7 +62,9 @@
     }
 
     fn start_time(&self, flow: &str) -> u64 {
-        self.finish_times.get(flow).map_or(self.virtual_time, |f| self.virtual_time.max(*f))
+        self.finish_times
+            .get(flow)
+            .map_or(self.virtual_time, |f| self.virtual_time.max(*f))
     }
 
     /// A flow whose finish time has passed is as good as unknown.
@@ -145,7 +149,9 @@
     pub fn pop(&mut self) -> Option<T> {
         let (class, flows) = self.classes.iter_mut().next_back()?;
         let class = *class;
-        let flow = self.scheduler.next_flow(flows.keys().map(CompactString::as_str))?;
+        let flow = self
+            .scheduler
+            .next_flow(flows.keys().map(CompactString::as_str))?;
         let flow = CompactString::from(flow);
         let items = flows.get_mut(&flow)?;
         let item = items.pop_front()?;
--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -1,45 +1,47 @@
-//! Which engines serve which model, where several models share the engines of a service.
+//! Assigns each engine to one model, where several models share the engines of a service.
 //!
 //! An engine loads one version of one model at a time. With new versions of four models every four
-//! seconds and loads of a second, keeping all engines at the newest version of all models would
-//! take several times the loads that the weight store allows, and no engine would be up to date for
-//! any. So each engine is kept up to date for one model, and the models share the engines by the work
-//! that they have: with equal shares the steps with long texts waited for slots while engines of others
-//! idled.
+//! seconds and loads of one second, keeping all engines at the newest version of all models takes
+//! several times the loads that the weight store allows, and no engine is up to date for any model.
+//! So each engine is kept up to date for one model only. The engines are divided in proportion to
+//! the work of the models: with equal shares, the steps with long texts wait for slots while engines
+//! of other models are idle.
 
 use super::rank;
 use crate::hash;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// Most engines that may load at once, as a part of all: loads take longer beyond it (the users'
-/// figures, for pools of 8 and 44 engines).
+/// One engine in this many may load at the same time; beyond that, loads take longer in pools of 8
+/// and of 44 engines.
 const ENGINES_PER_LOAD: usize = 5;
 
-/// A model that asks for little keeps this part of an equal share: its next step may be a large one.
+/// Minimum work that a model is counted with, as a fraction of the mean of all models. A model with
+/// little work keeps some engines, as its next step may be large.
 const MIN_QUOTA_SHARE: f64 = 0.4;
-/// Engines that a model's share must change by before engines change hands: each costs a load, and
-/// the mean of four lots differs by a tenth from that of the next four.
+/// Minimum change of a model's quota, in engines, for a reassignment. Each reassigned engine costs
+/// a load, and the mean work of four lots differs by a tenth from that of the next four.
 const MIN_QUOTA_CHANGE: usize = 3;
-/// The same as a part of the share (one of so many), where that is more.
+/// The minimum change is also at least the quota divided by this.
 const MIN_QUOTA_CHANGE_DIVISOR: usize = 5;
 
-/// How much work there is for a model.
+/// Work that the trainers of a model ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// The model.
+    /// Name of the model.
     pub model: CompactString,
-    /// Tokens of a lot; 0 if nothing is known of it, which counts as the mean of the others.
+    /// Tokens of a lot; 0 if unknown, which counts as the mean of the other models.
     pub tokens: u64,
-    /// Items of the largest lot lately; 0 if nothing is known of it, which counts as the mean of the others.
+    /// Items of the largest recent lot; 0 if unknown, which counts as the mean of the other models.
     pub items: u64,
-    /// Items of a lot that found no slot in time.
+    /// Items of a lot that got no slot in time.
     pub short: u64,
 }
 
-/// The model that each engine is kept up to date for.
+/// Returns the model that each engine is kept up to date for.
 ///
-/// Stable: an engine that comes or goes changes few others.
+/// Each engine goes to the model that rendezvous hashing prefers among those whose quota is not
+/// used up, so an engine that joins or leaves changes the model of few others.
 pub fn assign_models(
     engines: impl IntoIterator<Item = CompactString>,
     demands: &[Demand],
@@ -62,7 +64,7 @@
     assigned
 }
 
-/// Whether `new` demands of the same models are worth that engines change hands.
+/// Whether `new` demands of the same models differ enough from `old` to reassign the engines.
 pub fn should_reassign(engines: usize, old: &[Demand], new: &[Demand]) -> bool {
     let (old, new) = (quotas(engines, old), quotas(engines, new));
     let changes_enough = |(old, new): (&usize, &usize)| {
@@ -71,7 +73,7 @@
     old.len() != new.len() || old.iter().zip(&new).any(changes_enough)
 }
 
-/// Engines for each model: by what it asks for, and one for each in any case.
+/// Number of engines for each model, in proportion to its tokens and at least one.
 fn quotas(engines: usize, demands: &[Demand]) -> Vec<usize> {
     let known = demands.iter().filter(|demand| demand.tokens > 0);
     let total: u64 = known.clone().map(|demand| demand.tokens).sum();
@@ -86,7 +88,7 @@
         .map(|weight| engines as f64 * weight / total_weight)
         .collect();
     let mut quotas: Vec<usize> = ideal.iter().map(|ideal| (*ideal as usize).max(1)).collect();
-    // What is left goes to those that lack most.
+    // The remainder goes to the models that are furthest below their ideal quota.
     while quotas.iter().sum::<usize>() < engines {
         let lack = |at: &usize| ideal[*at] - quotas[*at] as f64;
         let neediest = (0..quotas.len()).max_by(|a, b| lack(a).total_cmp(&lack(b)).then(b.cmp(a)));
@@ -96,10 +98,13 @@
     quotas
 }
 
-/// Most engines that may load at once for a model that has `own` of the `shared` engines; `least` is
-/// allowed for all models together in any case. What the weight store bears follows from all engines `listed`.
+/// Maximum number of engines that may load at the same time for a model that has `own` of the
+/// `shared` engines, at least one.
+///
+/// The limit for all models together follows from the number of all `listed` engines and is at least
+/// `min_loads`.
 pub fn max_loads(listed: usize, shared: usize, own: usize, min_loads: usize) -> usize {
     let all = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
-    // To the nearest.
+    // Rounds to the nearest integer.
     ((2 * all * own + shared) / (2 * shared).max(1)).max(1)
 }
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -1,4 +1,4 @@
-//! The rollout's state machine.
+//! State machine that brings the engines of one pool to the newest published version.
 
 use super::{
     Action, Event, Lease, Plan, Settings, Status,
@@ -8,10 +8,10 @@
 use compact_str::CompactString;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Share of a new load's time in the moving average.
+/// Weight of a new sample in the moving average of load times.
 const LOAD_TIME_GAIN: f64 = 0.1;
 
-/// Brings one pool's engines to the newest published version, while it holds the lease.
+/// Brings one pool's engines to the newest published version while its instance holds the lease.
 #[derive(Clone, Debug)]
 pub struct Controller {
     pub(super) settings: Settings,
@@ -21,14 +21,14 @@
     is_complete: bool,
     mean_load_time: Duration,
     pub(super) engines: BTreeMap<CompactString, Engine>,
-    /// Fencing token of the last lease held.
+    /// Fencing token of the last lease that was held.
     last_fence: Option<u64>,
-    /// Highest fencing token that an engine has refused.
+    /// Highest fencing token that an engine has refused; leases up to it are ignored.
     fenced: Option<u64>,
 }
 
 impl Controller {
-    /// A controller without lease, engines or target.
+    /// Creates a controller without lease, engines or target version.
     pub fn new(settings: Settings) -> Self {
         Self {
             mean_load_time: settings.initial_load_time,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Takes in one event; returns what to do, in order. Orders and reads come only while the
-    /// lease may be acted on.
+    /// Handles one event and returns the actions that follow, in order. Orders and reads are
+    /// returned only while the lease is valid.
     ///
-    /// Answers are only noted. What follows from them is decided at the next `Tick`, `Published`
-    /// or `Lease`, since that looks at all engines: with thousands of answers at once it would
-    /// cost too much after each.
+    /// Answers of engines only update their status. Decisions are made at the next `Tick`,
+    /// `Published` or `Lease`, because they scan all engines: a scan after each of thousands of
+    /// simultaneous answers would be too slow.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         let decides = matches!(event, Event::Tick | Event::Published(_) | Event::Lease(_));
@@ -82,7 +82,11 @@
                 }
             }
             Event::Observed { name, status } => self.on_status(now, &name, status, &mut actions),
-            Event::Accepted { name, fence, status } => {
+            Event::Accepted {
+                name,
+                fence,
+                status,
+            } => {
                 self.on_accepted(now, &name, fence, status, &mut actions);
             }
             Event::Fenced { name, fence } => self.on_fenced(now, &name, fence, &mut actions),
@@ -109,17 +113,17 @@
         actions
     }
 
-    /// Sets how many engines may load at once from now on.
+    /// Changes [`Settings::max_loads`]; loads that already run are not affected.
     pub const fn set_max_loads(&mut self, max_loads: usize) {
         self.settings.max_loads = max_loads;
     }
 
-    /// Whether orders may be given now.
+    /// Whether the lease is held and has not expired, so that orders may be issued.
     pub fn may_order(&self, now: Time) -> bool {
         self.lease.is_some_and(|lease| now < lease.expires_at)
     }
 
-    /// What is left to do; `None` before a version is published.
+    /// Remaining work of the rollout; `None` before a version is published.
     pub fn plan(&self) -> Option<Plan> {
         let target = self.target?;
         let mut counts = (0, 0, 0);
@@ -144,7 +148,8 @@
         ))
     }
 
-    /// Engines in quarantine: failures in a row and the time of the next trial.
+    /// Engines in quarantine, each with its consecutive failed loads and the time from which it may
+    /// be ordered again.
     pub fn quarantined(&self) -> impl Iterator<Item = (&CompactString, u32, Time)> {
         let in_quarantine = self
             .engines
@@ -154,14 +159,14 @@
     }
 
     fn set_lease(&mut self, now: Time, lease: Option<Lease>) {
-        // A token that an engine has refused is behind another holder's.
+        // An engine that refused this token has seen the higher token of another holder.
         self.lease = lease.filter(|l| Some(l.fence) > self.fenced);
         let Some(lease) = self.lease else {
             return;
         };
-        // Whatever happened while another may have held the lease is unknown. Under the same token nobody has:
-        // a holder of 2,200 engines that renewed late forgot and read them all again, was late by that, and
-        // gave no order at all.
+        // Another instance may have held the lease and changed the engines, so their status is read
+        // again. An unchanged token rules that out: with 2,200 engines, reading all of them again after
+        // a late renewal delays the next renewal as well, and the holder never issues an order.
         if self.last_fence.replace(lease.fence) != Some(lease.fence) {
             self.engines.values_mut().for_each(|e| e.reset_phase(now));
             self.target_since = now;
@@ -176,7 +181,7 @@
         self.target = Some(version);
         self.target_since = now;
         self.is_complete = false;
-        // Other weights may load where the last ones didn't.
+        // The new version may load where the previous one failed.
         for engine in self.engines.values_mut() {
             engine.next_order_at = now;
         }
@@ -196,7 +201,7 @@
             return;
         }
         match engine.phase {
-            // The order may still be on its way; what was seen may be older than it.
+            // The order may still be in transit, and this status may predate it.
             Phase::Ordered {
                 is_accepted: false, ..
             } => return,
@@ -226,7 +231,8 @@
         }
     }
 
-    /// An engine shows another incarnation. If it had an order, the load may have ended it.
+    /// Handles a status with another incarnation: the engine restarted. If it had an order, the
+    /// load may have crashed it, which counts as a failed load.
     fn on_restart(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
         let Some(engine) = self.engines.get_mut(name) else {
@@ -242,7 +248,7 @@
         }
     }
 
-    /// An engine with an order shows its state.
+    /// Handles a status of an engine that has accepted an order.
     fn on_load_status(&mut self, now: Time, name: &str, status: Status, actions: &mut Vec<Action>) {
         let settings = self.settings;
         let expected = self.mean_load_time;
@@ -250,7 +256,10 @@
             return;
         };
         let Phase::Ordered {
-            version, ordered_at, start_observed, ..
+            version,
+            ordered_at,
+            start_observed,
+            ..
         } = engine.phase
         else {
             return;
@@ -262,14 +271,14 @@
         if is_done {
             let was_loading = engine.status.loading == Some(version);
             engine.note_load_success();
-            // A load that was under way or over before says nothing about the time of one.
+            // The duration is known only if this holder ordered the load and saw it in progress.
             if start_observed && was_loading {
                 self.update_load_time(took);
             }
         } else if is_loading || is_not_begun {
-            // Goes on.
+            // The load continues.
         } else if status.loading.is_some_and(|other| other != version) {
-            // Another's order came after ours: not the engine's fault.
+            // Another holder's order replaced this one, which is not a failure of the engine.
             engine.phase = Phase::Idle;
         } else if engine.note_load_failure(now, name, &settings) {
             actions.push(quarantine_action(name, engine));
@@ -290,7 +299,7 @@
         };
         if let Phase::Ordered { is_accepted, .. } = &mut engine.phase {
             *is_accepted = true;
-            // A restart before the order was taken is no failure of its load.
+            // A restart before the order was accepted is not a failed load.
             engine.status.incarnation = status.incarnation;
             engine.status.loading = status.loading;
         }
@@ -301,7 +310,7 @@
         if let Some(engine) = self.engines.get_mut(name) {
             engine.reset_phase(now);
         }
-        // A refusal of an earlier lease's order says nothing about this one.
+        // A refused order of an earlier lease does not invalidate the present one.
         if self.lease.is_some_and(|lease| lease.fence == fence) {
             self.lease = None;
             self.fenced = Some(fence);
@@ -309,7 +318,7 @@
         }
     }
 
-    /// Orders and reads without an answer, and loads without an end.
+    /// Handles orders and reads whose answer is overdue, and loads that take too long.
     fn check_timeouts(&mut self, now: Time, actions: &mut Vec<Action>) {
         let settings = self.settings;
         for (name, engine) in &mut self.engines {
@@ -320,7 +329,12 @@
             {
                 engine.note_no_answer(now, &settings);
             }
-            let Phase::Ordered { ordered_at, is_accepted, .. } = engine.phase else {
+            let Phase::Ordered {
+                ordered_at,
+                is_accepted,
+                ..
+            } = engine.phase
+            else {
                 continue;
             };
             if !is_accepted && late(ordered_at, settings.answer_timeout) {
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -1,41 +1,41 @@
-//! One engine, as the rollout's holder sees it.
+//! State of one engine of the pool, as known to the lease holder.
 
 use super::{Settings, Status};
 use crate::{Time, Version, hash};
 use compact_str::CompactString;
 use std::time::Duration;
 
-/// Share of a load's expected time after which it is looked at; below 1, so that loads that got
-/// shorter are noticed.
+/// Fraction of the mean load time after which a loading engine is first read. Below 1, so that
+/// loads that have become shorter lower the mean.
 const FIRST_POLL_SHARE: f64 = 0.8;
 
-/// A report is so old at most.
+/// Maximum age of the status in an engine's own report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_000);
 
-/// Connections in a row that could not be opened, after which an engine counts as dead: one may
-/// fail by chance.
+/// Consecutive failed connection attempts after which an engine counts as unreachable. A single
+/// failure may be transient.
 const UNREACHABLE_AFTER_FAILED_CONNECTS: u32 = 2;
 
-/// What the holder waits for.
+/// Phase of an engine in the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Its state must be read before anything is ordered.
+    /// Its status must be read before it may be ordered to load.
     Unknown { since: Time },
-    /// Its state is known and nothing is under way.
+    /// Its status is known and no order is pending.
     Idle,
-    /// An order is under way: not answered yet, or being loaded.
+    /// An order was sent and is unanswered, or its load is in progress.
     Ordered {
         version: Version,
         ordered_at: Time,
         is_accepted: bool,
-        /// Whether this holder saw its begin.
+        /// Whether this holder issued the order, so that `ordered_at` is the start of the load.
         start_observed: bool,
     },
-    /// Loads failed too often; the next trial is at `Engine::not_before`.
+    /// Its loads failed too often; it is ordered again from `Engine::next_order_at` on.
     Quarantine,
 }
 
-/// One engine of the pool.
+/// An engine of the pool.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) zone: CompactString,
@@ -44,21 +44,22 @@
     pub(super) phase: Phase,
     pub(super) status: Status,
     pub(super) status_at: Option<Time>,
-    /// When it was first seen with its present version.
+    /// When it was first observed with its present version.
     pub(super) version_since: Time,
-    /// Whether a load report, or an outdated one, differs from what was seen: it is read again soon.
+    /// Whether a load report or a stale status differs from the known status; the engine is then read
+    /// again after the poll interval.
     pub(super) report_differs: bool,
-    /// A read in flight, since when.
+    /// When the read in flight was sent, if there is one.
     pub(super) read_since: Option<Time>,
     pub(super) failures: u32,
     pub(super) quarantines: u32,
-    /// No order before.
+    /// No order is issued before this time.
     pub(super) next_order_at: Time,
-    /// Reads and orders in a row without an answer.
+    /// Consecutive reads and orders without an answer.
     pub(super) unanswered_calls: u32,
-    /// Connections in a row that could not be opened.
+    /// Consecutive failed connection attempts.
     pub(super) failed_connects: u32,
-    /// No read before.
+    /// No read is issued before this time while the phase is unknown.
     pub(super) next_read_at: Time,
 }
 
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Notes whether a load report shows something new: weights that nobody here ordered, or the
-    /// end of a load.
+    /// Compares a load report with the known status, to detect a version that this holder did not
+    /// order, or the end of a load.
     pub(super) fn note_report(&mut self, version: Option<Version>, loading: Option<Version>) {
         self.report_differs = match self.phase {
             Phase::Unknown { .. } => false,
@@ -97,7 +98,7 @@
         };
     }
 
-    /// Forgets what was seen; failures and waits stay, since they belong to the engine.
+    /// Marks the status as unknown. Failure counts and delays are kept, as they describe the engine.
     pub(super) fn reset_phase(&mut self, now: Time) {
         if !matches!(self.phase, Phase::Unknown { .. }) {
             self.phase = Phase::Unknown { since: now };
@@ -105,7 +106,7 @@
         self.read_since = None;
     }
 
-    /// No answer came: forgets what was seen, and asks less and less often.
+    /// Handles a call without an answer: marks the status as unknown and backs off exponentially.
     pub(super) fn note_no_answer(&mut self, now: Time, settings: &Settings) {
         self.reset_phase(now);
         let wait = settings.poll_interval * 2u32.pow(self.unanswered_calls.min(10));
@@ -113,13 +114,13 @@
         self.unanswered_calls += 1;
     }
 
-    /// Whether nothing listens at its address: it serves nobody and loads nothing, so that it
-    /// counts neither for the floor nor against the store's rate.
+    /// Whether connections to it keep failing. Such an engine neither serves nor loads, so it counts
+    /// neither as an engine in service nor as a load in progress.
     pub(super) fn is_unreachable(&self) -> bool {
         self.failed_connects >= UNREACHABLE_AFTER_FAILED_CONNECTS
     }
 
-    /// Takes over what a first read shows.
+    /// Sets the phase by the first status that is read.
     pub(super) fn init_phase(&mut self, status: Status, now: Time, settings: &Settings) {
         self.phase = match status.loading {
             Some(version) => Phase::Ordered {
@@ -133,25 +134,25 @@
         };
     }
 
-    /// Whether a sight shows the time before the end of its last load.
+    /// Whether a status predates the end of the engine's last load.
     ///
-    /// The platform's list shows a new version sooner than the engine's own report, which may be some
-    /// 100 ms old. Taken for a change, such reports made engines look 54 times on a quiet day as if they had
-    /// lost their version.
+    /// The platform's list shows a new version sooner than the engine's own report, which may be about
+    /// 100 ms old. Without this check, such reports look as if an engine had lost its version, 54 times
+    /// on a quiet day.
     pub(super) fn is_stale(&self, status: &Status, now: Time) -> bool {
         status.version < self.status.version && now.since(self.version_since) < MAX_REPORT_AGE
     }
 
-    /// Whether it is known to serve requests now.
+    /// Whether it is known to serve requests at present.
     pub(super) fn serves(&self) -> bool {
         let is_idle = matches!(self.phase, Phase::Idle | Phase::Quarantine);
         is_idle && self.status.version.is_some() && self.status.loading.is_none()
     }
 
-    /// Whether it loads weights, or may do so for all that is known.
+    /// Whether it is loading weights, or may be as far as is known.
     ///
-    /// One that has been unknown for longer than any load takes doesn't: else engines that never
-    /// answer would use up the store's rate for good.
+    /// An engine whose status has been unknown for longer than the load timeout is not counted, as
+    /// engines that never answer would otherwise occupy the weight store's load slots forever.
     pub(super) fn may_load(&self, now: Time, settings: &Settings) -> bool {
         match self.phase {
             Phase::Unknown { .. } if self.is_unreachable() => false,
@@ -161,9 +162,10 @@
         }
     }
 
-    /// Whether it needs an order to serve `target`, and one may be given now.
+    /// Whether it must be ordered to load `target`, and the order may be issued now.
     ///
-    /// None is given while a read is under way: its answer could be taken for the order's effect.
+    /// No order is issued while a read is in flight, as its answer could be mistaken for the effect of
+    /// the order.
     pub(super) fn needs_order(&self, target: Version, now: Time, settings: &Settings) -> bool {
         if self.leaving || self.read_since.is_some() || now < self.next_order_at {
             return false;
@@ -173,15 +175,17 @@
                 let is_loading = self.status.loading.is_some();
                 self.differs(target) && (settings.can_replace_load || !is_loading)
             }
-            // Its load is of no use any more: straight to the newest.
+            // The version being loaded is superseded; the new order replaces that load.
             Phase::Ordered {
-                version, is_accepted, ..
+                version,
+                is_accepted,
+                ..
             } => settings.can_replace_load && is_accepted && version < target,
             Phase::Unknown { .. } => false,
         }
     }
 
-    /// Whether it serves or will serve something else than `target`.
+    /// Whether it serves another version than `target`, or will after its current load.
     pub(super) fn differs(&self, target: Version) -> bool {
         match self.status.loading {
             Some(loading) => loading != target,
@@ -189,8 +193,13 @@
         }
     }
 
-    /// Whether its state should be read now.
-    pub(super) fn needs_read(&self, now: Time, mean_load_time: Duration, settings: &Settings) -> bool {
+    /// Whether its status should be read now.
+    pub(super) fn needs_read(
+        &self,
+        now: Time,
+        mean_load_time: Duration,
+        settings: &Settings,
+    ) -> bool {
         if self.read_since.is_some() || self.leaving {
             return false;
         }
@@ -198,8 +207,13 @@
         let older = |limit| age.is_none_or(|age| age >= limit);
         match self.phase {
             Phase::Unknown { .. } => now >= self.next_read_at,
-            Phase::Ordered { ordered_at, is_accepted, .. } => {
-                let due = now.since(ordered_at) >= mean_load_time.mul_f64(FIRST_POLL_SHARE) || self.report_differs;
+            Phase::Ordered {
+                ordered_at,
+                is_accepted,
+                ..
+            } => {
+                let due = now.since(ordered_at) >= mean_load_time.mul_f64(FIRST_POLL_SHARE)
+                    || self.report_differs;
                 is_accepted && due && older(settings.poll_interval)
             }
             Phase::Idle | Phase::Quarantine
@@ -211,7 +225,7 @@
         }
     }
 
-    /// Counts a failed load; says whether that leads to quarantine.
+    /// Counts a failed load and schedules the next order; returns whether the engine is quarantined.
     pub(super) fn note_load_failure(&mut self, now: Time, name: &str, settings: &Settings) -> bool {
         self.failures += 1;
         if self.failures < settings.max_failures {
@@ -228,7 +242,7 @@
         true
     }
 
-    /// A load went well.
+    /// Resets failure counts after a completed load.
     pub(super) fn note_load_success(&mut self) {
         self.phase = Phase::Idle;
         self.failures = 0;
@@ -237,7 +251,8 @@
     }
 }
 
-/// `wait` made longer by up to a quarter, by the engine's name, so that retries don't bunch.
+/// Extends `wait` by up to a quarter, by a hash of the engine's name, so that retries of several
+/// engines are spread out.
 fn add_jitter(wait: Duration, name: &str, attempt: u32) -> Duration {
     let share = (hash::score(u64::from(attempt), name) % 256) as u32;
     wait + wait * share / 1024
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -1,20 +1,23 @@
-//! New weights on all engines of one pool, in waves, under a lease.
+//! Rolls out new weight versions to the engines of a pool, in waves and under a lease.
 //!
-//! A [`Controller`] is level-triggered: it compares what each engine says that it serves with the
-//! newest published version, and orders where they differ. Orders are idempotent and carry the
-//! lease's fencing token. A new holder knows nothing, so it reads every engine before it orders
-//! it; so a late order of a paused former holder is seen and corrected.
+//! A [`Controller`] is level-triggered: it compares the version that each engine reports with the
+//! newest published version, and orders a load where they differ. Orders are idempotent and carry
+//! the lease's fencing token. A new lease holder reads the status of every engine before it orders
+//! a load there, so the effect of a late order from a former holder is detected and corrected.
+//!
+//! Where several models share the engines of a service, [`working_set_size`] says how many engines
+//! are kept up to date and [`assign_models`] for which model each.
 
+mod assignment;
 mod controller;
 mod engine;
-mod schedule;
 mod plan;
-mod assignment;
+mod schedule;
 mod working_set;
 
+pub use assignment::{Demand, assign_models, max_loads, should_reassign};
 pub use controller::Controller;
 pub use plan::Plan;
-pub use assignment::{Demand, assign_models, max_loads, should_reassign};
 pub use working_set::{rank, working_set_size};
 
 use crate::{Time, Version};
@@ -22,34 +25,38 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Bounds and times of a rollout.
+/// Limits, intervals and timeouts of a [`Controller`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Most engines that load at once: the weight store's rate by the rate of one load.
+    /// Maximum number of engines that load at the same time: the throughput of the weight store
+    /// divided by that of one load.
     pub max_loads: usize,
-    /// Share of the engines (0 to 1) that stays in service.
+    /// Fraction of the engines (0 to 1) that must stay in service during the rollout.
     pub min_serving_share: f64,
-    /// Expected time of one load, until loads have been seen.
+    /// Initial value of the moving average of load times.
     pub initial_load_time: Duration,
-    /// Longest time of one load; a longer one has failed.
+    /// A load that takes longer than this counts as failed.
     pub load_timeout: Duration,
-    /// Longest wait for the answer to an order or a read.
+    /// Timeout for the answer to an order or a read.
     pub answer_timeout: Duration,
-    /// Time between reads of an engine that loads, once its load should be over.
+    /// Interval between reads of a loading engine, from shortly before the expected end of its load.
     pub poll_interval: Duration,
-    /// Age at which what is known of an engine at rest is read again.
+    /// Maximum age of the known status of an idle engine; an older one is read again. Also limits
+    /// the backoff of reads without an answer.
     pub recheck_interval: Duration,
-    /// Most reads in flight.
+    /// Maximum number of reads in flight.
     pub max_reads: usize,
-    /// Failures in a row until quarantine.
+    /// Consecutive failed loads after which an engine is quarantined.
     pub max_failures: u32,
-    /// Wait after the first failure; doubles with each further one.
+    /// Delay before the next order after the first failed load; doubles with each further failure.
     pub initial_backoff: Duration,
-    /// Wait in quarantine before a load is tried again; doubles up to `max_quarantine`.
+    /// Delay before a quarantined engine is ordered to load again; doubles with each quarantine up
+    /// to `max_quarantine`.
     pub initial_quarantine: Duration,
-    /// Longest wait in quarantine.
+    /// Upper bound of the delay in quarantine.
     pub max_quarantine: Duration,
-    /// Whether an engine takes an order while it loads; if not, it gets none until then.
+    /// Whether engines accept an order during a load, which then replaces that load. If not, a
+    /// loading engine gets no order until its load ends.
     pub can_replace_load: bool,
 }
 
@@ -73,144 +80,151 @@
     }
 }
 
-/// A held lease.
+/// The lease under which this instance runs the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Its fencing token.
+    /// Fencing token; engines refuse orders with a token lower than the highest one they have seen.
     pub fence: u64,
-    /// Moment on the holder's own clock from which it must not act any more.
+    /// Time on the holder's own clock from which it must not issue orders or reads.
     pub expires_at: Time,
 }
 
-/// What an engine says of its weights.
+/// The state of an engine's weights, as the engine reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Its incarnation.
+    /// Changes with each restart of the engine.
     pub incarnation: u64,
-    /// Version that it serves; `None` before its first load or after one broke off.
+    /// Version that it serves; `None` before the first load, or after an aborted load that left no
+    /// weights.
     pub version: Option<Version>,
-    /// Version that it is loading.
+    /// Version that it is loading, if any.
     pub loading: Option<Version>,
     /// Whether its last load failed.
     pub failed: bool,
 }
 
-/// One thing that happened.
+/// Input of a [`Controller`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The lease was taken or renewed, or (`None`) it is given up or lost.
+    /// The lease was acquired or renewed; `None` if it was released or lost.
     Lease(Option<Lease>),
-    /// A version was published; older ones than the target change nothing.
+    /// A version was published. Versions up to the current target are ignored.
     Published(Version),
-    /// The engine is in the pool. Repeat it when something of it changes.
+    /// The engine belongs to the pool. Sent again whenever one of the fields changes.
     Listed {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// Its availability zone.
+        /// Availability zone.
         zone: CompactString,
-        /// Requests at it, for the order of loading.
+        /// Outstanding requests. Of the engines that are furthest behind, those with the fewest load
+        /// first.
         outstanding: u32,
-        /// Whether it is leaving.
+        /// Whether it is shutting down; it then gets neither orders nor reads and is left out of the
+        /// plan.
         leaving: bool,
     },
-    /// The engine is not in the pool any more.
+    /// The engine no longer belongs to the pool.
     Unlisted {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
     },
-    /// A load report of the engine, which may be older than an order. If it differs from what was
-    /// last read, the engine is read soon: only that tells what it serves now.
+    /// A load report of the engine, which may be older than the last order. If it differs from the
+    /// last status, the engine is read soon; the report itself does not change the status.
     Reported {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// Version that it served.
+        /// Version that it served at the time of the report.
         version: Option<Version>,
-        /// Version that it was loading.
+        /// Version that it was loading at the time of the report.
         loading: Option<Version>,
     },
-    /// The engine answered a read.
+    /// The engine answered a read, or its status became known in another way.
     Observed {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// What it said.
+        /// Status of the engine.
         status: Status,
     },
-    /// The engine took an order; its state after that.
+    /// The engine accepted an order.
     Accepted {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
         /// Fencing token of the order.
         fence: u64,
-        /// What it said.
+        /// Status of the engine after it accepted the order.
         status: Status,
     },
-    /// The engine refused an order, since it has seen a higher fencing token.
+    /// The engine refused an order because it has seen a higher fencing token.
     Fenced {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
         /// Fencing token of the order.
         fence: u64,
     },
-    /// A read or an order got no answer, so it may or may not have been taken.
+    /// A read or an order got no answer; an order may or may not have been accepted.
     NoAnswer {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
     },
-    /// No connection to the engine could be opened: nothing was taken.
+    /// No connection to the engine could be opened, so an order was not accepted.
     Unreachable {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
     },
-    /// Time passed: wanted every 50 ms or so while the lease is held.
+    /// Time passed. Sent about every 50 ms while the lease is held.
     Tick,
 }
 
-/// What to do.
+/// Output of a [`Controller`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Read the engine's state; answer with `Seen` or `Silent`.
+    /// Read the engine's status; answered with [`Event::Observed`], [`Event::NoAnswer`] or
+    /// [`Event::Unreachable`].
     Read {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
     },
-    /// Order the engine to load a version; answer with `Taken`, `Refused` or `Silent`.
+    /// Order the engine to load a version; answered with [`Event::Accepted`], [`Event::Fenced`],
+    /// [`Event::NoAnswer`] or [`Event::Unreachable`].
     Order {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// The version.
+        /// Version to load.
         version: Version,
         /// Fencing token of the lease.
         fence: u64,
     },
-    /// Log: loads failed too often; the next one is tried at the given time.
+    /// Log that an engine was quarantined because its loads failed too often.
     Quarantined {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// Failures in a row.
+        /// Consecutive failed loads.
         failures: u32,
-        /// Next trial.
+        /// Time from which a load is ordered again.
         until: Time,
     },
-    /// Log: an engine shows another version than it was last seen to serve, without an order of
-    /// this holder.
+    /// Log that an engine serves another version than before without an order of this holder, and
+    /// that version is not the target.
     #[serde(rename = "strayed")]
     UnexpectedVersion {
-        /// Its name.
+        /// Name of the engine.
         name: CompactString,
-        /// What it shows.
+        /// Version that it serves now.
         version: Option<Version>,
     },
-    /// An engine has seen a higher fencing token: stop, and give the lease up as lost.
+    /// An engine has seen a higher fencing token, so another instance holds the lease; the
+    /// controller issues no more orders under this one.
     LeaseLost {
-        /// Fencing token that was refused.
+        /// Fencing token that the engine refused.
         fence: u64,
     },
-    /// Log: every engine that is not in quarantine serves the version.
+    /// Log that every engine outside quarantine serves the target version.
     Complete {
-        /// The version.
+        /// The target version.
         version: Version,
-        /// Time since its publication became known here, or since the lease was taken.
+        /// Time since the version became known to this instance, or since the lease was acquired if
+        /// that was later.
         took: Duration,
     },
 }
--- a/crates/pinereel_core/src/rollout/plan.rs
+++ b/crates/pinereel_core/src/rollout/plan.rs
@@ -1,32 +1,32 @@
-//! How long a rollout will take, and how many engines may be out of service for it.
+//! Predicts the duration of a rollout, and how many engines must stay in service during it.
 
 use super::Settings;
 use crate::Version;
 use serde::Serialize;
 use std::time::Duration;
 
-/// What a rollout still has to do.
+/// Remaining work of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Plan {
     /// The version that all engines should serve.
     pub target: Version,
-    /// Engines of the pool that aren't leaving.
+    /// Engines of the pool, without those that are leaving.
     pub engines: usize,
-    /// Engines that don't serve the target yet, without those in quarantine.
+    /// Engines that do not serve the target yet, without those in quarantine.
     pub pending: usize,
     /// Engines in quarantine.
     pub quarantined: usize,
-    /// Most engines that load at once.
+    /// Maximum number of engines that load at the same time.
     pub wave: usize,
-    /// Waves left.
+    /// Remaining waves of loads.
     pub waves: usize,
-    /// Time left until all pending engines serve the target; `None` if the floor or the store's
-    /// rate allows no load at all.
+    /// Remaining time until all pending engines serve the target; `None` if the limits allow no load
+    /// at all.
     pub predicted: Option<Duration>,
 }
 
 impl Plan {
-    /// A plan for `pending` of `engines`, when one load takes `load_time`.
+    /// Plans the loads of `pending` out of `engines` engines, each of which takes `load_time`.
     pub fn new(
         target: Version,
         engines: usize,
@@ -43,7 +43,7 @@
         } else {
             pending.div_ceil(wave.max(1))
         };
-        // A wave's end is seen by a read that comes up to `poll` late.
+        // The end of a wave is detected by a read that is up to `poll_interval` late.
         let wave_time = load_time + settings.poll_interval;
         let predicted = (wave > 0 || pending == 0).then(|| wave_time * waves as u32);
         Self {
@@ -58,10 +58,10 @@
     }
 }
 
-/// Engines that must stay in service out of `engines`.
+/// Number of engines out of `engines` that must stay in service.
 ///
-/// One may always be taken out unless the floor is 1: else a pool of one engine would never get
-/// new weights.
+/// One engine may always be taken out of service unless the share is 1; otherwise a pool of one
+/// engine would never get new weights.
 pub(super) fn min_serving(engines: usize, min_serving_share: f64) -> usize {
     let needed = (engines as f64 * min_serving_share).ceil() as usize;
     if min_serving_share >= 1.0 {
--- a/crates/pinereel_core/src/rollout/schedule.rs
+++ b/crates/pinereel_core/src/rollout/schedule.rs
@@ -1,4 +1,5 @@
-//! Which engines are ordered next, within the store's rate and the floor of serving capacity.
+//! Selects the engines that are ordered to load next, within the limits on concurrent loads and on
+//! engines out of service.
 
 use super::{
     Action, Controller,
@@ -9,23 +10,24 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// An engine that may be ordered: what that costs, the version that it serves, its requests, its
-/// name. The least comes first: an engine that is far behind is of the least use.
+/// An engine that may be ordered: the cost of the order, the version that it serves, its
+/// outstanding requests, its name. Ordered first is the least, so of equal cost the engine that is
+/// furthest behind, which is of the least use.
 type Candidate = (Cost, Option<Version>, u32, CompactString);
 
-/// What an order takes away.
+/// Resources that an order to an engine uses up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Cost {
-    /// Nothing: it loads already.
+    /// None: the engine is loading already.
     Nothing,
-    /// A place at the weight store.
+    /// A load slot of the weight store.
     Load,
-    /// That, and capacity to serve.
+    /// A load slot, and an engine in service.
     Service,
 }
 
 impl Controller {
-    /// Orders as many engines as the store's rate and the floor allow.
+    /// Orders as many engines as the free load slots and the minimum in service allow.
     pub(super) fn issue_orders(&mut self, now: Time, actions: &mut Vec<Action>) {
         let (Some(target), Some(lease)) = (self.target, self.lease) else {
             return;
@@ -51,8 +53,9 @@
         let needed = min_serving(reachable().count(), self.settings.min_serving_share);
         let serving = reachable().filter(|e| e.serves()).count();
         let mut spare_serving = serving.saturating_sub(needed);
-        // A load that was seen may just have ended. Replacing it is then a new load of an engine
-        // in service, so it has to fit too; late orders of a former holder may have used that up.
+        // A load in progress may have ended since the last status. Replacing it is then a new load of an
+        // engine in service, so it must fit the limits too; late orders of a former holder may have
+        // exceeded them.
         let may_replace = loading <= settings.max_loads && serving >= needed;
         let mut zones = self.candidates(target, now, may_replace);
         let mut out_of_service = self.out_of_service_by_zone();
@@ -77,8 +80,8 @@
         }
     }
 
-    /// Engines that need an order, by zone; those out of service anyway first, then the idlest.
-    /// Those that load already are left out unless `replaces`.
+    /// Engines that need an order, by zone and each zone in reverse order, so that the best candidate
+    /// is last. Engines that are loading are left out unless `may_replace`.
     fn candidates(
         &self,
         target: Version,
@@ -123,8 +126,8 @@
     }
 }
 
-/// The next engine to order: the furthest behind, and of these one of the zone with the fewest
-/// engines out.
+/// Takes the next engine to order: among the best candidates of the zones, the one furthest behind,
+/// and of these the one in the zone with the fewest engines out of service.
 fn next_engine(
     zones: &mut BTreeMap<CompactString, Vec<Candidate>>,
     out_of_service: &BTreeMap<CompactString, usize>,
@@ -142,7 +145,10 @@
         .filter(|(_, queue)| allowed(queue))
         .min_by_key(|(zone, queue)| {
             let version = queue.last().map(|(_, version, ..)| *version);
-            (version, out_of_service.get(*zone).copied().unwrap_or_default())
+            (
+                version,
+                out_of_service.get(*zone).copied().unwrap_or_default(),
+            )
         })?;
     queue.pop().map(|(.., name)| name)
 }
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -105,7 +105,11 @@
                 let baseline = self.baseline.get(name).copied().unwrap_or_default();
                 requests.push(Request {
                     zone: name.clone(),
-                    count: if settings.use_spot { target } else { baseline + target },
+                    count: if settings.use_spot {
+                        target
+                    } else {
+                        baseline + target
+                    },
                     spot: settings.use_spot,
                 });
                 self.note_request(now, name, target);
@@ -129,7 +133,11 @@
         self.recent_shortages.push_back((now, shortage));
         self.recent_shortages
             .retain(|(at, _)| now.since(*at) <= SCALE_DOWN_DELAY);
-        let peak = self.recent_shortages.iter().map(|(_, shortage)| *shortage).max();
+        let peak = self
+            .recent_shortages
+            .iter()
+            .map(|(_, shortage)| *shortage)
+            .max();
         peak.unwrap_or(shortage)
     }
 
@@ -158,10 +166,15 @@
                 let baseline = self.baseline.get(name).copied().unwrap_or_default();
                 let max_added = settings.max_per_zone.saturating_sub(baseline);
                 let added = self.added(settings, name, zone);
-                let is_backing_off = self.last_requests
+                let is_backing_off = self
+                    .last_requests
                     .get(name)
                     .is_some_and(|last| last.failed && now < last.next_request_at);
-                let capacity = if is_backing_off { added.min(max_added) } else { max_added };
+                let capacity = if is_backing_off {
+                    added.min(max_added)
+                } else {
+                    max_added
+                };
                 (zone.price, name.clone(), capacity)
             })
             .collect();
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -5,15 +5,15 @@
 //! them up once all instances have closed the window, or after some patience ([`Collector`]). What was once added up is kept,
 //! and never added up again: all later holders of the duty report the same.
 
-mod instance_count;
-mod wall_clock;
 mod aggregator;
+mod instance_count;
 mod ledger;
+mod wall_clock;
 
-pub use instance_count::InstanceCount;
-pub use wall_clock::WallClock;
 pub use aggregator::{Aggregator, Timing};
+pub use instance_count::InstanceCount;
 pub use ledger::{Ledger, Report};
+pub use wall_clock::WallClock;
 
 use compact_str::CompactString;
 use std::{collections::BTreeMap, time::Duration};
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -43,9 +43,7 @@
                     assert!(self.running.len() <= slots as usize, "beyond the slots");
                 }
                 Action::Refuse {
-                    key,
-                    retry_after,
-                    ..
+                    key, retry_after, ..
                 } => {
                     self.waiting.remove(&key).expect("it waits or just came");
                     assert!(retry_after <= LIMITS.max_retry_after);
@@ -216,8 +214,7 @@
             returned += 1;
             deadlines.insert(key + 1, at + 800);
             let answer = arrive(&mut queue, at, key + 1, Priority::Live, 800);
-            let refused =
-                |a: &Action| matches!(a, Action::Refuse { key: t, .. } if t.0 == key + 1);
+            let refused = |a: &Action| matches!(a, Action::Refuse { key: t, .. } if t.0 == key + 1);
             admitted += u32::from(!answer.iter().any(refused));
             actions.extend(answer);
         }
@@ -237,9 +234,7 @@
                     ..
                 } => expired += 1,
                 Action::Refuse {
-                    key,
-                    retry_after,
-                    ..
+                    key, retry_after, ..
                 } => {
                     let due = at + retry_after.as_millis() as u64;
                     asked.push(due);
--- a/crates/pinereel_core/tests/drain_machine.rs
+++ b/crates/pinereel_core/tests/drain_machine.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time,
-    drain::{Action, Event, StateMachine, Phase, Settings},
+    drain::{Action, Event, Phase, Settings, StateMachine},
 };
 use proptest::{
     collection::vec,
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -1,5 +1,5 @@
-//! Rollouts against small fake engines: the floor holds, orders carry the lease, and all engines
-//! reach the newest version once faults stop.
+//! Rollouts against simulated engines: the minimum of engines in service holds, orders carry the
+//! lease's fencing token, and all engines reach the newest version once faults stop.
 
 use compact_str::CompactString;
 use pinereel_core::{
@@ -17,22 +17,22 @@
 const STEP: Duration = Duration::from_millis(50);
 const LONG: Duration = Duration::from_secs(100_000);
 
-/// One engine: what it serves and loads.
+/// A simulated engine.
 #[derive(Clone, Default)]
 struct Engine {
     status: Status,
     fence: u64,
-    /// End of the load, and whether it goes well.
+    /// End of the load in progress, and whether it succeeds.
     load: Option<(Time, bool)>,
-    /// Served when the load was ordered, so the order took capacity.
+    /// The engine served when the load was ordered, so the order took it out of service.
     out: bool,
-    /// The last answer that reached the holder showed it serving.
+    /// The last answer that reached the lease holder showed it in service.
     known: bool,
     /// The load was ordered by a former holder.
     foreign: bool,
 }
 
-/// Engines, the controller and its lease, and the messages between them.
+/// Simulation of the engines, the controller with its lease, and the messages between them.
 struct World {
     rng: ChaCha8Rng,
     now: Time,
@@ -40,18 +40,18 @@
     controller: Controller,
     lease: Option<Lease>,
     engines: BTreeMap<String, Engine>,
-    /// Whether engines refuse old fencing tokens.
+    /// Whether engines refuse lower fencing tokens than the highest seen.
     checks: bool,
-    /// Chance of each fault of a message or a load.
+    /// Probability of each fault of a message or a load.
     faults: f64,
     load_time: Duration,
-    /// Engines whose loads always fail.
+    /// Engine whose loads always fail.
     broken: Option<String>,
-    /// Engines at whose address nothing listens.
+    /// Engine at whose address nothing listens.
     dead: Option<String>,
     inbox: Vec<Event>,
     log: Vec<Action>,
-    /// Orders given at each step that gave any.
+    /// Number of orders of each controller step that issued any.
     orders: Vec<usize>,
 }
 
@@ -165,13 +165,17 @@
         };
         let name = name.into();
         self.inbox.push(match taken {
-            Some(Some(status)) if !answer_lost => Event::Accepted { name, fence, status },
+            Some(Some(status)) if !answer_lost => Event::Accepted {
+                name,
+                fence,
+                status,
+            },
             Some(None) if !answer_lost => Event::Fenced { name, fence },
             _ => Event::NoAnswer { name },
         });
     }
 
-    /// What an engine does with an order; `None` if it refuses it.
+    /// Handles an order at an engine; `None` if the engine refuses it.
     fn load(&mut self, name: &str, version: Version, fence: u64) -> Option<Status> {
         let good = !self.fault() && self.broken.as_deref() != Some(name);
         let done = self.now + self.load_time;
@@ -189,7 +193,7 @@
         Some(engine.status)
     }
 
-    /// An order of a former holder that was paused arrives.
+    /// Delivers a late order of a former holder that was paused.
     fn late_order(&mut self, index: usize) {
         let name = self.engines.keys().nth(index).expect("in range").clone();
         if self.engines[&name].load.is_none() && self.load(&name, Version(1), 0).is_some() {
@@ -204,7 +208,7 @@
         for engine in self.engines.values_mut() {
             if let Some((done, good)) = engine.load.filter(|(done, _)| *done <= self.now) {
                 let _ = done;
-                // A load that breaks off leaves the engine with no weights half of the time.
+                // A failed load leaves the engine without weights half of the time.
                 let half = self.rng.random_bool(0.5);
                 let old = engine.status.version.filter(|_| half);
                 engine.status.version = if good { engine.status.loading } else { old };
@@ -216,7 +220,8 @@
             }
         }
         for event in std::mem::take(&mut self.inbox) {
-            if let Event::Observed { name, status } | Event::Accepted { name, status, .. } = &event {
+            if let Event::Observed { name, status } | Event::Accepted { name, status, .. } = &event
+            {
                 let engine = self.engines.get_mut(name.as_str()).expect("listed");
                 engine.known = status.version.is_some() && status.loading.is_none();
             }
@@ -238,10 +243,13 @@
             .values()
             .filter(|e| e.load.is_some() && !e.foreign)
             .count();
-        assert!(loading <= self.settings.max_loads, "beyond the store's rate");
+        assert!(
+            loading <= self.settings.max_loads,
+            "beyond the store's rate"
+        );
     }
 
-    /// Kills an engine; it comes back at once, without weights half of the time.
+    /// Restarts an engine, which loses its weights half of the time.
     fn restart(&mut self, index: usize) {
         let empty = self.rng.random_bool(0.5);
         let engine = self.engines.values_mut().nth(index).expect("in range");
@@ -272,8 +280,15 @@
     }
 }
 
-/// A minute of random faults, then none; whether all engines reach the newest version.
-fn survives(seed: u64, count: usize, max_loads: usize, min_serving_share: f64, faults: f64, checks: bool) -> bool {
+/// Runs a minute of random faults, then none; returns whether all engines reach the newest version.
+fn survives(
+    seed: u64,
+    count: usize,
+    max_loads: usize,
+    min_serving_share: f64,
+    faults: f64,
+    checks: bool,
+) -> bool {
     let min_serving_share = min_serving_share.min(1.0 - 1.0 / count as f64);
     let settings = Settings {
         max_loads,
@@ -296,7 +311,7 @@
                 world.take_lease(fence, Duration::from_secs(20));
             }
             2 => {
-                // It lapses: nobody may order until it is taken again.
+                // The lease expires: no order may be issued until it is acquired again.
                 world.lease = None;
                 world.tell(Event::Lease(None));
             }
@@ -310,7 +325,10 @@
             }
             _ => {}
         }
-        if world.lease.is_some_and(|l| l.expires_at <= world.now + STEP) {
+        if world
+            .lease
+            .is_some_and(|l| l.expires_at <= world.now + STEP)
+        {
             fence += 1;
             world.take_lease(fence, Duration::from_secs(20));
         }
@@ -347,8 +365,9 @@
     }
 }
 
-/// Found by the property: a late order's load ended just before it was replaced, which was then
-/// one load too many.
+/// A late order's load ends just before it is replaced; the replacement is then a new load, which
+/// must not exceed the maximum of concurrent loads. The parameters are a failing case of the
+/// property test.
 #[test]
 fn replacing_a_load_that_just_ended_stays_within_the_rate() {
     let (min_serving_share, faults) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
@@ -400,7 +419,7 @@
     world.run_until(Duration::from_secs(5), |_| false);
     assert!(world.log.contains(&Action::LeaseLost { fence: 8 }));
     let before = world.orders.len();
-    // The same token again isn't believed; a newer one is.
+    // The refused token is ignored when it is offered again; a higher one is accepted.
     world.take_lease(8, LONG);
     world.run_until(Duration::from_secs(5), |_| false);
     assert_eq!(world.orders.len(), before);
@@ -414,9 +433,9 @@
     world.tell(Event::Published(Version(1)));
     world.take_lease(1, LONG);
     world.run_until(Duration::from_secs(5), |_| false);
-    // All serve the target already: not one order.
+    // All engines serve the target already, so no order is issued.
     assert!(world.orders.is_empty());
-    // Another holds the lease for a while and leaves an engine on other weights.
+    // Another instance holds the lease for a while and leaves an engine at another version.
     world.tell(Event::Lease(None));
     world.load("engine-0001", Version(7), 2);
     world.run_until(Duration::from_secs(5), |_| false);
@@ -445,7 +464,7 @@
     assert!(world.log.is_empty());
     world.take_lease(1, Duration::from_secs(5));
     world.run_until(Duration::from_secs(30), |_| false);
-    // One load at once, 3 s each, within 5 s: two orders and no more.
+    // One load at a time, 3 s each: two orders fit within the 5 s of the lease.
     assert_eq!(world.orders, [1, 1]);
 }
 
@@ -552,7 +571,7 @@
         let mut engines = world.engines.iter();
         engines.all(|(name, e)| world.is_dead(name) || e.status.version == Some(Version(2)))
     };
-    // Two loads of 3 s, one after the other, and the time to find it dead.
+    // Two consecutive loads of 3 s, and the time to detect the unreachable engine.
     assert!(world.run_until(Duration::from_secs(9), others));
 }
 
@@ -601,7 +620,8 @@
     }
 }
 
-/// Load pattern: the platform's list shows the end of a load, and a report from just before it comes after.
+/// The platform's list shows the end of a load, then a report from just before the end arrives. It must
+/// not be taken for a lost version.
 #[test]
 fn a_report_from_before_the_end_of_a_load_is_no_change() {
     let mut controller = Controller::new(Settings::default());
@@ -620,7 +640,13 @@
         controller.step(now, listed(name));
     }
     let expires_at = now + LONG;
-    controller.step(now, Event::Lease(Some(Lease { fence: 1, expires_at })));
+    controller.step(
+        now,
+        Event::Lease(Some(Lease {
+            fence: 1,
+            expires_at,
+        })),
+    );
     for name in &engines {
         controller.step(now, seen(name, 1));
     }
@@ -645,15 +671,15 @@
         actions.iter().any(unexpected)
     };
     assert!(!told(controller.step(now, seen(name, 1))), "it is outdated");
-    // It is read again soon, and what it shows then counts.
+    // The engine is read again soon, and that status is believed.
     now = now + Duration::from_millis(1_000);
     let read = Action::Read { name: name.clone() };
     assert!(controller.step(now, Event::Tick).contains(&read));
     assert!(told(controller.step(now, seen(name, 1))));
 }
 
-/// Load pattern: a holder of many engines renews its lease late, again and again. Each time it read all of them
-/// anew, which made the next renewal late, and it gave no order.
+/// A holder of many engines renews its lease late. If it then reads all engines again, the next
+/// renewal is late as well, and the holder never issues an order.
 #[test]
 fn a_lease_that_lapsed_and_nobody_else_had_costs_no_reads() {
     let mut controller = Controller::new(Settings::default());
--- a/crates/pinereel_core/tests/rollout_share.rs
+++ b/crates/pinereel_core/tests/rollout_share.rs
@@ -1,4 +1,5 @@
-//! Models share the engines of a service alike, and keep their shares when engines come and go.
+//! Assignment of engines to models: quotas follow the demand, and engines that join or leave change
+//! few others.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::rollout::{Demand, assign_models, max_loads, should_reassign};
@@ -37,8 +38,14 @@
 
 #[test]
 fn models_share_alike() {
-    assert_eq!(counts(&assign_models(engines(44), &models(4))), [11, 11, 11, 11]);
-    assert_eq!(counts(&assign_models(engines(10), &models(4))), [3, 3, 2, 2]);
+    assert_eq!(
+        counts(&assign_models(engines(44), &models(4))),
+        [11, 11, 11, 11]
+    );
+    assert_eq!(
+        counts(&assign_models(engines(10), &models(4))),
+        [3, 3, 2, 2]
+    );
     assert_eq!(counts(&assign_models(engines(2), &models(4))), [1, 1]);
 }
 
@@ -56,8 +63,8 @@
     }
 }
 
-/// The load of the grown site: dispatch, jacket, invoice and delay texts, in events a step. With
-/// equal shares the two long ones waited for slots.
+/// Four models with the work of a larger site, in events per step: dispatch, jacket, invoice and delay
+/// texts. With equal shares, the steps of the two with long texts wait for slots.
 #[test]
 fn a_model_with_more_work_gets_more_engines() {
     let asked = demands(&[1_024, 2_412, 2_363, 1_288]);
@@ -73,7 +80,10 @@
 #[test]
 fn a_model_of_which_nothing_is_known_gets_an_equal_share() {
     let asked = demands(&[0, 1_000, 1_000, 1_000]);
-    assert_eq!(counts(&assign_models(engines(44), &asked)), [11, 11, 11, 11]);
+    assert_eq!(
+        counts(&assign_models(engines(44), &asked)),
+        [11, 11, 11, 11]
+    );
 }
 
 #[test]
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -1,10 +1,12 @@
-//! The engines that do a service's work, where many times as many are listed.
+//! Size and members of a service's working set, where many times as many engines are listed.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time, Version,
     endpoint::Index,
-    rollout::{Action, Controller, Demand, Event, Lease, Settings, Status, assign_models, working_set_size},
+    rollout::{
+        Action, Controller, Demand, Event, Lease, Settings, Status, assign_models, working_set_size,
+    },
 };
 use std::{collections::BTreeSet, time::Duration};
 
@@ -20,7 +22,7 @@
     items.iter().enumerate().map(demand).collect()
 }
 
-/// Eight trainers' steps.
+/// Steps of eight trainers, by their items.
 fn steps() -> Vec<Demand> {
     demands(&[80, 112, 112, 112, 104, 112, 80, 120])
 }
@@ -81,7 +83,8 @@
     }
 }
 
-/// Orders and reads for one new version of each model, and engines that a holder's tick looks at.
+/// Number of orders and reads for one new version of each model, and number of engines in the working
+/// set.
 fn calls(listed: usize) -> (usize, usize) {
     let (index, demands) = (index(listed), steps());
     let assigned = assign_models(members(&index, &demands), &demands);
@@ -130,8 +133,8 @@
     (calls, assigned.len())
 }
 
-/// Load pattern: thousands of engines, of which the steps fill a few hundred slots. When all were kept up to date, each
-/// version cost an order and a read of each.
+/// With thousands of engines and steps that fill a few hundred slots, keeping all engines up to date
+/// costs an order and a read of each engine for every version.
 #[test]
 fn a_version_costs_the_same_calls_however_many_engines_are_listed() {
     let few = calls(1_000);
--- a/crates/pinereel_core/tests/scale_sizer.rs
+++ b/crates/pinereel_core/tests/scale_sizer.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time,
-    scale::{Request, Autoscaler, Settings, Zone},
+    scale::{Autoscaler, Request, Settings, Zone},
 };
 use std::{collections::BTreeMap, time::Duration};
 
@@ -90,7 +90,10 @@
     let mut autoscaler = Autoscaler::default();
     request(&mut autoscaler, at(0), 24, &zones(0));
     for millis in (5_000..59_000).step_by(1_000) {
-        assert_eq!(shown(&request(&mut autoscaler, at(millis), 0, &zones(6))), []);
+        assert_eq!(
+            shown(&request(&mut autoscaler, at(millis), 0, &zones(6))),
+            []
+        );
     }
     let back = request(&mut autoscaler, at(61_000), 0, &zones(6));
     assert_eq!(
@@ -135,7 +138,9 @@
         autoscaler.note_result(at(0), &request.zone, request.zone != "c");
     }
     assert_eq!(
-        autoscaler.due_requests(at(300), SETTINGS, 24, &zones(0)).len(),
+        autoscaler
+            .due_requests(at(300), SETTINGS, 24, &zones(0))
+            .len(),
         3,
         "the others take its part"
     );
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -6,7 +6,9 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    usage::{InstanceCount, WallClock, Aggregator, Counts, Ledger, Timing, Report, WallTime, Window},
+    usage::{
+        Aggregator, Counts, InstanceCount, Ledger, Report, Timing, WallClock, WallTime, Window,
+    },
 };
 use proptest::prelude::{Just, Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::{collections::BTreeMap, time::Duration};
@@ -65,7 +67,8 @@
     let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
     ledger.add(WINDOW, "w", 1);
     ledger.close(WINDOW);
-    let due = |aggregator: &mut Aggregator, ledger: &Ledger, at| aggregator.due(WallTime(at), ledger, 2);
+    let due =
+        |aggregator: &mut Aggregator, ledger: &Ledger, at| aggregator.due(WallTime(at), ledger, 2);
     assert_eq!(
         due(&mut aggregator, &ledger, END + 4_000),
         None,
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -147,7 +147,11 @@
         let event = match (status, fence) {
             (None, _) => Event::NoAnswer { name },
             (Some(status), None) => Event::Observed { name, status },
-            (Some(status), Some(fence)) => Event::Accepted { name, fence, status },
+            (Some(status), Some(fence)) => Event::Accepted {
+                name,
+                fence,
+                status,
+            },
         };
         self.rollout_step(event);
     }
