--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -12,7 +12,7 @@
 const HOUR: Duration = Duration::from_secs(3_600);
 
 /// A controller whose engines all serve version 1, which is the target.
-fn at_rest(count: usize) -> Controller {
+fn idle_controller(count: usize) -> Controller {
     let mut controller = Controller::new(Settings {
         max_loads: count,
         max_reads: count,
@@ -70,7 +70,7 @@
 }
 
 /// Rolls version 2 out in two waves, with a tick every 50 ms; returns the number of ticks.
-fn roll(controller: &mut Controller) -> usize {
+fn roll_out(controller: &mut Controller) -> usize {
     let mut now = Time::from_millis(1);
     let mut actions = controller.step(now, Event::Published(Version(2)));
     let mut ticks = 0;
@@ -90,15 +90,15 @@
 fn bench(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("rollout");
     for size in SIZES {
-        let rest = at_rest(size);
+        let idle = idle_controller(size);
         group.bench_function(BenchmarkId::new("tick_at_rest", size), |bencher| {
-            let mut controller = rest.clone();
+            let mut controller = idle.clone();
             bencher.iter(|| black_box(controller.step(Time::from_millis(1), Event::Tick)));
         });
         group.bench_function(BenchmarkId::new("two_waves", size), |bencher| {
             bencher.iter_batched(
-                || rest.clone(),
-                |mut controller| black_box(roll(&mut controller)),
+                || idle.clone(),
+                |mut controller| black_box(roll_out(&mut controller)),
                 BatchSize::LargeInput,
             );
         });
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -24,7 +24,7 @@
     /// Fencing token of the last lease that was held.
     last_fence: Option<u64>,
     /// Highest fencing token that an engine has refused; leases up to it are ignored.
-    fenced: Option<u64>,
+    highest_fenced: Option<u64>,
 }
 
 impl Controller {
@@ -39,7 +39,7 @@
             target_since: Time::ZERO,
             is_complete: false,
             engines: BTreeMap::new(),
-            fenced: None,
+            highest_fenced: None,
         }
     }
 
@@ -160,7 +160,7 @@
 
     fn set_lease(&mut self, now: Time, lease: Option<Lease>) {
         // An engine that refused this token has seen the higher token of another holder.
-        self.lease = lease.filter(|l| Some(l.fence) > self.fenced);
+        self.lease = lease.filter(|l| Some(l.fence) > self.highest_fenced);
         let Some(lease) = self.lease else {
             return;
         };
@@ -313,7 +313,7 @@
         // A refused order of an earlier lease does not invalidate the present one.
         if self.lease.is_some_and(|lease| lease.fence == fence) {
             self.lease = None;
-            self.fenced = Some(fence);
+            self.highest_fenced = Some(fence);
             actions.push(Action::LeaseLost { fence });
         }
     }
@@ -322,10 +322,10 @@
     fn check_timeouts(&mut self, now: Time, actions: &mut Vec<Action>) {
         let settings = self.settings;
         for (name, engine) in &mut self.engines {
-            let late = |since: Time, limit: Duration| now.since(since) >= limit;
+            let is_overdue = |since: Time, limit: Duration| now.since(since) >= limit;
             if engine
                 .read_since
-                .is_some_and(|at| late(at, settings.answer_timeout))
+                .is_some_and(|at| is_overdue(at, settings.answer_timeout))
             {
                 engine.note_no_answer(now, &settings);
             }
@@ -337,10 +337,10 @@
             else {
                 continue;
             };
-            if !is_accepted && late(ordered_at, settings.answer_timeout) {
+            if !is_accepted && is_overdue(ordered_at, settings.answer_timeout) {
                 engine.note_no_answer(now, &settings);
             } else if is_accepted
-                && late(ordered_at, settings.load_timeout)
+                && is_overdue(ordered_at, settings.load_timeout)
                 && engine.note_load_failure(now, name, &settings)
             {
                 actions.push(quarantine_action(name, engine));
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -14,8 +14,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::{collections::BTreeMap, time::Duration};
 
-const STEP: Duration = Duration::from_millis(50);
-const LONG: Duration = Duration::from_secs(100_000);
+const TICK: Duration = Duration::from_millis(50);
+const LONG_LEASE: Duration = Duration::from_secs(100_000);
 
 /// A simulated engine.
 #[derive(Clone, Default)]
@@ -25,15 +25,15 @@
     /// End of the load in progress, and whether it succeeds.
     load: Option<(Time, bool)>,
     /// The engine served when the load was ordered, so the order took it out of service.
-    out: bool,
+    ordered_out: bool,
     /// The last answer that reached the lease holder showed it in service.
-    known: bool,
+    known_serving: bool,
     /// The load was ordered by a former holder.
-    foreign: bool,
+    load_is_foreign: bool,
 }
 
 /// Simulation of the engines, the controller with its lease, and the messages between them.
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     now: Time,
     settings: Settings,
@@ -41,34 +41,34 @@
     lease: Option<Lease>,
     engines: BTreeMap<String, Engine>,
     /// Whether engines refuse lower fencing tokens than the highest seen.
-    checks: bool,
+    checks_fence: bool,
     /// Probability of each fault of a message or a load.
-    faults: f64,
+    fault_rate: f64,
     load_time: Duration,
     /// Engine whose loads always fail.
-    broken: Option<String>,
+    failing: Option<String>,
     /// Engine at whose address nothing listens.
-    dead: Option<String>,
+    unreachable: Option<String>,
     inbox: Vec<Event>,
     log: Vec<Action>,
     /// Number of orders of each controller step that issued any.
     orders: Vec<usize>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, count: usize, settings: Settings) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Time::from_millis(1),
             controller: Controller::new(settings),
             settings,
             lease: None,
             engines: BTreeMap::new(),
-            checks: true,
-            faults: 0.0,
+            checks_fence: true,
+            fault_rate: 0.0,
             load_time: Duration::from_secs(3),
-            broken: None,
-            dead: None,
+            failing: None,
+            unreachable: None,
             inbox: Vec::new(),
             log: Vec::new(),
             orders: Vec::new(),
@@ -78,15 +78,15 @@
             let mut engine = Engine::default();
             engine.status.incarnation = 1;
             engine.status.version = Some(Version(1));
-            world.engines.insert(name.clone(), engine);
-            world.tell(Event::Listed {
+            simulation.engines.insert(name.clone(), engine);
+            simulation.send(Event::Listed {
                 name: name.into(),
                 zone: format!("zone-{}", i % 3).into(),
                 outstanding: (i * 7 % 5) as u32,
                 leaving: false,
             });
         }
-        world
+        simulation
     }
 
     fn take_lease(&mut self, fence: u64, length: Duration) {
@@ -94,10 +94,10 @@
             fence,
             expires_at: self.now + length,
         });
-        self.tell(Event::Lease(self.lease));
+        self.send(Event::Lease(self.lease));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send(&mut self, event: Event) {
         let actions = self.controller.step(self.now, event);
         let orders = actions
             .iter()
@@ -127,15 +127,15 @@
     }
 
     fn fault(&mut self) -> bool {
-        self.faults > 0.0 && self.rng.random_bool(self.faults)
+        self.fault_rate > 0.0 && self.rng.random_bool(self.fault_rate)
     }
 
-    fn is_dead(&self, name: &str) -> bool {
-        self.dead.as_deref() == Some(name)
+    fn is_unreachable(&self, name: &str) -> bool {
+        self.unreachable.as_deref() == Some(name)
     }
 
     fn read(&mut self, name: &str) {
-        if self.is_dead(name) {
+        if self.is_unreachable(name) {
             let name = name.into();
             self.inbox.push(Event::Unreachable { name });
             return;
@@ -152,7 +152,7 @@
     }
 
     fn order(&mut self, name: &str, version: Version, fence: u64) {
-        if self.is_dead(name) {
+        if self.is_unreachable(name) {
             let name = name.into();
             self.inbox.push(Event::Unreachable { name });
             return;
@@ -177,18 +177,19 @@
 
     /// Handles an order at an engine; `None` if the engine refuses it.
     fn load(&mut self, name: &str, version: Version, fence: u64) -> Option<Status> {
-        let good = !self.fault() && self.broken.as_deref() != Some(name);
+        let succeeds = !self.fault() && self.failing.as_deref() != Some(name);
         let done = self.now + self.load_time;
         let engine = self.engines.get_mut(name)?;
-        if self.checks && fence < engine.fence {
+        if self.checks_fence && fence < engine.fence {
             return None;
         }
         engine.fence = engine.fence.max(fence);
         if engine.status.version != Some(version) || engine.load.is_some() {
-            engine.out |= engine.load.is_none() && engine.status.version.is_some() && engine.known;
+            engine.ordered_out |=
+                engine.load.is_none() && engine.status.version.is_some() && engine.known_serving;
             engine.status.loading = Some(version);
             engine.status.failed = false;
-            engine.load = Some((done, good));
+            engine.load = Some((done, succeeds));
         }
         Some(engine.status)
     }
@@ -198,42 +199,42 @@
         let name = self.engines.keys().nth(index).expect("in range").clone();
         if self.engines[&name].load.is_none() && self.load(&name, Version(1), 0).is_some() {
             let engine = self.engines.get_mut(&name).expect("just loaded");
-            engine.out = false;
-            engine.foreign = engine.load.is_some();
+            engine.ordered_out = false;
+            engine.load_is_foreign = engine.load.is_some();
         }
     }
 
     fn advance(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TICK;
         for engine in self.engines.values_mut() {
-            if let Some((done, good)) = engine.load.filter(|(done, _)| *done <= self.now) {
+            if let Some((done, succeeds)) = engine.load.filter(|(done, _)| *done <= self.now) {
                 let _ = done;
                 // A failed load leaves the engine without weights half of the time.
                 let half = self.rng.random_bool(0.5);
                 let old = engine.status.version.filter(|_| half);
-                engine.status.version = if good { engine.status.loading } else { old };
+                engine.status.version = if succeeds { engine.status.loading } else { old };
                 engine.status.loading = None;
-                engine.status.failed = !good;
+                engine.status.failed = !succeeds;
                 engine.load = None;
-                engine.out = false;
-                engine.foreign = false;
+                engine.ordered_out = false;
+                engine.load_is_foreign = false;
             }
         }
         for event in std::mem::take(&mut self.inbox) {
             if let Event::Observed { name, status } | Event::Accepted { name, status, .. } = &event
             {
                 let engine = self.engines.get_mut(name.as_str()).expect("listed");
-                engine.known = status.version.is_some() && status.loading.is_none();
+                engine.known_serving = status.version.is_some() && status.loading.is_none();
             }
-            self.tell(event);
+            self.send(event);
         }
-        self.tell(Event::Tick);
+        self.send(Event::Tick);
         self.check();
     }
 
     fn check(&self) {
         let needed = (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
-        let out = self.engines.values().filter(|e| e.out).count();
+        let out = self.engines.values().filter(|e| e.ordered_out).count();
         assert!(
             self.engines.len() - out >= needed,
             "orders took it under the floor"
@@ -241,7 +242,7 @@
         let loading = self
             .engines
             .values()
-            .filter(|e| e.load.is_some() && !e.foreign)
+            .filter(|e| e.load.is_some() && !e.load_is_foreign)
             .count();
         assert!(
             loading <= self.settings.max_loads,
@@ -254,8 +255,8 @@
         let empty = self.rng.random_bool(0.5);
         let engine = self.engines.values_mut().nth(index).expect("in range");
         engine.load = None;
-        engine.out = false;
-        engine.foreign = false;
+        engine.ordered_out = false;
+        engine.load_is_foreign = false;
         engine.fence = 0;
         engine.status = Status {
             incarnation: engine.status.incarnation + 1,
@@ -267,7 +268,7 @@
     fn all_serve(&self, version: u64) -> bool {
         let mut engines = self.engines.iter();
         engines.all(|(name, e)| {
-            e.status.version == Some(Version(version)) || self.broken.as_ref() == Some(name)
+            e.status.version == Some(Version(version)) || self.failing.as_ref() == Some(name)
         })
     }
 
@@ -281,13 +282,13 @@
 }
 
 /// Runs a minute of random faults, then none; returns whether all engines reach the newest version.
-fn survives(
+fn converges(
     seed: u64,
     count: usize,
     max_loads: usize,
     min_serving_share: f64,
-    faults: f64,
-    checks: bool,
+    fault_rate: f64,
+    checks_fence: bool,
 ) -> bool {
     let min_serving_share = min_serving_share.min(1.0 - 1.0 / count as f64);
     let settings = Settings {
@@ -296,49 +297,49 @@
         recheck_interval: Duration::from_secs(20),
         ..Settings::default()
     };
-    let mut world = World::new(seed, count, settings);
-    world.checks = checks;
-    world.faults = faults;
+    let mut simulation = Simulation::new(seed, count, settings);
+    simulation.checks_fence = checks_fence;
+    simulation.fault_rate = fault_rate;
     let (mut newest, mut fence) = (1, 0);
     for _ in 0..1_200 {
-        match world.rng.random_range(0..200) {
+        match simulation.rng.random_range(0..200) {
             0 => {
                 newest += 1;
-                world.tell(Event::Published(Version(newest)));
+                simulation.send(Event::Published(Version(newest)));
             }
             1 => {
                 fence += 1;
-                world.take_lease(fence, Duration::from_secs(20));
+                simulation.take_lease(fence, Duration::from_secs(20));
             }
             2 => {
                 // The lease expires: no order may be issued until it is acquired again.
-                world.lease = None;
-                world.tell(Event::Lease(None));
+                simulation.lease = None;
+                simulation.send(Event::Lease(None));
             }
             3 => {
-                let index = world.rng.random_range(0..count);
-                world.restart(index);
+                let index = simulation.rng.random_range(0..count);
+                simulation.restart(index);
             }
             4 => {
-                let index = world.rng.random_range(0..count);
-                world.late_order(index);
+                let index = simulation.rng.random_range(0..count);
+                simulation.late_order(index);
             }
             _ => {}
         }
-        if world
+        if simulation
             .lease
-            .is_some_and(|l| l.expires_at <= world.now + STEP)
+            .is_some_and(|l| l.expires_at <= simulation.now + TICK)
         {
             fence += 1;
-            world.take_lease(fence, Duration::from_secs(20));
+            simulation.take_lease(fence, Duration::from_secs(20));
         }
-        world.advance();
+        simulation.advance();
     }
-    world.faults = 0.0;
-    world.tell(Event::Published(Version(newest + 1)));
-    world.take_lease(fence + 1, LONG);
+    simulation.fault_rate = 0.0;
+    simulation.send(Event::Published(Version(newest + 1)));
+    simulation.take_lease(fence + 1, LONG_LEASE);
     let waves = Duration::from_secs(6) * count as u32;
-    world.run_until(Duration::from_secs(120) + waves, |w| {
+    simulation.run_until(Duration::from_secs(120) + waves, |w| {
         w.all_serve(newest + 1)
     })
 }
@@ -358,10 +359,10 @@
         count in 2..14usize,
         max_loads in 1..8usize,
         min_serving_share in 0.0..0.75f64,
-        faults in 0.0..0.3f64,
-        checks in any::<bool>(),
+        fault_rate in 0.0..0.3f64,
+        checks_fence in any::<bool>(),
     ) {
-        prop_assert!(survives(seed, count, max_loads, min_serving_share, faults, checks));
+        prop_assert!(converges(seed, count, max_loads, min_serving_share, fault_rate, checks_fence));
     }
 }
 
@@ -370,13 +371,13 @@
 /// property test.
 #[test]
 fn replacing_a_load_that_just_ended_stays_within_the_rate() {
-    let (min_serving_share, faults) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
-    assert!(survives(
+    let (min_serving_share, fault_rate) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
+    assert!(converges(
         5_820_213_897_200_143_410,
         12,
         4,
         min_serving_share,
-        faults,
+        fault_rate,
         false
     ));
 }
@@ -387,16 +388,16 @@
         recheck_interval: Duration::from_secs(10),
         ..Settings::default()
     };
-    let mut world = World::new(1, 4, settings);
-    world.checks = false;
-    world.tell(Event::Published(Version(3)));
-    world.take_lease(2, LONG);
-    assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
-    world.load("engine-0001", Version(2), 1);
-    let unexpected = |w: &World| w.engines["engine-0001"].status.version == Some(Version(2));
-    assert!(world.run_until(Duration::from_secs(10), unexpected));
-    assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
-    let told = world.log.iter().any(|a| {
+    let mut simulation = Simulation::new(1, 4, settings);
+    simulation.checks_fence = false;
+    simulation.send(Event::Published(Version(3)));
+    simulation.take_lease(2, LONG_LEASE);
+    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
+    simulation.load("engine-0001", Version(2), 1);
+    let unexpected = |w: &Simulation| w.engines["engine-0001"].status.version == Some(Version(2));
+    assert!(simulation.run_until(Duration::from_secs(10), unexpected));
+    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
+    let reported = simulation.log.iter().any(|a| {
         matches!(
             a,
             Action::UnexpectedVersion {
@@ -405,53 +406,53 @@
             }
         )
     });
-    assert!(told || world.orders.len() > 2);
+    assert!(reported || simulation.orders.len() > 2);
 }
 
 #[test]
 fn a_refused_token_stops_the_rollout() {
-    let mut world = World::new(1, 4, Settings::default());
-    for engine in world.engines.values_mut() {
+    let mut simulation = Simulation::new(1, 4, Settings::default());
+    for engine in simulation.engines.values_mut() {
         engine.fence = 9;
     }
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(8, LONG);
-    world.run_until(Duration::from_secs(5), |_| false);
-    assert!(world.log.contains(&Action::LeaseLost { fence: 8 }));
-    let before = world.orders.len();
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(8, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(5), |_| false);
+    assert!(simulation.log.contains(&Action::LeaseLost { fence: 8 }));
+    let before = simulation.orders.len();
     // The refused token is ignored when it is offered again; a higher one is accepted.
-    world.take_lease(8, LONG);
-    world.run_until(Duration::from_secs(5), |_| false);
-    assert_eq!(world.orders.len(), before);
-    world.take_lease(10, LONG);
-    assert!(world.run_until(Duration::from_secs(20), |w| w.all_serve(2)));
+    simulation.take_lease(8, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(5), |_| false);
+    assert_eq!(simulation.orders.len(), before);
+    simulation.take_lease(10, LONG_LEASE);
+    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(2)));
 }
 
 #[test]
 fn a_new_holder_reads_before_it_orders() {
-    let mut world = World::new(1, 3, Settings::default());
-    world.tell(Event::Published(Version(1)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(5), |_| false);
+    let mut simulation = Simulation::new(1, 3, Settings::default());
+    simulation.send(Event::Published(Version(1)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(5), |_| false);
     // All engines serve the target already, so no order is issued.
-    assert!(world.orders.is_empty());
+    assert!(simulation.orders.is_empty());
     // Another instance holds the lease for a while and leaves an engine at another version.
-    world.tell(Event::Lease(None));
-    world.load("engine-0001", Version(7), 2);
-    world.run_until(Duration::from_secs(5), |_| false);
-    world.log.clear();
-    world.take_lease(3, LONG);
-    let all_read = world
+    simulation.send(Event::Lease(None));
+    simulation.load("engine-0001", Version(7), 2);
+    simulation.run_until(Duration::from_secs(5), |_| false);
+    simulation.log.clear();
+    simulation.take_lease(3, LONG_LEASE);
+    let all_read = simulation
         .log
         .iter()
         .filter(|a| matches!(a, Action::Read { .. }));
-    assert_eq!((all_read.count(), world.log.len()), (3, 3));
-    assert!(world.run_until(Duration::from_secs(5), |w| w.all_serve(1)));
+    assert_eq!((all_read.count(), simulation.log.len()), (3, 3));
+    assert!(simulation.run_until(Duration::from_secs(5), |w| w.all_serve(1)));
 }
 
 #[test]
 fn no_order_after_the_lease_and_none_without() {
-    let mut world = World::new(
+    let mut simulation = Simulation::new(
         1,
         8,
         Settings {
@@ -459,24 +460,24 @@
             ..Settings::default()
         },
     );
-    world.tell(Event::Published(Version(2)));
-    world.run_until(Duration::from_secs(5), |_| false);
-    assert!(world.log.is_empty());
-    world.take_lease(1, Duration::from_secs(5));
-    world.run_until(Duration::from_secs(30), |_| false);
+    simulation.send(Event::Published(Version(2)));
+    simulation.run_until(Duration::from_secs(5), |_| false);
+    assert!(simulation.log.is_empty());
+    simulation.take_lease(1, Duration::from_secs(5));
+    simulation.run_until(Duration::from_secs(30), |_| false);
     // One load at a time, 3 s each: two orders fit within the 5 s of the lease.
-    assert_eq!(world.orders, [1, 1]);
+    assert_eq!(simulation.orders, [1, 1]);
 }
 
 #[test]
 fn a_broken_engine_goes_to_quarantine_and_is_tried_again() {
-    let mut world = World::new(1, 4, Settings::default());
-    world.broken = Some("engine-0002".into());
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(1, LONG);
-    assert!(world.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
-    world.run_until(Duration::from_secs(15), |_| false);
-    let log: Vec<_> = world
+    let mut simulation = Simulation::new(1, 4, Settings::default());
+    simulation.failing = Some("engine-0002".into());
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(1, LONG_LEASE);
+    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
+    simulation.run_until(Duration::from_secs(15), |_| false);
+    let log: Vec<_> = simulation
         .log
         .iter()
         .filter(|a| matches!(a, Action::Quarantined { .. } | Action::Complete { .. }))
@@ -498,20 +499,20 @@
         },
     ]
     "#);
-    world.broken = None;
-    assert!(world.run_until(Duration::from_secs(60), |w| w.all_serve(2)));
+    simulation.failing = None;
+    assert!(simulation.run_until(Duration::from_secs(60), |w| w.all_serve(2)));
 }
 
 #[test]
 fn a_version_published_in_mid_rollout_is_gone_for_straight() {
-    let mut world = World::new(1, 8, Settings::default());
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(1), |_| false);
-    world.tell(Event::Published(Version(3)));
-    assert!(world.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
+    let mut simulation = Simulation::new(1, 8, Settings::default());
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(1), |_| false);
+    simulation.send(Event::Published(Version(3)));
+    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
     let of = |version| {
-        let orders = world
+        let orders = simulation
             .log
             .iter()
             .filter(|a| matches!(a, Action::Order { version: v, .. } if *v == Version(version)));
@@ -527,22 +528,22 @@
         max_reads: 2_900,
         ..Settings::default()
     };
-    let mut world = World::new(1, 2_900, settings);
-    world.tell(Event::Published(Version(1)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(2), |_| false);
-    let start = world.now;
-    world.tell(Event::Published(Version(2)));
-    let plan = world.controller.plan().unwrap();
-    assert!(world.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
-    let took = world.now.since(start);
+    let mut simulation = Simulation::new(1, 2_900, settings);
+    simulation.send(Event::Published(Version(1)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(2), |_| false);
+    let start = simulation.now;
+    simulation.send(Event::Published(Version(2)));
+    let plan = simulation.controller.plan().unwrap();
+    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
+    let took = simulation.now.since(start);
     assert!(took <= plan.predicted.unwrap(), "{took:?}");
     insta::assert_snapshot!(format!("{plan:?} took {took:?}"), @"Plan { target: Version(2), engines: 2900, pending: 2900, quarantined: 0, wave: 1450, waves: 2, predicted: Some(6.5s) } took 6.05s");
 }
 
 #[test]
 fn waves_spread_over_the_zones() {
-    let mut world = World::new(
+    let mut simulation = Simulation::new(
         1,
         12,
         Settings {
@@ -550,11 +551,11 @@
             ..Settings::default()
         },
     );
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(1), |_| false);
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(1), |_| false);
     let mut zones = BTreeMap::new();
-    for (name, _) in world.engines.iter().filter(|(_, e)| e.load.is_some()) {
+    for (name, _) in simulation.engines.iter().filter(|(_, e)| e.load.is_some()) {
         let index: usize = name["engine-".len()..].parse().unwrap();
         *zones.entry(index % 3).or_insert(0) += 1;
     }
@@ -563,16 +564,18 @@
 
 #[test]
 fn a_dead_engine_that_stays_listed_holds_up_no_other() {
-    let mut world = World::new(1, 3, Settings::default());
-    world.dead = Some("engine-0001".into());
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(1, LONG);
-    let others = |world: &World| {
-        let mut engines = world.engines.iter();
-        engines.all(|(name, e)| world.is_dead(name) || e.status.version == Some(Version(2)))
+    let mut simulation = Simulation::new(1, 3, Settings::default());
+    simulation.unreachable = Some("engine-0001".into());
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(1, LONG_LEASE);
+    let others = |simulation: &Simulation| {
+        let mut engines = simulation.engines.iter();
+        engines.all(|(name, e)| {
+            simulation.is_unreachable(name) || e.status.version == Some(Version(2))
+        })
     };
     // Two consecutive loads of 3 s, and the time to detect the unreachable engine.
-    assert!(world.run_until(Duration::from_secs(9), others));
+    assert!(simulation.run_until(Duration::from_secs(9), others));
 }
 
 #[test]
@@ -581,14 +584,14 @@
         max_loads: 1,
         ..Settings::default()
     };
-    let mut world = World::new(1, 6, settings);
-    for (name, engine) in &mut world.engines {
+    let mut simulation = Simulation::new(1, 6, settings);
+    for (name, engine) in &mut simulation.engines {
         engine.status.version = Some(Version(if name == "engine-0004" { 1 } else { 3 }));
     }
-    world.tell(Event::Published(Version(4)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(1), |_| false);
-    let first = world.log.iter().find_map(|action| match action {
+    simulation.send(Event::Published(Version(4)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(1), |_| false);
+    let first = simulation.log.iter().find_map(|action| match action {
         Action::Order { name, .. } => Some(name.as_str()),
         _ => None,
     });
@@ -601,14 +604,14 @@
         can_replace_load: false,
         ..Settings::default()
     };
-    let mut world = World::new(1, 4, settings);
-    world.tell(Event::Published(Version(2)));
-    world.take_lease(1, LONG);
-    world.run_until(Duration::from_secs(1), |_| false);
-    world.tell(Event::Published(Version(3)));
-    world.run_until(Duration::from_secs(1), |_| false);
-    assert_eq!(world.orders, [2]);
-    assert!(world.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
+    let mut simulation = Simulation::new(1, 4, settings);
+    simulation.send(Event::Published(Version(2)));
+    simulation.take_lease(1, LONG_LEASE);
+    simulation.run_until(Duration::from_secs(1), |_| false);
+    simulation.send(Event::Published(Version(3)));
+    simulation.run_until(Duration::from_secs(1), |_| false);
+    assert_eq!(simulation.orders, [2]);
+    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
 }
 
 fn listed(name: &CompactString) -> Event {
@@ -639,7 +642,7 @@
     for name in &engines {
         controller.step(now, listed(name));
     }
-    let expires_at = now + LONG;
+    let expires_at = now + LONG_LEASE;
     controller.step(
         now,
         Event::Lease(Some(Lease {
@@ -666,16 +669,19 @@
     now = now + Duration::from_millis(900);
     controller.step(now, seen(name, 2));
     now = now + Duration::from_millis(100);
-    let told = |actions: Vec<Action>| {
+    let reported = |actions: Vec<Action>| {
         let unexpected = |action: &Action| matches!(action, Action::UnexpectedVersion { .. });
         actions.iter().any(unexpected)
     };
-    assert!(!told(controller.step(now, seen(name, 1))), "it is outdated");
+    assert!(
+        !reported(controller.step(now, seen(name, 1))),
+        "it is outdated"
+    );
     // The engine is read again soon, and that status is believed.
     now = now + Duration::from_millis(1_000);
     let read = Action::Read { name: name.clone() };
     assert!(controller.step(now, Event::Tick).contains(&read));
-    assert!(told(controller.step(now, seen(name, 1))));
+    assert!(reported(controller.step(now, seen(name, 1))));
 }
 
 /// A holder of many engines renews its lease late. If it then reads all engines again, the next
@@ -686,7 +692,7 @@
     let now = Time::from_millis(1_000);
     controller.step(now, Event::Published(Version(1)));
     let lease = |fence| {
-        let expires_at = now + LONG;
+        let expires_at = now + LONG_LEASE;
         Event::Lease(Some(Lease { fence, expires_at }))
     };
     controller.step(now, lease(3));
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -23,7 +23,7 @@
 }
 
 /// Steps of eight trainers, by their items.
-fn steps() -> Vec<Demand> {
+fn trainer_steps() -> Vec<Demand> {
     demands(&[80, 112, 112, 112, 104, 112, 80, 120])
 }
 
@@ -43,18 +43,18 @@
 #[test]
 fn it_grows_with_the_work_and_not_with_the_list() {
     for listed in [1_000, 2_000, 4_000, 12_000] {
-        assert_eq!(working_set_size(listed, 6, &steps()), 384);
+        assert_eq!(working_set_size(listed, 6, &trainer_steps()), 384);
     }
-    let twice: Vec<_> = steps().into_iter().chain(steps()).collect();
+    let twice: Vec<_> = trainer_steps().into_iter().chain(trainer_steps()).collect();
     assert_eq!(working_set_size(12_000, 6, &twice), 768);
-    assert_eq!(working_set_size(12_000, 12, &steps()), 192);
+    assert_eq!(working_set_size(12_000, 12, &trainer_steps()), 192);
 }
 
 #[test]
 fn it_is_all_engines_where_there_are_few() {
-    assert_eq!(working_set_size(44, 6, &steps()), 44);
+    assert_eq!(working_set_size(44, 6, &trainer_steps()), 44);
     assert_eq!(working_set_size(8, 8, &demands(&[80])), 8);
-    assert_eq!(working_set_size(0, 6, &steps()), 0);
+    assert_eq!(working_set_size(0, 6, &trainer_steps()), 0);
 }
 
 #[test]
@@ -73,11 +73,11 @@
 #[test]
 fn an_engine_that_goes_is_replaced_by_one() {
     let mut index = index(2_000);
-    let before = members(&index, &steps());
+    let before = members(&index, &trainer_steps());
     for gone in before.iter().take(20) {
-        let with = members(&index, &steps());
+        let with = members(&index, &trainer_steps());
         index.remove(gone);
-        let without = members(&index, &steps());
+        let without = members(&index, &trainer_steps());
         assert_eq!(with.difference(&without).collect::<Vec<_>>(), [gone]);
         assert_eq!(without.difference(&with).count(), 1);
     }
@@ -85,8 +85,8 @@
 
 /// Number of orders and reads for one new version of each model, and number of engines in the working
 /// set.
-fn calls(listed: usize) -> (usize, usize) {
-    let (index, demands) = (index(listed), steps());
+fn count_calls(listed: usize) -> (usize, usize) {
+    let (index, demands) = (index(listed), trainer_steps());
     let assigned = assign_models(members(&index, &demands), &demands);
     let now = Time::ZERO + Duration::from_secs(1);
     let mut calls = 0;
@@ -137,8 +137,8 @@
 /// costs an order and a read of each engine for every version.
 #[test]
 fn a_version_costs_the_same_calls_however_many_engines_are_listed() {
-    let few = calls(1_000);
+    let few = count_calls(1_000);
     assert_eq!(few, (768, 384), "a read and an order of each");
-    assert_eq!(calls(2_000), few);
-    assert_eq!(calls(4_000), few);
+    assert_eq!(count_calls(2_000), few);
+    assert_eq!(count_calls(4_000), few);
 }
