--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -1,8 +1,8 @@
-//! Which requests wait for an endpoint, and which are refused at once.
+//! Admission control: decides which requests wait for an endpoint, and which are refused at once.
 //!
-//! One [`Queue`] a pool. A request that is predicted to miss its deadline is refused when it
-//! arrives, with the time after which it would be admitted. Nothing is held back: what waits is
-//! started as soon as there is room, or refused at its deadline.
+//! Each pool has one [`Queue`]. A request that is predicted to miss its deadline is refused on
+//! arrival, with the time after which it would be admitted. The queue is work-conserving: a waiting
+//! request is started as soon as a slot is free, or refused at its deadline.
 
 mod queue;
 mod rate;
@@ -13,17 +13,17 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Names one request in a queue; never reused while the request is in it.
+/// Identifies a request in a queue; not reused while that request waits or runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct RequestKey(pub u64);
 
-/// Bounds of a queue.
+/// Limits of a [`Queue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most requests waiting, for each priority.
+    /// Maximum number of waiting requests of each priority.
     pub max_waiting: usize,
-    /// Longest Retry-After.
+    /// Upper bound of the returned Retry-After.
     pub max_retry_after: Duration,
 }
 
@@ -36,90 +36,90 @@
     }
 }
 
-/// One thing that happened.
+/// Input of a [`Queue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request came in.
+    /// A request arrived.
     Arrived {
-        /// Its name.
+        /// Key of the request.
         key: RequestKey,
-        /// Its priority.
+        /// Priority of the request.
         priority: Priority,
-        /// When its answer is worth nothing any more.
+        /// Time from which its answer is of no use.
         deadline: Time,
     },
-    /// A started request got its whole answer.
+    /// A started request got its complete answer. Its duration enters the estimate of service times.
     Finished {
-        /// Its name.
+        /// Key of the request.
         key: RequestKey,
     },
-    /// A started request ended in another way: how long that took says nothing of how long an
-    /// answer takes.
+    /// A started request ended without a complete answer, so its duration is not a service time.
     Aborted {
-        /// Its name.
+        /// Key of the request.
         key: RequestKey,
     },
-    /// A started request found no endpoint with room; it goes back to the front.
+    /// A started request found no endpoint with a free slot. It returns to the front of its queue.
     Requeued {
-        /// Its name.
+        /// Key of the request.
         key: RequestKey,
     },
-    /// The caller is gone before the request was started; one that was started must end by
-    /// `Finished` or `Aborted`.
+    /// The caller disconnected before the request was started. A started request must end with
+    /// `Finished` or `Aborted` instead.
     Cancelled {
-        /// Its name.
+        /// Key of the request.
         key: RequestKey,
     },
-    /// Requests that the pool's endpoints take at once from this entry (the sum of their limits).
+    /// The number of concurrent requests that the pool's endpoints accept from this entry changed.
     Capacity {
-        /// How many.
+        /// Sum of the concurrency limits of the endpoints.
         slots: u32,
     },
-    /// Time passed.
+    /// Time passed, or an endpoint may have a free slot.
     Tick,
 }
 
-/// What to do.
+/// Output of a [`Queue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     /// Route and send the request now.
     Start {
-        /// Its name.
+        /// Key of the request.
         #[serde(rename = "ticket")]
         key: RequestKey,
     },
-    /// Answer "not run" now.
+    /// Answer now that the request was not run.
     Refuse {
-        /// Its name.
+        /// Key of the request.
         #[serde(rename = "ticket")]
         key: RequestKey,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When the request would be admitted, by the queue's drain estimate.
+        /// Estimated time until the same request would be admitted.
         retry_after: Duration,
     },
 }
 
-/// Why a request is refused.
+/// Reason for which a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Its priority's queue is at its bound.
+    /// The queue of its priority is full.
     QueueFull,
-    /// It would be answered after its deadline.
+    /// It is predicted to finish after its deadline.
     TooLate,
-    /// Its deadline passed while it waited, or came too near: the estimate was too good.
+    /// Its deadline passed while it waited, or became too close to finish in time: the estimate on
+    /// arrival was too low.
     Expired,
-    /// The pool has no capacity at all.
+    /// The pool has no slots at all.
     NoCapacity,
 }
 
-/// What the queue expects of a request that arrives now.
+/// Predicted times of a request that arrives now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// Wait until its start.
+    /// Time until it is started.
     pub wait: Duration,
-    /// From its start to its end, for most requests.
+    /// Time from start to end within which most requests finish.
     pub service: Duration,
 }
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of one pool.
+//! Bounded queue of the requests of one pool, by priority and deadline.
 
 use super::{Action, Estimate, Event, Limits, Reason, RequestKey, rate::Rate};
 use crate::{Time, hash, route::Priority};
@@ -7,14 +7,14 @@
     time::Duration,
 };
 
-/// Priorities in the order of service.
+/// All priorities, highest first.
 const PRIORITIES: [Priority; 3] = [Priority::Live, Priority::Straggler, Priority::Bulk];
-/// Retry-After before any request has shown how long one takes.
+/// Retry-After while no service time is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Largest share by which Retry-After is made longer at random.
+/// Maximum random extension of Retry-After, as a fraction of it.
 const MAX_JITTER_SHARE: f64 = 0.1;
 
-/// Requests of one pool that wait for an endpoint.
+/// Queue of the requests of one pool that wait for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Queue {
     limits: Limits,
@@ -22,11 +22,11 @@
     waiting: BTreeMap<Priority, VecDeque<Request>>,
     deadlines: BTreeSet<(Time, RequestKey)>,
     running: BTreeMap<RequestKey, Running>,
-    /// Highest priority that found no endpoint although slots are free: nothing up to it starts
-    /// before something changes.
+    /// Highest priority of the requests that found no endpoint although slots are free. No request of
+    /// this or a lower priority starts until a request ends, the capacity changes or a tick comes.
     blocked_up_to: Option<Priority>,
     rate: Rate,
-    /// Place of the last Retry-After, for each priority: the next one comes after it.
+    /// Time of the last Retry-After of each priority; the next one is at least one completion later.
     last_retry_at: BTreeMap<Priority, Time>,
     seed: u64,
 }
@@ -35,7 +35,7 @@
 struct Request {
     key: RequestKey,
     deadline: Time,
-    /// Time from the arrival to the deadline.
+    /// Time from arrival to deadline.
     time_budget: Duration,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Queue {
-    /// An empty queue without capacity; the seed decides the jitter.
+    /// Creates an empty queue without slots. `seed` determines the jitter of Retry-After.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Self {
             limits,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Changes the bounds; what waits already stays.
+    /// Changes the limits; requests that wait already stay in the queue.
     pub const fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Takes in one event; returns what to do, in order.
+    /// Handles one event and returns the actions that follow, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let busy = self.is_busy();
         self.rate.advance(now, busy);
@@ -104,22 +104,22 @@
         actions
     }
 
-    /// When an [`Event::Tick`] is needed next: the earliest deadline of those that wait.
+    /// Time at which the next [`Event::Tick`] is needed: the earliest deadline of a waiting request.
     pub fn next_tick_at(&self) -> Option<Time> {
         self.deadlines.first().map(|(time, _)| *time)
     }
 
-    /// Requests of `priority` that wait.
+    /// Number of waiting requests of `priority`.
     pub fn waiting(&self, priority: Priority) -> usize {
         self.waiting[&priority].len()
     }
 
-    /// Requests that were started and haven't ended.
+    /// Number of requests that were started and have not ended.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// What a request of `priority` has to expect if it arrives now.
+    /// Predicts wait and service time of a request of `priority` that arrives now.
     pub fn estimate(&self, priority: Priority) -> Estimate {
         let service = Duration::from_secs_f64(self.rate.service_bound());
         Estimate {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether a request that must be answered within `budget` would be admitted now.
+    /// Whether a request that must be answered within `time_budget` would be admitted now.
     pub fn admits(&self, priority: Priority, time_budget: Duration) -> bool {
         self.refusal_reason(priority, time_budget).is_none()
     }
@@ -186,7 +186,7 @@
         self.blocked_up_to = self.blocked_up_to.max(Some(priority));
     }
 
-    /// Refuses what has waited until its deadline.
+    /// Refuses the waiting requests whose deadline has passed.
     fn expire(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
@@ -206,17 +206,18 @@
         }
     }
 
-    /// Whether a request has waited until it can't be answered in time, by the mean service time.
-    /// One that starts as it arrives gets its chance: else nothing would ever correct the mean.
+    /// Whether a request has waited so long that it cannot finish in time, by the estimate of service
+    /// times. A request that starts on arrival is never refused here; otherwise an estimate that is too
+    /// high would never be corrected.
     fn misses_deadline(&self, now: Time, request: &Request) -> bool {
         let left = request.deadline.since(now);
         let service = Duration::from_secs_f64(self.rate.service_bound());
         left < request.time_budget && left < service
     }
 
-    /// Starts what there is room for, live before straggler before bulk. What has waited too long
-    /// to be answered in time is refused in its stead: started, it would take the place of one
-    /// that still can be.
+    /// Starts as many requests as there are free slots, live before straggler before bulk. Requests
+    /// that can no longer finish in time are refused instead, as they would take the slots of
+    /// requests that still can.
     fn start_waiting(&mut self, now: Time, actions: &mut Vec<Action>) {
         while self.running.len() < self.slots as usize {
             let Some((priority, next)) = self.pop() else {
@@ -270,7 +271,7 @@
         self.slots > 0 && (full || self.blocked_up_to.is_some())
     }
 
-    /// Completions needed before a new request of `priority` starts.
+    /// Number of completions needed before a new request of `priority` starts.
     fn completions_before_start(&self, priority: Priority) -> f64 {
         let ahead: usize = self.waiting.range(priority..).map(|(_, q)| q.len()).sum();
         let free = i64::from(self.slots) - self.running.len() as i64;
@@ -283,12 +284,12 @@
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Time until the same request would be admitted: the queue must have drained so far that the
-    /// wait fits its budget.
+    /// Estimated time until the same request would be admitted, when the queue has drained so far that
+    /// the wait fits the request's time budget.
     ///
-    /// Requests refused together get places in a line, one completion apart, so that they don't
-    /// all come back for the same place. The line reaches one budget beyond the drain: under
-    /// lasting overload new arrivals take the places, and a longer line would be an idle promise.
+    /// Requests that are refused together get times one completion apart, so that they do not all
+    /// return for the same slot. These times end one time budget after the drain: under lasting
+    /// overload new arrivals take the slots, so a later time would not be kept either.
     fn retry_after(&mut self, now: Time, priority: Priority, request: Request) -> Duration {
         let Request {
             key, time_budget, ..
@@ -303,7 +304,7 @@
             .wait
             .saturating_sub(max_wait)
             .max(Duration::from_secs_f64(over_limit as f64 / rate));
-        // One completion at least, else the same refusal would come again.
+        // At least one completion; before that the request would be refused again.
         let one_completion = Duration::from_secs_f64(1.0 / rate);
         let previous = self
             .last_retry_at
--- a/crates/pinereel_core/src/admit/rate.rs
+++ b/crates/pinereel_core/src/admit/rate.rs
@@ -1,33 +1,34 @@
-//! How fast a pool finishes requests, measured while it is saturated.
+//! Estimates the throughput of a saturated pool and the service time of its requests.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Busy time over which the rate is averaged, in seconds.
+/// Time constant of the exponential average of the throughput, in seconds of saturated time.
 const AVERAGING_SECONDS: f64 = 10.0;
-/// Busy time from which the measured rate is trusted, in seconds.
+/// Minimum saturated time, in seconds, from which the measured throughput is used.
 const MIN_BUSY_SECONDS: f64 = 1.0;
-/// Mean distances from the mean within which most service times lie.
+/// Number of mean absolute deviations above the mean that bound most service times.
 const SERVICE_BOUND_DEVIATIONS: f64 = 2.0;
-/// Share of a new service time in the moving average.
+/// Weight of a new sample in the moving averages of service times.
 const SERVICE_TIME_GAIN: f64 = 0.1;
 
-/// Completions a second while all slots are taken, and the mean time of a request.
+/// Completions per second while all slots are taken, and the service time of a request.
 ///
-/// Time in which slots are free says nothing about how fast a queue would drain, so it doesn't
-/// count. Before there is enough busy time, slots by mean service time stand in for the rate.
+/// Only saturated time counts, since the throughput with free slots does not tell how fast a queue
+/// drains. Until there is enough of it, the number of slots divided by the mean service time is
+/// used instead.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rate {
     completions: f64,
     busy_seconds: f64,
     updated_at: Time,
     mean_service: Option<f64>,
-    /// Mean distance of a service time from the mean.
+    /// Mean absolute deviation of service times, in seconds.
     mean_deviation: f64,
 }
 
 impl Rate {
-    /// Time passed; `busy` says whether all slots were taken in it.
+    /// Accounts for the time until `now`; `busy` says whether all slots were taken meanwhile.
     pub(super) fn advance(&mut self, now: Time, busy: bool) {
         let elapsed = now.since(self.updated_at).as_secs_f64();
         self.updated_at = self.updated_at.max(now);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A request ended `took` after its start; `busy` says whether all slots were taken.
+    /// Counts a request that finished `took` after its start; `busy` says whether all slots were taken.
     pub(super) fn finished(&mut self, took: Duration, busy: bool) {
         if busy {
             self.completions += 1.0;
@@ -50,14 +51,14 @@
         self.mean_deviation += SERVICE_TIME_GAIN * (deviation.abs() - self.mean_deviation);
     }
 
-    /// A request ended without an answer; it made room all the same.
+    /// Counts a request that ended without a complete answer; it frees a slot all the same.
     pub(super) fn aborted(&mut self, busy: bool) {
         if busy {
             self.completions += 1.0;
         }
     }
 
-    /// Requests a second that a full pool finishes; `None` before anything was measured.
+    /// Completions per second of a saturated pool; `None` while no request has finished.
     pub(super) fn per_second(&self, slots: u32) -> Option<f64> {
         if self.busy_seconds >= MIN_BUSY_SECONDS && self.completions > 0.0 {
             return Some(self.completions / self.busy_seconds);
@@ -66,7 +67,7 @@
         Some(f64::from(slots) / mean_service)
     }
 
-    /// Time within which most requests end, in seconds; zero before the first.
+    /// Time within which most requests finish, in seconds; zero before the first one.
     pub(super) fn service_bound(&self) -> f64 {
         self.mean_service.unwrap_or_default() + SERVICE_BOUND_DEVIATIONS * self.mean_deviation
     }
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -1,4 +1,4 @@
-//! Admission: bounds hold, nothing is held, and Retry-After is honest.
+//! Admission control: limits hold, no request waits beyond its deadline, and Retry-After is accurate.
 
 use pinereel_core::{
     Time,
@@ -20,18 +20,18 @@
     max_waiting: 8,
     max_retry_after: Duration::from_secs(60),
 };
-const ORDER: [Priority; 3] = [Priority::Bulk, Priority::Straggler, Priority::Live];
+const PRIORITIES: [Priority; 3] = [Priority::Bulk, Priority::Straggler, Priority::Live];
 
-/// What the oracle knows of the queue: who waits and who runs.
+/// Reference model of the queue: which requests wait and which run.
 #[derive(Default)]
-struct Oracle {
+struct Model {
     waiting: BTreeMap<RequestKey, (Priority, Time)>,
     running: Vec<RequestKey>,
     priorities: BTreeMap<RequestKey, (Priority, Time)>,
 }
 
-impl Oracle {
-    fn take(&mut self, actions: &[Action], now: Time, slots: u32) {
+impl Model {
+    fn apply(&mut self, actions: &[Action], now: Time, slots: u32) {
         for action in actions {
             match *action {
                 Action::Start { key } => {
@@ -65,75 +65,81 @@
     fn all_are_started_or_answered_by_their_deadline(
         ops in vec((0..12u8, 0..400u64, 0..3usize, 1..3_000u64), 1..200),
     ) {
-        let (mut now, mut slots, mut oracle) = (Time::ZERO, 0, Oracle::default());
+        let (mut now, mut slots, mut model) = (Time::ZERO, 0, Model::default());
         let mut queue = Queue::new(LIMITS, 5);
-        for (number, (op, wait, priority, budget)) in ops.into_iter().enumerate() {
+        for (number, (op, wait, priority, time_budget)) in ops.into_iter().enumerate() {
             now = now + Duration::from_millis(wait);
             let mut blocked = false;
             let event = match op {
                 0..6 => {
                     let key = RequestKey(number as u64);
-                    let (priority, deadline) = (ORDER[priority], now + Duration::from_millis(budget));
-                    oracle.waiting.insert(key, (priority, deadline));
-                    oracle.priorities.insert(key, (priority, deadline));
+                    let (priority, deadline) = (PRIORITIES[priority], now + Duration::from_millis(time_budget));
+                    model.waiting.insert(key, (priority, deadline));
+                    model.priorities.insert(key, (priority, deadline));
                     Event::Arrived { key, priority, deadline }
                 }
-                6..9 if !oracle.running.is_empty() => {
-                    let key = oracle.running.remove(0);
+                6..9 if !model.running.is_empty() => {
+                    let key = model.running.remove(0);
                     Event::Finished { key }
                 }
-                9 if !oracle.running.is_empty() => {
-                    let key = oracle.running.remove(0);
-                    oracle.waiting.insert(key, oracle.priorities[&key]);
+                9 if !model.running.is_empty() => {
+                    let key = model.running.remove(0);
+                    model.waiting.insert(key, model.priorities[&key]);
                     blocked = true;
                     Event::Requeued { key }
                 }
-                10 => match oracle.waiting.keys().next().copied() {
+                10 => match model.waiting.keys().next().copied() {
                     Some(key) => {
-                        oracle.waiting.remove(&key);
+                        model.waiting.remove(&key);
                         Event::Cancelled { key }
                     }
                     None => Event::Tick,
                 },
                 11 => {
-                    slots = (budget % 5) as u32;
+                    slots = (time_budget % 5) as u32;
                     Event::Capacity { slots }
                 }
                 _ => Event::Tick,
             };
             let actions = queue.step(now, event);
             if blocked {
-                // The returned one and those below it wait; only higher ones may start.
+                // The requeued request and those of lower priority wait; only higher priorities may start.
                 for action in &actions {
                     if let Action::Start { key } = action {
-                        oracle.running.push(*key);
-                        oracle.waiting.remove(key);
+                        model.running.push(*key);
+                        model.waiting.remove(key);
                     }
                 }
                 let refused: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).copied().collect();
-                oracle.take(&refused, now, slots);
+                model.apply(&refused, now, slots);
             } else {
-                oracle.take(&actions, now, slots.max(oracle.running.len() as u32));
+                model.apply(&actions, now, slots.max(model.running.len() as u32));
             }
-            prop_assert!(oracle.waiting.values().all(|(_, deadline)| *deadline > now), "held beyond");
-            prop_assert_eq!(queue.running(), oracle.running.len());
-            for priority in ORDER {
-                let count = oracle.waiting.values().filter(|(p, _)| *p == priority).count();
+            prop_assert!(model.waiting.values().all(|(_, deadline)| *deadline > now), "held beyond");
+            prop_assert_eq!(queue.running(), model.running.len());
+            for priority in PRIORITIES {
+                let count = model.waiting.values().filter(|(p, _)| *p == priority).count();
                 prop_assert_eq!(queue.waiting(priority), count);
-                // One that was returned may stand one beyond the bound for each slot.
+                // Requeued requests may exceed the limit, by one for each slot.
                 prop_assert!(count <= LIMITS.max_waiting + 5);
             }
-            let first = oracle.waiting.values().map(|(_, deadline)| *deadline).min();
+            let first = model.waiting.values().map(|(_, deadline)| *deadline).min();
             prop_assert_eq!(queue.next_tick_at(), first);
         }
     }
 }
 
-fn arrive(queue: &mut Queue, at: u64, key: u64, priority: Priority, budget: u64) -> Vec<Action> {
+fn arrive(
+    queue: &mut Queue,
+    at: u64,
+    key: u64,
+    priority: Priority,
+    time_budget: u64,
+) -> Vec<Action> {
     let event = Event::Arrived {
         key: RequestKey(key),
         priority,
-        deadline: Time::from_millis(at + budget),
+        deadline: Time::from_millis(at + time_budget),
     };
     queue.step(Time::from_millis(at), event)
 }
@@ -141,7 +147,7 @@
 #[test]
 fn live_before_straggler_before_bulk() {
     let mut queue = Queue::new(LIMITS, 1);
-    for (key, priority) in ORDER.into_iter().enumerate() {
+    for (key, priority) in PRIORITIES.into_iter().enumerate() {
         queue.step(Time::ZERO, Event::Capacity { slots: 1 });
         arrive(&mut queue, 0, 10 + key as u64, priority, 90_000);
     }
@@ -170,24 +176,25 @@
         panic!("{actions:?}");
     };
     assert_eq!(reason, Reason::QueueFull);
-    // Another priority has its own bound.
+    // Each priority has its own limit.
     assert!(arrive(&mut queue, 0, 10, Priority::Live, 60_000).is_empty());
 }
 
-/// Four slots of 150 to 250 ms each (20 a second) and requests with a budget of 800 ms for a
-/// minute, so many in each millisecond. A refused one comes back when it was
-/// told to, up to five times. The error is against the first moment at which any would be admitted.
+/// Simulates one minute of a pool with four slots and service times of 150 to 250 ms (20 requests per
+/// second), where `arrivals` gives the number of requests in each millisecond. Requests have a time
+/// budget of 800 ms. A refused one is sent again after its Retry-After, up to five times. The error
+/// of a Retry-After is its difference to the first time at which a request would be admitted.
 fn simulate(arrivals: impl Fn(u64) -> u64) -> String {
-    // Served counts only what was answered within its budget.
+    // `served` counts only requests that finished within their time budget.
     let mut queue = Queue::new(Limits::default(), 3);
     queue.step(Time::ZERO, Event::Capacity { slots: 4 });
     let mut finish: BTreeSet<(u64, u64)> = BTreeSet::new();
-    let mut back: BTreeSet<(u64, u64)> = BTreeSet::new();
-    let mut asked: Vec<u64> = Vec::new();
+    let mut retries: BTreeSet<(u64, u64)> = BTreeSet::new();
+    let mut announced: Vec<u64> = Vec::new();
     let mut deadlines: BTreeMap<u64, u64> = BTreeMap::new();
     let (mut errors, mut returned, mut admitted, mut expired, mut served, mut late) =
         (Vec::new(), 0, 0, 0, 0, 0);
-    let budget = Duration::from_millis(800);
+    let time_budget = Duration::from_millis(800);
     for at in 0..60_000 {
         let mut actions = Vec::new();
         while let Some((when, key)) = finish.first().copied() {
@@ -206,11 +213,11 @@
             deadlines.insert(key, at + 800);
             actions.extend(arrive(&mut queue, at, key, Priority::Live, 800));
         }
-        while let Some((when, key)) = back.first().copied() {
+        while let Some((when, key)) = retries.first().copied() {
             if when > at {
                 break;
             }
-            back.remove(&(when, key));
+            retries.remove(&(when, key));
             returned += 1;
             deadlines.insert(key + 1, at + 800);
             let answer = arrive(&mut queue, at, key + 1, Priority::Live, 800);
@@ -219,9 +226,9 @@
             actions.extend(answer);
         }
         actions.extend(queue.step(Time::from_millis(at), Event::Tick));
-        // When would those who were told a time really have been admitted?
-        if queue.admits(Priority::Live, budget) {
-            errors.extend(asked.drain(..).map(|due| due as f64 - at as f64));
+        // Compares the announced times with the first time at which a request would be admitted.
+        if queue.admits(Priority::Live, time_budget) {
+            errors.extend(announced.drain(..).map(|due| due as f64 - at as f64));
         }
         for action in actions {
             match action {
@@ -237,20 +244,20 @@
                     key, retry_after, ..
                 } => {
                     let due = at + retry_after.as_millis() as u64;
-                    asked.push(due);
+                    announced.push(due);
                     if key.0 % 10 < 5 {
-                        back.insert((due, key.0));
+                        retries.insert((due, key.0));
                     }
                 }
             }
         }
     }
     let mean = errors.iter().sum::<f64>() / errors.len() as f64;
-    let wide = errors.iter().map(|e| e.abs()).sum::<f64>() / errors.len() as f64;
-    let told = errors.len();
+    let mean_absolute = errors.iter().map(|e| e.abs()).sum::<f64>() / errors.len() as f64;
+    let announced_count = errors.len();
     format!(
         "served {served} late {late} expired {expired} returned {returned} admitted on return {admitted}, \
-         told {told} error mean {mean:.0} ms, absolute {wide:.0} ms"
+         told {announced_count} error mean {mean:.0} ms, absolute {mean_absolute:.0} ms"
     )
 }
 
@@ -295,7 +302,8 @@
     queue.step(ms(0), Event::Capacity { slots: 1 });
     arrive(&mut queue, 0, 0, Priority::Live, 60_000);
     queue.step(ms(10_000), Event::Finished { key: RequestKey(0) });
-    // Ten seconds on average; with 500 ms it starts all the same, else the average never changes.
+    // The mean service time is ten seconds. A request with 500 ms left still starts in a free slot;
+    // otherwise the mean would never change.
     let start = Action::Start { key: RequestKey(1) };
     assert_eq!(arrive(&mut queue, 10_000, 1, Priority::Live, 500), [start]);
     let refused = arrive(&mut queue, 10_000, 2, Priority::Live, 500);
@@ -318,7 +326,7 @@
     }
     queue.step(ms(1_000), Event::Finished { key: RequestKey(0) });
     arrive(&mut queue, 1_000, 2, Priority::Live, 60_000);
-    // Admitted on the estimate of a wait of a second, which becomes longer.
+    // Admitted with an estimated wait of one second; the actual wait is longer.
     assert_eq!(arrive(&mut queue, 1_000, 3, Priority::Live, 2_100), []);
     assert_eq!(arrive(&mut queue, 1_000, 4, Priority::Live, 60_000), []);
     let actions = queue.step(ms(2_500), Event::Finished { key: RequestKey(1) });
