--- a/crates/pinereel_core/src/usage/aggregator.rs
+++ b/crates/pinereel_core/src/usage/aggregator.rs
@@ -1,31 +1,33 @@
-//! When a window's counts are added up.
+//! Decides when the reports of a window are summed up.
 
 use super::{Counts, Ledger, WallTime, Window};
 use std::{collections::BTreeMap, time::Duration};
 
-/// How long a collector waits for counts.
+/// Window length and delays of an [`Aggregator`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Length of a window.
     pub window_length: Duration,
-    /// A window is added up at once when all instances have closed it, but not sooner after its end.
+    /// Minimum delay after the end of a window before it is summed up, even if all instances have
+    /// closed it.
     pub min_delay: Duration,
-    /// It is added up so long after its end in any case.
+    /// Delay after the end of a window after which it is summed up even if reports are missing.
     pub max_delay: Duration,
-    /// A window that ended longer ago is not reported any more.
+    /// Windows that ended longer ago are skipped.
     pub max_age: Duration,
 }
 
-/// Adds windows up, one after the other, each once.
+/// Sums up the reports of the windows in order, each window once.
 #[derive(Clone, Debug)]
 pub struct Aggregator {
     timing: Timing,
-    /// The next window.
+    /// The first window without a stored sum.
     next: Window,
 }
 
 impl Aggregator {
-    /// Goes on after the last of the windows that were `fixed` before; with the window that `now` is in if there are none.
+    /// Continues after the last window whose sum is stored in `finalized`, or with the window that
+    /// contains `now` if there is none.
     pub fn new(timing: Timing, now: WallTime, finalized: &BTreeMap<Window, Counts>) -> Self {
         let mut aggregator = Self {
             timing,
@@ -37,15 +39,16 @@
         aggregator
     }
 
-    /// What is `fixed` was read again, after a sum that may not have been kept: another holder may have made some.
+    /// Continues after the last stored sum. Called when storing a sum failed and the sums were read
+    /// again, as another lease holder may have stored some.
     pub fn resume(&mut self, finalized: &BTreeMap<Window, Counts>) {
         if let Some((last, _)) = finalized.last_key_value() {
             self.mark_finalized(*last);
         }
     }
 
-    /// The next window and its counts, if it can be added up, with `instances` in all. It counts as added up with
-    /// [`Collector::fixed`].
+    /// Returns the next window and its sum, if it is due when `instances` instances report. The same
+    /// window is returned until [`Aggregator::mark_finalized`] is called.
     pub fn due(
         &mut self,
         now: WallTime,
@@ -67,7 +70,7 @@
         due.then(|| (self.next, ledger.total(self.next)))
     }
 
-    /// A window is added up, for good.
+    /// Records that the sum of a window is stored, so that it is not computed again.
     pub fn mark_finalized(&mut self, window: Window) {
         self.next = self.next.max(window.next());
     }
--- a/crates/pinereel_core/src/usage/instance_count.rs
+++ b/crates/pinereel_core/src/usage/instance_count.rs
@@ -1,13 +1,15 @@
-//! How many instances there are.
+//! Number of instances whose reports a window needs.
 
 use crate::Time;
 use std::time::Duration;
 
-/// An instance that is not counted any more is waited for so long: when the root changes, the others come to the next one
-/// little by little, and a sum without their counts would be wrong for good.
+/// Time for which a higher count is kept after it was last observed. When the root of the tree
+/// changes, the other instances join the new root one after the other, and a sum without their
+/// counts would stay wrong.
 const RETENTION: Duration = Duration::from_secs(15);
 
-/// The most instances that were seen lately, as a child or as the root.
+/// Highest number of instances that this instance observed recently, as a child or as the root of the
+/// tree.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InstanceCount {
     max_count: usize,
@@ -15,7 +17,7 @@
 }
 
 impl InstanceCount {
-    /// So many are there now.
+    /// Records the number of instances that are in the tree now.
     pub fn observe(&mut self, now: Time, count: usize) {
         if count >= self.max_count || now.since(self.max_seen_at) >= RETENTION {
             self.max_count = count;
@@ -23,7 +25,7 @@
         }
     }
 
-    /// How many counts to wait for.
+    /// Number of instances whose reports to wait for.
     pub const fn expected(&self) -> usize {
         self.max_count
     }
--- a/crates/pinereel_core/src/usage/ledger.rs
+++ b/crates/pinereel_core/src/usage/ledger.rs
@@ -1,39 +1,39 @@
-//! What an instance knows of all instances' counts.
+//! Replicated counts of all instances, merged by serial number.
 
 use super::{Counts, Window};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The whole count of one instance for one window.
+/// The complete count of one instance for one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Start of the instance that counted.
+    /// Id of the run of the instance that counted; a restarted instance has a new one.
     pub source: CompactString,
-    /// The window.
+    /// The window that was counted.
     pub window: Window,
-    /// Grows with each change: of two reports the one with more is the newer one.
+    /// Increases with each change, so the report with the higher serial is the newer one.
     pub serial: u64,
-    /// Whether nothing of the window is to come any more.
+    /// Whether the count is final.
     pub closed: bool,
-    /// The count.
+    /// Requests that began to run, by workspace.
     pub counts: Counts,
 }
 
-/// All counts that an instance knows of.
+/// The reports of all instances, as far as this instance knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     source: CompactString,
     reports: BTreeMap<Window, BTreeMap<CompactString, Report>>,
     unsent: BTreeSet<(Window, CompactString)>,
-    /// Own windows before this one are closed.
+    /// The first window that is open here; earlier ones take no more counts.
     first_open: Window,
-    /// Windows before this one are forgotten.
+    /// The first window that is kept; reports of earlier ones are dropped.
     first_kept: Window,
 }
 
 impl Ledger {
-    /// An empty ledger of the instance start `own`.
+    /// Creates an empty ledger; `source` identifies the run of this instance.
     pub fn new(source: impl Into<CompactString>) -> Self {
         Self {
             source: source.into(),
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Requests of a workspace began here, or, below zero, turn out not to have begun. A window that is closed takes nothing
-    /// more: what is late goes to the first open one.
+    /// Adds `change` to the count of a workspace: positive for requests that began to run here, negative
+    /// for requests that turned out not to have run. If the window is closed, the change goes to the
+    /// first open window.
     pub fn add(&mut self, window: Window, workspace: &str, change: i64) {
         let window = window.max(self.first_open);
         let report = self.own_report(window);
@@ -52,8 +53,8 @@
         self.unsent.insert((window, self.source.clone()));
     }
 
-    /// Closes all own windows up to `last`, those without any request too. The first one that is closed is the first that
-    /// this instance knows whole or in part.
+    /// Closes all windows up to `last`, also those without requests. The first call closes only `last`,
+    /// as this instance did not run during earlier windows.
     pub fn close(&mut self, last: Window) {
         let first = match self.first_open {
             Window(0) => last,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Another instance tells. What is news is told on.
+    /// Merges reports received from another instance. Those that are new are sent on.
     pub fn merge(&mut self, received: impl IntoIterator<Item = Report>) {
         for report in received {
             if report.window < self.first_kept || report.source == self.source {
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Whether others are to be told something.
+    /// Whether some reports have changed since they were last taken for sending.
     pub fn has_unsent(&self) -> bool {
         !self.unsent.is_empty()
     }
 
-    /// What others are to be told, at most `most` reports.
+    /// Takes up to `limit` changed reports to send to other instances.
     pub fn take_unsent(&mut self, limit: usize) -> Vec<Report> {
         let mut taken = Vec::new();
         while taken.len() < limit
@@ -115,13 +116,13 @@
         taken
     }
 
-    /// All that is known.
+    /// All known reports, for an instance that has none of them.
     pub fn all_reports(&self) -> Vec<Report> {
         let reports = self.reports.values().flat_map(BTreeMap::values);
         reports.cloned().collect()
     }
 
-    /// What was counted here in a window.
+    /// Counts of this instance for a window.
     pub fn own_counts(&self, window: Window) -> Counts {
         let report = self.reports.get(&window).and_then(|r| r.get(&self.source));
         report
@@ -129,14 +130,14 @@
             .unwrap_or_default()
     }
 
-    /// How many instances have closed a window.
+    /// Number of instances that have closed a window.
     pub fn closed_count(&self, window: Window) -> usize {
         let reports = self.reports.get(&window).into_iter();
         let closed = reports.flat_map(BTreeMap::values);
         closed.filter(|report| report.closed).count()
     }
 
-    /// The sum of all counts for a window; workspaces without a request are left out.
+    /// Sum of all known counts for a window, without workspaces that have no requests.
     pub fn total(&self, window: Window) -> Counts {
         let mut total = Counts::new();
         let reports = self.reports.get(&window).into_iter();
@@ -150,7 +151,7 @@
         total
     }
 
-    /// Forgets the windows before `first`.
+    /// Drops all windows before `first`.
     pub fn forget_before(&mut self, first: Window) {
         self.first_kept = self.first_kept.max(first);
         self.reports = self.reports.split_off(&first);
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -1,9 +1,10 @@
-//! How many requests of each workspace began to run, by window of true time.
+//! Usage metering: counts the requests of each workspace that began to run, by time window.
 //!
-//! Each instance counts its own ([`Ledger::count`]) and tells its count of a window whenever it has changed ([`Report`]): always
-//! all of it, with a serial number, so that reports may be lost, doubled and reordered on their way. Whoever collects adds
-//! them up once all instances have closed the window, or after some patience ([`Collector`]). What was once added up is kept,
-//! and never added up again: all later holders of the duty report the same.
+//! Each instance counts its own requests ([`Ledger::add`]) and sends its [`Report`] of a window
+//! whenever the count changes. A report holds the complete count and a serial number, so reports may
+//! be lost, duplicated and reordered in transit. The instance that holds the lease sums them up when
+//! all instances have closed the window, or after a timeout ([`Aggregator`]). The sum of a window is
+//! stored and never computed again, so all later lease holders report the same.
 
 mod aggregator;
 mod instance_count;
@@ -18,10 +19,10 @@
 use compact_str::CompactString;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Requests by workspace.
+/// Number of requests by workspace.
 pub type Counts = BTreeMap<CompactString, u64>;
 
-/// Number of a window: windows of one length, counted from the start of 1970.
+/// Index of a time window. Windows have one fixed length and are counted from the Unix epoch.
 #[derive(
     Clone,
     Copy,
@@ -36,17 +37,17 @@
 )]
 pub struct Window(pub u64);
 
-/// A moment of true time: milliseconds since the start of 1970.
+/// Wall-clock time in milliseconds since the Unix epoch, without jumps of the system clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// The window that the moment is in.
+    /// The window of the given length that contains this time.
     pub fn window(self, length: Duration) -> Window {
         Window(self.0 / millis(length))
     }
 
-    /// The moment `span` later.
+    /// The time `span` after this one.
     #[must_use]
     pub fn after(self, span: Duration) -> Self {
         Self(self.0 + millis(span))
@@ -54,12 +55,12 @@
 }
 
 impl Window {
-    /// Its end.
+    /// End of the window, for windows of the given length.
     pub fn end(self, length: Duration) -> WallTime {
         WallTime((self.0 + 1) * millis(length))
     }
 
-    /// The one after it.
+    /// The following window.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/pinereel_core/src/usage/wall_clock.rs
+++ b/crates/pinereel_core/src/usage/wall_clock.rs
@@ -1,28 +1,29 @@
-//! True time, from a time of day that may jump.
+//! Wall-clock time that follows the drift of the system clock, but not its jumps.
 
 use super::WallTime;
 use crate::Time;
 use std::time::Duration;
 
-/// The time of day is taken for true again if it has told the same for so long: it was set right. Jumps that go back by
-/// themselves last some seconds.
+/// Time after which a step of the system clock is accepted as a correction. Temporary jumps revert
+/// within seconds.
 const MIN_STEP_AGE: Duration = Duration::from_secs(120);
-/// Difference that is a drift and no jump.
+/// Maximum difference, in milliseconds, that counts as drift; a larger one is a step.
 const MAX_DRIFT_MS: i64 = 40;
-/// Part of a drift that is made up for with each look.
+/// Each observation corrects the drift divided by this.
 const DRIFT_DIVISOR: i64 = 8;
 
-/// True time: what the time of day told at first, carried on by a clock that goes on while the machine is suspended.
+/// Wall clock: the first reading of the system clock, advanced by a monotonic clock that also runs
+/// while the instance is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
-    /// Milliseconds of the time of day at the start of the steady clock.
+    /// Unix time, in milliseconds, at the zero of the monotonic clock.
     offset_ms: i64,
-    /// Another offset that the time of day tells, and since when.
+    /// Offset of the system clock after a step that is not accepted yet, and when it was first observed.
     step: Option<(i64, Time)>,
 }
 
 impl WallClock {
-    /// Starts with what the time of day, in milliseconds since 1970, tells `now`.
+    /// Creates a clock that shows the system time `unix_ms`, in milliseconds, at `now`.
     pub fn new(now: Time, unix_ms: u64) -> Self {
         Self {
             offset_ms: clock_offset(now, unix_ms),
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Looks at the time of day: a drift is followed, a jump is not.
+    /// Takes a reading of the system clock, in milliseconds: drift is followed, a step is ignored until
+    /// it has lasted long enough.
     pub fn observe(&mut self, now: Time, unix_ms: u64) {
         let observed = clock_offset(now, unix_ms);
         let drift = observed - self.offset_ms;
@@ -50,7 +52,7 @@
         }
     }
 
-    /// True time at a moment of the steady clock.
+    /// Wall-clock time at a time of the monotonic clock.
     pub fn wall_time(&self, now: Time) -> WallTime {
         let millis = self.offset_ms.saturating_add(monotonic_ms(now));
         WallTime(u64::try_from(millis).unwrap_or(0))
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -1,7 +1,8 @@
-//! Counts of requests on their way to one report a window.
+//! Usage metering, from the counts of the instances to one report for each window.
 //!
-//! No window's usage was ever reported: of the worth of a day 0.20 to 0.27 went so. Two reports of one window with other counts break a
-//! rule, so that what was once added up is never added up again.
+//! A window whose usage is not reported is lost; without any report, 0.20 to 0.27 of a day's worth is
+//! lost. Two different reports of one window violate the platform's rules, so a stored sum is never
+//! computed again.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
@@ -20,7 +21,7 @@
     max_delay: Duration::from_secs(5),
     max_age: Duration::from_secs(10),
 };
-/// A window, and its end in milliseconds.
+/// The window of most tests, and its end in milliseconds.
 const WINDOW: Window = Window(100);
 const END: u64 = 505_000;
 
@@ -38,7 +39,7 @@
     b.add(WINDOW, "w", 1);
     b.add(WINDOW, "x", 1);
     root.add(WINDOW, "x", 3);
-    // One turns out not to have run.
+    // One request turns out not to have run.
     b.add(WINDOW, "x", -1);
     for ledger in [&mut a, &mut b, &mut root] {
         ledger.close(WINDOW);
@@ -87,7 +88,8 @@
     assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "once");
 }
 
-/// The holder dies between fixing and sending: its successor has the sum from the store, and goes on after it.
+/// The lease holder stops after storing a sum and before sending it. Its successor reads the sum from the
+/// store and continues with the next window.
 #[test]
 fn a_successor_adds_nothing_up_again() {
     let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
@@ -97,7 +99,7 @@
     assert_eq!(aggregator.due(WallTime(END + 9_000), &ledger, 1), None);
     let next = aggregator.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
     assert_eq!(next, Some((WINDOW.next(), counts(&[]))));
-    // Nobody collected for a long time: what is too late is left.
+    // After a long time without a lease holder, windows that are too old are skipped.
     let much_later = WallTime(END + 60_000);
     let mut aggregator = Aggregator::new(TIMING, much_later, &finalized);
     let first = aggregator
@@ -106,7 +108,8 @@
     assert_eq!(first, Some(Window(WINDOW.0 + 10)));
 }
 
-/// The store takes no sum while a window ends, and none was ever kept: the window is still added up once it is back.
+/// The store is unavailable when the first sum is due. The window is summed up again when the store is
+/// back.
 #[test]
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
@@ -116,14 +119,14 @@
     aggregator.resume(&BTreeMap::new());
     let again = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(again, Some((WINDOW, counts(&[("w", 1)]))));
-    // Another holder has kept it.
+    // Another lease holder has stored the sum.
     aggregator.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
     let next = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(next, None);
 }
 
-/// The root is stopped: its successor first counts itself alone, then the others as they come. A sum of the few that have come
-/// would stand for good.
+/// The root of the tree stops. Its successor first counts only itself, then the others as they join it.
+/// A sum of the few that have joined would be final.
 #[test]
 fn a_new_root_waits_for_those_that_have_not_come_to_it_yet() {
     let mut instance_count = InstanceCount::default();
@@ -141,7 +144,7 @@
     let (mut dead, mut relay) = (Ledger::new("dead"), Ledger::new("relay"));
     dead.add(WINDOW, "w", 2);
     relay.merge(dead.take_unsent(9));
-    // Told to a root that is gone; the next one is told all again.
+    // These were sent to a root that has stopped; the next root gets all reports again.
     relay.take_unsent(9);
     let mut root = Ledger::new("next root");
     root.merge(relay.all_reports());
@@ -159,32 +162,32 @@
     assert!(now.abs_diff(506_000) <= 40, "{now}");
     clock.observe(at(8_000), 507_000);
     assert!(clock.wall_time(at(8_000)).0.abs_diff(507_000) <= 40);
-    // It was set right, for good.
+    // A step that lasts is accepted.
     clock.observe(at(9_000), 518_000);
     clock.observe(at(130_000), 639_000);
     assert_eq!(clock.wall_time(at(130_000)).0, 639_000);
 }
 
-/// What may happen to three instances and the way between them.
+/// Operations on three instances and the messages between them.
 #[derive(Clone, Debug)]
 enum Event {
-    Count {
+    Add {
         at: usize,
         window: u64,
         workspace: u8,
     },
-    Undo {
+    Subtract {
         at: usize,
         window: u64,
         workspace: u8,
     },
-    /// What is untold goes from one to the other; lost, once or twice.
-    Tell {
+    /// Sends the unsent reports from one instance to another; they arrive never, once or twice.
+    Send {
         from: usize,
         to: usize,
         times: usize,
     },
-    TellAll {
+    SendAll {
         from: usize,
         to: usize,
     },
@@ -194,51 +197,52 @@
     let (at, window, workspace) = (0..3_usize, 100..103_u64, 0..3_u8);
     prop_oneof![
         4 => (at.clone(), window.clone(), workspace.clone())
-            .prop_map(|(at, window, workspace)| Event::Count { at, window, workspace }),
+            .prop_map(|(at, window, workspace)| Event::Add { at, window, workspace }),
         1 => (at.clone(), window, workspace)
-            .prop_map(|(at, window, workspace)| Event::Undo { at, window, workspace }),
+            .prop_map(|(at, window, workspace)| Event::Subtract { at, window, workspace }),
         3 => (at.clone(), at.clone(), 0..3_usize)
-            .prop_map(|(from, to, times)| Event::Tell { from, to, times }),
-        1 => (at, Just(0_usize)).prop_map(|(from, to)| Event::TellAll { from, to }),
+            .prop_map(|(from, to, times)| Event::Send { from, to, times }),
+        1 => (at, Just(0_usize)).prop_map(|(from, to)| Event::SendAll { from, to }),
     ]
 }
 
 proptest! {
-    /// However news were lost, doubled and reordered: once all have told all, everyone has the same true sums.
+    /// Reports may be lost, duplicated and reordered. After all instances have exchanged all reports, each
+    /// has the same correct sums.
     #[test]
     fn all_instances_come_to_the_same_sums(events in prop::collection::vec(event(), 0..120)) {
         let mut ledgers = ["a", "b", "c"].map(Ledger::new);
-        let mut truth: BTreeMap<(u64, u8), [i64; 3]> = BTreeMap::new();
+        let mut expected_counts: BTreeMap<(u64, u8), [i64; 3]> = BTreeMap::new();
         let mut late: Vec<Report> = Vec::new();
         for event in events {
             match event {
-                Event::Count { at, window, workspace } => {
+                Event::Add { at, window, workspace } => {
                     let name = format_compact!("w{workspace}");
                     ledgers[at].add(Window(window), &name, 1);
-                    truth.entry((window, workspace)).or_default()[at] += 1;
+                    expected_counts.entry((window, workspace)).or_default()[at] += 1;
                 }
-                Event::Undo { at, window, workspace } => {
-                    let known = truth.entry((window, workspace)).or_default();
+                Event::Subtract { at, window, workspace } => {
+                    let known = expected_counts.entry((window, workspace)).or_default();
                     if known[at] > 0 {
                         known[at] -= 1;
                         let name = format_compact!("w{workspace}");
                         ledgers[at].add(Window(window), &name, -1);
                     }
                 }
-                Event::Tell { from, to, times } => {
-                    let told = ledgers[from].take_unsent(2);
-                    late.extend(told.clone());
+                Event::Send { from, to, times } => {
+                    let sent = ledgers[from].take_unsent(2);
+                    late.extend(sent.clone());
                     for _ in 0..times {
-                        ledgers[to].merge(told.clone());
+                        ledgers[to].merge(sent.clone());
                     }
                 }
-                Event::TellAll { from, to } => {
+                Event::SendAll { from, to } => {
                     let all = ledgers[from].all_reports();
                     ledgers[to].merge(all);
                 }
             }
         }
-        // Old reports that come last change nothing.
+        // Old reports that arrive last change nothing.
         for from in 0..3 {
             for to in 0..3 {
                 let all = ledgers[from].all_reports();
@@ -247,7 +251,7 @@
             }
         }
         for window in 100..103 {
-            let sum = |workspace| truth.get(&(window, workspace)).map_or(0, |c| c.iter().sum::<i64>());
+            let sum = |workspace| expected_counts.get(&(window, workspace)).map_or(0, |c| c.iter().sum::<i64>());
             let expected: Counts = (0..3_u8)
                 .filter(|workspace| sum(*workspace) > 0)
                 .map(|workspace| (format_compact!("w{workspace}"), sum(workspace) as u64))
