--- a/crates/pinereel_core/src/budget.rs
+++ b/crates/pinereel_core/src/budget.rs
@@ -1,27 +1,27 @@
-//! Budgets for extra attempts: retries and hedges may add only a share to the work.
+//! Retry budget: a token bucket that limits retries and hedged requests to a fraction of the load.
 
 use crate::Time;
 
-/// What fills a [`Bucket`], and how much it holds.
+/// Fill rates and capacity of a [`Bucket`]; one token allows one additional attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Extra attempts for each success (0.1 allows one in ten).
+    /// Tokens added for each successful request; 0.1 allows one additional attempt in ten.
     pub tokens_per_success: f64,
-    /// Extra attempts a second that are always allowed, so that quiet times can retry too.
+    /// Tokens added per second regardless of load, so that retries are possible at low load too.
     pub tokens_per_second: f64,
-    /// Most extra attempts saved up.
+    /// Maximum number of tokens in the bucket.
     pub burst: f64,
 }
 
 impl Settings {
-    /// For retries after a failure that is known not to have run, or may run twice.
+    /// For retries of requests that did not run, or may run twice.
     pub const RETRY: Self = Self {
         tokens_per_success: 0.1,
         tokens_per_second: 1.0,
         burst: 20.0,
     };
 
-    /// For duplicates of a slow request; tighter, since the first attempt still runs.
+    /// For hedged duplicates of a slow request. Tighter, as the first attempt is still running.
     pub const HEDGE: Self = Self {
         tokens_per_success: 0.02,
         tokens_per_second: 0.2,
@@ -29,9 +29,10 @@
     };
 }
 
-/// A token bucket of extra attempts.
+/// Token bucket of additional attempts.
 ///
-/// Over any time it grants at most `burst + share x successes + min_rate x seconds`.
+/// Over any period it grants at most
+/// `burst + tokens_per_success x successes + tokens_per_second x seconds` attempts.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     settings: Settings,
@@ -40,7 +41,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub const fn new(settings: Settings, now: Time) -> Self {
         Self {
             settings,
@@ -49,13 +50,13 @@
         }
     }
 
-    /// A request got its whole answer.
+    /// Adds tokens for a request that got its complete answer.
     pub fn note_success(&mut self, now: Time) {
         self.refill(now);
         self.add(self.settings.tokens_per_success);
     }
 
-    /// Takes one extra attempt; false if the budget is used up.
+    /// Takes a token for one additional attempt; false if there is none.
     pub fn try_take(&mut self, now: Time) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -65,7 +66,7 @@
         true
     }
 
-    /// Extra attempts saved up.
+    /// Tokens in the bucket.
     pub const fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/crates/pinereel_core/src/drain.rs
+++ b/crates/pinereel_core/src/drain.rs
@@ -1,78 +1,77 @@
-//! The graceful stop of an entry.
+//! Graceful shutdown of an entry: readiness off, requests finished, samples and leases handed over.
 //!
 //! ```text
 //! Serving -> Announced -> Finishing -> HandingOver -> Done
 //! ```
 //!
-//! Each phase follows the one before it and none is skipped, also when nothing is in flight. A
-//! further signal changes nothing.
+//! No phase is skipped, even if nothing is in flight. Further stop requests have no effect.
 
 use crate::Time;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Longest times of the phases.
+/// Time limits of the phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long the balancer may still send new requests after readiness is off.
+    /// Time for which the load balancer may still send new requests after readiness is off.
     pub balancer_lag: Duration,
-    /// Longest wait for requests in flight, after the lag.
+    /// Maximum wait for requests in flight, after the lag of the load balancer.
     pub max_finish: Duration,
-    /// Longest wait for the hand-over of samples and leases.
+    /// Maximum wait for the handover of samples and leases.
     pub max_hand_over: Duration,
 }
 
-/// Where a stop stands.
+/// Phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Readiness is off; new requests are still taken, since the balancer lags.
+    /// Readiness is off. New requests are still accepted, as the load balancer reacts with a delay.
     Announced,
-    /// No new requests; those in flight go on.
+    /// New requests are refused; those in flight continue.
     Finishing,
-    /// Finished samples and leases are handed over.
+    /// Finished samples and leases are being handed over.
     HandingOver,
-    /// The process may end.
+    /// The process may exit.
     Done,
 }
 
-/// One thing that happened.
+/// Input of a [`StateMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A stop was asked for.
+    /// A shutdown was requested.
     StopRequested,
-    /// Requests in flight now.
+    /// Present number of requests in flight.
     InFlight(u32),
-    /// All samples and leases are handed over.
+    /// All samples and leases have been handed over.
     HandedOver,
     /// Time passed.
     Tick,
 }
 
-/// What to do.
+/// Output of a [`StateMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Answer "not ready" and tell peers.
+    /// Report "not ready" to the load balancer and to peers.
     ReadinessOff,
-    /// Refuse new requests as not run.
+    /// Refuse new requests, with the answer that they were not run.
     StopAccepting,
-    /// Hand over finished samples, release leases, then tell [`Event::HandedOver`].
+    /// Hand over finished samples and release leases, then send [`Event::HandedOver`].
     HandOver,
-    /// Log what was left when a phase ran out of time.
+    /// Log what was unfinished when a phase exceeded its time limit.
     Report {
-        /// Phase that ran out of time.
+        /// Phase that exceeded its time limit.
         phase: Phase,
         /// Requests still in flight.
         left: u32,
     },
-    /// End the process with exit code 0.
+    /// Exit the process with code 0.
     Exit,
 }
 
-/// The state machine of one entry's stop.
+/// State machine of the shutdown of one entry.
 #[derive(Clone, Debug)]
 pub struct StateMachine {
     settings: Settings,
@@ -83,7 +82,7 @@
 }
 
 impl StateMachine {
-    /// A serving entry.
+    /// Creates the state machine of an entry that serves requests.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -94,28 +93,28 @@
         }
     }
 
-    /// The phase.
+    /// The present phase.
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether to answer "ready".
+    /// Whether the entry reports "ready".
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether to take new requests.
+    /// Whether the entry accepts new requests.
     pub fn accepts_requests(&self) -> bool {
         self.phase <= Phase::Announced
     }
 
-    /// When a [`Event::Tick`] is needed next.
+    /// Time at which the next [`Event::Tick`] is needed; `None` if none is.
     pub fn next_tick_at(&self) -> Option<Time> {
         let is_waiting = !matches!(self.phase, Phase::Serving | Phase::Done);
         is_waiting.then_some(self.phase_deadline)
     }
 
-    /// Takes in one event; returns what to do, in order.
+    /// Handles one event and returns the actions that follow, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -133,7 +132,7 @@
         actions
     }
 
-    /// Goes on by one phase if its time has come.
+    /// Enters the next phase if the present one is over; returns the action of that transition.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) -> Option<Action> {
         let is_overdue = now >= self.phase_deadline;
         match self.phase {
--- a/crates/pinereel_core/src/fair.rs
+++ b/crates/pinereel_core/src/fair.rs
@@ -1,21 +1,21 @@
-//! Weighted fairness between trainers that share engines: start-time fair queueing.
+//! Start-time fair queueing between trainers that share engines.
 //!
-//! Every flow (a trainer) has a virtual finish time that grows with the work it was given, divided
-//! by its weight. The backlogged flow that may start earliest goes next. A flow that was idle
-//! starts at the present virtual time, so it cannot save up a claim.
+//! Each flow (a trainer) has a virtual finish time that grows with the cost of the work it was given,
+//! divided by its weight. The backlogged flow with the earliest virtual start time is served next. A
+//! flow that was idle starts at the present virtual time, so it accumulates no credit.
 
 use compact_str::CompactString;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Priority of work at an engine; a higher class goes first, whatever the weights.
+/// Priority class of work at an engine. Work of a higher class is served first, whatever the weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Ordinary samples.
+    /// Ordinary samples of a step.
     #[default]
     Bulk,
-    /// Samples that hold up a step.
+    /// Samples that delay the end of a step.
     Straggler,
-    /// Callers that wait.
+    /// Requests of callers that wait for the answer.
     Live,
 }
 
@@ -23,7 +23,7 @@
     /// All classes, highest first.
     pub const ALL: [Self; 3] = [Self::Live, Self::Straggler, Self::Bulk];
 
-    /// The number that engines take.
+    /// The priority as engines expect it; a higher number goes first.
     pub const fn number(self) -> u8 {
         self as u8
     }
@@ -32,10 +32,11 @@
 /// Virtual time per unit of cost at weight 1.
 const VIRTUAL_TIME_PER_COST: u64 = 1_000;
 
-/// Most flows remembered; the one that lies furthest back is forgotten first.
+/// Maximum number of flows with a stored finish time. Flows whose finish time has passed are evicted
+/// first.
 const MAX_FLOWS: usize = 1_024;
 
-/// Who has had how much of a shared resource.
+/// Virtual times of the flows that share a resource.
 #[derive(Clone, Debug, Default)]
 pub struct Scheduler {
     finish_times: BTreeMap<CompactString, u64>,
@@ -43,7 +44,7 @@
 }
 
 impl Scheduler {
-    /// Which of the `backlogged` flows goes next; ties go to the first in order of name.
+    /// The one of the `backlogged` flows that is served next; ties go to the first by name.
     pub fn next_flow<'a>(&self, backlogged: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
         let starts = backlogged
             .into_iter()
@@ -51,7 +52,7 @@
         starts.min().map(|(_, flow)| flow)
     }
 
-    /// Notes that `flow` was given work of `cost` units; a weight of 0 counts as 1.
+    /// Charges `flow` for work of `cost` units. A weight or cost of 0 counts as 1.
     pub fn charge(&mut self, flow: &str, weight: u32, cost: u64) {
         let start = self.start_time(flow);
         self.virtual_time = self.virtual_time.max(start);
@@ -67,7 +68,8 @@
             .map_or(self.virtual_time, |f| self.virtual_time.max(*f))
     }
 
-    /// A flow whose finish time has passed is as good as unknown.
+    /// Evicts flows if there are too many. A flow whose finish time has passed is equivalent to an
+    /// unknown one.
     fn evict_flows(&mut self) {
         if self.finish_times.len() <= MAX_FLOWS {
             return;
@@ -80,7 +82,7 @@
     }
 }
 
-/// A queue by class, then by weighted share, then first in first out.
+/// Bounded queue, ordered by class, then by fair share of the flows, then first in, first out.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     classes: BTreeMap<Class, BTreeMap<CompactString, VecDeque<Item<T>>>>,
@@ -97,7 +99,7 @@
 }
 
 impl<T> Queue<T> {
-    /// An empty queue of at most `limit` items.
+    /// Creates an empty queue of at most `max_len` items.
     pub const fn new(max_len: usize) -> Self {
         Self {
             classes: BTreeMap::new(),
@@ -110,20 +112,20 @@
         }
     }
 
-    /// Items waiting.
+    /// Number of queued items.
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue has no items.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an item of `flow`.
+    /// Appends an item to the queue of `flow`. Its cost and weight are charged when it is taken.
     ///
     /// # Errors
-    /// Gives the item back if the queue is full.
+    /// Returns the item if the queue is full.
     pub fn push(
         &mut self,
         flow: &str,
@@ -145,7 +147,7 @@
         Ok(())
     }
 
-    /// Takes the next item.
+    /// Removes the next item and charges its flow.
     pub fn pop(&mut self) -> Option<T> {
         let (class, flows) = self.classes.iter_mut().next_back()?;
         let class = *class;
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -1,9 +1,10 @@
-//! How many endpoints of a service each availability zone should have.
+//! Autoscaling: decides how many endpoints of a service each availability zone should have.
 //!
-//! Load pattern: each trainer asks for a step's items at once, and waits for nearly all of them. Where items wait for a slot for longer than most
-//! texts take, the step is late while engines could be had. So there are as many more engines as give those items a slot, within
-//! the operator's bounds. What is added is of the cheap kind, if there is one: an endpoint that is taken away at short notice costs
-//! its texts the time of reading a prompt again.
+//! Each trainer requests the items of a step at once and waits for nearly all of them. If items wait
+//! for a slot longer than most texts take, the step is late although more engines are available. So
+//! the [`Autoscaler`] adds as many endpoints as give those items a slot, within the operator's limits.
+//! Spot endpoints are preferred: the loss of one at short notice only costs the time to process the
+//! prompts of its texts again.
 
 use crate::Time;
 use compact_str::CompactString;
@@ -12,73 +13,74 @@
     time::Duration,
 };
 
-/// Fewer endpoints are asked for only once so many were enough for so long: a step comes every few seconds, and an endpoint that
-/// comes back has to start first.
+/// Time for which a lower number of endpoints must suffice before it is requested. A step comes every
+/// few seconds, and a new endpoint has to start first.
 const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
-/// Endpoints are added if they are one of so many of the usual ones, or more: each that comes or goes changes which model others serve,
-/// and loads each version.
+/// Endpoints are added only if the shortage is at least the baseline divided by this. Each endpoint
+/// that joins or leaves changes which model others serve, and has to load each version.
 const MIN_SHORTAGE_DIVISOR: u32 = 2;
-/// After an order that was declined or lost its zone is asked again after so long.
+/// Delay before the next request to a zone whose last request was declined or lost.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Endpoints that were ordered are listed after their start, and so long after that at the latest.
+/// Maximum time from the start of a requested endpoint until it is listed.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(3);
 
-/// What the operator allows and says.
+/// The operator's limits and the properties of the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Most endpoints in a zone, of both kinds together.
+    /// Maximum number of endpoints in a zone, regular and spot together.
     pub max_per_zone: u32,
-    /// Time from an order until its endpoints serve.
+    /// Time from a request until its endpoints serve.
     pub startup_time: Duration,
-    /// Whether there is a cheap kind, which may be taken away at short notice.
+    /// Whether to request spot endpoints, which are cheaper and may be reclaimed at short notice.
     pub use_spot: bool,
 }
 
-/// A zone of the service, as the list shows it.
+/// An availability zone of the service, as the endpoint list shows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Zone {
-    /// What an endpoint costs there, against others.
+    /// Price of an endpoint, relative to other zones.
     pub price: f64,
-    /// Endpoints of the usual kind.
+    /// Number of regular endpoints.
     pub regular: u32,
-    /// Endpoints of the cheap kind.
+    /// Number of spot endpoints.
     pub spot: u32,
 }
 
-/// An order: so many endpoints of one kind in a zone.
+/// Request for a total number of endpoints of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The zone.
+    /// Name of the availability zone.
     pub zone: CompactString,
-    /// Number of endpoints of that kind.
+    /// Requested total of endpoints of that kind in the zone.
     pub count: u32,
-    /// Whether of the cheap kind.
+    /// Whether spot endpoints are requested, instead of regular ones.
     pub spot: bool,
 }
 
-/// What was asked for in a zone.
+/// The last request for a zone.
 #[derive(Clone, Copy, Debug)]
 struct LastRequest {
     count: u32,
     requested_at: Time,
-    /// Not before then, after an order that brought nothing.
+    /// No further request before this time, after one that failed.
     next_request_at: Time,
-    /// Whether the last order was declined or lost.
+    /// Whether the request was declined or lost.
     failed: bool,
 }
 
-/// Decides about the orders of one service.
+/// Decides which endpoints to request for one service.
 #[derive(Clone, Debug, Default)]
 pub struct Autoscaler {
-    /// Endpoints of the usual kind that each zone had when this began: only what is added is decided here.
+    /// Number of regular endpoints of each zone at the start. Only additions to it are decided here.
     baseline: BTreeMap<CompactString, u32>,
     last_requests: BTreeMap<CompactString, LastRequest>,
-    /// Numbers of endpoints that were lacking lately.
+    /// Shortages during the last [`SCALE_DOWN_DELAY`], with their times.
     recent_shortages: VecDeque<(Time, u32)>,
 }
 
 impl Autoscaler {
-    /// The orders that are due, with `lacking` endpoints more than the usual ones. Each is answered for with [`Sizer::answered`].
+    /// Returns the requests that are due when `shortage` endpoints beyond the baseline are needed. The
+    /// caller reports the result of each with [`Autoscaler::note_result`].
     pub fn due_requests(
         &mut self,
         now: Time,
@@ -89,7 +91,7 @@
         for (name, zone) in zones {
             let baseline = self.baseline.entry(name.clone()).or_insert(zone.regular);
             if settings.use_spot {
-                // Those that crashed come back; none of them is an added one.
+                // Regular endpoints that crashed come back and are not additions.
                 *baseline = zone.regular.max(*baseline).min(settings.max_per_zone);
             }
         }
@@ -118,7 +120,7 @@
         requests
     }
 
-    /// An order was carried out or not.
+    /// Records whether the last request for a zone was carried out.
     pub fn note_result(&mut self, now: Time, zone: &str, succeeded: bool) {
         if let Some(last) = self.last_requests.get_mut(zone) {
             last.failed = !succeeded;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The most that was lacking lately: those that were added are why less is lacking now.
+    /// Highest recent shortage, since the endpoints that were added reduce the present one.
     fn peak_shortage(&mut self, now: Time, shortage: u32) -> u32 {
         self.recent_shortages.push_back((now, shortage));
         self.recent_shortages
@@ -151,8 +153,8 @@
         self.last_requests.insert(zone.clone(), request);
     }
 
-    /// So many more endpoints, spread evenly over the zones; what is left over goes to the cheapest. A zone that has just declined
-    /// counts with what it has.
+    /// Distributes `added` endpoints evenly over the zones, the remainder to the cheapest ones. A zone
+    /// whose last request failed recently gets no more than it has.
     fn distribute(
         &self,
         now: Time,
@@ -198,7 +200,7 @@
         distributed
     }
 
-    /// Endpoints of a zone that were added here.
+    /// Number of endpoints of a zone beyond the baseline.
     fn added(&self, settings: Settings, name: &str, zone: &Zone) -> u32 {
         match settings.use_spot {
             true => zone.spot,
@@ -226,10 +228,10 @@
             return true;
         }
         if target < last.count {
-            // It took the part of a zone that had none for a while.
+            // The zone may have taken the share of a zone that had no capacity for a while.
             return now.since(last.requested_at) >= SCALE_DOWN_DELAY;
         }
-        // The list answers for what was ordered.
+        // Requests again if the list does not show the requested endpoints in time.
         let has_settled = now.since(last.requested_at) >= settings.startup_time + MAX_LISTING_DELAY;
         has_settled && self.added(settings, name, zone) < target
     }
--- a/crates/pinereel_core/tests/budget_bucket.rs
+++ b/crates/pinereel_core/tests/budget_bucket.rs
@@ -1,4 +1,4 @@
-//! Extra attempts never exceed their share.
+//! The token bucket never grants more additional attempts than its settings allow.
 
 use pinereel_core::{
     Time,
--- a/crates/pinereel_core/tests/drain_machine.rs
+++ b/crates/pinereel_core/tests/drain_machine.rs
@@ -1,4 +1,4 @@
-//! A stop skips no phase, cuts nothing early, and always ends.
+//! A shutdown skips no phase, interrupts no request before the time limit, and always ends.
 
 use pinereel_core::{
     Time,
@@ -37,32 +37,32 @@
     #[test]
     fn phases_come_in_order_and_in_time(steps in vec((0..9_000u64, event()), 1..60)) {
         let (mut now, mut machine) = (Time::ZERO, StateMachine::new(SETTINGS));
-        let (mut signal, mut in_flight, mut log) = (None, 0, Vec::new());
+        let (mut stop_requested_at, mut in_flight, mut log) = (None, 0, Vec::new());
         for (millis, event) in steps {
             now = now + Duration::from_millis(millis);
-            if event == Event::StopRequested && signal.is_none() {
-                signal = Some(now);
+            if event == Event::StopRequested && stop_requested_at.is_none() {
+                stop_requested_at = Some(now);
             }
             if let Event::InFlight(count) = event {
                 in_flight = count;
             }
             let actions = machine.step(now, event);
             if actions.contains(&Action::HandOver) && in_flight > 0 {
-                let least = signal.unwrap() + SETTINGS.balancer_lag + SETTINGS.max_finish;
+                let least = stop_requested_at.unwrap() + SETTINGS.balancer_lag + SETTINGS.max_finish;
                 prop_assert!(now >= least, "cut before the limit");
                 let left = Action::Report { phase: Phase::Finishing, left: in_flight };
                 prop_assert!(actions.contains(&left), "what is left is reported");
             }
             if actions.contains(&Action::StopAccepting) {
-                prop_assert!(now >= signal.unwrap() + SETTINGS.balancer_lag);
+                prop_assert!(now >= stop_requested_at.unwrap() + SETTINGS.balancer_lag);
             }
-            prop_assert_eq!(machine.is_ready(), signal.is_none());
+            prop_assert_eq!(machine.is_ready(), stop_requested_at.is_none());
             prop_assert_eq!(machine.next_tick_at().is_none(), !(Phase::Announced..Phase::Done).contains(&machine.phase()));
             log.extend(actions.into_iter().filter(|a| !matches!(a, Action::Report { .. })));
             let order = [Action::ReadinessOff, Action::StopAccepting, Action::HandOver, Action::Exit];
             prop_assert!(order.starts_with(&log), "{:?}", log);
         }
-        // However it stands, the limits bring it to its end.
+        // From any phase, the time limits lead to the end.
         machine.step(now, Event::StopRequested);
         for _ in 0..3 {
             if let Some(wake) = machine.next_tick_at() {
--- a/crates/pinereel_core/tests/fair_queue.rs
+++ b/crates/pinereel_core/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing: classes first, shares by weight, bounded.
+//! Fair queueing: higher classes first, shares in proportion to weights, bounded length.
 
 use pinereel_core::fair::{Class, Queue};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -56,7 +56,7 @@
         for _ in 0..400 {
             let (flow, cost) = queue.pop().unwrap();
             got[flow] += cost;
-            // Shares by weight differ by at most the largest item of each.
+            // Weighted shares differ by at most the largest item of each flow.
             let a = got[0] as f64 / f64::from(wa);
             let b = got[1] as f64 / f64::from(wb);
             let most = ca as f64 / f64::from(wa) + cb as f64 / f64::from(wb);
--- a/crates/pinereel_core/tests/scale_sizer.rs
+++ b/crates/pinereel_core/tests/scale_sizer.rs
@@ -1,9 +1,11 @@
-//! How many endpoints each zone should have.
+//! Number of endpoints that the autoscaler requests for each zone.
 //!
-//! Four trainers ask for 464 items at once, 44 engines have 264 slots, and 44 more of the cheap kind would cost 0.002 of a day's worth. But an engine for
-//! each six items made steps no earlier (0.661 and 0.690 of worth against 0.698 and 0.699 with none, five days each), nor did one for each six that
-//! waited 1.5 s for a slot (0.658 against 0.704, four days): the longest text alone decides, and each engine that comes or goes changes which
-//! model others serve. So engines are added only where half as many as there are were lacking.
+//! Four trainers request 464 items at once, 44 engines have 264 slots, and 44 more spot engines cost
+//! 0.002 of a day's worth. But one engine more for each six items makes steps no earlier (worth 0.661
+//! and 0.690, against 0.698 and 0.699 without, five days each), nor does one for each six items that
+//! wait 1.5 s for a slot (0.658 against 0.704, four days). The longest text alone decides how long a
+//! step takes, and each engine that joins or leaves changes which model others serve. So engines are
+//! added only if the shortage is at least half of the present number.
 
 use compact_str::CompactString;
 use pinereel_core::{
@@ -44,7 +46,7 @@
         .collect()
 }
 
-/// Gives orders that are all carried out.
+/// Takes the due requests and reports all of them as carried out.
 fn request(autoscaler: &mut Autoscaler, now: Time, shortage: u32, zones: &Zones) -> Vec<Request> {
     let requests = autoscaler.due_requests(now, SETTINGS, shortage, zones);
     for request in &requests {
@@ -84,7 +86,7 @@
     assert_eq!(shown(&few), [], "too few to be worth it");
 }
 
-/// Load pattern: steps come every four seconds, and between them nothing is asked for.
+/// Steps come every four seconds, and between them no slot is needed.
 #[test]
 fn engines_are_kept_between_steps_and_given_back_after_a_minute() {
     let mut autoscaler = Autoscaler::default();
@@ -107,7 +109,7 @@
     );
 }
 
-/// Load pattern: all cheap endpoints of a zone are taken away, and for seconds there are none to be had there.
+/// All spot endpoints of a zone are reclaimed, and for seconds the zone has no capacity for others.
 #[test]
 fn a_zone_that_has_none_is_asked_again_and_others_take_its_part() {
     let mut autoscaler = Autoscaler::default();
@@ -122,7 +124,7 @@
         shown(&others),
         [("a", 8, true), ("c", 8, true), ("d", 8, true)]
     );
-    // It has some again: the others give theirs back, but not at once.
+    // The zone has capacity again. The others release their additional endpoints after the delay.
     let later = request(&mut autoscaler, at(10_100), 24, &there);
     assert_eq!(shown(&later), [("b", 6, true)]);
     let much_later = request(&mut autoscaler, at(69_000), 24, &zones(6));
@@ -130,7 +132,7 @@
     assert_eq!(shown(&much_later), expected);
 }
 
-/// An order without an answer may be carried out later; it is given again.
+/// A request without an answer may still be carried out later; it is repeated.
 #[test]
 fn an_order_that_is_lost_is_given_again_after_a_pause() {
     let mut autoscaler = Autoscaler::default();
