--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -256,7 +256,7 @@
             .iter()
             .flat_map(|(priority, queue)| queue.iter().map(|w| (*priority, *w)))
             .find(|(_, waiting)| waiting.key == key)
-            .expect("whatever has a deadline waits")
+            .expect("every stored deadline belongs to a waiting request")
     }
 
     fn remove(&mut self, key: RequestKey) {
--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -18,7 +18,7 @@
 
 /// Minimum work that a model is counted with, as a fraction of the mean of all models. A model with
 /// little work keeps some engines, as its next step may be large.
-const MIN_QUOTA_SHARE: f64 = 0.4;
+const MIN_WEIGHT_SHARE: f64 = 0.4;
 /// Minimum change of a model's quota, in engines, for a reassignment. Each reassigned engine costs
 /// a load, and the mean work of four lots differs by a tenth from that of the next four.
 const MIN_QUOTA_CHANGE: usize = 3;
@@ -80,7 +80,7 @@
     let mean = (total as f64 / known.count().max(1) as f64).max(1.0);
     let weight = |demand: &Demand| match demand.tokens {
         0 => mean,
-        tokens => (tokens as f64).max(MIN_QUOTA_SHARE * mean),
+        tokens => (tokens as f64).max(MIN_WEIGHT_SHARE * mean),
     };
     let weights: Vec<f64> = demands.iter().map(weight).collect();
     let total_weight: f64 = weights.iter().sum();
@@ -90,9 +90,10 @@
     let mut quotas: Vec<usize> = ideal.iter().map(|ideal| (*ideal as usize).max(1)).collect();
     // The remainder goes to the models that are furthest below their ideal quota.
     while quotas.iter().sum::<usize>() < engines {
-        let lack = |at: &usize| ideal[*at] - quotas[*at] as f64;
-        let neediest = (0..quotas.len()).max_by(|a, b| lack(a).total_cmp(&lack(b)).then(b.cmp(a)));
-        let Some(at) = neediest else { break };
+        let deficit = |at: &usize| ideal[*at] - quotas[*at] as f64;
+        let most_deficient =
+            (0..quotas.len()).max_by(|a, b| deficit(a).total_cmp(&deficit(b)).then(b.cmp(a)));
+        let Some(at) = most_deficient else { break };
         quotas[at] += 1;
     }
     quotas
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -17,8 +17,11 @@
     pub(super) settings: Settings,
     pub(super) lease: Option<Lease>,
     pub(super) target: Option<Version>,
+    /// When the target became known or the lease was acquired, whichever was later.
     target_since: Time,
+    /// Whether [`Action::Complete`] was returned for the target.
     is_complete: bool,
+    /// Moving average of the time that a load takes.
     mean_load_time: Duration,
     pub(super) engines: BTreeMap<CompactString, Engine>,
     /// Fencing token of the last lease that was held.
@@ -238,10 +241,10 @@
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let ordered = matches!(engine.phase, Phase::Ordered { .. });
+        let was_ordered = matches!(engine.phase, Phase::Ordered { .. });
         engine.status = status;
         engine.status_at = Some(now);
-        if !ordered {
+        if !was_ordered {
             engine.init_phase(status, now, &settings);
         } else if engine.note_load_failure(now, name, &settings) {
             actions.push(quarantine_action(name, engine));
@@ -293,8 +296,8 @@
         status: Status,
         actions: &mut Vec<Action>,
     ) {
-        let held = self.lease.is_some_and(|lease| lease.fence == fence);
-        let Some(engine) = self.engines.get_mut(name).filter(|_| held) else {
+        let is_current = self.lease.is_some_and(|lease| lease.fence == fence);
+        let Some(engine) = self.engines.get_mut(name).filter(|_| is_current) else {
             return;
         };
         if let Phase::Ordered { is_accepted, .. } = &mut engine.phase {
@@ -350,13 +353,13 @@
 
     fn issue_reads(&mut self, now: Time, actions: &mut Vec<Action>) {
         let in_flight = self.engines.values().filter(|e| e.read_since.is_some());
-        let room = self.settings.max_reads.saturating_sub(in_flight.count());
+        let free_reads = self.settings.max_reads.saturating_sub(in_flight.count());
         let (mean_load_time, settings) = (self.mean_load_time, self.settings);
         let due = self
             .engines
             .iter_mut()
             .filter(|(_, e)| e.needs_read(now, mean_load_time, &settings));
-        for (name, engine) in due.take(room) {
+        for (name, engine) in due.take(free_reads) {
             engine.read_since = Some(now);
             let name = name.clone();
             actions.push(Action::Read { name });
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -153,13 +153,13 @@
         self.last_requests.insert(zone.clone(), request);
     }
 
-    /// Distributes `added` endpoints evenly over the zones, the remainder to the cheapest ones. A zone
+    /// Distributes `additional` endpoints evenly over the zones, the remainder to the cheapest ones. A zone
     /// whose last request failed recently gets no more than it has.
     fn distribute(
         &self,
         now: Time,
         settings: Settings,
-        added: u32,
+        additional: u32,
         zones: &BTreeMap<CompactString, Zone>,
     ) -> BTreeMap<CompactString, u32> {
         let mut capacities: Vec<_> = zones
@@ -182,7 +182,7 @@
             .collect();
         capacities.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
         let mut distributed: BTreeMap<CompactString, u32> = BTreeMap::new();
-        let mut left = added;
+        let mut left = additional;
         while left > 0 {
             let mut placed = false;
             for (_, name, capacity) in &capacities {
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -40,7 +40,10 @@
                     let first = self.waiting.values().all(|(p, _)| *p <= priority);
                     assert!(first, "a lower priority overtook");
                     self.running.push(key);
-                    assert!(self.running.len() <= slots as usize, "beyond the slots");
+                    assert!(
+                        self.running.len() <= slots as usize,
+                        "more requests than slots"
+                    );
                 }
                 Action::Refuse {
                     key, retry_after, ..
@@ -115,7 +118,7 @@
             } else {
                 model.apply(&actions, now, slots.max(model.running.len() as u32));
             }
-            prop_assert!(model.waiting.values().all(|(_, deadline)| *deadline > now), "held beyond");
+            prop_assert!(model.waiting.values().all(|(_, deadline)| *deadline > now), "waits beyond its deadline");
             prop_assert_eq!(queue.running(), model.running.len());
             for priority in PRIORITIES {
                 let count = model.waiting.values().filter(|(p, _)| *p == priority).count();
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -237,7 +237,7 @@
         let out = self.engines.values().filter(|e| e.ordered_out).count();
         assert!(
             self.engines.len() - out >= needed,
-            "orders took it under the floor"
+            "orders left fewer engines in service than required"
         );
         let loading = self
             .engines
@@ -246,7 +246,7 @@
             .count();
         assert!(
             loading <= self.settings.max_loads,
-            "beyond the store's rate"
+            "more concurrent loads than allowed"
         );
     }
 
