--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -275,9 +275,7 @@
 /// Takes a retry from the pool's budget and counts it; false if the budget is used up.
 pub fn retry(shared: &Shared, pool: &CompactString) -> bool {
     let mut granted = false;
-    with(shared, pool, |pool, now| {
-        granted = pool.budget.try_take(now)
-    });
+    with(shared, pool, |pool, now| granted = pool.budget.take(now));
     if granted {
         shared.metrics.retries.with_label_values(&[pool]).inc();
     }
--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -48,7 +48,8 @@
         /// Time from which its answer is of no use.
         deadline: Time,
     },
-    /// A started request got its complete answer. Its duration enters the estimate of service times.
+    /// A started request got its complete answer. Its duration enters the estimate of service
+    /// times.
     Finished {
         /// Key of the request.
         key: RequestKey,
--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -22,11 +22,13 @@
     waiting: BTreeMap<Priority, VecDeque<Request>>,
     deadlines: BTreeSet<(Time, RequestKey)>,
     running: BTreeMap<RequestKey, Running>,
-    /// Highest priority of the requests that found no endpoint although slots are free. No request of
-    /// this or a lower priority starts until a request ends, the capacity changes or a tick comes.
+    /// Highest priority of the requests that found no endpoint although slots are free. No request
+    /// of this or a lower priority starts until a request ends, the capacity changes or a tick
+    /// comes.
     blocked_up_to: Option<Priority>,
     rate: Rate,
-    /// Time of the last Retry-After of each priority; the next one is at least one completion later.
+    /// Time of the last Retry-After of each priority; the next one is at least one completion
+    /// later.
     last_retry_at: BTreeMap<Priority, Time>,
     seed: u64,
 }
@@ -104,7 +106,8 @@
         actions
     }
 
-    /// Time at which the next [`Event::Tick`] is needed: the earliest deadline of a waiting request.
+    /// Time at which the next [`Event::Tick`] is needed: the earliest deadline of a waiting
+    /// request.
     pub fn next_tick_at(&self) -> Option<Time> {
         self.deadlines.first().map(|(time, _)| *time)
     }
@@ -206,9 +209,9 @@
         }
     }
 
-    /// Whether a request has waited so long that it cannot finish in time, by the estimate of service
-    /// times. A request that starts on arrival is never refused here; otherwise an estimate that is too
-    /// high would never be corrected.
+    /// Whether a request has waited so long that it cannot finish in time, by the estimate of
+    /// service times. A request that starts on arrival is never refused here; otherwise an estimate
+    /// that is too high would never be corrected.
     fn misses_deadline(&self, now: Time, request: &Request) -> bool {
         let left = request.deadline.since(now);
         let service = Duration::from_secs_f64(self.rate.service_bound());
@@ -284,8 +287,8 @@
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Estimated time until the same request would be admitted, when the queue has drained so far that
-    /// the wait fits the request's time budget.
+    /// Estimated time until the same request would be admitted, when the queue has drained so far
+    /// that the wait fits the request's time budget.
     ///
     /// Requests that are refused together get times one completion apart, so that they do not all
     /// return for the same slot. These times end one time budget after the drain: under lasting
--- a/crates/pinereel_core/src/admit/rate.rs
+++ b/crates/pinereel_core/src/admit/rate.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Counts a request that finished `took` after its start; `busy` says whether all slots were taken.
+    /// Counts a request that finished `took` after its start; `busy` says whether all slots were
+    /// taken.
     pub(super) fn finished(&mut self, took: Duration, busy: bool) {
         if busy {
             self.completions += 1.0;
--- a/crates/pinereel_core/src/budget.rs
+++ b/crates/pinereel_core/src/budget.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes a token for one additional attempt; false if there is none.
-    pub fn try_take(&mut self, now: Time) -> bool {
+    pub fn take(&mut self, now: Time) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
             return false;
--- a/crates/pinereel_core/src/fair.rs
+++ b/crates/pinereel_core/src/fair.rs
@@ -1,13 +1,14 @@
 //! Start-time fair queueing between trainers that share engines.
 //!
-//! Each flow (a trainer) has a virtual finish time that grows with the cost of the work it was given,
-//! divided by its weight. The backlogged flow with the earliest virtual start time is served next. A
-//! flow that was idle starts at the present virtual time, so it accumulates no credit.
+//! Each flow (a trainer) has a virtual finish time that grows with the cost of the work it was
+//! given, divided by its weight. The backlogged flow with the earliest virtual start time is served
+//! next. A flow that was idle starts at the present virtual time, so it accumulates no credit.
 
 use compact_str::CompactString;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Priority class of work at an engine. Work of a higher class is served first, whatever the weights.
+/// Priority class of work at an engine. Work of a higher class is served first, whatever the
+/// weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
     /// Ordinary samples of a step.
@@ -32,8 +33,8 @@
 /// Virtual time per unit of cost at weight 1.
 const VIRTUAL_TIME_PER_COST: u64 = 1_000;
 
-/// Maximum number of flows with a stored finish time. Flows whose finish time has passed are evicted
-/// first.
+/// Maximum number of flows with a stored finish time. Flows whose finish time has passed are
+/// evicted first.
 const MAX_FLOWS: usize = 1_024;
 
 /// Virtual times of the flows that share a resource.
--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -4,8 +4,8 @@
 //! seconds and loads of one second, keeping all engines at the newest version of all models takes
 //! several times the loads that the weight store allows, and no engine is up to date for any model.
 //! So each engine is kept up to date for one model only. The engines are divided in proportion to
-//! the work of the models: with equal shares, the steps with long texts wait for slots while engines
-//! of other models are idle.
+//! the work of the models: with equal shares, the steps with long texts wait for slots while
+//! engines of other models are idle.
 
 use super::rank;
 use crate::hash;
@@ -102,8 +102,8 @@
 /// Maximum number of engines that may load at the same time for a model that has `own` of the
 /// `shared` engines, at least one.
 ///
-/// The limit for all models together follows from the number of all `listed` engines and is at least
-/// `min_loads`.
+/// The limit for all models together follows from the number of all `listed` engines and is at
+/// least `min_loads`.
 pub fn max_loads(listed: usize, shared: usize, own: usize, min_loads: usize) -> usize {
     let all = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
     // Rounds to the nearest integer.
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -168,8 +168,9 @@
             return;
         };
         // Another instance may have held the lease and changed the engines, so their status is read
-        // again. An unchanged token rules that out: with 2,200 engines, reading all of them again after
-        // a late renewal delays the next renewal as well, and the holder never issues an order.
+        // again. An unchanged token rules that out: with 2,200 engines, reading all of them again
+        // after a late renewal delays the next renewal as well, and the holder never issues an
+        // order.
         if self.last_fence.replace(lease.fence) != Some(lease.fence) {
             self.engines.values_mut().for_each(|e| e.reset_phase(now));
             self.target_since = now;
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -46,8 +46,8 @@
     pub(super) status_at: Option<Time>,
     /// When it was first observed with its present version.
     pub(super) version_since: Time,
-    /// Whether a load report or a stale status differs from the known status; the engine is then read
-    /// again after the poll interval.
+    /// Whether a load report or a stale status differs from the known status; the engine is then
+    /// read again after the poll interval.
     pub(super) report_differs: bool,
     /// When the read in flight was sent, if there is one.
     pub(super) read_since: Option<Time>,
@@ -98,7 +98,8 @@
         };
     }
 
-    /// Marks the status as unknown. Failure counts and delays are kept, as they describe the engine.
+    /// Marks the status as unknown. Failure counts and delays are kept, as they describe the
+    /// engine.
     pub(super) fn reset_phase(&mut self, now: Time) {
         if !matches!(self.phase, Phase::Unknown { .. }) {
             self.phase = Phase::Unknown { since: now };
@@ -114,8 +115,8 @@
         self.unanswered_calls += 1;
     }
 
-    /// Whether connections to it keep failing. Such an engine neither serves nor loads, so it counts
-    /// neither as an engine in service nor as a load in progress.
+    /// Whether connections to it keep failing. Such an engine neither serves nor loads, so it
+    /// counts neither as an engine in service nor as a load in progress.
     pub(super) fn is_unreachable(&self) -> bool {
         self.failed_connects >= UNREACHABLE_AFTER_FAILED_CONNECTS
     }
@@ -136,9 +137,9 @@
 
     /// Whether a status predates the end of the engine's last load.
     ///
-    /// The platform's list shows a new version sooner than the engine's own report, which may be about
-    /// 100 ms old. Without this check, such reports look as if an engine had lost its version, 54 times
-    /// on a quiet day.
+    /// The platform's list shows a new version sooner than the engine's own report, which may be
+    /// about 100 ms old. Without this check, such reports look as if an engine had lost its
+    /// version, 54 times on a quiet day.
     pub(super) fn is_stale(&self, status: &Status, now: Time) -> bool {
         status.version < self.status.version && now.since(self.version_since) < MAX_REPORT_AGE
     }
@@ -164,8 +165,8 @@
 
     /// Whether it must be ordered to load `target`, and the order may be issued now.
     ///
-    /// No order is issued while a read is in flight, as its answer could be mistaken for the effect of
-    /// the order.
+    /// No order is issued while a read is in flight, as its answer could be mistaken for the effect
+    /// of the order.
     pub(super) fn needs_order(&self, target: Version, now: Time, settings: &Settings) -> bool {
         if self.leaving || self.read_since.is_some() || now < self.next_order_at {
             return false;
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Counts a failed load and schedules the next order; returns whether the engine is quarantined.
+    /// Counts a failed load and schedules the next order; returns whether the engine is
+    /// quarantined.
     pub(super) fn note_load_failure(&mut self, now: Time, name: &str, settings: &Settings) -> bool {
         self.failures += 1;
         if self.failures < settings.max_failures {
--- a/crates/pinereel_core/src/rollout/mod.rs
+++ b/crates/pinereel_core/src/rollout/mod.rs
@@ -39,7 +39,8 @@
     pub load_timeout: Duration,
     /// Timeout for the answer to an order or a read.
     pub answer_timeout: Duration,
-    /// Interval between reads of a loading engine, from shortly before the expected end of its load.
+    /// Interval between reads of a loading engine, from shortly before the expected end of its
+    /// load.
     pub poll_interval: Duration,
     /// Maximum age of the known status of an idle engine; an older one is read again. Also limits
     /// the backoff of reads without an answer.
@@ -116,11 +117,11 @@
         name: CompactString,
         /// Availability zone.
         zone: CompactString,
-        /// Outstanding requests. Of the engines that are furthest behind, those with the fewest load
-        /// first.
+        /// Outstanding requests. Of the engines that are furthest behind, those with the fewest
+        /// load first.
         outstanding: u32,
-        /// Whether it is shutting down; it then gets neither orders nor reads and is left out of the
-        /// plan.
+        /// Whether it is shutting down; it then gets neither orders nor reads and is left out of
+        /// the plan.
         leaving: bool,
     },
     /// The engine no longer belongs to the pool.
--- a/crates/pinereel_core/src/rollout/plan.rs
+++ b/crates/pinereel_core/src/rollout/plan.rs
@@ -20,8 +20,8 @@
     pub wave: usize,
     /// Remaining waves of loads.
     pub waves: usize,
-    /// Remaining time until all pending engines serve the target; `None` if the limits allow no load
-    /// at all.
+    /// Remaining time until all pending engines serve the target; `None` if the limits allow no
+    /// load at all.
     pub predicted: Option<Duration>,
 }
 
--- a/crates/pinereel_core/src/rollout/schedule.rs
+++ b/crates/pinereel_core/src/rollout/schedule.rs
@@ -53,9 +53,9 @@
         let needed = min_serving(reachable().count(), self.settings.min_serving_share);
         let serving = reachable().filter(|e| e.serves()).count();
         let mut spare_serving = serving.saturating_sub(needed);
-        // A load in progress may have ended since the last status. Replacing it is then a new load of an
-        // engine in service, so it must fit the limits too; late orders of a former holder may have
-        // exceeded them.
+        // A load in progress may have ended since the last status. Replacing it is then a new load
+        // of an engine in service, so it must fit the limits too; late orders of a former holder
+        // may have exceeded them.
         let may_replace = loading <= settings.max_loads && serving >= needed;
         let mut zones = self.candidates(target, now, may_replace);
         let mut out_of_service = self.out_of_service_by_zone();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Engines that need an order, by zone and each zone in reverse order, so that the best candidate
-    /// is last. Engines that are loading are left out unless `may_replace`.
+    /// Engines that need an order, by zone and each zone in reverse order, so that the best
+    /// candidate is last. Engines that are loading are left out unless `may_replace`.
     fn candidates(
         &self,
         target: Version,
--- a/crates/pinereel_core/src/rollout/working_set.rs
+++ b/crates/pinereel_core/src/rollout/working_set.rs
@@ -3,9 +3,9 @@
 //! Each trainer sends the items of a step at once, and a service may list many times the engines
 //! that the steps fill. Every engine in use costs a load, an order and a read for each version,
 //! connections, and an entry in each runner's view, so only a working set that grows with the work
-//! is used. Its members are the first engines in a stable order by id ([`rank`]): instances that see
-//! the same list agree on them without coordination, and an engine that leaves is replaced by the
-//! next in that order while all others stay.
+//! is used. Its members are the first engines in a stable order by id ([`rank`]): instances that
+//! see the same list agree on them without coordination, and an engine that leaves is replaced by
+//! the next in that order while all others stay.
 
 use super::Demand;
 use crate::hash;
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -1,10 +1,10 @@
 //! Autoscaling: decides how many endpoints of a service each availability zone should have.
 //!
-//! Each trainer requests the items of a step at once and waits for nearly all of them. If items wait
-//! for a slot longer than most texts take, the step is late although more engines are available. So
-//! the [`Autoscaler`] adds as many endpoints as give those items a slot, within the operator's limits.
-//! Spot endpoints are preferred: the loss of one at short notice only costs the time to process the
-//! prompts of its texts again.
+//! Each trainer requests the items of a step at once and waits for nearly all of them. If items
+//! wait for a slot longer than most texts take, the step is late although more engines are
+//! available. So the [`Autoscaler`] adds as many endpoints as give those items a slot, within the
+//! operator's limits. Spot endpoints are preferred: the loss of one at short notice only costs the
+//! time to process the prompts of its texts again.
 
 use crate::Time;
 use compact_str::CompactString;
@@ -13,8 +13,8 @@
     time::Duration,
 };
 
-/// Time for which a lower number of endpoints must suffice before it is requested. A step comes every
-/// few seconds, and a new endpoint has to start first.
+/// Time for which a lower number of endpoints must suffice before it is requested. A step comes
+/// every few seconds, and a new endpoint has to start first.
 const SCALE_DOWN_DELAY: Duration = Duration::from_secs(60);
 /// Endpoints are added only if the shortage is at least the baseline divided by this. Each endpoint
 /// that joins or leaves changes which model others serve, and has to load each version.
@@ -71,7 +71,8 @@
 /// Decides which endpoints to request for one service.
 #[derive(Clone, Debug, Default)]
 pub struct Autoscaler {
-    /// Number of regular endpoints of each zone at the start. Only additions to it are decided here.
+    /// Number of regular endpoints of each zone at the start. Only additions to it are decided
+    /// here.
     baseline: BTreeMap<CompactString, u32>,
     last_requests: BTreeMap<CompactString, LastRequest>,
     /// Shortages during the last [`SCALE_DOWN_DELAY`], with their times.
@@ -79,8 +80,8 @@
 }
 
 impl Autoscaler {
-    /// Returns the requests that are due when `shortage` endpoints beyond the baseline are needed. The
-    /// caller reports the result of each with [`Autoscaler::note_result`].
+    /// Returns the requests that are due when `shortage` endpoints beyond the baseline are needed.
+    /// The caller reports the result of each with [`Autoscaler::note_result`].
     pub fn due_requests(
         &mut self,
         now: Time,
@@ -153,8 +154,8 @@
         self.last_requests.insert(zone.clone(), request);
     }
 
-    /// Distributes `additional` endpoints evenly over the zones, the remainder to the cheapest ones. A zone
-    /// whose last request failed recently gets no more than it has.
+    /// Distributes `additional` endpoints evenly over the zones, the remainder to the cheapest
+    /// ones. A zone whose last request failed recently gets no more than it has.
     fn distribute(
         &self,
         now: Time,
--- a/crates/pinereel_core/src/usage/aggregator.rs
+++ b/crates/pinereel_core/src/usage/aggregator.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns the next window and its sum, if it is due when `instances` instances report. The same
-    /// window is returned until [`Aggregator::mark_finalized`] is called.
+    /// Returns the next window and its sum, if it is due when `instances` instances report. The
+    /// same window is returned until [`Aggregator::mark_finalized`] is called.
     pub fn due(
         &mut self,
         now: WallTime,
--- a/crates/pinereel_core/src/usage/instance_count.rs
+++ b/crates/pinereel_core/src/usage/instance_count.rs
@@ -8,8 +8,8 @@
 /// counts would stay wrong.
 const RETENTION: Duration = Duration::from_secs(15);
 
-/// Highest number of instances that this instance observed recently, as a child or as the root of the
-/// tree.
+/// Highest number of instances that this instance observed recently, as a child or as the root of
+/// the tree.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InstanceCount {
     max_count: usize,
--- a/crates/pinereel_core/src/usage/ledger.rs
+++ b/crates/pinereel_core/src/usage/ledger.rs
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Adds `change` to the count of a workspace: positive for requests that began to run here, negative
-    /// for requests that turned out not to have run. If the window is closed, the change goes to the
-    /// first open window.
+    /// Adds `change` to the count of a workspace: positive for requests that began to run here,
+    /// negative for requests that turned out not to have run. If the window is closed, the change
+    /// goes to the first open window.
     pub fn add(&mut self, window: Window, workspace: &str, change: i64) {
         let window = window.max(self.first_open);
         let report = self.own_report(window);
@@ -53,8 +53,8 @@
         self.unsent.insert((window, self.source.clone()));
     }
 
-    /// Closes all windows up to `last`, also those without requests. The first call closes only `last`,
-    /// as this instance did not run during earlier windows.
+    /// Closes all windows up to `last`, also those without requests. The first call closes only
+    /// `last`, as this instance did not run during earlier windows.
     pub fn close(&mut self, last: Window) {
         let first = match self.first_open {
             Window(0) => last,
--- a/crates/pinereel_core/src/usage/mod.rs
+++ b/crates/pinereel_core/src/usage/mod.rs
@@ -1,10 +1,10 @@
 //! Usage metering: counts the requests of each workspace that began to run, by time window.
 //!
 //! Each instance counts its own requests ([`Ledger::add`]) and sends its [`Report`] of a window
-//! whenever the count changes. A report holds the complete count and a serial number, so reports may
-//! be lost, duplicated and reordered in transit. The instance that holds the lease sums them up when
-//! all instances have closed the window, or after a timeout ([`Aggregator`]). The sum of a window is
-//! stored and never computed again, so all later lease holders report the same.
+//! whenever the count changes. A report holds the complete count and a serial number, so reports
+//! may be lost, duplicated and reordered in transit. The instance that holds the lease sums them up
+//! when all instances have closed the window, or after a timeout ([`Aggregator`]). The sum of a
+//! window is stored and never computed again, so all later lease holders report the same.
 
 mod aggregator;
 mod instance_count;
--- a/crates/pinereel_core/src/usage/wall_clock.rs
+++ b/crates/pinereel_core/src/usage/wall_clock.rs
@@ -18,7 +18,8 @@
 pub struct WallClock {
     /// Unix time, in milliseconds, at the zero of the monotonic clock.
     offset_ms: i64,
-    /// Offset of the system clock after a step that is not accepted yet, and when it was first observed.
+    /// Offset of the system clock after a step that is not accepted yet, and when it was first
+    /// observed.
     step: Option<(i64, Time)>,
 }
 
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Takes a reading of the system clock, in milliseconds: drift is followed, a step is ignored until
-    /// it has lasted long enough.
+    /// Takes a reading of the system clock, in milliseconds: drift is followed, a step is ignored
+    /// until it has lasted long enough.
     pub fn observe(&mut self, now: Time, unix_ms: u64) {
         let observed = clock_offset(now, unix_ms);
         let drift = observed - self.offset_ms;
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -1,4 +1,5 @@
-//! Admission control: limits hold, no request waits beyond its deadline, and Retry-After is accurate.
+//! Admission control: limits hold, no request waits beyond its deadline, and Retry-After is
+//! accurate.
 
 use pinereel_core::{
     Time,
@@ -106,7 +107,8 @@
             };
             let actions = queue.step(now, event);
             if blocked {
-                // The requeued request and those of lower priority wait; only higher priorities may start.
+                // The requeued request and those of lower priority wait; only higher priorities may
+                // start.
                 for action in &actions {
                     if let Action::Start { key } = action {
                         model.running.push(*key);
@@ -183,10 +185,10 @@
     assert!(arrive(&mut queue, 0, 10, Priority::Live, 60_000).is_empty());
 }
 
-/// Simulates one minute of a pool with four slots and service times of 150 to 250 ms (20 requests per
-/// second), where `arrivals` gives the number of requests in each millisecond. Requests have a time
-/// budget of 800 ms. A refused one is sent again after its Retry-After, up to five times. The error
-/// of a Retry-After is its difference to the first time at which a request would be admitted.
+/// Simulates one minute of a pool with four slots and service times of 150 to 250 ms (20 requests
+/// per second), where `arrivals` gives the number of requests in each millisecond. Requests have a
+/// time budget of 800 ms. A refused one is sent again after its Retry-After, up to five times. The
+/// error of a Retry-After is its difference to the first time at which a request would be admitted.
 fn simulate(arrivals: impl Fn(u64) -> u64) -> String {
     // `served` counts only requests that finished within their time budget.
     let mut queue = Queue::new(Limits::default(), 3);
--- a/crates/pinereel_core/tests/budget_bucket.rs
+++ b/crates/pinereel_core/tests/budget_bucket.rs
@@ -34,7 +34,7 @@
                     bucket.note_success(now);
                     successes += 1.0;
                 }
-                _ if bucket.try_take(now) => granted += 1.0,
+                _ if bucket.take(now) => granted += 1.0,
                 _ => refused += 1,
             }
             let bound = settings.burst
@@ -49,8 +49,8 @@
 #[test]
 fn quiet_times_can_retry_again() {
     let mut bucket = Bucket::new(Settings::RETRY, Time::ZERO);
-    let granted = (0..100).filter(|_| bucket.try_take(Time::ZERO)).count();
+    let granted = (0..100).filter(|_| bucket.take(Time::ZERO)).count();
     assert_eq!(granted, 20);
-    assert!(bucket.try_take(Time::from_millis(1_000)));
-    assert!(!bucket.try_take(Time::from_millis(1_000)));
+    assert!(bucket.take(Time::from_millis(1_000)));
+    assert!(!bucket.take(Time::from_millis(1_000)));
 }
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -339,8 +339,8 @@
     simulation.send(Event::Published(Version(newest + 1)));
     simulation.take_lease(fence + 1, LONG_LEASE);
     let waves = Duration::from_secs(6) * count as u32;
-    simulation.run_until(Duration::from_secs(120) + waves, |w| {
-        w.all_serve(newest + 1)
+    simulation.run_until(Duration::from_secs(120) + waves, |sim| {
+        sim.all_serve(newest + 1)
     })
 }
 
@@ -392,11 +392,12 @@
     simulation.checks_fence = false;
     simulation.send(Event::Published(Version(3)));
     simulation.take_lease(2, LONG_LEASE);
-    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
+    assert!(simulation.run_until(Duration::from_secs(20), |sim| sim.all_serve(3)));
     simulation.load("engine-0001", Version(2), 1);
-    let unexpected = |w: &Simulation| w.engines["engine-0001"].status.version == Some(Version(2));
+    let unexpected =
+        |sim: &Simulation| sim.engines["engine-0001"].status.version == Some(Version(2));
     assert!(simulation.run_until(Duration::from_secs(10), unexpected));
-    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(3)));
+    assert!(simulation.run_until(Duration::from_secs(20), |sim| sim.all_serve(3)));
     let reported = simulation.log.iter().any(|a| {
         matches!(
             a,
@@ -425,7 +426,7 @@
     simulation.run_until(Duration::from_secs(5), |_| false);
     assert_eq!(simulation.orders.len(), before);
     simulation.take_lease(10, LONG_LEASE);
-    assert!(simulation.run_until(Duration::from_secs(20), |w| w.all_serve(2)));
+    assert!(simulation.run_until(Duration::from_secs(20), |sim| sim.all_serve(2)));
 }
 
 #[test]
@@ -447,7 +448,7 @@
         .iter()
         .filter(|a| matches!(a, Action::Read { .. }));
     assert_eq!((all_read.count(), simulation.log.len()), (3, 3));
-    assert!(simulation.run_until(Duration::from_secs(5), |w| w.all_serve(1)));
+    assert!(simulation.run_until(Duration::from_secs(5), |sim| sim.all_serve(1)));
 }
 
 #[test]
@@ -475,7 +476,7 @@
     simulation.failing = Some("engine-0002".into());
     simulation.send(Event::Published(Version(2)));
     simulation.take_lease(1, LONG_LEASE);
-    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
+    assert!(simulation.run_until(Duration::from_secs(30), |sim| sim.all_serve(2)));
     simulation.run_until(Duration::from_secs(15), |_| false);
     let log: Vec<_> = simulation
         .log
@@ -500,7 +501,7 @@
     ]
     "#);
     simulation.failing = None;
-    assert!(simulation.run_until(Duration::from_secs(60), |w| w.all_serve(2)));
+    assert!(simulation.run_until(Duration::from_secs(60), |sim| sim.all_serve(2)));
 }
 
 #[test]
@@ -510,7 +511,7 @@
     simulation.take_lease(1, LONG_LEASE);
     simulation.run_until(Duration::from_secs(1), |_| false);
     simulation.send(Event::Published(Version(3)));
-    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
+    assert!(simulation.run_until(Duration::from_secs(30), |sim| sim.all_serve(3)));
     let of = |version| {
         let orders = simulation
             .log
@@ -535,7 +536,7 @@
     let start = simulation.now;
     simulation.send(Event::Published(Version(2)));
     let plan = simulation.controller.plan().unwrap();
-    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(2)));
+    assert!(simulation.run_until(Duration::from_secs(30), |sim| sim.all_serve(2)));
     let took = simulation.now.since(start);
     assert!(took <= plan.predicted.unwrap(), "{took:?}");
     insta::assert_snapshot!(format!("{plan:?} took {took:?}"), @"Plan { target: Version(2), engines: 2900, pending: 2900, quarantined: 0, wave: 1450, waves: 2, predicted: Some(6.5s) } took 6.05s");
@@ -568,11 +569,9 @@
     simulation.unreachable = Some("engine-0001".into());
     simulation.send(Event::Published(Version(2)));
     simulation.take_lease(1, LONG_LEASE);
-    let others = |simulation: &Simulation| {
-        let mut engines = simulation.engines.iter();
-        engines.all(|(name, e)| {
-            simulation.is_unreachable(name) || e.status.version == Some(Version(2))
-        })
+    let others = |sim: &Simulation| {
+        let mut engines = sim.engines.iter();
+        engines.all(|(name, e)| sim.is_unreachable(name) || e.status.version == Some(Version(2)))
     };
     // Two consecutive loads of 3 s, and the time to detect the unreachable engine.
     assert!(simulation.run_until(Duration::from_secs(9), others));
@@ -611,7 +610,7 @@
     simulation.send(Event::Published(Version(3)));
     simulation.run_until(Duration::from_secs(1), |_| false);
     assert_eq!(simulation.orders, [2]);
-    assert!(simulation.run_until(Duration::from_secs(30), |w| w.all_serve(3)));
+    assert!(simulation.run_until(Duration::from_secs(30), |sim| sim.all_serve(3)));
 }
 
 fn listed(name: &CompactString) -> Event {
@@ -623,8 +622,8 @@
     }
 }
 
-/// The platform's list shows the end of a load, then a report from just before the end arrives. It must
-/// not be taken for a lost version.
+/// The platform's list shows the end of a load, then a report from just before the end arrives. It
+/// must not be taken for a lost version.
 #[test]
 fn a_report_from_before_the_end_of_a_load_is_no_change() {
     let mut controller = Controller::new(Settings::default());
--- a/crates/pinereel_core/tests/rollout_share.rs
+++ b/crates/pinereel_core/tests/rollout_share.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Four models with the work of a larger site, in events per step: dispatch, jacket, invoice and delay
-/// texts. With equal shares, the steps of the two with long texts wait for slots.
+/// Four models with the work of a larger site, in events per step: dispatch, jacket, invoice and
+/// delay texts. With equal shares, the steps of the two with long texts wait for slots.
 #[test]
 fn a_model_with_more_work_gets_more_engines() {
     let asked = demands(&[1_024, 2_412, 2_363, 1_288]);
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -83,8 +83,8 @@
     }
 }
 
-/// Number of orders and reads for one new version of each model, and number of engines in the working
-/// set.
+/// Number of orders and reads for one new version of each model, and number of engines in the
+/// working set.
 fn count_calls(listed: usize) -> (usize, usize) {
     let (index, demands) = (index(listed), trainer_steps());
     let assigned = assign_models(members(&index, &demands), &demands);
@@ -133,8 +133,8 @@
     (calls, assigned.len())
 }
 
-/// With thousands of engines and steps that fill a few hundred slots, keeping all engines up to date
-/// costs an order and a read of each engine for every version.
+/// With thousands of engines and steps that fill a few hundred slots, keeping all engines up to
+/// date costs an order and a read of each engine for every version.
 #[test]
 fn a_version_costs_the_same_calls_however_many_engines_are_listed() {
     let few = count_calls(1_000);
--- a/crates/pinereel_core/tests/scale_sizer.rs
+++ b/crates/pinereel_core/tests/scale_sizer.rs
@@ -1,11 +1,11 @@
 //! Number of endpoints that the autoscaler requests for each zone.
 //!
-//! Four trainers request 464 items at once, 44 engines have 264 slots, and 44 more spot engines cost
-//! 0.002 of a day's worth. But one engine more for each six items makes steps no earlier (worth 0.661
-//! and 0.690, against 0.698 and 0.699 without, five days each), nor does one for each six items that
-//! wait 1.5 s for a slot (0.658 against 0.704, four days). The longest text alone decides how long a
-//! step takes, and each engine that joins or leaves changes which model others serve. So engines are
-//! added only if the shortage is at least half of the present number.
+//! Four trainers request 464 items at once, 44 engines have 264 slots, and 44 more spot engines
+//! cost 0.002 of a day's worth. But one engine more for each six items makes steps no earlier
+//! (worth 0.661 and 0.690, against 0.698 and 0.699 without, five days each), nor does one for each
+//! six items that wait 1.5 s for a slot (0.658 against 0.704, four days). The longest text alone
+//! decides how long a step takes, and each engine that joins or leaves changes which model others
+//! serve. So engines are added only if the shortage is at least half of the present number.
 
 use compact_str::CompactString;
 use pinereel_core::{
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -1,8 +1,8 @@
 //! Usage metering, from the counts of the instances to one report for each window.
 //!
-//! A window whose usage is not reported is lost; without any report, 0.20 to 0.27 of a day's worth is
-//! lost. Two different reports of one window violate the platform's rules, so a stored sum is never
-//! computed again.
+//! A window whose usage is not reported is lost; without any report, 0.20 to 0.27 of a day's worth
+//! is lost. Two different reports of one window violate the platform's rules, so a stored sum is
+//! never computed again.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
@@ -88,8 +88,8 @@
     assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "once");
 }
 
-/// The lease holder stops after storing a sum and before sending it. Its successor reads the sum from the
-/// store and continues with the next window.
+/// The lease holder stops after storing a sum and before sending it. Its successor reads the sum
+/// from the store and continues with the next window.
 #[test]
 fn a_successor_adds_nothing_up_again() {
     let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
@@ -108,8 +108,8 @@
     assert_eq!(first, Some(Window(WINDOW.0 + 10)));
 }
 
-/// The store is unavailable when the first sum is due. The window is summed up again when the store is
-/// back.
+/// The store is unavailable when the first sum is due. The window is summed up again when the store
+/// is back.
 #[test]
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
@@ -125,8 +125,8 @@
     assert_eq!(next, None);
 }
 
-/// The root of the tree stops. Its successor first counts only itself, then the others as they join it.
-/// A sum of the few that have joined would be final.
+/// The root of the tree stops. Its successor first counts only itself, then the others as they join
+/// it. A sum of the few that have joined would be final.
 #[test]
 fn a_new_root_waits_for_those_that_have_not_come_to_it_yet() {
     let mut instance_count = InstanceCount::default();
@@ -207,8 +207,8 @@
 }
 
 proptest! {
-    /// Reports may be lost, duplicated and reordered. After all instances have exchanged all reports, each
-    /// has the same correct sums.
+    /// Reports may be lost, duplicated and reordered. After all instances have exchanged all
+    /// reports, each has the same correct sums.
     #[test]
     fn all_instances_come_to_the_same_sums(events in prop::collection::vec(event(), 0..120)) {
         let mut ledgers = ["a", "b", "c"].map(Ledger::new);
