--- a/crates/pinereel_core/src/usage/aggregator.rs
+++ b/crates/pinereel_core/src/usage/aggregator.rs
@@ -56,15 +56,15 @@
         instances: usize,
     ) -> Option<(Window, Counts)> {
         let Timing {
-            window_length,
+            window_length: length,
             min_delay,
             max_delay,
             max_age,
         } = self.timing;
-        while now > self.next.end(window_length).after(max_age) {
+        while now > self.next.end(length).after(max_age) {
             self.next = self.next.next();
         }
-        let end = self.next.end(window_length);
+        let end = self.next.end(length);
         let all_closed = instances > 0 && ledger.closed_count(self.next) >= instances;
         let due = now >= end.after(max_delay) || (all_closed && now >= end.after(min_delay));
         due.then(|| (self.next, ledger.total(self.next)))
