--- a/crates/pinereel_core/src/rollout/schedule.rs
+++ b/crates/pinereel_core/src/rollout/schedule.rs
@@ -11,8 +11,8 @@
 use std::collections::BTreeMap;
 
 /// An engine that may be ordered: the cost of the order, the version that it serves, its
-/// outstanding requests, its name. Ordered first is the least, so of equal cost the engine that is
-/// furthest behind, which is of the least use.
+/// outstanding requests, its name. The smallest candidate is ordered first: of equal cost, the
+/// engine furthest behind, which is of the least use.
 type Candidate = (Cost, Option<Version>, u32, CompactString);
 
 /// Resources that an order to an engine uses up.
