--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -14,7 +14,7 @@
 use pinereel_core::{
     config::Kind,
     endpoint::{Endpoint, State},
-    rollout::{Action, Controller, Event, Lease, Settings, Sight},
+    rollout::{Action, Controller, Event, Lease, Settings, Status},
 };
 use std::{
     cell::RefCell,
@@ -58,8 +58,8 @@
             continue;
         }
         let settings = Settings {
-            floor: pool.floor,
-            loads: pool.loads as usize,
+            min_serving_share: pool.floor,
+            max_loads: pool.loads as usize,
             ..Settings::default()
         };
         let controller = Controller::new(settings);
@@ -84,7 +84,7 @@
     let mut held = false;
     loop {
         let lease = shared.leases.held(&duty, shared.now());
-        let lease = lease.map(|(fence, until)| Lease { fence, until });
+        let lease = lease.map(|(fence, expires_at)| Lease { fence, expires_at });
         if lease.is_some() || held {
             // Also once without a lease, so that the controller stops.
             step(shared, pool, Event::Lease(lease));
@@ -207,13 +207,13 @@
 async fn read(shared: &Rc<Shared>, pool: &CompactString, name: CompactString) {
     let event = match address(shared, &name) {
         Some(address) => match engines::state(&shared.http, &address, TIMEOUT).await {
-            Ok(state) => Event::Seen {
-                sight: sight(&state),
+            Ok(state) => Event::Observed {
+                status: status(&state),
                 name,
             },
             Err(error) => failed(name, &error),
         },
-        None => Event::Silent { name },
+        None => Event::NoAnswer { name },
     };
     step(shared, pool, event);
 }
@@ -237,7 +237,7 @@
         address(shared, &name),
         held.map(|(f, _)| f) == Some(fence),
     ) else {
-        return Event::Silent { name };
+        return Event::NoAnswer { name };
     };
     let order = Order {
         fence,
@@ -245,12 +245,12 @@
         version,
     };
     match engines::order(&shared.http, &address, &order, TIMEOUT).await {
-        Ok(state) => Event::Taken {
-            sight: sight(&state),
+        Ok(state) => Event::Accepted {
+            status: status(&state),
             name,
             fence,
         },
-        Err(Error::Fenced) => Event::Refused { name, fence },
+        Err(Error::Fenced) => Event::Fenced { name, fence },
         Err(error) => failed(name, &error),
     }
 }
@@ -258,8 +258,8 @@
 /// What a call without an answer says of its engine.
 fn failed(name: CompactString, error: &Error) -> Event {
     match error {
-        Error::NotOpened(_) => Event::Unreached { name },
-        _ => Event::Silent { name },
+        Error::NotOpened(_) => Event::Unreachable { name },
+        _ => Event::NoAnswer { name },
     }
 }
 
@@ -272,8 +272,8 @@
     listed.get(name).map(|instance| instance.address.clone())
 }
 
-fn sight(state: &engine::State) -> Sight {
-    Sight {
+fn status(state: &engine::State) -> Status {
+    Status {
         incarnation: state.incarnation,
         version: state.version,
         loading: state.loading,
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Sight, loads},
+    rollout::{Action, Controller, Event, Lease, Status, max_loads},
 };
 use pinereel_port::{
     endpoint::Entry,
@@ -72,7 +72,7 @@
         }
         settled.then_some(Lease {
             fence: grant.fence,
-            until: grant.until,
+            expires_at: grant.until,
         })
     }
 
@@ -99,8 +99,8 @@
         };
         let own = shares.of(&self.model);
         let least = self.orders.parts.settings.loads;
-        let at_once = loads(shares.listed, shares.len(), own.len(), least);
-        self.controller.borrow_mut().set_loads(at_once);
+        let at_once = max_loads(shares.listed, shares.len(), own.len(), least);
+        self.controller.borrow_mut().set_max_loads(at_once);
         let change = self.orders.parts.endpoints.change();
         if listed.change == Some(change) && listed.own == own {
             return;
@@ -148,14 +148,14 @@
         });
         // An engine lists a new version as soon as it serves it; its report lags behind.
         if before.is_some_and(|(_, before)| before != version) {
-            let sight = Sight {
+            let status = Status {
                 incarnation: entry.incarnation,
                 version: Some(Version(version)),
                 loading: None,
                 failed: false,
             };
             let name = entry.id;
-            self.step(Event::Seen { name, sight });
+            self.step(Event::Observed { name, status });
         }
         Some((entry.incarnation, version))
     }
@@ -190,7 +190,7 @@
                 let until = until.to_string();
                 log::warn!(service, endpoint = name.as_str(), failures, until = until.as_str(); "engine's loads fail");
             }
-            Action::Strayed { name, version } => {
+            Action::UnexpectedVersion { name, version } => {
                 log::warn!(service, endpoint = name.as_str(), version:serde = version; "engine strayed");
             }
             Action::LeaseLost { fence } => {
@@ -213,8 +213,8 @@
             None => Err(NoAnswer::Lost),
         };
         let event = match report {
-            Ok(report) => Event::Seen {
-                sight: self.sight(&report),
+            Ok(report) => Event::Observed {
+                status: self.status(&report),
                 name,
             },
             Err(no_answer) => no_answer.event(name),
@@ -222,9 +222,9 @@
         self.step(event);
     }
 
-    fn sight(&self, report: &Report) -> Sight {
+    fn status(&self, report: &Report) -> Status {
         let named = self.orders.named.borrow().get(&self.model).copied();
-        Sight {
+        Status {
             incarnation: report.incarnation,
             version: report.models.get(&self.model).copied().map(Version),
             // The report does not say which version is loaded; orders are given for the newest.
@@ -283,18 +283,26 @@
             &[verdict.map_or("no answer", Verdict::as_str)],
         );
         let name = name.clone();
-        let mut sight = self.sight(&before);
+        let mut status = self.status(&before);
         match verdict? {
             Verdict::Accepted => {
-                sight.loading = Some(version);
-                Ok(Event::Taken { name, fence, sight })
+                status.loading = Some(version);
+                Ok(Event::Accepted {
+                    name,
+                    fence,
+                    status,
+                })
             }
             Verdict::Holds => {
-                sight.version = Some(version);
-                sight.loading = None;
-                Ok(Event::Taken { name, fence, sight })
+                status.version = Some(version);
+                status.loading = None;
+                Ok(Event::Accepted {
+                    name,
+                    fence,
+                    status,
+                })
             }
-            Verdict::Fenced => Ok(Event::Refused { name, fence }),
+            Verdict::Fenced => Ok(Event::Fenced { name, fence }),
             Verdict::Busy | Verdict::OtherEndpoint | Verdict::Refused => Err(NoAnswer::Lost),
         }
     }
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -12,7 +12,7 @@
 use crate::settings;
 use pinereel_core::{
     Time,
-    usage::{Attendance, Clock, Ledger, Report, Wall, Window},
+    usage::{InstanceCount, Ledger, Report, WallClock, WallTime, Window},
 };
 use pinereel_port::live::Caller;
 use std::{
@@ -38,11 +38,11 @@
     /// Length of a window; none if nothing is reported.
     length: Option<Duration>,
     ledger: RefCell<Ledger>,
-    wall: RefCell<Clock>,
+    wall: RefCell<WallClock>,
     clock: fn() -> Time,
     changed: watch::Sender<u64>,
     /// Instances in all, as far as this one knows.
-    attendance: RefCell<Attendance>,
+    instance_count: RefCell<InstanceCount>,
 }
 
 /// A request that counts as begun.
@@ -58,10 +58,10 @@
         let usage = Rc::new(Self {
             length: settings.map(|settings| settings.window),
             ledger: RefCell::new(Ledger::new(id)),
-            wall: RefCell::new(Clock::new(clock(), time_of_day())),
+            wall: RefCell::new(WallClock::new(clock(), time_of_day())),
             clock,
             changed: watch::channel(0).0,
-            attendance: RefCell::default(),
+            instance_count: RefCell::default(),
         });
         if let Some(length) = usage.length {
             let state = Rc::clone(&usage);
@@ -71,15 +71,15 @@
     }
 
     /// True time.
-    pub fn now(&self) -> Wall {
-        self.wall.borrow().at((self.clock)())
+    pub fn now(&self) -> WallTime {
+        self.wall.borrow().wall_time((self.clock)())
     }
 
     /// A request begins to run.
     pub fn begin(&self, caller: &Caller) -> Option<Begun> {
         let workspace = caller.workspace()?;
         let window = self.now().window(self.length?);
-        self.ledger.borrow_mut().count(window, workspace, 1);
+        self.ledger.borrow_mut().add(window, workspace, 1);
         self.note_change();
         Some(Begun {
             window,
@@ -90,7 +90,7 @@
     /// It did not run after all.
     pub fn undo(&self, begun: Begun) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.count(begun.window, &begun.workspace, -1);
+        ledger.add(begun.window, &begun.workspace, -1);
         drop(ledger);
         self.note_change();
     }
@@ -100,18 +100,18 @@
         if self.length.is_none() {
             return;
         }
-        self.ledger.borrow_mut().heard(reports);
+        self.ledger.borrow_mut().merge(reports);
         self.note_change();
     }
 
     /// All that is known, for a new parent.
     pub fn all(&self) -> Vec<Report> {
-        self.ledger.borrow().all()
+        self.ledger.borrow().all_reports()
     }
 
     /// Waits until others are to be told something, and gives it.
     pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.ledger.borrow_mut().untold(BATCH);
+        let untold = || self.ledger.borrow_mut().take_unsent(BATCH);
         news::next(self.changed.subscribe(), untold).await
     }
 
@@ -123,16 +123,16 @@
     /// So many instances are in the tree now.
     pub fn note_instances(&self, count: usize) {
         let now = (self.clock)();
-        self.attendance.borrow_mut().note(now, count);
+        self.instance_count.borrow_mut().observe(now, count);
     }
 
     /// Instances whose counts are waited for.
     fn instances(&self) -> usize {
-        self.attendance.borrow().count()
+        self.instance_count.borrow().expected()
     }
 
     fn note_change(&self) {
-        if self.ledger.borrow().has_untold() {
+        if self.ledger.borrow().has_unsent() {
             self.changed.send_modify(|changes| *changes += 1);
         }
     }
@@ -143,7 +143,7 @@
         loop {
             sleep(LOOK).await;
             let now = (self.clock)();
-            self.wall.borrow_mut().look(now, time_of_day());
+            self.wall.borrow_mut().observe(now, time_of_day());
             let window = self.now().window(length);
             let over = Window(window.0.saturating_sub(1));
             if closed >= Some(over) || self.now() < over.end(length).after(CLOSE) {
@@ -152,7 +152,7 @@
             closed = Some(over);
             let mut ledger = self.ledger.borrow_mut();
             ledger.close(over);
-            ledger.forget(Window(window.0.saturating_sub(KEPT)));
+            ledger.forget_before(Window(window.0.saturating_sub(KEPT)));
             let counts = ledger.own_counts(over);
             drop(ledger);
             if !counts.is_empty() {
--- a/crates/pinereel_core/benches/rollout.rs
+++ b/crates/pinereel_core/benches/rollout.rs
@@ -1,21 +1,21 @@
-//! Time of a rollout's decisions against the number of engines.
+//! Benchmarks the rollout controller against the number of engines.
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use pinereel_core::{
     Time, Version,
-    rollout::{Action, Controller, Event, Lease, Settings, Sight},
+    rollout::{Action, Controller, Event, Lease, Settings, Status},
 };
 use std::{hint::black_box, time::Duration};
 
-/// Engines of the pool; 2,900 is the whole fleet.
+/// Numbers of engines in the pool; 2,900 is the whole fleet.
 const SIZES: [usize; 3] = [8, 290, 2_900];
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// All engines serve version 1, which is the target.
-fn at_rest(count: usize) -> Controller {
+/// A controller whose engines all serve version 1, which is the target.
+fn idle_controller(count: usize) -> Controller {
     let mut controller = Controller::new(Settings {
-        loads: count,
-        reads: count,
+        max_loads: count,
+        max_reads: count,
         ..Settings::default()
     });
     for i in 0..count {
@@ -32,7 +32,7 @@
     controller.step(Time::ZERO, Event::Published(Version(1)));
     let lease = Lease {
         fence: 1,
-        until: Time::ZERO + HOUR,
+        expires_at: Time::ZERO + HOUR,
     };
     let reads = controller.step(Time::ZERO, Event::Lease(Some(lease)));
     answer(&mut controller, Time::ZERO, &reads, Version(1), None);
@@ -46,7 +46,7 @@
     version: Version,
     loading: Option<Version>,
 ) {
-    let sight = Sight {
+    let status = Status {
         incarnation: 1,
         version: Some(version),
         loading,
@@ -54,14 +54,14 @@
     };
     for action in actions {
         let event = match action {
-            Action::Read { name } => Event::Seen {
+            Action::Read { name } => Event::Observed {
                 name: name.clone(),
-                sight,
+                status,
             },
-            Action::Order { name, fence, .. } => Event::Taken {
+            Action::Order { name, fence, .. } => Event::Accepted {
                 name: name.clone(),
                 fence: *fence,
-                sight,
+                status,
             },
             _ => continue,
         };
@@ -69,8 +69,8 @@
     }
 }
 
-/// Two waves from version 1 to 2, with a tick every 50 ms.
-fn roll(controller: &mut Controller) -> usize {
+/// Rolls version 2 out in two waves, with a tick every 50 ms; returns the number of ticks.
+fn roll_out(controller: &mut Controller) -> usize {
     let mut now = Time::from_millis(1);
     let mut actions = controller.step(now, Event::Published(Version(2)));
     let mut ticks = 0;
@@ -90,15 +90,15 @@
 fn bench(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("rollout");
     for size in SIZES {
-        let rest = at_rest(size);
+        let idle = idle_controller(size);
         group.bench_function(BenchmarkId::new("tick_at_rest", size), |bencher| {
-            let mut controller = rest.clone();
+            let mut controller = idle.clone();
             bencher.iter(|| black_box(controller.step(Time::from_millis(1), Event::Tick)));
         });
         group.bench_function(BenchmarkId::new("two_waves", size), |bencher| {
             bencher.iter_batched(
-                || rest.clone(),
-                |mut controller| black_box(roll(&mut controller)),
+                || idle.clone(),
+                |mut controller| black_box(roll_out(&mut controller)),
                 BatchSize::LargeInput,
             );
         });
--- a/crates/pinereel_core/src/drain.rs
+++ b/crates/pinereel_core/src/drain.rs
@@ -1,131 +1,130 @@
-//! The graceful stop of an entry.
+//! Graceful shutdown of an entry: readiness off, requests finished, samples and leases handed over.
 //!
 //! ```text
 //! Serving -> Announced -> Finishing -> HandingOver -> Done
 //! ```
 //!
-//! Each phase follows the one before it and none is skipped, also when nothing is in flight. A
-//! further signal changes nothing.
+//! No phase is skipped, even if nothing is in flight. Further stop requests have no effect.
 
 use crate::Time;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Longest times of the phases.
+/// Time limits of the phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long the balancer may still send new requests after readiness is off.
-    pub lag: Duration,
-    /// Longest wait for requests in flight, after the lag.
-    pub finish: Duration,
-    /// Longest wait for the hand-over of samples and leases.
-    pub hand_over: Duration,
+    /// Time for which the load balancer may still send new requests after readiness is off.
+    pub balancer_lag: Duration,
+    /// Maximum wait for requests in flight, after the lag of the load balancer.
+    pub max_finish: Duration,
+    /// Maximum wait for the handover of samples and leases.
+    pub max_hand_over: Duration,
 }
 
-/// Where a stop stands.
+/// Phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Readiness is off; new requests are still taken, since the balancer lags.
+    /// Readiness is off. New requests are still accepted, as the load balancer reacts with a delay.
     Announced,
-    /// No new requests; those in flight go on.
+    /// New requests are refused; those in flight continue.
     Finishing,
-    /// Finished samples and leases are handed over.
+    /// Finished samples and leases are being handed over.
     HandingOver,
-    /// The process may end.
+    /// The process may exit.
     Done,
 }
 
-/// One thing that happened.
+/// Input of a [`StateMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A stop was asked for.
-    Signal,
-    /// Requests in flight now.
+    /// A shutdown was requested.
+    StopRequested,
+    /// Present number of requests in flight.
     InFlight(u32),
-    /// All samples and leases are handed over.
+    /// All samples and leases have been handed over.
     HandedOver,
     /// Time passed.
     Tick,
 }
 
-/// What to do.
+/// Output of a [`StateMachine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Answer "not ready" and tell peers.
+    /// Report "not ready" to the load balancer and to peers.
     ReadinessOff,
-    /// Refuse new requests as not run.
+    /// Refuse new requests, with the answer that they were not run.
     StopAccepting,
-    /// Hand over finished samples, release leases, then tell [`Event::HandedOver`].
+    /// Hand over finished samples and release leases, then send [`Event::HandedOver`].
     HandOver,
-    /// Log what was left when a phase ran out of time.
+    /// Log what was unfinished when a phase exceeded its time limit.
     Report {
-        /// Phase that ran out of time.
+        /// Phase that exceeded its time limit.
         phase: Phase,
         /// Requests still in flight.
         left: u32,
     },
-    /// End the process with exit code 0.
+    /// Exit the process with code 0.
     Exit,
 }
 
-/// The state machine of one entry's stop.
+/// State machine of the shutdown of one entry.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct StateMachine {
     settings: Settings,
     phase: Phase,
-    until: Time,
+    phase_deadline: Time,
     in_flight: u32,
-    handed_over: bool,
+    is_handed_over: bool,
 }
 
-impl Machine {
-    /// A serving entry.
+impl StateMachine {
+    /// Creates the state machine of an entry that serves requests.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
             phase: Phase::Serving,
-            until: Time::ZERO,
+            phase_deadline: Time::ZERO,
             in_flight: 0,
-            handed_over: false,
+            is_handed_over: false,
         }
     }
 
-    /// The phase.
+    /// The present phase.
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether to answer "ready".
+    /// Whether the entry reports "ready".
     pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether to take new requests.
-    pub fn accepts(&self) -> bool {
+    /// Whether the entry accepts new requests.
+    pub fn accepts_requests(&self) -> bool {
         self.phase <= Phase::Announced
     }
 
-    /// When a [`Event::Tick`] is needed next.
-    pub fn wake(&self) -> Option<Time> {
-        let waits = !matches!(self.phase, Phase::Serving | Phase::Done);
-        waits.then_some(self.until)
+    /// Time at which the next [`Event::Tick`] is needed; `None` if none is.
+    pub fn next_tick_at(&self) -> Option<Time> {
+        let is_waiting = !matches!(self.phase, Phase::Serving | Phase::Done);
+        is_waiting.then_some(self.phase_deadline)
     }
 
-    /// Takes in one event; returns what to do, in order.
+    /// Handles one event and returns the actions that follow, in order.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Signal if self.phase == Phase::Serving => {
-                self.enter(Phase::Announced, now + self.settings.lag);
+            Event::StopRequested if self.phase == Phase::Serving => {
+                self.enter(Phase::Announced, now + self.settings.balancer_lag);
                 actions.push(Action::ReadinessOff);
             }
-            Event::Signal | Event::Tick => {}
+            Event::StopRequested | Event::Tick => {}
             Event::InFlight(count) => self.in_flight = count,
-            Event::HandedOver => self.handed_over |= self.phase == Phase::HandingOver,
+            Event::HandedOver => self.is_handed_over |= self.phase == Phase::HandingOver,
         }
         while let Some(action) = self.advance(now, &mut actions) {
             actions.push(action);
@@ -133,21 +132,21 @@
         actions
     }
 
-    /// Goes on by one phase if its time has come.
+    /// Enters the next phase if the present one is over; returns the action of that transition.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) -> Option<Action> {
-        let late = now >= self.until;
+        let is_overdue = now >= self.phase_deadline;
         match self.phase {
-            Phase::Announced if late => {
-                self.enter(Phase::Finishing, now + self.settings.finish);
+            Phase::Announced if is_overdue => {
+                self.enter(Phase::Finishing, now + self.settings.max_finish);
                 Some(Action::StopAccepting)
             }
-            Phase::Finishing if late || self.in_flight == 0 => {
+            Phase::Finishing if is_overdue || self.in_flight == 0 => {
                 self.report(self.in_flight > 0, actions);
-                self.enter(Phase::HandingOver, now + self.settings.hand_over);
+                self.enter(Phase::HandingOver, now + self.settings.max_hand_over);
                 Some(Action::HandOver)
             }
-            Phase::HandingOver if late || self.handed_over => {
-                self.report(!self.handed_over, actions);
+            Phase::HandingOver if is_overdue || self.is_handed_over => {
+                self.report(!self.is_handed_over, actions);
                 self.enter(Phase::Done, now);
                 Some(Action::Exit)
             }
@@ -155,9 +154,9 @@
         }
     }
 
-    fn enter(&mut self, phase: Phase, until: Time) {
+    fn enter(&mut self, phase: Phase, deadline: Time) {
         self.phase = phase;
-        self.until = until;
+        self.phase_deadline = deadline;
     }
 
     fn report(&self, unfinished: bool, actions: &mut Vec<Action>) {
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -4,7 +4,7 @@
     Action, Event, Failure, Finish, Limits, Lot, Offer, Policy, Sample,
     state::{Attempt, AttemptKey, Endpoint, Finished, Progress, SampleKey, SampleState},
 };
-use crate::{Time, Version, fair::Share, provenance, staleness, staleness::PublicationRate};
+use crate::{Time, Version, fair::Scheduler, provenance, staleness, staleness::PublicationRate};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{
@@ -47,7 +47,7 @@
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     pub(super) endpoints: BTreeMap<CompactString, Endpoint>,
     pub(super) publication_rates: BTreeMap<CompactString, PublicationRate>,
-    pub(super) fair_share: Share,
+    pub(super) fair_share: Scheduler,
     /// Samples that wait for the retry budget, oldest first.
     pub(super) retry_queue: VecDeque<SampleKey>,
     /// Retry budget, in units of which one retry costs [`RETRY_CREDIT`].
@@ -78,7 +78,7 @@
             attempts: SlotMap::with_key(),
             endpoints: BTreeMap::new(),
             publication_rates: BTreeMap::new(),
-            fair_share: Share::default(),
+            fair_share: Scheduler::default(),
             retry_queue: VecDeque::new(),
             retry_credit: u64::from(limits.retry_burst) * RETRY_CREDIT,
             last_tick: Time::ZERO,
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -132,7 +132,7 @@
         while !lots.is_empty() {
             let mut flows = lots.iter().map(|lot| lot.spec.trainer.as_str());
             let flow = if self.policy.fair_share {
-                self.fair_share.next(flows)?
+                self.fair_share.next_flow(flows)?
             } else {
                 flows.next()?
             };
--- a/crates/pinereel_core/src/usage/ledger.rs
+++ b/crates/pinereel_core/src/usage/ledger.rs
@@ -1,61 +1,62 @@
-//! What an instance knows of all instances' counts.
+//! Replicated counts of all instances, merged by serial number.
 
 use super::{Counts, Window};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The whole count of one instance for one window.
+/// The complete count of one instance for one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Start of the instance that counted.
+    /// Id of the run of the instance that counted; a restarted instance has a new one.
     pub source: CompactString,
-    /// The window.
+    /// The window that was counted.
     pub window: Window,
-    /// Grows with each change: of two reports the one with more is the newer one.
+    /// Increases with each change, so the report with the higher serial is the newer one.
     pub serial: u64,
-    /// Whether nothing of the window is to come any more.
+    /// Whether the count is final.
     pub closed: bool,
-    /// The count.
+    /// Requests that began to run, by workspace.
     pub counts: Counts,
 }
 
-/// All counts that an instance knows of.
+/// The reports of all instances, as far as this instance knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    own: CompactString,
+    source: CompactString,
     reports: BTreeMap<Window, BTreeMap<CompactString, Report>>,
-    untold: BTreeSet<(Window, CompactString)>,
-    /// Own windows before this one are closed.
-    open_from: Window,
-    /// Windows before this one are forgotten.
-    known_from: Window,
+    unsent: BTreeSet<(Window, CompactString)>,
+    /// The first window that is open here; earlier ones take no more counts.
+    first_open: Window,
+    /// The first window that is kept; reports of earlier ones are dropped.
+    first_kept: Window,
 }
 
 impl Ledger {
-    /// An empty ledger of the instance start `own`.
-    pub fn new(own: impl Into<CompactString>) -> Self {
+    /// Creates an empty ledger; `source` identifies the run of this instance.
+    pub fn new(source: impl Into<CompactString>) -> Self {
         Self {
-            own: own.into(),
+            source: source.into(),
             ..Self::default()
         }
     }
 
-    /// Requests of a workspace began here, or, below zero, turn out not to have begun. A window that is closed takes nothing
-    /// more: what is late goes to the first open one.
-    pub fn count(&mut self, window: Window, workspace: &str, change: i64) {
-        let window = window.max(self.open_from);
+    /// Adds `change` to the count of a workspace: positive for requests that began to run here,
+    /// negative for requests that turned out not to have run. If the window is closed, the change
+    /// goes to the first open window.
+    pub fn add(&mut self, window: Window, workspace: &str, change: i64) {
+        let window = window.max(self.first_open);
         let report = self.own_report(window);
         let count = report.counts.entry(workspace.into()).or_default();
         *count = count.saturating_add_signed(change);
         report.serial += 1;
-        self.untold.insert((window, self.own.clone()));
+        self.unsent.insert((window, self.source.clone()));
     }
 
-    /// Closes all own windows up to `last`, those without any request too. The first one that is closed is the first that
-    /// this instance knows whole or in part.
+    /// Closes all windows up to `last`, also those without requests. The first call closes only
+    /// `last`, as this instance did not run during earlier windows.
     pub fn close(&mut self, last: Window) {
-        let first = match self.open_from {
+        let first = match self.first_open {
             Window(0) => last,
             from => from,
         };
@@ -64,16 +65,16 @@
             let report = self.own_report(window);
             report.closed = true;
             report.serial += 1;
-            self.untold.insert((window, self.own.clone()));
+            self.unsent.insert((window, self.source.clone()));
         }
-        self.open_from = self.open_from.max(last.next());
+        self.first_open = self.first_open.max(last.next());
     }
 
     fn own_report(&mut self, window: Window) -> &mut Report {
         let reports = self.reports.entry(window).or_default();
-        let own = &self.own;
-        reports.entry(own.clone()).or_insert_with(|| Report {
-            source: own.clone(),
+        let source = &self.source;
+        reports.entry(source.clone()).or_insert_with(|| Report {
+            source: source.clone(),
             window,
             serial: 0,
             closed: false,
@@ -81,10 +82,10 @@
         })
     }
 
-    /// Another instance tells. What is news is told on.
-    pub fn heard(&mut self, told: impl IntoIterator<Item = Report>) {
-        for report in told {
-            if report.window < self.known_from || report.source == self.own {
+    /// Merges reports received from another instance. Those that are new are sent on.
+    pub fn merge(&mut self, received: impl IntoIterator<Item = Report>) {
+        for report in received {
+            if report.window < self.first_kept || report.source == self.source {
                 continue;
             }
             let known = self.reports.entry(report.window).or_default();
@@ -94,49 +95,49 @@
             }
             let (window, source) = (report.window, report.source.clone());
             known.insert(source.clone(), report);
-            self.untold.insert((window, source));
+            self.unsent.insert((window, source));
         }
     }
 
-    /// Whether others are to be told something.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    /// Whether some reports have changed since they were last taken for sending.
+    pub fn has_unsent(&self) -> bool {
+        !self.unsent.is_empty()
     }
 
-    /// What others are to be told, at most `most` reports.
-    pub fn untold(&mut self, most: usize) -> Vec<Report> {
-        let mut told = Vec::new();
-        while told.len() < most
-            && let Some((window, source)) = self.untold.pop_first()
+    /// Takes up to `limit` changed reports to send to other instances.
+    pub fn take_unsent(&mut self, limit: usize) -> Vec<Report> {
+        let mut taken = Vec::new();
+        while taken.len() < limit
+            && let Some((window, source)) = self.unsent.pop_first()
         {
             let report = self.reports.get(&window).and_then(|r| r.get(&source));
-            told.extend(report.cloned());
+            taken.extend(report.cloned());
         }
-        told
+        taken
     }
 
-    /// All that is known.
-    pub fn all(&self) -> Vec<Report> {
+    /// All known reports, for an instance that has none of them.
+    pub fn all_reports(&self) -> Vec<Report> {
         let reports = self.reports.values().flat_map(BTreeMap::values);
         reports.cloned().collect()
     }
 
-    /// What was counted here in a window.
+    /// Counts of this instance for a window.
     pub fn own_counts(&self, window: Window) -> Counts {
-        let report = self.reports.get(&window).and_then(|r| r.get(&self.own));
+        let report = self.reports.get(&window).and_then(|r| r.get(&self.source));
         report
             .map(|report| report.counts.clone())
             .unwrap_or_default()
     }
 
-    /// How many instances have closed a window.
-    pub fn closed(&self, window: Window) -> usize {
+    /// Number of instances that have closed a window.
+    pub fn closed_count(&self, window: Window) -> usize {
         let reports = self.reports.get(&window).into_iter();
         let closed = reports.flat_map(BTreeMap::values);
         closed.filter(|report| report.closed).count()
     }
 
-    /// The sum of all counts for a window; workspaces without a request are left out.
+    /// Sum of all known counts for a window, without workspaces that have no requests.
     pub fn total(&self, window: Window) -> Counts {
         let mut total = Counts::new();
         let reports = self.reports.get(&window).into_iter();
@@ -150,10 +151,10 @@
         total
     }
 
-    /// Forgets the windows before `first`.
-    pub fn forget(&mut self, first: Window) {
-        self.known_from = self.known_from.max(first);
+    /// Drops all windows before `first`.
+    pub fn forget_before(&mut self, first: Window) {
+        self.first_kept = self.first_kept.max(first);
         self.reports = self.reports.split_off(&first);
-        self.untold.retain(|(window, _)| *window >= first);
+        self.unsent.retain(|(window, _)| *window >= first);
     }
 }
--- a/crates/pinereel_core/tests/budget_bucket.rs
+++ b/crates/pinereel_core/tests/budget_bucket.rs
@@ -1,4 +1,4 @@
-//! Extra attempts never exceed their share.
+//! The token bucket never grants more additional attempts than its settings allow.
 
 use pinereel_core::{
     Time,
@@ -31,16 +31,16 @@
             match op {
                 0 => now = now + Duration::from_millis(millis),
                 1 => {
-                    bucket.success(now);
+                    bucket.note_success(now);
                     successes += 1.0;
                 }
                 _ if bucket.take(now) => granted += 1.0,
                 _ => refused += 1,
             }
-            let line = settings.burst
-                + settings.share * successes
-                + settings.min_rate * now.since(Time::ZERO).as_secs_f64();
-            prop_assert!(granted <= line + 1e-6);
+            let bound = settings.burst
+                + settings.tokens_per_success * successes
+                + settings.tokens_per_second * now.since(Time::ZERO).as_secs_f64();
+            prop_assert!(granted <= bound + 1e-6);
             prop_assert!(refused == 0 || granted >= settings.burst.floor());
         }
     }
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_count.rs
@@ -1,24 +1,27 @@
-//! Counts of requests on their way to one report a window.
+//! Usage metering, from the counts of the instances to one report for each window.
 //!
-//! No window's usage was ever reported: of the worth of a day 0.20 to 0.27 went so. Two reports of one window with other counts break a
-//! rule, so that what was once added up is never added up again.
+//! A window whose usage is not reported is lost; without any report, 0.20 to 0.27 of a day's worth
+//! is lost. Two different reports of one window violate the platform's rules, so a stored sum is
+//! never computed again.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    usage::{Attendance, Clock, Collector, Counts, Ledger, Patience, Report, Wall, Window},
+    usage::{
+        Aggregator, Counts, InstanceCount, Ledger, Report, Timing, WallClock, WallTime, Window,
+    },
 };
 use proptest::prelude::{Just, Strategy, prop, prop_assert_eq, prop_oneof, proptest};
 use std::{collections::BTreeMap, time::Duration};
 
 const LENGTH: Duration = Duration::from_secs(5);
-const PATIENCE: Patience = Patience {
-    window: LENGTH,
-    least: Duration::from_millis(700),
-    most: Duration::from_secs(5),
-    late: Duration::from_secs(10),
+const TIMING: Timing = Timing {
+    window_length: LENGTH,
+    min_delay: Duration::from_millis(700),
+    max_delay: Duration::from_secs(5),
+    max_age: Duration::from_secs(10),
 };
-/// A window, and its end in milliseconds.
+/// The window of most tests, and its end in milliseconds.
 const WINDOW: Window = Window(100);
 const END: u64 = 505_000;
 
@@ -32,18 +35,18 @@
 #[test]
 fn what_all_instances_counted_is_added_up() {
     let (mut a, mut b, mut root) = (Ledger::new("a"), Ledger::new("b"), Ledger::new("root"));
-    a.count(WINDOW, "w", 2);
-    b.count(WINDOW, "w", 1);
-    b.count(WINDOW, "x", 1);
-    root.count(WINDOW, "x", 3);
-    // One turns out not to have run.
-    b.count(WINDOW, "x", -1);
+    a.add(WINDOW, "w", 2);
+    b.add(WINDOW, "w", 1);
+    b.add(WINDOW, "x", 1);
+    root.add(WINDOW, "x", 3);
+    // One request turns out not to have run.
+    b.add(WINDOW, "x", -1);
     for ledger in [&mut a, &mut b, &mut root] {
         ledger.close(WINDOW);
     }
-    b.heard(a.untold(9));
-    root.heard(b.untold(9));
-    assert_eq!(root.closed(WINDOW), 3);
+    b.merge(a.take_unsent(9));
+    root.merge(b.take_unsent(9));
+    assert_eq!(root.closed_count(WINDOW), 3);
     assert_eq!(root.total(WINDOW), counts(&[("w", 3), ("x", 3)]));
 }
 
@@ -52,9 +55,9 @@
     let mut ledger = Ledger::new("a");
     ledger.close(Window(98));
     ledger.close(WINDOW);
-    assert_eq!(ledger.closed(Window(99)), 1);
+    assert_eq!(ledger.closed_count(Window(99)), 1);
     assert_eq!(ledger.total(WINDOW), counts(&[]));
-    ledger.count(WINDOW, "w", 1);
+    ledger.add(WINDOW, "w", 1);
     assert_eq!(ledger.total(WINDOW), counts(&[]));
     assert_eq!(ledger.total(WINDOW.next()), counts(&[("w", 1)]));
 }
@@ -62,126 +65,129 @@
 #[test]
 fn a_window_is_added_up_once_all_have_closed_it_or_after_some_patience() {
     let (mut ledger, mut other) = (Ledger::new("root"), Ledger::new("a"));
-    let mut collector = Collector::new(PATIENCE, Wall(END - 1_000), &BTreeMap::new());
-    ledger.count(WINDOW, "w", 1);
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
+    ledger.add(WINDOW, "w", 1);
     ledger.close(WINDOW);
-    let due = |collector: &mut Collector, ledger: &Ledger, at| collector.due(Wall(at), ledger, 2);
+    let due =
+        |aggregator: &mut Aggregator, ledger: &Ledger, at| aggregator.due(WallTime(at), ledger, 2);
     assert_eq!(
-        due(&mut collector, &ledger, END + 4_000),
+        due(&mut aggregator, &ledger, END + 4_000),
         None,
         "one is missing"
     );
-    let mut late = collector.clone();
-    let after_patience = due(&mut late, &ledger, END + 5_001);
-    assert_eq!(after_patience, Some((WINDOW, counts(&[("w", 1)]))));
-    other.count(WINDOW, "w", 1);
+    let mut late = aggregator.clone();
+    let after_max_delay = due(&mut late, &ledger, END + 5_001);
+    assert_eq!(after_max_delay, Some((WINDOW, counts(&[("w", 1)]))));
+    other.add(WINDOW, "w", 1);
     other.close(WINDOW);
-    ledger.heard(other.untold(9));
-    assert_eq!(due(&mut collector, &ledger, END + 600), None, "too soon");
-    let whole = due(&mut collector, &ledger, END + 800);
-    assert_eq!(whole, Some((WINDOW, counts(&[("w", 2)]))));
-    collector.fixed(WINDOW);
-    assert_eq!(due(&mut collector, &ledger, END + 800), None, "once");
+    ledger.merge(other.take_unsent(9));
+    assert_eq!(due(&mut aggregator, &ledger, END + 600), None, "too soon");
+    let all_closed = due(&mut aggregator, &ledger, END + 800);
+    assert_eq!(all_closed, Some((WINDOW, counts(&[("w", 2)]))));
+    aggregator.mark_finalized(WINDOW);
+    assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "once");
 }
 
-/// The holder dies between fixing and sending: its successor has the sum from the store, and goes on after it.
+/// The lease holder stops after storing a sum and before sending it. Its successor reads the sum
+/// from the store and continues with the next window.
 #[test]
 fn a_successor_adds_nothing_up_again() {
-    let fixed = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
-    let mut collector = Collector::new(PATIENCE, Wall(END + 2_000), &fixed);
+    let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END + 2_000), &finalized);
     let mut ledger = Ledger::new("successor");
-    ledger.count(WINDOW, "w", 7);
-    assert_eq!(collector.due(Wall(END + 9_000), &ledger, 1), None);
-    let next = collector.due(Wall(END + 5_000 + 5_001), &ledger, 1);
+    ledger.add(WINDOW, "w", 7);
+    assert_eq!(aggregator.due(WallTime(END + 9_000), &ledger, 1), None);
+    let next = aggregator.due(WallTime(END + 5_000 + 5_001), &ledger, 1);
     assert_eq!(next, Some((WINDOW.next(), counts(&[]))));
-    // Nobody collected for a long time: what is too late is left.
-    let much_later = Wall(END + 60_000);
-    let mut collector = Collector::new(PATIENCE, much_later, &fixed);
-    let first = collector
+    // After a long time without a lease holder, windows that are too old are skipped.
+    let much_later = WallTime(END + 60_000);
+    let mut aggregator = Aggregator::new(TIMING, much_later, &finalized);
+    let first = aggregator
         .due(much_later, &ledger, 0)
         .map(|(window, _)| window);
     assert_eq!(first, Some(Window(WINDOW.0 + 10)));
 }
 
-/// The store takes no sum while a window ends, and none was ever kept: the window is still added up once it is back.
+/// The store is unavailable when the first sum is due. The window is summed up again when the store
+/// is back.
 #[test]
 fn a_sum_that_was_not_kept_is_made_again() {
     let mut ledger = Ledger::new("root");
-    let mut collector = Collector::new(PATIENCE, Wall(END - 1_000), &BTreeMap::new());
-    ledger.count(WINDOW, "w", 1);
-    assert!(collector.due(Wall(END + 5_001), &ledger, 0).is_some());
-    collector.resume(&BTreeMap::new());
-    let again = collector.due(Wall(END + 9_000), &ledger, 0);
+    let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
+    ledger.add(WINDOW, "w", 1);
+    assert!(aggregator.due(WallTime(END + 5_001), &ledger, 0).is_some());
+    aggregator.resume(&BTreeMap::new());
+    let again = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(again, Some((WINDOW, counts(&[("w", 1)]))));
-    // Another holder has kept it.
-    collector.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
-    let next = collector.due(Wall(END + 9_000), &ledger, 0);
+    // Another lease holder has stored the sum.
+    aggregator.resume(&BTreeMap::from([(WINDOW, counts(&[("w", 2)]))]));
+    let next = aggregator.due(WallTime(END + 9_000), &ledger, 0);
     assert_eq!(next, None);
 }
 
-/// The root is stopped: its successor first counts itself alone, then the others as they come. A sum of the few that have come
-/// would stand for good.
+/// The root of the tree stops. Its successor first counts only itself, then the others as they join
+/// it. A sum of the few that have joined would be final.
 #[test]
 fn a_new_root_waits_for_those_that_have_not_come_to_it_yet() {
-    let mut attendance = Attendance::default();
-    attendance.note(Time::from_millis(1_000), 67);
+    let mut instance_count = InstanceCount::default();
+    instance_count.observe(Time::from_millis(1_000), 67);
     for (millis, count) in [(3_000, 1), (3_300, 9), (3_600, 40)] {
-        attendance.note(Time::from_millis(millis), count);
-        assert_eq!(attendance.count(), 67);
+        instance_count.observe(Time::from_millis(millis), count);
+        assert_eq!(instance_count.expected(), 67);
     }
-    attendance.note(Time::from_millis(16_000), 66);
-    assert_eq!(attendance.count(), 66, "one is gone for good");
+    instance_count.observe(Time::from_millis(16_000), 66);
+    assert_eq!(instance_count.expected(), 66, "one is gone for good");
 }
 
 #[test]
 fn what_a_dead_instance_and_a_dead_root_told_is_not_lost() {
     let (mut dead, mut relay) = (Ledger::new("dead"), Ledger::new("relay"));
-    dead.count(WINDOW, "w", 2);
-    relay.heard(dead.untold(9));
-    // Told to a root that is gone; the next one is told all again.
-    relay.untold(9);
+    dead.add(WINDOW, "w", 2);
+    relay.merge(dead.take_unsent(9));
+    // These were sent to a root that has stopped; the next root gets all reports again.
+    relay.take_unsent(9);
     let mut root = Ledger::new("next root");
-    root.heard(relay.all());
+    root.merge(relay.all_reports());
     assert_eq!(root.total(WINDOW), counts(&[("w", 2)]));
 }
 
 #[test]
 fn a_time_of_day_that_jumps_and_goes_back_moves_no_window() {
     let at = |millis| Time::from_millis(millis);
-    let mut clock = Clock::new(at(1_000), 500_000);
-    clock.look(at(1_100), 500_105);
-    clock.look(at(2_000), 503_400);
-    clock.look(at(7_000), 508_400);
-    let now = clock.at(at(7_000)).0;
+    let mut clock = WallClock::new(at(1_000), 500_000);
+    clock.observe(at(1_100), 500_105);
+    clock.observe(at(2_000), 503_400);
+    clock.observe(at(7_000), 508_400);
+    let now = clock.wall_time(at(7_000)).0;
     assert!(now.abs_diff(506_000) <= 40, "{now}");
-    clock.look(at(8_000), 507_000);
-    assert!(clock.at(at(8_000)).0.abs_diff(507_000) <= 40);
-    // It was set right, for good.
-    clock.look(at(9_000), 518_000);
-    clock.look(at(130_000), 639_000);
-    assert_eq!(clock.at(at(130_000)).0, 639_000);
+    clock.observe(at(8_000), 507_000);
+    assert!(clock.wall_time(at(8_000)).0.abs_diff(507_000) <= 40);
+    // A step that lasts is accepted.
+    clock.observe(at(9_000), 518_000);
+    clock.observe(at(130_000), 639_000);
+    assert_eq!(clock.wall_time(at(130_000)).0, 639_000);
 }
 
-/// What may happen to three instances and the way between them.
+/// Operations on three instances and the messages between them.
 #[derive(Clone, Debug)]
 enum Event {
-    Count {
+    Add {
         at: usize,
         window: u64,
         workspace: u8,
     },
-    Undo {
+    Subtract {
         at: usize,
         window: u64,
         workspace: u8,
     },
-    /// What is untold goes from one to the other; lost, once or twice.
-    Tell {
+    /// Sends the unsent reports from one instance to another; they arrive never, once or twice.
+    Send {
         from: usize,
         to: usize,
         times: usize,
     },
-    TellAll {
+    SendAll {
         from: usize,
         to: usize,
     },
@@ -191,60 +197,61 @@
     let (at, window, workspace) = (0..3_usize, 100..103_u64, 0..3_u8);
     prop_oneof![
         4 => (at.clone(), window.clone(), workspace.clone())
-            .prop_map(|(at, window, workspace)| Event::Count { at, window, workspace }),
+            .prop_map(|(at, window, workspace)| Event::Add { at, window, workspace }),
         1 => (at.clone(), window, workspace)
-            .prop_map(|(at, window, workspace)| Event::Undo { at, window, workspace }),
+            .prop_map(|(at, window, workspace)| Event::Subtract { at, window, workspace }),
         3 => (at.clone(), at.clone(), 0..3_usize)
-            .prop_map(|(from, to, times)| Event::Tell { from, to, times }),
-        1 => (at, Just(0_usize)).prop_map(|(from, to)| Event::TellAll { from, to }),
+            .prop_map(|(from, to, times)| Event::Send { from, to, times }),
+        1 => (at, Just(0_usize)).prop_map(|(from, to)| Event::SendAll { from, to }),
     ]
 }
 
 proptest! {
-    /// However news were lost, doubled and reordered: once all have told all, everyone has the same true sums.
+    /// Reports may be lost, duplicated and reordered. After all instances have exchanged all
+    /// reports, each has the same correct sums.
     #[test]
     fn all_instances_come_to_the_same_sums(events in prop::collection::vec(event(), 0..120)) {
         let mut ledgers = ["a", "b", "c"].map(Ledger::new);
-        let mut truth: BTreeMap<(u64, u8), [i64; 3]> = BTreeMap::new();
+        let mut expected_counts: BTreeMap<(u64, u8), [i64; 3]> = BTreeMap::new();
         let mut late: Vec<Report> = Vec::new();
         for event in events {
             match event {
-                Event::Count { at, window, workspace } => {
+                Event::Add { at, window, workspace } => {
                     let name = format_compact!("w{workspace}");
-                    ledgers[at].count(Window(window), &name, 1);
-                    truth.entry((window, workspace)).or_default()[at] += 1;
+                    ledgers[at].add(Window(window), &name, 1);
+                    expected_counts.entry((window, workspace)).or_default()[at] += 1;
                 }
-                Event::Undo { at, window, workspace } => {
-                    let known = truth.entry((window, workspace)).or_default();
+                Event::Subtract { at, window, workspace } => {
+                    let known = expected_counts.entry((window, workspace)).or_default();
                     if known[at] > 0 {
                         known[at] -= 1;
                         let name = format_compact!("w{workspace}");
-                        ledgers[at].count(Window(window), &name, -1);
+                        ledgers[at].add(Window(window), &name, -1);
                     }
                 }
-                Event::Tell { from, to, times } => {
-                    let told = ledgers[from].untold(2);
-                    late.extend(told.clone());
+                Event::Send { from, to, times } => {
+                    let sent = ledgers[from].take_unsent(2);
+                    late.extend(sent.clone());
                     for _ in 0..times {
-                        ledgers[to].heard(told.clone());
+                        ledgers[to].merge(sent.clone());
                     }
                 }
-                Event::TellAll { from, to } => {
-                    let all = ledgers[from].all();
-                    ledgers[to].heard(all);
+                Event::SendAll { from, to } => {
+                    let all = ledgers[from].all_reports();
+                    ledgers[to].merge(all);
                 }
             }
         }
-        // Old reports that come last change nothing.
+        // Old reports that arrive last change nothing.
         for from in 0..3 {
             for to in 0..3 {
-                let all = ledgers[from].all();
-                ledgers[to].heard(all);
-                ledgers[to].heard(late.clone());
+                let all = ledgers[from].all_reports();
+                ledgers[to].merge(all);
+                ledgers[to].merge(late.clone());
             }
         }
         for window in 100..103 {
-            let sum = |workspace| truth.get(&(window, workspace)).map_or(0, |c| c.iter().sum::<i64>());
+            let sum = |workspace| expected_counts.get(&(window, workspace)).map_or(0, |c| c.iter().sum::<i64>());
             let expected: Counts = (0..3_u8)
                 .filter(|workspace| sum(*workspace) > 0)
                 .map(|workspace| (format_compact!("w{workspace}"), sum(workspace) as u64))
--- a/crates/pinereel_fakes/src/capacity/rollout.rs
+++ b/crates/pinereel_fakes/src/capacity/rollout.rs
@@ -4,7 +4,7 @@
 use compact_str::format_compact;
 use pinereel_core::{
     Time, Version,
-    rollout::{self, Controller, Sight},
+    rollout::{self, Controller, Status},
 };
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 /// All engines serve version 1, which is the target.
 fn at_rest(count: usize) -> Controller {
     let settings = rollout::Settings {
-        loads: count,
-        reads: count,
+        max_loads: count,
+        max_reads: count,
         ..rollout::Settings::default()
     };
     let mut controller = Controller::new(settings);
@@ -33,7 +33,7 @@
     controller.step(Time::ZERO, rollout::Event::Published(Version(1)));
     let lease = rollout::Lease {
         fence: 1,
-        until: Time::ZERO + HOUR,
+        expires_at: Time::ZERO + HOUR,
     };
     let reads = controller.step(Time::ZERO, rollout::Event::Lease(Some(lease)));
     answer(&mut controller, Time::ZERO, &reads, Version(1), None);
@@ -48,7 +48,7 @@
     version: Version,
     loading: Option<Version>,
 ) -> usize {
-    let sight = Sight {
+    let status = Status {
         incarnation: 1,
         version: Some(version),
         loading,
@@ -57,14 +57,14 @@
     let mut answered = 0;
     for action in actions {
         let event = match action {
-            rollout::Action::Read { name } => rollout::Event::Seen {
+            rollout::Action::Read { name } => rollout::Event::Observed {
                 name: name.clone(),
-                sight,
+                status,
             },
-            rollout::Action::Order { name, fence, .. } => rollout::Event::Taken {
+            rollout::Action::Order { name, fence, .. } => rollout::Event::Accepted {
                 name: name.clone(),
                 fence: *fence,
-                sight,
+                status,
             },
             _ => continue,
         };
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -7,7 +7,7 @@
 };
 use pinereel_core::{
     Version,
-    rollout::{Action, Event, Lease, Settings, Sight},
+    rollout::{Action, Event, Lease, Settings, Status},
 };
 use std::time::Duration;
 
@@ -29,22 +29,22 @@
 /// The rollout's settings, scaled to steps of about a second.
 pub(super) fn settings(waves: bool, swap: Duration) -> Settings {
     let all = Settings {
-        loads: usize::MAX,
-        floor: 0.0,
-        load_time: swap,
+        max_loads: usize::MAX,
+        min_serving_share: 0.0,
+        initial_load_time: swap,
         load_timeout: Duration::from_secs(2),
         answer_timeout: Duration::from_millis(300),
-        poll: Duration::from_millis(25),
-        recheck: Duration::from_secs(1),
-        backoff: Duration::from_millis(100),
-        quarantine: Duration::from_secs(1),
+        poll_interval: Duration::from_millis(25),
+        recheck_interval: Duration::from_secs(1),
+        initial_backoff: Duration::from_millis(100),
+        initial_quarantine: Duration::from_secs(1),
         max_quarantine: Duration::from_secs(4),
         ..Settings::default()
     };
     if waves {
         return Settings {
-            loads: 4,
-            floor: 0.5,
+            max_loads: 4,
+            min_serving_share: 0.5,
             ..all
         };
     }
@@ -117,7 +117,7 @@
             if !self.outage {
                 let lease = Lease {
                     fence: FENCE,
-                    until: self.now + LEASE,
+                    expires_at: self.now + LEASE,
                 };
                 self.rollout_step(Event::Lease(Some(lease)));
             }
@@ -142,12 +142,16 @@
     }
 
     /// What an engine shows arrives at the rollout.
-    pub(super) fn sight(&mut self, index: usize, fence: Option<u64>, sight: Option<Sight>) {
+    pub(super) fn status(&mut self, index: usize, fence: Option<u64>, status: Option<Status>) {
         let name = self.engines[index].name.clone();
-        let event = match (sight, fence) {
-            (None, _) => Event::Silent { name },
-            (Some(sight), None) => Event::Seen { name, sight },
-            (Some(sight), Some(fence)) => Event::Taken { name, fence, sight },
+        let event = match (status, fence) {
+            (None, _) => Event::NoAnswer { name },
+            (Some(status), None) => Event::Observed { name, status },
+            (Some(status), Some(fence)) => Event::Accepted {
+                name,
+                fence,
+                status,
+            },
         };
         self.rollout_step(event);
     }
