--- a/crates/pinereel/src/controllers/claims/ask.rs
+++ b/crates/pinereel/src/controllers/claims/ask.rs
@@ -3,7 +3,7 @@
 use super::{Ask, claim_here, place, settle_here};
 use crate::{peer::Error, state::Shared};
 use pinereel_api::wire::{Call, Reply};
-use pinereel_core::claim::{Record, Verdict};
+use pinereel_core::claim::{StoredResponse, Verdict};
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
@@ -72,7 +72,7 @@
 /// Stores what became of a claimed request; `None` if it did not run and never will. Tries the
 /// shard's owner and the next ones in turn, and this entry's own log. Whether it is stored: if not,
 /// the key reads as in progress and then as unknown.
-pub async fn settle(shared: &Rc<Shared>, ask: &Ask, outcome: Option<Record>) -> bool {
+pub async fn settle(shared: &Rc<Shared>, ask: &Ask, outcome: Option<StoredResponse>) -> bool {
     let mut pause = SETTLE_PAUSE;
     for _ in 0..SETTLE_TRIES {
         if settle_once(shared, ask, outcome.clone()).await {
@@ -93,12 +93,12 @@
     settle_once(shared, ask, None).await
 }
 
-async fn settle_once(shared: &Rc<Shared>, ask: &Ask, outcome: Option<Record>) -> bool {
+async fn settle_once(shared: &Rc<Shared>, ask: &Ask, outcome: Option<StoredResponse>) -> bool {
     let tried = try_settle(shared, ask, outcome);
     timeout(SETTLE_TIMEOUT, tried).await.unwrap_or(false)
 }
 
-async fn try_settle(shared: &Rc<Shared>, ask: &Ask, outcome: Option<Record>) -> bool {
+async fn try_settle(shared: &Rc<Shared>, ask: &Ask, outcome: Option<StoredResponse>) -> bool {
     let call = Call::Settle {
         key: ask.key.clone(),
         request: ask.request.clone(),
--- a/crates/pinereel/src/controllers/claims/mod.rs
+++ b/crates/pinereel/src/controllers/claims/mod.rs
@@ -16,7 +16,7 @@
 use pinereel_api::wire;
 use pinereel_core::{
     Time,
-    claim::{Action, Event, Limits, Log, Record, SHARDS, Verdict, shard},
+    claim::{Action, Event, Limits, Log, SHARD_COUNT, StoredResponse, Verdict, shard_of},
     hash::{self, Digest},
 };
 use std::{
@@ -48,7 +48,7 @@
 impl Ask {
     /// The shard of the key.
     pub fn shard(&self) -> u64 {
-        shard(&self.key, SHARDS)
+        shard_of(&self.key, SHARD_COUNT)
     }
 }
 
@@ -144,7 +144,11 @@
 }
 
 /// Stores a peer's settlement, also during a drain: what ran must not be forgotten.
-pub async fn serve_settle(shared: &Rc<Shared>, ask: Ask, outcome: Option<Record>) -> wire::Reply {
+pub async fn serve_settle(
+    shared: &Rc<Shared>,
+    ask: Ask,
+    outcome: Option<StoredResponse>,
+) -> wire::Reply {
     let _guard = shared.drain.enter();
     if settle_here(shared, &ask, outcome).await {
         wire::Reply::Done
@@ -154,14 +158,14 @@
 }
 
 /// Claims in the log that is open here.
-async fn claim_here(shared: &Rc<Shared>, ask: &Ask, left: Duration) -> Verdict {
+async fn claim_here(shared: &Rc<Shared>, ask: &Ask, time_left: Duration) -> Verdict {
     let (sender, verdict) = oneshot::channel();
     let shard = ask.shard();
     let event = Event::Claim {
         request: ask.request.clone(),
         key: ask.key.clone(),
         digest: ask.digest,
-        left,
+        time_left,
     };
     with(shared, shard, |open| {
         open.claims.insert(ask.request.clone(), sender);
@@ -171,7 +175,7 @@
 }
 
 /// Settles in the log that is open here; whether it is stored.
-async fn settle_here(shared: &Rc<Shared>, ask: &Ask, outcome: Option<Record>) -> bool {
+async fn settle_here(shared: &Rc<Shared>, ask: &Ask, outcome: Option<StoredResponse>) -> bool {
     let (sender, stored) = oneshot::channel();
     let shard = ask.shard();
     let event = Event::Settle {
--- a/crates/pinereel/src/controllers/claims/store.rs
+++ b/crates/pinereel/src/controllers/claims/store.rs
@@ -15,7 +15,7 @@
 /// Makes one call and gives its answer.
 pub(super) async fn call(shared: &Rc<Shared>, shard: u64, action: Action) -> Event {
     let done = match action {
-        Action::Create { n, segment } => return create(shared, shard, n, &segment).await,
+        Action::Create { number, segment } => return create(shared, shard, number, &segment).await,
         Action::Read { from } => read(shared, shard, from).await,
         Action::ReadBase => read_base(shared, shard).await,
         Action::Trim { from, to } => trim(shared, shard, from, to).await,
@@ -23,7 +23,7 @@
     };
     done.unwrap_or_else(|e| {
         log::warn!(entry = shared.name().as_str(), shard = shard; "claims not read: {e}");
-        Event::Failed
+        Event::CallFailed
     })
 }
 
@@ -45,7 +45,7 @@
             if e.had_no_effect() {
                 Event::NotCreated
             } else {
-                Event::Unknown
+                Event::CreateUnknown
             }
         }
     }
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -27,7 +27,7 @@
     problem::{Code, Ran},
 };
 use pinereel_core::{
-    claim::{MAX_BODY, Record, Verdict},
+    claim::{MAX_BODY_BYTES, StoredResponse, Verdict},
     hash::Digest,
 };
 use std::{future::poll_fn, pin::Pin, rc::Rc};
@@ -180,7 +180,7 @@
 }
 
 /// Settles in the background: the caller has its answer already.
-fn settle(shared: &Rc<Shared>, ask: Ask, outcome: Option<Record>) {
+fn settle(shared: &Rc<Shared>, ask: Ask, outcome: Option<StoredResponse>) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
         let _guard = shared.drain.enter();
@@ -219,8 +219,8 @@
 }
 
 /// The record of a request that may have run and left no answer.
-fn no_outcome() -> Record {
-    Record {
+fn no_outcome() -> StoredResponse {
+    StoredResponse {
         status: 0,
         content_type: CompactString::default(),
         body: None,
@@ -228,7 +228,7 @@
 }
 
 /// The recorded answer again. A body that was too large to keep is absent.
-fn replay(record: Record) -> Result<Response, Problem> {
+fn replay(record: StoredResponse) -> Result<Response, Problem> {
     let Ok(status) = StatusCode::from_u16(record.status) else {
         return Err(lost_outcome());
     };
@@ -249,7 +249,7 @@
 
 /// Reads an answer up to the size that is kept, so that its record is true to what came. An answer
 /// that breaks off before that is no answer.
-async fn record(response: Response) -> Result<(Response, Record), Problem> {
+async fn record(response: Response) -> Result<(Response, StoredResponse), Problem> {
     let (head, body) = response.into_parts();
     let length = match body.size() {
         BodySize::Sized(length) => Some(length),
@@ -258,7 +258,7 @@
     let mut body = Box::pin(body);
     let mut first = BytesMut::new();
     let mut whole = false;
-    while first.len() <= MAX_BODY {
+    while first.len() <= MAX_BODY_BYTES {
         match next(body.as_mut()).await {
             Some(Ok(part)) => first.extend_from_slice(&part),
             Some(Err(e)) => return Err(unknown(Code::Unknown, format_compact!("{e}"))),
@@ -276,7 +276,7 @@
     };
     let content_type = head.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    let outcome = Record {
+    let outcome = StoredResponse {
         status: head.status().as_u16(),
         content_type: content_type.unwrap_or_default().into(),
         body: kept,
--- a/crates/pinereel_api/src/wire.rs
+++ b/crates/pinereel_api/src/wire.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use pinereel_core::claim::Record;
+pub use pinereel_core::claim::StoredResponse;
 
 /// Version of this protocol. Links between different majors are refused.
 pub const PROTOCOL: u16 = 1;
@@ -145,7 +145,7 @@
         /// Digest of the request, as in its claim.
         digest: Digest,
         /// The outcome; `None` if it was not run and the key is free again.
-        outcome: Option<Record>,
+        outcome: Option<StoredResponse>,
     },
 }
 
@@ -220,7 +220,7 @@
     /// The claim is granted: the asker may execute.
     Granted,
     /// The key was executed before; this came of it.
-    Repeat(Record),
+    Repeat(StoredResponse),
     /// The key is being executed.
     InProgress,
     /// The key was claimed by a request whose outcome is not known.
--- a/crates/pinereel_api/tests/wire_frame.rs
+++ b/crates/pinereel_api/tests/wire_frame.rs
@@ -1,6 +1,6 @@
 //! Frames between entries: what was sent is read again, and nothing else is taken for a frame.
 
-use pinereel_api::wire::{Call, Error, Frame, MAX_FRAME, Record, Reply};
+use pinereel_api::wire::{Call, Error, Frame, MAX_FRAME, Reply, StoredResponse};
 use pinereel_core::hash::Digest;
 use proptest::{
     prelude::*,
@@ -31,7 +31,7 @@
     let record = (any::<u16>(), text, proptest::option::of(text));
     let repeat = (any::<u64>(), record).prop_map(|(id, (status, kind, body))| Frame::Reply {
         id,
-        body: Reply::Repeat(Record {
+        body: Reply::Repeat(StoredResponse {
             status,
             content_type: kind.into(),
             body,
--- a/crates/pinereel_core/src/claim/log.rs
+++ b/crates/pinereel_core/src/claim/log.rs
@@ -1,83 +1,87 @@
-//! One shard's log at one writer.
+//! Claims, settlements and verdicts of one shard's log: the state machine of one writer.
 
 use super::{
-    Action, Claim, Event, Limits, Record, Segment, Settle, Verdict,
-    table::{Holder, Table},
+    Action, Claim, Event, Limits, Segment, Settlement, StoredResponse, Verdict,
+    key_table::{Holder, KeyTable},
 };
 use crate::time::Time;
 use compact_str::CompactString;
 use std::{collections::VecDeque, mem, time::Duration};
 
-/// A claim that has no verdict yet.
+/// A claim without a stored verdict yet.
 #[derive(Clone, Debug)]
-pub(super) struct Ask {
+pub(super) struct PendingClaim {
     pub(super) claim: Claim,
     pub(super) deadline: Time,
-    /// Answered before its segment was decided; it must not be granted any more.
+    /// Already answered while its segment was in flight, so it must not be granted any more.
     answered: bool,
 }
 
-/// A segment whose fate is not settled.
+/// The segment that is being written, and the claims in it.
 #[derive(Clone, Debug)]
 pub(super) struct Batch {
-    pub(super) n: u64,
+    pub(super) number: u64,
     pub(super) segment: Segment,
-    pub(super) asks: Vec<Ask>,
-    /// Whether an earlier create of the very same segment may still take effect.
-    pub(super) doubtful: bool,
+    pub(super) pending_claims: Vec<PendingClaim>,
+    /// Whether an earlier create of this same segment may have taken effect or still may.
+    pub(super) maybe_stored: bool,
 }
 
-/// The one call that is open, or what is to be called after a failure.
+/// The call in flight, or the call to retry after a failure.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
     Idle,
     Reading,
     Creating(Batch),
-    /// Created; whether the number was fresh is being asked.
-    Checking(Batch),
-    /// It is being read whether the segment exists.
+    /// The segment was created; the base is being read to check that its number was not trimmed.
+    CheckingBase(Batch),
+    /// The result of the create is unknown; the log is being read to see whether the segment exists.
     Resolving(Batch),
     Trimming,
-    /// A call failed; it is tried again at the time.
-    Waiting(Time, Box<Phase>),
+    /// A call failed and is retried at this time.
+    Retrying(Time, Box<Phase>),
 }
 
-/// The log of one shard at one writer. See the module's description.
+/// State machine of one writer of one shard. See the [module documentation](super).
 #[derive(Clone, Debug)]
 pub struct Log {
     pub(super) limits: Limits,
-    pub(super) writer: CompactString,
-    pub(super) writes: u64,
-    pub(super) table: Table,
-    pub(super) asks: VecDeque<Ask>,
-    pub(super) settles: VecDeque<Settle>,
+    pub(super) writer_id: CompactString,
+    pub(super) write_count: u64,
+    pub(super) table: KeyTable,
+    pub(super) pending_claims: VecDeque<PendingClaim>,
+    pub(super) pending_settlements: VecDeque<Settlement>,
     pub(super) phase: Phase,
     pub(super) read_at: Time,
-    /// When the table was last known to hold all that was written.
-    pub(super) fresh_at: Time,
-    /// When the oldest settlement came that waits.
-    pub(super) settled_at: Time,
-    /// A claim waits for the log to be read again.
-    pub(super) recheck: bool,
+    /// When the table was last known to hold all stored segments.
+    pub(super) up_to_date_at: Time,
+    /// Arrival time of the oldest queued settlement.
+    pub(super) oldest_settlement_at: Time,
+    /// Whether a queued claim needs the log to be read again.
+    pub(super) recheck_pending: bool,
     pub(super) trimmed_at: Time,
 }
 
 impl Log {
-    /// A log that has read nothing. `writer` must be unique to this start of the process. The
-    /// returned action is the first read.
-    pub fn new(now: Time, writer: impl Into<CompactString>, limits: Limits) -> (Self, Vec<Action>) {
+    /// Creates a log that has read nothing. `writer_id` must be unique to this start of the process,
+    /// because write ids are derived from it. The returned action is the first read.
+    pub fn new(
+        now: Time,
+        writer_id: impl Into<CompactString>,
+        limits: Limits,
+    ) -> (Self, Vec<Action>) {
         let log = Self {
             limits,
-            writer: writer.into(),
-            writes: 0,
-            table: Table::default(),
-            asks: VecDeque::new(),
-            settles: VecDeque::new(),
+            writer_id: writer_id.into(),
+            write_count: 0,
+            table: KeyTable::default(),
+            pending_claims: VecDeque::new(),
+            pending_settlements: VecDeque::new(),
             phase: Phase::Reading,
             read_at: now,
-            fresh_at: now,
-            settled_at: now,
-            recheck: false,
+            up_to_date_at: now,
+            oldest_settlement_at: now,
+            recheck_pending: false,
             trimmed_at: Time::ZERO,
         };
         (log, vec![Action::Read { from: 0 }])
@@ -88,35 +92,38 @@
         self.table.len()
     }
 
-    /// Whether no call is open and nothing waits. A writer that stops may be dropped then.
+    /// Whether no call is in flight and nothing is queued. Only then can the log be dropped without
+    /// losing claims or settlements.
     pub fn is_idle(&self) -> bool {
-        matches!(self.phase, Phase::Idle) && self.asks.is_empty() && self.settles.is_empty()
+        matches!(self.phase, Phase::Idle)
+            && self.pending_claims.is_empty()
+            && self.pending_settlements.is_empty()
     }
 
-    /// Takes one event and returns what to do.
+    /// Handles one event and returns the actions to carry out.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.expire(now, &mut out);
+        self.expire_claims(now, &mut out);
         match event {
             Event::Claim {
                 request,
                 key,
                 digest,
-                left,
+                time_left,
             } => {
-                let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+                let left_ms = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
                 let claim = Claim {
                     key,
                     digest,
                     request,
                     left_ms,
                 };
-                let ask = Ask {
+                let pending = PendingClaim {
                     claim,
-                    deadline: now + left,
+                    deadline: now + time_left,
                     answered: false,
                 };
-                self.on_claim(now, ask, left, &mut out);
+                self.on_claim(now, pending, time_left, &mut out);
             }
             Event::Settle {
                 request,
@@ -126,7 +133,7 @@
             } => {
                 self.on_settle(
                     now,
-                    Settle {
+                    Settlement {
                         key,
                         request,
                         digest,
@@ -137,143 +144,163 @@
             }
             Event::Created => self.on_created(&mut out),
             Event::NotCreated => self.on_not_created(now, &mut out),
-            Event::Conflict | Event::Unknown => self.on_undecided(&mut out),
+            Event::Conflict | Event::CreateUnknown => self.on_create_unresolved(&mut out),
             Event::Read { segments, base } => self.on_read(now, segments, base, &mut out),
             Event::Base(base) => self.on_base(now, base, &mut out),
-            Event::Failed => self.on_failed(now, &mut out),
+            Event::CallFailed => self.on_failed(now, &mut out),
             Event::Tick => self.on_tick(now, &mut out),
         }
-        self.pump(now, &mut out);
+        self.start_next_call(now, &mut out);
         out
     }
 
-    fn on_claim(&mut self, now: Time, ask: Ask, left: Duration, out: &mut Vec<Action>) {
-        let outdated = self.is_outdated(now, &ask.claim.key) && self.has_room(left);
-        let known = self.judge(now, &ask.claim);
-        let verdict = match known.or_else(|| self.judge_open(&ask.claim)) {
-            Some(_) if outdated => {
-                self.recheck = true;
+    fn on_claim(
+        &mut self,
+        now: Time,
+        pending: PendingClaim,
+        time_left: Duration,
+        out: &mut Vec<Action>,
+    ) {
+        let stale = self.needs_recheck(now, &pending.claim.key) && self.can_accept(time_left);
+        let stored = self.stored_verdict(now, &pending.claim);
+        let verdict = match stored.or_else(|| self.pending_verdict(&pending.claim)) {
+            Some(_) if stale => {
+                self.recheck_pending = true;
                 None
             }
             Some(verdict) => Some(verdict),
-            None if !self.has_room(left) => Some(Verdict::NotClaimed),
+            None if !self.can_accept(time_left) => Some(Verdict::NotClaimed),
             None => None,
         };
         match verdict {
-            Some(verdict) => out.push(reply(&ask, verdict)),
-            None => self.asks.push_back(ask),
+            Some(verdict) => out.push(reply(&pending, verdict)),
+            None => self.pending_claims.push_back(pending),
         }
     }
 
-    /// An outage refuses at once. So does a full batch, a full table, or a deadline that the
-    /// window could not outlast.
-    fn has_room(&self, left: Duration) -> bool {
-        !matches!(self.phase, Phase::Waiting(..))
-            && self.asks.len() < self.limits.waiting
-            && self.table.len() + self.asks.len() + self.batch_len() < self.limits.keys
-            && left < self.limits.window
+    /// Whether a new claim can be queued. It is refused during an outage of the object API, if the
+    /// queue or the key table is full, or if its deadline lies beyond the retention time.
+    fn can_accept(&self, time_left: Duration) -> bool {
+        !matches!(self.phase, Phase::Retrying(..))
+            && self.pending_claims.len() < self.limits.max_waiting
+            && self.table.len() + self.pending_claims.len() + self.batch_len()
+                < self.limits.max_keys
+            && time_left < self.limits.retention
     }
 
-    /// The verdict by the log alone; `None` if the key is free.
-    pub(super) fn judge(&self, now: Time, claim: &Claim) -> Option<Verdict> {
+    /// Verdict according to the stored segments alone; `None` if the key is free.
+    pub(super) fn stored_verdict(&self, now: Time, claim: &Claim) -> Option<Verdict> {
         let holder = self.table.holder(&claim.key)?;
-        let verdict = match &holder.record {
+        let verdict = match &holder.response {
             _ if holder.digest != claim.digest => Verdict::KeyConflict,
-            Some(record) => Verdict::Repeat(record.clone()),
-            None if now < holder.until => Verdict::InProgress,
+            Some(response) => Verdict::Repeat(response.clone()),
+            None if now < holder.deadline => Verdict::InProgress,
             None => Verdict::ClaimUnknown,
         };
         Some(verdict)
     }
 
-    /// Whether the key is held without an outcome, as far as was last read, too long ago to say so.
-    fn is_outdated(&self, now: Time, key: &str) -> bool {
-        let open = |holder: &Holder| holder.record.is_none();
-        now.since(self.fresh_at) >= self.limits.recheck && self.table.holder(key).is_some_and(open)
+    /// Whether the last read is too old for a verdict on this key: the key was held without an
+    /// outcome, which another writer may have stored since.
+    fn needs_recheck(&self, now: Time, key: &str) -> bool {
+        let is_open = |holder: &Holder| holder.response.is_none();
+        now.since(self.up_to_date_at) >= self.limits.max_read_age
+            && self.table.holder(key).is_some_and(is_open)
     }
 
-    /// The verdict by claims that are not in the log yet.
-    fn judge_open(&self, claim: &Claim) -> Option<Verdict> {
+    /// Verdict according to claims that are in flight or queued.
+    fn pending_verdict(&self, claim: &Claim) -> Option<Verdict> {
         let open = self
             .batch()
             .into_iter()
-            .flat_map(|batch| &batch.asks)
-            .chain(&self.asks);
-        judge_by(open, claim)
+            .flat_map(|batch| &batch.pending_claims)
+            .chain(&self.pending_claims);
+        verdict_against(open, claim)
     }
 
-    fn on_settle(&mut self, now: Time, settle: Settle, out: &mut Vec<Action>) {
-        if settle.outcome.is_none() {
-            self.abandon(&settle.request, out);
+    fn on_settle(&mut self, now: Time, settlement: Settlement, out: &mut Vec<Action>) {
+        if settlement.outcome.is_none() {
+            self.cancel_claim(&settlement.request, out);
         }
-        if self.settles.len() >= self.limits.waiting {
+        if self.pending_settlements.len() >= self.limits.max_waiting {
             out.push(Action::Settled {
-                request: settle.request,
+                request: settlement.request,
                 stored: false,
             });
             return;
         }
-        if self.settles.is_empty() {
-            self.settled_at = now;
+        if self.pending_settlements.is_empty() {
+            self.oldest_settlement_at = now;
         }
-        let outcome = settle.outcome.map(Record::bounded);
-        self.settles.push_back(Settle { outcome, ..settle });
+        let outcome = settlement.outcome.map(StoredResponse::bounded);
+        self.pending_settlements.push_back(Settlement {
+            outcome,
+            ..settlement
+        });
     }
 
-    /// The entry that got the request gave it up: its claim must not be granted any more.
-    fn abandon(&mut self, request: &CompactString, out: &mut Vec<Action>) {
+    /// Answers the claim of a request that its sender has given up. It must not be granted any more.
+    fn cancel_claim(&mut self, request: &CompactString, out: &mut Vec<Action>) {
         if let Some(at) = self
-            .asks
+            .pending_claims
             .iter()
-            .position(|ask| ask.claim.request == *request)
+            .position(|pending| pending.claim.request == *request)
         {
             out.extend(
-                self.asks
+                self.pending_claims
                     .remove(at)
-                    .map(|ask| reply(&ask, Verdict::NotClaimed)),
+                    .map(|pending| reply(&pending, Verdict::NotClaimed)),
             );
         }
         let Some(batch) = self.batch_mut() else {
             return;
         };
-        let open = |ask: &&mut Ask| ask.claim.request == *request && !ask.answered;
-        if let Some(ask) = batch.asks.iter_mut().find(open) {
-            ask.answered = true;
-            out.push(reply(ask, Verdict::NotClaimed));
+        let is_open =
+            |pending: &&mut PendingClaim| pending.claim.request == *request && !pending.answered;
+        if let Some(pending) = batch.pending_claims.iter_mut().find(is_open) {
+            pending.answered = true;
+            out.push(reply(pending, Verdict::NotClaimed));
         }
     }
 
-    /// The segment of `batch` is in the log and was just applied.
-    pub(super) fn decide(&mut self, now: Time, batch: Batch, out: &mut Vec<Action>) {
-        // All earlier segments were read, or the number would have been taken.
-        self.fresh_at = now;
-        for settle in batch.segment.settles {
+    /// Answers the claims and settlements of `batch`, whose segment is stored and was just applied.
+    pub(super) fn on_segment_stored(&mut self, now: Time, batch: Batch, out: &mut Vec<Action>) {
+        // All earlier segments were read, or the create would have found its number taken.
+        self.up_to_date_at = now;
+        for settlement in batch.segment.settlements {
             out.push(Action::Settled {
-                request: settle.request,
+                request: settlement.request,
                 stored: true,
             });
         }
-        for ask in batch.asks {
-            if ask.answered {
-                self.release(ask.claim);
-            } else if self.table.is_released(&ask.claim.key, &ask.claim.request) {
-                out.push(reply(&ask, Verdict::NotClaimed));
+        for pending in batch.pending_claims {
+            if pending.answered {
+                self.release_key(pending.claim);
+            } else if self
+                .table
+                .is_released(&pending.claim.key, &pending.claim.request)
+            {
+                out.push(reply(&pending, Verdict::NotClaimed));
             } else {
-                out.push(reply(&ask, Verdict::Granted));
+                out.push(reply(&pending, Verdict::Granted));
             }
         }
     }
 
-    /// Frees the key of a claim that was answered before it was stored.
-    fn release(&mut self, claim: Claim) {
+    /// Queues the release of a key whose claim was answered before it was stored.
+    fn release_key(&mut self, claim: Claim) {
         let Claim {
             key,
             digest,
             request,
             ..
         } = claim;
-        if self.settles.iter().all(|settle| settle.request != request) {
-            self.settles.push_back(Settle {
+        if self
+            .pending_settlements
+            .iter()
+            .all(|settlement| settlement.request != request)
+        {
+            self.pending_settlements.push_back(Settlement {
                 key,
                 request,
                 digest,
@@ -282,54 +309,63 @@
         }
     }
 
-    /// Returns what is still open of a batch that is certainly not in the log.
-    pub(super) fn put_back(&mut self, batch: Batch) {
-        for ask in batch.asks.into_iter().rev().filter(|ask| !ask.answered) {
-            self.asks.push_front(ask);
+    /// Puts the unanswered claims and the settlements of a batch that is not in the log back at the
+    /// head of the queues.
+    pub(super) fn requeue(&mut self, batch: Batch) {
+        for pending in batch
+            .pending_claims
+            .into_iter()
+            .rev()
+            .filter(|pending| !pending.answered)
+        {
+            self.pending_claims.push_front(pending);
         }
-        for settle in batch.segment.settles.into_iter().rev() {
-            self.settles.push_front(settle);
+        for settlement in batch.segment.settlements.into_iter().rev() {
+            self.pending_settlements.push_front(settlement);
         }
     }
 
-    /// Answers claims past their deadline. Only a grant lets a request run, and there will be none,
-    /// so "not run" is true whatever becomes of the segment.
-    fn expire(&mut self, now: Time, out: &mut Vec<Action>) {
-        let (late, open) = mem::take(&mut self.asks)
+    /// Refuses claims past their deadline. Only a grant lets a request run and none will follow, so
+    /// `NotClaimed` is correct whether or not the segment gets stored.
+    fn expire_claims(&mut self, now: Time, out: &mut Vec<Action>) {
+        let (late, open) = mem::take(&mut self.pending_claims)
             .into_iter()
             .partition(|a| a.deadline <= now);
-        self.asks = open;
-        let late: VecDeque<Ask> = late;
-        out.extend(late.iter().map(|ask| reply(ask, Verdict::NotClaimed)));
+        self.pending_claims = open;
+        let late: VecDeque<PendingClaim> = late;
+        out.extend(
+            late.iter()
+                .map(|pending| reply(pending, Verdict::NotClaimed)),
+        );
         let Some(batch) = self.batch_mut() else {
             return;
         };
-        for ask in batch
-            .asks
+        for pending in batch
+            .pending_claims
             .iter_mut()
             .filter(|a| !a.answered && a.deadline <= now)
         {
-            ask.answered = true;
-            out.push(reply(ask, Verdict::NotClaimed));
+            pending.answered = true;
+            out.push(reply(pending, Verdict::NotClaimed));
         }
     }
 
-    /// Answers what waits by what was last read.
-    pub(super) fn refuse_waiting(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.recheck = false;
-        for ask in mem::take(&mut self.asks) {
-            let known = self.judge(now, &ask.claim);
-            out.push(reply(&ask, known.unwrap_or(Verdict::NotClaimed)));
+    /// Answers all queued claims according to the last read; claims of free keys are refused.
+    pub(super) fn refuse_pending(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.recheck_pending = false;
+        for pending in mem::take(&mut self.pending_claims) {
+            let stored = self.stored_verdict(now, &pending.claim);
+            out.push(reply(&pending, stored.unwrap_or(Verdict::NotClaimed)));
         }
     }
 
     fn batch(&self) -> Option<&Batch> {
         match &self.phase {
-            Phase::Creating(batch) | Phase::Checking(batch) | Phase::Resolving(batch) => {
+            Phase::Creating(batch) | Phase::CheckingBase(batch) | Phase::Resolving(batch) => {
                 Some(batch)
             }
-            Phase::Waiting(_, phase) => match &**phase {
-                Phase::Creating(b) | Phase::Checking(b) | Phase::Resolving(b) => Some(b),
+            Phase::Retrying(_, phase) => match &**phase {
+                Phase::Creating(b) | Phase::CheckingBase(b) | Phase::Resolving(b) => Some(b),
                 _ => None,
             },
             _ => None,
@@ -338,11 +374,11 @@
 
     fn batch_mut(&mut self) -> Option<&mut Batch> {
         match &mut self.phase {
-            Phase::Creating(batch) | Phase::Checking(batch) | Phase::Resolving(batch) => {
+            Phase::Creating(batch) | Phase::CheckingBase(batch) | Phase::Resolving(batch) => {
                 Some(batch)
             }
-            Phase::Waiting(_, phase) => match &mut **phase {
-                Phase::Creating(b) | Phase::Checking(b) | Phase::Resolving(b) => Some(b),
+            Phase::Retrying(_, phase) => match &mut **phase {
+                Phase::Creating(b) | Phase::CheckingBase(b) | Phase::Resolving(b) => Some(b),
                 _ => None,
             },
             _ => None,
@@ -350,16 +386,16 @@
     }
 
     fn batch_len(&self) -> usize {
-        self.batch().map_or(0, |batch| batch.asks.len())
+        self.batch().map_or(0, |batch| batch.pending_claims.len())
     }
 }
 
-/// The verdict if one of `asks` is for the same key.
-pub(super) fn judge_by<'a>(
-    asks: impl IntoIterator<Item = &'a Ask>,
+/// Verdict on `claim` if one of `pending_claims` is for the same key.
+pub(super) fn verdict_against<'a>(
+    pending_claims: impl IntoIterator<Item = &'a PendingClaim>,
     claim: &Claim,
 ) -> Option<Verdict> {
-    let mut claims = asks.into_iter().map(|ask| &ask.claim);
+    let mut claims = pending_claims.into_iter().map(|pending| &pending.claim);
     let other = claims.find(|other| other.key == claim.key)?;
     Some(if other.digest == claim.digest {
         Verdict::InProgress
@@ -368,9 +404,9 @@
     })
 }
 
-pub(super) fn reply(ask: &Ask, verdict: Verdict) -> Action {
+pub(super) fn reply(pending: &PendingClaim, verdict: Verdict) -> Action {
     Action::Reply {
-        request: ask.claim.request.clone(),
+        request: pending.claim.request.clone(),
         verdict,
     }
 }
--- a/crates/pinereel_core/src/claim/message.rs
+++ b/crates/pinereel_core/src/claim/message.rs
@@ -1,66 +1,68 @@
-//! What goes in and out of a [`Log`](super::Log).
+//! Events, actions and limits of a [`Log`](super::Log).
 
-use super::{Record, Segment};
+use super::{Segment, StoredResponse};
 use crate::hash::Digest;
 use compact_str::CompactString;
 use std::time::Duration;
 
-/// Bounds of one [`Log`](super::Log).
+/// Limits of one [`Log`](super::Log).
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most claims, and most settlements, in one segment.
-    pub batch: usize,
-    /// Most claims, and most settlements, that wait for the next segment.
-    pub waiting: usize,
-    /// Most body bytes in one segment.
-    pub bytes: usize,
-    /// Most keys in memory. At the bound new keys are refused until old ones expire.
-    pub keys: usize,
-    /// How long a record is kept at least. Longer than any request's deadline.
-    pub window: Duration,
-    /// Pause after a failed call.
-    pub retry: Duration,
-    /// An idle log is read again after this long.
-    pub refresh: Duration,
-    /// Outcomes wait for so long for claims to be written with; nobody waits for them. A settlement
-    /// that frees a key does not wait.
+    /// Maximum number of claims, and of settlements, in one segment.
+    pub max_batch: usize,
+    /// Maximum number of claims, and of settlements, queued for the next segment.
+    pub max_waiting: usize,
+    /// Maximum total size of response bodies in one segment, in bytes. A segment always takes at
+    /// least one settlement.
+    pub max_segment_bytes: usize,
+    /// Maximum number of keys in memory. At the limit new keys are refused until old ones expire.
+    pub max_keys: usize,
+    /// Minimum time that a key is kept. Must exceed the time that any request has left until its
+    /// deadline; claims with a later deadline are refused.
+    pub retention: Duration,
+    /// Delay before a failed call is retried.
+    pub retry_delay: Duration,
+    /// Interval at which an idle log is read again.
+    pub refresh_interval: Duration,
+    /// Time that settlements with an outcome wait to share a segment with claims, which saves
+    /// writes: no caller waits for them. A settlement that frees a key is written at once.
     pub linger: Duration,
-    /// A key without an outcome is looked up again if the log was not read for so long: another
-    /// writer may have settled it.
-    pub recheck: Duration,
+    /// Maximum age of the last read for a verdict on a key that is held without an outcome. If it
+    /// is older, the log is read again first, since another writer may have settled the key.
+    pub max_read_age: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            batch: 100,
-            waiting: 100,
-            bytes: 128 * 1024,
-            keys: 100_000,
-            window: Duration::from_secs(24 * 3600),
-            retry: Duration::from_millis(200),
-            refresh: Duration::from_secs(60),
+            max_batch: 100,
+            max_waiting: 100,
+            max_segment_bytes: 128 * 1024,
+            max_keys: 100_000,
+            retention: Duration::from_secs(24 * 3600),
+            retry_delay: Duration::from_millis(200),
+            refresh_interval: Duration::from_secs(60),
             linger: Duration::ZERO,
-            recheck: Duration::from_millis(500),
+            max_read_age: Duration::from_millis(500),
         }
     }
 }
 
-/// What a log is told. Each call it ordered gets exactly one answer.
+/// Input of a log. Each call that the log requests gets exactly one result event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request asks for its key.
+    /// A request claims its key.
     Claim {
-        /// Id of the request, unique to each ask.
+        /// Id of the request, unique to each claim attempt.
         request: CompactString,
         /// The idempotency key.
         key: CompactString,
         /// Digest of the request's content.
         digest: Digest,
-        /// Time until the request's deadline.
-        left: Duration,
+        /// Time left until the request's deadline.
+        time_left: Duration,
     },
-    /// A request that claimed has ended.
+    /// A request that claimed its key has ended.
     Settle {
         /// Id of the request.
         request: CompactString,
@@ -68,87 +70,88 @@
         key: CompactString,
         /// Digest of the request's content, as in its claim.
         digest: Digest,
-        /// The outcome; `None` if the request was not run and never will be.
-        outcome: Option<Record>,
+        /// The outcome; `None` if the request did not run and never will.
+        outcome: Option<StoredResponse>,
     },
     /// The create succeeded.
     Created,
-    /// The create found the number taken.
+    /// The create failed because the segment number is already taken.
     Conflict,
-    /// The create certainly had no effect and never will: not sent, or refused.
+    /// The create has no effect and never will: it was not sent, or it was refused.
     NotCreated,
-    /// The create's outcome is not known; it may still take effect.
-    Unknown,
-    /// Answer to [`Action::Read`].
+    /// The result of the create is not known; it may still take effect.
+    CreateUnknown,
+    /// Result of [`Action::Read`].
     Read {
-        /// The segments from the asked number on, without gaps.
+        /// The segments from the requested number on, without gaps.
         segments: Vec<(u64, Segment)>,
-        /// The base, read after the segments; 0 if the object is absent.
+        /// The base number, read after the segments; 0 if the object is absent.
         base: u64,
     },
-    /// Answer to [`Action::ReadBase`] and [`Action::Trim`]: the base that now stands.
+    /// Result of [`Action::ReadBase`] and [`Action::Trim`]: the current base number.
     Base(u64),
-    /// A read or trim failed.
-    Failed,
-    /// Time has passed.
+    /// A read or a trim failed.
+    CallFailed,
+    /// Time has passed; drives retries, lingering settlements, trims and periodic reads.
     Tick,
 }
 
-/// What a log orders. At most one call to the object API is open at a time.
+/// Output of a log. At most one call to the object API is in flight at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Create segment `n` if it is absent.
+    /// Create the segment if its number is absent.
     Create {
-        /// Its number.
-        n: u64,
-        /// Its content.
+        /// The segment's number.
+        number: u64,
+        /// The segment's content.
         segment: Segment,
     },
-    /// Read the segments from `from` on until one is absent, then the base.
+    /// Read the segments from number `from` on until one is absent, then the base number.
     Read {
-        /// The first number.
+        /// The first segment number to read.
         from: u64,
     },
-    /// Read the base.
+    /// Read the base number.
     ReadBase,
-    /// If the base is still `from`, raise it to `to` by conditional update, then delete all
-    /// segments below it. Answer with the base that now stands.
+    /// If the base number is still `from`, raise it to `to` by a conditional update, then delete all
+    /// segments below it. Answered with the current base.
     Trim {
-        /// The base it was.
+        /// The expected current base.
         from: u64,
-        /// The base it shall be.
+        /// The new base.
         to: u64,
     },
-    /// Answer to a claim; exactly one a request.
+    /// Answer to a claim, sent exactly once per request.
     Reply {
         /// Id of the request.
         request: CompactString,
-        /// The answer.
+        /// The verdict.
         verdict: Verdict,
     },
     /// Answer to a settlement.
     Settled {
         /// Id of the request.
         request: CompactString,
-        /// Whether it is stored. If not, the sender may try again; the key reads as in progress,
-        /// then as unknown, until then.
+        /// Whether the settlement is stored. If not, the sender may retry. Until it is stored, claims
+        /// of the key get [`Verdict::InProgress`], and [`Verdict::ClaimUnknown`] after the deadline.
         stored: bool,
     },
 }
 
-/// Answer to a claim. Only [`Verdict::Granted`] allows the request to run.
+/// Result of a claim. Only [`Verdict::Granted`] allows the request to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The key is the request's own.
+    /// The request holds the key.
     Granted,
-    /// The key's request ran; this came of it.
-    Repeat(Record),
-    /// The key's request may be running.
+    /// An earlier request with this key ran; its stored response.
+    Repeat(StoredResponse),
+    /// An earlier request with this key may still be running.
     InProgress,
-    /// The key's request can no longer be running and left no outcome.
+    /// An earlier request with this key is past its deadline and has no recorded outcome.
     ClaimUnknown,
-    /// The key belongs to a request with other content.
+    /// The key is held by a request with different content.
     KeyConflict,
-    /// The key could not be claimed in time or for want of room; the request must not run.
+    /// The key could not be claimed: the deadline passed, a limit was reached, the claim was
+    /// cancelled, or the object API is unavailable. The request must not run.
     NotClaimed,
 }
--- a/crates/pinereel_core/src/claim/mod.rs
+++ b/crates/pinereel_core/src/claim/mod.rs
@@ -1,43 +1,46 @@
-//! Idempotency keys: a non-idempotent request with a key runs at most once.
+//! Idempotency keys: a non-idempotent request that carries a key runs at most once.
 //!
-//! A key belongs to a [`shard()`]; each shard has a log of numbered segments in the object API,
-//! created only if absent. A writer may create segment `n` only when it has read all earlier ones,
-//! so the create is the fence between writers, and no lease or clock is needed for safety.
+//! Each key belongs to one shard ([`shard_of`]). A shard is an append-only log of numbered
+//! [`Segment`]s in the object API, and a [`Log`] is one writer's state machine for one shard. A
+//! segment is written by a create-if-absent, and a writer creates number `n` only after it has read
+//! all earlier segments. The create alone orders concurrent writers, so safety needs no lease and no
+//! clock.
 //!
-//! Old segments are trimmed: the shard's base number is raised first, then everything below it is
-//! deleted. A writer reads the base after each create. A base of at most `n` proves that `n` had
-//! never been deleted, so the create took a number that was never used before.
+//! Trimming raises the shard's base number first and deletes the segments below it second. A writer
+//! reads the base after each create: a base of at most `n` proves that segment `n` was never
+//! deleted, so the create did not reuse a trimmed number.
 
-mod calls;
-mod commit;
+mod key_table;
 mod log;
 mod message;
+mod next_call;
+mod response;
 mod segment;
-mod table;
 
 pub use log::Log;
 pub use message::{Action, Event, Limits, Verdict};
-pub use segment::{Claim, Record, Segment, Settle};
+pub use segment::{Claim, Segment, Settlement, StoredResponse};
 
 use crate::hash;
 
 /// Number of shards. Part of the stored format: it can't change while segments exist.
-pub const SHARDS: u64 = 16;
+pub const SHARD_COUNT: u64 = 16;
 
-/// Largest body kept in a [`Record`], in bytes.
-pub const MAX_BODY: usize = 4 * 1024;
+/// Largest body kept in a [`StoredResponse`], in bytes.
+pub const MAX_BODY_BYTES: usize = 4 * 1024;
 
-/// The shard of `key` out of `shards` (at least one).
-pub fn shard(key: &str, shards: u64) -> u64 {
-    hash::stable(key.as_bytes()) % shards.max(1)
+/// Shard of `key`, from 0 to `shard_count - 1`; a count of 0 is taken as 1. The mapping is stable
+/// across processes and releases, because segments are stored under the shard's number.
+pub fn shard_of(key: &str, shard_count: u64) -> u64 {
+    hash::stable(key.as_bytes()) % shard_count.max(1)
 }
 
-/// Name of segment `n` of `shard` in the object API.
-pub fn segment_name(shard: u64, n: u64) -> String {
-    format!("{shard}.{n:010}")
+/// Object name of segment `number` of `shard`. The number is zero-padded, so names sort by number.
+pub fn segment_name(shard: u64, number: u64) -> String {
+    format!("{shard}.{number:010}")
 }
 
-/// Name of the object that holds the base number of `shard`.
+/// Object name of the base number of `shard`, the lowest segment number that is still in use.
 pub fn base_name(shard: u64) -> String {
     format!("{shard}.base")
 }
--- a/crates/pinereel_core/src/claim/calls.rs
+++ b/crates/pinereel_core/src/claim/response.rs
@@ -1,4 +1,4 @@
-//! How a [`Log`] goes on after each answer of the object API.
+//! Handles the results of a [`Log`]'s calls to the object API, and retries.
 
 use super::{
     Action, Segment,
@@ -11,17 +11,19 @@
     pub(super) fn on_created(&mut self, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Creating(batch) => {
-                self.phase = Phase::Checking(batch);
+                self.phase = Phase::CheckingBase(batch);
                 out.push(Action::ReadBase);
             }
             other => self.phase = other,
         }
     }
 
-    pub(super) fn on_undecided(&mut self, out: &mut Vec<Action>) {
+    /// The create conflicted or its result is unknown. Either way this segment may be the one that is
+    /// stored under its number, so the log is read to find out.
+    pub(super) fn on_create_unresolved(&mut self, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Creating(mut batch) => {
-                batch.doubtful = true;
+                batch.maybe_stored = true;
                 self.phase = Phase::Resolving(batch);
                 out.push(Action::Read {
                     from: self.table.next,
@@ -31,18 +33,19 @@
         }
     }
 
-    /// An outage. A batch that was never sent before is certainly in no segment, so its claims are
-    /// refused at once; else only the same segment may be sent again.
+    /// The create had no effect, so the object API is unavailable. If no earlier create of the batch
+    /// may have taken effect, the batch is in no segment and its claims are refused at once.
+    /// Otherwise only the same segment may be sent again under this number.
     pub(super) fn on_not_created(&mut self, now: Time, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
-            Phase::Creating(batch) if batch.doubtful => self.wait(now, Phase::Creating(batch)),
+            Phase::Creating(batch) if batch.maybe_stored => self.retry(now, Phase::Creating(batch)),
             Phase::Creating(batch) => {
-                self.put_back(batch);
-                self.wait(now, Phase::Reading);
+                self.requeue(batch);
+                self.retry(now, Phase::Reading);
             }
             other => self.phase = other,
         }
-        self.refuse_waiting(now, out);
+        self.refuse_pending(now, out);
     }
 
     pub(super) fn on_read(
@@ -61,12 +64,12 @@
             }
         };
         self.read_at = now;
-        self.fresh_at = now;
+        self.up_to_date_at = now;
         let asked = self.table.next;
-        self.table.raise(base);
+        self.table.advance_base(base);
         let mut landed = false;
-        for (n, segment) in segments {
-            if n == self.table.next {
+        for (number, segment) in segments {
+            if number == self.table.next {
                 self.table.apply(now, &segment);
                 landed |= batch
                     .as_ref()
@@ -75,14 +78,15 @@
         }
         let next = self.table.next;
         match batch {
-            Some(batch) if landed => self.decide(now, batch, out),
-            // Still absent, but the lost create may take effect late: only the very same segment
-            // may be sent for this number.
-            Some(batch) if next == batch.n => self.wait(now, Phase::Creating(batch)),
-            Some(batch) => self.put_back(batch),
+            Some(batch) if landed => self.on_segment_stored(now, batch, out),
+            // The segment is absent, but the earlier create may still take effect, so only the
+            // same segment may be sent again under this number.
+            Some(batch) if next == batch.number => self.retry(now, Phase::Creating(batch)),
+            Some(batch) => self.requeue(batch),
             None => {}
         }
-        // The base overtook this reader, so nothing from the base on was read yet.
+        // The base was raised past what this writer has read, so nothing from the base on is read
+        // yet.
         if next > asked && next == base {
             self.read(out);
         }
@@ -90,47 +94,49 @@
 
     pub(super) fn on_base(&mut self, now: Time, base: u64, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
-            Phase::Checking(batch) if base <= batch.n => {
-                self.table.raise(base);
+            Phase::CheckingBase(batch) if base <= batch.number => {
+                self.table.advance_base(base);
                 self.table.apply(now, &batch.segment);
-                self.decide(now, batch, out);
+                self.on_segment_stored(now, batch, out);
             }
-            Phase::Checking(batch) => {
-                // Left behind: the number had been used and trimmed. Nothing of it counts.
-                self.put_back(batch);
-                self.table.raise(base);
+            Phase::CheckingBase(batch) => {
+                // The number had already been used and trimmed, so no reader sees this segment.
+                self.requeue(batch);
+                self.table.advance_base(base);
                 self.read(out);
             }
-            Phase::Trimming => self.table.raise(base),
+            Phase::Trimming => self.table.advance_base(base),
             other => self.phase = other,
         }
     }
 
-    /// An outage: what waits is refused at once, as it is in no segment.
+    /// A read or trim failed, so the object API is unavailable. Queued claims are in no segment and
+    /// are refused at once.
     pub(super) fn on_failed(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.refuse_waiting(now, out);
+        self.refuse_pending(now, out);
         self.phase = match mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Idle => Phase::Idle,
-            Phase::Waiting(at, phase) => Phase::Waiting(at, phase),
-            phase => Phase::Waiting(now + self.limits.retry, Box::new(phase)),
+            Phase::Retrying(at, phase) => Phase::Retrying(at, phase),
+            phase => Phase::Retrying(now + self.limits.retry_delay, Box::new(phase)),
         };
     }
 
-    pub(super) fn wait(&mut self, now: Time, phase: Phase) {
-        self.phase = Phase::Waiting(now + self.limits.retry, Box::new(phase));
+    /// Enters `phase` again after the retry delay.
+    pub(super) fn retry(&mut self, now: Time, phase: Phase) {
+        self.phase = Phase::Retrying(now + self.limits.retry_delay, Box::new(phase));
     }
 
     pub(super) fn on_tick(&mut self, now: Time, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
-            Phase::Waiting(at, phase) if now >= at => self.call_again(*phase, out),
+            Phase::Retrying(at, phase) if now >= at => self.retry_call(*phase, out),
             other => self.phase = other,
         }
     }
 
-    pub(super) fn call_again(&mut self, phase: Phase, out: &mut Vec<Action>) {
+    pub(super) fn retry_call(&mut self, phase: Phase, out: &mut Vec<Action>) {
         match phase {
             Phase::Creating(batch) => self.create(batch, out),
-            Phase::Checking(_) => {
+            Phase::CheckingBase(_) => {
                 out.push(Action::ReadBase);
                 self.phase = phase;
             }
@@ -146,7 +152,7 @@
 
     pub(super) fn create(&mut self, batch: Batch, out: &mut Vec<Action>) {
         out.push(Action::Create {
-            n: batch.n,
+            number: batch.number,
             segment: batch.segment.clone(),
         });
         self.phase = Phase::Creating(batch);
--- a/crates/pinereel_core/tests/claim_cases.rs
+++ b/crates/pinereel_core/tests/claim_cases.rs
@@ -1,10 +1,13 @@
-//! Named cases of the claim log, each event by event, and the faults once found.
+//! Event sequences of the claim log, and regression tests for faults that the randomized test in
+//! `claim_log.rs` found.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on unexpected results")]
 
 use pinereel_core::{
     Time,
-    claim::{Action, Event, Limits, Log, MAX_BODY, Record, Segment, Verdict, shard},
+    claim::{
+        Action, Event, Limits, Log, MAX_BODY_BYTES, Segment, StoredResponse, Verdict, shard_of,
+    },
     hash::Digest,
 };
 use std::time::Duration;
@@ -22,16 +25,16 @@
 }
 
 fn claim(request: &str, key: &str, digest: u8) -> Event {
-    let left = Duration::from_millis(2_000);
+    let time_left = Duration::from_millis(2_000);
     Event::Claim {
         request: request.into(),
         key: key.into(),
         digest: Digest([digest; 16]),
-        left,
+        time_left,
     }
 }
 
-fn settle(request: &str, key: &str, outcome: Option<Record>) -> Event {
+fn settle(request: &str, key: &str, outcome: Option<StoredResponse>) -> Event {
     Event::Settle {
         request: request.into(),
         key: key.into(),
@@ -40,8 +43,8 @@
     }
 }
 
-fn record(body: &str) -> Record {
-    Record {
+fn record(body: &str) -> StoredResponse {
+    StoredResponse {
         status: 201,
         content_type: "text/plain".into(),
         body: Some(body.into()),
@@ -56,13 +59,13 @@
 }
 
 fn segment(actions: &[Action]) -> (u64, Segment) {
-    let Some(Action::Create { n, segment }) = actions.last() else {
+    let Some(Action::Create { number, segment }) = actions.last() else {
         panic!("no create in {actions:?}");
     };
-    (*n, segment.clone())
+    (*number, segment.clone())
 }
 
-/// Claims and takes the claim's segment through to the grant.
+/// Claims `key` and completes the calls up to the grant. Returns the segment that was written.
 fn granted(log: &mut Log, now: Time, request: &str, key: &str) -> (u64, Segment) {
     let made = segment(&log.step(now, claim(request, key, 1)));
     assert_eq!(log.step(now, Event::Created), vec![Action::ReadBase]);
@@ -75,7 +78,7 @@
 fn claims_gather_while_a_create_is_open_up_to_the_bound() {
     let mut log = opened(
         Limits {
-            waiting: 2,
+            max_waiting: 2,
             ..Limits::default()
         },
         vec![],
@@ -98,7 +101,7 @@
 fn a_full_table_refuses_new_keys() {
     let mut log = opened(
         Limits {
-            keys: 1,
+            max_keys: 1,
             ..Limits::default()
         },
         vec![],
@@ -130,8 +133,11 @@
         vec![Action::Read { from: 1 }]
     );
     let segments = vec![];
-    let (n, again) = segment(&log.step(at(200), Event::Read { segments, base: 0 }));
-    assert_eq!((n, again.settles.len(), again.claims.len()), (1, 1, 0));
+    let (number, again) = segment(&log.step(at(200), Event::Read { segments, base: 0 }));
+    assert_eq!(
+        (number, again.settlements.len(), again.claims.len()),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -139,7 +145,7 @@
     let mut log = opened(Limits::default(), vec![], 0);
     let first = segment(&log.step(NOW, claim("a", "ka", 1)));
     assert_eq!(
-        log.step(NOW, Event::Unknown),
+        log.step(NOW, Event::CreateUnknown),
         vec![Action::Read { from: 0 }]
     );
     let segments = vec![];
@@ -154,7 +160,7 @@
     let mut log = opened(Limits::default(), vec![], 0);
     let made = segment(&log.step(NOW, claim("a", "k", 1)));
     assert_eq!(
-        log.step(NOW, Event::Unknown),
+        log.step(NOW, Event::CreateUnknown),
         vec![Action::Read { from: 0 }]
     );
     let actions = log.step(
@@ -171,7 +177,7 @@
 fn a_number_found_absent_is_tried_again_with_the_same_segment_only() {
     let mut log = opened(Limits::default(), vec![], 0);
     let made = segment(&log.step(NOW, claim("a", "k", 1)));
-    log.step(NOW, Event::Unknown);
+    log.step(NOW, Event::CreateUnknown);
     assert_eq!(
         log.step(
             NOW,
@@ -203,9 +209,9 @@
     let mut log = opened(Limits::default(), vec![], 0);
     let made = segment(&log.step(NOW, claim("a", "k", 1)));
     assert_eq!(log.step(NOW, claim("w", "waits", 1)), vec![]);
-    log.step(NOW, Event::Unknown);
+    log.step(NOW, Event::CreateUnknown);
     assert_eq!(
-        log.step(NOW, Event::Failed),
+        log.step(NOW, Event::CallFailed),
         vec![verdict("w", Verdict::NotClaimed)]
     );
     let refused = log.step(NOW, claim("b", "other", 1));
@@ -223,7 +229,7 @@
             base: 0,
         },
     );
-    assert_eq!(segment(&actions).1.settles[0].outcome, None);
+    assert_eq!(segment(&actions).1.settlements[0].outcome, None);
     log.step(at(2_000), Event::Created);
     log.step(at(2_000), Event::Base(0));
     granted(&mut log, at(2_000), "c", "k");
@@ -356,7 +362,7 @@
     let mut log = opened(Limits::default(), vec![made], 0);
     log.step(at(500), claim("b", "k", 1));
     assert_eq!(
-        log.step(at(500), Event::Failed),
+        log.step(at(500), Event::CallFailed),
         vec![verdict("b", Verdict::InProgress)]
     );
     assert_eq!(
@@ -375,7 +381,7 @@
     granted(&mut log, NOW, "a", "ka");
     assert_eq!(log.step(NOW, settle("a", "ka", Some(record("x")))), vec![]);
     let (_, both) = segment(&log.step(at(50), claim("b", "kb", 1)));
-    assert_eq!((both.settles.len(), both.claims.len()), (1, 1));
+    assert_eq!((both.settlements.len(), both.claims.len()), (1, 1));
     log.step(at(50), Event::Created);
     log.step(at(50), Event::Base(0));
     assert_eq!(
@@ -384,7 +390,7 @@
     );
     assert_eq!(log.step(at(149), Event::Tick), vec![]);
     let (_, alone) = segment(&log.step(at(150), Event::Tick));
-    assert_eq!((alone.settles.len(), alone.claims.len()), (1, 0));
+    assert_eq!((alone.settlements.len(), alone.claims.len()), (1, 0));
     log.step(at(150), Event::Created);
     log.step(at(150), Event::Base(0));
     granted(&mut log, at(150), "c", "kc");
@@ -395,14 +401,14 @@
 fn a_large_body_is_not_kept() {
     let mut log = opened(Limits::default(), vec![], 0);
     granted(&mut log, NOW, "a", "k");
-    let large = record(&"x".repeat(MAX_BODY + 1));
+    let large = record(&"x".repeat(MAX_BODY_BYTES + 1));
     let actions = log.step(NOW, settle("a", "k", Some(large)));
-    let kept = segment(&actions).1.settles[0].outcome.clone().unwrap();
+    let kept = segment(&actions).1.settlements[0].outcome.clone().unwrap();
     assert_eq!((kept.status, kept.body), (201, None));
 }
 
 /// Found by `a_key_runs_at_most_once_in_its_window`: the settlement of a request that outlived the
-/// window had no digest, so a request with other content got its record.
+/// retention time had no digest, so a request with other content got its stored response.
 #[test]
 fn a_settlement_without_its_claim_still_tells_other_content_apart() {
     let mut log = opened(Limits::default(), vec![], 0);
@@ -416,7 +422,7 @@
 }
 
 /// Found by `a_key_runs_at_most_once_in_its_window`: a later release of another request kept a
-/// trimmed claim alive at readers that had seen it.
+/// trimmed claim alive at writers that had read the claim before the trim.
 #[test]
 fn a_later_segment_does_not_prolong_a_trimmed_claim() {
     let first = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
@@ -439,7 +445,7 @@
 #[test]
 fn a_key_is_free_again_after_the_window() {
     let limits = Limits {
-        window: Duration::from_secs(10),
+        retention: Duration::from_secs(10),
         ..Limits::default()
     };
     let mut log = opened(limits, vec![], 0);
@@ -455,7 +461,7 @@
 fn shards_are_stable() {
     let shards: Vec<_> = ["", "a", "order-17"]
         .iter()
-        .map(|key| shard(key, 64))
+        .map(|key| shard_of(key, 64))
         .collect();
     insta::assert_snapshot!(format!("{shards:?}"), @"[38, 27, 31]");
 }
--- a/crates/pinereel_core/tests/claim_cost.rs
+++ b/crates/pinereel_core/tests/claim_cost.rs
@@ -1,11 +1,11 @@
-//! What a claim costs in the object API: a log of segments against one object a shard that is
-//! rewritten at each commit. The same seeded claims go both ways.
+//! Cost of a claim in calls and bytes to the object API. Compares a log of segments with a single
+//! object per shard that is rewritten at each commit, on the same seeded claims.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on unexpected results")]
 
 use pinereel_core::{
     Time,
-    claim::{Action, Event, Limits, Log, Record, Verdict},
+    claim::{Action, Event, Limits, Log, StoredResponse, Verdict},
     hash::Digest,
 };
 use rand::{Rng as _, SeedableRng as _};
@@ -13,9 +13,9 @@
 use serde::Serialize;
 use std::{collections::VecDeque, fmt::Write as _, time::Duration};
 
-const COMMITS: usize = 20;
+const COMMIT_COUNT: usize = 20;
 
-/// Calls to the object API, and the bytes that they carry up.
+/// Calls to the object API, and the bytes that they upload.
 #[derive(Default)]
 struct Cost {
     writes: u64,
@@ -25,19 +25,19 @@
     bytes: u64,
 }
 
-/// One key in the object of a shard.
+/// Entry of one key in the single object of a shard.
 #[derive(Serialize)]
-struct Kept {
+struct StoredKey {
     key: String,
     digest: Digest,
     request: String,
     left_ms: u64,
-    outcome: Option<Record>,
+    outcome: Option<StoredResponse>,
 }
 
-fn claims(count: usize) -> Vec<Kept> {
+fn claims(count: usize) -> Vec<StoredKey> {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let claim = |_| Kept {
+    let claim = |_| StoredKey {
         key: format!("{:032x}", rng.random::<u128>()),
         digest: Digest(rng.random()),
         request: format!("entry-3.{:012x}", rng.random::<u64>() >> 16),
@@ -47,8 +47,8 @@
     (0..count).map(claim).collect()
 }
 
-fn outcome() -> Record {
-    Record {
+fn outcome() -> StoredResponse {
+    StoredResponse {
         status: 200,
         content_type: "application/json".into(),
         body: Some("x".repeat(200)),
@@ -59,7 +59,7 @@
     serde_json::to_vec(value).unwrap().len() as u64
 }
 
-/// Answers the log's calls until none is open; returns the number of grants.
+/// Completes the log's calls until none is in flight; returns the number of grants.
 fn serve(log: &mut Log, mut actions: Vec<Action>, cost: &mut Cost) -> usize {
     let now = Time::from_millis(1);
     let mut granted = 0;
@@ -85,12 +85,12 @@
     granted
 }
 
-/// Each batch is claimed in one commit and settled with the next.
-fn segments(claims: &[Kept], batch: usize) -> Cost {
+/// Cost with a log of segments: each batch is claimed in one commit and settled in the next.
+fn segments(claims: &[StoredKey], max_batch: usize) -> Cost {
     let limits = Limits {
-        batch,
-        waiting: batch,
-        keys: usize::MAX,
+        max_batch,
+        max_waiting: max_batch,
+        max_keys: usize::MAX,
         ..Limits::default()
     };
     let now = Time::from_millis(1);
@@ -103,15 +103,15 @@
         },
     );
     let mut cost = Cost::default();
-    for batch in claims.chunks(batch) {
-        // The first claim of a batch starts the create, so all are told while one call is open.
+    for batch in claims.chunks(max_batch) {
+        // The first claim of a batch starts the create; the others queue while it is in flight.
         let mut actions = Vec::new();
         for claim in batch {
             let event = Event::Claim {
                 request: claim.request.as_str().into(),
                 key: claim.key.as_str().into(),
                 digest: claim.digest,
-                left: Duration::from_millis(claim.left_ms),
+                time_left: Duration::from_millis(claim.left_ms),
             };
             actions.extend(log.step(now, event));
         }
@@ -132,24 +132,24 @@
     cost
 }
 
-/// The same commits, each of which writes the whole window. The renewals of the lease that this
-/// way needs besides are left out.
-fn one_object(claims: &[Kept], batch: usize, window: usize) -> Cost {
-    let entry = |kept: &Kept| json_len(kept) + 1;
-    let settled = json_len(&outcome()) - json_len(&None::<Record>);
-    let old = entry(&claims[0]) + settled;
-    let mut kept: VecDeque<u64> = std::iter::repeat_n(old, window).collect();
-    let mut total: u64 = kept.iter().sum();
+/// Cost of the same commits with a single object, where each commit writes all keys of the window.
+/// The lease renewals that this design also needs are not counted.
+fn rewritten_object(claims: &[StoredKey], max_batch: usize, window: usize) -> Cost {
+    let entry = |stored: &StoredKey| json_len(stored) + 1;
+    let outcome_len = json_len(&outcome()) - json_len(&None::<StoredResponse>);
+    let old = entry(&claims[0]) + outcome_len;
+    let mut stored: VecDeque<u64> = std::iter::repeat_n(old, window).collect();
+    let mut total: u64 = stored.iter().sum();
     let mut cost = Cost::default();
-    for batch in claims.chunks(batch) {
+    for batch in claims.chunks(max_batch) {
         for claim in batch {
             total += entry(claim);
-            total -= kept.pop_front().unwrap();
-            kept.push_back(entry(claim) + settled);
+            total -= stored.pop_front().unwrap();
+            stored.push_back(entry(claim) + outcome_len);
         }
         cost.writes += 1;
         cost.bytes += total;
-        total += batch.len() as u64 * settled;
+        total += batch.len() as u64 * outcome_len;
         cost.writes += 1;
         cost.bytes += total;
     }
@@ -160,7 +160,7 @@
 fn segments_cost_the_same_whatever_the_window() {
     let mut table = String::new();
     for batch in [1, 10, 100] {
-        let claims = claims(batch * COMMITS);
+        let claims = claims(batch * COMMIT_COUNT);
         let count = claims.len() as u64;
         let mut row = |name: &str, window: &str, cost: &Cost| {
             writeln!(
@@ -176,7 +176,7 @@
         let log = segments(&claims, batch);
         row("segments", "any", &log);
         for window in [1_000, 10_000, 100_000] {
-            let one = one_object(&claims, batch, window);
+            let one = rewritten_object(&claims, batch, window);
             row("one object", &window.to_string(), &one);
             assert!(
                 one.bytes > log.bytes,
--- a/crates/pinereel_core/tests/claim_log.rs
+++ b/crates/pinereel_core/tests/claim_log.rs
@@ -1,11 +1,11 @@
-//! Writers of one shard under lost answers, outages, late effects, pauses, restarts and trims,
-//! against an oracle that only counts executions.
+//! Randomized test of several writers of one shard in simulated time, with lost responses, outages,
+//! delayed writes, restarts and trims. An oracle checks executions per key and each verdict.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on unexpected results")]
 
 use pinereel_core::{
     Time,
-    claim::{Action, Event, Limits, Log, Record, Segment, Verdict},
+    claim::{Action, Event, Limits, Log, Segment, StoredResponse, Verdict},
     hash::Digest,
 };
 use proptest::{
@@ -18,64 +18,64 @@
     time::Duration,
 };
 
-const WRITERS: usize = 3;
-const KEYS: u8 = 3;
-const WINDOW_MS: u64 = 10_000;
+const WRITER_COUNT: usize = 3;
+const KEY_COUNT: u8 = 3;
+const RETENTION_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum CallResult {
     Done,
-    Lost,
-    Late,
-    Refused,
-    /// As refused, and the writer knows that a create had no effect.
-    Denied,
+    ResponseLost,
+    Delayed,
+    NoEffect,
+    /// No effect, and the writer is told so for a create.
+    KnownNoEffect,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    Ask {
-        at: usize,
+    Claim {
+        writer: usize,
         key: u8,
         digest: u8,
         left_ms: u64,
     },
-    /// The entry that asked gives up and says so to a writer.
-    GiveUp {
+    /// The sender of the request cancels it at writer `to`.
+    Cancel {
         request: usize,
         to: usize,
     },
-    /// The entry that asked reads its verdict.
-    Hear {
+    /// The sender reads its verdict and, if granted in time, runs the request.
+    ReadVerdict {
         request: usize,
         to: usize,
     },
-    /// The execution ends and is settled.
+    /// The execution ends and is settled at writer `to`.
     Finish {
         request: usize,
         to: usize,
     },
-    Call {
-        at: usize,
-        fate: Fate,
+    CompleteCall {
+        writer: usize,
+        result: CallResult,
     },
-    Run {
-        at: usize,
+    Deliver {
+        writer: usize,
     },
-    /// Calls and runs of one writer until nothing is open.
-    Flush {
-        at: usize,
+    /// Completes calls and delivers results at one writer until no call is in flight.
+    RunUntilIdle {
+        writer: usize,
     },
-    Land {
+    ApplyLate {
         index: usize,
     },
-    /// The open call takes effect late, after its writer found nothing and went on.
-    Overtake {
-        at: usize,
+    /// The call in flight takes effect only after its writer found nothing stored and retried.
+    ApplyLateAfterRetry {
+        writer: usize,
     },
-    Delete,
+    DeleteTrimmed,
     Restart {
-        at: usize,
+        writer: usize,
     },
     Advance {
         ms: u64,
@@ -86,25 +86,25 @@
 struct Request {
     key: u8,
     digest: u8,
-    asked: u64,
+    claimed_at: u64,
     deadline: u64,
-    at: usize,
+    writer: usize,
     verdict: Option<Verdict>,
-    heard: bool,
-    given_up: bool,
+    verdict_read: bool,
+    cancelled: bool,
     executed: Option<u64>,
     finished: bool,
-    /// What was settled, and whether a writer stored it.
-    settled: Option<Option<Record>>,
+    /// The last settlement sent; `stored` tells whether a writer stored it.
+    settled: Option<Option<StoredResponse>>,
     stored: bool,
 }
 
-/// A call, and the segments that a read has found so far.
+/// A call, and the segments that a read has returned so far.
 type Call = (Action, Option<Vec<(u64, Segment)>>);
 
 struct Writer {
     log: Log,
-    /// The open call.
+    /// The call in flight.
     call: Option<Call>,
     inbox: VecDeque<Event>,
     starts: u64,
@@ -118,15 +118,15 @@
     trims: u64,
     orphans: u64,
     late: u64,
-    /// Keys checked to be free again.
+    /// Number of keys checked to be free at the end.
     freed: u64,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     segments: BTreeMap<u64, Segment>,
     base: u64,
-    late: Vec<Action>,
+    delayed_calls: Vec<Action>,
     writers: Vec<Writer>,
     requests: Vec<Request>,
     counts: Counts,
@@ -134,45 +134,45 @@
 
 fn limits() -> Limits {
     Limits {
-        batch: 3,
-        waiting: 6,
-        keys: 200,
-        window: Duration::from_millis(WINDOW_MS),
-        retry: Duration::from_millis(50),
+        max_batch: 3,
+        max_waiting: 6,
+        max_keys: 200,
+        retention: Duration::from_millis(RETENTION_MS),
+        retry_delay: Duration::from_millis(50),
         linger: Duration::from_millis(100),
-        refresh: Duration::from_millis(2_000),
+        refresh_interval: Duration::from_millis(2_000),
         ..Limits::default()
     }
 }
 
-fn record(request: usize) -> Record {
-    Record {
+fn record(request: usize) -> StoredResponse {
+    StoredResponse {
         status: 200,
         content_type: "text/plain".into(),
         body: Some(format!("ran {request}")),
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: 1_000,
             segments: BTreeMap::new(),
             base: 0,
-            late: Vec::new(),
+            delayed_calls: Vec::new(),
             writers: Vec::new(),
             requests: Vec::new(),
             counts: Counts::default(),
         };
-        for at in 0..WRITERS {
-            let writer = world.start(at, 0);
-            world.writers.push(writer);
+        for writer in 0..WRITER_COUNT {
+            let writer = sim.start(writer, 0);
+            sim.writers.push(writer);
         }
-        world
+        sim
     }
 
-    fn start(&self, at: usize, starts: u64) -> Writer {
-        let (log, actions) = Log::new(self.clock(at), format!("w{at}-{starts}"), limits());
+    fn start(&self, writer: usize, starts: u64) -> Writer {
+        let (log, actions) = Log::new(self.clock(writer), format!("w{writer}-{starts}"), limits());
         let call = actions.into_iter().next().map(|read| (read, None));
         Writer {
             log,
@@ -182,23 +182,26 @@
         }
     }
 
-    /// Each writer's clock has a start of its own.
-    fn clock(&self, at: usize) -> Time {
-        Time::from_millis(self.now + 777 * at as u64)
+    /// Clock of a writer; each has its own offset.
+    fn clock(&self, writer: usize) -> Time {
+        Time::from_millis(self.now + 777 * writer as u64)
     }
 
-    fn step(&mut self, at: usize, event: Event) {
+    fn step(&mut self, writer: usize, event: Event) {
         self.counts.steps += 1;
-        let now = self.clock(at);
-        for action in self.writers[at].log.step(now, event) {
+        let now = self.clock(writer);
+        for action in self.writers[writer].log.step(now, event) {
             match action {
                 Action::Reply { request, verdict } => self.reply(request.parse().unwrap(), verdict),
                 Action::Settled { request, stored } => {
                     self.requests[request.parse::<usize>().unwrap()].stored |= stored;
                 }
                 call => {
-                    assert!(self.writers[at].call.is_none(), "two calls open at once");
-                    self.writers[at].call = Some((call, None));
+                    assert!(
+                        self.writers[writer].call.is_none(),
+                        "two calls in flight at once"
+                    );
+                    self.writers[writer].call = Some((call, None));
                 }
             }
         }
@@ -214,40 +217,39 @@
             Verdict::NotClaimed => "not_claimed",
         };
         *self.counts.verdicts.entry(name).or_default() += 1;
-        let asked = self.requests[index].clone();
+        let own = self.requests[index].clone();
         let others = || {
             self.requests
                 .iter()
                 .enumerate()
-                .filter(|(_, r)| r.key == asked.key)
+                .filter(|(_, r)| r.key == own.key)
         };
         match &verdict {
             Verdict::Repeat(given) => assert!(
-                others()
-                    .any(|(i, r)| r.finished && *given == record(i) && r.digest == asked.digest),
-                "a repeat of something that did not run: {given:?}"
+                others().any(|(i, r)| r.finished && *given == record(i) && r.digest == own.digest),
+                "replayed a response of a request that did not run: {given:?}"
             ),
-            Verdict::KeyConflict => assert!(others().any(|(_, r)| r.digest != asked.digest)),
+            Verdict::KeyConflict => assert!(others().any(|(_, r)| r.digest != own.digest)),
             Verdict::InProgress | Verdict::ClaimUnknown => {
                 assert!(
                     others().any(|(i, _)| i != index),
-                    "request {index} waits for itself"
+                    "request {index} conflicts with itself"
                 );
             }
             _ => {}
         }
         let earlier = self.requests[index].verdict.replace(verdict);
-        assert_eq!(earlier, None, "a second verdict for request {index}");
+        assert_eq!(earlier, None, "second verdict for request {index}");
     }
 
-    fn hear(&mut self, index: usize, to: usize) {
+    fn read_verdict(&mut self, index: usize, to: usize) {
         let now = self.now;
         let request = &mut self.requests[index];
-        if request.heard || request.verdict != Some(Verdict::Granted) {
+        if request.verdict_read || request.verdict != Some(Verdict::Granted) {
             return;
         }
-        request.heard = true;
-        if request.given_up || now >= request.deadline {
+        request.verdict_read = true;
+        if request.cancelled || now >= request.deadline {
             return self.settle(index, to, None);
         }
         request.executed = Some(now);
@@ -260,16 +262,16 @@
             .filter(|(i, _)| *i != index)
         {
             if other.key == request.key && other.executed.is_some() {
-                let age = now - other.asked;
+                let age = now - other.claimed_at;
                 assert!(
-                    age >= WINDOW_MS,
-                    "{index} ran {age} ms after {i} asked: twice in a window"
+                    age >= RETENTION_MS,
+                    "{index} ran {age} ms after {i} claimed: twice within the retention time"
                 );
             }
         }
     }
 
-    fn settle(&mut self, index: usize, to: usize, outcome: Option<Record>) {
+    fn settle(&mut self, index: usize, to: usize, outcome: Option<StoredResponse>) {
         self.requests[index].settled = Some(outcome.clone());
         let key = format!("k{}", self.requests[index].key).into();
         let digest = Digest([self.requests[index].digest; 16]);
@@ -285,23 +287,23 @@
         );
     }
 
-    fn give_up(&mut self, index: usize, to: usize) {
+    fn cancel(&mut self, index: usize, to: usize) {
         let request = &mut self.requests[index];
-        if !request.given_up && request.executed.is_none() {
-            request.given_up = true;
+        if !request.cancelled && request.executed.is_none() {
+            request.cancelled = true;
             self.settle(index, to, None);
         }
     }
 
-    /// The object API takes the effect of a call.
-    fn effect(&mut self, action: &Action) -> Event {
+    /// Applies a call to the object API and returns its result.
+    fn apply_call(&mut self, action: &Action) -> Event {
         match action {
-            Action::Create { n, segment } => {
-                if self.segments.contains_key(n) {
+            Action::Create { number, segment } => {
+                if self.segments.contains_key(number) {
                     return Event::Conflict;
                 }
-                self.counts.orphans += u64::from(*n < self.base);
-                self.segments.insert(*n, segment.clone());
+                self.counts.orphans += u64::from(*number < self.base);
+                self.segments.insert(*number, segment.clone());
                 Event::Created
             }
             Action::Trim { from, to } => {
@@ -315,74 +317,77 @@
         }
     }
 
-    fn call(&mut self, at: usize, fate: Fate) {
-        let Some((action, part)) = self.writers[at].call.take() else {
+    fn complete_call(&mut self, writer: usize, result: CallResult) {
+        let Some((action, part)) = self.writers[writer].call.take() else {
             return;
         };
-        if let (Action::Read { from }, None, Fate::Done) = (&action, &part, fate) {
-            // The segments now, the base at a later call.
-            let found = (*from..).map_while(|n| Some((n, self.segments.get(&n)?.clone())));
+        if let (Action::Read { from }, None, CallResult::Done) = (&action, &part, result) {
+            // A read is not atomic: the segments are read now, the base in a later step.
+            let found =
+                (*from..).map_while(|number| Some((number, self.segments.get(&number)?.clone())));
             let part = Some(found.collect());
-            self.writers[at].call = Some((action, part));
+            self.writers[writer].call = Some((action, part));
             return;
         }
         let lost = if matches!(action, Action::Create { .. }) {
-            Event::Unknown
+            Event::CreateUnknown
         } else {
-            Event::Failed
+            Event::CallFailed
         };
-        let event = match (fate, part) {
-            (Fate::Done, Some(segments)) => Event::Read {
+        let event = match (result, part) {
+            (CallResult::Done, Some(segments)) => Event::Read {
                 segments,
                 base: self.base,
             },
-            (Fate::Done, None) => self.effect(&action),
-            (Fate::Lost, _) => {
-                self.effect(&action);
+            (CallResult::Done, None) => self.apply_call(&action),
+            (CallResult::ResponseLost, _) => {
+                self.apply_call(&action);
                 lost
             }
-            (Fate::Late, _) => {
-                self.late.push(action);
+            (CallResult::Delayed, _) => {
+                self.delayed_calls.push(action);
                 lost
             }
-            (Fate::Refused, _) => lost,
-            (Fate::Denied, _) if matches!(action, Action::Create { .. }) => Event::NotCreated,
-            (Fate::Denied, _) => Event::Failed,
+            (CallResult::NoEffect, _) => lost,
+            (CallResult::KnownNoEffect, _) if matches!(action, Action::Create { .. }) => {
+                Event::NotCreated
+            }
+            (CallResult::KnownNoEffect, _) => Event::CallFailed,
         };
-        self.writers[at].inbox.push_back(event);
+        self.writers[writer].inbox.push_back(event);
     }
 
-    fn run(&mut self, at: usize) {
-        while let Some(event) = self.writers[at].inbox.pop_front() {
-            self.step(at, event);
+    fn deliver(&mut self, writer: usize) {
+        while let Some(event) = self.writers[writer].inbox.pop_front() {
+            self.step(writer, event);
         }
-        self.step(at, Event::Tick);
+        self.step(writer, Event::Tick);
     }
 
-    fn flush(&mut self, at: usize) {
+    fn run_until_idle(&mut self, writer: usize) {
         for _ in 0..40 {
-            self.run(at);
-            if self.writers[at].call.is_none() {
+            self.deliver(writer);
+            if self.writers[writer].call.is_none() {
                 return;
             }
-            self.call(at, Fate::Done);
+            self.complete_call(writer, CallResult::Done);
         }
     }
 
-    fn restart(&mut self, at: usize) {
-        let starts = self.writers[at].starts + 1;
-        if let Some((action, _)) = self.writers[at].call.take() {
-            self.late.push(action);
+    fn restart(&mut self, writer: usize) {
+        let starts = self.writers[writer].starts + 1;
+        if let Some((action, _)) = self.writers[writer].call.take() {
+            self.delayed_calls.push(action);
         }
-        self.writers[at] = self.start(at, starts);
+        self.writers[writer] = self.start(writer, starts);
         for index in 0..self.requests.len() {
-            if self.requests[index].at == at && self.requests[index].verdict.is_none() {
-                self.give_up(index, (at + 1) % WRITERS);
+            if self.requests[index].writer == writer && self.requests[index].verdict.is_none() {
+                self.cancel(index, (writer + 1) % WRITER_COUNT);
             }
         }
     }
 
-    /// One of the requests that `which` accepts.
+    /// Picks one of the requests that `which` accepts.
     fn pick(&self, choice: usize, which: impl Fn(&Request) -> bool) -> Option<usize> {
         let found: Vec<_> = (0..self.requests.len())
             .filter(|i| which(&self.requests[*i]))
@@ -392,19 +397,19 @@
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Ask {
-                at,
+            Op::Claim {
+                writer,
                 key,
                 digest,
                 left_ms,
             } => {
-                let (asked, deadline) = (self.now, self.now + left_ms);
+                let (claimed_at, deadline) = (self.now, self.now + left_ms);
                 let request = Request {
                     key,
                     digest,
-                    asked,
+                    claimed_at,
                     deadline,
-                    at,
+                    writer,
                     ..Request::default()
                 };
                 self.requests.push(request);
@@ -412,19 +417,19 @@
                     request: (self.requests.len() - 1).to_string().into(),
                     key: format!("k{key}").into(),
                     digest: Digest([digest; 16]),
-                    left: Duration::from_millis(left_ms),
+                    time_left: Duration::from_millis(left_ms),
                 };
-                self.step(at, event);
+                self.step(writer, event);
             }
-            Op::GiveUp { request, to } => {
-                if let Some(index) = self.pick(request, |r| !r.given_up && r.executed.is_none()) {
-                    self.give_up(index, to);
+            Op::Cancel { request, to } => {
+                if let Some(index) = self.pick(request, |r| !r.cancelled && r.executed.is_none()) {
+                    self.cancel(index, to);
                 }
             }
-            Op::Hear { request, to } => {
-                let unheard = |r: &Request| !r.heard && r.verdict == Some(Verdict::Granted);
-                if let Some(index) = self.pick(request, unheard) {
-                    self.hear(index, to);
+            Op::ReadVerdict { request, to } => {
+                let unread = |r: &Request| !r.verdict_read && r.verdict == Some(Verdict::Granted);
+                if let Some(index) = self.pick(request, unread) {
+                    self.read_verdict(index, to);
                 }
             }
             Op::Finish { request, to } => {
@@ -433,52 +438,55 @@
                     self.settle(index, to, Some(record(index)));
                 }
             }
-            Op::Call { at, fate } => self.call(at, fate),
-            Op::Run { at } => self.run(at),
-            Op::Flush { at } => self.flush(at),
-            Op::Land { index } => {
-                if !self.late.is_empty() {
-                    let action = self.late.remove(index.min(self.late.len() - 1));
+            Op::CompleteCall { writer, result } => self.complete_call(writer, result),
+            Op::Deliver { writer } => self.deliver(writer),
+            Op::RunUntilIdle { writer } => self.run_until_idle(writer),
+            Op::ApplyLate { index } => {
+                if !self.delayed_calls.is_empty() {
+                    let action = self
+                        .delayed_calls
+                        .remove(index.min(self.delayed_calls.len() - 1));
                     self.counts.late += 1;
-                    self.effect(&action);
+                    self.apply_call(&action);
                 }
             }
-            Op::Overtake { at } => {
-                self.call(at, Fate::Late);
-                self.run(at);
-                self.call(at, Fate::Done);
-                self.call(at, Fate::Done);
-                self.run(at);
+            Op::ApplyLateAfterRetry { writer } => {
+                self.complete_call(writer, CallResult::Delayed);
+                self.deliver(writer);
+                self.complete_call(writer, CallResult::Done);
+                self.complete_call(writer, CallResult::Done);
+                self.deliver(writer);
                 self.now += 60;
-                self.run(at);
-                self.apply(Op::Land { index: usize::MAX });
-                self.flush(at);
+                self.deliver(writer);
+                self.apply(Op::ApplyLate { index: usize::MAX });
+                self.run_until_idle(writer);
             }
-            Op::Delete => {
+            Op::DeleteTrimmed => {
                 self.segments = self.segments.split_off(&self.base);
             }
-            Op::Restart { at } => self.restart(at),
+            Op::Restart { writer } => self.restart(writer),
             Op::Advance { ms } => self.now += ms,
         }
     }
 
-    /// Entries read their late verdicts and repeat settlements that were not stored. Then a key
-    /// under which nothing ran must be free, unless a writer died with claims that nobody knows of.
-    fn free_again(&mut self) {
+    /// Senders read outstanding verdicts and resend settlements that were not stored. After that, a
+    /// key under which nothing ran must be free. This is not checked if a writer was restarted,
+    /// because its unanswered claims may hold keys.
+    fn assert_keys_free(&mut self) {
         for _ in 0..4 {
             for index in 0..self.requests.len() {
-                self.hear(index, 0);
+                self.read_verdict(index, 0);
                 let request = &self.requests[index];
                 if let (Some(outcome), false) = (request.settled.clone(), request.stored) {
                     self.settle(index, 0, outcome);
                 }
             }
-            (0..WRITERS).for_each(|at| self.flush(at));
+            (0..WRITER_COUNT).for_each(|writer| self.run_until_idle(writer));
         }
         if self.writers.iter().any(|writer| writer.starts > 0) {
             return;
         }
-        for key in 0..KEYS {
+        for key in 0..KEY_COUNT {
             if self
                 .requests
                 .iter()
@@ -487,13 +495,13 @@
                 continue;
             }
             self.counts.freed += 1;
-            self.apply(Op::Ask {
-                at: 0,
+            self.apply(Op::Claim {
+                writer: 0,
                 key,
                 digest: 0,
                 left_ms: 3_000,
             });
-            self.flush(0);
+            self.run_until_idle(0);
             let last = self.requests.last().unwrap();
             assert_eq!(
                 last.verdict,
@@ -503,61 +511,61 @@
         }
     }
 
-    /// Everything heals: each request must have its verdict, and new keys be granted.
-    fn heal(&mut self) {
+    /// Ends all faults. Each request must then have its verdict, and new keys must be granted.
+    fn recover(&mut self) {
         for _ in 0..20 {
             self.now += 400;
-            (0..WRITERS).for_each(|at| self.flush(at));
+            (0..WRITER_COUNT).for_each(|writer| self.run_until_idle(writer));
         }
         for (index, request) in self.requests.iter().enumerate() {
-            let cut = request.given_up;
+            let cut = request.cancelled;
             assert!(
                 request.verdict.is_some() || cut,
                 "request {index} got no verdict"
             );
         }
-        self.free_again();
-        for at in 0..WRITERS {
-            let key = 200 + u8::try_from(at).unwrap();
-            self.apply(Op::Ask {
-                at,
+        self.assert_keys_free();
+        for writer in 0..WRITER_COUNT {
+            let key = 200 + u8::try_from(writer).unwrap();
+            self.apply(Op::Claim {
+                writer,
                 key,
                 digest: 0,
                 left_ms: 3_000,
             });
-            self.flush(at);
+            self.run_until_idle(writer);
             let last = self.requests.last().unwrap();
             assert_eq!(
                 last.verdict,
                 Some(Verdict::Granted),
-                "no grant after healing"
+                "no grant after all faults ended"
             );
         }
     }
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
-    let at = 0..WRITERS;
+    let writer = 0..WRITER_COUNT;
     let request = 0..1_000_usize;
-    let fate = prop_oneof![
-        6 => Just(Fate::Done), 1 => Just(Fate::Lost), 1 => Just(Fate::Late), 1 => Just(Fate::Refused),
-        1 => Just(Fate::Denied)
+    let result = prop_oneof![
+        6 => Just(CallResult::Done), 1 => Just(CallResult::ResponseLost), 1 => Just(CallResult::Delayed), 1 => Just(CallResult::NoEffect),
+        1 => Just(CallResult::KnownNoEffect)
     ];
     let op = prop_oneof![
-        6 => (at.clone(), 0..KEYS, prop_oneof![9 => Just(0_u8), 1 => Just(1)], 200..3_000_u64)
-            .prop_map(|(at, key, digest, left_ms)| Op::Ask { at, key, digest, left_ms }),
-        1 => (request.clone(), at.clone()).prop_map(|(request, to)| Op::GiveUp { request, to }),
-        8 => (request.clone(), at.clone()).prop_map(|(request, to)| Op::Hear { request, to }),
-        3 => (request, at.clone()).prop_map(|(request, to)| Op::Finish { request, to }),
-        8 => (at.clone(), fate).prop_map(|(at, fate)| Op::Call { at, fate }),
-        5 => at.clone().prop_map(|at| Op::Run { at }),
-        8 => at.clone().prop_map(|at| Op::Flush { at }),
-        2 => (0..9_usize).prop_map(|index| Op::Land { index }),
-        2 => at.clone().prop_map(|at| Op::Overtake { at }),
-        2 => Just(Op::Delete),
-        1 => at.prop_map(|at| Op::Restart { at }),
+        6 => (writer.clone(), 0..KEY_COUNT, prop_oneof![9 => Just(0_u8), 1 => Just(1)], 200..3_000_u64)
+            .prop_map(|(writer, key, digest, left_ms)| Op::Claim { writer, key, digest, left_ms }),
+        1 => (request.clone(), writer.clone()).prop_map(|(request, to)| Op::Cancel { request, to }),
+        8 => (request.clone(), writer.clone()).prop_map(|(request, to)| Op::ReadVerdict { request, to }),
+        3 => (request, writer.clone()).prop_map(|(request, to)| Op::Finish { request, to }),
+        8 => (writer.clone(), result).prop_map(|(writer, result)| Op::CompleteCall { writer, result }),
+        5 => writer.clone().prop_map(|writer| Op::Deliver { writer }),
+        8 => writer.clone().prop_map(|writer| Op::RunUntilIdle { writer }),
+        2 => (0..9_usize).prop_map(|index| Op::ApplyLate { index }),
+        2 => writer.clone().prop_map(|writer| Op::ApplyLateAfterRetry { writer }),
+        2 => Just(Op::DeleteTrimmed),
+        1 => writer.prop_map(|writer| Op::Restart { writer }),
         3 => (1..400_u64).prop_map(|ms| Op::Advance { ms }),
-        2 => (WINDOW_MS..2 * WINDOW_MS).prop_map(|ms| Op::Advance { ms }),
+        2 => (RETENTION_MS..2 * RETENTION_MS).prop_map(|ms| Op::Advance { ms }),
     ];
     prop::collection::vec(op, 20..160)
 }
@@ -572,19 +580,19 @@
     };
     let total = RefCell::new(Counts::default());
     let cases = RefCell::new(0);
-    let result = TestRunner::new(config).run(&ops(), |ops| {
-        let mut world = World::new();
-        ops.into_iter().for_each(|op| world.apply(op));
-        world.heal();
+    let outcome = TestRunner::new(config).run(&ops(), |ops| {
+        let mut sim = Simulation::new();
+        ops.into_iter().for_each(|op| sim.apply(op));
+        sim.recover();
         let mut total = total.borrow_mut();
         *cases.borrow_mut() += 1;
-        total.steps += world.counts.steps;
-        total.executed += world.counts.executed;
-        total.trims += world.counts.trims;
-        total.orphans += world.counts.orphans;
-        total.late += world.counts.late;
-        total.freed += world.counts.freed;
-        for (name, count) in world.counts.verdicts {
+        total.steps += sim.counts.steps;
+        total.executed += sim.counts.executed;
+        total.trims += sim.counts.trims;
+        total.orphans += sim.counts.orphans;
+        total.late += sim.counts.late;
+        total.freed += sim.counts.freed;
+        for (name, count) in sim.counts.verdicts {
             *total.verdicts.entry(name).or_default() += count;
         }
         Ok(())
@@ -601,12 +609,12 @@
         total.freed,
         total.verdicts
     );
-    if let Err(failure) = result {
+    if let Err(failure) = outcome {
         panic!("{failure}");
     }
     assert!(
         total.orphans > 0 && total.trims > 0,
-        "the faults were not reached"
+        "no create below the base or no trim was generated"
     );
-    assert_eq!(total.verdicts.len(), 6, "a verdict was never given");
+    assert_eq!(total.verdicts.len(), 6, "some verdict was never given");
 }
--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -12,7 +12,7 @@
 };
 use pinereel_core::{
     Time, Version,
-    claim::{self, Record},
+    claim::{self, StoredResponse},
     config::{Document, Kind, Pool, Prepare, Register, Stored, Trainer},
     hash::{self, Digest},
     member::{self, View},
@@ -63,7 +63,7 @@
                     request,
                     key,
                     digest,
-                    left: Duration::from_secs(5),
+                    time_left: Duration::from_secs(5),
                 },
             ));
         }
@@ -77,7 +77,7 @@
                     request,
                     key,
                     digest,
-                    outcome: Some(Record {
+                    outcome: Some(StoredResponse {
                         status: 200,
                         content_type: "application/json".into(),
                         body: Some("x".repeat(ANSWER)),
@@ -114,9 +114,9 @@
 
 fn log() -> claim::Log {
     let limits = claim::Limits {
-        batch: BATCH,
-        waiting: BATCH,
-        keys: usize::MAX,
+        max_batch: BATCH,
+        max_waiting: BATCH,
+        max_keys: usize::MAX,
         ..claim::Limits::default()
     };
     let (mut log, _) = claim::Log::new(Time::ZERO, "w", limits);
--- a/crates/pinereel_fakes/tests/claim_calls.rs
+++ b/crates/pinereel_fakes/tests/claim_calls.rs
@@ -7,7 +7,7 @@
 use claims::{joined, order, settled_keys, shard_of, site};
 use futures_util::future::join_all;
 use pinereel_api::object::Faults;
-use pinereel_core::claim::SHARDS;
+use pinereel_core::claim::SHARD_COUNT;
 use pinereel_fakes::site::{Site, until};
 use std::{
     collections::BTreeSet,
@@ -71,10 +71,10 @@
     let mut shards = BTreeSet::new();
     let keys = (0..).map(|i| format!("warm-{i}"));
     let one_each = |key: &String| shards.insert(shard_of(key));
-    for key in keys.filter(one_each).take(SHARDS as usize) {
+    for key in keys.filter(one_each).take(SHARD_COUNT as usize) {
         assert_eq!(order(&site, 0, Some(&key), "lacquer").await.status, 200);
     }
-    until(|| settled_keys(&site) >= SHARDS as usize)
+    until(|| settled_keys(&site) >= SHARD_COUNT as usize)
         .await
         .unwrap();
     for delay in [0, 5] {
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -124,7 +124,7 @@
     joined(&site).await;
     for entry in &site.entries {
         entry.shared.claims.limit(Limits {
-            window: Duration::from_millis(1_500),
+            retention: Duration::from_millis(1_500),
             ..Limits::default()
         });
     }
--- a/crates/pinereel_fakes/tests/claims/mod.rs
+++ b/crates/pinereel_fakes/tests/claims/mod.rs
@@ -262,7 +262,7 @@
 
 /// The shard of a key.
 pub fn shard_of(key: &str) -> u64 {
-    claim::shard(&format!("orders-app/{key}"), claim::SHARDS)
+    claim::shard_of(&format!("orders-app/{key}"), claim::SHARD_COUNT)
 }
 
 /// Another key of the same shard.
