--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -22,7 +22,10 @@
 };
 use pinereel_core::{
     Time,
-    config::{Document, Input, Order, Prepare, Refusal, Register, Stored, Write},
+    config::{
+        Document, Participant, ParticipantAction, ParticipantEvent, Prepare, Refusal, StoredConfig,
+        WriteResult,
+    },
 };
 use std::{
     cell::{Cell, RefCell},
@@ -63,7 +66,7 @@
 
 /// The controller's state.
 pub struct Config {
-    register: RefCell<Register>,
+    register: RefCell<Participant>,
     pin: RefCell<Option<Pin>>,
     heard: RefCell<BTreeMap<CompactString, Heard>>,
     reading: Cell<u32>,
@@ -77,7 +80,7 @@
     /// The state of a starting entry.
     pub fn new(now: Time, name: CompactString) -> Self {
         Self {
-            register: RefCell::new(Register::new(now, name)),
+            register: RefCell::new(Participant::new(now, name)),
             pin: RefCell::default(),
             heard: RefCell::default(),
             reading: Cell::default(),
@@ -109,7 +112,7 @@
 
     /// Whether peers may take this entry's number as a sign that nothing newer is in force.
     pub fn vouches(&self, now: Time) -> bool {
-        self.register.borrow().vouches(now)
+        self.register.borrow().is_up_to_date(now)
     }
 
     /// What was last heard of each peer.
@@ -137,7 +140,7 @@
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
-            step(&shared, Input::Tick);
+            step(&shared, ParticipantEvent::Tick);
             sleep(TICK).await;
         }
     });
@@ -158,10 +161,10 @@
     let own = summary
         .echo
         .filter(|echo| echo.incarnation == shared.incarnation && echo.sent_us <= now.0);
-    let input = Input::Digest {
-        asked: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
+    let input = ParticipantEvent::PeerState {
+        echoed_at: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
         number: summary.number,
-        vouches: summary.vouches && own.is_some(),
+        up_to_date: summary.vouches && own.is_some(),
         from: from.name.clone(),
     };
     step(shared, input);
@@ -189,12 +192,12 @@
     }
     shared.config.reading.set(reading + 1);
     spawn(shared, async |shared: Rc<Shared>| {
-        let issued = shared.now();
+        let sent_at = shared.now();
         let read = read_stored(&shared).await;
         shared.config.reading.set(shared.config.reading.get() - 1);
         if let Some((version, stored)) = read {
-            let input = Input::Read {
-                issued,
+            let input = ParticipantEvent::Read {
+                sent_at,
                 version,
                 stored,
             };
@@ -204,22 +207,22 @@
 }
 
 /// Feeds the register and carries out its orders.
-fn step(shared: &Rc<Shared>, input: Input) {
+fn step(shared: &Rc<Shared>, input: ParticipantEvent) {
     let orders = feed(shared, input);
     carry_out(shared, orders);
 }
 
 /// Stores a configuration that may come into force; whether it is confirmed.
 fn prepare(shared: &Rc<Shared>, prepare: Prepare) -> bool {
-    let orders = feed(shared, Input::Prepare(prepare));
+    let orders = feed(shared, ParticipantEvent::Prepare(prepare));
     let confirmed = orders
         .iter()
-        .any(|order| matches!(order, Order::Confirm { .. }));
+        .any(|order| matches!(order, ParticipantAction::Confirm { .. }));
     carry_out(shared, orders);
     confirmed
 }
 
-fn feed(shared: &Rc<Shared>, input: Input) -> Vec<Order> {
+fn feed(shared: &Rc<Shared>, input: ParticipantEvent) -> Vec<ParticipantAction> {
     let now = shared.now();
     let mut register = shared.config.register.borrow_mut();
     let orders = register.step(now, input);
@@ -237,19 +240,21 @@
     orders
 }
 
-fn carry_out(shared: &Rc<Shared>, orders: Vec<Order>) {
+fn carry_out(shared: &Rc<Shared>, orders: Vec<ParticipantAction>) {
     for order in orders {
         match order {
-            Order::Read => read(shared),
-            Order::TakeBack { version, stored } => take_back(shared, version, stored),
-            Order::Fetch { from } => fetch(shared, from),
+            ParticipantAction::Read => read(shared),
+            ParticipantAction::AbortPending { version, stored } => {
+                take_back(shared, version, stored);
+            }
+            ParticipantAction::Fetch { from } => fetch(shared, from),
             // The pin has followed the register, and the answer to a prepare confirms it.
-            Order::Apply { .. } | Order::Confirm { .. } => {}
+            ParticipantAction::Apply { .. } | ParticipantAction::Confirm { .. } => {}
         }
     }
 }
 
-fn take_back(shared: &Rc<Shared>, version: u64, stored: Stored) {
+fn take_back(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
     log::warn!(entry = shared.name().as_str(); "config: pending patch taken back");
     spawn(shared, async move |shared| {
         write_stored(&shared, version, &stored).await;
@@ -268,17 +273,17 @@
             return;
         };
         match serde_json::from_value(document) {
-            Ok(document) => step(&shared, Input::Fetched { number, document }),
+            Ok(document) => step(&shared, ParticipantEvent::Fetched { number, document }),
             Err(e) => log::error!("config: configuration {number} of {from} unreadable: {e}"),
         }
     });
 }
 
 /// Reads the object's version and content; an absent object is version 0 and empty.
-async fn read_stored(shared: &Shared) -> Option<(u64, Stored)> {
+async fn read_stored(shared: &Shared) -> Option<(u64, StoredConfig)> {
     let objects = &shared.objects;
     match objects.read(Purpose::Config, CONFIG, CONFIG_NAME).await {
-        Ok(None) => Some((0, Stored::default())),
+        Ok(None) => Some((0, StoredConfig::default())),
         Ok(Some(object)) => parse(object),
         Err(e) => {
             log::warn!(entry = shared.name().as_str(); "config: not read: {e}");
@@ -287,7 +292,7 @@
     }
 }
 
-fn parse(object: Object) -> Option<(u64, Stored)> {
+fn parse(object: Object) -> Option<(u64, StoredConfig)> {
     match serde_json::from_value(object.value) {
         Ok(stored) => Some((object.version, stored)),
         Err(e) => {
@@ -298,7 +303,7 @@
 }
 
 /// Writes the object on condition of its version; version 0 creates it.
-async fn write_stored(shared: &Shared, version: u64, stored: &Stored) -> Write {
+async fn write_stored(shared: &Shared, version: u64, stored: &StoredConfig) -> WriteResult {
     let objects = &shared.objects;
     let (purpose, kind, name) = (Purpose::Config, CONFIG, CONFIG_NAME);
     let written = match version {
@@ -306,11 +311,11 @@
         _ => objects.update(purpose, kind, name, version, stored).await,
     };
     match written {
-        Ok(version) => Write::Done(version),
-        Err(Error::Conflict | Error::NotFound) => Write::Stale,
+        Ok(version) => WriteResult::Written(version),
+        Err(Error::Conflict | Error::NotFound) => WriteResult::Conflict,
         Err(e) => {
             log::warn!(entry = shared.name().as_str(); "config: write without a result: {e}");
-            Write::Lost
+            WriteResult::Unknown
         }
     }
 }
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -11,7 +11,8 @@
 use pinereel_core::{
     Time,
     config::{
-        Action, Answer, Document, Event, Fault, Proposal, Round, check_change, merge, validate,
+        Answer, Coordinator, CoordinatorAction, CoordinatorEvent, Document, Fault, Proposal,
+        check_change, merge, validate,
     },
 };
 use std::{rc::Rc, time::Duration};
@@ -103,11 +104,11 @@
 /// Carries out what a round wants until it is over.
 struct Driver {
     shared: Rc<Shared>,
-    round: Round,
+    round: Coordinator,
     write: CompactString,
     answer: Option<oneshot::Sender<Ending>>,
-    events: mpsc::UnboundedReceiver<Event>,
-    sender: mpsc::UnboundedSender<Event>,
+    events: mpsc::UnboundedReceiver<CoordinatorEvent>,
+    sender: mpsc::UnboundedSender<CoordinatorEvent>,
     attempt: u64,
     started: Time,
     was_read: bool,
@@ -127,13 +128,13 @@
             base: patch.base,
             content: patch.merge,
             proposer: shared.name().clone(),
-            write: write.clone(),
+            write_id: write.clone(),
             deadline: now + DEADLINE,
         };
         // Bounded by the calls under way: each sends one event.
         let (sender, events) = mpsc::unbounded_channel();
         Self {
-            round: Round::new(now, proposal),
+            round: Coordinator::new(now, proposal),
             shared,
             write,
             answer: Some(answer),
@@ -149,7 +150,7 @@
     }
 
     async fn run(mut self) {
-        let mut event = Event::Tick;
+        let mut event = CoordinatorEvent::Tick;
         loop {
             self.note(&event);
             if self.is_stuck() {
@@ -160,12 +161,12 @@
             for action in self.round.step(now, event) {
                 self.act(action);
             }
-            if self.ended || self.round.is_over() {
+            if self.ended || self.round.is_done() {
                 return;
             }
             event = tokio::select! {
                 Some(event) = self.events.recv() => event,
-                () = sleep(TICK) => Event::Tick,
+                () = sleep(TICK) => CoordinatorEvent::Tick,
             };
         }
     }
@@ -177,10 +178,10 @@
         !self.wrote && (silent || self.failed_reads >= MAX_FAILED_READS)
     }
 
-    fn note(&mut self, event: &Event) {
+    fn note(&mut self, event: &CoordinatorEvent) {
         match event {
-            Event::Read(None) => self.failed_reads += 1,
-            Event::Read(Some(_)) => {
+            CoordinatorEvent::Read(None) => self.failed_reads += 1,
+            CoordinatorEvent::Read(Some(_)) => {
                 self.failed_reads = 0;
                 self.was_read = true;
             }
@@ -188,10 +189,12 @@
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn act(&mut self, action: CoordinatorAction) {
         match action {
-            Action::Read => self.call(async |shared| Event::Read(read_stored(&shared).await)),
-            Action::Write { version, stored } => {
+            CoordinatorAction::Read => {
+                self.call(async |shared| CoordinatorEvent::Read(read_stored(&shared).await));
+            }
+            CoordinatorAction::Write { version, stored } => {
                 let pending = stored.pending.as_ref();
                 if let Some(fault) = pending.and_then(|p| too_large(&p.document)) {
                     self.tell(Ending::Round(Answer::Invalid(vec![fault])));
@@ -200,22 +203,30 @@
                 }
                 self.wrote = true;
                 self.call(async move |shared| {
-                    let write = write_stored(&shared, version, &stored).await;
-                    Event::Written { version, write }
+                    let result = write_stored(&shared, version, &stored).await;
+                    CoordinatorEvent::Written { version, result }
                 });
             }
-            Action::List => self.call(async |shared| Event::Members(members::list(&shared).await)),
-            Action::Prepare { to, prepare } => {
+            CoordinatorAction::List => {
+                self.call(async |shared| CoordinatorEvent::Listed(members::list(&shared).await));
+            }
+            CoordinatorAction::Prepare { to, prepare } => {
                 let (sender, write) = (self.sender.clone(), self.write.clone());
                 let heard = move |names: relay::Names| confirm(&sender, &write, names);
                 self.attempt += 1;
                 relay::prepare_all(&self.shared, to, self.attempt, &prepare, heard);
             }
-            Action::Commit { to, number, write } => {
-                relay::commit_all(&self.shared, to, number, &write);
+            CoordinatorAction::Commit {
+                to,
+                number,
+                write_id,
+            } => {
+                relay::commit_all(&self.shared, to, number, &write_id);
+            }
+            CoordinatorAction::Abort { to, write_id } => {
+                relay::abort_all(&self.shared, to, &write_id);
             }
-            Action::Abort { to, write } => relay::abort_all(&self.shared, to, &write),
-            Action::Answer(answer) => self.tell(Ending::Round(answer)),
+            CoordinatorAction::Answer(answer) => self.tell(Ending::Round(answer)),
         }
     }
 
@@ -227,7 +238,7 @@
     }
 
     /// Runs a call of the object API and feeds its event.
-    fn call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> Event + 'static) {
+    fn call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
         let sender = self.sender.clone();
         spawn(&self.shared, async move |shared| {
             // A round that is over has no use for it.
@@ -236,11 +247,15 @@
     }
 }
 
-fn confirm(sender: &mpsc::UnboundedSender<Event>, write: &CompactString, names: relay::Names) {
+fn confirm(
+    sender: &mpsc::UnboundedSender<CoordinatorEvent>,
+    write: &CompactString,
+    names: relay::Names,
+) {
     for from in names {
-        let write = write.clone();
+        let write_id = write.clone();
         // A round that is over has no use for it.
-        let _ = sender.send(Event::Confirmed { from, write });
+        let _ = sender.send(CoordinatorEvent::Confirmed { from, write_id });
     }
 }
 
--- a/crates/pinereel/src/controllers/config/relay.rs
+++ b/crates/pinereel/src/controllers/config/relay.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::wire::{Call, Reply};
-use pinereel_core::config::{Input, Prepare};
+use pinereel_core::config::{ParticipantEvent, Prepare};
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
 /// Longest wait of a relay for one of its leaves.
@@ -45,9 +45,9 @@
 
 /// Puts a prepared configuration in force and passes the word on.
 pub fn commit(shared: &Rc<Shared>, number: u64, write: CompactString, leaves: Names) {
-    let input = Input::Commit {
+    let input = ParticipantEvent::Commit {
         number,
-        write: write.clone(),
+        write_id: write.clone(),
     };
     step(shared, input);
     let leaf = Call::Commit {
@@ -62,8 +62,8 @@
 
 /// Forgets a prepared configuration and passes the word on.
 pub fn abort(shared: &Rc<Shared>, write: CompactString, leaves: Names) {
-    let input = Input::Abort {
-        write: write.clone(),
+    let input = ParticipantEvent::Abort {
+        write_id: write.clone(),
     };
     step(shared, input);
     let leaf = Call::Abort {
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -12,7 +12,7 @@
 use pinereel_api::object::{Instance, Presence};
 use pinereel_core::{
     Time, Version,
-    config::Kind,
+    config::PoolKind,
     endpoint::{self, Change, End, Event, Key, Report, Set},
     hash, lot,
     route::{self, Choice, Policy, Refusal, Request},
@@ -277,7 +277,7 @@
     for (name, instance) in held {
         let pool = pin.document.pools.get(&instance.pool);
         let slots = pool.map_or(1, |pool| pool.slots);
-        let engine = pool.is_some_and(|pool| pool.kind == Kind::Engine);
+        let engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
         step(shared, Event::Listed(listing(&name, instance, slots)));
         if engine && shared.endpoints.polled.borrow_mut().insert(name.clone()) {
             spawn(shared, async move |shared| poll(&shared, name).await);
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -12,7 +12,7 @@
     object::Presence,
 };
 use pinereel_core::{
-    config::Kind,
+    config::PoolKind,
     endpoint::{Endpoint, State},
     rollout::{Action, Controller, Event, Lease, Settings, Sight},
 };
@@ -54,7 +54,7 @@
     };
     for (name, pool) in &pin.document.pools {
         let known = shared.rollout.pools.borrow().contains_key(name);
-        if known || pool.kind != Kind::Engine {
+        if known || pool.kind != PoolKind::Engine {
             continue;
         }
         let settings = Settings {
--- a/crates/pinereel_core/src/config/document.rs
+++ b/crates/pinereel_core/src/config/document.rs
@@ -19,7 +19,7 @@
 /// What a pool's endpoints are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum PoolKind {
     /// Model engines.
     Engine,
     /// Plain services.
@@ -31,7 +31,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// What its endpoints are.
-    pub kind: Kind,
+    pub kind: PoolKind,
     /// The model that its engines serve; required for engines, absent for services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<CompactString>,
--- a/crates/pinereel_core/src/config/proposal.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -1,6 +1,6 @@
-//! What goes into a [`Round`](super::Round) and what comes out of it.
+//! What goes into a [`Coordinator`](super::Coordinator) and what comes out of it.
 
-use super::{Fault, Prepare, Stored};
+use super::{Fault, Prepare, StoredConfig};
 use crate::Time;
 use compact_str::CompactString;
 use serde_json::Value;
@@ -18,7 +18,7 @@
     /// The entry that proposes it.
     pub proposer: CompactString,
     /// Id of the writes, unique to this round.
-    pub write: CompactString,
+    pub write_id: CompactString,
     /// When the caller must have an answer.
     pub deadline: Time,
 }
@@ -54,13 +54,13 @@
 
 /// What became of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteResult {
     /// It took effect and gave this version.
-    Done(u64),
+    Written(u64),
     /// The object has another version, so it has no effect.
-    Stale,
+    Conflict,
     /// No answer: it may have taken effect, or may still do so.
-    Lost,
+    Unknown,
 }
 
 /// What the controller tells the round.
@@ -69,32 +69,32 @@
     clippy::large_enum_variant,
     reason = "a value is moved once, and few exist at a time"
 )]
-pub enum Event {
+pub enum CoordinatorEvent {
     /// Time passes; the first one starts the round. To be sent at least every 250 ms.
     Tick,
-    /// Answer to [`Action::Read`]; `None` if the object API did not answer.
-    Read(Option<(u64, Stored)>),
-    /// Answer to [`Action::Write`].
+    /// Answer to [`CoordinatorAction::Read`]; `None` if the object API did not answer.
+    Read(Option<(u64, StoredConfig)>),
+    /// Answer to [`CoordinatorAction::Write`].
     Written {
         /// The version that the write was conditional on.
         version: u64,
         /// What became of it.
-        write: Write,
+        result: WriteResult,
     },
-    /// Answer to [`Action::List`]: names of all member objects; `None` if there was no answer.
-    Members(Option<BTreeSet<CompactString>>),
+    /// Answer to [`CoordinatorAction::List`]: names of all member objects; `None` if there was no answer.
+    Listed(Option<BTreeSet<CompactString>>),
     /// An instance confirmed a write.
     Confirmed {
         /// Its name.
         from: CompactString,
         /// Id of the write.
-        write: CompactString,
+        write_id: CompactString,
     },
 }
 
 /// What the controller shall do for the round.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum CoordinatorAction {
     /// Read the object from the object API.
     Read,
     /// Write the object on condition of its version.
@@ -102,7 +102,7 @@
         /// The version that it must have.
         version: u64,
         /// The new content.
-        stored: Stored,
+        stored: StoredConfig,
     },
     /// List the member objects from the object API.
     List,
@@ -120,15 +120,15 @@
         /// The number.
         number: u64,
         /// Id of the write.
-        write: CompactString,
+        write_id: CompactString,
     },
     /// Tell these instances that the patch will never be accepted.
     Abort {
         /// Their names.
         to: BTreeSet<CompactString>,
         /// Id of the write.
-        write: CompactString,
+        write_id: CompactString,
     },
-    /// Answer the operator. Given once; the round may go on to clean up until [`Round::is_over`].
+    /// Answer the operator. Given once; the round may go on to clean up until [`super::Coordinator::is_done`].
     Answer(Answer),
 }
--- a/crates/pinereel_core/src/config/register.rs
+++ b/crates/pinereel_core/src/config/participant.rs
@@ -3,30 +3,30 @@
 //! All knowledge is ordered by the object's version. While a patch is pending at version `v`, the
 //! object's next change either accepts it or takes it back, so any later version resolves it.
 
-use super::{Document, Prepare, Stored};
+use super::{Document, Prepare, StoredConfig};
 use crate::{Time, hash};
 use compact_str::CompactString;
 use std::{collections::VecDeque, time::Duration};
 
 /// A longer gap between ticks counts as a pause of the process.
-const PAUSE_LIMIT: Duration = Duration::from_secs(1);
+const MAX_STEP_GAP: Duration = Duration::from_secs(1);
 /// From then on an unresolved patch keeps the entry from admitting. An acceptance needs this
 /// entry's earlier confirmation, so nothing is admitted under the old number later than this
 /// after the acceptance.
-const DOUBT_TIMEOUT: Duration = Duration::from_secs(3);
+const IN_DOUBT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Without contact for so long the entry does not admit.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(4);
 /// From then on the entry reads the object to resolve a doubt.
-const DOUBT_READ: Duration = Duration::from_secs(1);
+const IN_DOUBT_READ_DELAY: Duration = Duration::from_secs(1);
 /// From then on, plus a spread of half a second by name, it takes a pending patch back itself:
 /// later than the proposer's own timeout, earlier than its own doubt.
-const TAKE_BACK: Duration = Duration::from_millis(2_200);
+const ABORT_DELAY: Duration = Duration::from_millis(2_200);
 /// Pause between two reads of the object.
-const READ_PAUSE: Duration = Duration::from_millis(250);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(250);
 /// Without contact for so long the entry reads the object.
-const QUIET: Duration = Duration::from_secs(2);
+const QUIET_READ_DELAY: Duration = Duration::from_secs(2);
 /// How many taken back writes are remembered.
-const ABORTED: usize = 16;
+const MAX_ABORTED_WRITES: usize = 16;
 
 /// Why an entry does not admit a request. The request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -50,17 +50,17 @@
 
 /// What the controller tells the register.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Input {
+pub enum ParticipantEvent {
     /// Time passes; to be sent at least every 250 ms.
     Tick,
     /// The object was read from the object API, not from a cache.
     Read {
         /// When the read was sent.
-        issued: Time,
+        sent_at: Time,
         /// The object's version.
         version: u64,
         /// The object's content.
-        stored: Stored,
+        stored: StoredConfig,
     },
     /// A proposer asks to prepare.
     Prepare(Prepare),
@@ -68,23 +68,23 @@
     Commit {
         /// The number now in force.
         number: u64,
-        /// Id of the write.
-        write: CompactString,
+        /// Id of the write_id.
+        write_id: CompactString,
     },
     /// A proposer tells that it will never accept its patch.
     Abort {
-        /// Id of the write.
-        write: CompactString,
+        /// Id of the write_id.
+        write_id: CompactString,
     },
     /// A peer's periodic state.
-    Digest {
+    PeerState {
         /// When this entry sent the latest digest that the peer had seen; never the arrival time,
         /// since a link may hold a message for long.
-        asked: Time,
+        echoed_at: Time,
         /// The number in force at the peer.
         number: u64,
-        /// Whether the peer admits and has nothing prepared: [`Register::vouches`] there.
-        vouches: bool,
+        /// Whether the peer admits and has nothing prepared: [`Participant::is_up_to_date`] there.
+        up_to_date: bool,
         /// The peer's name.
         from: CompactString,
     },
@@ -103,22 +103,22 @@
     clippy::large_enum_variant,
     reason = "a value is moved once, and few exist at a time"
 )]
-pub enum Order {
-    /// Read the object and feed [`Input::Read`].
+pub enum ParticipantAction {
+    /// Read the object and feed [`ParticipantEvent::Read`].
     Read,
     /// Write the object on condition of its version, then read it.
-    TakeBack {
+    AbortPending {
         /// The version that it must have.
         version: u64,
         /// The new content.
-        stored: Stored,
+        stored: StoredConfig,
     },
-    /// Confirm the prepared write to its proposer.
+    /// Confirm the prepared write_id to its proposer.
     Confirm {
-        /// Id of the write.
-        write: CompactString,
+        /// Id of the write_id.
+        write_id: CompactString,
     },
-    /// Fetch the configuration from a peer and feed [`Input::Fetched`].
+    /// Fetch the configuration from a peer and feed [`ParticipantEvent::Fetched`].
     Fetch {
         /// The peer's name.
         from: CompactString,
@@ -132,42 +132,42 @@
 
 struct Prepared {
     prepare: Prepare,
-    since: Time,
+    prepared_at: Time,
 }
 
 /// The configuration in force at one entry. Its number never goes down.
-pub struct Register {
+pub struct Participant {
     name: CompactString,
-    started: bool,
+    has_read: bool,
     number: u64,
     document: Document,
-    seen: u64,
-    known: u64,
+    seen_version: u64,
+    known_number: u64,
     prepared: Option<Prepared>,
-    aborted: VecDeque<CompactString>,
-    contact: Time,
-    ticked: Time,
-    paused: Option<Time>,
-    read_at: Option<Time>,
+    aborted_writes: VecDeque<CompactString>,
+    confirmed_at: Time,
+    last_step_at: Time,
+    paused_at: Option<Time>,
+    last_read_at: Option<Time>,
 }
 
-impl Register {
+impl Participant {
     /// The register of a starting entry. It must have written its member object before the first
     /// read of the configuration is sent.
     pub fn new(now: Time, name: impl Into<CompactString>) -> Self {
         Self {
             name: name.into(),
-            started: false,
+            has_read: false,
             number: 0,
             document: Document::default(),
-            seen: 0,
-            known: 0,
+            seen_version: 0,
+            known_number: 0,
             prepared: None,
-            aborted: VecDeque::new(),
-            contact: now,
-            ticked: now,
-            paused: None,
-            read_at: None,
+            aborted_writes: VecDeque::new(),
+            confirmed_at: now,
+            last_step_at: now,
+            paused_at: None,
+            last_read_at: None,
         }
     }
 
@@ -183,204 +183,215 @@
 
     /// When it was last known that nothing newer was in force.
     pub const fn confirmed_at(&self) -> Time {
-        self.contact
+        self.confirmed_at
     }
 
     /// The number that a request admitted now is bound to.
     pub fn admits(&self, now: Time) -> Result<u64, Refusal> {
-        if !self.started {
+        if !self.has_read {
             return Err(Refusal::Starting);
         }
         // A request may come in before the first tick after a pause.
-        if self.paused.is_some() || now.since(self.ticked) > PAUSE_LIMIT {
+        if self.paused_at.is_some() || now.since(self.last_step_at) > MAX_STEP_GAP {
             return Err(Refusal::Paused);
         }
-        if self.known > self.number {
-            return Err(Refusal::Behind(self.known));
+        if self.known_number > self.number {
+            return Err(Refusal::Behind(self.known_number));
         }
         if let Some(prepared) = &self.prepared
-            && now.since(prepared.since) >= DOUBT_TIMEOUT
+            && now.since(prepared.prepared_at) >= IN_DOUBT_TIMEOUT
         {
             return Err(Refusal::InDoubt(prepared.prepare.number));
         }
-        if now.since(self.contact) > ISOLATION_TIMEOUT {
+        if now.since(self.confirmed_at) > ISOLATION_TIMEOUT {
             return Err(Refusal::Isolated);
         }
         Ok(self.number)
     }
 
     /// Whether a peer may take this entry's number as a sign that nothing newer is in force.
-    pub fn vouches(&self, now: Time) -> bool {
+    pub fn is_up_to_date(&self, now: Time) -> bool {
         self.prepared.is_none() && self.admits(now).is_ok()
     }
 
-    /// Takes one input and returns what is to be done.
-    pub fn step(&mut self, now: Time, input: Input) -> Vec<Order> {
-        let mut orders = Vec::new();
-        self.notice_pause(now);
-        match input {
-            Input::Tick => self.tick(now, &mut orders),
-            Input::Read {
-                issued,
+    /// Takes one event and returns what is to be done.
+    pub fn step(&mut self, now: Time, event: ParticipantEvent) -> Vec<ParticipantAction> {
+        let mut actions = Vec::new();
+        self.detect_pause(now);
+        match event {
+            ParticipantEvent::Tick => self.on_tick(now, &mut actions),
+            ParticipantEvent::Read {
+                sent_at,
                 version,
                 stored,
             } => {
-                self.read(now, issued, version, stored, &mut orders);
+                self.on_read(now, sent_at, version, stored, &mut actions);
             }
-            Input::Prepare(prepare) => self.prepare(now, prepare, &mut orders),
-            Input::Commit { number, write } => self.commit(number, &write, &mut orders),
-            Input::Abort { write } => self.abort(write),
-            Input::Digest {
-                asked,
+            ParticipantEvent::Prepare(prepare) => self.on_prepare(now, prepare, &mut actions),
+            ParticipantEvent::Commit { number, write_id } => {
+                self.on_commit(number, &write_id, &mut actions);
+            }
+            ParticipantEvent::Abort { write_id } => self.on_abort(write_id),
+            ParticipantEvent::PeerState {
+                echoed_at,
                 number,
-                vouches,
+                up_to_date,
                 from,
             } => {
-                self.digest(asked, number, vouches, from, &mut orders);
+                self.on_peer_state(echoed_at, number, up_to_date, from, &mut actions);
             }
-            Input::Fetched { number, document } => {
-                if self.started {
-                    self.apply(number, document, &mut orders);
+            ParticipantEvent::Fetched { number, document } => {
+                if self.has_read {
+                    self.apply(number, document, &mut actions);
                 }
             }
         }
-        orders
+        actions
     }
 
-    fn notice_pause(&mut self, now: Time) {
-        if now.since(self.ticked) > PAUSE_LIMIT {
-            self.paused = Some(now);
+    fn detect_pause(&mut self, now: Time) {
+        if now.since(self.last_step_at) > MAX_STEP_GAP {
+            self.paused_at = Some(now);
         }
-        self.ticked = now;
+        self.last_step_at = now;
     }
 
-    fn tick(&mut self, now: Time, orders: &mut Vec<Order>) {
-        let doubt = self
+    fn on_tick(&mut self, now: Time, actions: &mut Vec<ParticipantAction>) {
+        let in_doubt = self
             .prepared
             .as_ref()
-            .is_some_and(|p| now.since(p.since) >= DOUBT_READ);
-        let behind = self.known > self.number;
-        let quiet = now.since(self.contact) >= QUIET;
-        let wanted = !self.started || self.paused.is_some() || doubt || behind || quiet;
-        let rested = self.read_at.is_none_or(|at| now.since(at) >= READ_PAUSE);
-        if wanted && rested {
-            self.read_at = Some(now);
-            orders.push(Order::Read);
+            .is_some_and(|p| now.since(p.prepared_at) >= IN_DOUBT_READ_DELAY);
+        let is_behind = self.known_number > self.number;
+        let is_quiet = now.since(self.confirmed_at) >= QUIET_READ_DELAY;
+        let read_wanted =
+            !self.has_read || self.paused_at.is_some() || in_doubt || is_behind || is_quiet;
+        let read_allowed = self
+            .last_read_at
+            .is_none_or(|at| now.since(at) >= MIN_READ_INTERVAL);
+        if read_wanted && read_allowed {
+            self.last_read_at = Some(now);
+            actions.push(ParticipantAction::Read);
         }
     }
 
-    fn read(
+    fn on_read(
         &mut self,
         now: Time,
-        issued: Time,
+        sent_at: Time,
         version: u64,
-        stored: Stored,
-        orders: &mut Vec<Order>,
+        stored: StoredConfig,
+        actions: &mut Vec<ParticipantAction>,
     ) {
-        if version < self.seen {
+        if version < self.seen_version {
             return;
         }
-        self.seen = version;
-        self.started = true;
-        self.contact = self.contact.max(issued);
-        self.confirm(issued);
-        self.resolve(issued, version, &stored);
-        self.take_back(now, version, &stored, orders);
-        self.apply(stored.number, stored.document, orders);
+        self.seen_version = version;
+        self.has_read = true;
+        self.confirmed_at = self.confirmed_at.max(sent_at);
+        self.end_pause(sent_at);
+        self.reconcile_prepared(sent_at, version, &stored);
+        self.abort_overdue(now, version, &stored, actions);
+        self.apply(stored.number, stored.document, actions);
     }
 
     /// Brings the prepared patch in line with the object.
-    fn resolve(&mut self, issued: Time, version: u64, stored: &Stored) {
+    fn reconcile_prepared(&mut self, sent_at: Time, version: u64, stored: &StoredConfig) {
         let Some(pending) = &stored.pending else {
             self.prepared = None;
             return;
         };
-        let known = self
+        let already_prepared = self
             .prepared
             .as_ref()
-            .is_some_and(|p| p.prepare.write == pending.write);
+            .is_some_and(|p| p.prepare.write_id == pending.write_id);
         // A read from before the acceptance still shows what is in force here by now.
-        let passed = pending.number <= self.number;
-        if known || passed || self.aborted.contains(&pending.write) {
+        let is_superseded = pending.number <= self.number;
+        if already_prepared || is_superseded || self.aborted_writes.contains(&pending.write_id) {
             return;
         }
         let prepare = Prepare {
             version,
             number: pending.number,
             document: pending.document.clone(),
-            write: pending.write.clone(),
+            write_id: pending.write_id.clone(),
         };
         // The acceptance can only come after the read was sent, perhaps long before its answer.
         self.prepared = Some(Prepared {
             prepare,
-            since: issued,
+            prepared_at: sent_at,
         });
     }
 
-    fn take_back(&self, now: Time, version: u64, stored: &Stored, orders: &mut Vec<Order>) {
+    fn abort_overdue(
+        &self,
+        now: Time,
+        version: u64,
+        stored: &StoredConfig,
+        actions: &mut Vec<ParticipantAction>,
+    ) {
         let Some(prepared) = &self.prepared else {
             return;
         };
-        let spread = hash::stable(self.name.as_bytes()) % 500;
-        let patience = TAKE_BACK + Duration::from_millis(spread);
-        if now.since(prepared.since) >= patience {
-            orders.push(Order::TakeBack {
+        let jitter_ms = hash::stable(self.name.as_bytes()) % 500;
+        let abort_delay = ABORT_DELAY + Duration::from_millis(jitter_ms);
+        if now.since(prepared.prepared_at) >= abort_delay {
+            actions.push(ParticipantAction::AbortPending {
                 version,
-                stored: stored.taken_back(),
+                stored: stored.without_pending(),
             });
         }
     }
 
-    fn prepare(&mut self, now: Time, prepare: Prepare, orders: &mut Vec<Order>) {
-        if !self.started || self.aborted.contains(&prepare.write) {
+    fn on_prepare(&mut self, now: Time, prepare: Prepare, actions: &mut Vec<ParticipantAction>) {
+        if !self.has_read || self.aborted_writes.contains(&prepare.write_id) {
             return;
         }
-        let write = prepare.write.clone();
+        let write_id = prepare.write_id.clone();
         if self
             .prepared
             .as_ref()
-            .is_some_and(|p| p.prepare.write == write)
+            .is_some_and(|p| p.prepare.write_id == write_id)
         {
-            orders.push(Order::Confirm { write });
+            actions.push(ParticipantAction::Confirm { write_id });
             return;
         }
-        if prepare.version <= self.seen || prepare.number <= self.number {
+        if prepare.version <= self.seen_version || prepare.number <= self.number {
             return;
         }
         if prepare.number > self.number + 1 {
-            self.known = self.known.max(prepare.number - 1);
+            self.known_number = self.known_number.max(prepare.number - 1);
             return;
         }
-        self.seen = prepare.version;
+        self.seen_version = prepare.version;
         self.prepared = Some(Prepared {
             prepare,
-            since: now,
+            prepared_at: now,
         });
-        orders.push(Order::Confirm { write });
+        actions.push(ParticipantAction::Confirm { write_id });
     }
 
-    fn commit(&mut self, number: u64, write: &str, orders: &mut Vec<Order>) {
-        match self.prepared.take_if(|p| p.prepare.write == write) {
-            Some(prepared) => self.apply(number, prepared.prepare.document, orders),
-            None => self.known = self.known.max(number),
+    fn on_commit(&mut self, number: u64, write_id: &str, actions: &mut Vec<ParticipantAction>) {
+        match self.prepared.take_if(|p| p.prepare.write_id == write_id) {
+            Some(prepared) => self.apply(number, prepared.prepare.document, actions),
+            None => self.known_number = self.known_number.max(number),
         }
     }
 
-    fn abort(&mut self, write: CompactString) {
-        self.prepared.take_if(|p| p.prepare.write == write);
-        if self.aborted.len() == ABORTED {
-            self.aborted.pop_front();
+    fn on_abort(&mut self, write_id: CompactString) {
+        self.prepared.take_if(|p| p.prepare.write_id == write_id);
+        if self.aborted_writes.len() == MAX_ABORTED_WRITES {
+            self.aborted_writes.pop_front();
         }
-        self.aborted.push_back(write);
+        self.aborted_writes.push_back(write_id);
     }
 
-    fn digest(
+    fn on_peer_state(
         &mut self,
-        asked: Time,
+        echoed_at: Time,
         number: u64,
-        vouches: bool,
+        up_to_date: bool,
         from: CompactString,
-        orders: &mut Vec<Order>,
+        actions: &mut Vec<ParticipantAction>,
     ) {
         if number > self.number {
             // The prepared patch has its own limit; the peer's number is most likely its result.
@@ -389,30 +400,30 @@
                 .as_ref()
                 .is_none_or(|p| p.prepare.number != number)
             {
-                self.known = self.known.max(number);
+                self.known_number = self.known_number.max(number);
             }
-            orders.push(Order::Fetch { from });
+            actions.push(ParticipantAction::Fetch { from });
             return;
         }
-        if vouches && number == self.number {
-            self.contact = self.contact.max(asked);
-            self.confirm(asked);
+        if up_to_date && number == self.number {
+            self.confirmed_at = self.confirmed_at.max(echoed_at);
+            self.end_pause(echoed_at);
         }
     }
 
-    /// Ends a pause, if what is known was asked for after it.
-    fn confirm(&mut self, asked: Time) {
-        self.paused.take_if(|paused| asked >= *paused);
+    /// Ends a pause, if what is known was echoed_at for after it.
+    fn end_pause(&mut self, requested_at: Time) {
+        self.paused_at.take_if(|paused| requested_at >= *paused);
     }
 
-    fn apply(&mut self, number: u64, document: Document, orders: &mut Vec<Order>) {
+    fn apply(&mut self, number: u64, document: Document, actions: &mut Vec<ParticipantAction>) {
         if number <= self.number {
             return;
         }
         self.number = number;
         self.document = document;
-        self.known = self.known.max(number);
+        self.known_number = self.known_number.max(number);
         self.prepared.take_if(|p| p.prepare.number <= number);
-        orders.push(Order::Apply { number });
+        actions.push(ParticipantAction::Apply { number });
     }
 }
--- a/crates/pinereel_core/src/config/patch.rs
+++ b/crates/pinereel_core/src/config/patch.rs
@@ -1,13 +1,13 @@
 //! Merging a patch into a document, and checking what comes out.
 
-use super::{Document, Kind, Limits, Pool, Trainer};
+use super::{Document, Limits, Pool, PoolKind, Trainer};
 use compact_str::{CompactString, format_compact};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
 /// Most samples of a lot that a cursor token can hold.
-const MAX_SAMPLES: u32 = 65_536;
+const MAX_LOT_SAMPLES: u32 = 65_536;
 
 /// One thing that is wrong with a document or a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
@@ -29,7 +29,7 @@
 /// Reads a document and checks it by itself. All faults that can be told apart are returned.
 pub fn validate(value: &Value) -> Result<Document, Vec<Fault>> {
     let mut faults = Vec::new();
-    let document = read(value, &mut faults);
+    let document = read_document(value, &mut faults);
     // Checks across objects would repeat the faults of objects that could not be read.
     if faults.is_empty() {
         check_pools(&document, &mut faults);
@@ -51,7 +51,7 @@
             continue;
         };
         if next.kind != pool.kind {
-            fault(
+            push_fault(
                 &mut faults,
                 format_compact!("/pools/{name}/kind"),
                 "a pool's kind is fixed",
@@ -62,16 +62,16 @@
         });
         if let (Some((trainer, _)), true) = (user, next.model != pool.model) {
             let reason = format_compact!("trainer {trainer} samples from this pool's model");
-            fault(&mut faults, format_compact!("/pools/{name}/model"), reason);
+            push_fault(&mut faults, format_compact!("/pools/{name}/model"), reason);
         }
     }
     for (name, trainer) in &old.trainers {
         let Some(next) = new.trainers.get(name) else {
             continue;
         };
-        if model(old, trainer) != model(new, next) && trainer.pool != next.pool {
+        if trainer_model(old, trainer) != trainer_model(new, next) && trainer.pool != next.pool {
             let reason = "the new pool serves another model; remove the trainer first";
-            fault(
+            push_fault(
                 &mut faults,
                 format_compact!("/trainers/{name}/pool"),
                 reason,
@@ -81,21 +81,21 @@
     faults
 }
 
-fn model<'a>(document: &'a Document, trainer: &Trainer) -> Option<&'a CompactString> {
+fn trainer_model<'a>(document: &'a Document, trainer: &Trainer) -> Option<&'a CompactString> {
     document.pools.get(&trainer.pool)?.model.as_ref()
 }
 
-fn fault(faults: &mut Vec<Fault>, path: CompactString, reason: impl Into<CompactString>) {
+fn push_fault(faults: &mut Vec<Fault>, path: CompactString, reason: impl Into<CompactString>) {
     faults.push(Fault {
         path,
         reason: reason.into(),
     });
 }
 
-fn read(value: &Value, faults: &mut Vec<Fault>) -> Document {
+fn read_document(value: &Value, faults: &mut Vec<Fault>) -> Document {
     let mut document = Document::default();
     let Some(fields) = value.as_object() else {
-        fault(faults, "".into(), "expected an object");
+        push_fault(faults, "".into(), "expected an object");
         return document;
     };
     for (key, field) in fields {
@@ -103,11 +103,11 @@
             "pools" => document.pools = read_map::<Pool>("pools", field, faults),
             "trainers" => document.trainers = read_map::<Trainer>("trainers", field, faults),
             "limits" => {
-                if let Some(limits) = read_one("/limits", field, faults) {
+                if let Some(limits) = read_object("/limits", field, faults) {
                     document.limits = limits;
                 }
             }
-            _ => fault(faults, pointer("", key), "unknown key"),
+            _ => push_fault(faults, pointer("", key), "unknown key"),
         }
     }
     document
@@ -120,16 +120,16 @@
 ) -> BTreeMap<CompactString, T> {
     let empty = Map::new();
     let fields = value.as_object().unwrap_or_else(|| {
-        fault(faults, format_compact!("/{key}"), "expected an object");
+        push_fault(faults, format_compact!("/{key}"), "expected an object");
         &empty
     });
     let mut map = BTreeMap::new();
     for (name, field) in fields {
         let path = pointer(&format!("/{key}"), name);
         if name.is_empty() {
-            fault(faults, path.clone(), "empty name");
+            push_fault(faults, path.clone(), "empty name");
         }
-        if let Some(item) = read_one(&path, field, faults) {
+        if let Some(item) = read_object(&path, field, faults) {
             map.insert(name.into(), item);
         }
     }
@@ -137,7 +137,11 @@
 }
 
 /// Reads one object. After each fault the field that caused it is left out, to find the others.
-fn read_one<T: DeserializeOwned>(path: &str, value: &Value, faults: &mut Vec<Fault>) -> Option<T> {
+fn read_object<T: DeserializeOwned>(
+    path: &str,
+    value: &Value,
+    faults: &mut Vec<Fault>,
+) -> Option<T> {
     let mut rest = value.clone();
     let mut removed = Vec::new();
     loop {
@@ -151,18 +155,18 @@
         {
             return None;
         }
-        let Some(key) = culprit::<T>(&rest, &error) else {
-            fault(faults, path.into(), error);
+        let Some(key) = offending_field::<T>(&rest, &error) else {
+            push_fault(faults, path.into(), error);
             return None;
         };
-        fault(faults, pointer(path, &key), error);
+        push_fault(faults, pointer(path, &key), error);
         rest.as_object_mut()?.remove(&key);
         removed.push(key);
     }
 }
 
 /// The field without which reading does not end in this error.
-fn culprit<T: DeserializeOwned>(value: &Value, error: &str) -> Option<String> {
+fn offending_field<T: DeserializeOwned>(value: &Value, error: &str) -> Option<String> {
     if error.starts_with("missing field") {
         return None;
     }
@@ -184,15 +188,15 @@
     for (name, pool) in &document.pools {
         let path = pointer("/pools", name);
         match (pool.kind, &pool.model) {
-            (Kind::Engine, None) => {
-                fault(
+            (PoolKind::Engine, None) => {
+                push_fault(
                     faults,
                     pointer(&path, "model"),
                     "an engine pool needs a model",
                 );
             }
-            (Kind::Service, Some(_)) => {
-                fault(
+            (PoolKind::Service, Some(_)) => {
+                push_fault(
                     faults,
                     pointer(&path, "model"),
                     "a service pool has no model",
@@ -201,24 +205,24 @@
             _ => {}
         }
         if pool.slots == 0 {
-            fault(faults, pointer(&path, "slots"), "must be at least 1");
+            push_fault(faults, pointer(&path, "slots"), "must be at least 1");
         }
         if pool.loads == 0 {
-            fault(faults, pointer(&path, "loads"), "must be at least 1");
+            push_fault(faults, pointer(&path, "loads"), "must be at least 1");
         }
         if !(0.0..=1.0).contains(&pool.floor) {
-            fault(faults, pointer(&path, "floor"), "must be from 0 to 1");
+            push_fault(faults, pointer(&path, "floor"), "must be from 0 to 1");
         }
         for (index, call) in pool.non_idempotent.iter().enumerate() {
-            if !is_call(call) {
+            if !is_method_and_path(call) {
                 let path = format_compact!("{path}/non_idempotent/{index}");
-                fault(faults, path, "expected `METHOD /path`");
+                push_fault(faults, path, "expected `METHOD /path`");
             }
         }
     }
 }
 
-fn is_call(call: &str) -> bool {
+fn is_method_and_path(call: &str) -> bool {
     let Some((method, path)) = call.split_once(' ') else {
         return false;
     };
@@ -229,39 +233,39 @@
 fn check_trainers(document: &Document, faults: &mut Vec<Fault>) {
     for (name, trainer) in &document.trainers {
         let path = pointer("/trainers", name);
-        check_reference(
+        check_pool_reference(
             document,
             &trainer.pool,
-            Kind::Engine,
+            PoolKind::Engine,
             pointer(&path, "pool"),
             faults,
         );
         if let Some(scorer) = &trainer.scorer {
-            check_reference(
+            check_pool_reference(
                 document,
                 scorer,
-                Kind::Service,
+                PoolKind::Service,
                 pointer(&path, "scorer"),
                 faults,
             );
         }
         if trainer.share == 0 {
-            fault(faults, pointer(&path, "share"), "must be at least 1");
+            push_fault(faults, pointer(&path, "share"), "must be at least 1");
         }
     }
 }
 
-fn check_reference(
+fn check_pool_reference(
     document: &Document,
     pool: &str,
-    kind: Kind,
+    kind: PoolKind,
     path: CompactString,
     faults: &mut Vec<Fault>,
 ) {
     match document.pools.get(pool) {
-        None => fault(faults, path, format_compact!("no pool `{pool}`")),
+        None => push_fault(faults, path, format_compact!("no pool `{pool}`")),
         Some(found) if found.kind != kind => {
-            fault(
+            push_fault(
                 faults,
                 path,
                 format_compact!("pool `{pool}` is of the wrong kind"),
@@ -280,11 +284,11 @@
     ];
     for (key, value) in values {
         if value == 0 {
-            fault(faults, pointer("/limits", key), "must be at least 1");
+            push_fault(faults, pointer("/limits", key), "must be at least 1");
         }
     }
-    if limits.max_samples > MAX_SAMPLES {
-        let reason = format_compact!("must be at most {MAX_SAMPLES}");
-        fault(faults, pointer("/limits", "max_samples"), reason);
+    if limits.max_samples > MAX_LOT_SAMPLES {
+        let reason = format_compact!("must be at most {MAX_LOT_SAMPLES}");
+        push_fault(faults, pointer("/limits", "max_samples"), reason);
     }
 }
--- a/crates/pinereel_core/src/config/stored.rs
+++ b/crates/pinereel_core/src/config/stored.rs
@@ -6,25 +6,25 @@
 use serde::{Deserialize, Serialize};
 
 /// How many accepted patches are remembered, so that a repeat gets its first answer.
-pub const RING: usize = 64;
+pub const MAX_ACCEPTED: usize = 64;
 
 /// Content of the one object that decides. It is changed only by conditional update on the
-/// object's version; an absent object is version 0 and `Stored::default()`.
+/// object's version; an absent object is version 0 and `StoredConfig::default()`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredConfig {
     /// The number in force.
     pub number: u64,
     /// The document in force.
     pub document: Document,
-    /// The last [`RING`] accepted patches, oldest first.
-    pub accepted: Vec<Accepted>,
+    /// The last [`MAX_ACCEPTED`] accepted patches, oldest first.
+    pub accepted: Vec<AcceptedPatch>,
     /// The patch that is being prepared.
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingPatch>,
 }
 
 /// A patch that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedPatch {
     /// Id of the patch.
     pub patch: CompactString,
     /// The number that it brought into force.
@@ -35,7 +35,7 @@
 
 /// A patch that is neither accepted nor taken back yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pending {
+pub struct PendingPatch {
     /// The number that it would bring into force.
     pub number: u64,
     /// The document that it would bring into force.
@@ -47,7 +47,8 @@
     /// The entry that proposes it.
     pub proposer: CompactString,
     /// Id of the write, unique to one round: only that round may accept it.
-    pub write: CompactString,
+    #[serde(rename = "write")]
+    pub write_id: CompactString,
 }
 
 /// Asks an entry to store a configuration that may come into force.
@@ -60,12 +61,13 @@
     /// The document that it would bring into force.
     pub document: Document,
     /// Id of the write.
-    pub write: CompactString,
+    #[serde(rename = "write")]
+    pub write_id: CompactString,
 }
 
-impl Stored {
+impl StoredConfig {
     /// The same object without its pending patch.
-    pub fn taken_back(&self) -> Self {
+    pub fn without_pending(&self) -> Self {
         Self {
             pending: None,
             ..self.clone()
@@ -73,16 +75,16 @@
     }
 
     /// The object after its pending patch is accepted; `None` if nothing is pending.
-    pub fn committed(&self) -> Option<Self> {
+    pub fn with_pending_accepted(&self) -> Option<Self> {
         let pending = self.pending.clone()?;
         let mut accepted = self.accepted.clone();
-        accepted.push(Accepted {
+        accepted.push(AcceptedPatch {
             patch: pending.patch,
             number: pending.number,
             digest: pending.digest,
         });
-        let surplus = accepted.len().saturating_sub(RING);
-        accepted.drain(..surplus);
+        let excess = accepted.len().saturating_sub(MAX_ACCEPTED);
+        accepted.drain(..excess);
         Some(Self {
             number: pending.number,
             document: pending.document,
@@ -92,7 +94,7 @@
     }
 
     /// The record of an accepted patch, if it is still remembered.
-    pub fn find(&self, patch: &str) -> Option<&Accepted> {
+    pub fn find_accepted(&self, patch: &str) -> Option<&AcceptedPatch> {
         self.accepted
             .iter()
             .find(|accepted| accepted.patch == patch)
--- a/crates/pinereel_core/tests/config_promise.rs
+++ b/crates/pinereel_core/tests/config_promise.rs
@@ -16,14 +16,14 @@
         1 => (0usize..9).prop_map(Op::Kill),
         2 => (0usize..9).prop_map(Op::Restart),
         2 => (0usize..9, 100u64..9_000).prop_map(|(e, t)| Op::Pause(e, t)),
-        1 => any::<u16>().prop_map(Op::Split),
-        1 => any::<u16>().prop_map(Op::CutApi),
-        1 => any::<bool>().prop_map(Op::Outage),
-        1 => (0u32..40).prop_map(Op::Loss),
-        1 => (0u64..1_500).prop_map(Op::Slow),
+        1 => any::<u16>().prop_map(Op::PartitionPeers),
+        1 => any::<u16>().prop_map(Op::PartitionApi),
+        1 => any::<bool>().prop_map(Op::ApiOutage),
+        1 => (0u32..40).prop_map(Op::LossPercent),
+        1 => (0u64..1_500).prop_map(Op::MaxExtraDelayMs),
         1 => Just(Op::Join),
-        1 => (0usize..9).prop_map(Op::Forget),
-        4 => Just(Op::Heal),
+        1 => (0usize..9).prop_map(Op::RemoveWrongly),
+        4 => Just(Op::EndFaults),
     ]
 }
 
@@ -32,16 +32,17 @@
 fn ops() -> impl Strategy<Value = Vec<Op>> {
     let patch = || (0usize..9, 0u64..24, any::<prop::sample::Index>()).prop_map(propose);
     let fault = prop_oneof![
-        (any::<u16>(), any::<u16>()).prop_map(|(a, b)| vec![Op::Split(a), Op::CutApi(b)]),
-        any::<u16>().prop_map(|mask| vec![Op::Split(mask), Op::CutApi(mask)]),
+        (any::<u16>(), any::<u16>())
+            .prop_map(|(a, b)| vec![Op::PartitionPeers(a), Op::PartitionApi(b)]),
+        any::<u16>().prop_map(|mask| vec![Op::PartitionPeers(mask), Op::PartitionApi(mask)]),
         (0usize..9).prop_map(|e| vec![Op::Kill(e)]),
         (0usize..9, 1_500u64..9_000).prop_map(|(e, t)| vec![Op::Pause(e, t)]),
-        Just(vec![Op::Outage(true)]),
+        Just(vec![Op::ApiOutage(true)]),
         Just(vec![Op::Join]),
     ];
     let sudden = (patch(), 1u64..150, fault, 2_000u64..9_000).prop_map(|(patch, gap, fault, t)| {
         [
-            vec![Op::Heal, Op::Run(500), patch, Op::Run(gap)],
+            vec![Op::EndFaults, Op::Run(500), patch, Op::Run(gap)],
             fault,
             vec![Op::Run(t)],
         ]
@@ -49,8 +50,8 @@
     });
     let removed = (0usize..9, patch(), 1u64..3_000).prop_map(|(entry, patch, t)| {
         vec![
-            Op::Heal,
-            Op::Forget(entry),
+            Op::EndFaults,
+            Op::RemoveWrongly(entry),
             Op::Run(10_500),
             patch,
             Op::Run(t),
@@ -82,8 +83,8 @@
     for op in ops {
         sim.apply(op);
     }
-    sim.settle();
-    sim.finish();
+    sim.recover();
+    sim.check_refused();
     let number = sim.stored.number;
     assert!(
         sim.admitted().iter().all(|n| *n == Some(number)),
@@ -106,7 +107,7 @@
         "{next:?}: {:?}",
         sim.admitted()
     );
-    sim.finish();
+    sim.check_refused();
     sim
 }
 
@@ -176,7 +177,7 @@
             Op::Run(100 + 4 * seed),
             Op::Kill(2),
             Op::Run(7_747),
-            Op::Forget(0),
+            Op::RemoveWrongly(0),
             patch(0),
             Op::Run(10_500),
         ];
--- a/crates/pinereel_core/tests/config_sim/mod.rs
+++ b/crates/pinereel_core/tests/config_sim/mod.rs
@@ -10,7 +10,10 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time,
-    config::{Action, Answer, Event, Input, Order, Proposal, Register, Round, Stored, Write},
+    config::{
+        Answer, Coordinator, CoordinatorAction, CoordinatorEvent, Participant, ParticipantAction,
+        ParticipantEvent, Proposal, StoredConfig, WriteResult,
+    },
 };
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -21,9 +24,9 @@
 };
 
 /// Milliseconds from an answer "accepted" to the last admission under a lower number.
-const IN_FORCE: u64 = 5_000;
-const TICK: u64 = 100;
-const DIGEST: u64 = 500;
+const MAX_IN_FORCE_DELAY_MS: u64 = 5_000;
+const TICK_INTERVAL_MS: u64 = 100;
+const PEER_STATE_INTERVAL_MS: u64 = 500;
 
 /// One thing that happens to the system. Indexes are taken modulo what exists.
 #[derive(Clone, Debug)]
@@ -38,57 +41,57 @@
     Kill(usize),
     Restart(usize),
     Pause(usize, u64),
-    Split(u16),
-    CutApi(u16),
-    Outage(bool),
-    Loss(u32),
-    Slow(u64),
+    PartitionPeers(u16),
+    PartitionApi(u16),
+    ApiOutage(bool),
+    LossPercent(u32),
+    MaxExtraDelayMs(u64),
     Join,
-    Forget(usize),
-    Heal,
+    RemoveWrongly(usize),
+    EndFaults,
 }
 
 enum Call {
     Read,
-    Write { version: u64, stored: Stored },
+    Write { version: u64, stored: StoredConfig },
     List,
     Register,
 }
 
-enum Mail {
-    Entry(Input),
-    Digest {
+enum Message {
+    Participant(ParticipantEvent),
+    PeerState {
         from: usize,
         sent: Time,
         echo: Option<Time>,
         number: u64,
-        vouches: bool,
+        up_to_date: bool,
     },
     Fetch {
         from: usize,
     },
     Confirmed {
         from: CompactString,
-        write: CompactString,
+        write_id: CompactString,
     },
-    Round(usize, Event),
+    Coordinator(usize, CoordinatorEvent),
     Registered,
 }
 
-enum Due {
+enum Scheduled {
     Tick,
-    Digest,
+    PeerStates,
     Api {
         caller: usize,
-        round: Option<usize>,
-        issued: Time,
+        coordinator: Option<usize>,
+        sent_at: Time,
         call: Call,
     },
-    Mail {
+    Message {
         from: Option<usize>,
         to: usize,
         incarnation: u64,
-        mail: Mail,
+        message: Message,
     },
     Unregister(usize, u64),
 }
@@ -97,59 +100,59 @@
     name: CompactString,
     alive: bool,
     incarnation: u64,
-    paused: u64,
-    backlog: Vec<Mail>,
-    register: Register,
-    heard: BTreeMap<usize, Time>,
+    paused_until: u64,
+    backlog: Vec<Message>,
+    participant: Participant,
+    peer_sent_at: BTreeMap<usize, Time>,
 }
 
-struct Running {
+struct RunningCoordinator {
     owner: usize,
     incarnation: u64,
     patch: CompactString,
     marker: u32,
-    born: u64,
-    died: u64,
+    started_at: u64,
+    killed_at: u64,
     answered: bool,
-    round: Round,
+    coordinator: Coordinator,
 }
 
 /// A refusal: its round's start and end.
 struct Refused {
     patch: CompactString,
     marker: u32,
-    born: u64,
-    at: u64,
+    started_at: u64,
+    refused_at: u64,
 }
 
 /// What the oracle remembers.
 #[derive(Default)]
 pub struct Oracle {
     accepted: Vec<(u64, u64)>,
-    patches: BTreeMap<CompactString, u64>,
+    accepted_patches: BTreeMap<CompactString, u64>,
     refused: Vec<Refused>,
-    taken: BTreeSet<(CompactString, u32)>,
-    markers: BTreeMap<u64, u32>,
-    highest: BTreeMap<CompactString, u64>,
+    possibly_accepted: BTreeSet<(CompactString, u32)>,
+    admitted_markers: BTreeMap<u64, u32>,
+    highest_admitted: BTreeMap<CompactString, u64>,
     pub answers: BTreeMap<&'static str, u64>,
     pub checks: u64,
 }
 
 pub struct Sim {
     pub now: u64,
-    queue: BTreeMap<(u64, u64), Due>,
-    order: u64,
+    queue: BTreeMap<(u64, u64), Scheduled>,
+    next_order: u64,
     rng: ChaCha8Rng,
     entries: Vec<Entry>,
-    rounds: Vec<Running>,
+    coordinators: Vec<RunningCoordinator>,
     version: u64,
-    pub stored: Stored,
+    pub stored: StoredConfig,
     members: BTreeSet<CompactString>,
-    split: u16,
-    cut: u16,
-    outage: bool,
-    loss: u32,
-    slow: u64,
+    partitioned_peers: u16,
+    partitioned_from_api: u16,
+    api_outage: bool,
+    loss_percent: u32,
+    max_extra_delay_ms: u64,
     pub oracle: Oracle,
     pub events: u64,
 }
@@ -159,26 +162,26 @@
         let mut sim = Self {
             now: 0,
             queue: BTreeMap::new(),
-            order: 0,
+            next_order: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             entries: Vec::new(),
-            rounds: Vec::new(),
+            coordinators: Vec::new(),
             version: 0,
-            stored: Stored::default(),
+            stored: StoredConfig::default(),
             members: BTreeSet::new(),
-            split: 0,
-            cut: 0,
-            outage: false,
-            loss: 0,
-            slow: 0,
+            partitioned_peers: 0,
+            partitioned_from_api: 0,
+            api_outage: false,
+            loss_percent: 0,
+            max_extra_delay_ms: 0,
             oracle: Oracle::default(),
             events: 0,
         };
         for _ in 0..entries {
             sim.join();
         }
-        sim.after(TICK, Due::Tick);
-        sim.after(DIGEST, Due::Digest);
+        sim.schedule_after(TICK_INTERVAL_MS, Scheduled::Tick);
+        sim.schedule_after(PEER_STATE_INTERVAL_MS, Scheduled::PeerStates);
         sim.run(2_000);
         sim
     }
@@ -199,27 +202,33 @@
             Op::Restart(entry) => self.start(entry % count),
             Op::Pause(entry, millis) => {
                 let entry = &mut self.entries[entry % count];
-                entry.paused = entry.paused.max(self.now + millis);
+                entry.paused_until = entry.paused_until.max(self.now + millis);
             }
-            Op::Split(mask) => self.split = mask,
-            Op::CutApi(mask) => self.cut = mask,
-            Op::Outage(outage) => self.outage = outage,
-            Op::Loss(percent) => self.loss = percent,
-            Op::Slow(millis) => self.slow = millis,
+            Op::PartitionPeers(mask) => self.partitioned_peers = mask,
+            Op::PartitionApi(mask) => self.partitioned_from_api = mask,
+            Op::ApiOutage(outage) => self.api_outage = outage,
+            Op::LossPercent(percent) => self.loss_percent = percent,
+            Op::MaxExtraDelayMs(millis) => self.max_extra_delay_ms = millis,
             Op::Join if count < 9 => self.join(),
             Op::Join => {}
-            Op::Forget(entry) => self.forget(entry % count),
-            Op::Heal => self.heal(),
+            Op::RemoveWrongly(entry) => self.remove_wrongly(entry % count),
+            Op::EndFaults => self.end_faults(),
         }
     }
 
-    pub fn heal(&mut self) {
-        (self.split, self.cut, self.outage, self.loss, self.slow) = (0, 0, false, 0, 0);
+    pub fn end_faults(&mut self) {
+        (
+            self.partitioned_peers,
+            self.partitioned_from_api,
+            self.api_outage,
+            self.loss_percent,
+            self.max_extra_delay_ms,
+        ) = (0, 0, false, 0, 0);
     }
 
     /// Mends everything, starts the dead again, and waits until all is settled.
-    pub fn settle(&mut self) {
-        self.heal();
+    pub fn recover(&mut self) {
+        self.end_faults();
         for entry in 0..self.entries.len() {
             if !self.entries[entry].alive {
                 self.start(entry);
@@ -232,7 +241,7 @@
     pub fn admitted(&self) -> Vec<Option<u64>> {
         let numbers = self.entries.iter().enumerate();
         numbers
-            .map(|(i, e)| e.register.admits(self.clock(i)).ok())
+            .map(|(i, e)| e.participant.admits(self.clock(i)).ok())
             .collect()
     }
 
@@ -243,41 +252,48 @@
 
     pub fn propose(&mut self, entry: usize, patch: u64, content: u64, stale: bool) {
         let node = &self.entries[entry];
-        if !node.alive || self.rounds.iter().filter(|r| self.runs(r)).count() >= 2 {
+        if !node.alive
+            || self
+                .coordinators
+                .iter()
+                .filter(|r| self.is_running(r))
+                .count()
+                >= 2
+        {
             return;
         }
         let patch = format_compact!("p{patch}");
         let marker = u32::try_from(content).unwrap() + 1;
-        let base = node.register.number() + u64::from(stale);
+        let base = node.participant.number() + u64::from(stale);
         let now = self.clock(entry);
-        let round = Round::new(
+        let coordinator = Coordinator::new(
             now,
             Proposal {
                 patch: patch.clone(),
                 base,
                 content: json!({"limits": {"max_queue": marker}}),
                 proposer: node.name.clone(),
-                write: format_compact!("w{}", self.rounds.len()),
+                write_id: format_compact!("w{}", self.coordinators.len()),
                 deadline: now + Duration::from_secs(8),
             },
         );
         let incarnation = node.incarnation;
-        self.rounds.push(Running {
+        self.coordinators.push(RunningCoordinator {
             owner: entry,
             incarnation,
             patch,
             marker,
-            born: self.now,
-            died: u64::MAX,
+            started_at: self.now,
+            killed_at: u64::MAX,
             answered: false,
-            round,
+            coordinator,
         });
     }
 
     /// Whether a round goes on: its process lives.
-    fn runs(&self, running: &Running) -> bool {
+    fn is_running(&self, running: &RunningCoordinator) -> bool {
         let owner = &self.entries[running.owner];
-        owner.alive && owner.incarnation == running.incarnation && !running.round.is_over()
+        owner.alive && owner.incarnation == running.incarnation && !running.coordinator.is_done()
     }
 
     pub fn run(&mut self, millis: u64) {
@@ -287,9 +303,9 @@
                 break;
             }
             self.now = at;
-            let due = self.queue.remove(&(at, order)).unwrap();
+            let scheduled = self.queue.remove(&(at, order)).unwrap();
             self.events += 1;
-            self.handle(due);
+            self.run_scheduled(scheduled);
         }
         self.now = end;
     }
@@ -298,9 +314,10 @@
         Time::from_millis(self.now + 1_000_000 * (entry as u64 + 1))
     }
 
-    fn after(&mut self, millis: u64, due: Due) {
-        self.order += 1;
-        self.queue.insert((self.now + millis, self.order), due);
+    fn schedule_after(&mut self, millis: u64, scheduled: Scheduled) {
+        self.next_order += 1;
+        self.queue
+            .insert((self.now + millis, self.next_order), scheduled);
     }
 
     fn delay(&mut self) -> u64 {
@@ -309,37 +326,41 @@
         } else {
             20
         };
-        self.rng.random_range(1..=late) + self.rng.random_range(0..=self.slow)
+        self.rng.random_range(1..=late) + self.rng.random_range(0..=self.max_extra_delay_ms)
     }
 
-    fn lost(&mut self) -> bool {
-        self.rng.random_range(0..100) < self.loss
+    fn is_lost(&mut self) -> bool {
+        self.rng.random_range(0..100) < self.loss_percent
     }
 
-    fn apart(&self, a: usize, b: usize) -> bool {
-        (self.split >> a) & 1 != (self.split >> b) & 1
+    fn are_partitioned(&self, a: usize, b: usize) -> bool {
+        (self.partitioned_peers >> a) & 1 != (self.partitioned_peers >> b) & 1
     }
 
     fn join(&mut self) {
         let index = self.entries.len();
         let name = format_compact!("e{index}");
-        let register = Register::new(self.clock(index), name.clone());
+        let participant = Participant::new(self.clock(index), name.clone());
         self.entries.push(Entry {
             name,
             alive: false,
             incarnation: 0,
-            paused: 0,
+            paused_until: 0,
             backlog: Vec::new(),
-            register,
-            heard: BTreeMap::new(),
+            participant,
+            peer_sent_at: BTreeMap::new(),
         });
         self.start(index);
     }
 
     fn kill(&mut self, entry: usize) {
         self.entries[entry].alive = false;
-        for round in self.rounds.iter_mut().filter(|round| round.owner == entry) {
-            round.died = round.died.min(self.now);
+        for coordinator in self
+            .coordinators
+            .iter_mut()
+            .filter(|coordinator| coordinator.owner == entry)
+        {
+            coordinator.killed_at = coordinator.killed_at.min(self.now);
         }
     }
 
@@ -349,309 +370,344 @@
         let node = &mut self.entries[entry];
         node.alive = true;
         node.incarnation += 1;
-        node.paused = 0;
+        node.paused_until = 0;
         node.backlog.clear();
-        node.heard.clear();
-        node.register = Register::new(now, node.name.clone());
+        node.peer_sent_at.clear();
+        node.participant = Participant::new(now, node.name.clone());
         self.call(entry, None, Call::Register);
     }
 
     /// The platform wrongly says "gone" of an entry that is cut off, after a grace period.
-    fn forget(&mut self, entry: usize) {
-        self.split = 1 << entry;
-        self.cut |= 1 << entry;
+    fn remove_wrongly(&mut self, entry: usize) {
+        self.partitioned_peers = 1 << entry;
+        self.partitioned_from_api |= 1 << entry;
         let incarnation = self.entries[entry].incarnation;
-        self.after(10_000, Due::Unregister(entry, incarnation));
+        self.schedule_after(10_000, Scheduled::Unregister(entry, incarnation));
     }
 
-    fn send(&mut self, from: Option<usize>, to: usize, mail: Mail) {
-        if self.lost() || from.is_some_and(|from| self.apart(from, to)) {
+    fn send(&mut self, from: Option<usize>, to: usize, message: Message) {
+        if self.is_lost() || from.is_some_and(|from| self.are_partitioned(from, to)) {
             return;
         }
         let delay = if from == Some(to) { 0 } else { self.delay() };
         let incarnation = self.entries[to].incarnation;
-        self.after(
+        self.schedule_after(
             delay,
-            Due::Mail {
+            Scheduled::Message {
                 from,
                 to,
                 incarnation,
-                mail,
+                message,
             },
         );
     }
 
-    fn call(&mut self, caller: usize, round: Option<usize>, call: Call) {
-        let issued = self.clock(caller);
+    fn call(&mut self, caller: usize, coordinator: Option<usize>, call: Call) {
+        let sent_at = self.clock(caller);
         let delay = self.delay();
-        self.after(
+        self.schedule_after(
             delay,
-            Due::Api {
+            Scheduled::Api {
                 caller,
-                round,
-                issued,
+                coordinator,
+                sent_at,
                 call,
             },
         );
     }
 
-    fn handle(&mut self, due: Due) {
-        match due {
-            Due::Tick => self.tick(),
-            Due::Digest => self.digests(),
-            Due::Api {
+    fn run_scheduled(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick => self.tick_entries(),
+            Scheduled::PeerStates => self.send_peer_states(),
+            Scheduled::Api {
                 caller,
-                round,
-                issued,
+                coordinator,
+                sent_at,
                 call,
-            } => self.api(caller, round, issued, call),
-            Due::Mail {
+            } => self.run_api_call(caller, coordinator, sent_at, call),
+            Scheduled::Message {
                 from,
                 to,
                 incarnation,
-                mail,
+                message,
             } => {
-                let split = from.is_some_and(|from| self.apart(from, to));
+                let partitioned = from.is_some_and(|from| self.are_partitioned(from, to));
                 let node = &mut self.entries[to];
-                if node.alive && node.incarnation == incarnation && !split {
-                    if node.paused > self.now {
-                        node.backlog.push(mail);
+                if node.alive && node.incarnation == incarnation && !partitioned {
+                    if node.paused_until > self.now {
+                        node.backlog.push(message);
                     } else {
-                        self.check(to);
-                        self.deliver(to, mail);
-                        self.check(to);
+                        self.check_admission(to);
+                        self.deliver(to, message);
+                        self.check_admission(to);
                     }
                 }
             }
-            Due::Unregister(entry, incarnation) => {
+            Scheduled::Unregister(entry, incarnation) => {
                 let node = &self.entries[entry];
-                let away = (self.cut >> entry) & 1 == 1 && self.split == 1 << entry;
-                if away && node.incarnation == incarnation {
+                let is_isolated = (self.partitioned_from_api >> entry) & 1 == 1
+                    && self.partitioned_peers == 1 << entry;
+                if is_isolated && node.incarnation == incarnation {
                     self.members.remove(&node.name);
                 }
             }
         }
     }
 
-    fn tick(&mut self) {
-        self.after(TICK, Due::Tick);
+    fn tick_entries(&mut self) {
+        self.schedule_after(TICK_INTERVAL_MS, Scheduled::Tick);
         for entry in 0..self.entries.len() {
-            if !self.entries[entry].alive || self.entries[entry].paused > self.now {
+            if !self.entries[entry].alive || self.entries[entry].paused_until > self.now {
                 continue;
             }
             // A request may come first after a pause, then what has queued up, then the tick.
-            self.check(entry);
-            for mail in std::mem::take(&mut self.entries[entry].backlog) {
-                self.deliver(entry, mail);
-                self.check(entry);
+            self.check_admission(entry);
+            for message in std::mem::take(&mut self.entries[entry].backlog) {
+                self.deliver(entry, message);
+                self.check_admission(entry);
             }
-            self.deliver(entry, Mail::Entry(Input::Tick));
-            self.check(entry);
-            for round in 0..self.rounds.len() {
-                if self.rounds[round].owner == entry {
-                    self.deliver(entry, Mail::Round(round, Event::Tick));
+            self.deliver(entry, Message::Participant(ParticipantEvent::Tick));
+            self.check_admission(entry);
+            for coordinator in 0..self.coordinators.len() {
+                if self.coordinators[coordinator].owner == entry {
+                    self.deliver(
+                        entry,
+                        Message::Coordinator(coordinator, CoordinatorEvent::Tick),
+                    );
                 }
             }
         }
     }
 
-    fn digests(&mut self) {
-        self.after(DIGEST, Due::Digest);
+    fn send_peer_states(&mut self) {
+        self.schedule_after(PEER_STATE_INTERVAL_MS, Scheduled::PeerStates);
         let count = self.entries.len();
         for from in 0..count {
             let node = &self.entries[from];
-            if !node.alive || node.paused > self.now {
+            if !node.alive || node.paused_until > self.now {
                 continue;
             }
             let sent = self.clock(from);
-            let (number, vouches) = (node.register.number(), node.register.vouches(sent));
+            let (number, up_to_date) = (
+                node.participant.number(),
+                node.participant.is_up_to_date(sent),
+            );
             for to in (0..count).filter(|to| *to != from) {
-                let echo = self.entries[from].heard.get(&to).copied();
+                let echo = self.entries[from].peer_sent_at.get(&to).copied();
                 self.send(
                     Some(from),
                     to,
-                    Mail::Digest {
+                    Message::PeerState {
                         from,
                         sent,
                         echo,
                         number,
-                        vouches,
+                        up_to_date,
                     },
                 );
             }
         }
     }
 
-    fn api(&mut self, caller: usize, round: Option<usize>, issued: Time, call: Call) {
-        let unreachable = self.outage || (self.cut >> caller) & 1 == 1;
-        if unreachable || self.lost() {
+    fn run_api_call(
+        &mut self,
+        caller: usize,
+        coordinator: Option<usize>,
+        sent_at: Time,
+        call: Call,
+    ) {
+        let unreachable = self.api_outage || (self.partitioned_from_api >> caller) & 1 == 1;
+        if unreachable || self.is_lost() {
             return;
         }
-        let mail = match call {
+        let message = match call {
             Call::Read => {
                 let (version, stored) = (self.version, self.stored.clone());
-                match round {
-                    Some(round) => Mail::Round(round, Event::Read(Some((version, stored)))),
-                    None => Mail::Entry(Input::Read {
-                        issued,
+                match coordinator {
+                    Some(coordinator) => Message::Coordinator(
+                        coordinator,
+                        CoordinatorEvent::Read(Some((version, stored))),
+                    ),
+                    None => Message::Participant(ParticipantEvent::Read {
+                        sent_at,
                         version,
                         stored,
                     }),
                 }
             }
             Call::Write { version, stored } => {
-                let write = if version == self.version {
+                let result = if version == self.version {
                     self.version += 1;
                     self.stored = stored;
-                    Write::Done(self.version)
+                    WriteResult::Written(self.version)
                 } else {
-                    Write::Stale
+                    WriteResult::Conflict
                 };
-                let Some(round) = round else { return };
+                let Some(index) = coordinator else { return };
                 // Now and then only the answer is lost, also in calm times.
-                let lost = self.rng.random_range(0..10) == 0 || self.lost();
-                let write = if lost { Write::Lost } else { write };
-                Mail::Round(round, Event::Written { version, write })
+                let lost = self.rng.random_range(0..10) == 0 || self.is_lost();
+                let result = if lost { WriteResult::Unknown } else { result };
+                Message::Coordinator(index, CoordinatorEvent::Written { version, result })
             }
-            Call::List => Mail::Round(round.unwrap(), Event::Members(Some(self.members.clone()))),
+            Call::List => Message::Coordinator(
+                coordinator.unwrap(),
+                CoordinatorEvent::Listed(Some(self.members.clone())),
+            ),
             Call::Register => {
                 self.members.insert(self.entries[caller].name.clone());
-                Mail::Registered
+                Message::Registered
             }
         };
-        self.send(None, caller, mail);
+        self.send(None, caller, message);
     }
 
-    fn deliver(&mut self, to: usize, mail: Mail) {
+    fn deliver(&mut self, to: usize, message: Message) {
         let now = self.clock(to);
-        match mail {
-            Mail::Entry(input) => {
-                let orders = self.entries[to].register.step(now, input);
-                self.obey(to, orders);
+        match message {
+            Message::Participant(event) => {
+                let actions = self.entries[to].participant.step(now, event);
+                self.run_participant_actions(to, actions);
             }
-            Mail::Digest {
+            Message::PeerState {
                 from,
                 sent,
                 echo,
                 number,
-                vouches,
+                up_to_date,
             } => {
                 let node = &mut self.entries[to];
-                let last = node.heard.entry(from).or_insert(sent);
+                let last = node.peer_sent_at.entry(from).or_insert(sent);
                 *last = (*last).max(sent);
-                let Some(asked) = echo else { return };
+                let Some(echoed_at) = echo else { return };
                 let from = self.entries[from].name.clone();
                 self.deliver(
                     to,
-                    Mail::Entry(Input::Digest {
-                        asked,
+                    Message::Participant(ParticipantEvent::PeerState {
+                        echoed_at,
                         number,
-                        vouches,
+                        up_to_date,
                         from,
                     }),
                 );
             }
-            Mail::Fetch { from } => {
-                let register = &self.entries[to].register;
-                let (number, document) = (register.number(), register.document().clone());
+            Message::Fetch { from } => {
+                let participant = &self.entries[to].participant;
+                let (number, document) = (participant.number(), participant.document().clone());
                 self.send(
                     Some(to),
                     from,
-                    Mail::Entry(Input::Fetched { number, document }),
+                    Message::Participant(ParticipantEvent::Fetched { number, document }),
                 );
             }
-            Mail::Confirmed { from, write } => {
-                for round in 0..self.rounds.len() {
-                    if self.rounds[round].owner == to {
-                        let (from, write) = (from.clone(), write.clone());
-                        self.deliver(to, Mail::Round(round, Event::Confirmed { from, write }));
+            Message::Confirmed { from, write_id } => {
+                for coordinator in 0..self.coordinators.len() {
+                    if self.coordinators[coordinator].owner == to {
+                        let (from, write_id) = (from.clone(), write_id.clone());
+                        self.deliver(
+                            to,
+                            Message::Coordinator(
+                                coordinator,
+                                CoordinatorEvent::Confirmed { from, write_id },
+                            ),
+                        );
                     }
                 }
             }
-            Mail::Round(round, event) => {
-                let running = &mut self.rounds[round];
+            Message::Coordinator(coordinator, event) => {
+                let running = &mut self.coordinators[coordinator];
                 if running.incarnation == self.entries[to].incarnation {
-                    let actions = running.round.step(now, event);
-                    self.act(round, actions);
+                    let actions = running.coordinator.step(now, event);
+                    self.run_coordinator_actions(coordinator, actions);
                 }
             }
-            Mail::Registered => self.call(to, None, Call::Read),
+            Message::Registered => self.call(to, None, Call::Read),
         }
     }
 
-    fn obey(&mut self, entry: usize, orders: Vec<Order>) {
-        for order in orders {
-            match order {
-                Order::Read if self.members.contains(&self.entries[entry].name) => {
+    fn run_participant_actions(&mut self, entry: usize, actions: Vec<ParticipantAction>) {
+        for action in actions {
+            match action {
+                ParticipantAction::Read if self.members.contains(&self.entries[entry].name) => {
                     self.call(entry, None, Call::Read);
                 }
-                Order::Read => self.call(entry, None, Call::Register),
-                Order::TakeBack { version, stored } => {
+                ParticipantAction::Read => self.call(entry, None, Call::Register),
+                ParticipantAction::AbortPending { version, stored } => {
                     self.call(entry, None, Call::Write { version, stored });
                 }
-                Order::Confirm { write } => {
-                    let owner = self.owner(&write);
+                ParticipantAction::Confirm { write_id } => {
+                    let owner = self.owner(&write_id);
                     let from = self.entries[entry].name.clone();
-                    self.send(Some(entry), owner, Mail::Confirmed { from, write });
+                    self.send(Some(entry), owner, Message::Confirmed { from, write_id });
                 }
-                Order::Fetch { from } => {
+                ParticipantAction::Fetch { from } => {
                     let peer = self.entries.iter().position(|e| e.name == from).unwrap();
-                    self.send(Some(entry), peer, Mail::Fetch { from: entry });
+                    self.send(Some(entry), peer, Message::Fetch { from: entry });
                 }
-                Order::Apply { .. } => {}
+                ParticipantAction::Apply { .. } => {}
             }
         }
     }
 
-    fn owner(&self, write: &str) -> usize {
-        let round: usize = write[1..].parse().unwrap();
-        self.rounds[round].owner
+    fn owner(&self, write_id: &str) -> usize {
+        let coordinator: usize = write_id[1..].parse().unwrap();
+        self.coordinators[coordinator].owner
     }
 
-    fn act(&mut self, round: usize, actions: Vec<Action>) {
-        let owner = self.rounds[round].owner;
+    fn run_coordinator_actions(&mut self, coordinator: usize, actions: Vec<CoordinatorAction>) {
+        let owner = self.coordinators[coordinator].owner;
         for action in actions {
             match action {
-                Action::Read => self.call(owner, Some(round), Call::Read),
-                Action::List => self.call(owner, Some(round), Call::List),
-                Action::Write { version, stored } => {
-                    self.call(owner, Some(round), Call::Write { version, stored });
+                CoordinatorAction::Read => self.call(owner, Some(coordinator), Call::Read),
+                CoordinatorAction::List => self.call(owner, Some(coordinator), Call::List),
+                CoordinatorAction::Write { version, stored } => {
+                    self.call(owner, Some(coordinator), Call::Write { version, stored });
+                }
+                CoordinatorAction::Prepare { to, prepare } => {
+                    self.broadcast(owner, &to, &ParticipantEvent::Prepare(prepare));
                 }
-                Action::Prepare { to, prepare } => {
-                    self.spread(owner, &to, &Input::Prepare(prepare));
+                CoordinatorAction::Commit {
+                    to,
+                    number,
+                    write_id,
+                } => {
+                    self.broadcast(owner, &to, &ParticipantEvent::Commit { number, write_id });
                 }
-                Action::Commit { to, number, write } => {
-                    self.spread(owner, &to, &Input::Commit { number, write });
+                CoordinatorAction::Abort { to, write_id } => {
+                    self.broadcast(owner, &to, &ParticipantEvent::Abort { write_id });
                 }
-                Action::Abort { to, write } => self.spread(owner, &to, &Input::Abort { write }),
-                Action::Answer(answer) => self.answered(round, &answer),
+                CoordinatorAction::Answer(answer) => self.on_answer(coordinator, &answer),
             }
         }
     }
 
-    fn spread(&mut self, from: usize, to: &BTreeSet<CompactString>, input: &Input) {
+    fn broadcast(&mut self, from: usize, to: &BTreeSet<CompactString>, event: &ParticipantEvent) {
         for peer in 0..self.entries.len() {
             if to.contains(&self.entries[peer].name) {
-                self.send(Some(from), peer, Mail::Entry(input.clone()));
+                self.send(Some(from), peer, Message::Participant(event.clone()));
             }
         }
     }
 
-    fn answered(&mut self, round: usize, answer: &Answer) {
-        let running = &mut self.rounds[round];
+    fn on_answer(&mut self, coordinator: usize, answer: &Answer) {
+        let running = &mut self.coordinators[coordinator];
         running.answered = true;
-        let born = running.born;
+        let started_at = running.started_at;
         let key = (running.patch.clone(), running.marker);
         let kind = match answer {
             Answer::Accepted(number) => {
-                let first = self.oracle.patches.entry(key.0.clone()).or_insert(*number);
+                let first = self
+                    .oracle
+                    .accepted_patches
+                    .entry(key.0.clone())
+                    .or_insert(*number);
                 assert_eq!(first, number, "one number for each patch id");
                 self.oracle.accepted.push((self.now, *number));
-                self.oracle.taken.insert(key);
+                self.oracle.possibly_accepted.insert(key);
                 "accepted"
             }
             Answer::Unknown => {
-                self.oracle.taken.insert(key);
+                self.oracle.possibly_accepted.insert(key);
                 "unknown"
             }
             refusal => {
@@ -659,8 +715,8 @@
                 self.oracle.refused.push(Refused {
                     patch,
                     marker,
-                    born,
-                    at: self.now,
+                    started_at,
+                    refused_at: self.now,
                 });
                 match refusal {
                     Answer::Conflict(_) => "conflict",
@@ -676,54 +732,59 @@
     }
 
     /// A request comes in at an entry now.
-    fn check(&mut self, entry: usize) {
+    fn check_admission(&mut self, entry: usize) {
         self.oracle.checks += 1;
         let node = &self.entries[entry];
-        let Ok(number) = node.register.admits(self.clock(entry)) else {
+        let Ok(number) = node.participant.admits(self.clock(entry)) else {
             return;
         };
         let due = self
             .oracle
             .accepted
             .iter()
-            .filter(|(at, _)| at + IN_FORCE <= self.now);
+            .filter(|(at, _)| at + MAX_IN_FORCE_DELAY_MS <= self.now);
         let least = due.map(|(_, number)| *number).max().unwrap_or(0);
         let name = &node.name;
         assert!(
             number >= least,
             "{name} admits under {number}, {least} is in force"
         );
-        let highest = self.oracle.highest.entry(name.clone()).or_default();
+        let highest = self
+            .oracle
+            .highest_admitted
+            .entry(name.clone())
+            .or_default();
         assert!(
             number >= *highest,
             "{name} went from {highest} back to {number}"
         );
         *highest = number;
-        let marker = node.register.document().limits.max_queue;
-        let first = *self.oracle.markers.entry(number).or_insert(marker);
+        let marker = node.participant.document().limits.max_queue;
+        let first = *self.oracle.admitted_markers.entry(number).or_insert(marker);
         assert_eq!(first, marker, "two documents under number {number}");
     }
 
     /// What can only be judged at the end: no refused patch was ever admitted under.
-    pub fn finish(&self) {
-        let taken: BTreeSet<u32> = self
+    pub fn check_refused(&self) {
+        let possibly_accepted: BTreeSet<u32> = self
             .oracle
-            .taken
+            .possibly_accepted
             .iter()
             .map(|(_, marker)| *marker)
             .collect();
         for refused in &self.oracle.refused {
             let used = self
                 .oracle
-                .markers
+                .admitted_markers
                 .values()
                 .any(|marker| *marker == refused.marker);
-            // Another round of the same patch that died without an answer at about that time.
-            let other = self.rounds.iter().any(|round| {
-                let same = round.marker == refused.marker && !round.answered;
-                same && round.died >= refused.born && round.born <= refused.at
+            // Another round of the same patch that killed_at without an answer at about that time.
+            let other = self.coordinators.iter().any(|coordinator| {
+                let same = coordinator.marker == refused.marker && !coordinator.answered;
+                same && coordinator.killed_at >= refused.started_at
+                    && coordinator.started_at <= refused.refused_at
             });
-            let ok = !used || other || taken.contains(&refused.marker);
+            let ok = !used || other || possibly_accepted.contains(&refused.marker);
             assert!(ok, "{} was refused and admitted under", refused.patch);
         }
     }
--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -13,7 +13,7 @@
 use pinereel_core::{
     Time, Version,
     claim::{self, StoredResponse},
-    config::{Document, Kind, Pool, Prepare, Register, Stored, Trainer},
+    config::{Document, Participant, Pool, PoolKind, Prepare, StoredConfig, Trainer},
     hash::{self, Digest},
     member::{self, View},
 };
@@ -212,10 +212,10 @@
         let (engines, scorer) = (format_compact!("pool-{i}"), format_compact!("scorer-{i}"));
         document
             .pools
-            .insert(engines.clone(), pool(Kind::Engine, Some("model")));
+            .insert(engines.clone(), pool(PoolKind::Engine, Some("model")));
         document
             .pools
-            .insert(scorer.clone(), pool(Kind::Service, None));
+            .insert(scorer.clone(), pool(PoolKind::Service, None));
         document.trainers.insert(
             format_compact!("trainer-{i}"),
             Trainer {
@@ -229,7 +229,7 @@
     document
 }
 
-fn pool(kind: Kind, model: Option<&str>) -> Pool {
+fn pool(kind: PoolKind, model: Option<&str>) -> Pool {
     Pool {
         kind,
         model: model.map(Into::into),
@@ -245,10 +245,10 @@
     let now = Time::ZERO;
     let (mut admits, mut stored, mut prepares) = (Vec::new(), Vec::new(), Vec::new());
     for trainers in [1, 19, 100] {
-        let value = Stored {
+        let value = StoredConfig {
             number: 1,
             document: document(trainers),
-            ..Stored::default()
+            ..StoredConfig::default()
         };
         let x = trainers as f64;
         stored.push((x, json(&value) as f64));
@@ -256,16 +256,16 @@
             version: 1_234_567,
             number: 2,
             document: value.document.clone(),
-            write: "entry-123.1764000000000000.1".into(),
+            write_id: "entry-123.1764000000000000.1".into(),
         };
         let call = Call::Prepare {
             prepare: Box::new(prepare),
             leaves: BTreeSet::new(),
         };
         prepares.push((x, frame(call)));
-        let mut register = Register::new(now, "entry-0");
-        let read = pinereel_core::config::Input::Read {
-            issued: now,
+        let mut register = Participant::new(now, "entry-0");
+        let read = pinereel_core::config::ParticipantEvent::Read {
+            sent_at: now,
             version: 1,
             stored: value,
         };
--- a/crates/pinereel_fakes/src/demo/deployment.rs
+++ b/crates/pinereel_fakes/src/demo/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::{engine::batch, site};
 use compact_str::CompactString;
-use pinereel_core::config::{Document, Kind, Pool, Trainer};
+use pinereel_core::config::{Document, Pool, PoolKind, Trainer};
 use std::{collections::BTreeMap, time::Duration};
 
 /// Lag of the platform's list of instances.
@@ -84,11 +84,11 @@
         let engines = Pool {
             model: Some(self.model.into()),
             checks_fencing: true,
-            ..pool(Kind::Engine)
+            ..pool(PoolKind::Engine)
         };
         let services = Pool {
             non_idempotent: vec![format!("POST {}", self.path).into()],
-            ..pool(Kind::Service)
+            ..pool(PoolKind::Service)
         };
         let trainer = Trainer {
             pool: self.engines.0.into(),
@@ -107,7 +107,7 @@
     }
 }
 
-fn pool(kind: Kind) -> Pool {
+fn pool(kind: PoolKind) -> Pool {
     Pool {
         kind,
         model: None,
--- a/crates/pinereel_fakes/src/load/stage.rs
+++ b/crates/pinereel_fakes/src/load/stage.rs
@@ -5,7 +5,7 @@
     site::{self, Site, until},
 };
 use pinereel::{entry::Entry, logging, settings::Settings};
-use pinereel_core::config::{Document, Kind, Pool};
+use pinereel_core::config::{Document, Pool, PoolKind};
 use rustix::time::{ClockId, clock_gettime};
 use std::{
     collections::BTreeMap,
@@ -200,8 +200,8 @@
     };
     Document {
         pools: BTreeMap::from([
-            (ENGINES.into(), pool(Kind::Engine, Some("bench"))),
-            (SERVICES.into(), pool(Kind::Service, None)),
+            (ENGINES.into(), pool(PoolKind::Engine, Some("bench"))),
+            (SERVICES.into(), pool(PoolKind::Service, None)),
         ]),
         ..Document::default()
     }
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -258,7 +258,7 @@
 /// Writes configuration 1 as the operators' first patch would.
 pub(crate) async fn seed(api: SocketAddr, document: &Document) -> io::Result<()> {
     let url = format!("http://{api}/objects/{CONFIG}/{CONFIG_NAME}");
-    let stored = pinereel_core::config::Stored {
+    let stored = pinereel_core::config::StoredConfig {
         number: 1,
         document: document.clone(),
         ..Default::default()
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -276,7 +276,7 @@
             version,
             number: 2,
             document: Document::default(),
-            write: write.into(),
+            write_id: write.into(),
         }),
         leaves: leaves.clone(),
     };
