--- a/crates/pinereel_core/src/lib.rs
+++ b/crates/pinereel_core/src/lib.rs
@@ -1,22 +1,24 @@
-//! The decisions of pinereel, and nothing else.
+//! Sans-I/O decision logic of pinereel: routing, admission, leases, rollouts, batch scheduling and
+//! configuration.
 //!
-//! Every module here is a state machine or a pure function. It takes the time and an event and
-//! returns actions as values: `step(now, Event) -> Vec<Action>`. There is no I/O, no clock, no
-//! global state, and no randomness but a seed. The same code runs under `proptest`, in the
-//! experiment tool and in the daemon.
+//! Every module is a state machine or a pure function. A state machine takes the current time and
+//! an event and returns the actions to carry out: `step(now, Event) -> Vec<Action>`. There is no
+//! I/O, no clock, no global state, and the only randomness comes from a seed. The same code runs
+//! under `proptest`, in the experiment tool and in the daemon.
 //!
 //! The main types:
-//! - [`Time`], [`Version`], [`Span`]: what all modules share.
-//! - [`Outcome`]: what became of a request, with the evidence for it.
-//! - [`lot::Lot`]: one trainer step's samples on their way to the trainer.
-//! - [`cursor::Token`]: what the trainer already holds of a lot.
+//! - [`Time`], [`Version`], [`Span`]: shared types for timestamps, weight versions and token spans.
+//! - [`Outcome`]: the outcome of a request, and whether it may have run.
+//! - [`lot::Lot`]: a batch of samples of one trainer step, from submission to delivery.
+//! - [`cursor::Token`]: the set of a lot's samples that a trainer already holds.
 //! - [`config::Document`]: the configuration that operators patch.
-//! - [`crash::Register`]: requests under which endpoints crash.
-//! - [`claim::Log`]: the idempotency keys of one shard.
-//! - [`table::Table`]: which route a request takes, on a platform whose operator writes the routes.
-//! - [`tree::Branch`]: the tree over which instances pass on what one of them reads.
-//! - [`usage::Ledger`]: how many requests of each workspace began to run.
-//! - [`batch::Lot`]: one trainer step whose results are kept in the platform's object store.
+//! - [`crash::Register`]: detection of requests that crash endpoints.
+//! - [`claim::Log`]: idempotency keys of one shard, kept as a log of segments in the object API.
+//! - [`table::Table`]: routing table, on a platform whose operator writes the routes.
+//! - [`tree::Branch`]: the parent's side of the broadcast tree that distributes what one instance
+//!   reads.
+//! - [`usage::Ledger`]: number of requests of each workspace that began to run.
+//! - [`batch::Lot`]: a batch job of one trainer step, with results in the platform's object store.
 
 pub mod admit;
 pub mod batch;
