--- a/crates/pinereel_core/src/claim/key_table.rs
+++ b/crates/pinereel_core/src/claim/key_table.rs
@@ -24,8 +24,9 @@
     segment: u64,
 }
 
-/// State of one key. `released` lists requests that did not run, each with the number of the segment
-/// that released it. If a claim of such a request is stored later, it does not take the key.
+/// State of one key. `released` lists requests that did not run, each with the number of the
+/// segment that released it. If a claim of such a request is stored later, it does not take the
+/// key.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     holder: Option<Holder>,
--- a/crates/pinereel_core/src/claim/log.rs
+++ b/crates/pinereel_core/src/claim/log.rs
@@ -35,7 +35,8 @@
     Creating(Batch),
     /// The segment was created; the base is being read to check that its number was not trimmed.
     CheckingBase(Batch),
-    /// The result of the create is unknown; the log is being read to see whether the segment exists.
+    /// The result of the create is unknown; the log is being read to see whether the segment
+    /// exists.
     Resolving(Batch),
     Trimming,
     /// A call failed and is retried at this time.
@@ -63,8 +64,8 @@
 }
 
 impl Log {
-    /// Creates a log that has read nothing. `writer_id` must be unique to this start of the process,
-    /// because write ids are derived from it. The returned action is the first read.
+    /// Creates a log that has read nothing. `writer_id` must be unique to this start of the
+    /// process, because write ids are derived from it. The returned action is the first read.
     pub fn new(
         now: Time,
         writer_id: impl Into<CompactString>,
@@ -239,7 +240,8 @@
         });
     }
 
-    /// Answers the claim of a request that its sender has given up. It must not be granted any more.
+    /// Answers the claim of a request that its sender has given up. It must not be granted any
+    /// more.
     fn cancel_claim(&mut self, request: &CompactString, out: &mut Vec<Action>) {
         if let Some(at) = self
             .pending_claims
--- a/crates/pinereel_core/src/claim/message.rs
+++ b/crates/pinereel_core/src/claim/message.rs
@@ -113,8 +113,8 @@
     },
     /// Read the base number.
     ReadBase,
-    /// If the base number is still `from`, raise it to `to` by a conditional update, then delete all
-    /// segments below it. Answered with the current base.
+    /// If the base number is still `from`, raise it to `to` by a conditional update, then delete
+    /// all segments below it. Answered with the current base.
     Trim {
         /// The expected current base.
         from: u64,
@@ -132,8 +132,9 @@
     Settled {
         /// Id of the request.
         request: CompactString,
-        /// Whether the settlement is stored. If not, the sender may retry. Until it is stored, claims
-        /// of the key get [`Verdict::InProgress`], and [`Verdict::ClaimUnknown`] after the deadline.
+        /// Whether the settlement is stored. If not, the sender may retry. Until it is stored,
+        /// claims of the key get [`Verdict::InProgress`], and [`Verdict::ClaimUnknown`] after the
+        /// deadline.
         stored: bool,
     },
 }
--- a/crates/pinereel_core/src/claim/mod.rs
+++ b/crates/pinereel_core/src/claim/mod.rs
@@ -3,8 +3,8 @@
 //! Each key belongs to one shard ([`shard_of`]). A shard is an append-only log of numbered
 //! [`Segment`]s in the object API, and a [`Log`] is one writer's state machine for one shard. A
 //! segment is written by a create-if-absent, and a writer creates number `n` only after it has read
-//! all earlier segments. The create alone orders concurrent writers, so safety needs no lease and no
-//! clock.
+//! all earlier segments. The create alone orders concurrent writers, so safety needs no lease and
+//! no clock.
 //!
 //! Trimming raises the shard's base number first and deletes the segments below it second. A writer
 //! reads the base after each create: a base of at most `n` proves that segment `n` was never
--- a/crates/pinereel_core/src/claim/next_call.rs
+++ b/crates/pinereel_core/src/claim/next_call.rs
@@ -13,8 +13,8 @@
 const TRIMS_PER_RETENTION: u32 = 16;
 
 impl Log {
-    /// Starts the next call if none is in flight. A new segment goes before a trim, and a trim before a
-    /// periodic read.
+    /// Starts the next call if none is in flight. A new segment goes before a trim, and a trim
+    /// before a periodic read.
     pub(super) fn start_next_call(&mut self, now: Time, out: &mut Vec<Action>) {
         if !matches!(self.phase, Phase::Idle) {
             return;
--- a/crates/pinereel_core/src/claim/response.rs
+++ b/crates/pinereel_core/src/claim/response.rs
@@ -18,8 +18,8 @@
         }
     }
 
-    /// The create conflicted or its result is unknown. Either way this segment may be the one that is
-    /// stored under its number, so the log is read to find out.
+    /// The create conflicted or its result is unknown. Either way this segment may be the one that
+    /// is stored under its number, so the log is read to find out.
     pub(super) fn on_create_unresolved(&mut self, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Creating(mut batch) => {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The create had no effect, so the object API is unavailable. If no earlier create of the batch
-    /// may have taken effect, the batch is in no segment and its claims are refused at once.
+    /// The create had no effect, so the object API is unavailable. If no earlier create of the
+    /// batch may have taken effect, the batch is in no segment and its claims are refused at once.
     /// Otherwise only the same segment may be sent again under this number.
     pub(super) fn on_not_created(&mut self, now: Time, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
--- a/crates/pinereel_core/src/config/coordinator.rs
+++ b/crates/pinereel_core/src/config/coordinator.rs
@@ -1,7 +1,8 @@
-//! A proposer's part: one patch on its way to being accepted or refused.
+//! Coordinator of the two-phase commit of one patch, run by the instance that got it from the
+//! operator.
 //!
-//! Level-triggered: after anything that is not a plain success the round reads the object again
-//! and goes on from what stands there, so a lost answer is never taken for a failure.
+//! It is level-triggered: after any result but a plain success it reads the object again and goes
+//! on from the content it finds, so it never takes a lost response for a failure.
 
 use super::{
     Answer, CoordinatorAction, CoordinatorEvent, Document, Fault, PendingPatch, Prepare, Proposal,
@@ -11,16 +12,16 @@
 use compact_str::CompactString;
 use std::{collections::BTreeSet, time::Duration};
 
-/// Members that have not confirmed by then make the patch fail.
+/// Time after the pending write by which all members must have confirmed, or the patch is refused.
 pub const PREPARE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A pending patch of another round that stands unchanged for so long is taken back.
+/// Time after which an unchanged pending patch of another coordinator is aborted.
 pub const FOREIGN_PENDING_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause before the object API is asked again, and between two prepare messages to a member.
+/// Delay before the object API is called again, and interval between prepare messages to a member.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A call without an answer for so long is taken for lost.
+/// Time after which a call without a response counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the round waits for.
+/// What the coordinator waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Start,
@@ -32,35 +33,35 @@
     Done,
 }
 
-/// One patch on its way.
+/// State machine that carries one patch to an answer.
 pub struct Coordinator {
     proposal: Proposal,
     digest: Digest,
     stage: Stage,
     stage_since: Time,
-    /// The object as last read or written by this round.
+    /// Version of the object as last read or written here.
     version: u64,
     stored: StoredConfig,
-    /// The content of the write that is under way.
+    /// Content of the write in flight.
     in_flight: StoredConfig,
     answered: bool,
-    /// When this round first knew its patch to be pending.
+    /// When this coordinator first knew its patch to be pending.
     pending_since: Option<Time>,
-    /// The version that holds this round's pending patch.
+    /// Version of the object that holds this coordinator's pending patch.
     pending_version: u64,
-    /// Whether the accepting write was ever sent.
+    /// Whether the write that accepts the patch was ever sent.
     accept_write_sent: bool,
-    /// Once set, the round never accepts: it only takes its patch back.
+    /// Once set, the coordinator never accepts its patch and only aborts it.
     refusal: Option<Answer>,
     members: BTreeSet<CompactString>,
     unconfirmed: BTreeSet<CompactString>,
     prepare_sent_at: Time,
-    /// A foreign pending patch: its version, and when it was first seen.
+    /// Another coordinator's pending patch: the object's version, and when it was first seen.
     foreign_pending: Option<(u64, Time)>,
 }
 
 impl Coordinator {
-    /// A round that starts with its first tick.
+    /// Creates a coordinator that starts with its first tick.
     pub fn new(now: Time, proposal: Proposal) -> Self {
         let text = format!("{}:{}", proposal.base, proposal.content);
         Self {
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the coordinator has answered and has nothing left to clean up.
     pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn step(&mut self, now: Time, event: CoordinatorEvent) -> Vec<CoordinatorAction> {
         let mut actions = Vec::new();
         if self.is_done() {
@@ -136,7 +137,8 @@
         self.check_prepare_timeout(now, actions);
     }
 
-    /// The prepare timeout counts from the pending write, whatever the round waits for.
+    /// Refuses the patch after the prepare timeout, which counts from the pending write regardless
+    /// of the current stage.
     fn check_prepare_timeout(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         let Some(since) = self.pending_since else {
             return;
@@ -149,7 +151,8 @@
         self.refuse(now, Answer::NotConfirmed(missing), actions);
     }
 
-    /// Decides never to accept, which is final without any write, and cleans up.
+    /// Decides never to accept the patch and cleans up. The decision is final without a write,
+    /// because only this coordinator may accept the patch.
     fn refuse(&mut self, now: Time, answer: Answer, actions: &mut Vec<CoordinatorAction>) {
         self.refusal = Some(answer.clone());
         let write_id = self.proposal.write_id.clone();
@@ -182,8 +185,9 @@
         });
     }
 
-    /// At the deadline. Refused for certain only if the own patch was seen pending, so that no
-    /// earlier round of the same patch had been accepted, and the accepting write was never sent.
+    /// Answers at the deadline. The patch is certainly refused only if it was seen pending, so that
+    /// no earlier attempt of the same patch had been accepted, and the accepting write was never
+    /// sent.
     fn on_deadline(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         if self.refusal.is_none() && (self.accept_write_sent || self.pending_since.is_none()) {
             self.finish(now, Answer::Unknown, actions);
@@ -250,7 +254,7 @@
             return;
         };
         if version < self.version {
-            // An answer to an earlier read that was late.
+            // The late response to an earlier read.
             self.enter(now, Stage::Backoff);
             return;
         }
@@ -259,7 +263,7 @@
         self.advance(now, actions);
     }
 
-    /// Goes on from what stands in the object.
+    /// Selects the next step from the content of the object.
     fn advance(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         if let Some(accepted) = self.stored.find_accepted(&self.proposal.patch) {
             let number = accepted.number;
@@ -283,7 +287,8 @@
         }
     }
 
-    /// The patch was pending, is so no more, and was not accepted.
+    /// The patch is no longer pending and is not among the accepted ones. If the list of accepted
+    /// patches no longer reaches back far enough, its result is unknown.
     fn on_pending_removed(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         let oldest = self.stored.accepted.first().map_or(u64::MAX, |a| a.number);
         let may_be_forgotten = self.accept_write_sent && oldest > self.proposal.base + 1;
@@ -323,7 +328,7 @@
         self.enter(now, Stage::Backoff);
     }
 
-    /// Checks the patch against the number in force and writes it as pending.
+    /// Validates the patch against the configuration in force and writes it as pending.
     fn write_pending(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         if self.stored.number != self.proposal.base {
             self.finish(now, Answer::Conflict(self.stored.number), actions);
@@ -358,7 +363,8 @@
         }
     }
 
-    /// The own patch is pending: take it back, accept it, or ask the members.
+    /// The coordinator's own patch is pending: aborts it, accepts it, or asks the members to
+    /// prepare.
     fn on_own_pending(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         self.pending_version = self.version;
         self.pending_since.get_or_insert(now);
@@ -367,8 +373,8 @@
         } else if self.accept_write_sent {
             self.write_accepted(now, actions);
         } else {
-            // The list must be read after the pending write: an entry that it lacks registers
-            // later, reads the configuration after that, and so finds the pending patch.
+            // The members must be listed after the pending write: an instance missing from the list
+            // registers later, reads the configuration after that, and so finds the pending patch.
             self.enter(now, Stage::Listing);
             actions.push(CoordinatorAction::List);
         }
@@ -416,7 +422,7 @@
             self.enter(now, Stage::Backoff);
             return;
         };
-        // The own instance is asked like all others.
+        // The coordinator's own instance is asked like all others.
         self.unconfirmed = members.clone();
         self.members = members;
         self.enter(now, Stage::Preparing);
@@ -442,7 +448,7 @@
             .pending_since
             .is_some_and(|since| now.since(since) >= PREPARE_TIMEOUT);
         if late {
-            // Not removed first: the refusal names who was not in time.
+            // Not removed from `unconfirmed`: the refusal names the instances that were late.
             self.check_prepare_timeout(now, actions);
             return;
         }
--- a/crates/pinereel_core/src/config/document.rs
+++ b/crates/pinereel_core/src/config/document.rs
@@ -1,66 +1,69 @@
-//! The content of the configuration.
+//! The schema of the configuration document.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One whole configuration. Unknown keys are refused when it is read.
+/// A complete configuration. Unknown keys are rejected.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Pools of endpoints, by name. The platform's instance list says which endpoints are in each.
+    /// Pools of endpoints, by name. The platform's instance list tells which endpoints are in each.
     pub pools: BTreeMap<CompactString, Pool>,
     /// Trainers, by name.
     pub trainers: BTreeMap<CompactString, Trainer>,
-    /// Bounds that hold for every entry.
+    /// Request limits, the same at every instance.
     pub limits: Limits,
 }
 
-/// What a pool's endpoints are.
+/// Kind of the endpoints in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Model engines.
+    /// Inference engines that serve a model.
     Engine,
-    /// Plain services.
+    /// Services without a model.
     Service,
 }
 
-/// Endpoints that can stand in for each other.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What its endpoints are.
+    /// Kind of its endpoints.
     pub kind: PoolKind,
-    /// The model that its engines serve; required for engines, absent for services.
+    /// The model that its engines serve; required for engine pools, absent for service pools.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<CompactString>,
-    /// Most requests in flight at one endpoint, from one entry.
+    /// Maximum number of requests in flight from one instance to one endpoint.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// `METHOD /path-prefix` of calls that may run at most once, for services.
+    /// Service calls that may run at most once, as `METHOD /path-prefix`.
     #[serde(default)]
     pub non_idempotent: Vec<CompactString>,
-    /// Whether the engines refuse orders with an old fencing token.
+    /// Whether the engines reject requests with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Share of the engines (0 to 1) that must stay in service while weights are loaded.
+    /// Minimum fraction of the engines, from 0 to 1, that stays in service while weights are
+    /// loaded.
     #[serde(default = "default_floor")]
     pub floor: f64,
-    /// Most engines that load weights at once: the weight store's rate by the rate of one load.
+    /// Maximum number of engines that load weights at once: the throughput of the weight store
+    /// divided by the throughput of one load.
     #[serde(default = "default_loads")]
     pub loads: u32,
 }
 
-/// One trainer.
+/// A trainer and the pools that it uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trainer {
-    /// The engine pool that makes its samples.
+    /// The engine pool that generates its samples.
     pub pool: CompactString,
-    /// Most versions that a sample's oldest token may be behind the trainer at delivery.
+    /// Staleness bound: maximum number of versions that a sample's oldest token may be behind the
+    /// trainer at delivery.
     pub bound: u64,
-    /// Its weight when trainers share engines.
+    /// Its weight in fair sharing when several trainers use the same engines.
     #[serde(default = "default_share")]
     pub share: u32,
     /// The service pool that scores its samples, by `POST /score`.
@@ -68,17 +71,18 @@
     pub scorer: Option<CompactString>,
 }
 
-/// Bounds that hold for every entry.
+/// Request limits, the same at every instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u32,
-    /// Most live requests of one pool and priority waiting in one entry for an endpoint.
+    /// Maximum number of live requests of one pool and priority that wait for an endpoint at one
+    /// instance.
     pub max_queue: u32,
-    /// Most samples in one lot.
+    /// Maximum number of samples in one lot.
     pub max_samples: u32,
-    /// Deadline of a live request that names none, in milliseconds.
+    /// Deadline of a live request that gives none, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
--- a/crates/pinereel_core/src/config/message.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -1,4 +1,5 @@
-//! What goes into a [`Coordinator`](super::Coordinator) and what comes out of it.
+//! Input and output of a [`Coordinator`](super::Coordinator): the proposal, events, actions and the
+//! answer to the operator.
 
 use super::{Fault, Prepare, StoredConfig};
 use crate::Time;
@@ -6,129 +7,134 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What an operator wants.
+/// A patch that an operator submitted, as its coordinator gets it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
-    /// Id of the patch; a repeat with the same content gets the same answer.
+    /// Id of the patch. A repeat with the same id and content gets the same answer.
     pub patch: CompactString,
-    /// The number that it is made for.
+    /// Number of the configuration that it applies to.
     pub base: u64,
-    /// The merge patch.
+    /// The merge patch (RFC 7396).
     pub content: Value,
-    /// The entry that proposes it.
+    /// Name of the proposing instance.
     pub proposer: CompactString,
-    /// Id of the writes, unique to this round.
+    /// Id of the writes, unique to this coordinator.
     pub write_id: CompactString,
-    /// When the caller must have an answer.
+    /// Time by which the operator must have an answer.
     pub deadline: Time,
 }
 
-/// What became of a patch.
+/// Answer to the operator about a patch.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Answer {
-    /// It is accepted: in force everywhere within 5 s.
+    /// Accepted with this number: in force at every instance within 5 s.
     #[error("accepted as {0}")]
     Accepted(u64),
-    /// Refused: the base is not the number in force.
-    #[error("the configuration's number is {0}")]
+    /// Refused: the base is not the number in force, which is this one.
+    #[error("configuration {0} is in force")]
     Conflict(u64),
-    /// Refused: the id was accepted with another content.
-    #[error("the patch id was used with another content, as {0}")]
+    /// Refused: a patch with this id and different content was accepted with this number.
+    #[error("the patch id was already used with different content, as configuration {0}")]
     Reused(u64),
-    /// Refused: the result is not valid or the change is not safe.
-    #[error("{} faults", .0.len())]
+    /// Refused: the resulting document is not valid or the change is not safe.
+    #[error("{} validation errors", .0.len())]
     Invalid(Vec<Fault>),
-    /// Refused: these instances did not confirm it.
+    /// Refused: these instances did not confirm the prepare in time.
     #[error("not confirmed by {0:?}")]
     NotConfirmed(Vec<CompactString>),
-    /// Refused: another proposer or an entry in doubt took it back.
-    #[error("taken back by another instance")]
+    /// Refused: another coordinator or an in-doubt participant aborted it.
+    #[error("aborted by another instance")]
     TakenBack,
-    /// Refused: the deadline passed, and it will not be accepted later.
-    #[error("the deadline passed before it could be accepted")]
+    /// Refused: the deadline passed, and the patch will not be accepted later.
+    #[error("the deadline passed before the patch could be accepted")]
     Late,
-    /// Nothing is known: send the same patch again.
-    #[error("the object API did not tell the result; send the patch again")]
+    /// Not known: the patch may or may not be accepted. The operator should send the same patch
+    /// again.
+    #[error("the result of the write is not known; send the patch again")]
     Unknown,
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect and gave this version.
+    /// The write took effect; the object's new version.
     Written(u64),
-    /// The object has another version, so it has no effect.
+    /// The object has another version, so the write has no effect.
     Conflict,
-    /// No answer: it may have taken effect, or may still do so.
+    /// No response: the write may have taken effect or still may.
     Unknown,
 }
 
-/// What the controller tells the round.
+/// Input of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(
     clippy::large_enum_variant,
     reason = "a value is moved once, and few exist at a time"
 )]
 pub enum CoordinatorEvent {
-    /// Time passes; the first one starts the round. To be sent at least every 250 ms.
+    /// Time has passed. The first tick starts the coordinator; ticks must come at least every 250
+    /// ms.
     Tick,
-    /// Answer to [`CoordinatorAction::Read`]; `None` if the object API did not answer.
+    /// Result of [`CoordinatorAction::Read`]: the object's version and content; `None` if the
+    /// object API did not respond.
     Read(Option<(u64, StoredConfig)>),
-    /// Answer to [`CoordinatorAction::Write`].
+    /// Result of [`CoordinatorAction::Write`].
     Written {
         /// The version that the write was conditional on.
         version: u64,
-        /// What became of it.
+        /// The result.
         result: WriteResult,
     },
-    /// Answer to [`CoordinatorAction::List`]: names of all member objects; `None` if there was no answer.
+    /// Result of [`CoordinatorAction::List`]: the names of all members; `None` if the object API
+    /// did not respond.
     Listed(Option<BTreeSet<CompactString>>),
-    /// An instance confirmed a write.
+    /// An instance confirmed the prepare of a write.
     Confirmed {
-        /// Its name.
+        /// Name of the instance.
         from: CompactString,
         /// Id of the write.
         write_id: CompactString,
     },
 }
 
-/// What the controller shall do for the round.
+/// Output of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
-    /// Read the object from the object API.
+    /// Read the object from the object API, not from a cache.
     Read,
-    /// Write the object on condition of its version.
+    /// Write the object, conditional on its version.
     Write {
-        /// The version that it must have.
+        /// The version that the object must have.
         version: u64,
         /// The new content.
         stored: StoredConfig,
     },
     /// List the member objects from the object API.
     List,
-    /// Send a prepare to these instances (the own one included).
+    /// Send a prepare message to these instances, which include the coordinator's own.
     Prepare {
-        /// Their names.
+        /// Names of the instances.
         to: BTreeSet<CompactString>,
         /// The message.
         prepare: Prepare,
     },
     /// Tell these instances that the patch is in force.
     Commit {
-        /// Their names.
+        /// Names of the instances.
         to: BTreeSet<CompactString>,
-        /// The number.
+        /// The number in force.
         number: u64,
         /// Id of the write.
         write_id: CompactString,
     },
     /// Tell these instances that the patch will never be accepted.
     Abort {
-        /// Their names.
+        /// Names of the instances.
         to: BTreeSet<CompactString>,
         /// Id of the write.
         write_id: CompactString,
     },
-    /// Answer the operator. Given once; the round may go on to clean up until [`super::Coordinator::is_done`].
+    /// Answer the operator. Sent once; the coordinator may go on cleaning up until
+    /// [`is_done`](super::Coordinator::is_done).
     Answer(Answer),
 }
--- a/crates/pinereel_core/src/config/mod.rs
+++ b/crates/pinereel_core/src/config/mod.rs
@@ -1,8 +1,10 @@
-//! The configuration that operators patch: its content, its validation, how a patch comes into force.
+//! The operators' configuration: its document, its validation, and the two-phase commit of a patch.
 //!
-//! A patch is accepted in two phases. The object API's one object [`StoredConfig`] arbitrates: the
-//! proposer's [`Coordinator`] writes the patch as pending, asks each entry's [`Participant`] to prepare,
-//! and accepts by a conditional update once all have confirmed.
+//! All commit state is in one object of the object API, [`StoredConfig`], which changes only by
+//! conditional updates. The proposer's [`Coordinator`] writes the patch as pending, asks the
+//! [`Participant`] of every member to prepare, and accepts the patch by another conditional update
+//! once all have confirmed. A participant stops admitting requests if it cannot learn the result in
+//! time, so an accepted patch is in force at every instance within 5 s and never reverts.
 
 mod coordinator;
 mod document;
--- a/crates/pinereel_core/src/config/participant.rs
+++ b/crates/pinereel_core/src/config/participant.rs
@@ -1,57 +1,61 @@
-//! An entry's part: which configuration is in force here, and whether requests may be admitted.
+//! Participant of the two-phase commit at one instance: holds the configuration in force here and
+//! decides whether requests may be admitted under it.
 //!
-//! All knowledge is ordered by the object's version. While a patch is pending at version `v`, the
-//! object's next change either accepts it or takes it back, so any later version resolves it.
+//! State is ordered by the object's version. While a patch is pending at version `v`, the next
+//! change of the object either accepts or aborts it, so any later version resolves an in-doubt
+//! patch.
 
 use super::{Document, Prepare, StoredConfig};
 use crate::{Time, hash};
 use compact_str::CompactString;
 use std::{collections::VecDeque, time::Duration};
 
-/// A longer gap between ticks counts as a pause of the process.
+/// Maximum gap between two events. A longer gap counts as a pause of the process.
 const MAX_STEP_GAP: Duration = Duration::from_secs(1);
-/// From then on an unresolved patch keeps the entry from admitting. An acceptance needs this
-/// entry's earlier confirmation, so nothing is admitted under the old number later than this
-/// after the acceptance.
+/// Time after a prepare from which an unresolved patch stops admission. A patch is only accepted
+/// after this instance confirmed the prepare, so no request is admitted under the old number later
+/// than this after the acceptance.
 const IN_DOUBT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Without contact for so long the entry does not admit.
+/// Time without a confirmation that the number is current after which the instance stops admitting.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// From then on the entry reads the object to resolve a doubt.
+/// Time after a prepare from which the instance reads the object to resolve the in-doubt patch.
 const IN_DOUBT_READ_DELAY: Duration = Duration::from_secs(1);
-/// From then on, plus a spread of half a second by name, it takes a pending patch back itself:
-/// later than the proposer's own timeout, earlier than its own doubt.
+/// Time after a prepare from which the instance aborts the pending patch itself, plus a jitter of
+/// up to half a second derived from its name. It is later than the coordinator's prepare timeout
+/// and, with the jitter, earlier than [`IN_DOUBT_TIMEOUT`].
 const ABORT_DELAY: Duration = Duration::from_millis(2_200);
-/// Pause between two reads of the object.
+/// Minimum interval between two reads of the object.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(250);
-/// Without contact for so long the entry reads the object.
+/// Time without a confirmation that the number is current after which the instance reads the
+/// object.
 const QUIET_READ_DELAY: Duration = Duration::from_secs(2);
-/// How many taken back writes are remembered.
+/// Maximum number of aborted writes that are remembered.
 const MAX_ABORTED_WRITES: usize = 16;
 
-/// Why an entry does not admit a request. The request did not run.
+/// Why an instance does not admit a request. A refused request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The entry has not read the configuration since its start.
+    /// The instance has not read the configuration since its start.
     #[error("the configuration has not been read yet")]
     Starting,
-    /// The process was paused and has not confirmed its number since.
+    /// The process was paused and its number has not been confirmed as current since.
     #[error("the process was paused and must confirm its configuration")]
     Paused,
-    /// A higher number is in force.
-    #[error("configuration {0} is in force and not here yet")]
+    /// This higher number is in force.
+    #[error("configuration {0} is in force but has not reached this instance")]
     Behind(u64),
-    /// A patch was prepared and its result is not known.
+    /// The patch to this number was prepared and its result is not known.
     #[error("the result of configuration {0} is not known")]
     InDoubt(u64),
-    /// Neither the object API nor a peer answers.
+    /// Neither the object API nor a peer has confirmed the number for too long.
     #[error("neither the object API nor a peer can be reached")]
     Isolated,
 }
 
-/// What the controller tells the register.
+/// Input of a participant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParticipantEvent {
-    /// Time passes; to be sent at least every 250 ms.
+    /// Time has passed; ticks must come at least every 250 ms.
     Tick,
     /// The object was read from the object API, not from a cache.
     Read {
@@ -62,33 +66,34 @@
         /// The object's content.
         stored: StoredConfig,
     },
-    /// A proposer asks to prepare.
+    /// A coordinator asks to prepare a patch.
     Prepare(Prepare),
-    /// A proposer tells that its patch was accepted.
+    /// A coordinator reports that its patch was accepted.
     Commit {
         /// The number now in force.
         number: u64,
-        /// Id of the write_id.
+        /// Id of the write.
         write_id: CompactString,
     },
-    /// A proposer tells that it will never accept its patch.
+    /// A coordinator reports that its patch will never be accepted.
     Abort {
-        /// Id of the write_id.
+        /// Id of the write.
         write_id: CompactString,
     },
-    /// A peer's periodic state.
+    /// Periodic state message of a peer.
     PeerState {
-        /// When this entry sent the latest digest that the peer had seen; never the arrival time,
-        /// since a link may hold a message for long.
+        /// When this instance sent the latest of its own state messages that the peer had received.
+        /// The arrival time of the peer's message is no substitute, since a link may delay a
+        /// message.
         echoed_at: Time,
         /// The number in force at the peer.
         number: u64,
-        /// Whether the peer admits and has nothing prepared: [`Participant::is_up_to_date`] there.
+        /// [`Participant::is_up_to_date`] at the peer.
         up_to_date: bool,
         /// The peer's name.
         from: CompactString,
     },
-    /// A peer's answer to a fetch.
+    /// A peer's response to [`ParticipantAction::Fetch`].
     Fetched {
         /// The number in force at the peer.
         number: u64,
@@ -97,33 +102,33 @@
     },
 }
 
-/// What the controller shall do for the register.
+/// Output of a participant.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(
     clippy::large_enum_variant,
     reason = "a value is moved once, and few exist at a time"
 )]
 pub enum ParticipantAction {
-    /// Read the object and feed [`ParticipantEvent::Read`].
+    /// Read the object and report [`ParticipantEvent::Read`].
     Read,
-    /// Write the object on condition of its version, then read it.
+    /// Abort the pending patch: write the object, conditional on its version, then read it.
     AbortPending {
-        /// The version that it must have.
+        /// The version that the object must have.
         version: u64,
         /// The new content.
         stored: StoredConfig,
     },
-    /// Confirm the prepared write_id to its proposer.
+    /// Confirm the prepare to its coordinator.
     Confirm {
-        /// Id of the write_id.
+        /// Id of the write.
         write_id: CompactString,
     },
-    /// Fetch the configuration from a peer and feed [`ParticipantEvent::Fetched`].
+    /// Fetch the configuration from a peer and report [`ParticipantEvent::Fetched`].
     Fetch {
         /// The peer's name.
         from: CompactString,
     },
-    /// Put a new number in force, for all requests admitted from now on.
+    /// A new number is in force for all requests admitted from now on.
     Apply {
         /// The number.
         number: u64,
@@ -132,28 +137,33 @@
 
 struct Prepared {
     prepare: Prepare,
+    /// Earliest time at which the patch can have been accepted.
     prepared_at: Time,
 }
 
-/// The configuration in force at one entry. Its number never goes down.
+/// The configuration in force at one instance. Its number never decreases.
 pub struct Participant {
     name: CompactString,
     has_read: bool,
     number: u64,
     document: Document,
+    /// Highest version of the object that was read here or prepared.
     seen_version: u64,
+    /// Highest number known to be in force anywhere.
     known_number: u64,
     prepared: Option<Prepared>,
     aborted_writes: VecDeque<CompactString>,
+    /// Latest time at which the number was known to be the newest in force.
     confirmed_at: Time,
     last_step_at: Time,
+    /// When a pause was noticed that no confirmation has ended yet.
     paused_at: Option<Time>,
     last_read_at: Option<Time>,
 }
 
 impl Participant {
-    /// The register of a starting entry. It must have written its member object before the first
-    /// read of the configuration is sent.
+    /// Creates the participant of a starting instance. The instance must write its member object
+    /// before it sends the first read, so that later patches wait for its confirmation.
     pub fn new(now: Time, name: impl Into<CompactString>) -> Self {
         Self {
             name: name.into(),
@@ -171,7 +181,7 @@
         }
     }
 
-    /// The number in force here.
+    /// Number of the configuration in force here; 0 before the first read.
     pub const fn number(&self) -> u64 {
         self.number
     }
@@ -181,17 +191,20 @@
         &self.document
     }
 
-    /// When it was last known that nothing newer was in force.
+    /// Latest time at which the number was known to be the newest in force.
     pub const fn confirmed_at(&self) -> Time {
         self.confirmed_at
     }
 
-    /// The number that a request admitted now is bound to.
+    /// The configuration number for a request that is admitted now.
+    ///
+    /// # Errors
+    /// Why no request may be admitted.
     pub fn admits(&self, now: Time) -> Result<u64, Refusal> {
         if !self.has_read {
             return Err(Refusal::Starting);
         }
-        // A request may come in before the first tick after a pause.
+        // A request may arrive before the first event after a pause.
         if self.paused_at.is_some() || now.since(self.last_step_at) > MAX_STEP_GAP {
             return Err(Refusal::Paused);
         }
@@ -209,12 +222,13 @@
         Ok(self.number)
     }
 
-    /// Whether a peer may take this entry's number as a sign that nothing newer is in force.
+    /// Whether a peer may take this instance's number as proof that nothing newer is in force: the
+    /// instance admits requests and has no patch prepared.
     pub fn is_up_to_date(&self, now: Time) -> bool {
         self.prepared.is_none() && self.admits(now).is_ok()
     }
 
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn step(&mut self, now: Time, event: ParticipantEvent) -> Vec<ParticipantAction> {
         let mut actions = Vec::new();
         self.detect_pause(now);
@@ -294,7 +308,7 @@
         self.apply(stored.number, stored.document, actions);
     }
 
-    /// Brings the prepared patch in line with the object.
+    /// Updates the prepared patch from the pending patch in the object.
     fn reconcile_prepared(&mut self, sent_at: Time, version: u64, stored: &StoredConfig) {
         let Some(pending) = &stored.pending else {
             self.prepared = None;
@@ -304,7 +318,7 @@
             .prepared
             .as_ref()
             .is_some_and(|p| p.prepare.write_id == pending.write_id);
-        // A read from before the acceptance still shows what is in force here by now.
+        // A read from before the acceptance still shows the patch as pending that is in force here.
         let is_superseded = pending.number <= self.number;
         if already_prepared || is_superseded || self.aborted_writes.contains(&pending.write_id) {
             return;
@@ -315,7 +329,8 @@
             document: pending.document.clone(),
             write_id: pending.write_id.clone(),
         };
-        // The acceptance can only come after the read was sent, perhaps long before its answer.
+        // The patch can be accepted at any time after the read was sent, perhaps long before its
+        // response arrives.
         self.prepared = Some(Prepared {
             prepare,
             prepared_at: sent_at,
@@ -394,7 +409,8 @@
         actions: &mut Vec<ParticipantAction>,
     ) {
         if number > self.number {
-            // The prepared patch has its own limit; the peer's number is most likely its result.
+            // The peer's number is most likely the accepted result of the prepared patch, which has
+            // its own timeout.
             if self
                 .prepared
                 .as_ref()
@@ -411,7 +427,7 @@
         }
     }
 
-    /// Ends a pause, if what is known was echoed_at for after it.
+    /// Ends a pause if the number was confirmed by a message requested after the pause.
     fn end_pause(&mut self, requested_at: Time) {
         self.paused_at.take_if(|paused| requested_at >= *paused);
     }
--- a/crates/pinereel_core/src/config/patch.rs
+++ b/crates/pinereel_core/src/config/patch.rs
@@ -1,4 +1,4 @@
-//! Merging a patch into a document, and checking what comes out.
+//! Merging of patches into a document, and validation of the result.
 
 use super::{Document, Limits, Pool, PoolKind, Trainer};
 use compact_str::{CompactString, format_compact};
@@ -6,31 +6,35 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// Most samples of a lot that a cursor token can hold.
+/// Maximum number of samples per lot, limited by the size of a cursor token.
 const MAX_LOT_SAMPLES: u32 = 65_536;
 
-/// One thing that is wrong with a document or a change.
+/// A validation error in a document or a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{path}: {reason}")]
 pub struct Fault {
-    /// Where, as a JSON pointer.
+    /// Location, as a JSON pointer (RFC 6901).
     pub path: CompactString,
-    /// What is wrong there.
+    /// Description of the error.
     pub reason: CompactString,
 }
 
-/// Applies a merge patch (RFC 7396) to a document, without checking the result.
+/// Applies a merge patch (RFC 7396) to a document, without validating the result.
 pub fn merge(document: &Document, patch: &Value) -> Value {
     let mut value = serde_json::to_value(document).expect("a document is plain data");
     json_patch::merge(&mut value, patch);
     value
 }
 
-/// Reads a document and checks it by itself. All faults that can be told apart are returned.
+/// Deserializes and validates a document on its own. Use [`check_change`] for the transition from
+/// the document in force.
+///
+/// # Errors
+/// All errors that can be told apart, not only the first.
 pub fn validate(value: &Value) -> Result<Document, Vec<Fault>> {
     let mut faults = Vec::new();
     let document = read_document(value, &mut faults);
-    // Checks across objects would repeat the faults of objects that could not be read.
+    // Checks across objects would repeat the errors of objects that could not be deserialized.
     if faults.is_empty() {
         check_pools(&document, &mut faults);
         check_trainers(&document, &mut faults);
@@ -43,7 +47,8 @@
     }
 }
 
-/// Changes that are valid by themselves but not safe while the old document is in force.
+/// Returns the errors of a change between two valid documents that is not safe while the old one is
+/// in force.
 pub fn check_change(old: &Document, new: &Document) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (name, pool) in &old.pools {
@@ -136,7 +141,8 @@
     map
 }
 
-/// Reads one object. After each fault the field that caused it is left out, to find the others.
+/// Deserializes one object. Removes each field that causes an error and tries again, to find all
+/// errors.
 fn read_object<T: DeserializeOwned>(
     path: &str,
     value: &Value,
@@ -165,7 +171,7 @@
     }
 }
 
-/// The field without which reading does not end in this error.
+/// The field whose removal makes this deserialization error go away.
 fn offending_field<T: DeserializeOwned>(value: &Value, error: &str) -> Option<String> {
     if error.starts_with("missing field") {
         return None;
--- a/crates/pinereel_core/tests/config_patch.rs
+++ b/crates/pinereel_core/tests/config_patch.rs
@@ -1,4 +1,4 @@
-//! What a patch makes of a document, and what is refused with which place and reason.
+//! Merging and validation of configuration patches, with the path and reason of each error.
 
 use pinereel_core::config::{Document, Fault, check_change, merge, validate};
 use serde_json::{Value, json};
@@ -23,7 +23,8 @@
         .join("\n")
 }
 
-/// The faults of a patch to the base, or the change's, or "valid".
+/// Applies a patch to the base document. Returns the errors of the document or of the change, or
+/// "valid".
 fn outcome(patch: Value) -> String {
     match validate(&merge(&base(), &patch)) {
         Err(faults) => lines(&faults),
--- a/crates/pinereel_core/tests/config_promise.rs
+++ b/crates/pinereel_core/tests/config_promise.rs
@@ -1,4 +1,5 @@
-//! An accepted patch is in force everywhere within 5 s and never reverts, or it is refused.
+//! Randomized fault tests of the two-phase commit: an accepted patch is in force at every instance
+//! within 5 s and never reverts, and a refused patch never comes into force.
 
 use config_sim::{Op, Sim};
 use proptest::{
@@ -27,8 +28,8 @@
     ]
 }
 
-/// Single operations, and sequences that random ones seldom make: a fault within a few message
-/// delays of a patch, and a patch after an entry was wrongly removed.
+/// Single operations, and two sequences that are rare among random operations: a fault within a few
+/// message delays of a patch, and a patch after an instance was wrongly removed from the members.
 fn ops() -> impl Strategy<Value = Vec<Op>> {
     let patch = || (0usize..9, 0u64..24, any::<prop::sample::Index>()).prop_map(propose);
     let fault = prop_oneof![
@@ -48,10 +49,10 @@
         ]
         .concat()
     });
-    let removed = (0usize..9, patch(), 1u64..3_000).prop_map(|(entry, patch, t)| {
+    let removed = (0usize..9, patch(), 1u64..3_000).prop_map(|(instance, patch, t)| {
         vec![
             Op::EndFaults,
-            Op::RemoveWrongly(entry),
+            Op::RemoveWrongly(instance),
             Op::Run(10_500),
             patch,
             Op::Run(t),
@@ -66,20 +67,21 @@
     prop::collection::vec(part, 5..40).prop_map(|parts| parts.concat())
 }
 
-/// Mostly a patch's own content; sometimes another content or a wrong base.
-fn propose((entry, patch, odd): (usize, u64, prop::sample::Index)) -> Op {
+/// Proposes a patch, mostly with the content that belongs to its id, sometimes with other content
+/// or a wrong base.
+fn propose((instance, patch, odd): (usize, u64, prop::sample::Index)) -> Op {
     let odd = odd.index(10);
     let content = if odd == 0 { patch + 100 } else { patch };
     Op::Propose {
-        entry,
+        instance,
         patch,
         content,
         stale: odd == 1,
     }
 }
 
-fn run(entries: usize, seed: u64, ops: &[Op]) -> Sim {
-    let mut sim = Sim::new(entries, seed);
+fn run(instances: usize, seed: u64, ops: &[Op]) -> Sim {
+    let mut sim = Sim::new(instances, seed);
     for op in ops {
         sim.apply(op);
     }
@@ -91,7 +93,7 @@
         "{:?}",
         sim.admitted()
     );
-    // Whatever is left behind, the next patch is accepted and in force everywhere.
+    // Whatever state the faults left, the next patch is accepted and comes into force everywhere.
     let before = sim.count("accepted");
     sim.propose(0, 1_000, 1_000, false);
     sim.run(12_000);
@@ -130,8 +132,8 @@
     };
     let totals = std::cell::RefCell::new(BTreeMap::<&str, u64>::new());
     let input = (3usize..8, any::<u64>(), ops());
-    let outcome = TestRunner::new(config).run(&input, |(entries, seed, ops)| {
-        let sim = run(entries, seed, &ops);
+    let outcome = TestRunner::new(config).run(&input, |(instances, seed, ops)| {
+        let sim = run(instances, seed, &ops);
         let mut totals = totals.borrow_mut();
         *totals.entry("cases").or_default() += 1;
         *totals.entry("operations").or_default() += ops.len() as u64;
@@ -161,16 +163,18 @@
     }
 }
 
-/// The proposer dies right after the acceptance; the repeat's proposer is cut off.
+/// The proposer is killed right after its patch is accepted, and the patch is repeated at an
+/// instance that is partitioned from its peers and the object API. The repeat must not be answered
+/// as refused.
 #[test]
 fn regression_a_repeat_from_a_cut_off_entry_is_not_refused() {
-    let patch = |entry| Op::Propose {
-        entry,
+    let patch = |instance| Op::Propose {
+        instance,
         patch: 8,
         content: 8,
         stale: false,
     };
-    // The moment of the acceptance differs by seed, so the death is tried at many.
+    // The time of the acceptance differs by seed, so the kill is tried at many times.
     for seed in 0..60 {
         let ops = [
             patch(2),
--- a/crates/pinereel_core/tests/config_register.rs
+++ b/crates/pinereel_core/tests/config_register.rs
@@ -1,4 +1,5 @@
-//! One guard of the register a test. In the simulation several guards cover for each other.
+//! Tests of each admission check of the participant on its own. In the simulation of
+//! `config_promise.rs` one check can hide the failure of another.
 
 use pinereel_core::{
     Time,
@@ -55,14 +56,15 @@
     }
 }
 
-/// Started at time 0 under number 5, from version 10.
+/// A participant that read version 10 with number 5 at time 0.
 fn participant() -> Participant {
     let mut participant = Participant::new(ms(0), "e1");
     participant.step(ms(0), read(0, 10, stored(5, None)));
     participant
 }
 
-/// Ticks and vouching digests, so that neither pause nor isolation is noticed.
+/// Sends ticks and state messages of an up-to-date peer, so that neither a pause nor isolation is
+/// detected.
 fn pass(participant: &mut Participant, from: u64, to: u64) {
     for now in (from..=to).step_by(250) {
         participant.step(ms(now), peer_state(now, participant.number(), true));
@@ -248,7 +250,7 @@
 fn isolation_stops_admission_whatever_arrives_late() {
     let mut participant = participant();
     for now in (0..=4_250).step_by(250) {
-        // Held up on a link for long, or from a peer that is in doubt itself.
+        // Delayed on a link for long, or from a peer that is in doubt itself.
         participant.step(ms(now), peer_state(0, 5, true));
         participant.step(ms(now), peer_state(now, 5, false));
     }
--- a/crates/pinereel_core/tests/config_round.rs
+++ b/crates/pinereel_core/tests/config_round.rs
@@ -1,4 +1,5 @@
-//! A proposer's round, step by step: the order of its writes, and what lost answers come to.
+//! Tests of the coordinator event by event: the order of its writes, and its answers after lost
+//! responses.
 
 use compact_str::CompactString;
 use pinereel_core::{
@@ -52,7 +53,7 @@
     coordinator.step(ms(now), CoordinatorEvent::Written { version, result })
 }
 
-/// The content of the one write among the actions.
+/// The content of the only action, which must be a write.
 fn written_config(actions: &[CoordinatorAction]) -> StoredConfig {
     match actions {
         [CoordinatorAction::Write { stored, .. }] => stored.clone(),
@@ -60,7 +61,8 @@
     }
 }
 
-/// Up to the prepare messages: version 1 holds the pending patch.
+/// Runs a coordinator up to its prepare messages. Version 1 holds the pending patch, which is
+/// returned.
 fn until_prepare(write_id: &str) -> (Coordinator, StoredConfig) {
     let mut coordinator = coordinator(write_id);
     assert_eq!(
@@ -71,7 +73,7 @@
         ms(0),
         CoordinatorEvent::Read(Some((0, StoredConfig::default()))),
     ));
-    // The members are listed only once the pending patch is known to stand.
+    // The members are listed only after the pending patch is known to be stored.
     assert_eq!(
         written(&mut coordinator, 0, 0, WriteResult::Written(1)),
         [CoordinatorAction::List]
@@ -81,7 +83,7 @@
     (coordinator, pending)
 }
 
-/// Up to the accepting write, whose content is returned.
+/// Runs a coordinator up to its accepting write. Returns the pending and the accepted content.
 fn until_accept() -> (Coordinator, StoredConfig, StoredConfig) {
     let (mut coordinator, pending) = until_prepare("w");
     assert_eq!(confirm(&mut coordinator, 1, "e1"), []);
@@ -236,7 +238,7 @@
 
 #[test]
 fn regression_a_repeat_that_can_read_nothing_is_not_refused() {
-    // An earlier round of the patch may have been accepted, with its answer lost.
+    // An earlier attempt of the same patch may have been accepted, with its answer lost.
     let mut repeat = coordinator("w2");
     for now in (0..8_000).step_by(250) {
         assert_eq!(
--- a/crates/pinereel_core/tests/config_sim/mod.rs
+++ b/crates/pinereel_core/tests/config_sim/mod.rs
@@ -1,5 +1,6 @@
-//! Entries, rounds and an object API in simulated time, with an oracle that sees only answers
-//! and admissions. Each entry's clock has its own start.
+//! Simulation of instances, coordinators and an object API in virtual time. An oracle checks only
+//! the answers to operators and the admissions of requests. Each instance's clock has its own
+//! offset.
 
 #![allow(
     clippy::unwrap_used,
@@ -23,17 +24,17 @@
     time::Duration,
 };
 
-/// Milliseconds from an answer "accepted" to the last admission under a lower number.
+/// Maximum time from the answer "accepted" to the last admission under a lower number.
 const MAX_IN_FORCE_DELAY_MS: u64 = 5_000;
 const TICK_INTERVAL_MS: u64 = 100;
 const PEER_STATE_INTERVAL_MS: u64 = 500;
 
-/// One thing that happens to the system. Indexes are taken modulo what exists.
+/// One operation on the system. Instance indexes are taken modulo the number of instances.
 #[derive(Clone, Debug)]
 pub enum Op {
     Run(u64),
     Propose {
-        entry: usize,
+        instance: usize,
         patch: u64,
         content: u64,
         stale: bool,
@@ -96,7 +97,7 @@
     Unregister(usize, u64),
 }
 
-struct Entry {
+struct Instance {
     name: CompactString,
     alive: bool,
     incarnation: u64,
@@ -117,7 +118,7 @@
     coordinator: Coordinator,
 }
 
-/// A refusal: its round's start and end.
+/// A refused patch, with the start of its coordinator and the time of the refusal.
 struct Refused {
     patch: CompactString,
     marker: u32,
@@ -125,7 +126,7 @@
     refused_at: u64,
 }
 
-/// What the oracle remembers.
+/// Answers and admissions recorded so far.
 #[derive(Default)]
 pub struct Oracle {
     accepted: Vec<(u64, u64)>,
@@ -143,7 +144,7 @@
     queue: BTreeMap<(u64, u64), Scheduled>,
     next_order: u64,
     rng: ChaCha8Rng,
-    entries: Vec<Entry>,
+    instances: Vec<Instance>,
     coordinators: Vec<RunningCoordinator>,
     version: u64,
     pub stored: StoredConfig,
@@ -158,13 +159,13 @@
 }
 
 impl Sim {
-    pub fn new(entries: usize, seed: u64) -> Self {
+    pub fn new(instances: usize, seed: u64) -> Self {
         let mut sim = Self {
             now: 0,
             queue: BTreeMap::new(),
             next_order: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            entries: Vec::new(),
+            instances: Vec::new(),
             coordinators: Vec::new(),
             version: 0,
             stored: StoredConfig::default(),
@@ -177,7 +178,7 @@
             oracle: Oracle::default(),
             events: 0,
         };
-        for _ in 0..entries {
+        for _ in 0..instances {
             sim.join();
         }
         sim.schedule_after(TICK_INTERVAL_MS, Scheduled::Tick);
@@ -187,22 +188,22 @@
     }
 
     pub fn apply(&mut self, op: &Op) {
-        let count = self.entries.len();
+        let count = self.instances.len();
         match *op {
             Op::Run(millis) => self.run(millis),
             Op::Propose {
-                entry,
+                instance,
                 patch,
                 content,
                 stale,
             } => {
-                self.propose(entry % count, patch, content, stale);
+                self.propose(instance % count, patch, content, stale);
             }
-            Op::Kill(entry) => self.kill(entry % count),
-            Op::Restart(entry) => self.start(entry % count),
-            Op::Pause(entry, millis) => {
-                let entry = &mut self.entries[entry % count];
-                entry.paused_until = entry.paused_until.max(self.now + millis);
+            Op::Kill(instance) => self.kill(instance % count),
+            Op::Restart(instance) => self.start(instance % count),
+            Op::Pause(instance, millis) => {
+                let instance = &mut self.instances[instance % count];
+                instance.paused_until = instance.paused_until.max(self.now + millis);
             }
             Op::PartitionPeers(mask) => self.partitioned_peers = mask,
             Op::PartitionApi(mask) => self.partitioned_from_api = mask,
@@ -211,7 +212,7 @@
             Op::MaxExtraDelayMs(millis) => self.max_extra_delay_ms = millis,
             Op::Join if count < 9 => self.join(),
             Op::Join => {}
-            Op::RemoveWrongly(entry) => self.remove_wrongly(entry % count),
+            Op::RemoveWrongly(instance) => self.remove_wrongly(instance % count),
             Op::EndFaults => self.end_faults(),
         }
     }
@@ -226,32 +227,32 @@
         ) = (0, 0, false, 0, 0);
     }
 
-    /// Mends everything, starts the dead again, and waits until all is settled.
+    /// Ends all faults, restarts killed instances and runs until the system has converged.
     pub fn recover(&mut self) {
         self.end_faults();
-        for entry in 0..self.entries.len() {
-            if !self.entries[entry].alive {
-                self.start(entry);
+        for instance in 0..self.instances.len() {
+            if !self.instances[instance].alive {
+                self.start(instance);
             }
         }
         self.run(25_000);
     }
 
-    /// Numbers that the entries admit under; `None` where one does not admit.
+    /// The number under which each instance admits requests; `None` if it admits none.
     pub fn admitted(&self) -> Vec<Option<u64>> {
-        let numbers = self.entries.iter().enumerate();
+        let numbers = self.instances.iter().enumerate();
         numbers
             .map(|(i, e)| e.participant.admits(self.clock(i)).ok())
             .collect()
     }
 
-    /// How many answers of a kind were given.
+    /// Number of answers of one kind.
     pub fn count(&self, kind: &str) -> u64 {
         self.oracle.answers.get(kind).copied().unwrap_or(0)
     }
 
-    pub fn propose(&mut self, entry: usize, patch: u64, content: u64, stale: bool) {
-        let node = &self.entries[entry];
+    pub fn propose(&mut self, instance: usize, patch: u64, content: u64, stale: bool) {
+        let node = &self.instances[instance];
         if !node.alive
             || self
                 .coordinators
@@ -265,7 +266,7 @@
         let patch = format_compact!("p{patch}");
         let marker = u32::try_from(content).unwrap() + 1;
         let base = node.participant.number() + u64::from(stale);
-        let now = self.clock(entry);
+        let now = self.clock(instance);
         let coordinator = Coordinator::new(
             now,
             Proposal {
@@ -279,7 +280,7 @@
         );
         let incarnation = node.incarnation;
         self.coordinators.push(RunningCoordinator {
-            owner: entry,
+            owner: instance,
             incarnation,
             patch,
             marker,
@@ -290,9 +291,9 @@
         });
     }
 
-    /// Whether a round goes on: its process lives.
+    /// Whether a coordinator still runs: its process is alive and it is not done.
     fn is_running(&self, running: &RunningCoordinator) -> bool {
-        let owner = &self.entries[running.owner];
+        let owner = &self.instances[running.owner];
         owner.alive && owner.incarnation == running.incarnation && !running.coordinator.is_done()
     }
 
@@ -310,8 +311,8 @@
         self.now = end;
     }
 
-    fn clock(&self, entry: usize) -> Time {
-        Time::from_millis(self.now + 1_000_000 * (entry as u64 + 1))
+    fn clock(&self, instance: usize) -> Time {
+        Time::from_millis(self.now + 1_000_000 * (instance as u64 + 1))
     }
 
     fn schedule_after(&mut self, millis: u64, scheduled: Scheduled) {
@@ -338,10 +339,10 @@
     }
 
     fn join(&mut self) {
-        let index = self.entries.len();
+        let index = self.instances.len();
         let name = format_compact!("e{index}");
         let participant = Participant::new(self.clock(index), name.clone());
-        self.entries.push(Entry {
+        self.instances.push(Instance {
             name,
             alive: false,
             incarnation: 0,
@@ -353,36 +354,37 @@
         self.start(index);
     }
 
-    fn kill(&mut self, entry: usize) {
-        self.entries[entry].alive = false;
+    fn kill(&mut self, instance: usize) {
+        self.instances[instance].alive = false;
         for coordinator in self
             .coordinators
             .iter_mut()
-            .filter(|coordinator| coordinator.owner == entry)
+            .filter(|coordinator| coordinator.owner == instance)
         {
             coordinator.killed_at = coordinator.killed_at.min(self.now);
         }
     }
 
-    fn start(&mut self, entry: usize) {
-        self.kill(entry);
-        let now = self.clock(entry);
-        let node = &mut self.entries[entry];
+    fn start(&mut self, instance: usize) {
+        self.kill(instance);
+        let now = self.clock(instance);
+        let node = &mut self.instances[instance];
         node.alive = true;
         node.incarnation += 1;
         node.paused_until = 0;
         node.backlog.clear();
         node.peer_sent_at.clear();
         node.participant = Participant::new(now, node.name.clone());
-        self.call(entry, None, Call::Register);
+        self.call(instance, None, Call::Register);
     }
 
-    /// The platform wrongly says "gone" of an entry that is cut off, after a grace period.
-    fn remove_wrongly(&mut self, entry: usize) {
-        self.partitioned_peers = 1 << entry;
-        self.partitioned_from_api |= 1 << entry;
-        let incarnation = self.entries[entry].incarnation;
-        self.schedule_after(10_000, Scheduled::Unregister(entry, incarnation));
+    /// Partitions a running instance; after a grace period the platform reports it as gone and its
+    /// member object is deleted.
+    fn remove_wrongly(&mut self, instance: usize) {
+        self.partitioned_peers = 1 << instance;
+        self.partitioned_from_api |= 1 << instance;
+        let incarnation = self.instances[instance].incarnation;
+        self.schedule_after(10_000, Scheduled::Unregister(instance, incarnation));
     }
 
     fn send(&mut self, from: Option<usize>, to: usize, message: Message) {
@@ -390,7 +392,7 @@
             return;
         }
         let delay = if from == Some(to) { 0 } else { self.delay() };
-        let incarnation = self.entries[to].incarnation;
+        let incarnation = self.instances[to].incarnation;
         self.schedule_after(
             delay,
             Scheduled::Message {
@@ -418,7 +420,7 @@
 
     fn run_scheduled(&mut self, scheduled: Scheduled) {
         match scheduled {
-            Scheduled::Tick => self.tick_entries(),
+            Scheduled::Tick => self.tick_instances(),
             Scheduled::PeerStates => self.send_peer_states(),
             Scheduled::Api {
                 caller,
@@ -433,7 +435,7 @@
                 message,
             } => {
                 let partitioned = from.is_some_and(|from| self.are_partitioned(from, to));
-                let node = &mut self.entries[to];
+                let node = &mut self.instances[to];
                 if node.alive && node.incarnation == incarnation && !partitioned {
                     if node.paused_until > self.now {
                         node.backlog.push(message);
@@ -444,10 +446,10 @@
                     }
                 }
             }
-            Scheduled::Unregister(entry, incarnation) => {
-                let node = &self.entries[entry];
-                let is_isolated = (self.partitioned_from_api >> entry) & 1 == 1
-                    && self.partitioned_peers == 1 << entry;
+            Scheduled::Unregister(instance, incarnation) => {
+                let node = &self.instances[instance];
+                let is_isolated = (self.partitioned_from_api >> instance) & 1 == 1
+                    && self.partitioned_peers == 1 << instance;
                 if is_isolated && node.incarnation == incarnation {
                     self.members.remove(&node.name);
                 }
@@ -455,24 +457,24 @@
         }
     }
 
-    fn tick_entries(&mut self) {
+    fn tick_instances(&mut self) {
         self.schedule_after(TICK_INTERVAL_MS, Scheduled::Tick);
-        for entry in 0..self.entries.len() {
-            if !self.entries[entry].alive || self.entries[entry].paused_until > self.now {
+        for instance in 0..self.instances.len() {
+            if !self.instances[instance].alive || self.instances[instance].paused_until > self.now {
                 continue;
             }
-            // A request may come first after a pause, then what has queued up, then the tick.
-            self.check_admission(entry);
-            for message in std::mem::take(&mut self.entries[entry].backlog) {
-                self.deliver(entry, message);
-                self.check_admission(entry);
+            // After a pause a request may arrive first, then the queued messages, then the tick.
+            self.check_admission(instance);
+            for message in std::mem::take(&mut self.instances[instance].backlog) {
+                self.deliver(instance, message);
+                self.check_admission(instance);
             }
-            self.deliver(entry, Message::Participant(ParticipantEvent::Tick));
-            self.check_admission(entry);
+            self.deliver(instance, Message::Participant(ParticipantEvent::Tick));
+            self.check_admission(instance);
             for coordinator in 0..self.coordinators.len() {
-                if self.coordinators[coordinator].owner == entry {
+                if self.coordinators[coordinator].owner == instance {
                     self.deliver(
-                        entry,
+                        instance,
                         Message::Coordinator(coordinator, CoordinatorEvent::Tick),
                     );
                 }
@@ -482,9 +484,9 @@
 
     fn send_peer_states(&mut self) {
         self.schedule_after(PEER_STATE_INTERVAL_MS, Scheduled::PeerStates);
-        let count = self.entries.len();
+        let count = self.instances.len();
         for from in 0..count {
-            let node = &self.entries[from];
+            let node = &self.instances[from];
             if !node.alive || node.paused_until > self.now {
                 continue;
             }
@@ -494,7 +496,7 @@
                 node.participant.is_up_to_date(sent),
             );
             for to in (0..count).filter(|to| *to != from) {
-                let echo = self.entries[from].peer_sent_at.get(&to).copied();
+                let echo = self.instances[from].peer_sent_at.get(&to).copied();
                 self.send(
                     Some(from),
                     to,
@@ -545,7 +547,8 @@
                     WriteResult::Conflict
                 };
                 let Some(index) = coordinator else { return };
-                // Now and then only the answer is lost, also in calm times.
+                // Some responses are lost although the write took effect, even without other
+                // faults.
                 let lost = self.rng.random_range(0..10) == 0 || self.is_lost();
                 let result = if lost { WriteResult::Unknown } else { result };
                 Message::Coordinator(index, CoordinatorEvent::Written { version, result })
@@ -555,7 +558,7 @@
                 CoordinatorEvent::Listed(Some(self.members.clone())),
             ),
             Call::Register => {
-                self.members.insert(self.entries[caller].name.clone());
+                self.members.insert(self.instances[caller].name.clone());
                 Message::Registered
             }
         };
@@ -566,7 +569,7 @@
         let now = self.clock(to);
         match message {
             Message::Participant(event) => {
-                let actions = self.entries[to].participant.step(now, event);
+                let actions = self.instances[to].participant.step(now, event);
                 self.run_participant_actions(to, actions);
             }
             Message::PeerState {
@@ -576,11 +579,11 @@
                 number,
                 up_to_date,
             } => {
-                let node = &mut self.entries[to];
+                let node = &mut self.instances[to];
                 let last = node.peer_sent_at.entry(from).or_insert(sent);
                 *last = (*last).max(sent);
                 let Some(echoed_at) = echo else { return };
-                let from = self.entries[from].name.clone();
+                let from = self.instances[from].name.clone();
                 self.deliver(
                     to,
                     Message::Participant(ParticipantEvent::PeerState {
@@ -592,7 +595,7 @@
                 );
             }
             Message::Fetch { from } => {
-                let participant = &self.entries[to].participant;
+                let participant = &self.instances[to].participant;
                 let (number, document) = (participant.number(), participant.document().clone());
                 self.send(
                     Some(to),
@@ -616,7 +619,7 @@
             }
             Message::Coordinator(coordinator, event) => {
                 let running = &mut self.coordinators[coordinator];
-                if running.incarnation == self.entries[to].incarnation {
+                if running.incarnation == self.instances[to].incarnation {
                     let actions = running.coordinator.step(now, event);
                     self.run_coordinator_actions(coordinator, actions);
                 }
@@ -625,24 +628,26 @@
         }
     }
 
-    fn run_participant_actions(&mut self, entry: usize, actions: Vec<ParticipantAction>) {
+    fn run_participant_actions(&mut self, instance: usize, actions: Vec<ParticipantAction>) {
         for action in actions {
             match action {
-                ParticipantAction::Read if self.members.contains(&self.entries[entry].name) => {
-                    self.call(entry, None, Call::Read);
+                ParticipantAction::Read
+                    if self.members.contains(&self.instances[instance].name) =>
+                {
+                    self.call(instance, None, Call::Read);
                 }
-                ParticipantAction::Read => self.call(entry, None, Call::Register),
+                ParticipantAction::Read => self.call(instance, None, Call::Register),
                 ParticipantAction::AbortPending { version, stored } => {
-                    self.call(entry, None, Call::Write { version, stored });
+                    self.call(instance, None, Call::Write { version, stored });
                 }
                 ParticipantAction::Confirm { write_id } => {
                     let owner = self.owner(&write_id);
-                    let from = self.entries[entry].name.clone();
-                    self.send(Some(entry), owner, Message::Confirmed { from, write_id });
+                    let from = self.instances[instance].name.clone();
+                    self.send(Some(instance), owner, Message::Confirmed { from, write_id });
                 }
                 ParticipantAction::Fetch { from } => {
-                    let peer = self.entries.iter().position(|e| e.name == from).unwrap();
-                    self.send(Some(entry), peer, Message::Fetch { from: entry });
+                    let peer = self.instances.iter().position(|e| e.name == from).unwrap();
+                    self.send(Some(instance), peer, Message::Fetch { from: instance });
                 }
                 ParticipantAction::Apply { .. } => {}
             }
@@ -682,8 +687,8 @@
     }
 
     fn broadcast(&mut self, from: usize, to: &BTreeSet<CompactString>, event: &ParticipantEvent) {
-        for peer in 0..self.entries.len() {
-            if to.contains(&self.entries[peer].name) {
+        for peer in 0..self.instances.len() {
+            if to.contains(&self.instances[peer].name) {
                 self.send(Some(from), peer, Message::Participant(event.clone()));
             }
         }
@@ -731,11 +736,11 @@
         *self.oracle.answers.entry(kind).or_default() += 1;
     }
 
-    /// A request comes in at an entry now.
-    fn check_admission(&mut self, entry: usize) {
+    /// Checks the admission of a request that arrives at an instance now.
+    fn check_admission(&mut self, instance: usize) {
         self.oracle.checks += 1;
-        let node = &self.entries[entry];
-        let Ok(number) = node.participant.admits(self.clock(entry)) else {
+        let node = &self.instances[instance];
+        let Ok(number) = node.participant.admits(self.clock(instance)) else {
             return;
         };
         let due = self
@@ -764,7 +769,7 @@
         assert_eq!(first, marker, "two documents under number {number}");
     }
 
-    /// What can only be judged at the end: no refused patch was ever admitted under.
+    /// Checks, at the end of the run, that no request was ever admitted under a refused patch.
     pub fn check_refused(&self) {
         let possibly_accepted: BTreeSet<u32> = self
             .oracle
@@ -778,7 +783,8 @@
                 .admitted_markers
                 .values()
                 .any(|marker| *marker == refused.marker);
-            // Another round of the same patch that killed_at without an answer at about that time.
+            // Another attempt of the same patch may have been accepted: its coordinator was killed
+            // without an answer while this one ran.
             let other = self.coordinators.iter().any(|coordinator| {
                 let same = coordinator.marker == refused.marker && !coordinator.answered;
                 same && coordinator.killed_at >= refused.started_at
