--- a/crates/pinereel_core/src/claim/log.rs
+++ b/crates/pinereel_core/src/claim/log.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingClaim {
     pub(super) claim: Claim,
+    /// Deadline of the request; at this time the claim is refused.
     pub(super) deadline: Time,
     /// Already answered while its segment was in flight, so it must not be granted any more.
     answered: bool,
@@ -48,19 +49,20 @@
 pub struct Log {
     pub(super) limits: Limits,
     pub(super) writer_id: CompactString,
+    /// Number of segments built so far, used in write ids.
     pub(super) write_count: u64,
     pub(super) table: KeyTable,
     pub(super) pending_claims: VecDeque<PendingClaim>,
     pub(super) pending_settlements: VecDeque<Settlement>,
     pub(super) phase: Phase,
-    pub(super) read_at: Time,
+    pub(super) last_read_at: Time,
     /// When the table was last known to hold all stored segments.
     pub(super) up_to_date_at: Time,
     /// Arrival time of the oldest queued settlement.
     pub(super) oldest_settlement_at: Time,
     /// Whether a queued claim needs the log to be read again.
     pub(super) recheck_pending: bool,
-    pub(super) trimmed_at: Time,
+    pub(super) last_trim_at: Time,
 }
 
 impl Log {
@@ -79,17 +81,17 @@
             pending_claims: VecDeque::new(),
             pending_settlements: VecDeque::new(),
             phase: Phase::Reading,
-            read_at: now,
+            last_read_at: now,
             up_to_date_at: now,
             oldest_settlement_at: now,
             recheck_pending: false,
-            trimmed_at: Time::ZERO,
+            last_trim_at: Time::ZERO,
         };
         (log, vec![Action::Read { from: 0 }])
     }
 
     /// Number of keys in memory.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.table.len()
     }
 
--- a/crates/pinereel_core/src/claim/mod.rs
+++ b/crates/pinereel_core/src/claim/mod.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: a non-idempotent request that carries a key runs at most once.
+//! Idempotency keys: a non-idempotent request that carries a key runs at most once within the
+//! retention time.
 //!
 //! Each key belongs to one shard ([`shard_of`]). A shard is an append-only log of numbered
 //! [`Segment`]s in the object API, and a [`Log`] is one writer's state machine for one shard. A
--- a/crates/pinereel_core/src/claim/next_call.rs
+++ b/crates/pinereel_core/src/claim/next_call.rs
@@ -55,15 +55,15 @@
             return;
         }
         let to = self.table.trim_target(now, self.limits.retention);
-        let trim_due = now.since(self.trimmed_at) >= self.limits.retention / TRIMS_PER_RETENTION;
+        let trim_due = now.since(self.last_trim_at) >= self.limits.retention / TRIMS_PER_RETENTION;
         if to > self.table.base && trim_due {
-            self.trimmed_at = now;
+            self.last_trim_at = now;
             self.phase = Phase::Trimming;
             out.push(Action::Trim {
                 from: self.table.base,
                 to,
             });
-        } else if now.since(self.read_at) >= self.limits.refresh_interval {
+        } else if now.since(self.last_read_at) >= self.limits.refresh_interval {
             self.read(out);
         }
     }
--- a/crates/pinereel_core/src/claim/response.rs
+++ b/crates/pinereel_core/src/claim/response.rs
@@ -63,7 +63,7 @@
                 return;
             }
         };
-        self.read_at = now;
+        self.last_read_at = now;
         self.up_to_date_at = now;
         let asked = self.table.next;
         self.table.advance_base(base);
--- a/crates/pinereel_core/src/config/document.rs
+++ b/crates/pinereel_core/src/config/document.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Pools of endpoints, by name. The platform's instance list tells which endpoints are in each.
+    /// Pools of endpoints, by name. The platform's instance list says which endpoints are in each.
     pub pools: BTreeMap<CompactString, Pool>,
     /// Trainers, by name.
     pub trainers: BTreeMap<CompactString, Trainer>,
--- a/crates/pinereel_core/tests/claim_cases.rs
+++ b/crates/pinereel_core/tests/claim_cases.rs
@@ -191,7 +191,7 @@
     assert_eq!(
         segment(&log.step(at(500), Event::Tick)),
         made,
-        "the first may land late"
+        "the first create may take effect late"
     );
     log.step(at(500), Event::Conflict);
     let actions = log.step(
@@ -277,7 +277,11 @@
             base: 4,
         },
     );
-    assert_eq!(segment(&actions).0, 4, "claimed anew where the log is now");
+    assert_eq!(
+        segment(&actions).0,
+        4,
+        "claimed again at the current end of the log"
+    );
 }
 
 #[test]
@@ -453,7 +457,7 @@
     let trim = log.step(at(10_000), Event::Tick);
     assert_eq!(trim, vec![Action::Trim { from: 0, to: 1 }]);
     assert_eq!(log.step(at(10_000), Event::Base(1)), vec![]);
-    assert_eq!(log.keys(), 0);
+    assert_eq!(log.key_count(), 0);
     assert_eq!(segment(&log.step(at(10_000), claim("b", "k", 1))).0, 1);
 }
 
--- a/crates/pinereel_core/tests/claim_log.rs
+++ b/crates/pinereel_core/tests/claim_log.rs
@@ -25,10 +25,13 @@
 #[derive(Clone, Copy, Debug)]
 enum CallResult {
     Done,
+    /// The call takes effect, but the writer gets no response.
     ResponseLost,
+    /// The writer gets no response, and the call may take effect later.
     Delayed,
+    /// The call has no effect, and the writer gets no response.
     NoEffect,
-    /// No effect, and the writer is told so for a create.
+    /// The call has no effect, and the writer of a create learns that.
     KnownNoEffect,
 }
 
@@ -55,10 +58,12 @@
         request: usize,
         to: usize,
     },
+    /// Completes the call in flight of the writer.
     CompleteCall {
         writer: usize,
         result: CallResult,
     },
+    /// Delivers the received results to the writer, then a tick.
     Deliver {
         writer: usize,
     },
@@ -66,6 +71,7 @@
     RunUntilIdle {
         writer: usize,
     },
+    /// A delayed call takes effect.
     ApplyLate {
         index: usize,
     },
@@ -73,7 +79,9 @@
     ApplyLateAfterRetry {
         writer: usize,
     },
+    /// Deletes the segments below the base.
     DeleteTrimmed,
+    /// Restarts the writer; its call in flight may take effect later.
     Restart {
         writer: usize,
     },
@@ -94,7 +102,7 @@
     cancelled: bool,
     executed: Option<u64>,
     finished: bool,
-    /// The last settlement sent; `stored` tells whether a writer stored it.
+    /// The last settlement sent; `stored` is whether a writer stored it.
     settled: Option<Option<StoredResponse>>,
     stored: bool,
 }
@@ -107,6 +115,7 @@
     /// The call in flight.
     call: Option<Call>,
     inbox: VecDeque<Event>,
+    /// Number of restarts, part of the writer id.
     starts: u64,
 }
 
@@ -116,7 +125,9 @@
     verdicts: BTreeMap<&'static str, u64>,
     executed: u64,
     trims: u64,
+    /// Creates of segments below the base.
     orphans: u64,
+    /// Delayed calls that took effect.
     late: u64,
     /// Number of keys checked to be free at the end.
     freed: u64,
--- a/crates/pinereel_core/tests/config_sim/mod.rs
+++ b/crates/pinereel_core/tests/config_sim/mod.rs
@@ -42,12 +42,15 @@
     Kill(usize),
     Restart(usize),
     Pause(usize, u64),
+    /// Splits the instances into two partitions by this bit mask.
     PartitionPeers(u16),
+    /// Cuts the instances of this bit mask off from the object API.
     PartitionApi(u16),
     ApiOutage(bool),
     LossPercent(u32),
     MaxExtraDelayMs(u64),
     Join,
+    /// Partitions an instance until its member object is deleted although it runs.
     RemoveWrongly(usize),
     EndFaults,
 }
@@ -102,8 +105,10 @@
     alive: bool,
     incarnation: u64,
     paused_until: u64,
+    /// Messages that arrived during a pause.
     backlog: Vec<Message>,
     participant: Participant,
+    /// For each peer, when it sent the latest state message that arrived here, by its clock.
     peer_sent_at: BTreeMap<usize, Time>,
 }
 
@@ -111,8 +116,10 @@
     owner: usize,
     incarnation: u64,
     patch: CompactString,
+    /// Value of `max_queue` that identifies the content of the patch.
     marker: u32,
     started_at: u64,
+    /// When its process was killed; `u64::MAX` if it was not.
     killed_at: u64,
     answered: bool,
     coordinator: Coordinator,
@@ -129,10 +136,13 @@
 /// Answers and admissions recorded so far.
 #[derive(Default)]
 pub struct Oracle {
+    /// Time and number of each answer "accepted".
     accepted: Vec<(u64, u64)>,
     accepted_patches: BTreeMap<CompactString, u64>,
     refused: Vec<Refused>,
+    /// Patches that were accepted or whose result is unknown.
     possibly_accepted: BTreeSet<(CompactString, u32)>,
+    /// Marker of the document admitted under each number.
     admitted_markers: BTreeMap<u64, u32>,
     highest_admitted: BTreeMap<CompactString, u64>,
     pub answers: BTreeMap<&'static str, u64>,
