--- a/crates/pinereel_core/src/config/message.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -31,26 +31,26 @@
     #[error("accepted as {0}")]
     Accepted(u64),
     /// Refused: the base is not the number in force, which is this one.
-    #[error("configuration {0} is in force")]
+    #[error("the configuration's number is {0}")]
     Conflict(u64),
     /// Refused: a patch with this id and different content was accepted with this number.
-    #[error("the patch id was already used with different content, as configuration {0}")]
+    #[error("the patch id was used with another content, as {0}")]
     Reused(u64),
     /// Refused: the resulting document is not valid or the change is not safe.
-    #[error("{} validation errors", .0.len())]
+    #[error("{} faults", .0.len())]
     Invalid(Vec<Fault>),
     /// Refused: these instances did not confirm the prepare in time.
     #[error("not confirmed by {0:?}")]
     NotConfirmed(Vec<CompactString>),
     /// Refused: another coordinator or an in-doubt participant aborted it.
-    #[error("aborted by another instance")]
+    #[error("taken back by another instance")]
     TakenBack,
     /// Refused: the deadline passed, and the patch will not be accepted later.
-    #[error("the deadline passed before the patch could be accepted")]
+    #[error("the deadline passed before it could be accepted")]
     Late,
     /// Not known: the patch may or may not be accepted. The operator should send the same patch
     /// again.
-    #[error("the result of the write is not known; send the patch again")]
+    #[error("the object API did not tell the result; send the patch again")]
     Unknown,
 }
 
--- a/crates/pinereel_core/tests/config_round.rs
+++ b/crates/pinereel_core/tests/config_round.rs
@@ -57,7 +57,7 @@
 fn written_config(actions: &[CoordinatorAction]) -> StoredConfig {
     match actions {
         [CoordinatorAction::Write { stored, .. }] => stored.clone(),
-        other => panic!("expected one write_id: {other:?}"),
+        other => panic!("expected one write: {other:?}"),
     }
 }
 
