--- a/crates/pinereel_core/src/config/mod.rs
+++ b/crates/pinereel_core/src/config/mod.rs
@@ -1,19 +1,21 @@
-//! The configuration that operators patch: its content, its validation, how a patch comes into force.
+//! The operators' configuration: its document, its validation, and the two-phase commit of a patch.
 //!
-//! A patch is accepted in two phases. The object API's one object [`Stored`] arbitrates: the
-//! proposer's [`Round`] writes the patch as pending, asks each entry's [`Register`] to prepare,
-//! and accepts by a conditional update once all have confirmed.
+//! All commit state is in one object of the object API, [`StoredConfig`], which changes only by
+//! conditional updates. The proposer's [`Coordinator`] writes the patch as pending, asks the
+//! [`Participant`] of every member to prepare, and accepts the patch by another conditional update
+//! once all have confirmed. A participant stops admitting requests if it cannot learn the result in
+//! time, so an accepted patch is in force at every instance within 5 s and never reverts.
 
+mod coordinator;
 mod document;
+mod message;
+mod participant;
 mod patch;
-mod proposal;
-mod register;
-mod round;
 mod stored;
 
-pub use document::{Document, Kind, Limits, Pool, Trainer};
+pub use coordinator::{Coordinator, FOREIGN_PENDING_TIMEOUT, PREPARE_TIMEOUT};
+pub use document::{Document, Limits, Pool, PoolKind, Trainer};
+pub use message::{Answer, CoordinatorAction, CoordinatorEvent, Proposal, WriteResult};
+pub use participant::{Participant, ParticipantAction, ParticipantEvent, Refusal};
 pub use patch::{Fault, check_change, merge, validate};
-pub use proposal::{Action, Answer, Event, Proposal, Write};
-pub use register::{Input, Order, Refusal, Register};
-pub use round::{PREPARE_TIMEOUT, Round, TAKE_OVER};
-pub use stored::{Accepted, Pending, Prepare, RING, Stored};
+pub use stored::{AcceptedPatch, MAX_ACCEPTED, PendingPatch, Prepare, StoredConfig};
