--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -7,7 +7,7 @@
 use pinereel_api::{Problem, problem::Code};
 use pinereel_core::{
     Time,
-    crash::{Change, Identity, Register, Report, Seat, Standing, Start},
+    crash::{Change, EndpointStart, Identity, Placement, Register, Report, RequestStatus},
     endpoint::{Key, State},
 };
 use std::{cell::RefCell, collections::BTreeSet, time::Duration};
@@ -56,17 +56,17 @@
     loop {
         let standing = {
             let register = shared.crashes.register.borrow();
-            register.standing(shared.now(), identity)
+            register.status(shared.now(), identity)
         };
         match standing {
-            Standing::Free => return Ok(Next::Any),
-            Standing::Convicted { forgotten_in, .. } => {
+            RequestStatus::Unrestricted => return Ok(Next::Any),
+            RequestStatus::Blocked { forgotten_in, .. } => {
                 log::warn!(identity:% = identity; "refused: endpoints crash under it");
                 return Err(later("endpoints crash under it", forgotten_in));
             }
-            Standing::Doubted { .. } => {}
+            RequestStatus::Suspected { .. } => {}
         }
-        let wait = match standing.settles_in() {
+        let wait = match standing.propagation_wait() {
             Some(left) => left,
             None => match seat(shared, pool, identity) {
                 Ok(key) => return Ok(Next::At(key)),
@@ -99,8 +99,8 @@
     if register.is_empty() {
         return false;
     }
-    let standing = register.standing(shared.now(), &identity());
-    matches!(standing, Standing::Convicted { .. })
+    let standing = register.status(shared.now(), &identity());
+    matches!(standing, RequestStatus::Blocked { .. })
 }
 
 /// The endpoint for a request in doubt, or when to look again.
@@ -110,17 +110,17 @@
         .pool(pool)
         .filter(|(_, endpoint)| endpoint.state == State::Live);
     let open: Vec<_> = live
-        .map(|(key, endpoint)| (key, Start::from(endpoint)))
+        .map(|(key, endpoint)| (key, EndpointStart::from(endpoint)))
         .collect();
     let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
     let register = shared.crashes.register.borrow();
-    match register.seat(shared.now(), identity, &starts, &BTreeSet::new()) {
-        Seat::At(seat) => {
+    match register.place(shared.now(), identity, &starts, &BTreeSet::new()) {
+        Placement::Endpoint(seat) => {
             let found = open.into_iter().find(|(_, start)| *start == seat);
             found.map(|(key, _)| key).ok_or(RETRY_AFTER)
         }
-        Seat::After(wait) => Err(wait),
-        Seat::None => Err(RETRY_AFTER),
+        Placement::Wait(wait) => Err(wait),
+        Placement::Unavailable => Err(RETRY_AFTER),
     }
 }
 
@@ -139,7 +139,7 @@
         let live = set
             .get(key)
             .filter(|endpoint| endpoint.state == State::Live);
-        live.map(|endpoint| (Start::from(endpoint), endpoint.address.clone()))
+        live.map(|endpoint| (EndpointStart::from(endpoint), endpoint.address.clone()))
     };
     let Some((start, address)) = found else {
         return;
@@ -160,11 +160,11 @@
         return;
     }
     let identity = identity();
-    let found = shared.endpoints.set().get(key).map(Start::from);
+    let found = shared.endpoints.set().get(key).map(EndpointStart::from);
     step(shared, |register, now| {
-        let mut changes = register.ended(now, identity);
+        let mut changes = register.completed(now, identity);
         if let Some(start) = found {
-            changes.extend(register.answered(now, &start, sent_at));
+            changes.extend(register.endpoint_answered(now, &start, sent_at));
         }
         changes
     });
@@ -172,7 +172,7 @@
 
 /// Another entry tells of requests.
 pub fn hear(shared: &Shared, reports: Vec<Report>) {
-    step(shared, |register, now| register.heard(now, reports));
+    step(shared, |register, now| register.merge(now, reports));
 }
 
 /// What is to be told with the next summaries.
@@ -180,12 +180,12 @@
     let mut register = shared.crashes.register.borrow_mut();
     let now = shared.now();
     register.expire(now);
-    register.untold(now, BATCH)
+    register.take_pending(now, BATCH)
 }
 
 /// All that is known, for summaries that are told now and then.
 pub fn all(shared: &Shared) -> Vec<Report> {
-    let mut all = shared.crashes.register.borrow().all(shared.now());
+    let mut all = shared.crashes.register.borrow().reports(shared.now());
     all.truncate(BATCH);
     all
 }
@@ -195,12 +195,12 @@
     for change in changes {
         log::warn!(
             identity:% = change.identity,
-            what:serde = change.what,
+            what:serde = change.kind,
             endpoints = change.endpoints;
             "request that crashes endpoints"
         );
     }
-    if shared.crashes.register.borrow().has_untold() {
+    if shared.crashes.register.borrow().has_pending() {
         shared.crashes.news.notify_one();
     }
 }
--- a/crates/pinereel/src/hosted/crashes/kept.rs
+++ b/crates/pinereel/src/hosted/crashes/kept.rs
@@ -8,7 +8,7 @@
     hosted::{duty, store::Store},
     objects::{Error, Purpose},
 };
-use pinereel_core::crash::{Identity, Mark, Report, Start};
+use pinereel_core::crash::{EndpointStart, Identity, Involvement, Report};
 use pinereel_port::store::Object;
 use serde::{Deserialize, Serialize};
 use std::{cell::RefCell, collections::BTreeMap};
@@ -36,7 +36,7 @@
 }
 
 /// What is known, without its age.
-type Facts = BTreeMap<Identity, Vec<(Start, Mark)>>;
+type Facts = BTreeMap<Identity, Vec<(EndpointStart, Involvement)>>;
 
 /// Takes the object out of a list of leases.
 pub fn take_out(objects: &mut Vec<Object>) -> Option<Object> {
--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -12,7 +12,9 @@
 use crate::state::Clock;
 use pinereel_core::{
     Time,
-    crash::{Change, Identity, Register, Report, Seat, Standing, Start, What},
+    crash::{
+        Change, ChangeKind, EndpointStart, Identity, Placement, Register, Report, RequestStatus,
+    },
 };
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::sleep};
@@ -57,13 +59,13 @@
     /// Grows with each change of what is known.
     changed: watch::Sender<u64>,
     /// Endpoints where requests in doubt of this instance run now.
-    occupied: RefCell<BTreeSet<Start>>,
+    occupied: RefCell<BTreeSet<EndpointStart>>,
 }
 
 /// A request in doubt runs at an endpoint; until this is dropped, no other one of this instance does.
 pub struct Occupied {
     crashes: Rc<Crashes>,
-    start: Start,
+    start: EndpointStart,
 }
 
 impl Drop for Occupied {
@@ -102,23 +104,23 @@
     }
 
     /// How a request stands. `identity` is made only if anything is known of any.
-    pub fn standing(&self, identity: impl FnOnce() -> Identity) -> Standing {
+    pub fn standing(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
         let register = self.register.borrow();
         if register.is_empty() {
-            return Standing::Free;
+            return RequestStatus::Unrestricted;
         }
-        register.standing(self.now(), &identity())
+        register.status(self.now(), &identity())
     }
 
     /// Where a request in doubt may run, of the endpoints that are `open`.
-    pub fn seat(&self, identity: &Identity, open: &[Start]) -> Seat {
+    pub fn seat(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
         let occupied = self.occupied.borrow();
         let register = self.register.borrow();
-        register.seat(self.now(), identity, open, &occupied)
+        register.place(self.now(), identity, open, &occupied)
     }
 
     /// A request in doubt begins to run there.
-    pub fn occupy(self: &Rc<Self>, start: &Start) -> Occupied {
+    pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupied {
         self.occupied.borrow_mut().insert(start.clone());
         Occupied {
             crashes: Rc::clone(self),
@@ -127,9 +129,9 @@
     }
 
     /// The endpoints, of those that are `open`, where nothing may begin now but a request with a last chance.
-    pub fn reserved(&self, open: impl FnOnce() -> Vec<Start>) -> BTreeSet<Start> {
+    pub fn reserved(&self, open: impl FnOnce() -> Vec<EndpointStart>) -> BTreeSet<EndpointStart> {
         let register = self.register.borrow();
-        if !register.has_last_chance() {
+        if !register.has_isolated() {
             return BTreeSet::new();
         }
         register.reserved(self.now(), &open())
@@ -139,7 +141,7 @@
     pub async fn wait_until_free(&self, identity: impl Fn() -> Identity) -> bool {
         let mut changes = self.changes();
         let mut waited = false;
-        while matches!(self.standing(&identity), Standing::Convicted { .. }) {
+        while matches!(self.standing(&identity), RequestStatus::Blocked { .. }) {
             waited = true;
             if changes.changed().await.is_err() {
                 break;
@@ -149,32 +151,37 @@
     }
 
     /// An endpoint crashed while a request ran there; `alone` if it had its last chance.
-    pub fn crashed(&self, identity: Identity, start: Start, alone: bool) {
+    pub fn crashed(&self, identity: Identity, start: EndpointStart, alone: bool) {
         log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone; "endpoint crashed under a request");
         self.count("crash");
         self.step(Source::Own, |register, now| match alone {
-            true => register.crashed_alone(now, identity, start),
+            true => register.crashed_isolated(now, identity, start),
             false => register.crashed(now, identity, start),
         });
     }
 
     /// An endpoint answered a request, sent `took` ago, with an answer of its own: the request can come to
     /// its end, and the endpoint lives.
-    pub fn answered(&self, identity: impl FnOnce() -> Identity, start: Start, took: Duration) {
+    pub fn answered(
+        &self,
+        identity: impl FnOnce() -> Identity,
+        start: EndpointStart,
+        took: Duration,
+    ) {
         if self.is_empty() {
             return;
         }
         let identity = identity();
         self.step(Source::Own, |register, now| {
-            let mut changes = register.ended(now, identity);
-            changes.extend(register.answered(now, &start, now.before(took)));
+            let mut changes = register.completed(now, identity);
+            changes.extend(register.endpoint_answered(now, &start, now.before(took)));
             changes
         });
     }
 
     /// Another instance or the store tells of requests.
     pub fn heard(&self, source: Source, reports: Vec<Report>) {
-        self.step(source, |register, now| register.heard(now, reports));
+        self.step(source, |register, now| register.merge(now, reports));
     }
 
     /// An operator says that a request may run again.
@@ -186,12 +193,12 @@
 
     /// All that is known.
     pub fn all(&self) -> Vec<Report> {
-        self.register.borrow().all(self.now())
+        self.register.borrow().reports(self.now())
     }
 
     /// Waits until others are to be told something, and gives it.
     pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.register.borrow_mut().untold(self.now(), BATCH);
+        let untold = || self.register.borrow_mut().take_pending(self.now(), BATCH);
         news::next(self.changes(), untold).await
     }
 
@@ -206,7 +213,7 @@
         for change in &changes {
             self.tell(source, change);
         }
-        let is_news = self.register.borrow().has_untold();
+        let is_news = self.register.borrow().has_pending();
         if is_news || !changes.is_empty() {
             self.note_change();
         }
@@ -222,17 +229,17 @@
     fn tell(&self, source: Source, change: &Change) {
         log::warn!(
             identity:% = change.identity,
-            what:serde = change.what,
+            what:serde = change.kind,
             endpoints = change.endpoints,
             age_ms = change.age.as_millis() as u64,
             source = source.as_str();
             "request that crashes endpoints"
         );
-        self.count(match change.what {
-            What::Doubt => "doubt",
-            What::Verdict => "verdict",
-            What::Acquitted => "acquitted",
-            What::Cleared => "cleared",
+        self.count(match change.kind {
+            ChangeKind::Suspected => "doubt",
+            ChangeKind::Blocked => "verdict",
+            ChangeKind::Unblocked => "acquitted",
+            ChangeKind::Cleared => "cleared",
         });
     }
 
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -17,7 +17,7 @@
 use compact_str::CompactString;
 use log::Level;
 use pinereel_core::{
-    crash::Start,
+    crash::EndpointStart,
     endpoint::{self, End, Event, Index, Key, Set, State},
     hash,
     route::{self, Policy, Priority, Reason, Refusal, Request},
@@ -115,7 +115,7 @@
     /// Its id.
     pub id: CompactString,
     /// Which start of it.
-    pub start: Start,
+    pub start: EndpointStart,
     /// Where it serves.
     pub address: SocketAddr,
     /// Why this one.
@@ -276,12 +276,12 @@
     }
 
     /// The endpoints of a service that may be chosen for a request in doubt, however busy.
-    pub fn open(&self, service: &str) -> Vec<(Key, Start)> {
+    pub fn open(&self, service: &str) -> Vec<(Key, EndpointStart)> {
         let set = self.set.borrow();
         let listed = set
             .pool(service)
             .filter(|(_, endpoint)| matches!(endpoint.state, State::Live | State::Ejected { .. }));
-        let starts = listed.map(|(key, endpoint)| (key, Start::from(endpoint)));
+        let starts = listed.map(|(key, endpoint)| (key, EndpointStart::from(endpoint)));
         starts.filter(|(_, start)| self.is_current(start)).collect()
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Whether a start of an endpoint is listed, and not leaving.
-    pub fn is_current(&self, start: &Start) -> bool {
+    pub fn is_current(&self, start: &EndpointStart) -> bool {
         let entries = self.entries.borrow();
         entries.get(&start.endpoint).is_some_and(|listed| {
             let entry = &listed.entry;
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -9,7 +9,7 @@
 };
 use pinereel_core::{
     batch::{Fleet, Key, Listed},
-    crash::{LAST_CHANCE, Standing, Start},
+    crash::{EndpointStart, ISOLATE_AT_CRASHES, RequestStatus},
     hash, table,
 };
 use pinereel_port::{
@@ -110,9 +110,9 @@
     fn doubts(&self, open: &Open, at: usize) -> Option<usize> {
         let identity = || identity(&open.caller, &open.host, &open.submission.items[at]);
         match self.parts.crashes.standing(identity) {
-            Standing::Free => Some(0),
-            Standing::Doubted { endpoints, .. } => Some(endpoints),
-            Standing::Convicted { .. } => None,
+            RequestStatus::Unrestricted => Some(0),
+            RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
+            RequestStatus::Blocked { .. } => None,
         }
     }
 
@@ -132,7 +132,7 @@
                 Some((doubts, key)) => return Some((at, key, doubts)),
                 None => open.lot.hold(at),
             }
-            if doubts.is_some_and(|doubts| doubts >= LAST_CHANCE) {
+            if doubts.is_some_and(|doubts| doubts >= ISOLATE_AT_CRASHES) {
                 fleet.reserve(now, oldest_version);
             }
         }
@@ -173,7 +173,7 @@
             };
             let place = Place {
                 key,
-                start: Start {
+                start: EndpointStart {
                     endpoint: engine.listed.id.clone(),
                     incarnation: engine.listed.incarnation,
                 },
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -8,7 +8,7 @@
 };
 use pinereel_core::{
     batch::{Failure, Fate, Halt},
-    crash::LAST_CHANCE,
+    crash::ISOLATE_AT_CRASHES,
 };
 use pinereel_port::{
     config::Route,
@@ -89,7 +89,11 @@
     match end {
         // One that was leaving, or is listed no more, ends by itself.
         End::Broken(Break::Crashed) if endpoints.is_current(&place.start) => {
-            crashes.crashed(identity(), place.start.clone(), place.doubts >= LAST_CHANCE);
+            crashes.crashed(
+                identity(),
+                place.start.clone(),
+                place.doubts >= ISOLATE_AT_CRASHES,
+            );
         }
         End::Complete | End::Failed | End::Impossible => {
             crashes.answered(identity, place.start.clone(), began.elapsed());
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use pinereel_core::{
     batch::Key,
-    crash::{Content, Identity, Parts, Start},
+    crash::{Content, EndpointStart, Identity, Parts},
 };
 use pinereel_port::{
     config::Route,
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Place {
     pub(super) key: Key,
-    pub(super) start: Start,
+    pub(super) start: EndpointStart,
     pub(super) address: SocketAddr,
     /// How many endpoints have crashed under the item.
     pub(super) doubts: usize,
--- a/crates/pinereel/src/hosted/relay/doubt.rs
+++ b/crates/pinereel/src/hosted/relay/doubt.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Course, Outcome, Picked, RETRY_AFTER, Relay};
 use pinereel_core::{
-    crash::{Seat, Standing},
+    crash::{Placement, RequestStatus},
     relay::Attempts,
 };
 use std::time::Duration;
@@ -23,8 +23,8 @@
 
 impl Relay {
     /// The next endpoint of a request in doubt.
-    pub(super) async fn in_doubt(&self, course: &Course<'_>, standing: Standing) -> Next {
-        if let Some(left) = standing.settles_in() {
+    pub(super) async fn in_doubt(&self, course: &Course<'_>, standing: RequestStatus) -> Next {
+        if let Some(left) = standing.propagation_wait() {
             sleep(left).await;
             return Next::LookAgain;
         }
@@ -33,19 +33,19 @@
         let open = endpoints.open(course.service);
         let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
         match self.parts.crashes.seat(&call.identity(), &starts) {
-            Seat::At(seat) => {
+            Placement::Endpoint(seat) => {
                 let key = open.iter().find(|(_, start)| *start == seat);
                 let key = key.map(|(key, _)| *key);
                 let untried = key.filter(|key| !course.used.contains(key));
                 let picked = untried.and_then(|key| endpoints.pick(key));
                 picked.map_or(Next::Decline(IN_DOUBT, RETRY_AFTER), Next::Send)
             }
-            Seat::After(wait) if began.elapsed() + wait < call.route.objective => {
+            Placement::Wait(wait) if began.elapsed() + wait < call.route.objective => {
                 sleep(wait).await;
                 Next::LookAgain
             }
-            Seat::After(wait) => Next::Decline(IN_DOUBT, wait),
-            Seat::None => Next::Decline(IN_DOUBT, RETRY_AFTER),
+            Placement::Wait(wait) => Next::Decline(IN_DOUBT, wait),
+            Placement::Unavailable => Next::Decline(IN_DOUBT, RETRY_AFTER),
         }
     }
 }
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -20,7 +20,7 @@
 use doubt::{Next, convicted};
 use futures_util::{StreamExt as _, future::LocalBoxFuture, stream::FuturesUnordered};
 use pinereel_core::{
-    crash::Standing,
+    crash::RequestStatus,
     endpoint::{End, Key},
     hash,
     relay::{Attempts, Ended, Limits, Step, Verdict},
@@ -114,9 +114,9 @@
             // beside it: 20 starts of five endpoints ended in 8 s under one that came again.
             let standing = self.parts.crashes.standing(|| call.identity());
             match standing {
-                Standing::Free => {}
-                Standing::Doubted { .. } => course.attempts.alone(),
-                Standing::Convicted { forgotten_in, .. } => {
+                RequestStatus::Unrestricted => {}
+                RequestStatus::Suspected { .. } => course.attempts.alone(),
+                RequestStatus::Blocked { forgotten_in, .. } => {
                     self.parts.crashes.count("refusal");
                     report_refusal(&call, standing);
                     break convicted(&course.attempts, forgotten_in);
@@ -185,24 +185,28 @@
     async fn send(
         self: &Rc<Self>,
         course: &mut Course<'_>,
-        standing: Standing,
+        standing: RequestStatus,
     ) -> Option<(&'static str, Duration)> {
         self.parts.stall.caught_up().await;
         let next = match standing {
-            Standing::Doubted { .. } => self.in_doubt(course, standing).await,
-            Standing::Free | Standing::Convicted { .. } => self.choose(course),
+            RequestStatus::Suspected { .. } => self.in_doubt(course, standing).await,
+            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.choose(course),
         };
         match next {
             Next::Send(picked) => {
-                let in_doubt = matches!(standing, Standing::Doubted { .. });
+                let in_doubt = matches!(standing, RequestStatus::Suspected { .. });
                 let occupied = in_doubt.then(|| self.parts.crashes.occupy(&picked.start));
                 if course.used.is_empty() {
                     course.begun = self.parts.usage.begin(&course.call.caller);
                 }
                 course.used.push(picked.key);
                 course.attempts.sent(course.began.elapsed());
-                let attempt =
-                    self.attempt(&course.call, picked, occupied, standing.is_last_chance());
+                let attempt = self.attempt(
+                    &course.call,
+                    picked,
+                    occupied,
+                    standing.requires_isolation(),
+                );
                 course.running.push(attempt);
                 None
             }
--- a/crates/pinereel/src/hosted/relay/report.rs
+++ b/crates/pinereel/src/hosted/relay/report.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, Outcome, Picked, attempt::Tried};
 use actix_http::StatusCode;
-use pinereel_core::{crash::Standing, route::Refusal};
+use pinereel_core::{crash::RequestStatus, route::Refusal};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -49,8 +49,8 @@
 }
 
 /// A request is refused since endpoints crash under it.
-pub(super) fn report_refusal(call: &Call, standing: Standing) {
-    let Standing::Convicted {
+pub(super) fn report_refusal(call: &Call, standing: RequestStatus) {
+    let RequestStatus::Blocked {
         endpoints,
         age,
         forgotten_in,
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Time,
-    crash::{FRESH_RUN, LAST_CHANCE},
+    crash::{ISOLATE_AT_CRASHES, MAX_SUSPECT_RUN_AGE},
 };
 use compact_str::CompactString;
 use std::net::SocketAddr;
@@ -116,8 +116,8 @@
         let is_kept_free = self.last_chance || now < self.reserved_until;
         match doubts {
             0 => !is_kept_free,
-            doubts if doubts >= LAST_CHANCE => {
-                self.doubted == 0 && now.since(self.last_began) >= FRESH_RUN
+            doubts if doubts >= ISOLATE_AT_CRASHES => {
+                self.doubted == 0 && now.since(self.last_began) >= MAX_SUSPECT_RUN_AGE
             }
             _ => self.doubted == 0 && !is_kept_free,
         }
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -6,7 +6,7 @@
 //! as soon as that has a slot that nothing waits for.
 
 use super::{Engine, Halt, Listed};
-use crate::{Time, crash::LAST_CHANCE};
+use crate::{Time, crash::ISOLATE_AT_CRASHES};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{collections::BTreeMap, time::Duration};
@@ -205,7 +205,7 @@
         if doubts > 0 {
             engine.doubted += 1;
         }
-        if doubts >= LAST_CHANCE {
+        if doubts >= ISOLATE_AT_CRASHES {
             engine.last_chance = true;
             engine.reserved_until = Time::ZERO;
         }
--- a/crates/pinereel_core/src/crash/identity.rs
+++ b/crates/pinereel_core/src/crash/identity.rs
@@ -53,7 +53,7 @@
 /// A text that is no identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an identity has 32 hexadecimal digits")]
-pub struct Malformed;
+pub struct ParseIdentityError;
 
 impl Identity {
     /// The identity of a request.
@@ -79,16 +79,16 @@
 }
 
 impl FromStr for Identity {
-    type Err = Malformed;
+    type Err = ParseIdentityError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseIdentityError> {
         if text.len() != 32 || !text.is_ascii() {
-            return Err(Malformed);
+            return Err(ParseIdentityError);
         }
         let mut bytes = [0; 16];
-        for (at, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[at * 2..at * 2 + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| Malformed)?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseIdentityError)?;
         }
         Ok(Self(Digest(bytes)))
     }
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -1,8 +1,8 @@
 //! All requests under which endpoints have crashed.
 
 use super::{
-    Change, GRACE, Identity, KEPT, MOST_RECORDS, Mark, Report, Standing, Start, What,
-    record::Record,
+    Change, ChangeKind, EndpointStart, Identity, Involvement, MAX_RECORDS, RECORD_TTL, Report,
+    RequestStatus, STALE_ANSWER_GRACE, record::Record,
 };
 use crate::Time;
 use std::{
@@ -19,15 +19,15 @@
 pub struct Register {
     pub(super) records: BTreeMap<Identity, Record>,
     /// Requests that must not run.
-    pub(super) convicted: BTreeSet<Identity>,
+    pub(super) blocked: BTreeSet<Identity>,
     /// Requests that have a last chance, in the order of their turns.
-    pub(super) last_chances: Vec<Identity>,
+    pub(super) isolated: Vec<Identity>,
     /// Crashes that convicted requests account for: they count against nobody else.
-    pub(super) accounted: BTreeSet<Start>,
+    pub(super) explained: BTreeSet<EndpointStart>,
     /// The most that counted before against any request that ran at a crashed endpoint.
-    pub(super) most_before: BTreeMap<Start, usize>,
+    pub(super) max_before: BTreeMap<EndpointStart, usize>,
     /// Requests of which others are to be told.
-    untold: BTreeSet<Identity>,
+    pending: BTreeSet<Identity>,
 }
 
 impl Register {
@@ -38,156 +38,169 @@
 
     /// Number of requests that are known, and of those that must not run.
     pub fn len(&self) -> (usize, usize) {
-        (self.records.len(), self.convicted.len())
+        (self.records.len(), self.blocked.len())
     }
 
     /// An endpoint crashed while the request ran there beside others. What convicted requests account for does not tell
     /// against it.
-    pub fn crashed(&mut self, now: Time, identity: Identity, start: Start) -> Vec<Change> {
-        let before = self.unaccounted(&identity);
-        self.crashed_after(now, identity, start, before)
+    pub fn crashed(&mut self, now: Time, identity: Identity, start: EndpointStart) -> Vec<Change> {
+        let before = self.unexplained(&identity);
+        self.record_crash(now, identity, start, before)
     }
 
     /// An endpoint crashed while the request had its last chance there: nothing else began beside it.
-    pub fn crashed_alone(&mut self, now: Time, identity: Identity, start: Start) -> Vec<Change> {
-        let before = self.doubts(&identity);
-        self.crashed_after(now, identity, start, before)
+    pub fn crashed_isolated(
+        &mut self,
+        now: Time,
+        identity: Identity,
+        start: EndpointStart,
+    ) -> Vec<Change> {
+        let before = self.crash_count(&identity);
+        self.record_crash(now, identity, start, before)
     }
 
-    fn crashed_after(
+    fn record_crash(
         &mut self,
         now: Time,
         identity: Identity,
-        start: Start,
+        start: EndpointStart,
         before: usize,
     ) -> Vec<Change> {
-        let mark = Mark {
+        let involvement = Involvement {
             counts: true,
             before,
         };
         let report = Report {
             identity,
-            starts: vec![(start, mark)],
+            starts: vec![(start, involvement)],
             ends: 0,
             age: Duration::ZERO,
         };
-        self.heard(now, [report])
+        self.merge(now, [report])
     }
 
     /// Another instance tells of requests.
-    pub fn heard(&mut self, now: Time, reports: impl IntoIterator<Item = Report>) -> Vec<Change> {
-        let mut touched = BTreeMap::new();
+    pub fn merge(&mut self, now: Time, reports: impl IntoIterator<Item = Report>) -> Vec<Change> {
+        let mut updated = BTreeMap::new();
         for report in reports {
             let identity = report.identity;
-            let before = self.counting(&identity).count();
-            if self.take(now, report) {
-                touched.entry(identity).or_insert(before);
-                self.untold.insert(identity);
+            let before = self.counted(&identity).count();
+            if self.merge_report(now, report) {
+                updated.entry(identity).or_insert(before);
+                self.pending.insert(identity);
             }
         }
-        if touched.is_empty() {
+        if updated.is_empty() {
             return Vec::new();
         }
-        self.make_room(now);
-        self.judge(now, &touched)
+        self.evict_excess(now);
+        self.reevaluate(now, &updated)
     }
 
     /// A run of the request came to its end: nothing that is known now counts against it any more, unless that goes on
     /// and on.
-    pub fn ended(&mut self, now: Time, identity: Identity) -> Vec<Change> {
+    pub fn completed(&mut self, now: Time, identity: Identity) -> Vec<Change> {
         let Some(record) = self.records.get_mut(&identity) else {
             return Vec::new();
         };
-        record.ends = record.ends.saturating_add(1);
-        self.acquit(now, identity)
+        record.completions = record.completions.saturating_add(1);
+        self.clear_crashes(now, identity)
     }
 
     /// An operator says that the request may run again.
     pub fn clear(&mut self, now: Time, identity: Identity) -> Vec<Change> {
         if let Some(record) = self.records.get_mut(&identity) {
-            record.ends = u32::MAX;
+            record.completions = u32::MAX;
         }
-        self.acquit(now, identity)
+        self.clear_crashes(now, identity)
     }
 
-    fn acquit(&mut self, now: Time, identity: Identity) -> Vec<Change> {
-        let before = self.counting(&identity).count();
+    fn clear_crashes(&mut self, now: Time, identity: Identity) -> Vec<Change> {
+        let before = self.counted(&identity).count();
         let record = self.records.get_mut(&identity);
         let counted = record.is_some_and(Record::clear);
-        if !counted && !self.convicted.contains(&identity) {
+        if !counted && !self.blocked.contains(&identity) {
             return Vec::new();
         }
-        self.untold.insert(identity);
-        self.judge(now, &BTreeMap::from([(identity, before)]))
+        self.pending.insert(identity);
+        self.reevaluate(now, &BTreeMap::from([(identity, before)]))
     }
 
     /// An endpoint has answered a request that was sent to it at `sent_at`: it had not crashed before.
-    pub fn answered(&mut self, now: Time, start: &Start, sent_at: Time) -> Vec<Change> {
+    pub fn endpoint_answered(
+        &mut self,
+        now: Time,
+        start: &EndpointStart,
+        sent_at: Time,
+    ) -> Vec<Change> {
         if !self.has_crashed(start) {
             return Vec::new();
         }
-        let mut touched = BTreeMap::new();
+        let mut updated = BTreeMap::new();
         for (identity, record) in &mut self.records {
-            let before = record.counting().count();
-            let told_before = record.heard_at + GRACE < sent_at;
-            let mark = record.starts.get_mut(start);
-            if told_before && let Some(mark) = mark.filter(|mark| mark.counts) {
-                mark.counts = false;
-                touched.insert(*identity, before);
+            let before = record.counted().count();
+            let known_before = record.merged_at + STALE_ANSWER_GRACE < sent_at;
+            let involvement = record.starts.get_mut(start);
+            if known_before
+                && let Some(involvement) = involvement.filter(|involvement| involvement.counts)
+            {
+                involvement.counts = false;
+                updated.insert(*identity, before);
             }
         }
-        if touched.is_empty() {
+        if updated.is_empty() {
             return Vec::new();
         }
-        self.untold.extend(touched.keys());
-        self.judge(now, &touched)
+        self.pending.extend(updated.keys());
+        self.reevaluate(now, &updated)
     }
 
     /// Forgets what is too old to count; says whether anything was.
     pub fn expire(&mut self, now: Time) -> bool {
         let known = self.records.len();
-        self.records.retain(|_, record| record.age(now) < KEPT);
+        self.records
+            .retain(|_, record| record.age(now) < RECORD_TTL);
         let forgot = self.records.len() < known;
         if forgot {
-            self.judge(now, &BTreeMap::new());
+            self.reevaluate(now, &BTreeMap::new());
         }
         forgot
     }
 
     /// How a request stands.
-    pub fn standing(&self, now: Time, identity: &Identity) -> Standing {
+    pub fn status(&self, now: Time, identity: &Identity) -> RequestStatus {
         let Some(record) = self.records.get(identity) else {
-            return Standing::Free;
+            return RequestStatus::Unrestricted;
         };
         let age = record.age(now);
-        if self.convicted.contains(identity) {
-            return Standing::Convicted {
+        if self.blocked.contains(identity) {
+            return RequestStatus::Blocked {
                 endpoints: record.starts.len(),
                 age,
-                forgotten_in: KEPT.saturating_sub(age),
+                forgotten_in: RECORD_TTL.saturating_sub(age),
             };
         }
-        match self.doubts(identity) {
-            0 => Standing::Free,
-            endpoints => Standing::Doubted { endpoints, age },
+        match self.crash_count(identity) {
+            0 => RequestStatus::Unrestricted,
+            endpoints => RequestStatus::Suspected { endpoints, age },
         }
     }
 
     /// Whether any request has a last chance.
-    pub fn has_last_chance(&self) -> bool {
-        !self.last_chances.is_empty()
+    pub fn has_isolated(&self) -> bool {
+        !self.isolated.is_empty()
     }
 
     /// Whether others are to be told something.
-    pub fn has_untold(&self) -> bool {
-        !self.untold.is_empty()
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
     /// What others are to be told, at most `most` requests of it.
-    pub fn untold(&mut self, now: Time, most: usize) -> Vec<Report> {
+    pub fn take_pending(&mut self, now: Time, most: usize) -> Vec<Report> {
         let mut reports = Vec::new();
         while reports.len() < most
-            && let Some(identity) = self.untold.pop_first()
+            && let Some(identity) = self.pending.pop_first()
         {
             let record = self.records.get(&identity);
             reports.extend(record.map(|record| record.report(now, identity)));
@@ -196,9 +209,9 @@
     }
 
     /// All that is known, those that count most first.
-    pub fn all(&self, now: Time) -> Vec<Report> {
+    pub fn reports(&self, now: Time) -> Vec<Report> {
         let mut all: Vec<_> = self.records.iter().collect();
-        all.sort_by_key(|(_, record)| Reverse(record.counting().count()));
+        all.sort_by_key(|(_, record)| Reverse(record.counted().count()));
         let reports = all.into_iter();
         reports
             .map(|(identity, record)| record.report(now, *identity))
@@ -206,56 +219,60 @@
     }
 
     /// Crashes that count against a request, and what counted against it before each.
-    pub(super) fn counting(&self, identity: &Identity) -> impl Iterator<Item = (&Start, usize)> {
+    pub(super) fn counted(
+        &self,
+        identity: &Identity,
+    ) -> impl Iterator<Item = (&EndpointStart, usize)> {
         let record = self.records.get(identity);
-        record.into_iter().flat_map(Record::counting)
+        record.into_iter().flat_map(Record::counted)
     }
 
     /// Takes a report in; says whether it was news.
-    fn take(&mut self, now: Time, report: Report) -> bool {
-        if report.age >= KEPT {
+    fn merge_report(&mut self, now: Time, report: Report) -> bool {
+        if report.age >= RECORD_TTL {
             return false;
         }
         let known = self.records.entry(report.identity);
         let record = known.or_insert_with(|| Record::new(now));
-        let mut is_news = false;
-        for (start, mark) in report.starts {
-            is_news |= record.add(start, mark);
+        let mut changed = false;
+        for (start, involvement) in report.starts {
+            changed |= record.insert(start, involvement);
         }
-        is_news |= report.ends == u32::MAX && record.ends != u32::MAX;
-        record.ends = record.ends.max(report.ends);
-        if is_news {
-            record.heard_at = now;
-            record.note_age(now, report.age);
+        changed |= report.ends == u32::MAX && record.completions != u32::MAX;
+        record.completions = record.completions.max(report.ends);
+        if changed {
+            record.merged_at = now;
+            record.observe_age(now, report.age);
         }
-        is_news
+        changed
     }
 
     /// Forgets the requests that matter least while there are too many.
-    fn make_room(&mut self, now: Time) {
-        while self.records.len() > MOST_RECORDS {
+    fn evict_excess(&mut self, now: Time) {
+        while self.records.len() > MAX_RECORDS {
             let least = self.records.iter().min_by_key(|(identity, record)| {
-                let convicted = self.convicted.contains(*identity);
-                (
-                    convicted,
-                    record.counting().count(),
-                    Reverse(record.age(now)),
-                )
+                let blocked = self.blocked.contains(*identity);
+                (blocked, record.counted().count(), Reverse(record.age(now)))
             });
             let Some(identity) = least.map(|(identity, _)| *identity) else {
                 return;
             };
             self.records.remove(&identity);
-            self.untold.remove(&identity);
+            self.pending.remove(&identity);
         }
     }
 
     /// What is told of a request that changed.
-    pub(super) fn change(&self, now: Time, identity: Identity, what: What) -> Change {
+    pub(super) fn describe_change(
+        &self,
+        now: Time,
+        identity: Identity,
+        kind: ChangeKind,
+    ) -> Change {
         let record = self.records.get(&identity);
         Change {
             identity,
-            what,
+            kind,
             endpoints: record.map_or(0, |record| record.starts.len()),
             age: record.map_or(Duration::ZERO, |record| record.age(now)),
         }
--- a/crates/pinereel_core/src/crash/standing.rs
+++ b/crates/pinereel_core/src/crash/status.rs
@@ -1,23 +1,23 @@
 //! How a request stands, and what changes about it.
 
-use super::{Identity, LAST_CHANCE, SETTLE};
+use super::{ISOLATE_AT_CRASHES, Identity, PROPAGATION_DELAY};
 use serde::Serialize;
 use std::time::Duration;
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// Nothing counts against it.
-    Free,
+    Unrestricted,
     /// Endpoints have crashed while it ran there: it may be to blame, or have run beside another.
-    Doubted {
+    Suspected {
         /// How many count against it.
         endpoints: usize,
         /// Time since the last one.
         age: Duration,
     },
     /// It crashes endpoints: it must not run any more.
-    Convicted {
+    Blocked {
         /// How many count against it.
         endpoints: usize,
         /// Time since the last one.
@@ -27,17 +27,19 @@
     },
 }
 
-impl Standing {
+impl RequestStatus {
     /// Whether it may run once more, where nothing else begins.
-    pub const fn is_last_chance(&self) -> bool {
-        matches!(self, Self::Doubted { endpoints, .. } if *endpoints >= LAST_CHANCE)
+    pub const fn requires_isolation(&self) -> bool {
+        matches!(self, Self::Suspected { endpoints, .. } if *endpoints >= ISOLATE_AT_CRASHES)
     }
 
     /// How long a request in doubt waits until all instances know of the last crash under it.
-    pub fn settles_in(&self) -> Option<Duration> {
+    pub fn propagation_wait(&self) -> Option<Duration> {
         match self {
-            Self::Doubted { age, .. } => SETTLE.checked_sub(*age).filter(|left| !left.is_zero()),
-            Self::Free | Self::Convicted { .. } => None,
+            Self::Suspected { age, .. } => PROPAGATION_DELAY
+                .checked_sub(*age)
+                .filter(|left| !left.is_zero()),
+            Self::Unrestricted | Self::Blocked { .. } => None,
         }
     }
 }
@@ -45,13 +47,16 @@
 /// What changed about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum ChangeKind {
     /// Another endpoint counts against it.
-    Doubt,
+    #[serde(rename = "doubt")]
+    Suspected,
     /// It must not run any more.
-    Verdict,
+    #[serde(rename = "verdict")]
+    Blocked,
     /// It must not be refused any more: others are to blame, or it has been cleared.
-    Acquitted,
+    #[serde(rename = "acquitted")]
+    Unblocked,
     /// A run of it came to its end, the endpoints live, or an operator said so.
     Cleared,
 }
@@ -62,7 +67,7 @@
     /// The request.
     pub identity: Identity,
     /// What changed.
-    pub what: What,
+    pub kind: ChangeKind,
     /// Endpoints that count against it now.
     pub endpoints: usize,
     /// Time since the last of them.
--- a/crates/pinereel_core/tests/crash_innocent.rs
+++ b/crates/pinereel_core/tests/crash_innocent.rs
@@ -7,7 +7,10 @@
 
 use pinereel_core::{
     Time,
-    crash::{Content, Identity, KEPT, LIMIT, Parts, Register, Seat, Standing, Start},
+    crash::{
+        Content, EndpointStart, Identity, MAX_CRASHES, Parts, Placement, RECORD_TTL, Register,
+        RequestStatus,
+    },
 };
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -19,27 +22,27 @@
 /// Time of a round: a run, and the news of it.
 const ROUND: Duration = Duration::from_millis(100);
 /// Rounds until a crashed endpoint is back.
-const DOWN: u32 = 30;
+const RESTART_ROUNDS: u32 = 30;
 const SLOTS: usize = 8;
 
 #[derive(Clone, Copy)]
-struct Setting {
+struct Scenario {
     endpoints: usize,
-    culprits: usize,
+    crashers: usize,
     /// Requests that want to run in each round.
-    innocents: usize,
+    harmless: usize,
     /// Chance that an endpoint crashes by itself in a round.
-    own_crashes: f64,
+    spontaneous_crash_chance: f64,
     /// Share of the other requests that are culprits, too, each for the first time.
-    fresh: f64,
+    new_crasher_share: f64,
 }
 
 #[derive(Default)]
 struct Outcome {
     /// Endpoints that each culprit took.
-    taken: BTreeMap<usize, usize>,
+    crashes: BTreeMap<usize, usize>,
     /// Innocent requests that were ever refused for a verdict.
-    wronged: BTreeSet<Identity>,
+    wrongly_blocked: BTreeSet<Identity>,
     served: usize,
 }
 
@@ -53,29 +56,32 @@
     })
 }
 
-struct Service {
+struct Simulation {
     rng: ChaCha8Rng,
     now: Time,
     register: Register,
     /// Endpoints that run, with their round of return if they do not.
-    starts: Vec<(Start, Option<u32>)>,
-    next: u64,
+    starts: Vec<(EndpointStart, Option<u32>)>,
+    next_incarnation: u64,
 }
 
-impl Service {
-    fn new(setting: Setting, seed: u64) -> Self {
-        let starts = (0..setting.endpoints).map(|number| (start(number, 0), None));
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        let starts = (0..scenario.endpoints).map(|number| (start(number, 0), None));
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            now: Time::ZERO + KEPT,
+            now: Time::ZERO + RECORD_TTL,
             register: Register::default(),
             starts: starts.collect(),
-            next: 0,
+            next_incarnation: 0,
         }
     }
 
-    fn open(&self) -> Vec<Start> {
-        let up = self.starts.iter().filter(|(_, back)| back.is_none());
+    fn open(&self) -> Vec<EndpointStart> {
+        let up = self
+            .starts
+            .iter()
+            .filter(|(_, returns_at)| returns_at.is_none());
         up.map(|(start, _)| start.clone()).collect()
     }
 
@@ -83,129 +89,134 @@
     fn place(
         &mut self,
         identity: &Identity,
-        load: &BTreeMap<Start, Vec<Identity>>,
-        occupied: &BTreeSet<Start>,
-    ) -> Option<Start> {
+        load: &BTreeMap<EndpointStart, Vec<Identity>>,
+        occupied: &BTreeSet<EndpointStart>,
+    ) -> Option<EndpointStart> {
         let open = self.open();
-        match self.register.standing(self.now, identity) {
-            Standing::Convicted { .. } => None,
-            Standing::Doubted { .. } => {
-                let seat = self.register.seat(self.now, identity, &open, occupied);
-                match seat {
-                    Seat::At(start) => Some(start),
-                    Seat::After(_) | Seat::None => None,
+        match self.register.status(self.now, identity) {
+            RequestStatus::Blocked { .. } => None,
+            RequestStatus::Suspected { .. } => {
+                let placement = self.register.place(self.now, identity, &open, occupied);
+                match placement {
+                    Placement::Endpoint(start) => Some(start),
+                    Placement::Wait(_) | Placement::Unavailable => None,
                 }
             }
-            Standing::Free => {
+            RequestStatus::Unrestricted => {
                 let reserved = self.register.reserved(self.now, &open);
-                let free = |start: &&Start| {
+                let free = |start: &&EndpointStart| {
                     load.get(*start).map_or(0, Vec::len) < SLOTS && !reserved.contains(*start)
                 };
                 let free: Vec<_> = open.iter().filter(free).collect();
-                let at = (!free.is_empty()).then(|| self.rng.random_range(0..free.len()))?;
-                Some(free[at].clone())
+                let index = (!free.is_empty()).then(|| self.rng.random_range(0..free.len()))?;
+                Some(free[index].clone())
             }
         }
     }
 
-    fn round(
+    fn run_round(
         &mut self,
         number: u32,
         wanted: &[(Identity, Option<usize>)],
-        setting: Setting,
+        scenario: Scenario,
         outcome: &mut Outcome,
     ) -> BTreeSet<Identity> {
-        let mut load: BTreeMap<Start, Vec<Identity>> = BTreeMap::new();
-        let mut fatal: BTreeMap<Start, usize> = BTreeMap::new();
+        let mut load: BTreeMap<EndpointStart, Vec<Identity>> = BTreeMap::new();
+        let mut crasher_at: BTreeMap<EndpointStart, usize> = BTreeMap::new();
         let mut occupied = BTreeSet::new();
-        for (identity, culprit) in wanted {
+        for (identity, crasher) in wanted {
             if matches!(
-                self.register.standing(self.now, identity),
-                Standing::Convicted { .. }
-            ) && culprit.is_none()
+                self.register.status(self.now, identity),
+                RequestStatus::Blocked { .. }
+            ) && crasher.is_none()
             {
-                outcome.wronged.insert(*identity);
+                outcome.wrongly_blocked.insert(*identity);
             }
             let Some(start) = self.place(identity, &load, &occupied) else {
                 continue;
             };
-            let standing = self.register.standing(self.now, identity);
-            if matches!(standing, Standing::Doubted { .. }) {
+            let status = self.register.status(self.now, identity);
+            if matches!(status, RequestStatus::Suspected { .. }) {
                 occupied.insert(start.clone());
             }
-            if let Some(culprit) = culprit {
-                fatal.insert(start.clone(), *culprit);
+            if let Some(crasher) = crasher {
+                crasher_at.insert(start.clone(), *crasher);
             }
             load.entry(start).or_default().push(*identity);
         }
         self.now = self.now + ROUND;
         let mut done = BTreeSet::new();
-        for at in 0..self.starts.len() {
-            let (start, back) = self.starts[at].clone();
-            if let Some(back) = back {
-                if number >= back {
-                    self.next += 1;
-                    self.starts[at] = (self::start(at, self.next), None);
+        for index in 0..self.starts.len() {
+            let (start, returns_at) = self.starts[index].clone();
+            if let Some(returns_at) = returns_at {
+                if number >= returns_at {
+                    self.next_incarnation += 1;
+                    self.starts[index] = (self::start(index, self.next_incarnation), None);
                 }
                 continue;
             }
-            let culprit = fatal.get(&start);
-            let crashes = culprit.is_some() || self.rng.random_bool(setting.own_crashes);
+            let crasher = crasher_at.get(&start);
+            let crashes =
+                crasher.is_some() || self.rng.random_bool(scenario.spontaneous_crash_chance);
             let runs = load.remove(&start).unwrap_or_default();
             if !crashes {
                 for identity in runs {
-                    self.register.ended(self.now, identity);
+                    self.register.completed(self.now, identity);
                     outcome.served += 1;
                     done.insert(identity);
                 }
                 continue;
             }
-            if let Some(culprit) = culprit {
-                *outcome.taken.entry(*culprit).or_default() += 1;
+            if let Some(crasher) = crasher {
+                *outcome.crashes.entry(*crasher).or_default() += 1;
             }
             for identity in runs {
-                match self.register.standing(self.now, &identity).is_last_chance() {
+                match self
+                    .register
+                    .status(self.now, &identity)
+                    .requires_isolation()
+                {
                     true => self
                         .register
-                        .crashed_alone(self.now, identity, start.clone()),
+                        .crashed_isolated(self.now, identity, start.clone()),
                     false => self.register.crashed(self.now, identity, start.clone()),
                 };
             }
-            self.starts[at].1 = Some(number + DOWN);
+            self.starts[index].1 = Some(number + RESTART_ROUNDS);
         }
         done
     }
 }
 
-fn start(number: usize, incarnation: u64) -> Start {
-    Start {
+fn start(number: usize, incarnation: u64) -> EndpointStart {
+    EndpointStart {
         endpoint: format!("e-{number}").into(),
         incarnation,
     }
 }
 
 /// Plays `rounds`: innocents come again until they are served, culprits always.
-fn play(setting: Setting, seed: u64, rounds: u32) -> Outcome {
-    let mut service = Service::new(setting, seed);
+fn simulate(scenario: Scenario, seed: u64, rounds: u32) -> Outcome {
+    let mut simulation = Simulation::new(scenario, seed);
     let mut outcome = Outcome::default();
     let mut waiting: Vec<(Identity, Option<usize>)> = Vec::new();
     let mut made = 0;
-    let mut fresh = setting.culprits;
+    let mut crasher_count = scenario.crashers;
     for number in 0..rounds {
-        while waiting.len() < setting.innocents + fresh - setting.culprits {
+        while waiting.len() < scenario.harmless + crasher_count - scenario.crashers {
             made += 1;
-            let is_culprit = service.rng.random_bool(setting.fresh);
-            fresh += usize::from(is_culprit);
+            let is_crasher = simulation.rng.random_bool(scenario.new_crasher_share);
+            crasher_count += usize::from(is_crasher);
             let identity = request(&format!("request {made} of {seed}"));
-            waiting.push((identity, is_culprit.then_some(fresh)));
+            waiting.push((identity, is_crasher.then_some(crasher_count)));
         }
-        let culprits =
-            (0..setting.culprits).map(|c| (request(&format!("culprit {c} of {seed}")), Some(c)));
-        let mut wanted: Vec<_> = waiting.iter().copied().chain(culprits).collect();
+        let crashers =
+            (0..scenario.crashers).map(|c| (request(&format!("culprit {c} of {seed}")), Some(c)));
+        let mut wanted: Vec<_> = waiting.iter().copied().chain(crashers).collect();
         // Who comes first differs from round to round.
-        let by = service.rng.random_range(0..wanted.len());
-        wanted.rotate_left(by);
-        let done = service.round(number, &wanted, setting, &mut outcome);
+        let offset = simulation.rng.random_range(0..wanted.len());
+        wanted.rotate_left(offset);
+        let done = simulation.run_round(number, &wanted, scenario, &mut outcome);
         waiting.retain(|(identity, _)| !done.contains(identity));
     }
     outcome
@@ -214,16 +225,16 @@
 #[test]
 fn one_culprit_at_full_endpoints_takes_three_and_no_innocent_is_refused() {
     for seed in 0..20 {
-        let setting = Setting {
+        let scenario = Scenario {
             endpoints: 4,
-            culprits: 1,
-            innocents: 4 * SLOTS,
-            own_crashes: 0.0,
-            fresh: 0.0,
+            crashers: 1,
+            harmless: 4 * SLOTS,
+            spontaneous_crash_chance: 0.0,
+            new_crasher_share: 0.0,
         };
-        let outcome = play(setting, seed, 150);
-        assert_eq!(outcome.taken[&0], LIMIT, "seed {seed}");
-        assert_eq!(outcome.wronged.len(), 0, "seed {seed}");
+        let outcome = simulate(scenario, seed, 150);
+        assert_eq!(outcome.crashes[&0], MAX_CRASHES, "seed {seed}");
+        assert_eq!(outcome.wrongly_blocked.len(), 0, "seed {seed}");
         assert!(outcome.served > 0);
     }
 }
@@ -232,22 +243,22 @@
 #[test]
 fn several_culprits_at_once_take_few_and_no_innocent_is_refused() {
     for seed in 0..12 {
-        for (endpoints, culprits) in [(4, 2), (5, 3), (15, 5)] {
-            let setting = Setting {
+        for (endpoints, crashers) in [(4, 2), (5, 3), (15, 5)] {
+            let scenario = Scenario {
                 endpoints,
-                culprits,
-                innocents: endpoints * SLOTS,
-                own_crashes: 0.0,
-                fresh: 0.0,
+                crashers,
+                harmless: endpoints * SLOTS,
+                spontaneous_crash_chance: 0.0,
+                new_crasher_share: 0.0,
             };
-            let outcome = play(setting, seed, 150);
-            let most = outcome.taken.values().max();
+            let outcome = simulate(scenario, seed, 150);
+            let most = outcome.crashes.values().max();
             assert!(
-                most.is_some_and(|most| *most <= LIMIT),
+                most.is_some_and(|most| *most <= MAX_CRASHES),
                 "{most:?}, seed {seed}"
             );
             assert_eq!(
-                outcome.wronged.len(),
+                outcome.wrongly_blocked.len(),
                 0,
                 "seed {seed}, {endpoints} endpoints"
             );
@@ -260,15 +271,15 @@
 #[test]
 fn endpoints_that_fail_by_themselves_bring_nobody_a_verdict() {
     for seed in 0..20 {
-        let setting = Setting {
+        let scenario = Scenario {
             endpoints: 8,
-            culprits: 0,
-            innocents: 48,
-            own_crashes: ROUND.as_secs_f64() / 20.0,
-            fresh: 0.0,
+            crashers: 0,
+            harmless: 48,
+            spontaneous_crash_chance: ROUND.as_secs_f64() / 20.0,
+            new_crasher_share: 0.0,
         };
-        let outcome = play(setting, seed, 200);
-        assert_eq!(outcome.wronged.len(), 0, "seed {seed}");
+        let outcome = simulate(scenario, seed, 200);
+        assert_eq!(outcome.wrongly_blocked.len(), 0, "seed {seed}");
     }
 }
 
@@ -278,21 +289,21 @@
 fn a_share_of_culprits_takes_three_each_and_no_innocent_is_refused() {
     for seed in 0..6 {
         for endpoints in [4, 7, 15] {
-            let setting = Setting {
+            let scenario = Scenario {
                 endpoints,
-                culprits: 0,
-                innocents: endpoints * SLOTS,
-                own_crashes: 0.0,
-                fresh: 0.03,
+                crashers: 0,
+                harmless: endpoints * SLOTS,
+                spontaneous_crash_chance: 0.0,
+                new_crasher_share: 0.03,
             };
-            let outcome = play(setting, seed, 200);
-            let most = outcome.taken.values().max();
+            let outcome = simulate(scenario, seed, 200);
+            let most = outcome.crashes.values().max();
             assert!(
-                most.is_some_and(|most| *most <= LIMIT),
+                most.is_some_and(|most| *most <= MAX_CRASHES),
                 "{most:?}, seed {seed}, {endpoints} endpoints"
             );
             assert_eq!(
-                outcome.wronged.len(),
+                outcome.wrongly_blocked.len(),
                 0,
                 "seed {seed}, {endpoints} endpoints"
             );
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -5,7 +5,9 @@
 
 use pinereel_core::{
     Time,
-    crash::{Content, Identity, LIMIT, Parts, Register, Report, Standing, Start},
+    crash::{
+        Content, EndpointStart, Identity, MAX_CRASHES, Parts, Register, Report, RequestStatus,
+    },
     tree::{Admission, Branch, Peer},
 };
 use std::{
@@ -13,13 +15,13 @@
     time::Duration,
 };
 
-const HOP: Duration = Duration::from_millis(50);
-const GATHER: Duration = Duration::from_millis(20);
-const BATCH: usize = 128;
+const LINK_DELAY: Duration = Duration::from_millis(50);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_BATCH_REPORTS: usize = 128;
 /// The aim for instances in touch.
-const KNOWN: Duration = Duration::from_millis(500);
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// An instance whose parent is gone finds another one within so long.
-const RELINK: Duration = Duration::from_millis(500);
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn request(number: usize) -> Identity {
     Identity::of(Parts {
@@ -35,7 +37,7 @@
     register: Register,
     links: BTreeSet<usize>,
     /// No message before.
-    quiet_until: Time,
+    next_flush_at: Time,
     alive: bool,
 }
 
@@ -51,9 +53,9 @@
     nodes: Vec<Node>,
     parents: BTreeMap<usize, usize>,
     queue: BTreeMap<(Time, u64), Event>,
-    count: u64,
+    sequence: u64,
     messages: u64,
-    largest: usize,
+    largest_batch: usize,
 }
 
 impl Fleet {
@@ -86,7 +88,7 @@
         let nodes = (0..count).map(|_| Node {
             register: Register::default(),
             links: BTreeSet::new(),
-            quiet_until: Time::ZERO,
+            next_flush_at: Time::ZERO,
             alive: true,
         });
         let mut fleet = Self {
@@ -94,39 +96,39 @@
             nodes: nodes.collect(),
             parents: parents.clone(),
             queue: BTreeMap::new(),
-            count: 0,
+            sequence: 0,
             messages: 0,
-            largest: 0,
+            largest_batch: 0,
         };
         for (child, parent) in parents {
-            fleet.join(child, parent);
+            fleet.link(child, parent);
         }
         fleet
     }
 
-    fn join(&mut self, child: usize, parent: usize) {
+    fn link(&mut self, child: usize, parent: usize) {
         self.nodes[child].links.insert(parent);
         self.nodes[parent].links.insert(child);
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), event);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
     fn crash(&mut self, node: usize, request: Identity, endpoint: usize) {
-        let start = Start {
+        let start = EndpointStart {
             endpoint: format!("e-{endpoint}").into(),
             incarnation: 0,
         };
         let now = self.now;
         self.nodes[node].register.crashed(now, request, start);
-        self.flush_soon(node);
+        self.schedule_flush(node);
     }
 
-    fn flush_soon(&mut self, node: usize) {
-        let wait = self.nodes[node].quiet_until.since(self.now);
-        self.later(wait, Event::Flush(node));
+    fn schedule_flush(&mut self, node: usize) {
+        let wait = self.nodes[node].next_flush_at.since(self.now);
+        self.schedule(wait, Event::Flush(node));
     }
 
     /// Lets everything happen that is due until nothing is left.
@@ -135,15 +137,15 @@
             self.now = at;
             match event {
                 Event::Arrive(node, reports) if self.nodes[node].alive => {
-                    self.nodes[node].register.heard(at, reports);
-                    self.flush_soon(node);
+                    self.nodes[node].register.merge(at, reports);
+                    self.schedule_flush(node);
                 }
                 Event::Flush(node) if self.nodes[node].alive => self.flush(node),
                 Event::Link(child, parent) => {
-                    self.join(child, parent);
+                    self.link(child, parent);
                     for (from, to) in [(child, parent), (parent, child)] {
-                        let all = self.nodes[from].register.all(at);
-                        self.later(HOP, Event::Arrive(to, all));
+                        let all = self.nodes[from].register.reports(at);
+                        self.schedule(LINK_DELAY, Event::Arrive(to, all));
                     }
                 }
                 Event::Arrive(..) | Event::Flush(_) => {}
@@ -153,20 +155,22 @@
 
     fn flush(&mut self, node: usize) {
         let now = self.now;
-        if now < self.nodes[node].quiet_until || !self.nodes[node].register.has_untold() {
+        if now < self.nodes[node].next_flush_at || !self.nodes[node].register.has_pending() {
             return;
         }
-        let reports = self.nodes[node].register.untold(now, BATCH);
-        self.nodes[node].quiet_until = now + GATHER;
-        self.largest = self.largest.max(reports.len());
+        let reports = self.nodes[node]
+            .register
+            .take_pending(now, MAX_BATCH_REPORTS);
+        self.nodes[node].next_flush_at = now + FLUSH_INTERVAL;
+        self.largest_batch = self.largest_batch.max(reports.len());
         for to in self.nodes[node].links.clone() {
             self.messages += 1;
-            self.later(HOP, Event::Arrive(to, reports.clone()));
+            self.schedule(LINK_DELAY, Event::Arrive(to, reports.clone()));
         }
-        self.flush_soon(node);
+        self.schedule_flush(node);
     }
 
-    fn kill(&mut self, node: usize) {
+    fn stop(&mut self, node: usize) {
         self.nodes[node].alive = false;
         for other in std::mem::take(&mut self.nodes[node].links) {
             self.nodes[other].links.remove(&node);
@@ -178,60 +182,63 @@
             .map(|(child, _)| *child)
             .collect();
         for orphan in orphans {
-            self.later(RELINK, Event::Link(orphan, 0));
+            self.schedule(RECONNECT_DELAY, Event::Link(orphan, 0));
         }
     }
 
-    fn knows(&self, node: usize, request: &Identity) -> bool {
-        let standing = self.nodes[node].register.standing(self.now, request);
-        matches!(standing, Standing::Convicted { .. })
+    fn blocks(&self, node: usize, request: &Identity) -> bool {
+        let status = self.nodes[node].register.status(self.now, request);
+        matches!(status, RequestStatus::Blocked { .. })
     }
 
-    fn all_know(&self, request: &Identity) -> bool {
-        (0..self.nodes.len()).all(|node| !self.nodes[node].alive || self.knows(node, request))
+    fn all_block(&self, request: &Identity) -> bool {
+        (0..self.nodes.len()).all(|node| !self.nodes[node].alive || self.blocks(node, request))
     }
 }
 
 /// The third crash, at the last instance that came; returns when all know of it.
-fn time_to_know(count: usize) -> Duration {
+fn propagation_time(count: usize) -> Duration {
     let mut fleet = Fleet::new(count);
-    let culprit = request(0);
-    for endpoint in 1..LIMIT {
-        fleet.crash(endpoint % count, culprit, endpoint);
+    let crasher = request(0);
+    for endpoint in 1..MAX_CRASHES {
+        fleet.crash(endpoint % count, crasher, endpoint);
         fleet.run();
     }
-    let began = fleet.now;
-    fleet.crash(count - 1, culprit, LIMIT);
+    let started_at = fleet.now;
+    fleet.crash(count - 1, crasher, MAX_CRASHES);
     fleet.run();
-    assert!(fleet.all_know(&culprit));
+    assert!(fleet.all_block(&crasher));
     // What comes back to whoever told it ends there.
     assert!(fleet.messages <= 8 * count as u64, "{}", fleet.messages);
-    fleet.now.since(began)
+    fleet.now.since(started_at)
 }
 
 #[test]
 fn all_instances_know_of_the_third_crash_within_half_a_second() {
     for count in [30, 165, 350] {
-        let took = time_to_know(count);
-        assert!(took <= KNOWN, "{took:?} at {count} instances");
+        let took = propagation_time(count);
+        assert!(
+            took <= MAX_PROPAGATION_TIME,
+            "{took:?} at {count} instances"
+        );
     }
 }
 
 #[test]
 fn those_below_a_relay_that_is_lost_know_when_they_have_another_parent() {
     let mut fleet = Fleet::new(165);
-    let culprit = request(0);
-    for endpoint in 1..LIMIT {
-        fleet.crash(2, culprit, endpoint);
+    let crasher = request(0);
+    for endpoint in 1..MAX_CRASHES {
+        fleet.crash(2, crasher, endpoint);
         fleet.run();
     }
     let relay = *fleet.parents.values().max().expect("there are two levels");
-    fleet.kill(relay);
-    let began = fleet.now;
-    fleet.crash(2, culprit, LIMIT);
+    fleet.stop(relay);
+    let started_at = fleet.now;
+    fleet.crash(2, crasher, MAX_CRASHES);
     fleet.run();
-    assert!(fleet.all_know(&culprit));
-    let took = fleet.now.since(began);
+    assert!(fleet.all_block(&crasher));
+    let took = fleet.now.since(started_at);
     // The rule's bound for the smallest deployment.
     assert!(took <= Duration::from_secs(3), "{took:?}");
 }
@@ -239,7 +246,7 @@
 #[test]
 fn a_thousand_crashes_in_a_second_take_bounded_messages() {
     let mut fleet = Fleet::new(165);
-    let began = fleet.now;
+    let started_at = fleet.now;
     for number in 0..1_000 {
         let node = number % 165;
         fleet.crash(node, request(number), number);
@@ -249,14 +256,14 @@
         }
     }
     fleet.run();
-    assert!(fleet.largest <= BATCH);
+    assert!(fleet.largest_batch <= MAX_BATCH_REPORTS);
     let known = fleet.nodes.iter().map(|node| node.register.len().0);
     assert!(
         known.clone().all(|known| known == 1_000),
         "{:?}",
         known.min()
     );
-    let seconds = fleet.now.since(began).as_secs_f64();
+    let seconds = fleet.now.since(started_at).as_secs_f64();
     let per_link = fleet.messages as f64 / seconds / (2.0 * 164.0);
     // One each 20 ms at the most.
     assert!(per_link <= 50.0, "{per_link} messages a second and link");
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -3,15 +3,15 @@
 use pinereel_core::{
     Time,
     crash::{
-        CAP, Change, Content, Identity, KEPT, LIMIT, MOST_RECORDS, Mark, Parts, Register, Report,
-        Standing, Start, What,
+        Change, ChangeKind, Content, EndpointStart, Identity, Involvement, MAX_CRASHES,
+        MAX_RECORDS, MAX_SHARED_CRASHES, Parts, RECORD_TTL, Register, Report, RequestStatus,
     },
 };
 use proptest::{collection::vec, prelude::*, test_runner::Config};
 use std::{collections::BTreeSet, time::Duration};
 
 /// A crash under a request that nothing counted against.
-const FIRST: Mark = Mark {
+const FIRST_CRASH: Involvement = Involvement {
     counts: true,
     before: 0,
 };
@@ -26,21 +26,21 @@
     })
 }
 
-fn start(number: usize) -> Start {
-    Start {
+fn start(number: usize) -> EndpointStart {
+    EndpointStart {
         endpoint: format!("e-{number:02}").into(),
         incarnation: 0,
     }
 }
 
 fn at(millis: u64) -> Time {
-    Time::ZERO + KEPT + Duration::from_millis(millis)
+    Time::ZERO + RECORD_TTL + Duration::from_millis(millis)
 }
 
-fn is_refused(register: &Register, now: Time, identity: Identity) -> bool {
+fn is_blocked(register: &Register, now: Time, identity: Identity) -> bool {
     matches!(
-        register.standing(now, &identity),
-        Standing::Convicted { .. }
+        register.status(now, &identity),
+        RequestStatus::Blocked { .. }
     )
 }
 
@@ -94,68 +94,77 @@
 
 #[test]
 fn three_endpoints_are_a_verdict_and_sends_are_not_counted() {
-    let (mut register, culprit) = (Register::default(), request("c"));
+    let (mut register, crasher) = (Register::default(), request("c"));
     for _ in 0..9 {
-        register.crashed(at(0), culprit, start(1));
+        register.crashed(at(0), crasher, start(1));
     }
-    assert!(!is_refused(&register, at(1), culprit));
-    register.crashed(at(2), culprit, start(2));
-    let changes = register.crashed(at(3), culprit, start(3));
-    let whats: Vec<_> = changes.iter().map(|change| change.what).collect();
-    assert_eq!(whats, [What::Verdict, What::Doubt]);
-    let standing = register.standing(at(13), &culprit);
-    let expected = Standing::Convicted {
+    assert!(!is_blocked(&register, at(1), crasher));
+    register.crashed(at(2), crasher, start(2));
+    let changes = register.crashed(at(3), crasher, start(3));
+    let kinds: Vec<_> = changes.iter().map(|change| change.kind).collect();
+    assert_eq!(kinds, [ChangeKind::Blocked, ChangeKind::Suspected]);
+    let status = register.status(at(13), &crasher);
+    let expected = RequestStatus::Blocked {
         endpoints: 3,
         age: Duration::from_millis(10),
-        forgotten_in: KEPT - Duration::from_millis(10),
+        forgotten_in: RECORD_TTL - Duration::from_millis(10),
     };
-    assert_eq!(standing, expected);
+    assert_eq!(status, expected);
 }
 
 #[test]
 fn a_run_that_ends_clears_and_late_news_of_before_do_not_count() {
-    let (mut register, innocent) = (Register::default(), request("i"));
-    register.crashed(at(0), innocent, start(1));
-    register.crashed(at(1), innocent, start(2));
-    let late = register.all(at(2));
-    register.ended(at(3), innocent);
-    assert_eq!(register.standing(at(4), &innocent), Standing::Free);
-    register.heard(at(5), late);
-    assert_eq!(register.standing(at(6), &innocent), Standing::Free);
-    register.crashed(at(7), innocent, start(3));
-    let standing = register.standing(at(8), &innocent);
-    assert!(matches!(standing, Standing::Doubted { endpoints: 1, .. }));
+    let (mut register, harmless) = (Register::default(), request("i"));
+    register.crashed(at(0), harmless, start(1));
+    register.crashed(at(1), harmless, start(2));
+    let late = register.reports(at(2));
+    register.completed(at(3), harmless);
+    assert_eq!(
+        register.status(at(4), &harmless),
+        RequestStatus::Unrestricted
+    );
+    register.merge(at(5), late);
+    assert_eq!(
+        register.status(at(6), &harmless),
+        RequestStatus::Unrestricted
+    );
+    register.crashed(at(7), harmless, start(3));
+    let status = register.status(at(8), &harmless);
+    assert!(matches!(
+        status,
+        RequestStatus::Suspected { endpoints: 1, .. }
+    ));
 }
 
 /// A cut link that resets connections looks like a crash from one instance. Others still reach the endpoint.
 #[test]
 fn an_answer_clears_the_endpoint_if_it_was_asked_for_after_the_news() {
     let (mut register, request) = (Register::default(), request("x"));
-    for number in 1..=LIMIT {
+    for number in 1..=MAX_CRASHES {
         register.crashed(at(0), request, start(number));
     }
-    assert!(is_refused(&register, at(1), request));
+    assert!(is_blocked(&register, at(1), request));
     // On its way when the endpoint crashed.
-    register.answered(at(20), &start(1), at(10));
-    assert!(is_refused(&register, at(21), request));
-    register.answered(at(400), &start(1), at(300));
-    assert!(!is_refused(&register, at(401), request));
+    register.endpoint_answered(at(20), &start(1), at(10));
+    assert!(is_blocked(&register, at(21), request));
+    register.endpoint_answered(at(400), &start(1), at(300));
+    assert!(!is_blocked(&register, at(401), request));
 }
 
 #[test]
 fn whoever_ran_beside_a_culprit_is_not_refused_for_it() {
     let mut register = Register::default();
-    let (culprit, beside) = (request("c"), request("beside"));
+    let (crasher, beside) = (request("c"), request("beside"));
     for number in 1..=2 {
-        register.crashed(at(0), culprit, start(number));
+        register.crashed(at(0), crasher, start(number));
         register.crashed(at(0), beside, start(number));
     }
-    register.crashed(at(3), culprit, start(3));
-    assert!(is_refused(&register, at(4), culprit));
+    register.crashed(at(3), crasher, start(3));
+    assert!(is_blocked(&register, at(4), crasher));
     // A third one by itself: the first two are the other's.
     register.crashed(at(5), beside, start(9));
-    let standing = register.standing(at(6), &beside);
-    assert!(matches!(standing, Standing::Doubted { .. }));
+    let status = register.status(at(6), &beside);
+    assert!(matches!(status, RequestStatus::Suspected { .. }));
 }
 
 /// Three endpoints at once, before anybody was in doubt: the one that was at all of them is refused, until news come
@@ -163,25 +172,25 @@
 #[test]
 fn a_verdict_falls_when_another_may_be_to_blame_and_a_last_chance_decides() {
     let (mut here, mut there) = (Register::default(), Register::default());
-    let (culprit, beside) = (request("c"), request("beside"));
+    let (crasher, beside) = (request("c"), request("beside"));
     let crash = |number| Report {
-        identity: culprit,
-        starts: vec![(start(number), FIRST)],
+        identity: crasher,
+        starts: vec![(start(number), FIRST_CRASH)],
         ends: 0,
         age: Duration::ZERO,
     };
-    here.heard(at(0), (1..=3).map(crash));
-    assert!(is_refused(&here, at(1), culprit));
+    here.merge(at(0), (1..=3).map(crash));
+    assert!(is_blocked(&here, at(1), crasher));
     for number in 1..=2 {
         there.crashed(at(0), beside, start(number));
     }
-    let news = there.all(at(2));
-    let changes = here.heard(at(2), news);
-    let acquitted = |c: &Change| c.identity == culprit && c.what == What::Acquitted;
-    assert!(changes.iter().any(acquitted), "{changes:?}");
-    here.crashed(at(3), culprit, start(4));
-    assert!(is_refused(&here, at(4), culprit));
-    assert!(!is_refused(&here, at(4), beside));
+    let reports = there.reports(at(2));
+    let changes = here.merge(at(2), reports);
+    let is_unblocked = |c: &Change| c.identity == crasher && c.kind == ChangeKind::Unblocked;
+    assert!(changes.iter().any(is_unblocked), "{changes:?}");
+    here.crashed(at(3), crasher, start(4));
+    assert!(is_blocked(&here, at(4), crasher));
+    assert!(!is_blocked(&here, at(4), beside));
 }
 
 /// Two that always crash together must not hide behind each other.
@@ -189,40 +198,40 @@
 fn two_culprits_are_both_refused_soon() {
     let mut register = Register::default();
     let both = [request("c"), request("d")];
-    for number in 1..=LIMIT {
-        for culprit in both {
-            register.crashed(at(0), culprit, start(number));
+    for number in 1..=MAX_CRASHES {
+        for crasher in both {
+            register.crashed(at(0), crasher, start(number));
         }
     }
-    let left = both.into_iter().find(|c| !is_refused(&register, at(1), *c));
+    let left = both.into_iter().find(|c| !is_blocked(&register, at(1), *c));
     if let Some(left) = left {
-        for number in LIMIT + 1..=CAP {
+        for number in MAX_CRASHES + 1..=MAX_SHARED_CRASHES {
             register.crashed(at(2), left, start(number));
         }
     }
-    let refused = |culprit| is_refused(&register, at(3), culprit);
+    let refused = |crasher| is_blocked(&register, at(3), crasher);
     assert!(both.into_iter().all(refused));
 }
 
 /// Endpoints differ: some crash under the request, and at others its runs end.
 #[test]
 fn a_request_that_crashes_every_other_endpoint_is_refused_after_five() {
-    let (mut register, culprit) = (Register::default(), request("c"));
-    for number in 1..=CAP {
-        assert!(!is_refused(&register, at(0), culprit), "{number}");
-        register.crashed(at(number as u64), culprit, start(number));
-        register.ended(at(number as u64), culprit);
+    let (mut register, crasher) = (Register::default(), request("c"));
+    for number in 1..=MAX_SHARED_CRASHES {
+        assert!(!is_blocked(&register, at(0), crasher), "{number}");
+        register.crashed(at(number as u64), crasher, start(number));
+        register.completed(at(number as u64), crasher);
     }
-    assert!(is_refused(&register, at(10), culprit));
+    assert!(is_blocked(&register, at(10), crasher));
     // Others hear of it as of any other.
     let mut there = Register::default();
-    there.heard(at(10), register.all(at(10)));
-    assert!(is_refused(&there, at(10), culprit));
-    register.clear(at(11), culprit);
-    assert!(!is_refused(&register, at(11), culprit));
-    there.heard(at(12), register.untold(at(12), 9));
+    there.merge(at(10), register.reports(at(10)));
+    assert!(is_blocked(&there, at(10), crasher));
+    register.clear(at(11), crasher);
+    assert!(!is_blocked(&register, at(11), crasher));
+    there.merge(at(12), register.take_pending(at(12), 9));
     assert!(
-        !is_refused(&there, at(12), culprit),
+        !is_blocked(&there, at(12), crasher),
         "an operator's word is told, too"
     );
 }
@@ -233,47 +242,47 @@
     let (mut register, popular) = (Register::default(), request("p"));
     for number in 1..=40 {
         for _ in 0..10 {
-            register.ended(at(number), popular);
+            register.completed(at(number), popular);
         }
         register.crashed(at(number), popular, start(number as usize));
-        register.ended(at(number), popular);
-        assert!(!is_refused(&register, at(number), popular), "{number}");
+        register.completed(at(number), popular);
+        assert!(!is_blocked(&register, at(number), popular), "{number}");
     }
 }
 
 #[test]
 fn what_is_too_old_is_forgotten() {
-    let (mut register, culprit) = (Register::default(), request("c"));
-    for number in 1..=LIMIT {
-        register.crashed(at(0), culprit, start(number));
+    let (mut register, crasher) = (Register::default(), request("c"));
+    for number in 1..=MAX_CRASHES {
+        register.crashed(at(0), crasher, start(number));
     }
-    let almost = at(0) + (KEPT - Duration::from_millis(1));
+    let almost = at(0) + (RECORD_TTL - Duration::from_millis(1));
     assert!(!register.expire(almost));
-    assert!(is_refused(&register, almost, culprit));
-    let told = register.all(almost);
-    assert!(register.expire(at(0) + KEPT));
+    assert!(is_blocked(&register, almost, crasher));
+    let sent = register.reports(almost);
+    assert!(register.expire(at(0) + RECORD_TTL));
     assert!(register.is_empty());
     // Another instance may tell of it once more: it is as old there.
-    register.heard(at(0) + KEPT, told);
-    assert!(register.expire(at(2) + KEPT));
+    register.merge(at(0) + RECORD_TTL, sent);
+    assert!(register.expire(at(2) + RECORD_TTL));
 }
 
 /// A process that has just started hears of a crash from before its clock began.
 #[test]
 fn what_is_older_than_the_clock_is_forgotten_in_time() {
-    let culprit = request("c");
+    let crasher = request("c");
     let crash = |number| Report {
-        identity: culprit,
-        starts: vec![(start(number), FIRST)],
+        identity: crasher,
+        starts: vec![(start(number), FIRST_CRASH)],
         ends: 0,
-        age: KEPT - Duration::from_secs(100),
+        age: RECORD_TTL - Duration::from_secs(100),
     };
-    let (began, later) = (Time::from_millis(1_000), Time::from_millis(101_000));
+    let (started_at, later) = (Time::from_millis(1_000), Time::from_millis(101_000));
     let mut register = Register::default();
-    register.heard(began, (1..=LIMIT).map(crash));
-    let standing = register.standing(began, &culprit);
+    register.merge(started_at, (1..=MAX_CRASHES).map(crash));
+    let status = register.status(started_at, &crasher);
     assert!(
-        matches!(standing, Standing::Convicted { age, .. } if age == KEPT - Duration::from_secs(100))
+        matches!(status, RequestStatus::Blocked { age, .. } if age == RECORD_TTL - Duration::from_secs(100))
     );
     assert!(!register.expire(Time::from_millis(100_999)));
     assert!(register.expire(later));
@@ -284,24 +293,24 @@
 #[test]
 fn thousands_of_requests_take_bounded_memory() {
     let mut register = Register::default();
-    let culprit = request("c");
-    for number in 1..=LIMIT {
-        register.crashed(at(0), culprit, start(number));
+    let crasher = request("c");
+    for number in 1..=MAX_CRASHES {
+        register.crashed(at(0), crasher, start(number));
     }
     for number in 0..5_000 {
         let other = request(&format!("once {number}"));
         register.crashed(at(number), other, start(100 + number as usize));
     }
-    assert_eq!(register.len(), (MOST_RECORDS, 1));
-    assert!(is_refused(&register, at(6_000), culprit), "the worst stay");
+    assert_eq!(register.len(), (MAX_RECORDS, 1));
+    assert!(is_blocked(&register, at(6_000), crasher), "the worst stay");
     // Each is told of once, in messages of a bounded size.
-    let (mut told, mut messages) = (0, 0);
-    while register.has_untold() {
-        let reports = register.untold(at(6_000), 128);
+    let (mut sent, mut messages) = (0, 0);
+    while register.has_pending() {
+        let reports = register.take_pending(at(6_000), 128);
         assert!(reports.len() <= 128);
-        (told, messages) = (told + reports.len(), messages + 1);
+        (sent, messages) = (sent + reports.len(), messages + 1);
     }
-    assert!(told <= MOST_RECORDS && messages <= MOST_RECORDS.div_ceil(128) + 1);
+    assert!(sent <= MAX_RECORDS && messages <= MAX_RECORDS.div_ceil(128) + 1);
 }
 
 /// One thing that happens at one of three instances.
@@ -312,11 +321,11 @@
     /// A run of a request ends.
     End(usize, usize),
     /// An instance tells its news, which wait with all others'.
-    Tell(usize),
+    Send(usize),
     /// One of the waiting messages arrives at an instance, and may arrive again.
-    Arrive(usize, usize),
+    Receive(usize, usize),
     /// One of them is lost.
-    Lose(usize),
+    Drop(usize),
     /// An instance starts again and knows nothing.
     Restart(usize),
 }
@@ -325,21 +334,21 @@
     let step = prop_oneof![
         4 => (0..3usize, 0..6usize, 0..9usize).prop_map(|(i, r, e)| Step::Crash(i, r, e)),
         1 => (0..3usize, 0..6usize).prop_map(|(i, r)| Step::End(i, r)),
-        4 => (0..3usize).prop_map(Step::Tell),
-        4 => (0..3usize, any::<usize>()).prop_map(|(i, m)| Step::Arrive(i, m)),
-        1 => any::<usize>().prop_map(Step::Lose),
+        4 => (0..3usize).prop_map(Step::Send),
+        4 => (0..3usize, any::<usize>()).prop_map(|(i, m)| Step::Receive(i, m)),
+        1 => any::<usize>().prop_map(Step::Drop),
         1 => (0..3usize).prop_map(Step::Restart),
     ];
     vec(step, 1..120)
 }
 
 /// What must hold at any moment: a verdict rests on three endpoints that really crashed under the request.
-fn assert_sound(register: &Register, now: Time, crashes: &BTreeSet<(usize, Start)>) {
+fn assert_sound(register: &Register, now: Time, crashes: &BTreeSet<(usize, EndpointStart)>) {
     for number in 0..6 {
         let identity = request(&number.to_string());
-        if is_refused(register, now, identity) {
+        if is_blocked(register, now, identity) {
             let own = crashes.iter().filter(|(request, _)| *request == number);
-            assert!(own.count() >= LIMIT);
+            assert!(own.count() >= MAX_CRASHES);
         }
     }
 }
@@ -350,7 +359,7 @@
     #[test]
     fn instances_that_have_told_each_other_all_decide_the_same(steps in steps()) {
         let mut instances = vec![Register::default(); 3];
-        let mut waiting: Vec<Vec<Report>> = Vec::new();
+        let mut in_flight: Vec<Vec<Report>> = Vec::new();
         let mut crashes = BTreeSet::new();
         let mut now = at(0);
         for step in steps {
@@ -362,19 +371,19 @@
                     instances[at].crashed(now, request(&number.to_string()), start(endpoint));
                 }
                 Step::End(at, number) => {
-                    instances[at].ended(now, request(&number.to_string()));
+                    instances[at].completed(now, request(&number.to_string()));
                 }
-                Step::Tell(at) => waiting.push(instances[at].untold(now, 4)),
-                Step::Arrive(at, message) if !waiting.is_empty() => {
-                    let message = waiting[message % waiting.len()].clone();
-                    instances[at].heard(now, message);
+                Step::Send(at) => in_flight.push(instances[at].take_pending(now, 4)),
+                Step::Receive(at, message) if !in_flight.is_empty() => {
+                    let message = in_flight[message % in_flight.len()].clone();
+                    instances[at].merge(now, message);
                 }
-                Step::Lose(message) if !waiting.is_empty() => {
-                    let at = message % waiting.len();
-                    waiting.remove(at);
+                Step::Drop(message) if !in_flight.is_empty() => {
+                    let at = message % in_flight.len();
+                    in_flight.remove(at);
                 }
                 Step::Restart(at) => instances[at] = Register::default(),
-                Step::Arrive(..) | Step::Lose(_) => {}
+                Step::Receive(..) | Step::Drop(_) => {}
             }
             for register in &instances {
                 assert_sound(register, now, &crashes);
@@ -382,12 +391,12 @@
         }
         // New links: each tells all that it knows, in a ring, twice.
         for from in [0, 1, 2, 0, 1, 2] {
-            let all = instances[from].all(now);
-            instances[(from + 1) % 3].heard(now, all);
+            let all = instances[from].reports(now);
+            instances[(from + 1) % 3].merge(now, all);
         }
         for number in 0..6 {
             let identity = request(&number.to_string());
-            let refused: BTreeSet<_> = instances.iter().map(|i| is_refused(i, now, identity)).collect();
+            let refused: BTreeSet<_> = instances.iter().map(|i| is_blocked(i, now, identity)).collect();
             prop_assert_eq!(refused.len(), 1);
         }
     }
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -7,7 +7,7 @@
 };
 use actix_http::Method;
 use bytes::Bytes;
-use pinereel_core::crash::{Content, Identity, LIMIT, Parts};
+use pinereel_core::crash::{Content, Identity, MAX_CRASHES, Parts};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use std::{cell::RefCell, collections::BTreeMap, io, rc::Rc, time::Duration};
@@ -97,7 +97,7 @@
     pub(super) fn check(&self) {
         let site = self.site.borrow();
         for (body, taken) in self.taken() {
-            if taken > LIMIT + ALLOWED {
+            if taken > MAX_CRASHES + ALLOWED {
                 site.book
                     .fault(format!("{taken} endpoints crashed under {body}"));
             }
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -7,7 +7,7 @@
 use pinereel_api::object::{Instance, Presence};
 use pinereel_core::{
     config::Document,
-    crash::{Content, Identity, Mark, Parts, Report, Start},
+    crash::{Content, EndpointStart, Identity, Involvement, Parts, Report},
 };
 use pinereel_fakes::{
     hosting::fragile::{CRASH, Crashes, Fragile, Listed, Mode},
@@ -126,11 +126,11 @@
         content: Content::Body(b"news"),
     });
     for number in 1..=MOST {
-        let start = Start {
+        let start = EndpointStart {
             endpoint: format!("e-{number}").into(),
             incarnation: 1,
         };
-        let mark = Mark {
+        let mark = Involvement {
             counts: true,
             before: 0,
         };
