--- a/crates/pinereel_core/src/crash/attribution.rs
+++ b/crates/pinereel_core/src/crash/attribution.rs
@@ -1,12 +1,13 @@
-//! Who is to blame for crashes, and must not run any more.
+//! Attributes endpoint crashes to requests and decides which requests are blocked.
 //!
-//! An endpoint that crashes takes along all that runs there. Of those, the one with the most against it before is to
-//! blame. A verdict is made of the surest first:
+//! A crash ends every run at the endpoint. It is attributed to the request with the most earlier
+//! crashes among those that ran there. Requests are blocked by these rules, the most certain one
+//! first:
 //!
-//! 1. Three count against a request, one of them under its last chance, when nothing else began there.
-//! 2. It was to blame three times, and no other was at two of the same endpoints.
-//! 3. Five endpoints count against it, and others account for some of them only.
-//! 4. Five have crashed under it, though runs of it ended in between.
+//! 1. Three crashes count against the request, and one of them happened while it ran in isolation.
+//! 2. Three crashes are attributed to it, and no other request was at two of the same endpoints.
+//! 3. Five crashes count against it, and blocked requests explain only some of them.
+//! 4. Five endpoints have crashed under it, though some of its runs completed in between.
 
 use super::{
     Change, ChangeKind, EndpointStart, ISOLATE_AT_CRASHES, Identity, MAX_CRASHES,
@@ -19,8 +20,8 @@
 };
 
 impl Register {
-    /// Decides anew who must not run; tells what changed. `touched` has the requests that there was news
-    /// of, with the number that counted against each before.
+    /// Recomputes the set of blocked requests and returns what changed. `updated` has the requests
+    /// with new information, each with the number of crashes that counted against it before.
     pub(super) fn reevaluate(
         &mut self,
         now: Time,
@@ -61,8 +62,9 @@
         changes
     }
 
-    /// Convicts those of whom `is_guilty` holds, whoever is to blame for the most first: an endpoint that crashes takes
-    /// along all that runs there, and crashes that a convicted request accounts for count against nobody else.
+    /// Blocks the requests for which `should_block` holds, starting with those that most crashes
+    /// are attributed to. A crash ends every run at the endpoint, so a crash that a blocked request
+    /// explains counts against no other request.
     fn block_matching(&mut self, should_block: impl Fn(&Self, &Identity) -> bool) {
         let enough = self.records.iter().filter(|(identity, record)| {
             record.starts.len() >= MAX_CRASHES && !self.blocked.contains(*identity)
@@ -81,8 +83,9 @@
         }
     }
 
-    /// Whether enough crashes count against a request, and it is to blame for one under its last chance: there it was
-    /// alone, so that what others account for does not matter.
+    /// Whether enough crashes count against the request, and one of them is attributed to it from a
+    /// run in isolation. It ran alone there, so it does not matter which of its other crashes are
+    /// explained.
     fn is_confirmed(&self, identity: &Identity) -> bool {
         let mut counted = self.counted(identity);
         let in_isolation = counted
@@ -95,7 +98,7 @@
         record.is_some_and(Record::crashes_repeatedly)
     }
 
-    /// Whether another request may as well be to blame: it was at two of the same endpoints.
+    /// Whether another request could equally be the cause: it was at two of the same endpoints.
     fn has_co_suspect(&self, identity: &Identity) -> bool {
         let own: BTreeSet<_> = self.counted(identity).map(|(start, _)| start).collect();
         self.records.iter().any(|(other, record)| {
@@ -106,8 +109,8 @@
         })
     }
 
-    /// Whether a request, against which so many counted before, is to blame for a crash: of those that ran there, it
-    /// had the most against it.
+    /// Whether the crash of `start` is attributed to a request that `before` crashes counted
+    /// against at that time: no other request that ran there had more.
     fn is_cause(&self, start: &EndpointStart, before: usize) -> bool {
         let most = self.max_before.get(start);
         before >= most.copied().unwrap_or_default()
@@ -127,20 +130,22 @@
         }
     }
 
-    /// Endpoints that count against a request that may run. Those that others account for count, too, until a run of it
-    /// ends: two that crash endpoints may have met at one.
+    /// Crashes that count against a request that is not blocked. Those that a blocked request
+    /// explains count as well until one of its runs completes: two requests that crash endpoints
+    /// may have met at one.
     pub(super) fn crash_count(&self, identity: &Identity) -> usize {
         self.counted(identity).count()
     }
 
-    /// Those of them that no convicted request accounts for; one at least.
+    /// Crashes among [`Register::crash_count`] that no blocked request explains; at least one if
+    /// any counts.
     pub(super) fn unexplained(&self, identity: &Identity) -> usize {
         let counted = self.counted(identity);
         let unexplained = counted.filter(|(start, _)| !self.explained.contains(*start));
         unexplained.count().max(self.crash_count(identity).min(1))
     }
 
-    /// Endpoints for whose crash a request is to blame, as far as no convicted one accounts for it.
+    /// Crashes that are attributed to the request and that no blocked request explains.
     fn attributed_crashes(&self, identity: &Identity) -> usize {
         let counted = self.counted(identity);
         let own = counted.filter(|(start, before)| {
@@ -149,7 +154,7 @@
         own.count()
     }
 
-    /// Whether a start has crashed, as far as is known.
+    /// Whether this endpoint start is known to have crashed.
     pub(super) fn has_crashed(&self, start: &EndpointStart) -> bool {
         self.max_before.contains_key(start)
     }
--- a/crates/pinereel_core/src/crash/endpoint_start.rs
+++ b/crates/pinereel_core/src/crash/endpoint_start.rs
@@ -1,10 +1,10 @@
-//! One start of an endpoint.
+//! Identifies one start of an endpoint process.
 
 use crate::endpoint::Endpoint;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// One start of one endpoint: it crashes once at most, however many requests it takes along.
+/// One start of an endpoint. It crashes at most once, however many requests it was running.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointStart {
     /// Id of the endpoint.
--- a/crates/pinereel_core/src/crash/identity.rs
+++ b/crates/pinereel_core/src/crash/identity.rs
@@ -1,33 +1,34 @@
-//! Which requests are the same one.
+//! Identity of a request across retries, independent of its request id.
 
 use crate::hash::Digest;
 use compact_str::CompactString;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::{fmt, str::FromStr};
 
-/// What makes a request the same one when it comes again: its caller, where it goes and what it
-/// carries. The id is left out, since each attempt of a caller has its own.
+/// What identifies a request: its caller, its target and its content. The request id is left out,
+/// since each retry has its own.
 #[derive(Clone, Copy, Debug)]
 pub struct Parts<'a> {
-    /// The caller's workspace, or its credential; empty if it gives none. One caller's requests so never count
-    /// against another one that can be told apart.
+    /// The caller's workspace or its credential; empty if it gives neither. It keeps one caller's
+    /// requests from counting against those of another caller that can be told apart.
     pub caller: &'a [u8],
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host.
+    /// Host that the request is addressed to.
     pub host: &'a str,
     /// Path with query.
     pub target: &'a str,
-    /// What it carries.
+    /// Body or prompt.
     pub content: Content<'a>,
 }
 
-/// What a request carries.
+/// Content that identifies a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Content<'a> {
     /// The whole body.
     Body(&'a [u8]),
-    /// The name of its whole prompt. The body is not looked at then: it may differ between two that ask the same.
+    /// The name of the whole prompt. The body is ignored then, since it may differ between requests
+    /// for the same completion.
     Prompt(&'a str),
 }
 
@@ -45,23 +46,23 @@
     }
 }
 
-/// First 128 bits of the SHA-256 of a request's [`Parts`]: alike on all instances and builds, and the
-/// only thing about a request that is kept or passed on.
+/// First 128 bits of the SHA-256 of a request's [`Parts`]. The same on all instances and builds,
+/// and the only information about a request that is stored or sent to other instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity(Digest);
 
-/// A text that is no identity.
+/// Error for a text that is not an [`Identity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an identity has 32 hexadecimal digits")]
 pub struct ParseIdentityError;
 
 impl Identity {
-    /// The identity of a request.
+    /// Hashes the parts of a request.
     pub fn of(parts: Parts<'_>) -> Self {
         let texts = [parts.method, parts.host, parts.target].map(str::as_bytes);
         let [method, host, target] = texts;
         let mut bytes = Vec::new();
-        // Each length comes first, so that no two requests have the same bytes.
+        // Each part is preceded by its length, so that no two requests hash the same bytes.
         let (kind, content) = parts.content.bytes();
         for part in [parts.caller, method, host, target, content] {
             bytes.extend_from_slice(&(part.len() as u64).to_be_bytes());
--- a/crates/pinereel_core/src/crash/placement.rs
+++ b/crates/pinereel_core/src/crash/placement.rs
@@ -1,4 +1,4 @@
-//! Where and when a request in doubt may run.
+//! Places suspected requests: at which endpoint and when each may run.
 
 use super::{
     ENDPOINTS_PER_RESERVATION, EndpointStart, ISOLATE_AT_CRASHES, ISOLATION_SLICE, Identity,
@@ -7,43 +7,46 @@
 use crate::{Time, hash};
 use std::{collections::BTreeSet, time::Duration};
 
-/// Where a request in doubt may run.
+/// Where a suspected request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// There, now.
+    /// It may run at this endpoint now.
     Endpoint(EndpointStart),
-    /// Others in doubt go first: its turn comes after so long.
+    /// Other suspected requests go first: ask again after this time.
     Wait(Duration),
-    /// No endpoint is open to it.
+    /// No endpoint may take it.
     Unavailable,
 }
 
-/// Longest wait until another one in doubt has left an endpoint: about a run.
+/// Wait until another suspected request has left an endpoint: about one run.
 const OCCUPIED_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// One with a last chance waits so long after the last crash for a second endpoint: crashed ones are back by then. It runs beside
-/// others after that, since some services have one endpoint.
+/// How long after the last crash an isolated request waits for a second endpoint; crashed endpoints
+/// are back by then. Afterwards it runs beside others, since some services have a single endpoint.
 const SECOND_ENDPOINT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The requests with a last chance, in the order of their turns.
+/// Requests that run in isolation, in the order of their time slices.
 struct IsolationQueue {
     order: Vec<Identity>,
-    /// Time since the last crash under one of them.
+    /// Time since the most recent crash under any of them.
     age: Duration,
 }
 
-/// Turns that come round again and again, from the last crash on.
+/// Repeating cycle of time slices, starting at the last crash.
 #[derive(Clone, Copy)]
 struct RoundRobin {
     slices: usize,
 }
 
 impl Register {
-    /// Where a request in doubt may run, of the endpoints that are `open`; at those `occupied` another one in doubt runs.
+    /// Where a suspected request may run, out of the endpoints `open`. At those in `occupied`
+    /// another suspected request is running.
     ///
-    /// All instances that know the same choose the same endpoint, so that the request runs at one at a time. Those
-    /// with a last chance take turns, each at an endpoint where nothing else begins meanwhile; the others in doubt run one
-    /// at an endpoint. So a crash tells who was to blame. Nobody has to be there for others to have their turn.
+    /// All instances with the same reports choose the same endpoint, so the request runs at one
+    /// endpoint at a time. Isolated requests take turns, each at an endpoint where nothing else
+    /// starts meanwhile; other suspected requests run one per endpoint. This way a crash identifies
+    /// the request that caused it. Slices follow the clock, so a request that is absent does not
+    /// delay the others.
     pub fn place(
         &self,
         now: Time,
@@ -63,7 +66,7 @@
             .iter()
             .filter(|s| !reserved.contains(**s))
             .collect();
-        // One with a last chance has the only endpoint.
+        // The only endpoint is reserved for an isolated request.
         let Some(max_index) = free.len().checked_sub(1) else {
             return Placement::Wait(ISOLATION_SLICE);
         };
@@ -75,7 +78,7 @@
         Placement::Endpoint((*candidate).clone())
     }
 
-    /// The endpoints, of those that are `open`, where nothing may begin now but a request with a last chance.
+    /// Endpoints out of `open` where only isolated requests may start now.
     pub fn reserved(&self, now: Time, open: &[EndpointStart]) -> BTreeSet<EndpointStart> {
         let queue = self.isolation_queue(now);
         let candidates = self.candidates(open);
@@ -99,7 +102,8 @@
             .collect()
     }
 
-    /// The seat of a request with a last chance, in its turn. While there is one endpoint alone, others go on there.
+    /// Places an isolated request in its time slice. With a single endpoint, other requests keep
+    /// running there.
     fn place_isolated(
         &self,
         now: Time,
@@ -120,7 +124,7 @@
         Placement::Endpoint(candidates[own % reserved_count].clone())
     }
 
-    /// The open endpoints that have not crashed, in the order that all instances give them.
+    /// The open endpoints that have not crashed, in the same order at all instances.
     fn candidates<'a>(&self, open: &'a [EndpointStart]) -> Vec<&'a EndpointStart> {
         let mut candidates: Vec<_> = open.iter().filter(|s| !self.has_crashed(s)).collect();
         candidates.sort();
@@ -142,7 +146,7 @@
     }
 }
 
-/// Endpoints that requests with a last chance have at once.
+/// Number of endpoints that isolated requests use at once.
 fn reserved_count(candidates: &[&EndpointStart]) -> usize {
     (candidates.len() / ENDPOINTS_PER_RESERVATION).max(1)
 }
@@ -154,14 +158,15 @@
         }
     }
 
-    /// Whose turn it is, so long after the begin of the first one.
+    /// Index of the slice in progress, `since` the start of the first one.
     fn current(self, since: Duration) -> usize {
         let number = since.as_micros() / ISOLATION_SLICE.as_micros();
         (number % self.slices as u128) as usize
     }
 
-    /// How long the one whose turn is `own` waits, so long after the begin of the first turn. It begins in the
-    /// second quarter of its turn: what was there before has ended, and it is done before the next one.
+    /// Time until the start window of slice `own`, `since` the start of the first one. The window
+    /// is the second quarter of the slice: earlier runs at the endpoint have ended by then, and the
+    /// run itself ends before the next slice.
     fn wait(self, own: usize, since: Duration) -> Duration {
         let slice = ISOLATION_SLICE.as_micros();
         let within = since.as_micros() % slice;
--- a/crates/pinereel_core/src/crash/record.rs
+++ b/crates/pinereel_core/src/crash/record.rs
@@ -1,51 +1,51 @@
-//! What is known of one request.
+//! The crash record of one request, and the report that instances exchange about it.
 
 use super::{EndpointStart, Identity, MAX_SHARED_CRASHES, MIN_COMPLETIONS_PER_CRASH, RECORD_TTL};
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Starts that are kept of one request: more than are needed for any decision.
+/// Endpoint starts kept per request: more than any rule needs.
 const MAX_STARTS: usize = 16;
 
-/// What one crash says of one request that ran there.
+/// How a request was involved in one crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Involvement {
-    /// Whether it still counts against the request.
+    /// Whether the crash still counts against the request.
     pub counts: bool,
-    /// How many endpoints counted against it before. Of those that ran there, the one with the most is to
-    /// blame.
+    /// Crashes that counted against the request before this one. The crash is attributed to the
+    /// request with the highest number among those that ran there.
     pub before: usize,
 }
 
-/// What an instance tells others of one request.
+/// What an instance tells other instances about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The request.
+    /// The request that the report is about.
     pub identity: Identity,
-    /// Starts that crashed while it ran there.
+    /// Endpoint starts that crashed while the request ran there.
     pub starts: Vec<(EndpointStart, Involvement)>,
-    /// Runs of it that came to their end since the first, as far as one instance has seen.
+    /// Runs completed since the first crash, as far as one instance has seen.
     pub ends: u32,
-    /// Time since the last one.
+    /// Time since the last crash.
     pub age: Duration,
 }
 
-/// What is known of one request.
+/// The crash record of one request.
 ///
-/// Records of two instances merge to the same one in whatever order and however often they are told:
-/// starts only come, and what has stopped to count never counts again.
+/// Merging is commutative and idempotent: starts are only added, and a crash that has stopped
+/// counting never counts again.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    /// Starts that crashed while it ran there.
+    /// Endpoint starts that crashed while the request ran there.
     pub(super) starts: BTreeMap<EndpointStart, Involvement>,
-    /// Runs that came to their end since the first crash, the most that one instance has seen.
+    /// Runs completed since the first crash: the highest number that one instance has seen.
     pub(super) completions: u32,
-    /// Time since the last one crashed, as far as this instance knows, as of `aged_at`: it may have been before the
-    /// clock's start.
+    /// Time between the last known crash and `aged_at`. Kept as a duration because the crash may
+    /// predate the start of this process's clock.
     age: Duration,
     aged_at: Time,
-    /// When each was heard of here.
+    /// When a report last added something here.
     pub(super) merged_at: Time,
 }
 
@@ -60,18 +60,18 @@
         }
     }
 
-    /// Time since the last crash.
     pub(super) fn age(&self, now: Time) -> Duration {
         self.age + now.since(self.aged_at)
     }
 
-    /// A crash was so long ago.
+    /// Lowers the age to `age` if that crash is more recent.
     pub(super) fn observe_age(&mut self, now: Time, age: Duration) {
         self.age = self.age(now).min(age);
         self.aged_at = now;
     }
 
-    /// Takes a start in; says whether that is news.
+    /// Adds or merges one start; returns whether anything changed. When the record is full, a start
+    /// that no longer counts is evicted; without one the new start is dropped.
     pub(super) fn insert(&mut self, start: EndpointStart, involvement: Involvement) -> bool {
         if let Some(known) = self.starts.get_mut(&start) {
             let before = *known;
@@ -93,7 +93,7 @@
         true
     }
 
-    /// No start that is known now counts any more; says whether one did.
+    /// Stops counting all known crashes; returns whether any counted.
     pub(super) fn clear(&mut self) -> bool {
         let counted = self.counted().next().is_some();
         self.starts
@@ -102,15 +102,15 @@
         counted
     }
 
-    /// Whether it crashes some endpoints again and again, though runs of it end at others. Whoever just runs often has
-    /// far more runs that end than crashes.
+    /// Whether the request keeps crashing endpoints although runs of it complete elsewhere. A
+    /// request that merely runs often completes far more runs than it meets crashes.
     pub(super) fn crashes_repeatedly(&self) -> bool {
         let crashes = u32::try_from(self.starts.len()).unwrap_or(u32::MAX);
         self.starts.len() >= MAX_SHARED_CRASHES
             && self.completions < crashes * MIN_COMPLETIONS_PER_CRASH
     }
 
-    /// Starts that count.
+    /// Starts that count against the request, with the number that counted before each.
     pub(super) fn counted(&self) -> impl Iterator<Item = (&EndpointStart, usize)> {
         let counted = self
             .starts
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -1,4 +1,4 @@
-//! All requests under which endpoints have crashed.
+//! Register of all requests under which endpoints have crashed.
 
 use super::{
     Change, ChangeKind, EndpointStart, Identity, Involvement, MAX_RECORDS, RECORD_TTL, Report,
@@ -13,42 +13,43 @@
 
 /// All requests under which endpoints have crashed, as one instance knows them.
 ///
-/// It takes in what this instance saw and what others tell, and every instance that has heard the same
-/// decides the same. Empty, it costs nothing.
+/// It merges what this instance observes with the reports of other instances. All instances that
+/// have the same reports come to the same decisions. An empty register costs nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Register {
     pub(super) records: BTreeMap<Identity, Record>,
     /// Requests that must not run.
     pub(super) blocked: BTreeSet<Identity>,
-    /// Requests that have a last chance, in the order of their turns.
+    /// Requests that run in isolation, in the order of their time slices.
     pub(super) isolated: Vec<Identity>,
-    /// Crashes that convicted requests account for: they count against nobody else.
+    /// Crashes that blocked requests explain; they count against no other request.
     pub(super) explained: BTreeSet<EndpointStart>,
-    /// The most that counted before against any request that ran at a crashed endpoint.
+    /// Per crashed start, the highest [`Involvement::before`] among the requests that ran there.
     pub(super) max_before: BTreeMap<EndpointStart, usize>,
-    /// Requests of which others are to be told.
+    /// Requests with changes that the other instances have not been sent yet.
     pending: BTreeSet<Identity>,
 }
 
 impl Register {
-    /// Whether nothing is known of any request.
+    /// Whether no request has a record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Number of requests that are known, and of those that must not run.
+    /// Number of requests with a record, and of those that are blocked.
     pub fn len(&self) -> (usize, usize) {
         (self.records.len(), self.blocked.len())
     }
 
-    /// An endpoint crashed while the request ran there beside others. What convicted requests account for does not tell
-    /// against it.
+    /// Records that an endpoint crashed while the request ran there beside others. Earlier crashes
+    /// that blocked requests explain are left out of [`Involvement::before`].
     pub fn crashed(&mut self, now: Time, identity: Identity, start: EndpointStart) -> Vec<Change> {
         let before = self.unexplained(&identity);
         self.record_crash(now, identity, start, before)
     }
 
-    /// An endpoint crashed while the request had its last chance there: nothing else began beside it.
+    /// Records that an endpoint crashed while the request ran there in isolation: nothing else
+    /// started beside it.
     pub fn crashed_isolated(
         &mut self,
         now: Time,
@@ -79,7 +80,7 @@
         self.merge(now, [report])
     }
 
-    /// Another instance tells of requests.
+    /// Merges reports of other instances or from storage; returns what changed.
     pub fn merge(&mut self, now: Time, reports: impl IntoIterator<Item = Report>) -> Vec<Change> {
         let mut updated = BTreeMap::new();
         for report in reports {
@@ -97,8 +98,8 @@
         self.reevaluate(now, &updated)
     }
 
-    /// A run of the request came to its end: nothing that is known now counts against it any more, unless that goes on
-    /// and on.
+    /// A run of the request completed. All crashes known by now stop counting against it, unless it
+    /// keeps crashing endpoints in between.
     pub fn completed(&mut self, now: Time, identity: Identity) -> Vec<Change> {
         let Some(record) = self.records.get_mut(&identity) else {
             return Vec::new();
@@ -107,7 +108,7 @@
         self.clear_crashes(now, identity)
     }
 
-    /// An operator says that the request may run again.
+    /// An operator allows the request to run again.
     pub fn clear(&mut self, now: Time, identity: Identity) -> Vec<Change> {
         if let Some(record) = self.records.get_mut(&identity) {
             record.completions = u32::MAX;
@@ -126,7 +127,8 @@
         self.reevaluate(now, &BTreeMap::from([(identity, before)]))
     }
 
-    /// An endpoint has answered a request that was sent to it at `sent_at`: it had not crashed before.
+    /// An endpoint answered a request that was sent to it at `sent_at`, so it is alive and its
+    /// recorded crash stops counting.
     pub fn endpoint_answered(
         &mut self,
         now: Time,
@@ -155,7 +157,7 @@
         self.reevaluate(now, &updated)
     }
 
-    /// Forgets what is too old to count; says whether anything was.
+    /// Removes records older than [`RECORD_TTL`]; returns whether there were any.
     pub fn expire(&mut self, now: Time) -> bool {
         let known = self.records.len();
         self.records
@@ -167,7 +169,7 @@
         forgot
     }
 
-    /// How a request stands.
+    /// Whether the request may run, and under which restriction.
     pub fn status(&self, now: Time, identity: &Identity) -> RequestStatus {
         let Some(record) = self.records.get(identity) else {
             return RequestStatus::Unrestricted;
@@ -186,17 +188,17 @@
         }
     }
 
-    /// Whether any request has a last chance.
+    /// Whether any request has to run in isolation.
     pub fn has_isolated(&self) -> bool {
         !self.isolated.is_empty()
     }
 
-    /// Whether others are to be told something.
+    /// Whether there are changes to send to other instances.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// What others are to be told, at most `most` requests of it.
+    /// Takes reports of changed requests for the other instances, at most `most`.
     pub fn take_pending(&mut self, now: Time, most: usize) -> Vec<Report> {
         let mut reports = Vec::new();
         while reports.len() < most
@@ -208,7 +210,7 @@
         reports
     }
 
-    /// All that is known, those that count most first.
+    /// Reports of all requests, those with the most counting crashes first.
     pub fn reports(&self, now: Time) -> Vec<Report> {
         let mut all: Vec<_> = self.records.iter().collect();
         all.sort_by_key(|(_, record)| Reverse(record.counted().count()));
@@ -218,7 +220,7 @@
             .collect()
     }
 
-    /// Crashes that count against a request, and what counted against it before each.
+    /// Crashes that count against a request, each with the number that counted before it.
     pub(super) fn counted(
         &self,
         identity: &Identity,
@@ -227,7 +229,7 @@
         record.into_iter().flat_map(Record::counted)
     }
 
-    /// Takes a report in; says whether it was news.
+    /// Merges one report; returns whether it changed the record.
     fn merge_report(&mut self, now: Time, report: Report) -> bool {
         if report.age >= RECORD_TTL {
             return false;
@@ -247,7 +249,8 @@
         changed
     }
 
-    /// Forgets the requests that matter least while there are too many.
+    /// Evicts records down to [`MAX_RECORDS`]: unblocked ones first, then those with the fewest
+    /// counting crashes, then the oldest.
     fn evict_excess(&mut self, now: Time) {
         while self.records.len() > MAX_RECORDS {
             let least = self.records.iter().min_by_key(|(identity, record)| {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// What is told of a request that changed.
+    /// A change of `kind` with the request's current figures.
     pub(super) fn describe_change(
         &self,
         now: Time,
--- a/crates/pinereel_core/src/crash/status.rs
+++ b/crates/pinereel_core/src/crash/status.rs
@@ -1,39 +1,39 @@
-//! How a request stands, and what changes about it.
+//! Whether a request may run given the crashes recorded for it, and the changes of that status.
 
 use super::{ISOLATE_AT_CRASHES, Identity, PROPAGATION_DELAY};
 use serde::Serialize;
 use std::time::Duration;
 
-/// How a request stands.
+/// Whether a request may run, and under which restriction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing counts against it.
+    /// No crash counts against it.
     Unrestricted,
-    /// Endpoints have crashed while it ran there: it may be to blame, or have run beside another.
+    /// Endpoints crashed while it ran there. It may be the cause, or have run beside the cause.
     Suspected {
-        /// How many count against it.
+        /// Crashes that count against it.
         endpoints: usize,
-        /// Time since the last one.
+        /// Time since the last crash.
         age: Duration,
     },
-    /// It crashes endpoints: it must not run any more.
+    /// It crashes endpoints and must not run.
     Blocked {
-        /// How many count against it.
+        /// Endpoint starts that crashed under it, including those that no longer count.
         endpoints: usize,
-        /// Time since the last one.
+        /// Time since the last crash.
         age: Duration,
-        /// When it is forgotten, and may be tried again.
+        /// Time until the record expires and the request may run again.
         forgotten_in: Duration,
     },
 }
 
 impl RequestStatus {
-    /// Whether it may run once more, where nothing else begins.
+    /// Whether it may run only where nothing else starts.
     pub const fn requires_isolation(&self) -> bool {
         matches!(self, Self::Suspected { endpoints, .. } if *endpoints >= ISOLATE_AT_CRASHES)
     }
 
-    /// How long a request in doubt waits until all instances know of the last crash under it.
+    /// How long a suspected request waits until all instances know of the last crash under it.
     pub fn propagation_wait(&self) -> Option<Duration> {
         match self {
             Self::Suspected { age, .. } => PROPAGATION_DELAY
@@ -44,32 +44,33 @@
     }
 }
 
-/// What changed about a request.
+/// Kind of a [`Change`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// Another endpoint counts against it.
+    /// The number of crashes that count against it has grown.
     #[serde(rename = "doubt")]
     Suspected,
     /// It must not run any more.
     #[serde(rename = "verdict")]
     Blocked,
-    /// It must not be refused any more: others are to blame, or it has been cleared.
+    /// It may run again: other requests explain its crashes, or it was cleared.
     #[serde(rename = "acquitted")]
     Unblocked,
-    /// A run of it came to its end, the endpoints live, or an operator said so.
+    /// Fewer crashes count against it: a run of it completed, the endpoint answered, or an operator
+    /// cleared it.
     Cleared,
 }
 
-/// A change of one request.
+/// A change of one request's status, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The request.
+    /// The request whose status changed.
     pub identity: Identity,
-    /// What changed.
+    /// How its status changed.
     pub kind: ChangeKind,
-    /// Endpoints that count against it now.
+    /// Endpoint starts that crashed under it, including those that no longer count.
     pub endpoints: usize,
-    /// Time since the last of them.
+    /// Time since the last crash.
     pub age: Duration,
 }
--- a/crates/pinereel_core/tests/crash_innocent.rs
+++ b/crates/pinereel_core/tests/crash_innocent.rs
@@ -1,9 +1,10 @@
-//! Requests that ran beside one that crashes endpoints are not refused, also with several such at once and full
-//! endpoints.
+//! A request that ran beside one that crashes endpoints is not blocked, also with several such
+//! requests at once and with full endpoints.
 //!
-//! A service in virtual time, in rounds of one run: requests come to instances and go where the register lets
-//! them; an endpoint at which a culprit runs crashes at the end of the round and takes all its runs along, and is back as a
-//! new start some rounds later. All instances know of a round's crashes in the next one.
+//! Simulates a service in virtual time, in rounds of one run each. Requests go where the register
+//! places them. An endpoint that runs a crasher crashes at the end of the round, ends all its runs
+//! and returns as a new start some rounds later. All instances know of a round's crashes in the
+//! next round.
 
 use pinereel_core::{
     Time,
@@ -19,9 +20,9 @@
     time::Duration,
 };
 
-/// Time of a round: a run, and the news of it.
+/// Length of a round: one run, and the exchange of reports about it.
 const ROUND: Duration = Duration::from_millis(100);
-/// Rounds until a crashed endpoint is back.
+/// Rounds after which a crashed endpoint is back.
 const RESTART_ROUNDS: u32 = 30;
 const SLOTS: usize = 8;
 
@@ -29,19 +30,19 @@
 struct Scenario {
     endpoints: usize,
     crashers: usize,
-    /// Requests that want to run in each round.
+    /// Requests without fault that are to run in each round.
     harmless: usize,
-    /// Chance that an endpoint crashes by itself in a round.
+    /// Probability per round that an endpoint crashes without a crasher.
     spontaneous_crash_chance: f64,
-    /// Share of the other requests that are culprits, too, each for the first time.
+    /// Share of the other requests that are crashers too, each seen for the first time.
     new_crasher_share: f64,
 }
 
 #[derive(Default)]
 struct Outcome {
-    /// Endpoints that each culprit took.
+    /// Crashed endpoints per crasher.
     crashes: BTreeMap<usize, usize>,
-    /// Innocent requests that were ever refused for a verdict.
+    /// Requests without fault that were blocked at any time.
     wrongly_blocked: BTreeSet<Identity>,
     served: usize,
 }
@@ -60,7 +61,7 @@
     rng: ChaCha8Rng,
     now: Time,
     register: Register,
-    /// Endpoints that run, with their round of return if they do not.
+    /// Endpoints, each with the round of its return if it is down.
     starts: Vec<(EndpointStart, Option<u32>)>,
     next_incarnation: u64,
 }
@@ -85,7 +86,7 @@
         up.map(|(start, _)| start.clone()).collect()
     }
 
-    /// Where a request runs in this round; none if it is refused or must wait.
+    /// Endpoint that runs the request in this round; none if it is blocked or must wait.
     fn place(
         &mut self,
         identity: &Identity,
@@ -195,7 +196,7 @@
     }
 }
 
-/// Plays `rounds`: innocents come again until they are served, culprits always.
+/// Simulates `rounds`. Requests without fault are retried until served, crashers always.
 fn simulate(scenario: Scenario, seed: u64, rounds: u32) -> Outcome {
     let mut simulation = Simulation::new(scenario, seed);
     let mut outcome = Outcome::default();
@@ -213,7 +214,7 @@
         let crashers =
             (0..scenario.crashers).map(|c| (request(&format!("culprit {c} of {seed}")), Some(c)));
         let mut wanted: Vec<_> = waiting.iter().copied().chain(crashers).collect();
-        // Who comes first differs from round to round.
+        // Varies the order of arrival from round to round.
         let offset = simulation.rng.random_range(0..wanted.len());
         wanted.rotate_left(offset);
         let done = simulation.run_round(number, &wanted, scenario, &mut outcome);
@@ -239,7 +240,8 @@
     }
 }
 
-/// Culprits that meet at an endpoint share its crash; from then on each runs alone among those in doubt.
+/// Crashers that meet at an endpoint share its crash; from then on each runs apart from other
+/// suspected requests.
 #[test]
 fn several_culprits_at_once_take_few_and_no_innocent_is_refused() {
     for seed in 0..12 {
@@ -267,7 +269,7 @@
     }
 }
 
-/// Load pattern: endpoints go down and up by turns, each once in twenty seconds.
+/// Load pattern: endpoints go down and up in turn, each once in twenty seconds.
 #[test]
 fn endpoints_that_fail_by_themselves_bring_nobody_a_verdict() {
     for seed in 0..20 {
@@ -283,8 +285,9 @@
     }
 }
 
-/// Load pattern: three of a hundred requests crash the endpoint that begins to run them, each at first unknown, and full endpoints
-/// take all others along. Each takes three, and nobody else is refused; before, such a request took up to five.
+/// Load pattern: three of a hundred requests crash the endpoint that starts them. Each is unknown
+/// at first, and full endpoints end all their other runs. Guards against such a request crashing up
+/// to five endpoints in place of three.
 #[test]
 fn a_share_of_culprits_takes_three_each_and_no_innocent_is_refused() {
     for seed in 0..6 {
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -1,7 +1,8 @@
-//! How soon every instance of a fleet knows of a crash, in virtual time.
+//! Time until every instance of a fleet knows of a crash, in virtual time.
 //!
-//! The tree is the one that [`Branch`] makes, the register the daemon's; a link takes [`HOP`], which is far more than
-//! the 5 ms of a calm one, and an instance gathers news for [`GATHER`] between two messages, as the daemon does.
+//! The broadcast tree is built by [`Branch`], and the register is the one of the daemon. A link
+//! takes [`LINK_DELAY`], far more than the 5 ms of a link without load. An instance waits for
+//! [`FLUSH_INTERVAL`] between two messages, as the daemon does.
 
 use pinereel_core::{
     Time,
@@ -18,9 +19,9 @@
 const LINK_DELAY: Duration = Duration::from_millis(50);
 const FLUSH_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_BATCH_REPORTS: usize = 128;
-/// The aim for instances in touch.
+/// Bound for instances that are connected.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(500);
-/// An instance whose parent is gone finds another one within so long.
+/// Time after which an instance whose parent is gone has a new one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn request(number: usize) -> Identity {
@@ -36,12 +37,12 @@
 struct Node {
     register: Register,
     links: BTreeSet<usize>,
-    /// No message before.
+    /// Earliest time of the next message.
     next_flush_at: Time,
     alive: bool,
 }
 
-/// What happens at a moment.
+/// Event of the simulation.
 enum Event {
     Arrive(usize, Vec<Report>),
     Flush(usize),
@@ -59,7 +60,7 @@
 }
 
 impl Fleet {
-    /// A tree of `count` instances that all came to the first one.
+    /// A tree of `count` instances that all joined at the first one.
     fn new(count: usize) -> Self {
         let peer = |number: usize| Peer {
             address: number.to_string().into(),
@@ -131,7 +132,7 @@
         self.schedule(wait, Event::Flush(node));
     }
 
-    /// Lets everything happen that is due until nothing is left.
+    /// Processes events in order of time until none is left.
     fn run(&mut self) {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
@@ -196,7 +197,8 @@
     }
 }
 
-/// The third crash, at the last instance that came; returns when all know of it.
+/// Records the last crash before the limit at the instance that joined last; returns the time until
+/// all block the request.
 fn propagation_time(count: usize) -> Duration {
     let mut fleet = Fleet::new(count);
     let crasher = request(0);
@@ -208,7 +210,7 @@
     fleet.crash(count - 1, crasher, MAX_CRASHES);
     fleet.run();
     assert!(fleet.all_block(&crasher));
-    // What comes back to whoever told it ends there.
+    // Reports that return to their sender are not sent again.
     assert!(fleet.messages <= 8 * count as u64, "{}", fleet.messages);
     fleet.now.since(started_at)
 }
@@ -239,7 +241,7 @@
     fleet.run();
     assert!(fleet.all_block(&crasher));
     let took = fleet.now.since(started_at);
-    // The rule's bound for the smallest deployment.
+    // Upper bound for the smallest deployment.
     assert!(took <= Duration::from_secs(3), "{took:?}");
 }
 
@@ -250,7 +252,7 @@
     for number in 0..1_000 {
         let node = number % 165;
         fleet.crash(node, request(number), number);
-        // A tenth of them at once, ten times a second.
+        // Delivers after each tenth of them, ten times a second.
         if number % 100 == 99 {
             fleet.run();
         }
@@ -265,6 +267,6 @@
     );
     let seconds = fleet.now.since(started_at).as_secs_f64();
     let per_link = fleet.messages as f64 / seconds / (2.0 * 164.0);
-    // One each 20 ms at the most.
+    // At most one message every 20 ms.
     assert!(per_link <= 50.0, "{per_link} messages a second and link");
 }
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -1,4 +1,4 @@
-//! What counts against a request, whoever tells it, in whatever order and however often.
+//! The register decides the same whichever instance reports, in any order and with duplicates.
 
 use pinereel_core::{
     Time,
@@ -10,7 +10,7 @@
 use proptest::{collection::vec, prelude::*, test_runner::Config};
 use std::{collections::BTreeSet, time::Duration};
 
-/// A crash under a request that nothing counted against.
+/// A crash under a request that no crash counted against.
 const FIRST_CRASH: Involvement = Involvement {
     counts: true,
     before: 0,
@@ -44,7 +44,7 @@
     )
 }
 
-/// First half of the SHA-256 of the five parts, each after its length as eight bytes.
+/// First half of the SHA-256 of the five parts, each preceded by its length as eight bytes.
 #[test]
 fn an_identity_is_the_same_on_every_build() {
     assert_eq!(request("x").to_string(), "199e37bab93d5d87fcfc3ba159755556");
@@ -77,7 +77,7 @@
             content: Content::Body(b""),
             ..usual
         },
-        // The same bytes in a row, divided otherwise.
+        // The same concatenated bytes, split differently.
         Parts {
             host: "h/",
             target: "p",
@@ -136,7 +136,8 @@
     ));
 }
 
-/// A cut link that resets connections looks like a crash from one instance. Others still reach the endpoint.
+/// A link failure that resets connections looks like a crash to one instance, while others still
+/// reach the endpoint.
 #[test]
 fn an_answer_clears_the_endpoint_if_it_was_asked_for_after_the_news() {
     let (mut register, request) = (Register::default(), request("x"));
@@ -144,7 +145,7 @@
         register.crashed(at(0), request, start(number));
     }
     assert!(is_blocked(&register, at(1), request));
-    // On its way when the endpoint crashed.
+    // In flight when the endpoint crashed.
     register.endpoint_answered(at(20), &start(1), at(10));
     assert!(is_blocked(&register, at(21), request));
     register.endpoint_answered(at(400), &start(1), at(300));
@@ -161,14 +162,14 @@
     }
     register.crashed(at(3), crasher, start(3));
     assert!(is_blocked(&register, at(4), crasher));
-    // A third one by itself: the first two are the other's.
+    // A third crash of its own: the other request explains the first two.
     register.crashed(at(5), beside, start(9));
     let status = register.status(at(6), &beside);
     assert!(matches!(status, RequestStatus::Suspected { .. }));
 }
 
-/// Three endpoints at once, before anybody was in doubt: the one that was at all of them is refused, until news come
-/// late that another one may as well be to blame.
+/// Three endpoints crash at once, before any request is suspected. The request that was at all of
+/// them is blocked until a late report shows that another one could equally be the cause.
 #[test]
 fn a_verdict_falls_when_another_may_be_to_blame_and_a_last_chance_decides() {
     let (mut here, mut there) = (Register::default(), Register::default());
@@ -193,7 +194,7 @@
     assert!(!is_blocked(&here, at(4), beside));
 }
 
-/// Two that always crash together must not hide behind each other.
+/// Two requests that always crash endpoints together must both be blocked.
 #[test]
 fn two_culprits_are_both_refused_soon() {
     let mut register = Register::default();
@@ -213,7 +214,7 @@
     assert!(both.into_iter().all(refused));
 }
 
-/// Endpoints differ: some crash under the request, and at others its runs end.
+/// Some endpoints crash under the request, and at others its runs complete.
 #[test]
 fn a_request_that_crashes_every_other_endpoint_is_refused_after_five() {
     let (mut register, crasher) = (Register::default(), request("c"));
@@ -223,7 +224,7 @@
         register.completed(at(number as u64), crasher);
     }
     assert!(is_blocked(&register, at(10), crasher));
-    // Others hear of it as of any other.
+    // Other instances receive it like any other report.
     let mut there = Register::default();
     there.merge(at(10), register.reports(at(10)));
     assert!(is_blocked(&there, at(10), crasher));
@@ -232,11 +233,12 @@
     there.merge(at(12), register.take_pending(at(12), 9));
     assert!(
         !is_blocked(&there, at(12), crasher),
-        "an operator's word is told, too"
+        "clearing by an operator is reported, too"
     );
 }
 
-/// Load pattern: a request that many send all the time is at each endpoint that crashes by itself.
+/// Load pattern: a request that is sent all the time is present at each endpoint that crashes on
+/// its own.
 #[test]
 fn a_request_that_runs_often_is_not_refused_for_endpoints_that_crash_by_themselves() {
     let (mut register, popular) = (Register::default(), request("p"));
@@ -262,12 +264,12 @@
     let sent = register.reports(almost);
     assert!(register.expire(at(0) + RECORD_TTL));
     assert!(register.is_empty());
-    // Another instance may tell of it once more: it is as old there.
+    // Another instance may report it again: the age stays the same.
     register.merge(at(0) + RECORD_TTL, sent);
     assert!(register.expire(at(2) + RECORD_TTL));
 }
 
-/// A process that has just started hears of a crash from before its clock began.
+/// A process that has just started receives a report of a crash that is older than its clock.
 #[test]
 fn what_is_older_than_the_clock_is_forgotten_in_time() {
     let crasher = request("c");
@@ -289,7 +291,7 @@
     assert!(register.is_empty());
 }
 
-/// Load pattern: a thousand requests a second crash an endpoint each, for five seconds.
+/// Load pattern: a thousand requests per second crash one endpoint each, for five seconds.
 #[test]
 fn thousands_of_requests_take_bounded_memory() {
     let mut register = Register::default();
@@ -302,8 +304,11 @@
         register.crashed(at(number), other, start(100 + number as usize));
     }
     assert_eq!(register.len(), (MAX_RECORDS, 1));
-    assert!(is_blocked(&register, at(6_000), crasher), "the worst stay");
-    // Each is told of once, in messages of a bounded size.
+    assert!(
+        is_blocked(&register, at(6_000), crasher),
+        "blocked requests are kept"
+    );
+    // Each is reported once, in messages of bounded size.
     let (mut sent, mut messages) = (0, 0);
     while register.has_pending() {
         let reports = register.take_pending(at(6_000), 128);
@@ -313,20 +318,20 @@
     assert!(sent <= MAX_RECORDS && messages <= MAX_RECORDS.div_ceil(128) + 1);
 }
 
-/// One thing that happens at one of three instances.
+/// An event at one of three instances.
 #[derive(Clone, Debug)]
 enum Step {
     /// An endpoint crashes under a request.
     Crash(usize, usize, usize),
-    /// A run of a request ends.
+    /// A run of a request completes.
     End(usize, usize),
-    /// An instance tells its news, which wait with all others'.
+    /// An instance sends its pending reports.
     Send(usize),
-    /// One of the waiting messages arrives at an instance, and may arrive again.
+    /// An instance receives one of the messages in flight, which may be delivered again.
     Receive(usize, usize),
-    /// One of them is lost.
+    /// One of the messages in flight is lost.
     Drop(usize),
-    /// An instance starts again and knows nothing.
+    /// An instance restarts without records.
     Restart(usize),
 }
 
@@ -342,7 +347,7 @@
     vec(step, 1..120)
 }
 
-/// What must hold at any moment: a verdict rests on three endpoints that really crashed under the request.
+/// Invariant: a request is blocked only after three endpoints actually crashed under it.
 fn assert_sound(register: &Register, now: Time, crashes: &BTreeSet<(usize, EndpointStart)>) {
     for number in 0..6 {
         let identity = request(&number.to_string());
@@ -366,7 +371,7 @@
             now = now + Duration::from_millis(7);
             match step {
                 Step::Crash(at, number, endpoint) => {
-                    // Endpoints are shared, so that requests crash beside each other.
+                    // Endpoints are shared, so requests meet at crashed endpoints.
                     crashes.insert((number, start(endpoint)));
                     instances[at].crashed(now, request(&number.to_string()), start(endpoint));
                 }
@@ -389,7 +394,7 @@
                 assert_sound(register, now, &crashes);
             }
         }
-        // New links: each tells all that it knows, in a ring, twice.
+        // New links: each instance sends all reports to the next one, twice around the ring.
         for from in [0, 1, 2, 0, 1, 2] {
             let all = instances[from].reports(now);
             instances[(from + 1) % 3].merge(now, all);
