--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/relay/attempt.rs
@@ -9,7 +9,7 @@
 use futures_util::future::LocalBoxFuture;
 use pinereel_core::{
     endpoint::{End, Key},
-    relay::Ended,
+    retry::Failure,
 };
 use pinereel_port::{config::Kind, live::Attempt};
 use std::{rc::Rc, time::Duration};
@@ -21,7 +21,7 @@
     /// Whether it was the last chance of its request.
     pub(super) alone: bool,
     pub(super) took: Duration,
-    pub(super) ended: Result<Answer, Ended>,
+    pub(super) ended: Result<Answer, Failure>,
 }
 
 impl Relay {
@@ -40,7 +40,7 @@
             let wait = call.give_up.saturating_duration_since(began);
             let exchange = relay.exchange(&call, &picked, wait);
             let ended = timeout(wait, exchange).await;
-            let ended = ended.unwrap_or(Err(Ended::Lost));
+            let ended = ended.unwrap_or(Err(Failure::Lost));
             guard.disarm();
             drop(occupied);
             Tried {
@@ -57,7 +57,7 @@
         call: &Call,
         picked: &Picked,
         wait: Duration,
-    ) -> Result<Answer, Ended> {
+    ) -> Result<Answer, Failure> {
         let head = self.head(call, picked, wait);
         let began = Instant::now();
         let repeatable = call.route.kind == Kind::Idempotent;
@@ -74,7 +74,7 @@
                 Ok(response) => {
                     let judged = self.judge(call, picked, response).await;
                     return match judged {
-                        Err(Ended::Lost) => Err(self.after_break(picked).await),
+                        Err(Failure::Lost) => Err(self.after_break(picked).await),
                         judged => judged,
                     };
                 }
@@ -86,7 +86,7 @@
                 // What the first connection carried may have run: a refused second one said "not run" of an
                 // endpoint that had run it for 88 ms and crashed.
                 Err(Error::NotOpened(_)) if broke => return Err(self.after_break(picked).await),
-                Err(Error::NotOpened(_)) => return Err(Ended::NotOpened),
+                Err(Error::NotOpened(_)) => return Err(Failure::NotOpened),
                 Err(Error::Lost(why)) => {
                     report_break(call, picked, began, &why);
                     return Err(self.after_break(picked).await);
@@ -96,10 +96,10 @@
     }
 
     /// What it means that a connection broke under a request: an endpoint that listens has not crashed.
-    async fn after_break(&self, picked: &Picked) -> Ended {
+    async fn after_break(&self, picked: &Picked) -> Failure {
         match self.parts.pool.is_gone(picked.address).await {
-            true => Ended::Crashed,
-            false => Ended::Lost,
+            true => Failure::Crashed,
+            false => Failure::Lost,
         }
     }
 
@@ -133,31 +133,31 @@
         call: &Call,
         picked: &Picked,
         response: Response,
-    ) -> Result<Answer, Ended> {
+    ) -> Result<Answer, Failure> {
         let said = (self.parts.adapter.live.answer)(response.status, &response.headers);
         if let Some(load) = said.load {
             self.parts.endpoints.reported(picked.key, load);
         }
         let foreign = said.id.as_ref().is_some_and(|id| *id != call.id);
         if foreign || said.encoded {
-            return Err(Ended::Garbled);
+            return Err(Failure::InvalidAnswer);
         }
         if said.not_run {
             // Read to its end, so that the connection can be used again.
             let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
             let _ = response.body.whole().await;
             return Err(if misdirected {
-                Ended::OtherEndpoint
+                Failure::OtherEndpoint
             } else {
-                Ended::Refused
+                Failure::Refused
             });
         }
         let signed = said.signature.is_some() && said.id.is_some();
         if response.status.is_success() && !signed {
-            return Err(Ended::Garbled);
+            return Err(Failure::InvalidAnswer);
         }
         let (status, headers) = (response.status, end_to_end(&response.headers));
-        let body = response.body.whole().await.map_err(|_| Ended::Lost)?;
+        let body = response.body.whole().await.map_err(|_| Failure::Lost)?;
         Ok(Answer {
             status,
             headers,
--- a/crates/pinereel/src/hosted/relay/doubt.rs
+++ b/crates/pinereel/src/hosted/relay/doubt.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Course, Outcome, Picked, RETRY_AFTER, Relay};
 use pinereel_core::{
     crash::{Placement, RequestStatus},
-    relay::Attempts,
+    retry::Attempts,
 };
 use std::time::Duration;
 use tokio::time::sleep;
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -23,7 +23,7 @@
     crash::RequestStatus,
     endpoint::{End, Key},
     hash,
-    relay::{Attempts, Ended, Limits, Step, Verdict},
+    retry::{Attempts, Failure, Limits, Resolution, Step},
     table,
 };
 use pinereel_port::{
@@ -115,14 +115,14 @@
             let standing = self.parts.crashes.standing(|| call.identity());
             match standing {
                 RequestStatus::Unrestricted => {}
-                RequestStatus::Suspected { .. } => course.attempts.alone(),
+                RequestStatus::Suspected { .. } => course.attempts.disable_hedging(),
                 RequestStatus::Blocked { forgotten_in, .. } => {
                     self.parts.crashes.count("refusal");
                     report_refusal(&call, standing);
                     break convicted(&course.attempts, forgotten_in);
                 }
             }
-            match course.attempts.next(began.elapsed()) {
+            match course.attempts.next_step(began.elapsed()) {
                 Step::Send => {
                     if let Some(refusal) = self.send(&mut course, standing).await {
                         return self.refuse(&call, service, refusal, began);
@@ -135,11 +135,11 @@
                             trail.push(trace(&tried));
                             self.note(&call, &tried);
                             match tried.ended {
-                                Ok(answer) if course.attempts.accepts(answer.status.as_u16()) => {
+                                Ok(answer) if course.attempts.accept(answer.status.as_u16()) => {
                                     break Outcome::Answer(answer);
                                 }
-                                Ok(answer) => course.attempts.keep(answer),
-                                Err(ended) => course.attempts.ended(ended),
+                                Ok(answer) => course.attempts.keep_error_answer(answer),
+                                Err(ended) => course.attempts.record_failure(ended),
                             }
                         }
                         // What is running is broken off if the request must not run any more.
@@ -152,13 +152,13 @@
                         }
                     }
                 }
-                Step::Done(Verdict::Kept(answer)) => break Outcome::Answer(answer),
-                Step::Done(Verdict::NotRun) => {
+                Step::Done(Resolution::ErrorAnswer(answer)) => break Outcome::Answer(answer),
+                Step::Done(Resolution::NotRun) => {
                     let why = "refused by every endpoint".into();
                     let retry_after = RETRY_AFTER;
                     break Outcome::NotRun { why, retry_after };
                 }
-                Step::Done(Verdict::Unknown) => {
+                Step::Done(Resolution::Unknown) => {
                     let why = "answer lost".into();
                     break Outcome::Unknown { why, late: false };
                 }
@@ -200,7 +200,7 @@
                     course.begun = self.parts.usage.begin(&course.call.caller);
                 }
                 course.used.push(picked.key);
-                course.attempts.sent(course.began.elapsed());
+                course.attempts.record_send(course.began.elapsed());
                 let attempt = self.attempt(
                     &course.call,
                     picked,
@@ -215,7 +215,7 @@
                 Some((why, wait))
             }
             Next::Decline(..) => {
-                course.attempts.exhausted();
+                course.attempts.stop_sending();
                 None
             }
         }
@@ -313,10 +313,10 @@
         let end = match &tried.ended {
             Ok(answer) if answer.status.is_server_error() => End::Failed,
             Ok(_) => End::Whole,
-            Err(Ended::Refused) => End::Overloaded,
-            Err(Ended::OtherEndpoint) => End::Leaving,
-            Err(Ended::NotOpened) => End::ConnectionRefused,
-            Err(Ended::Lost | Ended::Crashed | Ended::Garbled) => End::Failed,
+            Err(Failure::Refused) => End::Overloaded,
+            Err(Failure::OtherEndpoint) => End::Leaving,
+            Err(Failure::NotOpened) => End::ConnectionRefused,
+            Err(Failure::Lost | Failure::Crashed | Failure::InvalidAnswer) => End::Failed,
         };
         let result = match &tried.ended {
             Ok(answer) => status_class(answer.status),
@@ -335,7 +335,7 @@
                 crashes.answered(|| call.identity(), picked.start.clone(), tried.took);
             }
             // One that was leaving, or is listed no more, ends by itself.
-            Err(Ended::Crashed) if endpoints.is_current(&picked.start) => {
+            Err(Failure::Crashed) if endpoints.is_current(&picked.start) => {
                 crashes.crashed(call.identity(), picked.start.clone(), tried.alone);
             }
             _ => {}
--- a/crates/pinereel_core/src/lib.rs
+++ b/crates/pinereel_core/src/lib.rs
@@ -34,7 +34,7 @@
 pub mod member;
 pub mod outcome;
 pub mod provenance;
-pub mod relay;
+pub mod retry;
 pub mod rollout;
 pub mod route;
 pub mod scale;
--- a/crates/pinereel_core/src/relay.rs
+++ b/crates/pinereel_core/src/retry.rs
@@ -9,10 +9,10 @@
 
 /// Part of the latency objective after which a second endpoint is tried. Most answers take a sixth
 /// of it; after half of it there is still time for a whole second attempt.
-const HEDGE: f64 = 0.5;
+const HEDGE_FRACTION: f64 = 0.5;
 /// Sends that endpoints may refuse unrun before the request is refused: with more, every endpoint
 /// is full.
-const MAX_REFUSED: u32 = 4;
+const MAX_REFUSALS: u32 = 4;
 
 /// Bounds of one request.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 
 /// How an attempt ended without an answer that may be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Failure {
     /// The endpoint did not take it: it did not run there.
     Refused,
     /// Another endpoint has the address now: it did not run there.
@@ -39,16 +39,16 @@
     /// The endpoint crashed while it was there: it ran.
     Crashed,
     /// What came is not the endpoint's answer to this request: it may have run.
-    Garbled,
+    InvalidAnswer,
 }
 
-impl Ended {
-    const fn is_not_run(self) -> bool {
+impl Failure {
+    const fn proves_not_run(self) -> bool {
         matches!(self, Self::Refused | Self::OtherEndpoint | Self::NotOpened)
     }
 }
 
-impl Ended {
+impl Failure {
     /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -57,12 +57,12 @@
             Self::NotOpened => "not opened",
             Self::Lost => "lost",
             Self::Crashed => "crashed",
-            Self::Garbled => "garbled",
+            Self::InvalidAnswer => "garbled",
         }
     }
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -76,14 +76,14 @@
     /// Wait for an attempt to end, at most until so long after the begin.
     Wait(Option<Duration>),
     /// Nothing is left to do.
-    Done(Verdict<A>),
+    Done(Resolution<A>),
 }
 
 /// How a request ends that got no good answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict<A> {
+pub enum Resolution<A> {
     /// With an endpoint's answer that tells of a failure.
-    Kept(A),
+    ErrorAnswer(A),
     /// It did not run and will not.
     NotRun,
     /// It may have run.
@@ -94,18 +94,18 @@
 #[derive(Debug)]
 pub struct Attempts<A> {
     limits: Limits,
-    running: u32,
+    in_flight: u32,
     /// Sends that endpoints have not taken.
-    refused: u32,
+    refusals: u32,
     /// Attempts that may have run and brought no good answer.
-    failed: u32,
+    failures: u32,
     /// The last send, after the begin.
     sent_at: Duration,
     /// No further endpoint is to be had.
     exhausted: bool,
     /// It runs at one endpoint at a time.
-    alone: bool,
-    kept: Option<A>,
+    hedging_disabled: bool,
+    error_answer: Option<A>,
 }
 
 impl<A> Attempts<A> {
@@ -113,28 +113,28 @@
     pub const fn new(limits: Limits) -> Self {
         Self {
             limits,
-            running: 0,
-            refused: 0,
-            failed: 0,
+            in_flight: 0,
+            refusals: 0,
+            failures: 0,
             sent_at: Duration::ZERO,
             exhausted: false,
-            alone: false,
-            kept: None,
+            hedging_disabled: false,
+            error_answer: None,
         }
     }
 
     /// What to do, so long after the begin.
-    pub fn next(&mut self, elapsed: Duration) -> Step<A> {
-        if self.running == 0 {
+    pub fn next_step(&mut self, elapsed: Duration) -> Step<A> {
+        if self.in_flight == 0 {
             if self.may_send() {
                 return Step::Send;
             }
-            return Step::Done(self.verdict());
+            return Step::Done(self.resolution());
         }
-        if !self.limits.repeatable || self.alone || !self.may_send() {
+        if !self.limits.repeatable || self.hedging_disabled || !self.may_send() {
             return Step::Wait(None);
         }
-        let hedge_at = self.sent_at + self.limits.objective.mul_f64(HEDGE);
+        let hedge_at = self.sent_at + self.limits.objective.mul_f64(HEDGE_FRACTION);
         if elapsed >= hedge_at {
             return Step::Send;
         }
@@ -142,67 +142,67 @@
     }
 
     fn may_send(&self) -> bool {
-        let run = self.running + self.failed;
-        let most = if self.limits.repeatable {
+        let started = self.in_flight + self.failures;
+        let max_attempts = if self.limits.repeatable {
             self.limits.max_attempts
         } else {
             1
         };
-        !self.exhausted && run < most && self.refused < MAX_REFUSED
+        !self.exhausted && started < max_attempts && self.refusals < MAX_REFUSALS
     }
 
-    fn verdict(&mut self) -> Verdict<A> {
-        match self.kept.take() {
-            Some(answer) => Verdict::Kept(answer),
-            None if self.failed == 0 => Verdict::NotRun,
-            None => Verdict::Unknown,
+    fn resolution(&mut self) -> Resolution<A> {
+        match self.error_answer.take() {
+            Some(answer) => Resolution::ErrorAnswer(answer),
+            None if self.failures == 0 => Resolution::NotRun,
+            None => Resolution::Unknown,
         }
     }
 
     /// An attempt was sent, so long after the begin.
-    pub const fn sent(&mut self, elapsed: Duration) {
-        self.running += 1;
+    pub const fn record_send(&mut self, elapsed: Duration) {
+        self.in_flight += 1;
         self.sent_at = elapsed;
     }
 
     /// There is no endpoint left to send to.
-    pub const fn exhausted(&mut self) {
+    pub const fn stop_sending(&mut self) {
         self.exhausted = true;
     }
 
     /// It runs at one endpoint at a time from now on: endpoints have crashed under it.
-    pub const fn alone(&mut self) {
-        self.alone = true;
+    pub const fn disable_hedging(&mut self) {
+        self.hedging_disabled = true;
     }
 
     /// Whether it may have run, or may be running.
     pub const fn may_have_run(&self) -> bool {
-        self.running + self.failed > 0
+        self.in_flight + self.failures > 0
     }
 
     /// Whether an answer of that status ends the request. One that tells of a failure does not, if
     /// another endpoint may do better.
-    pub fn accepts(&mut self, status: u16) -> bool {
+    pub fn accept(&mut self, status: u16) -> bool {
         if status < 500 {
             return true;
         }
-        self.running -= 1;
-        self.failed += 1;
-        !(self.limits.repeatable && (self.running > 0 || self.may_send()))
+        self.in_flight -= 1;
+        self.failures += 1;
+        !(self.limits.repeatable && (self.in_flight > 0 || self.may_send()))
     }
 
     /// Keeps an answer that [`Attempts::accepts`] did not take, for the case that no better comes.
-    pub fn keep(&mut self, answer: A) {
-        self.kept = Some(answer);
+    pub fn keep_error_answer(&mut self, answer: A) {
+        self.error_answer = Some(answer);
     }
 
     /// An attempt ended without an answer.
-    pub const fn ended(&mut self, ended: Ended) {
-        self.running -= 1;
-        if ended.is_not_run() {
-            self.refused += 1;
+    pub const fn record_failure(&mut self, failure: Failure) {
+        self.in_flight -= 1;
+        if failure.proves_not_run() {
+            self.refusals += 1;
         } else {
-            self.failed += 1;
+            self.failures += 1;
         }
     }
 }
--- a/crates/pinereel_core/tests/relay_attempts.rs
+++ b/crates/pinereel_core/tests/relay_attempts.rs
@@ -1,6 +1,6 @@
 //! When a request is sent again, waited for or given up.
 
-use pinereel_core::relay::{Attempts, Ended, Limits, Step, Verdict};
+use pinereel_core::retry::{Attempts, Failure, Limits, Resolution, Step};
 use proptest::{prelude::*, test_runner::Config};
 use std::time::Duration;
 
@@ -21,50 +21,60 @@
 #[test]
 fn a_second_endpoint_is_tried_at_half_the_objective() {
     let mut request = attempts(true, 2);
-    assert_eq!(request.next(ms(0)), Step::Send);
-    request.sent(ms(0));
-    assert_eq!(request.next(ms(10)), Step::Wait(Some(ms(75))));
-    assert_eq!(request.next(ms(75)), Step::Send);
-    request.sent(ms(75));
-    assert_eq!(request.next(ms(500)), Step::Wait(None), "no third one");
+    assert_eq!(request.next_step(ms(0)), Step::Send);
+    request.record_send(ms(0));
+    assert_eq!(request.next_step(ms(10)), Step::Wait(Some(ms(75))));
+    assert_eq!(request.next_step(ms(75)), Step::Send);
+    request.record_send(ms(75));
+    assert_eq!(request.next_step(ms(500)), Step::Wait(None), "no third one");
 }
 
 #[test]
 fn what_may_run_once_is_sent_again_only_if_it_did_not_run() {
     let mut request = attempts(false, 4);
-    assert_eq!(request.next(ms(0)), Step::Send);
-    request.sent(ms(0));
-    assert_eq!(request.next(ms(1_000)), Step::Wait(None), "never hedged");
-    request.ended(Ended::Refused);
-    assert_eq!(request.next(ms(1_000)), Step::Send);
-    request.sent(ms(1_000));
-    request.ended(Ended::Lost);
-    assert_eq!(request.next(ms(1_100)), Step::Done(Verdict::Unknown));
+    assert_eq!(request.next_step(ms(0)), Step::Send);
+    request.record_send(ms(0));
+    assert_eq!(
+        request.next_step(ms(1_000)),
+        Step::Wait(None),
+        "never hedged"
+    );
+    request.record_failure(Failure::Refused);
+    assert_eq!(request.next_step(ms(1_000)), Step::Send);
+    request.record_send(ms(1_000));
+    request.record_failure(Failure::Lost);
+    assert_eq!(
+        request.next_step(ms(1_100)),
+        Step::Done(Resolution::Unknown)
+    );
 }
 
 #[test]
 fn refused_everywhere_is_not_run() {
     let mut request = attempts(true, 3);
     for _ in 0..4 {
-        assert_eq!(request.next(ms(0)), Step::Send);
-        request.sent(ms(0));
-        request.ended(Ended::Refused);
+        assert_eq!(request.next_step(ms(0)), Step::Send);
+        request.record_send(ms(0));
+        request.record_failure(Failure::Refused);
     }
-    assert_eq!(request.next(ms(0)), Step::Done(Verdict::NotRun));
+    assert_eq!(request.next_step(ms(0)), Step::Done(Resolution::NotRun));
 }
 
 #[test]
 fn an_endpoints_failure_is_passed_on_only_if_no_other_does_better() {
     let mut request = attempts(true, 2);
-    assert_eq!(request.next(ms(0)), Step::Send);
-    request.sent(ms(0));
-    assert!(!request.accepts(500));
-    request.keep(500);
-    assert_eq!(request.next(ms(5)), Step::Send);
-    request.sent(ms(5));
-    request.ended(Ended::Garbled);
-    assert_eq!(request.next(ms(9)), Step::Done(Verdict::Kept(500)));
-    assert!(attempts(true, 2).accepts(404), "a caller's own fault");
+    assert_eq!(request.next_step(ms(0)), Step::Send);
+    request.record_send(ms(0));
+    assert!(!request.accept(500));
+    request.keep_error_answer(500);
+    assert_eq!(request.next_step(ms(5)), Step::Send);
+    request.record_send(ms(5));
+    request.record_failure(Failure::InvalidAnswer);
+    assert_eq!(
+        request.next_step(ms(9)),
+        Step::Done(Resolution::ErrorAnswer(500))
+    );
+    assert!(attempts(true, 2).accept(404), "a caller's own fault");
 }
 
 proptest! {
@@ -72,41 +82,41 @@
     /// Whatever happens: never more runs than allowed, what may run once runs once, and "not run" is
     /// said only if nothing may have run.
     #[test]
-    fn promises_hold(repeatable in any::<bool>(), max in 1u32..5, ends in prop::collection::vec(0u8..6, 0..40)) {
+    fn promises_hold(repeatable in any::<bool>(), max in 1u32..5, events in prop::collection::vec(0u8..6, 0..40)) {
         let mut request = attempts(repeatable, max);
-        let (mut running, mut ran, mut now) = (0u32, 0u32, 0);
-        let mut ends = ends.into_iter();
+        let (mut in_flight, mut may_have_run, mut now) = (0u32, 0u32, 0);
+        let mut events = events.into_iter();
         loop {
             now += 20;
-            match request.next(ms(now)) {
+            match request.next_step(ms(now)) {
                 Step::Send => {
-                    request.sent(ms(now));
-                    running += 1;
-                    let most = if repeatable { max } else { 1 };
-                    prop_assert!(running + ran <= most);
+                    request.record_send(ms(now));
+                    in_flight += 1;
+                    let max_attempts = if repeatable { max } else { 1 };
+                    prop_assert!(in_flight + may_have_run <= max_attempts);
                 }
                 Step::Wait(_) => {
-                    let Some(end) = ends.next() else { break };
-                    match end {
-                        0 => request.ended(Ended::Refused),
-                        1 => request.ended(Ended::NotOpened),
-                        2 => request.ended(Ended::Lost),
-                        3 => request.ended(Ended::Garbled),
+                    let Some(event) = events.next() else { break };
+                    match event {
+                        0 => request.record_failure(Failure::Refused),
+                        1 => request.record_failure(Failure::NotOpened),
+                        2 => request.record_failure(Failure::Lost),
+                        3 => request.record_failure(Failure::InvalidAnswer),
                         // Time passes.
                         4 => continue,
                         _ => {
-                            if request.accepts(500) {
+                            if request.accept(500) {
                                 break;
                             }
-                            request.keep(500);
+                            request.keep_error_answer(500);
                         }
                     }
-                    running -= 1;
-                    ran += u32::from(end >= 2);
+                    in_flight -= 1;
+                    may_have_run += u32::from(event >= 2);
                 }
-                Step::Done(verdict) => {
-                    prop_assert_eq!(running, 0);
-                    prop_assert_eq!(verdict == Verdict::NotRun, ran == 0);
+                Step::Done(resolution) => {
+                    prop_assert_eq!(in_flight, 0);
+                    prop_assert_eq!(resolution == Resolution::NotRun, may_have_run == 0);
                     break;
                 }
             }
