--- a/crates/pinereel_core/src/retry.rs
+++ b/crates/pinereel_core/src/retry.rs
@@ -1,44 +1,43 @@
-//! When a request is sent, sent again, waited for or given up.
+//! Retry and hedging policy of one request: when it is sent, sent again, waited for or given up.
 //!
-//! A request that may be repeated is sent to a second endpoint when the first one takes longer than
-//! usual: answers get lost, and endpoints turn slow or fall silent without a sign. Services are
-//! far from full in ordinary times, so the second send costs little; a worker's answer that came
-//! first is the one that counts.
+//! A repeatable request is hedged: it is sent to a second endpoint when the first one takes longer
+//! than usual, since answers get lost and endpoints turn slow or stop responding without notice.
+//! Services are usually far from full, so the second send costs little. The first good answer is
+//! used.
 
 use std::{fmt, time::Duration};
 
-/// Part of the latency objective after which a second endpoint is tried. Most answers take a sixth
-/// of it; after half of it there is still time for a whole second attempt.
+/// Fraction of the latency objective after which a second endpoint is tried. Most answers take a
+/// sixth of the objective; after half of it there is still time for a complete second attempt.
 const HEDGE_FRACTION: f64 = 0.5;
-/// Sends that endpoints may refuse unrun before the request is refused: with more, every endpoint
-/// is full.
+/// Refusals by endpoints after which the request itself is refused: by then every endpoint is full.
 const MAX_REFUSALS: u32 = 4;
 
-/// Bounds of one request.
+/// Limits of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Most endpoints that it may run on.
+    /// Maximum number of attempts that may run.
     pub max_attempts: u32,
-    /// The time within which an answer is worth most.
+    /// Latency objective, from the start of the request.
     pub objective: Duration,
 }
 
-/// How an attempt ended without an answer that may be passed on.
+/// Why an attempt brought no answer that may be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The endpoint did not take it: it did not run there.
+    /// The endpoint refused it, so it did not run there.
     Refused,
-    /// Another endpoint has the address now: it did not run there.
+    /// Another endpoint has the address now, so it did not run there.
     OtherEndpoint,
-    /// No connection could be opened: it did not run there.
+    /// No connection could be opened, so it did not run there.
     NotOpened,
-    /// No whole answer came: it may have run.
+    /// No complete answer arrived. It may have run.
     Lost,
-    /// The endpoint crashed while it was there: it ran.
+    /// The endpoint crashed during the attempt. It ran.
     Crashed,
-    /// What came is not the endpoint's answer to this request: it may have run.
+    /// The answer is not the endpoint's answer to this request. It may have run.
     InvalidAnswer,
 }
 
@@ -49,7 +48,7 @@
 }
 
 impl Failure {
-    /// The name in logs and metrics.
+    /// Name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -68,48 +67,48 @@
     }
 }
 
-/// What to do next.
+/// What the caller does next.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Step<A> {
     /// Send it to one more endpoint.
     Send,
-    /// Wait for an attempt to end, at most until so long after the begin.
+    /// Wait for an attempt to end, at most until this time since the start of the request.
     Wait(Option<Duration>),
-    /// Nothing is left to do.
+    /// The request is over.
     Done(Resolution<A>),
 }
 
-/// How a request ends that got no good answer.
+/// Outcome of a request without a good answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Resolution<A> {
-    /// With an endpoint's answer that tells of a failure.
+    /// An endpoint's error answer is passed on.
     ErrorAnswer(A),
-    /// It did not run and will not.
+    /// It did not run and will not run.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// The attempts of one request; `A` is an endpoint's answer.
+/// State of the attempts of one request; `A` is the type of an endpoint's answer.
 #[derive(Debug)]
 pub struct Attempts<A> {
     limits: Limits,
     in_flight: u32,
-    /// Sends that endpoints have not taken.
+    /// Attempts that certainly did not run.
     refusals: u32,
     /// Attempts that may have run and brought no good answer.
     failures: u32,
-    /// The last send, after the begin.
+    /// Time of the last send since the start of the request.
     sent_at: Duration,
-    /// No further endpoint is to be had.
+    /// No further endpoint is available.
     exhausted: bool,
-    /// It runs at one endpoint at a time.
+    /// The request runs at one endpoint at a time.
     hedging_disabled: bool,
     error_answer: Option<A>,
 }
 
 impl<A> Attempts<A> {
-    /// None yet.
+    /// State before the first attempt.
     pub const fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -123,7 +122,7 @@
         }
     }
 
-    /// What to do, so long after the begin.
+    /// Returns what to do at `elapsed` since the start of the request.
     pub fn next_step(&mut self, elapsed: Duration) -> Step<A> {
         if self.in_flight == 0 {
             if self.may_send() {
@@ -159,29 +158,30 @@
         }
     }
 
-    /// An attempt was sent, so long after the begin.
+    /// Records that an attempt was sent at `elapsed` since the start of the request.
     pub const fn record_send(&mut self, elapsed: Duration) {
         self.in_flight += 1;
         self.sent_at = elapsed;
     }
 
-    /// There is no endpoint left to send to.
+    /// Records that no further endpoint is available.
     pub const fn stop_sending(&mut self) {
         self.exhausted = true;
     }
 
-    /// It runs at one endpoint at a time from now on: endpoints have crashed under it.
+    /// Limits the request to one endpoint at a time from now on, because endpoints have crashed
+    /// under it.
     pub const fn disable_hedging(&mut self) {
         self.hedging_disabled = true;
     }
 
-    /// Whether it may have run, or may be running.
+    /// Whether an attempt may have run or may be running.
     pub const fn may_have_run(&self) -> bool {
         self.in_flight + self.failures > 0
     }
 
-    /// Whether an answer of that status ends the request. One that tells of a failure does not, if
-    /// another endpoint may do better.
+    /// Whether an answer with this status ends the request. A status of 500 or above counts as a
+    /// failed attempt, and ends the request only if no other attempt can still succeed.
     pub fn accept(&mut self, status: u16) -> bool {
         if status < 500 {
             return true;
@@ -191,12 +191,12 @@
         !(self.limits.repeatable && (self.in_flight > 0 || self.may_send()))
     }
 
-    /// Keeps an answer that [`Attempts::accepts`] did not take, for the case that no better comes.
+    /// Keeps an error answer that [`Attempts::accept`] rejected, in case no better one arrives.
     pub fn keep_error_answer(&mut self, answer: A) {
         self.error_answer = Some(answer);
     }
 
-    /// An attempt ended without an answer.
+    /// Records that an attempt ended without an answer.
     pub const fn record_failure(&mut self, failure: Failure) {
         self.in_flight -= 1;
         if failure.proves_not_run() {
--- a/crates/pinereel_core/tests/relay_attempts.rs
+++ b/crates/pinereel_core/tests/relay_attempts.rs
@@ -1,4 +1,4 @@
-//! When a request is sent again, waited for or given up.
+//! Tests when a request is sent again, waited for or given up.
 
 use pinereel_core::retry::{Attempts, Failure, Limits, Resolution, Step};
 use proptest::{prelude::*, test_runner::Config};
@@ -26,7 +26,11 @@
     assert_eq!(request.next_step(ms(10)), Step::Wait(Some(ms(75))));
     assert_eq!(request.next_step(ms(75)), Step::Send);
     request.record_send(ms(75));
-    assert_eq!(request.next_step(ms(500)), Step::Wait(None), "no third one");
+    assert_eq!(
+        request.next_step(ms(500)),
+        Step::Wait(None),
+        "no third attempt"
+    );
 }
 
 #[test]
@@ -74,13 +78,13 @@
         request.next_step(ms(9)),
         Step::Done(Resolution::ErrorAnswer(500))
     );
-    assert!(attempts(true, 2).accept(404), "a caller's own fault");
+    assert!(attempts(true, 2).accept(404), "a client error is final");
 }
 
 proptest! {
     #![proptest_config(Config { cases: 256, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Config::default() })]
-    /// Whatever happens: never more runs than allowed, what may run once runs once, and "not run" is
-    /// said only if nothing may have run.
+    /// For any sequence of events: no more attempts run than allowed, a request that is not
+    /// repeatable runs at most once, and `NotRun` is reported only if no attempt may have run.
     #[test]
     fn promises_hold(repeatable in any::<bool>(), max in 1u32..5, events in prop::collection::vec(0u8..6, 0..40)) {
         let mut request = attempts(repeatable, max);
