--- a/crates/pinereel/src/controllers/config/apply.rs
+++ b/crates/pinereel/src/controllers/config/apply.rs
@@ -45,7 +45,7 @@
 }
 
 /// Endpoints whose pool has another number of slots now.
-fn slots(shared: &Shared, old: &Document, new: &Document) -> Vec<endpoint::Instance> {
+fn slots(shared: &Shared, old: &Document, new: &Document) -> Vec<endpoint::Listing> {
     let set = shared.endpoints.set();
     let mut changed = Vec::new();
     for (_, known) in set.iter() {
@@ -56,7 +56,7 @@
         if before == Some(pool.slots) || known.state == endpoint::State::Gone {
             continue;
         }
-        changed.push(endpoint::Instance {
+        changed.push(endpoint::Listing {
             name: known.name.clone(),
             incarnation: known.incarnation,
             address: known.address.clone(),
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -13,7 +13,7 @@
 use pinereel_core::{
     Time, Version,
     config::Kind,
-    endpoint::{self, Change, End, Event, Key, Report, Set},
+    endpoint::{self, AttemptEnd, Change, Event, Key, LoadReport, Set},
     hash, lot,
     route::{self, Choice, Policy, Refusal, Request},
 };
@@ -61,19 +61,19 @@
 
 impl Ticket {
     /// Notes how the attempt ended.
-    pub fn finish(mut self, end: End) {
+    pub fn finish(mut self, end: AttemptEnd) {
         self.end(end);
     }
 
-    fn count(&self, end: End) {
+    fn count(&self, end: AttemptEnd) {
         let result = match end {
-            End::Whole => "whole",
-            End::Cancelled => "cancelled",
-            End::Failed => "failed",
-            End::Overloaded => "overloaded",
-            End::ConnectionRefused => "connection_refused",
-            End::ConnectionTimeout => "connection_timeout",
-            End::Leaving => "leaving",
+            AttemptEnd::Completed => "whole",
+            AttemptEnd::Cancelled => "cancelled",
+            AttemptEnd::Failed => "failed",
+            AttemptEnd::Overloaded => "overloaded",
+            AttemptEnd::ConnectionRefused => "connection_refused",
+            AttemptEnd::ConnectionTimeout => "connection_timeout",
+            AttemptEnd::Leaving => "leaving",
         };
         let set = self.shared.endpoints.set();
         let Some(endpoint) = set.get(self.key) else {
@@ -85,7 +85,7 @@
             .inc();
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.done, true) {
             return;
         }
@@ -108,7 +108,7 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.end(End::Cancelled);
+        self.end(AttemptEnd::Cancelled);
     }
 }
 
@@ -207,7 +207,7 @@
 }
 
 fn note(shared: &Shared, change: &Change) {
-    let what = serde_json::to_string(&change.what).unwrap_or_default();
+    let what = serde_json::to_string(&change.kind).unwrap_or_default();
     shared.decide(What::Eject, &change.name, Some(&change.name), &what);
     shared.endpoints.room.notify_waiters();
 }
@@ -285,8 +285,8 @@
     }
 }
 
-fn listing(name: &CompactString, instance: Instance, slots: u32) -> endpoint::Instance {
-    endpoint::Instance {
+fn listing(name: &CompactString, instance: Instance, slots: u32) -> endpoint::Listing {
+    endpoint::Listing {
         name: name.clone(),
         incarnation: instance.incarnation,
         address: instance.address,
@@ -310,7 +310,7 @@
         let Some((key, address)) = found else { break };
         let read = engines::state(&shared.http, &address, REPORT_TIMEOUT).await;
         if let Ok(state) = read {
-            let report = Report {
+            let report = LoadReport {
                 at: Time(shared.now().0.saturating_sub(state.lag_ms * 1_000)),
                 running: state.running,
                 waiting: state.waiting,
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -137,7 +137,7 @@
         zone: shared.zone(),
     };
     let held = listed.iter().filter(|(name, instance)| {
-        subset::holds(me, &all, name, &instance.zone, covers[&instance.pool])
+        subset::contains(me, &all, name, &instance.zone, covers[&instance.pool])
     });
     held.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -15,7 +15,7 @@
 use futures_util::StreamExt as _;
 use pinereel_api::engine::Request;
 use pinereel_core::{
-    endpoint::{End, Key},
+    endpoint::{AttemptEnd, Key},
     lot::{AttemptKey, Event, Failure, Start},
 };
 use std::{pin::pin, rc::Rc, time::Duration};
@@ -111,7 +111,7 @@
 /// Reports the attempt's end to the endpoint's record and to the runner.
 fn close(shared: &Rc<Shared>, attempt: AttemptKey, ticket: Ticket, result: Result<(), Error>) {
     let Err(error) = result else {
-        ticket.finish(End::Whole);
+        ticket.finish(AttemptEnd::Completed);
         return;
     };
     log::info!(entry = shared.name().as_str(); "attempt failed: {error}");
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -15,7 +15,7 @@
 use compact_str::CompactString;
 use pinereel_core::{
     crash::{Content, Identity, Parts},
-    endpoint::End,
+    endpoint::AttemptEnd,
     hash,
     lot::Event,
     route::{Priority, Request},
@@ -100,9 +100,9 @@
     }
     let answer = answer.ok();
     counted.finish(if answer.is_some() {
-        End::Whole
+        AttemptEnd::Completed
     } else {
-        End::Failed
+        AttemptEnd::Failed
     });
     answer.map(|answer| answer.score)
 }
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::{engines, state::Shared};
 use compact_str::CompactString;
-use pinereel_core::endpoint::End;
+use pinereel_core::endpoint::AttemptEnd;
 use std::{rc::Rc, time::Duration};
 
 /// Reason that an endpoint gives when it refuses because it is leaving.
@@ -19,13 +19,13 @@
 }
 
 /// What an engine's error says about the engine.
-pub fn end_of(error: &engines::Error) -> End {
+pub fn end_of(error: &engines::Error) -> AttemptEnd {
     match error {
-        engines::Error::NotOpened(_) => End::ConnectionRefused,
-        engines::Error::Refused(reason) if reason == LEAVING => End::Leaving,
-        engines::Error::Refused(_) => End::Overloaded,
-        engines::Error::Fenced => End::Whole,
-        engines::Error::Lost(_) | engines::Error::Malformed(_) => End::Failed,
+        engines::Error::NotOpened(_) => AttemptEnd::ConnectionRefused,
+        engines::Error::Refused(reason) if reason == LEAVING => AttemptEnd::Leaving,
+        engines::Error::Refused(_) => AttemptEnd::Overloaded,
+        engines::Error::Fenced => AttemptEnd::Completed,
+        engines::Error::Lost(_) | engines::Error::Malformed(_) => AttemptEnd::Failed,
     }
 }
 
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -25,7 +25,7 @@
 };
 use pinereel_core::{
     crash::Identity,
-    endpoint::{End, Key},
+    endpoint::{AttemptEnd, Key},
     hash,
     provenance::Record,
 };
@@ -218,7 +218,7 @@
             let error = match self.attempt(&seat.address, &mut progress).await {
                 Ok(()) => {
                     crashes::answered(self.shared, seat.key, identity, sent_at);
-                    seat.ticket.finish(End::Whole);
+                    seat.ticket.finish(AttemptEnd::Completed);
                     return Ok(());
                 }
                 Err(error) => error,
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -31,7 +31,7 @@
 use pinereel_core::{
     Time,
     crash::{Content, Identity, Parts},
-    endpoint::{End, Key},
+    endpoint::{AttemptEnd, Key},
 };
 use std::{io, rc::Rc};
 use tokio::time::{Instant, timeout_at};
@@ -155,12 +155,12 @@
                     return Ok(pass_on(exchange, response, seat, turn, sent));
                 }
             },
-            Err(Error::NotOpened(e)) => (End::ConnectionRefused, later(&e), true),
+            Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, later(&e), true),
             Err(Error::Invalid(e)) => return Err(refuse(Code::BadRequest, e)),
             Err(Error::Lost(e)) => {
                 crashes::broke(shared, seat.key, identity()).await;
                 let problem = unknown(Code::Unknown, format_compact!("{e}"));
-                (End::Failed, problem, call.repeatable)
+                (AttemptEnd::Failed, problem, call.repeatable)
             }
         };
         seat.ticket.finish(end);
@@ -215,15 +215,15 @@
 }
 
 /// How the attempt ended, if the endpoint said before running it that it will not.
-fn refused(response: &direct::Response) -> Option<End> {
+fn refused(response: &direct::Response) -> Option<AttemptEnd> {
     if response.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
     let reason = response.headers.get(header::REFUSED)?;
     Some(if reason.as_bytes() == LEAVING.as_bytes() {
-        End::Leaving
+        AttemptEnd::Leaving
     } else {
-        End::Overloaded
+        AttemptEnd::Overloaded
     })
 }
 
@@ -303,20 +303,20 @@
             Ok(None) => {
                 let sent = &self.sent;
                 crashes::answered(self.turn.shared(), sent.key, || sent.identity(), sent.at);
-                self.end(End::Whole);
+                self.end(AttemptEnd::Completed);
                 self.turn.succeeded();
                 None
             }
             Err(e) => {
                 let sent = &self.sent;
                 crashes::broke(self.turn.shared(), sent.key, sent.identity()).await;
-                self.end(End::Failed);
+                self.end(AttemptEnd::Failed);
                 Some(Err(e))
             }
         }
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: AttemptEnd) {
         if let Some(ticket) = self.ticket.take() {
             ticket.finish(end);
         }
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -220,8 +220,8 @@
     (id, incarnation, service, address, zone, slots, leaving)
 }
 
-fn listed_instance(entry: &Entry) -> endpoint::Instance {
-    endpoint::Instance {
+fn listed_instance(entry: &Entry) -> endpoint::Listing {
+    endpoint::Listing {
         name: entry.id.clone(),
         incarnation: entry.incarnation,
         address: entry.address.to_string().into(),
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -18,7 +18,7 @@
 use log::Level;
 use pinereel_core::{
     crash::EndpointStart,
-    endpoint::{self, End, Event, Index, Key, Set, State},
+    endpoint::{self, AttemptEnd, Event, Key, ServiceIndex, Set, State},
     hash,
     route::{self, Policy, Priority, Reason, Refusal, Request},
 };
@@ -71,7 +71,7 @@
     affinity: u64,
     entries: RefCell<BTreeMap<CompactString, Listed>>,
     /// Those of the entries that take work.
-    index: RefCell<Index>,
+    index: RefCell<ServiceIndex>,
     /// Revision at which an entry was refused last, by id: each is told of once.
     refused: RefCell<BTreeMap<CompactString, u64>>,
     set: RefCell<Set>,
@@ -318,7 +318,7 @@
     }
 
     /// An attempt ended there.
-    pub fn finished(&self, key: Key, took: Duration, end: End) {
+    pub fn finished(&self, key: Key, took: Duration, end: AttemptEnd) {
         self.step(Event::Finished {
             key,
             tokens: 0,
@@ -329,7 +329,7 @@
 
     /// An answer told the endpoint's load.
     pub fn reported(&self, key: Key, load: Load) {
-        let report = endpoint::Report {
+        let report = endpoint::LoadReport {
             at: self.parts.clock.now(),
             running: load.running,
             waiting: load.waiting,
@@ -357,7 +357,7 @@
         let changes = self.set.borrow_mut().step(now, event);
         for change in changes {
             let endpoint = change.name.as_str();
-            log::log!(level, endpoint, what:serde = change.what; "endpoint changed");
+            log::log!(level, endpoint, what:serde = change.kind; "endpoint changed");
         }
     }
 
--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/relay/attempt.rs
@@ -8,7 +8,7 @@
 use actix_http::{RequestHead, StatusCode, Uri};
 use futures_util::future::LocalBoxFuture;
 use pinereel_core::{
-    endpoint::{End, Key},
+    endpoint::{AttemptEnd, Key},
     retry::Failure,
 };
 use pinereel_port::{config::Kind, live::Attempt};
@@ -193,7 +193,7 @@
     fn drop(&mut self) {
         if let Some(key) = self.key {
             let took = self.began.elapsed();
-            self.endpoints.finished(key, took, End::Cancelled);
+            self.endpoints.finished(key, took, AttemptEnd::Cancelled);
         }
     }
 }
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -21,7 +21,7 @@
 use futures_util::{StreamExt as _, future::LocalBoxFuture, stream::FuturesUnordered};
 use pinereel_core::{
     crash::RequestStatus,
-    endpoint::{End, Key},
+    endpoint::{AttemptEnd, Key},
     hash,
     retry::{Attempts, Failure, Limits, Resolution, Step},
     table,
@@ -311,12 +311,12 @@
     /// Notes what an attempt says about its endpoint, and about the request.
     fn note(&self, call: &Call, tried: &Tried) {
         let end = match &tried.ended {
-            Ok(answer) if answer.status.is_server_error() => End::Failed,
-            Ok(_) => End::Whole,
-            Err(Failure::Refused) => End::Overloaded,
-            Err(Failure::OtherEndpoint) => End::Leaving,
-            Err(Failure::NotOpened) => End::ConnectionRefused,
-            Err(Failure::Lost | Failure::Crashed | Failure::InvalidAnswer) => End::Failed,
+            Ok(answer) if answer.status.is_server_error() => AttemptEnd::Failed,
+            Ok(_) => AttemptEnd::Completed,
+            Err(Failure::Refused) => AttemptEnd::Overloaded,
+            Err(Failure::OtherEndpoint) => AttemptEnd::Leaving,
+            Err(Failure::NotOpened) => AttemptEnd::ConnectionRefused,
+            Err(Failure::Lost | Failure::Crashed | Failure::InvalidAnswer) => AttemptEnd::Failed,
         };
         let result = match &tried.ended {
             Ok(answer) => status_class(answer.status),
--- a/crates/pinereel_core/benches/route.rs
+++ b/crates/pinereel_core/benches/route.rs
@@ -3,7 +3,7 @@
 use criterion::{BenchmarkId, Criterion};
 use pinereel_core::{
     Time, Version,
-    endpoint::{Event, Instance, Report, Set},
+    endpoint::{Event, Listing, LoadReport, Set},
     hash,
     route::{Policy, Priority, Request, choose},
 };
@@ -20,7 +20,7 @@
         let name = format!("worker-{i}");
         set.step(
             Time::ZERO,
-            Event::Listed(Instance {
+            Event::Listed(Listing {
                 name: name.as_str().into(),
                 incarnation: 1,
                 address: "127.0.0.1:1".into(),
@@ -33,7 +33,7 @@
         let Some((key, _)) = set.find(&name) else {
             continue;
         };
-        let report = Report {
+        let report = LoadReport {
             at: Time::ZERO,
             running: (i % 5) as u32,
             waiting: 0,
--- a/crates/pinereel_core/src/endpoint/event.rs
+++ b/crates/pinereel_core/src/endpoint/event.rs
@@ -1,6 +1,6 @@
 //! What a [`Set`](super::Set) is told, and what it answers.
 
-use super::{Key, Report};
+use super::{Key, LoadReport};
 use crate::{Time, Version};
 use compact_str::CompactString;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 
 /// What the platform's list says of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Instance {
+pub struct Listing {
     /// Unique name.
     pub name: CompactString,
     /// Changes with each start.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The platform's list shows the endpoint.
-    Listed(Instance),
+    Listed(Listing),
     /// The platform's list shows the endpoint no more, or the subset dropped it.
     Unlisted {
         /// Its name.
@@ -49,7 +49,7 @@
         /// Endpoint that was asked.
         key: Key,
         /// What it said.
-        report: Report,
+        report: LoadReport,
     },
     /// An attempt was sent (counted from the choice on).
     Started {
@@ -75,15 +75,15 @@
         /// Time since the start.
         took: Duration,
         /// How it ended.
-        end: End,
+        end: AttemptEnd,
     },
 }
 
 /// How an attempt ended, as far as it speaks about the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum AttemptEnd {
     /// A whole answer, or an error that is the caller's fault.
-    Whole,
+    Completed,
     /// The caller or this entry gave it up; says nothing about the endpoint.
     Cancelled,
     /// A broken stream, a 5xx or no answer in time.
@@ -101,22 +101,23 @@
 /// How an endpoint was found leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Evidence {
+pub enum LeavingSource {
     /// The platform's list.
     Listed,
     /// Its own answer to a request, or its own report.
-    Said,
+    #[serde(rename = "said")]
+    Reported,
     /// Nothing has listened at its address for a while.
     ConnectionsRefused,
     /// A peer's word.
     Hinted,
 }
 
-impl Evidence {
+impl LeavingSource {
     /// Whether peers may be told. Hints aren't passed on again, and refused connections may be
     /// the fault of this entry's own link.
-    pub const fn may_be_hinted(self) -> bool {
-        matches!(self, Self::Listed | Self::Said)
+    pub const fn is_shareable(self) -> bool {
+        matches!(self, Self::Listed | Self::Reported)
     }
 }
 
@@ -131,17 +132,18 @@
     /// Its incarnation.
     pub incarnation: u64,
     /// What changed.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: ChangeKind,
 }
 
 /// What changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum ChangeKind {
     /// New in the set.
     Added,
     /// Gets no new work from now on.
-    Leaving(Evidence),
+    Leaving(LeavingSource),
     /// Not in the list any more, or replaced by a new incarnation.
     Gone,
     /// Failed repeatedly; gets nothing but rare probes, and those not before the time.
@@ -152,5 +154,6 @@
     /// Answered a probe; takes part again, with slow-start.
     Restored,
     /// Serves other weights than before.
-    Serves(Option<Version>),
+    #[serde(rename = "serves")]
+    VersionChanged(Option<Version>),
 }
--- a/crates/pinereel_core/src/endpoint/index.rs
+++ b/crates/pinereel_core/src/endpoint/index.rs
@@ -6,10 +6,10 @@
 
 /// Ids of the endpoints that take work, so that the few that are asked for are found without a look at all others.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct ServiceIndex {
     services: BTreeMap<CompactString, Service>,
     /// Service and slots of each endpoint.
-    places: BTreeMap<CompactString, (CompactString, u32)>,
+    by_id: BTreeMap<CompactString, (CompactString, u32)>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -20,23 +20,23 @@
     slots: u64,
 }
 
-impl Index {
+impl ServiceIndex {
     /// An endpoint takes work of a service, with so many slots.
     pub fn insert(&mut self, id: &CompactString, service: &CompactString, slots: u32) {
-        let place = (service.clone(), slots);
-        if self.places.get(id) == Some(&place) {
+        let service_slots = (service.clone(), slots);
+        if self.by_id.get(id) == Some(&service_slots) {
             return;
         }
         self.remove(id);
         let entry = self.services.entry(service.clone()).or_default();
         entry.ranked.insert((rank(id), id.clone()));
         entry.slots += u64::from(slots);
-        self.places.insert(id.clone(), place);
+        self.by_id.insert(id.clone(), service_slots);
     }
 
     /// An endpoint takes no work any more.
     pub fn remove(&mut self, id: &CompactString) {
-        let Some((service, slots)) = self.places.remove(id) else {
+        let Some((service, slots)) = self.by_id.remove(id) else {
             return;
         };
         if let Some(entry) = self.services.get_mut(&service) {
--- a/crates/pinereel_core/src/endpoint/mod.rs
+++ b/crates/pinereel_core/src/endpoint/mod.rs
@@ -7,13 +7,13 @@
 mod event;
 mod index;
 mod set;
+mod state;
 pub mod subset;
-mod view;
 
-pub use event::{Change, End, Event, Evidence, Instance, What};
-pub use index::Index;
+pub use event::{AttemptEnd, Change, ChangeKind, Event, LeavingSource, Listing};
+pub use index::ServiceIndex;
 pub use set::Set;
-pub use view::{Endpoint, Report, State};
+pub use state::{Endpoint, LoadReport, State};
 
 slotmap::new_key_type! {
     /// One incarnation of one endpoint in a [`Set`].
--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -1,6 +1,8 @@
 //! The set of endpoints that one entry works with.
 
-use super::{Change, End, Endpoint, Event, Evidence, Instance, Key, Report, State, What};
+use super::{
+    AttemptEnd, Change, ChangeKind, Endpoint, Event, Key, LeavingSource, Listing, LoadReport, State,
+};
 use crate::Time;
 use compact_str::CompactString;
 use slotmap::SlotMap;
@@ -12,50 +14,50 @@
 /// Consecutive failures that eject an endpoint.
 const FAILURES_TO_EJECT: u32 = 5;
 /// Length of the first ejection; each further one doubles it.
-const EJECTION: Duration = Duration::from_secs(5);
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
 /// Longest ejection.
-const MAX_EJECTION: Duration = Duration::from_secs(60);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 /// Consecutive refused connections that may mean that the process has ended.
-const REFUSALS_TO_LEAVE: u32 = 3;
+const REFUSALS_UNTIL_LEAVING: u32 = 3;
 /// Least time from the first to the last of them: a short hiccup is no evidence.
-const REFUSALS_SPREAD: Duration = Duration::from_secs(1);
+const MIN_REFUSAL_SPAN: Duration = Duration::from_secs(1);
 /// Incarnations remembered as leaving after they left the set.
-const MAX_LEFT: usize = 16_384;
+const MAX_LEAVING_HISTORY: usize = 16_384;
 
 /// All endpoints of an entry, live ones and those that still have attempts in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Set {
     arena: SlotMap<Key, Endpoint>,
-    names: BTreeMap<CompactString, Key>,
-    pools: BTreeMap<CompactString, Vec<Key>>,
+    by_name: BTreeMap<CompactString, Key>,
+    by_pool: BTreeMap<CompactString, Vec<Key>>,
     /// Gone ones that still have attempts in flight.
-    gone: BTreeMap<(CompactString, u64), Key>,
-    left: Left,
+    retired: BTreeMap<(CompactString, u64), Key>,
+    leaving_history: LeavingHistory,
 }
 
 /// Bounded memory of incarnations that were found leaving.
 #[derive(Clone, Debug, Default)]
-struct Left {
-    known: BTreeSet<(CompactString, u64)>,
+struct LeavingHistory {
+    members: BTreeSet<(CompactString, u64)>,
     order: VecDeque<(CompactString, u64)>,
 }
 
-impl Left {
-    fn add(&mut self, name: &CompactString, incarnation: u64) {
+impl LeavingHistory {
+    fn insert(&mut self, name: &CompactString, incarnation: u64) {
         let id = (name.clone(), incarnation);
-        if !self.known.insert(id.clone()) {
+        if !self.members.insert(id.clone()) {
             return;
         }
         self.order.push_back(id);
-        if self.order.len() > MAX_LEFT
+        if self.order.len() > MAX_LEAVING_HISTORY
             && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.members.remove(&oldest);
         }
     }
 
-    fn has(&self, name: &CompactString, incarnation: u64) -> bool {
-        self.known.contains(&(name.clone(), incarnation))
+    fn contains(&self, name: &CompactString, incarnation: u64) -> bool {
+        self.members.contains(&(name.clone(), incarnation))
     }
 }
 
@@ -64,18 +66,18 @@
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Change> {
         let mut changes = Vec::new();
         match event {
-            Event::Listed(instance) => self.listed(now, instance, &mut changes),
+            Event::Listed(listing) => self.apply_listing(now, listing, &mut changes),
             Event::Unlisted { name } => {
-                if let Some(key) = self.names.get(&name).copied() {
+                if let Some(key) = self.by_name.get(&name).copied() {
                     self.retire(key, &mut changes);
                 }
             }
-            Event::Hinted { name, incarnation } => self.hinted(&name, incarnation, &mut changes),
+            Event::Hinted { name, incarnation } => self.add_hint(&name, incarnation, &mut changes),
             Event::Reported {
                 key,
                 incarnation,
                 report,
-            } => self.reported(now, key, incarnation, report, &mut changes),
+            } => self.apply_report(now, key, incarnation, report, &mut changes),
             Event::Started { key, tokens } => {
                 if let Some(endpoint) = self.arena.get_mut(key) {
                     endpoint.start(now, tokens);
@@ -91,7 +93,7 @@
                 tokens,
                 took,
                 end,
-            } => self.finished(now, key, (tokens, took), end, &mut changes),
+            } => self.finish_attempt(now, key, (tokens, took), end, &mut changes),
         }
         changes
     }
@@ -103,19 +105,19 @@
 
     /// The newest incarnation by name.
     pub fn find(&self, name: &str) -> Option<(Key, &Endpoint)> {
-        let key = *self.names.get(name)?;
+        let key = *self.by_name.get(name)?;
         Some((key, self.arena.get(key)?))
     }
 
     /// Listed endpoints of a pool, leaving and ejected ones included, in order of arrival.
     pub fn pool(&self, pool: &str) -> impl Iterator<Item = (Key, &Endpoint)> {
-        let keys = self.pools.get(pool).map_or(&[][..], Vec::as_slice);
+        let keys = self.by_pool.get(pool).map_or(&[][..], Vec::as_slice);
         keys.iter().map(|key| (*key, &self.arena[*key]))
     }
 
     /// Whether any endpoint of the pool is listed.
     pub fn has_pool(&self, pool: &str) -> bool {
-        self.pools.contains_key(pool)
+        self.by_pool.contains_key(pool)
     }
 
     /// All endpoints, those that are gone but still busy included.
@@ -127,129 +129,135 @@
     pub fn hints(&self) -> BTreeMap<CompactString, u64> {
         self.arena
             .values()
-            .filter(|e| e.evidence.is_some_and(Evidence::may_be_hinted))
+            .filter(|e| e.leaving_source.is_some_and(LeavingSource::is_shareable))
             .map(|e| (e.name.clone(), e.incarnation))
             .collect()
     }
 
-    fn listed(&mut self, now: Time, instance: Instance, changes: &mut Vec<Change>) {
-        if let Some(key) = self.names.get(&instance.name).copied() {
+    fn apply_listing(&mut self, now: Time, listing: Listing, changes: &mut Vec<Change>) {
+        if let Some(key) = self.by_name.get(&listing.name).copied() {
             let endpoint = &mut self.arena[key];
-            if endpoint.incarnation == instance.incarnation {
-                self.update(key, instance, changes);
+            if endpoint.incarnation == listing.incarnation {
+                self.update(key, listing, changes);
                 return;
             }
             // The list lags: it may still show what was replaced already.
-            if self.left.has(&instance.name, instance.incarnation) {
+            if self
+                .leaving_history
+                .contains(&listing.name, listing.incarnation)
+            {
                 return;
             }
-            self.left.add(&endpoint.name, endpoint.incarnation);
+            self.leaving_history
+                .insert(&endpoint.name, endpoint.incarnation);
             self.retire(key, changes);
         }
-        self.add(now, instance, changes);
+        self.add(now, listing, changes);
     }
 
-    fn update(&mut self, key: Key, instance: Instance, changes: &mut Vec<Change>) {
+    fn update(&mut self, key: Key, listing: Listing, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
-        endpoint.address = instance.address;
-        endpoint.zone = instance.zone;
-        endpoint.slots = instance.slots.max(1);
+        endpoint.address = listing.address;
+        endpoint.zone = listing.zone;
+        endpoint.slots = listing.slots.max(1);
         // A changed bound applies at once; the adaptive limit grows back by itself.
         endpoint.limit = endpoint.limit.min(f64::from(endpoint.slots));
-        if endpoint.pool != instance.pool {
-            let old = std::mem::replace(&mut endpoint.pool, instance.pool.clone());
-            self.leave_pool(&old, key);
-            self.pools.entry(instance.pool).or_default().push(key);
+        if endpoint.pool != listing.pool {
+            let old = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
+            self.remove_from_pool(&old, key);
+            self.by_pool.entry(listing.pool).or_default().push(key);
         }
-        if instance.leaving {
-            self.leaving(key, Evidence::Listed, changes);
+        if listing.leaving {
+            self.mark_leaving(key, LeavingSource::Listed, changes);
         }
     }
 
-    fn add(&mut self, now: Time, instance: Instance, changes: &mut Vec<Change>) {
-        let known = self.left.has(&instance.name, instance.incarnation);
-        let leaving = instance.leaving;
-        let (name, pool) = (instance.name.clone(), instance.pool.clone());
+    fn add(&mut self, now: Time, listing: Listing, changes: &mut Vec<Change>) {
+        let known_leaving = self
+            .leaving_history
+            .contains(&listing.name, listing.incarnation);
+        let leaving = listing.leaving;
+        let (name, pool) = (listing.name.clone(), listing.pool.clone());
         // At the entry's own start nothing is new about the endpoints that it finds.
-        let slow_since = (now > Time::ZERO).then_some(now);
-        let endpoint = Endpoint::new(instance, slow_since);
-        let key = self.revive_or_insert(endpoint);
-        self.names.insert(name, key);
-        self.pools.entry(pool).or_default().push(key);
-        self.tell(key, What::Added, changes);
+        let slow_start_since = (now > Time::ZERO).then_some(now);
+        let endpoint = Endpoint::new(listing, slow_start_since);
+        let key = self.restore_or_insert(endpoint);
+        self.by_name.insert(name, key);
+        self.by_pool.entry(pool).or_default().push(key);
+        self.push_change(key, ChangeKind::Added, changes);
         if leaving {
-            self.leaving(key, Evidence::Listed, changes);
-        } else if known {
-            self.leaving(key, Evidence::Hinted, changes);
+            self.mark_leaving(key, LeavingSource::Listed, changes);
+        } else if known_leaving {
+            self.mark_leaving(key, LeavingSource::Hinted, changes);
         }
     }
 
     /// One incarnation never has two keys: if it is listed again while attempts are in flight,
     /// they still count against its limit and their evidence still reaches it.
-    fn revive_or_insert(&mut self, mut endpoint: Endpoint) -> Key {
+    fn restore_or_insert(&mut self, mut endpoint: Endpoint) -> Key {
         let id = (endpoint.name.clone(), endpoint.incarnation);
-        let Some(key) = self.gone.remove(&id) else {
+        let Some(key) = self.retired.remove(&id) else {
             return self.arena.insert(endpoint);
         };
         let old = &self.arena[key];
         endpoint.outstanding = old.outstanding;
         endpoint.yielding = old.yielding;
         endpoint.tokens = old.tokens;
-        endpoint.recent = old.recent.clone();
+        endpoint.recent_changes = old.recent_changes.clone();
         self.arena[key] = endpoint;
         key
     }
 
-    fn hinted(&mut self, name: &CompactString, incarnation: u64, changes: &mut Vec<Change>) {
-        let key = self.names.get(name).copied();
+    fn add_hint(&mut self, name: &CompactString, incarnation: u64, changes: &mut Vec<Change>) {
+        let key = self.by_name.get(name).copied();
         match key.filter(|key| self.arena[*key].incarnation == incarnation) {
-            Some(key) => self.leaving(key, Evidence::Hinted, changes),
-            None => self.left.add(name, incarnation),
+            Some(key) => self.mark_leaving(key, LeavingSource::Hinted, changes),
+            None => self.leaving_history.insert(name, incarnation),
         }
     }
 
-    fn reported(
+    fn apply_report(
         &mut self,
         now: Time,
         key: Key,
         incarnation: u64,
-        report: Report,
+        report: LoadReport,
         changes: &mut Vec<Change>,
     ) {
         let Some(endpoint) = self.arena.get(key) else {
             return;
         };
         if endpoint.incarnation != incarnation {
-            self.replaced(now, key, incarnation, report, changes);
+            self.replace_incarnation(now, key, incarnation, report, changes);
             return;
         }
         let before = endpoint.version;
-        if !self.arena[key].take(report) {
+        if !self.arena[key].apply_report(report) {
             return;
         }
         if before != report.version {
-            self.tell(key, What::Serves(report.version), changes);
+            self.push_change(key, ChangeKind::VersionChanged(report.version), changes);
         }
         if report.leaving {
-            self.leaving(key, Evidence::Said, changes);
+            self.mark_leaving(key, LeavingSource::Reported, changes);
         }
     }
 
     /// The endpoint itself shows a new incarnation before the list does.
-    fn replaced(
+    fn replace_incarnation(
         &mut self,
         now: Time,
         key: Key,
         incarnation: u64,
-        report: Report,
+        report: LoadReport,
         changes: &mut Vec<Change>,
     ) {
         let endpoint = &self.arena[key];
-        let current = self.names.get(&endpoint.name) == Some(&key);
-        if !current || self.left.has(&endpoint.name, incarnation) {
+        let current = self.by_name.get(&endpoint.name) == Some(&key);
+        if !current || self.leaving_history.contains(&endpoint.name, incarnation) {
             return;
         }
-        let instance = Instance {
+        let listing = Listing {
             name: endpoint.name.clone(),
             incarnation,
             address: endpoint.address.clone(),
@@ -258,51 +266,51 @@
             slots: endpoint.slots,
             leaving: report.leaving,
         };
-        let name = instance.name.clone();
-        self.listed(now, instance, changes);
-        let key = self.names[&name];
-        self.reported(now, key, incarnation, report, changes);
+        let name = listing.name.clone();
+        self.apply_listing(now, listing, changes);
+        let key = self.by_name[&name];
+        self.apply_report(now, key, incarnation, report, changes);
     }
 
-    fn finished(
+    fn finish_attempt(
         &mut self,
         now: Time,
         key: Key,
         (tokens, took): (u32, Duration),
-        end: End,
+        end: AttemptEnd,
         changes: &mut Vec<Change>,
     ) {
         let Some(endpoint) = self.arena.get_mut(key) else {
             return;
         };
         endpoint.finish(now, tokens);
-        if end != End::ConnectionRefused && end != End::Cancelled {
+        if end != AttemptEnd::ConnectionRefused && end != AttemptEnd::Cancelled {
             endpoint.refusals = 0;
             endpoint.refused_since = None;
         }
         match end {
-            End::Whole => self.succeeded(now, key, took, changes),
-            End::Cancelled => {}
-            End::Failed | End::ConnectionTimeout => {
-                endpoint.cut_limit(now, took);
-                self.failed(now, key, changes);
+            AttemptEnd::Completed => self.record_success(now, key, took, changes),
+            AttemptEnd::Cancelled => {}
+            AttemptEnd::Failed | AttemptEnd::ConnectionTimeout => {
+                endpoint.decrease_limit(now, took);
+                self.record_failure(now, key, changes);
             }
-            End::Overloaded => endpoint.cut_limit(now, took),
-            End::ConnectionRefused => self.connection_refused(now, key, changes),
-            End::Leaving => self.leaving(key, Evidence::Said, changes),
+            AttemptEnd::Overloaded => endpoint.decrease_limit(now, took),
+            AttemptEnd::ConnectionRefused => self.record_refusal(now, key, changes),
+            AttemptEnd::Leaving => self.mark_leaving(key, LeavingSource::Reported, changes),
         }
         let endpoint = &self.arena[key];
         if endpoint.state == State::Gone && endpoint.outstanding == 0 {
             let id = (endpoint.name.clone(), endpoint.incarnation);
-            self.gone.remove(&id);
+            self.retired.remove(&id);
             self.arena.remove(key);
         }
     }
 
-    fn succeeded(&mut self, now: Time, key: Key, took: Duration, changes: &mut Vec<Change>) {
+    fn record_success(&mut self, now: Time, key: Key, took: Duration, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
-        endpoint.observe(took);
-        endpoint.raise_limit();
+        endpoint.record_latency(took);
+        endpoint.increase_limit();
         endpoint.failures = 0;
         let State::Ejected { .. } = endpoint.state else {
             endpoint.ejections = 0;
@@ -312,12 +320,12 @@
         let began = Time(now.0.saturating_sub(took.as_micros() as u64));
         if endpoint.ejected_at.is_some_and(|at| began >= at) {
             endpoint.state = State::Live;
-            endpoint.slow_since = Some(now);
-            self.tell(key, What::Restored, changes);
+            endpoint.slow_start_since = Some(now);
+            self.push_change(key, ChangeKind::Restored, changes);
         }
     }
 
-    fn failed(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
+    fn record_failure(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
         endpoint.failures += 1;
         let eject = match endpoint.state {
@@ -332,68 +340,69 @@
 
     fn eject(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
-        let doubled = EJECTION * 2u32.pow(endpoint.ejections.min(8));
-        let until = now + doubled.min(MAX_EJECTION);
+        let uncapped = BASE_EJECTION_TIME * 2u32.pow(endpoint.ejections.min(8));
+        let until = now + uncapped.min(MAX_EJECTION_TIME);
         endpoint.ejections += 1;
         endpoint.ejected_at = Some(now);
         endpoint.state = State::Ejected { until };
-        self.tell(key, What::Ejected { until }, changes);
+        self.push_change(key, ChangeKind::Ejected { until }, changes);
     }
 
-    fn connection_refused(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
+    fn record_refusal(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
         endpoint.refusals += 1;
         let since = *endpoint.refused_since.get_or_insert(now);
-        if endpoint.refusals >= REFUSALS_TO_LEAVE && now.since(since) >= REFUSALS_SPREAD {
-            self.leaving(key, Evidence::ConnectionsRefused, changes);
+        if endpoint.refusals >= REFUSALS_UNTIL_LEAVING && now.since(since) >= MIN_REFUSAL_SPAN {
+            self.mark_leaving(key, LeavingSource::ConnectionsRefused, changes);
         } else {
-            self.failed(now, key, changes);
+            self.record_failure(now, key, changes);
         }
     }
 
-    fn leaving(&mut self, key: Key, evidence: Evidence, changes: &mut Vec<Change>) {
+    fn mark_leaving(&mut self, key: Key, leaving_source: LeavingSource, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
-        self.left.add(&endpoint.name, endpoint.incarnation);
+        self.leaving_history
+            .insert(&endpoint.name, endpoint.incarnation);
         if matches!(endpoint.state, State::Leaving | State::Gone) {
             return;
         }
         endpoint.state = State::Leaving;
-        endpoint.evidence = Some(evidence);
-        self.tell(key, What::Leaving(evidence), changes);
+        endpoint.leaving_source = Some(leaving_source);
+        self.push_change(key, ChangeKind::Leaving(leaving_source), changes);
     }
 
     /// Takes an incarnation out; it stays in the arena until its last attempt ends.
     fn retire(&mut self, key: Key, changes: &mut Vec<Change>) {
-        self.tell(key, What::Gone, changes);
+        self.push_change(key, ChangeKind::Gone, changes);
         let endpoint = &mut self.arena[key];
         endpoint.state = State::Gone;
         let id = (endpoint.name.clone(), endpoint.incarnation);
         let (pool, idle) = (endpoint.pool.clone(), endpoint.outstanding == 0);
-        self.names.remove(&id.0);
-        self.leave_pool(&pool, key);
+        self.by_name.remove(&id.0);
+        self.remove_from_pool(&pool, key);
         if idle {
             self.arena.remove(key);
         } else {
-            self.gone.insert(id, key);
+            self.retired.insert(id, key);
         }
     }
 
-    fn leave_pool(&mut self, pool: &CompactString, key: Key) {
-        if let Some(keys) = self.pools.get_mut(pool) {
+    fn remove_from_pool(&mut self, pool: &CompactString, key: Key) {
+        if let Some(keys) = self.by_pool.get_mut(pool) {
             keys.retain(|k| *k != key);
             if keys.is_empty() {
-                self.pools.remove(pool);
+                self.by_pool.remove(pool);
             }
         }
     }
 
-    fn tell(&self, key: Key, what: What, changes: &mut Vec<Change>) {
+    fn push_change(&self, key: Key, kind: ChangeKind, changes: &mut Vec<Change>) {
         let endpoint = &self.arena[key];
         changes.push(Change {
             key,
             name: endpoint.name.clone(),
             incarnation: endpoint.incarnation,
-            what,
+            kind,
         });
     }
 }
--- a/crates/pinereel_core/src/endpoint/view.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -1,23 +1,23 @@
 //! One endpoint: what is known of it, and the figures that routing works with.
 
-use super::Evidence;
+use super::LeavingSource;
 use crate::{Time, Version, hash};
 use compact_str::CompactString;
 use serde::Serialize;
 use std::{collections::VecDeque, time::Duration};
 
 /// Share of a new latency sample in the moving average.
-const LATENCY_GAIN: f64 = 0.2;
+const LATENCY_EWMA_WEIGHT: f64 = 0.2;
 /// What is left of the concurrency limit after an overload.
-const LIMIT_BACKOFF: f64 = 0.7;
+const LIMIT_DECREASE_FACTOR: f64 = 0.7;
 /// Starts and ends kept to correct a late report; older ones are forgotten.
-const MAX_RECENT: usize = 512;
+const MAX_RECENT_CHANGES: usize = 512;
 /// Age at which a load report counts for nothing any more.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
+const REPORT_TTL: Duration = Duration::from_secs(5);
 /// Length of slow-start.
-const SLOW_START: Duration = Duration::from_secs(10);
+const SLOW_START_PERIOD: Duration = Duration::from_secs(10);
 /// Weight at the begin of slow-start.
-const SLOW_START_WEIGHT: f64 = 0.1;
+const INITIAL_SLOW_START_WEIGHT: f64 = 0.1;
 
 /// Whether an endpoint may get work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -38,7 +38,7 @@
 
 /// What an endpoint says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// Moment that the figures describe: arrival less the lag that the endpoint states.
     pub at: Time,
     /// Sequences running.
@@ -71,7 +71,7 @@
     /// Whether it may get work.
     pub state: State,
     /// How it was found leaving.
-    pub evidence: Option<Evidence>,
+    pub leaving_source: Option<LeavingSource>,
     /// This entry's attempts in flight.
     pub outstanding: u32,
     /// Those of them that are of samples, before which a live request goes at the endpoint.
@@ -79,7 +79,7 @@
     /// Tokens expected of them.
     pub tokens: u64,
     /// The last load report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// Version that it serves, by its own word.
     pub version: Option<Version>,
     /// Version that it is loading, by its own word.
@@ -91,29 +91,29 @@
     /// Moving average of the time of whole answers, in microseconds; zero before the first.
     pub latency: f64,
     pub(super) hash: u64,
-    pub(super) slow_since: Option<Time>,
+    pub(super) slow_start_since: Option<Time>,
     pub(super) limit: f64,
-    pub(super) cut_at: Option<Time>,
+    pub(super) limit_decreased_at: Option<Time>,
     pub(super) ejected_at: Option<Time>,
-    pub(super) others: u32,
-    pub(super) recent: VecDeque<(Time, i64)>,
+    pub(super) other_load: u32,
+    pub(super) recent_changes: VecDeque<(Time, i64)>,
     pub(super) refused_since: Option<Time>,
     pub(super) refusals: u32,
 }
 
 impl Endpoint {
-    pub(super) fn new(instance: super::Instance, slow_since: Option<Time>) -> Self {
+    pub(super) fn new(listing: super::Listing, slow_start_since: Option<Time>) -> Self {
         Self {
-            hash: hash::stable(instance.name.as_bytes()),
-            limit: f64::from(instance.slots.max(1)),
-            slots: instance.slots.max(1),
-            name: instance.name,
-            incarnation: instance.incarnation,
-            address: instance.address,
-            zone: instance.zone,
-            pool: instance.pool,
+            hash: hash::stable(listing.name.as_bytes()),
+            limit: f64::from(listing.slots.max(1)),
+            slots: listing.slots.max(1),
+            name: listing.name,
+            incarnation: listing.incarnation,
+            address: listing.address,
+            zone: listing.zone,
+            pool: listing.pool,
             state: State::Live,
-            evidence: None,
+            leaving_source: None,
             outstanding: 0,
             yielding: 0,
             tokens: 0,
@@ -123,11 +123,11 @@
             failures: 0,
             ejections: 0,
             latency: 0.0,
-            slow_since,
-            cut_at: None,
+            slow_start_since,
+            limit_decreased_at: None,
             ejected_at: None,
-            others: 0,
-            recent: VecDeque::new(),
+            other_load: 0,
+            recent_changes: VecDeque::new(),
             refused_since: None,
             refusals: 0,
         }
@@ -155,12 +155,12 @@
     }
 
     /// Work of others as of the last report, trusted less the older it is.
-    pub fn others(&self, now: Time) -> f64 {
+    pub fn other_load(&self, now: Time) -> f64 {
         let Some(report) = self.report else {
             return 0.0;
         };
-        let age = now.since(report.at).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        f64::from(self.others) * (1.0 - age).max(0.0)
+        let age = now.since(report.at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+        f64::from(self.other_load) * (1.0 - age).max(0.0)
     }
 
     /// Estimated requests at the endpoint: own attempts, exact, and the work of others.
@@ -168,78 +168,78 @@
     /// Own attempts that began after the moment of the report are in by their own count, and
     /// those that ended since aren't.
     pub fn load(&self, now: Time) -> f64 {
-        f64::from(self.outstanding) + self.others(now)
+        f64::from(self.outstanding) + self.other_load(now)
     }
 
     /// Share of its usual work that the endpoint should get, from near 0 to 1: lower during
     /// slow-start.
-    pub fn warmth(&self, now: Time) -> f64 {
-        let Some(since) = self.slow_since else {
+    pub fn slow_start_weight(&self, now: Time) -> f64 {
+        let Some(since) = self.slow_start_since else {
             return 1.0;
         };
-        let done = now.since(since).as_secs_f64() / SLOW_START.as_secs_f64();
-        (SLOW_START_WEIGHT + (1.0 - SLOW_START_WEIGHT) * done).min(1.0)
+        let progress = now.since(since).as_secs_f64() / SLOW_START_PERIOD.as_secs_f64();
+        (INITIAL_SLOW_START_WEIGHT + (1.0 - INITIAL_SLOW_START_WEIGHT) * progress).min(1.0)
     }
 
     pub(super) fn start(&mut self, now: Time, tokens: u32) {
         self.outstanding += 1;
         self.tokens += u64::from(tokens);
-        self.note(now, 1);
+        self.record_recent(now, 1);
     }
 
     pub(super) fn finish(&mut self, now: Time, tokens: u32) {
         debug_assert!(self.outstanding > 0, "an attempt ends once");
         self.outstanding = self.outstanding.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(u64::from(tokens));
-        self.note(now, -1);
+        self.record_recent(now, -1);
     }
 
-    pub(super) fn observe(&mut self, took: Duration) {
+    pub(super) fn record_latency(&mut self, took: Duration) {
         let took = took.as_micros() as f64;
         if self.latency == 0.0 {
             self.latency = took;
         } else {
-            self.latency += LATENCY_GAIN * (took - self.latency);
+            self.latency += LATENCY_EWMA_WEIGHT * (took - self.latency);
         }
     }
 
     /// Additive increase, only while the limit is what holds work back.
-    pub(super) fn raise_limit(&mut self) {
+    pub(super) fn increase_limit(&mut self) {
         if self.outstanding + 1 >= self.limit() {
             self.limit = (self.limit + 1.0 / self.limit).min(f64::from(self.slots));
         }
     }
 
     /// Multiplicative decrease, once for the attempts that were in flight together.
-    pub(super) fn cut_limit(&mut self, now: Time, took: Duration) {
+    pub(super) fn decrease_limit(&mut self, now: Time, took: Duration) {
         let began = Time(now.0.saturating_sub(took.as_micros() as u64));
-        if self.cut_at.is_some_and(|cut| began < cut) {
+        if self.limit_decreased_at.is_some_and(|at| began < at) {
             return;
         }
-        self.limit = (self.limit * LIMIT_BACKOFF).max(1.0);
-        self.cut_at = Some(now);
+        self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(1.0);
+        self.limit_decreased_at = Some(now);
     }
 
     /// Takes a report that is newer than the last one; says whether it did.
-    pub(super) fn take(&mut self, report: Report) -> bool {
+    pub(super) fn apply_report(&mut self, report: LoadReport) -> bool {
         if self.report.is_some_and(|last| last.at > report.at) {
             return false;
         }
-        self.recent.retain(|(at, _)| *at > report.at);
-        let since: i64 = self.recent.iter().map(|(_, change)| change).sum();
-        let own = (i64::from(self.outstanding) - since).max(0);
+        self.recent_changes.retain(|(at, _)| *at > report.at);
+        let net_starts: i64 = self.recent_changes.iter().map(|(_, change)| change).sum();
+        let own = (i64::from(self.outstanding) - net_starts).max(0);
         let total = i64::from(report.running) + i64::from(report.waiting);
-        self.others = u32::try_from((total - own).max(0)).unwrap_or(u32::MAX);
+        self.other_load = u32::try_from((total - own).max(0)).unwrap_or(u32::MAX);
         self.version = report.version;
         self.loading = report.loading;
         self.report = Some(report);
         true
     }
 
-    fn note(&mut self, now: Time, change: i64) {
-        if self.recent.len() == MAX_RECENT {
-            self.recent.pop_front();
+    fn record_recent(&mut self, now: Time, change: i64) {
+        if self.recent_changes.len() == MAX_RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
-        self.recent.push_back((now, change));
+        self.recent_changes.push_back((now, change));
     }
 }
--- a/crates/pinereel_core/src/endpoint/subset.rs
+++ b/crates/pinereel_core/src/endpoint/subset.rs
@@ -27,13 +27,13 @@
 /// The cover that gives each entry about `size` of `endpoints`, split evenly between the zones.
 ///
 /// At least two entries a side cover an endpoint, so that one lost entry orphans none.
-pub fn cover(entries: usize, endpoints: usize, size: usize) -> Cover {
-    const LEAST: usize = 2;
-    let each = (entries * size).div_ceil(endpoints.max(1));
-    let local = each.div_ceil(2).max(LEAST);
+pub fn cover(entries: usize, endpoints: usize, target_size: usize) -> Cover {
+    const MIN_ENTRIES_PER_SIDE: usize = 2;
+    let entries_per_endpoint = (entries * target_size).div_ceil(endpoints.max(1));
+    let local = entries_per_endpoint.div_ceil(2).max(MIN_ENTRIES_PER_SIDE);
     Cover {
         local,
-        remote: (each - each.div_ceil(2)).max(LEAST),
+        remote: (entries_per_endpoint - entries_per_endpoint.div_ceil(2)).max(MIN_ENTRIES_PER_SIDE),
     }
 }
 
@@ -41,22 +41,22 @@
 ///
 /// `entries` holds all entries, `me` included. If fewer entries of a side exist than asked for,
 /// all of that side work with it.
-pub fn holds(
-    me: Entry<'_>,
+pub fn contains(
+    own: Entry<'_>,
     entries: &[Entry<'_>],
     endpoint: &str,
     zone: &str,
     cover: Cover,
 ) -> bool {
-    let local = me.zone == zone;
+    let local = own.zone == zone;
     let count = if local { cover.local } else { cover.remote };
     let key = hash::stable(endpoint.as_bytes());
-    let mine = (hash::score(key, me.name), me.name);
-    let better = entries
+    let own_score = (hash::score(key, own.name), own.name);
+    let higher_scores = entries
         .iter()
         .filter(|e| (e.zone == zone) == local)
-        .filter(|e| (hash::score(key, e.name), e.name) > mine)
+        .filter(|e| (hash::score(key, e.name), e.name) > own_score)
         .take(count)
         .count();
-    better < count
+    higher_scores < count
 }
--- a/crates/pinereel_core/src/route/candidate.rs
+++ b/crates/pinereel_core/src/route/candidate.rs
@@ -141,7 +141,7 @@
     let slots = f64::from(endpoint.slots);
     let mut weight = slots;
     if policy.slow_start {
-        weight *= endpoint.warmth(now);
+        weight *= endpoint.slow_start_weight(now);
         if endpoint.loading.is_some() {
             weight *= LOADING_WEIGHT;
         }
--- a/crates/pinereel_core/tests/endpoint_set.rs
+++ b/crates/pinereel_core/tests/endpoint_set.rs
@@ -2,12 +2,12 @@
 
 use pinereel_core::{
     Time, Version,
-    endpoint::{End, Event, Instance, Key, Report, Set, State, What, subset},
+    endpoint::{AttemptEnd, ChangeKind, Event, Key, Listing, LoadReport, Set, State, subset},
 };
 use std::{collections::BTreeMap, time::Duration};
 
-fn instance(name: &str, incarnation: u64) -> Instance {
-    Instance {
+fn listing(name: &str, incarnation: u64) -> Listing {
+    Listing {
         name: name.into(),
         incarnation,
         address: "127.0.0.1:1".into(),
@@ -19,12 +19,12 @@
 }
 
 fn listed(set: &mut Set, at: u64, name: &str, incarnation: u64) -> Option<Key> {
-    let event = Event::Listed(instance(name, incarnation));
+    let event = Event::Listed(listing(name, incarnation));
     set.step(Time::from_millis(at), event);
     set.find(name).map(|(key, _)| key)
 }
 
-fn end(set: &mut Set, at: u64, key: Key, end: End) -> Vec<What> {
+fn end(set: &mut Set, at: u64, key: Key, end: AttemptEnd) -> Vec<ChangeKind> {
     let now = Time::from_millis(at);
     set.step(now, Event::Started { key, tokens: 10 });
     let finished = Event::Finished {
@@ -34,11 +34,11 @@
         end,
     };
     let changes = set.step(now, finished);
-    changes.into_iter().map(|c| c.what).collect()
+    changes.into_iter().map(|c| c.kind).collect()
 }
 
-fn report(at: u64, running: u32) -> Report {
-    Report {
+fn report(at: u64, running: u32) -> LoadReport {
+    LoadReport {
         at: Time::from_millis(at),
         running,
         waiting: 0,
@@ -52,7 +52,7 @@
 fn a_lagging_list_does_not_revert_leaving() {
     let mut set = Set::default();
     let key = listed(&mut set, 1, "e1", 1).unwrap();
-    end(&mut set, 2, key, End::Leaving);
+    end(&mut set, 2, key, AttemptEnd::Leaving);
     listed(&mut set, 3, "e1", 1);
     assert_eq!(set.get(key).unwrap().state, State::Leaving);
     set.step(Time::from_millis(4), Event::Unlisted { name: "e1".into() });
@@ -71,13 +71,13 @@
             tokens: 1,
         },
     );
-    end(&mut set, 2, old, End::Leaving);
+    end(&mut set, 2, old, AttemptEnd::Leaving);
     let new = listed(&mut set, 3, "e1", 2).unwrap();
     assert_eq!(set.get(new).unwrap().state, State::Live);
     assert_eq!(set.get(new).unwrap().outstanding, 0);
     assert_eq!(listed(&mut set, 4, "e1", 1), Some(new));
     // The old one's last attempt ends without touching the new one.
-    end(&mut set, 5, old, End::Whole);
+    end(&mut set, 5, old, AttemptEnd::Completed);
     assert_eq!(set.get(old).unwrap().outstanding, 1);
 }
 
@@ -89,7 +89,7 @@
     set.step(Time::ZERO, Event::Unlisted { name: "e1".into() });
     let again = listed(&mut set, 2, "e1", 1).unwrap();
     assert_eq!((again, set.get(again).unwrap().outstanding), (key, 1));
-    end(&mut set, 3, key, End::Leaving);
+    end(&mut set, 3, key, AttemptEnd::Leaving);
     assert_eq!(set.get(again).unwrap().state, State::Leaving);
 }
 
@@ -127,11 +127,11 @@
     let mut set = Set::default();
     let key = listed(&mut set, 1, "e1", 1).unwrap();
     for at in 1..4 {
-        end(&mut set, at, key, End::ConnectionRefused);
+        end(&mut set, at, key, AttemptEnd::ConnectionRefused);
     }
     assert_eq!(set.get(key).unwrap().state, State::Live);
-    let whats = end(&mut set, 1_100, key, End::ConnectionRefused);
-    insta::assert_debug_snapshot!(whats, @"
+    let kinds = end(&mut set, 1_100, key, AttemptEnd::ConnectionRefused);
+    insta::assert_debug_snapshot!(kinds, @"
     [
         Leaving(
             ConnectionsRefused,
@@ -144,14 +144,19 @@
 fn failures_eject_longer_each_time_and_a_probe_restores() {
     let mut set = Set::default();
     let key = listed(&mut set, 0, "e1", 1).unwrap();
-    let mut whats = Vec::new();
+    let mut kinds = Vec::new();
     for at in 1..=5 {
-        whats.extend(end(&mut set, at, key, End::Failed));
+        kinds.extend(end(&mut set, at, key, AttemptEnd::Failed));
     }
-    whats.extend(end(&mut set, 5_005, key, End::Failed));
-    whats.extend(end(&mut set, 15_005, key, End::Whole));
-    insta::assert_snapshot!(format!("{whats:?}"), @"[Ejected { until: Time(5005000) }, Ejected { until: Time(15005000) }, Restored]");
-    assert!(set.get(key).unwrap().warmth(Time::from_millis(15_005)) < 0.2);
+    kinds.extend(end(&mut set, 5_005, key, AttemptEnd::Failed));
+    kinds.extend(end(&mut set, 15_005, key, AttemptEnd::Completed));
+    insta::assert_snapshot!(format!("{kinds:?}"), @"[Ejected { until: Time(5005000) }, Ejected { until: Time(15005000) }, Restored]");
+    assert!(
+        set.get(key)
+            .unwrap()
+            .slow_start_weight(Time::from_millis(15_005))
+            < 0.2
+    );
 }
 
 #[test]
@@ -186,13 +191,13 @@
             key,
             tokens: 1,
             took: Duration::from_millis(9),
-            end: End::Overloaded,
+            end: AttemptEnd::Overloaded,
         };
         set.step(Time::from_millis(10), event);
     }
     assert_eq!(set.get(key).unwrap().limit(), 5);
     for at in 0..200 {
-        end(&mut set, 20 + at, key, End::Whole);
+        end(&mut set, 20 + at, key, AttemptEnd::Completed);
     }
     assert_eq!(set.get(key).unwrap().limit(), 8);
 }
@@ -215,7 +220,7 @@
         let zone = &zones[i % 9];
         let holders = entries
             .iter()
-            .filter(|me| subset::holds(**me, &entries, &format!("e{i}"), zone, cover));
+            .filter(|me| subset::contains(**me, &entries, &format!("e{i}"), zone, cover));
         let mut count = 0;
         for me in holders {
             *held.entry(me.name).or_insert(0) += 1;
--- a/crates/pinereel_core/tests/endpoint_yielding.rs
+++ b/crates/pinereel_core/tests/endpoint_yielding.rs
@@ -4,7 +4,7 @@
 
 use pinereel_core::{
     Time,
-    endpoint::{End, Event, Instance, Key, Set},
+    endpoint::{AttemptEnd, Event, Key, Listing, Set},
     route::{self, Policy, Priority, Refusal, Request},
 };
 use std::time::Duration;
@@ -33,7 +33,7 @@
 #[test]
 fn live_requests_have_room_beside_bulk() {
     let mut set = Set::default();
-    let instance = Instance {
+    let listing = Listing {
         name: "draft-llm-0".into(),
         incarnation: 1,
         address: "127.0.0.1:1".into(),
@@ -42,7 +42,7 @@
         slots: 2,
         leaving: false,
     };
-    set.step(NOW, Event::Listed(instance));
+    set.step(NOW, Event::Listed(listing));
     let key = choose(&set, Priority::Bulk).unwrap();
     start(&mut set, key, 1);
     start(&mut set, key, 1);
@@ -59,7 +59,7 @@
         key,
         tokens: 1,
         took: Duration::ZERO,
-        end: End::Whole,
+        end: AttemptEnd::Completed,
     };
     set.step(NOW, end);
     assert_eq!(choose(&set, Priority::Live), Err(Refusal::Full));
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -3,7 +3,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
     Time, Version,
-    endpoint::Index,
+    endpoint::ServiceIndex,
     rollout::{Action, Controller, Demand, Event, Lease, Settings, Sight, share, working_set},
 };
 use std::{collections::BTreeSet, time::Duration};
@@ -25,15 +25,15 @@
     demands(&[80, 112, 112, 112, 104, 112, 80, 120])
 }
 
-fn index(engines: usize) -> Index {
-    let mut index = Index::default();
+fn index(engines: usize) -> ServiceIndex {
+    let mut index = ServiceIndex::default();
     for n in 0..engines {
         index.insert(&format_compact!("engine-{n:05}"), &SERVICE, 6);
     }
     index
 }
 
-fn members(index: &Index, demands: &[Demand]) -> BTreeSet<CompactString> {
+fn members(index: &ServiceIndex, demands: &[Demand]) -> BTreeSet<CompactString> {
     let count = working_set(index.count(&SERVICE), 6, demands);
     index.ranked(&SERVICE).take(count).cloned().collect()
 }
--- a/crates/pinereel_core/tests/route_choose.rs
+++ b/crates/pinereel_core/tests/route_choose.rs
@@ -2,7 +2,7 @@
 
 use pinereel_core::{
     Time, Version,
-    endpoint::{End, Event, Instance, Key, Report, Set, State},
+    endpoint::{AttemptEnd, Event, Key, Listing, LoadReport, Set, State},
     route::{Policy, Priority, Reason, Refusal, Request, choose},
 };
 use proptest::{
@@ -18,7 +18,7 @@
 const SLOTS: u32 = 4;
 
 fn listed(name: usize, incarnation: u64, leaving: bool) -> Event {
-    Event::Listed(Instance {
+    Event::Listed(Listing {
         name: format!("e{name}").into(),
         incarnation,
         address: "127.0.0.1:1".into(),
@@ -54,8 +54,8 @@
     set.step(Time::ZERO, Event::Started { key, tokens: 1 });
 }
 
-fn report(version: u64, running: u32) -> Report {
-    Report {
+fn report(version: u64, running: u32) -> LoadReport {
+    LoadReport {
         at: Time::ZERO,
         running,
         waiting: 0,
@@ -73,7 +73,7 @@
     Hint(usize, u64),
     Report(usize, u64, bool),
     Choose(u64, Option<u64>, bool, bool),
-    End(usize, u8),
+    Finish(usize, u8),
     Wait(u64),
 }
 
@@ -85,19 +85,19 @@
         2 => (0..6usize, 1..4u64, prop::bool::weighted(0.1)).prop_map(|(n, v, l)| Op::Report(n, v, l)),
         12 => (any::<u64>(), prop::option::of(0..4u64), any::<bool>(), any::<bool>())
             .prop_map(|(s, p, v, f)| Op::Choose(s, p, v, f)),
-        8 => (0..40usize, 0..7u8).prop_map(|(n, e)| Op::End(n, e)),
+        8 => (0..40usize, 0..7u8).prop_map(|(n, e)| Op::Finish(n, e)),
         2 => (1..8_000u64).prop_map(Op::Wait),
     ]
 }
 
-const ENDS: [End; 7] = [
-    End::Whole,
-    End::Cancelled,
-    End::Failed,
-    End::Overloaded,
-    End::ConnectionRefused,
-    End::ConnectionTimeout,
-    End::Leaving,
+const ENDS: [AttemptEnd; 7] = [
+    AttemptEnd::Completed,
+    AttemptEnd::Cancelled,
+    AttemptEnd::Failed,
+    AttemptEnd::Overloaded,
+    AttemptEnd::ConnectionRefused,
+    AttemptEnd::ConnectionTimeout,
+    AttemptEnd::Leaving,
 ];
 
 /// What the oracle knows: evidence by incarnation, and attempts in flight. Nothing else.
@@ -172,7 +172,7 @@
                     continue;
                 };
                 let incarnation = e.incarnation;
-                let report = Report {
+                let report = LoadReport {
                     at: now,
                     leaving,
                     ..report(version, 2)
@@ -206,7 +206,7 @@
                     oracle.last.push(choice.key);
                 }
             }
-            Op::End(n, kind) => {
+            Op::Finish(n, kind) => {
                 if oracle.flying.is_empty() {
                     continue;
                 }
@@ -214,7 +214,7 @@
                 let e = set.get(key).expect("kept while in flight");
                 let id = (e.name.to_string(), e.incarnation);
                 let end = ENDS[usize::from(kind)];
-                if end == End::Leaving {
+                if end == AttemptEnd::Leaving {
                     oracle.leaving.insert(id);
                 }
                 let event = Event::Finished {
@@ -366,7 +366,7 @@
             key: sick,
             tokens: 1,
             took: Duration::ZERO,
-            end: End::Failed,
+            end: AttemptEnd::Failed,
         };
         set.step(Time::ZERO, event);
     }
@@ -418,7 +418,7 @@
                 key: first,
                 tokens: 1,
                 took: Duration::from_micros(10),
-                end: End::Overloaded,
+                end: AttemptEnd::Overloaded,
             },
         );
     }
--- a/crates/pinereel_fakes/src/capacity/routing.rs
+++ b/crates/pinereel_fakes/src/capacity/routing.rs
@@ -8,7 +8,7 @@
 use pinereel_core::{
     Time, Version,
     admit::{self, Queue, Ticket},
-    endpoint::{End, Event, Instance, Key, Report, Set, subset},
+    endpoint::{AttemptEnd, Event, Key, Listing, LoadReport, Set, subset},
     route::{Policy, Priority, Request, choose},
 };
 use std::{io, time::Duration};
@@ -42,7 +42,7 @@
     let mut set = Set::default();
     let keys = (0..count).map(|i| {
         let name = format_compact!("worker-{i}");
-        let instance = Instance {
+        let instance = Listing {
             name: name.clone(),
             incarnation: 1,
             address: format_compact!("10.0.{}.{}:8000", i / 250, i % 250),
@@ -61,7 +61,7 @@
 }
 
 fn reported(key: Key, i: usize) -> Event {
-    let report = Report {
+    let report = LoadReport {
         at: Time::from_millis(i as u64),
         running: (i % 5) as u32,
         waiting: 0,
@@ -133,7 +133,7 @@
         let took = micros(|| {
             i += 1;
             let name = format_compact!("worker-{}", i % 2_900);
-            subset::holds(
+            subset::contains(
                 entries[i % count],
                 &entries,
                 &name,
@@ -157,7 +157,7 @@
                 key,
                 tokens: 1,
                 took: Duration::from_millis(1),
-                end: End::Whole,
+                end: AttemptEnd::Completed,
             };
             set.step(now, end);
         }
--- a/crates/pinereel_fakes/src/experiment/engines.rs
+++ b/crates/pinereel_fakes/src/experiment/engines.rs
@@ -9,7 +9,7 @@
 use pinereel_api::engine::{Chunk, Request};
 use pinereel_core::{
     Time, Version,
-    endpoint::{End, Report},
+    endpoint::{AttemptEnd, LoadReport},
     lot::Failure,
     rollout::Sight,
 };
@@ -71,11 +71,11 @@
     }
 
     /// What it says of its load, which is `lag` old.
-    pub(super) fn report(&self, now: Time, lag: Duration) -> Report {
+    pub(super) fn report(&self, now: Time, lag: Duration) -> LoadReport {
         let old = self.history.iter().rev();
         let old = old.copied().find(|(at, ..)| now.since(*at) >= lag);
         let (at, running, waiting) = old.unwrap_or((Time::ZERO, 0, 0));
-        Report {
+        LoadReport {
             at,
             running,
             waiting,
@@ -156,9 +156,9 @@
         let id = request.request_id.clone();
         let refused = if engine.up {
             let taken = engine.batch.submit(self.now, request);
-            taken.is_err().then_some(End::Overloaded)
+            taken.is_err().then_some(AttemptEnd::Overloaded)
         } else {
-            Some(End::ConnectionRefused)
+            Some(AttemptEnd::ConnectionRefused)
         };
         if let Some(end) = refused {
             let job = Job::Broken(origin, end, Failure::NotRun);
@@ -204,7 +204,7 @@
         engine.wake = None;
         for origin in std::mem::take(&mut engine.origins).into_values() {
             let after = self.to_origin(index, origin);
-            let job = Job::Broken(origin, End::Failed, Failure::Lost);
+            let job = Job::Broken(origin, AttemptEnd::Failed, Failure::Lost);
             self.queue.send(self.now, after, job);
         }
     }
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -11,7 +11,7 @@
 use pinereel_api::engine::{self, Request};
 use pinereel_core::{
     Time, Version, cursor,
-    endpoint::{self, End, Key, Report, Set, State},
+    endpoint::{self, AttemptEnd, Key, LoadReport, Set, State},
     lot::{self, Action, AttemptKey, Event, Failure, Limits, Offer, Runner, Start},
 };
 use std::{
@@ -117,7 +117,7 @@
         self.queue.send(self.now, spread, Job::List(life));
     }
 
-    fn instance(&self, engine: usize) -> endpoint::Instance {
+    fn instance(&self, engine: usize) -> endpoint::Listing {
         let Scenario {
             model,
             zones,
@@ -125,7 +125,7 @@
             ..
         } = &self.scenario;
         let engine = &self.engines[engine];
-        endpoint::Instance {
+        endpoint::Listing {
             name: engine.name.clone(),
             incarnation: engine.incarnation,
             address: engine.name.clone(),
@@ -174,7 +174,13 @@
         }
     }
 
-    pub(super) fn report(&mut self, life: Life, index: usize, incarnation: u64, report: Report) {
+    pub(super) fn report(
+        &mut self,
+        life: Life,
+        index: usize,
+        incarnation: u64,
+        report: LoadReport,
+    ) {
         if !self.lives(life) {
             return;
         }
@@ -245,7 +251,7 @@
         let entry = &mut self.entries[life.entry];
         let origin = Origin::Attempt(life, start.attempt);
         let Some((key, endpoint)) = entry.set.find(&start.endpoint) else {
-            let job = Job::Broken(origin, End::Cancelled, Failure::NotRun);
+            let job = Job::Broken(origin, AttemptEnd::Cancelled, Failure::NotRun);
             self.queue.send(now, Duration::ZERO, job);
             return;
         };
@@ -285,7 +291,7 @@
     }
 
     fn cancel_attempt(&mut self, life: Life, attempt: AttemptKey) {
-        let Some(sent) = self.end(life, attempt, End::Cancelled) else {
+        let Some(sent) = self.end(life, attempt, AttemptEnd::Cancelled) else {
             return;
         };
         let after = self.to_origin(sent.engine, Origin::Attempt(life, attempt));
@@ -294,7 +300,7 @@
     }
 
     /// Takes an attempt off the books of its endpoint.
-    fn end(&mut self, life: Life, attempt: AttemptKey, end: End) -> Option<Sent> {
+    fn end(&mut self, life: Life, attempt: AttemptKey, end: AttemptEnd) -> Option<Sent> {
         let entry = &mut self.entries[life.entry];
         let sent = entry.sent.remove(&attempt)?;
         let event = endpoint::Event::Finished {
@@ -320,7 +326,7 @@
             self.tally.made(sent.sample.clone(), made);
         }
         if chunk.finish.is_some() {
-            self.end(life, attempt, End::Whole);
+            self.end(life, attempt, AttemptEnd::Completed);
         }
         self.step(life, Event::Chunk(engines::of_attempt(attempt, chunk)));
     }
@@ -330,7 +336,7 @@
         &mut self,
         life: Life,
         attempt: AttemptKey,
-        end: End,
+        end: AttemptEnd,
         failure: Failure,
     ) {
         if self.lives(life) {
--- a/crates/pinereel_fakes/src/experiment/job.rs
+++ b/crates/pinereel_fakes/src/experiment/job.rs
@@ -6,7 +6,7 @@
 use pinereel_core::{
     Time, Version,
     cursor::Token,
-    endpoint::{End, Report},
+    endpoint::{AttemptEnd, LoadReport},
     lot::{AttemptKey, Failure, Sample, Spec},
     rollout::Sight,
 };
@@ -40,11 +40,11 @@
     /// A chunk arrives at its origin.
     Chunk(Origin, engine::Chunk),
     /// An attempt broke off, as its origin learns.
-    Broken(Origin, End, Failure),
+    Broken(Origin, AttemptEnd, Failure),
     /// An entry reads an engine's state.
     Poll(Life, usize),
     /// The answer to that.
-    Report(Life, usize, u64, Report),
+    Report(Life, usize, u64, LoadReport),
     /// An entry's regular tick.
     Tick(Life),
     /// A lot arrives at the front: trainer, step, entry.
--- a/crates/pinereel_fakes/src/experiment/live.rs
+++ b/crates/pinereel_fakes/src/experiment/live.rs
@@ -8,7 +8,7 @@
 use pinereel_api::engine::{self, Request};
 use pinereel_core::{
     Time,
-    endpoint::{self, End, Key},
+    endpoint::{self, AttemptEnd, Key},
     fair::Class,
     hash,
     route::{self, Priority, Refusal},
@@ -160,7 +160,7 @@
     }
 
     /// Ends the attempt under way, if it is the one meant.
-    fn end_live(&mut self, number: u64, attempt: u32, end: End) -> bool {
+    fn end_live(&mut self, number: u64, attempt: u32, end: AttemptEnd) -> bool {
         let call = &mut self.live.calls[number as usize];
         if call.running.as_ref().is_none_or(|r| r.attempt != attempt) {
             return false;
@@ -168,7 +168,7 @@
         let Some(running) = call.running.take() else {
             return false;
         };
-        if end != End::Whole {
+        if end != AttemptEnd::Completed {
             call.excluded.push(running.key);
         }
         let entry = &mut self.entries[call.entry];
@@ -188,10 +188,10 @@
     pub(super) fn live_chunk(&mut self, number: u64, attempt: u32, chunk: &engine::Chunk) {
         let Some(finish) = chunk.finish else { return };
         if finish == engine::Finish::Cancelled {
-            self.live_broken(number, attempt, End::Failed);
+            self.live_broken(number, attempt, AttemptEnd::Failed);
             return;
         }
-        if !self.end_live(number, attempt, End::Whole) {
+        if !self.end_live(number, attempt, AttemptEnd::Completed) {
             return;
         }
         let call = &mut self.live.calls[number as usize];
@@ -206,7 +206,7 @@
     }
 
     /// An attempt broke off: the next one goes elsewhere.
-    pub(super) fn live_broken(&mut self, number: u64, attempt: u32, end: End) {
+    pub(super) fn live_broken(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
         if !self.end_live(number, attempt, end) {
             return;
         }
