--- a/crates/pinereel_core/src/endpoint/event.rs
+++ b/crates/pinereel_core/src/endpoint/event.rs
@@ -1,4 +1,4 @@
-//! What a [`Set`](super::Set) is told, and what it answers.
+//! Input events and resulting changes of a [`Set`](super::Set).
 
 use super::{Key, LoadReport};
 use crate::{Time, Version};
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// What the platform's list says of one endpoint.
+/// An endpoint as the platform's list shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
     /// Unique name.
     pub name: CompactString,
-    /// Changes with each start.
+    /// Differs between starts under one name.
     pub incarnation: u64,
     /// `IP:PORT`.
     pub address: CompactString,
@@ -19,58 +19,59 @@
     pub zone: CompactString,
     /// Pool that it belongs to.
     pub pool: CompactString,
-    /// Most requests in flight from this entry; the adaptive limit stays at or under it.
+    /// Maximum concurrent attempts from this entry; upper bound of the adaptive concurrency limit.
     pub slots: u32,
-    /// Whether the list says that it is leaving.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// One thing that happened.
+/// Input of [`Set::step`](super::Set::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The platform's list shows the endpoint.
+    /// The platform's list contains the endpoint.
     Listed(Listing),
-    /// The platform's list shows the endpoint no more, or the subset dropped it.
+    /// The platform's list no longer contains the endpoint, or it is no longer in this entry's
+    /// subset.
     Unlisted {
-        /// Its name.
+        /// Name of the endpoint.
         name: CompactString,
     },
-    /// A peer found this incarnation leaving.
+    /// A peer reports that this incarnation is leaving.
     Hinted {
-        /// Its name.
+        /// Name of the endpoint.
         name: CompactString,
         /// The incarnation that leaves.
         incarnation: u64,
     },
     /// A load report arrived.
     Reported {
-        /// Incarnation that the report names; a new one is taken over at once.
+        /// Incarnation named by the report. A new one replaces the old one at once.
         incarnation: u64,
-        /// Endpoint that was asked.
+        /// Endpoint that was polled.
         key: Key,
-        /// What it said.
+        /// The figures.
         report: LoadReport,
     },
-    /// An attempt was sent (counted from the choice on).
+    /// An attempt was sent. It counts from the time the endpoint was chosen.
     Started {
-        /// Chosen endpoint.
+        /// The chosen endpoint.
         key: Key,
-        /// Tokens expected.
+        /// Expected number of tokens.
         tokens: u32,
     },
-    /// Of the attempts in flight there, so many more (or fewer) are of samples: a live request
-    /// goes before them at the endpoint, so they take no room from it.
+    /// The number of attempts in flight that carry samples changed. The endpoint runs live requests
+    /// before them, so they take no room from live requests.
     Yielding {
-        /// Its endpoint.
+        /// Endpoint of the attempts.
         key: Key,
-        /// By how many the number changes; the last change comes before `Finished`.
+        /// Difference to the number before. The last decrease comes before `Finished`.
         change: i32,
     },
-    /// An attempt ended. Every `Started` needs exactly one.
+    /// An attempt ended. Each `Started` is followed by exactly one.
     Finished {
-        /// Its endpoint.
+        /// Endpoint of the attempt.
         key: Key,
-        /// The same figure as at the start.
+        /// The same value as in `Started`.
         tokens: u32,
         /// Time since the start.
         took: Duration,
@@ -79,81 +80,81 @@
     },
 }
 
-/// How an attempt ended, as far as it speaks about the endpoint.
+/// How an attempt ended, as far as that says something about the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptEnd {
-    /// A whole answer, or an error that is the caller's fault.
+    /// A complete answer, or an error caused by the caller.
     Completed,
-    /// The caller or this entry gave it up; says nothing about the endpoint.
+    /// Cancelled by the caller or this entry. Says nothing about the endpoint.
     Cancelled,
-    /// A broken stream, a 5xx or no answer in time.
+    /// A broken stream, a 5xx status, or no answer in time.
     Failed,
-    /// The endpoint said that it has too much to do.
+    /// The endpoint reported that it is overloaded.
     Overloaded,
     /// The connection was refused: nothing listens at the address.
     ConnectionRefused,
     /// The connection could not be opened in time.
     ConnectionTimeout,
-    /// The endpoint said that it is leaving.
+    /// The endpoint reported that it is leaving.
     Leaving,
 }
 
-/// How an endpoint was found leaving.
+/// Source of the information that an endpoint is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeavingSource {
     /// The platform's list.
     Listed,
-    /// Its own answer to a request, or its own report.
+    /// The endpoint's own answer to a request, or its load report.
     #[serde(rename = "said")]
     Reported,
-    /// Nothing has listened at its address for a while.
+    /// Nothing has been listening at its address for a while.
     ConnectionsRefused,
-    /// A peer's word.
+    /// A hint from a peer.
     Hinted,
 }
 
 impl LeavingSource {
-    /// Whether peers may be told. Hints aren't passed on again, and refused connections may be
-    /// the fault of this entry's own link.
+    /// Whether peers may be told. Hints are not forwarded again, and refused connections may be the
+    /// fault of this entry's own link.
     pub const fn is_shareable(self) -> bool {
         matches!(self, Self::Listed | Self::Reported)
     }
 }
 
-/// One change of one endpoint.
+/// A change of one endpoint, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// The endpoint.
+    /// Key of the endpoint.
     #[serde(skip)]
     pub key: Key,
-    /// Its name.
+    /// Name of the endpoint.
     pub name: CompactString,
-    /// Its incarnation.
+    /// Incarnation that changed.
     pub incarnation: u64,
-    /// What changed.
+    /// How it changed.
     #[serde(rename = "what")]
     pub kind: ChangeKind,
 }
 
-/// What changed.
+/// Kind of a [`Change`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// New in the set.
+    /// Added to the set.
     Added,
-    /// Gets no new work from now on.
+    /// Gets no new requests from now on.
     Leaving(LeavingSource),
-    /// Not in the list any more, or replaced by a new incarnation.
+    /// No longer listed, or replaced by a new incarnation.
     Gone,
-    /// Failed repeatedly; gets nothing but rare probes, and those not before the time.
+    /// Ejected after repeated failures. It gets only occasional probes from `until` on.
     Ejected {
-        /// Earliest probe.
+        /// Earliest time of a probe.
         until: Time,
     },
-    /// Answered a probe; takes part again, with slow-start.
+    /// Answered a probe and takes requests again, with slow start.
     Restored,
-    /// Serves other weights than before.
+    /// Serves another version of the weights than before.
     #[serde(rename = "serves")]
     VersionChanged(Option<Version>),
 }
--- a/crates/pinereel_core/src/endpoint/index.rs
+++ b/crates/pinereel_core/src/endpoint/index.rs
@@ -1,10 +1,11 @@
-//! The endpoints that take work, by service.
+//! Index of the endpoints that take work, by service.
 
 use crate::rollout::rank;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ids of the endpoints that take work, so that the few that are asked for are found without a look at all others.
+/// Ids of the endpoints that take work, so that a service's endpoints are found without scanning
+/// all others.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceIndex {
     services: BTreeMap<CompactString, Service>,
@@ -14,14 +15,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct Service {
-    /// By rank, the least first.
+    /// Ordered by rank, lowest first.
     ranked: BTreeSet<(u64, CompactString)>,
-    /// Slots of all of them.
+    /// Total of the slots.
     slots: u64,
 }
 
 impl ServiceIndex {
-    /// An endpoint takes work of a service, with so many slots.
+    /// Adds an endpoint of a service, or updates its service and slots.
     pub fn insert(&mut self, id: &CompactString, service: &CompactString, slots: u32) {
         let service_slots = (service.clone(), slots);
         if self.by_id.get(id) == Some(&service_slots) {
@@ -34,7 +35,7 @@
         self.by_id.insert(id.clone(), service_slots);
     }
 
-    /// An endpoint takes no work any more.
+    /// Removes an endpoint that takes no more work.
     pub fn remove(&mut self, id: &CompactString) {
         let Some((service, slots)) = self.by_id.remove(id) else {
             return;
@@ -51,13 +52,13 @@
         service.map_or(0, |service| service.ranked.len())
     }
 
-    /// Slots of all endpoints of a service.
+    /// Total slots of a service's endpoints.
     pub fn slots(&self, service: &str) -> u64 {
         let service = self.services.get(service);
         service.map_or(0, |service| service.slots)
     }
 
-    /// The endpoints of a service in the order in which they join its working set.
+    /// Endpoints of a service, in the order in which they join its working set.
     pub fn ranked(&self, service: &str) -> impl Iterator<Item = &CompactString> {
         let service = self.services.get(service).into_iter();
         service.flat_map(|service| service.ranked.iter().map(|(_, id)| id))
--- a/crates/pinereel_core/src/endpoint/mod.rs
+++ b/crates/pinereel_core/src/endpoint/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoints as one entry sees them: state, load and what is known of each.
+//! Endpoint state as seen by one entry, a proxy process that admits and routes requests.
 //!
-//! A [`Set`] holds the entry's own bounded subset of the fleet (see [`subset`]). Events go in by
-//! [`Set::step`], what changed comes out as values for the log. Every incarnation of an endpoint
-//! has its own [`Key`], so a late event of an old incarnation can't touch the new one.
+//! A [`Set`] holds the entry's bounded subset of the fleet (see [`subset`]). [`Set::step`] takes
+//! events and returns the changes for the log. Each incarnation of an endpoint has its own [`Key`],
+//! so a late event of an old incarnation cannot affect the new one.
 
 mod event;
 mod index;
@@ -16,6 +16,6 @@
 pub use state::{Endpoint, LoadReport, State};
 
 slotmap::new_key_type! {
-    /// One incarnation of one endpoint in a [`Set`].
+    /// Key of one incarnation of an endpoint in a [`Set`].
     pub struct Key;
 }
--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -1,4 +1,4 @@
-//! The set of endpoints that one entry works with.
+//! The set of endpoints that one entry works with: outlier ejection, draining and replacement.
 
 use super::{
     AttemptEnd, Change, ChangeKind, Endpoint, Event, Key, LeavingSource, Listing, LoadReport, State,
@@ -11,31 +11,32 @@
     time::Duration,
 };
 
-/// Consecutive failures that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// Length of the first ejection; each further one doubles it.
+/// Duration of the first ejection; each further one doubles it.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
-/// Longest ejection.
+/// Upper bound of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
-/// Consecutive refused connections that may mean that the process has ended.
+/// Consecutive refused connections after which the endpoint's process may have ended.
 const REFUSALS_UNTIL_LEAVING: u32 = 3;
-/// Least time from the first to the last of them: a short hiccup is no evidence.
+/// Minimum time between the first and the last of these refusals, so that a short interruption does
+/// not count as leaving.
 const MIN_REFUSAL_SPAN: Duration = Duration::from_secs(1);
-/// Incarnations remembered as leaving after they left the set.
+/// Incarnations remembered as leaving after they were removed from the set.
 const MAX_LEAVING_HISTORY: usize = 16_384;
 
-/// All endpoints of an entry, live ones and those that still have attempts in flight.
+/// All endpoints of an entry, including removed ones with attempts still in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Set {
     arena: SlotMap<Key, Endpoint>,
     by_name: BTreeMap<CompactString, Key>,
     by_pool: BTreeMap<CompactString, Vec<Key>>,
-    /// Gone ones that still have attempts in flight.
+    /// Removed incarnations with attempts still in flight.
     retired: BTreeMap<(CompactString, u64), Key>,
     leaving_history: LeavingHistory,
 }
 
-/// Bounded memory of incarnations that were found leaving.
+/// Bounded history of incarnations known to be leaving; the oldest is evicted first.
 #[derive(Clone, Debug, Default)]
 struct LeavingHistory {
     members: BTreeSet<(CompactString, u64)>,
@@ -62,7 +63,7 @@
 }
 
 impl Set {
-    /// Takes in one event; returns what changed, for the log and for peers' hints.
+    /// Applies one event; returns the changes, for the log and for hints to peers.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Change> {
         let mut changes = Vec::new();
         match event {
@@ -98,18 +99,18 @@
         changes
     }
 
-    /// The endpoint, if it is still known.
+    /// The endpoint, unless it was removed and its last attempt has ended.
     pub fn get(&self, key: Key) -> Option<&Endpoint> {
         self.arena.get(key)
     }
 
-    /// The newest incarnation by name.
+    /// The current incarnation of a name.
     pub fn find(&self, name: &str) -> Option<(Key, &Endpoint)> {
         let key = *self.by_name.get(name)?;
         Some((key, self.arena.get(key)?))
     }
 
-    /// Listed endpoints of a pool, leaving and ejected ones included, in order of arrival.
+    /// Listed endpoints of a pool in order of arrival, including leaving and ejected ones.
     pub fn pool(&self, pool: &str) -> impl Iterator<Item = (Key, &Endpoint)> {
         let keys = self.by_pool.get(pool).map_or(&[][..], Vec::as_slice);
         keys.iter().map(|key| (*key, &self.arena[*key]))
@@ -120,12 +121,12 @@
         self.by_pool.contains_key(pool)
     }
 
-    /// All endpoints, those that are gone but still busy included.
+    /// All endpoints, including removed ones with attempts in flight.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &Endpoint)> {
         self.arena.iter()
     }
 
-    /// Incarnations that peers should know to be leaving, by name.
+    /// Incarnations by name that peers should treat as leaving.
     pub fn hints(&self) -> BTreeMap<CompactString, u64> {
         self.arena
             .values()
@@ -141,7 +142,7 @@
                 self.update(key, listing, changes);
                 return;
             }
-            // The list lags: it may still show what was replaced already.
+            // The list is eventually consistent and may still show a replaced incarnation.
             if self
                 .leaving_history
                 .contains(&listing.name, listing.incarnation)
@@ -160,7 +161,7 @@
         endpoint.address = listing.address;
         endpoint.zone = listing.zone;
         endpoint.slots = listing.slots.max(1);
-        // A changed bound applies at once; the adaptive limit grows back by itself.
+        // A lower bound applies at once; the adaptive limit grows back on its own.
         endpoint.limit = endpoint.limit.min(f64::from(endpoint.slots));
         if endpoint.pool != listing.pool {
             let old = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
@@ -178,7 +179,7 @@
             .contains(&listing.name, listing.incarnation);
         let leaving = listing.leaving;
         let (name, pool) = (listing.name.clone(), listing.pool.clone());
-        // At the entry's own start nothing is new about the endpoints that it finds.
+        // At the entry's own start, the endpoints it finds are not new and need no slow start.
         let slow_start_since = (now > Time::ZERO).then_some(now);
         let endpoint = Endpoint::new(listing, slow_start_since);
         let key = self.restore_or_insert(endpoint);
@@ -192,8 +193,8 @@
         }
     }
 
-    /// One incarnation never has two keys: if it is listed again while attempts are in flight,
-    /// they still count against its limit and their evidence still reaches it.
+    /// Ensures that one incarnation never has two keys. If it is listed again while attempts are in
+    /// flight, they still count against its limit, and their results still apply to it.
     fn restore_or_insert(&mut self, mut endpoint: Endpoint) -> Key {
         let id = (endpoint.name.clone(), endpoint.incarnation);
         let Some(key) = self.retired.remove(&id) else {
@@ -243,7 +244,7 @@
         }
     }
 
-    /// The endpoint itself shows a new incarnation before the list does.
+    /// The endpoint reports a new incarnation before the list shows it.
     fn replace_incarnation(
         &mut self,
         now: Time,
@@ -316,7 +317,7 @@
             endpoint.ejections = 0;
             return;
         };
-        // An attempt from before the ejection says nothing about the endpoint's recovery.
+        // An attempt that started before the ejection says nothing about recovery.
         let began = Time(now.0.saturating_sub(took.as_micros() as u64));
         if endpoint.ejected_at.is_some_and(|at| began >= at) {
             endpoint.state = State::Live;
@@ -371,7 +372,8 @@
         self.push_change(key, ChangeKind::Leaving(leaving_source), changes);
     }
 
-    /// Takes an incarnation out; it stays in the arena until its last attempt ends.
+    /// Removes an incarnation from the listed endpoints. It stays in the arena until its last
+    /// attempt ends.
     fn retire(&mut self, key: Key, changes: &mut Vec<Change>) {
         self.push_change(key, ChangeKind::Gone, changes);
         let endpoint = &mut self.arena[key];
--- a/crates/pinereel_core/src/endpoint/state.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! One endpoint: what is known of it, and the figures that routing works with.
+//! State of one endpoint, and the load, latency and concurrency figures that routing uses.
 
 use super::LeavingSource;
 use crate::{Time, Version, hash};
@@ -6,89 +6,89 @@
 use serde::Serialize;
 use std::{collections::VecDeque, time::Duration};
 
-/// Share of a new latency sample in the moving average.
+/// Weight of a new sample in the moving average of the latency.
 const LATENCY_EWMA_WEIGHT: f64 = 0.2;
-/// What is left of the concurrency limit after an overload.
+/// Factor by which the concurrency limit shrinks after an overload.
 const LIMIT_DECREASE_FACTOR: f64 = 0.7;
-/// Starts and ends kept to correct a late report; older ones are forgotten.
+/// Attempt starts and ends kept to correct delayed load reports; older ones are dropped.
 const MAX_RECENT_CHANGES: usize = 512;
-/// Age at which a load report counts for nothing any more.
+/// Age at which a load report no longer counts.
 const REPORT_TTL: Duration = Duration::from_secs(5);
-/// Length of slow-start.
+/// Duration of slow start.
 const SLOW_START_PERIOD: Duration = Duration::from_secs(10);
-/// Weight at the begin of slow-start.
+/// Weight at the beginning of slow start.
 const INITIAL_SLOW_START_WEIGHT: f64 = 0.1;
 
-/// Whether an endpoint may get work.
+/// Whether an endpoint may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// May get work.
+    /// May get requests.
     Live,
-    /// No new work, for good: this never reverts for the same incarnation.
+    /// Gets no new requests. Permanent for the incarnation.
     Leaving,
-    /// Not listed or replaced; kept only until its last attempt ends.
+    /// Not listed or replaced. Kept only until its last attempt ends.
     Gone,
-    /// Gets only rare probes, and none before the time.
+    /// Ejected after failures. It gets only occasional probes from `until` on.
     Ejected {
-        /// Earliest probe.
+        /// Earliest time of a probe.
         until: Time,
     },
 }
 
-/// What an endpoint says of itself.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Moment that the figures describe: arrival less the lag that the endpoint states.
+    /// Time that the figures describe: arrival minus the lag stated by the endpoint.
     pub at: Time,
-    /// Sequences running.
+    /// Running sequences.
     pub running: u32,
-    /// Sequences waiting.
+    /// Waiting sequences.
     pub waiting: u32,
-    /// Version that it serves.
+    /// Version of the weights that it serves.
     pub version: Option<Version>,
-    /// Version that it is loading.
+    /// Version of the weights that it is loading.
     pub loading: Option<Version>,
-    /// Whether it says that it is leaving.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
 }
 
-/// One incarnation of one endpoint.
+/// One incarnation of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Unique name.
     pub name: CompactString,
-    /// Incarnation.
+    /// Differs between starts under one name.
     pub incarnation: u64,
     /// `IP:PORT`.
     pub address: CompactString,
     /// Availability zone.
     pub zone: CompactString,
-    /// Pool.
+    /// Pool that it belongs to.
     pub pool: CompactString,
     /// Upper bound of the concurrency limit.
     pub slots: u32,
-    /// Whether it may get work.
+    /// Whether it may get requests.
     pub state: State,
-    /// How it was found leaving.
+    /// How it became known to be leaving.
     pub leaving_source: Option<LeavingSource>,
     /// This entry's attempts in flight.
     pub outstanding: u32,
-    /// Those of them that are of samples, before which a live request goes at the endpoint.
+    /// Number of those that carry samples. The endpoint runs live requests before them.
     pub yielding: u32,
-    /// Tokens expected of them.
+    /// Expected tokens of the attempts in flight.
     pub tokens: u64,
-    /// The last load report.
+    /// Most recent load report.
     pub report: Option<LoadReport>,
-    /// Version that it serves, by its own word.
+    /// Version of the weights that it reported to serve.
     pub version: Option<Version>,
-    /// Version that it is loading, by its own word.
+    /// Version of the weights that it reported to be loading.
     pub loading: Option<Version>,
     /// Consecutive failures.
     pub failures: u32,
-    /// Ejections since the last good spell.
+    /// Consecutive ejections, reset by a success outside an ejection.
     pub ejections: u32,
-    /// Moving average of the time of whole answers, in microseconds; zero before the first.
+    /// Moving average of the time to a complete answer, in microseconds; zero before the first one.
     pub latency: f64,
     pub(super) hash: u64,
     pub(super) slow_start_since: Option<Time>,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Most attempts in flight that this entry may have there now.
+    /// Current concurrency limit for this entry, between 1 and the slots.
     pub fn limit(&self) -> u32 {
         (self.limit as u32).clamp(1, self.slots)
     }
@@ -143,8 +143,9 @@
         self.outstanding < self.limit()
     }
 
-    /// Whether one more live attempt stays within the limit. What yields to it takes no room from
-    /// it. Else samples, which follow each other without a gap, would keep it out for ever.
+    /// Whether one more live attempt stays within the limit. Samples that yield to live requests
+    /// are not counted, since they follow each other without a gap and would keep live requests out
+    /// indefinitely.
     pub fn has_live_room(&self) -> bool {
         self.outstanding.saturating_sub(self.yielding) < self.limit()
     }
@@ -154,7 +155,7 @@
         self.hash
     }
 
-    /// Work of others as of the last report, trusted less the older it is.
+    /// Load from other entries as of the last report, discounted linearly with its age.
     pub fn other_load(&self, now: Time) -> f64 {
         let Some(report) = self.report else {
             return 0.0;
@@ -163,16 +164,15 @@
         f64::from(self.other_load) * (1.0 - age).max(0.0)
     }
 
-    /// Estimated requests at the endpoint: own attempts, exact, and the work of others.
+    /// Estimated requests at the endpoint: the exact number of own attempts plus the load from
+    /// others.
     ///
-    /// Own attempts that began after the moment of the report are in by their own count, and
-    /// those that ended since aren't.
+    /// Own attempts that started or ended after the time of the report are taken into account.
     pub fn load(&self, now: Time) -> f64 {
         f64::from(self.outstanding) + self.other_load(now)
     }
 
-    /// Share of its usual work that the endpoint should get, from near 0 to 1: lower during
-    /// slow-start.
+    /// Fraction of its usual load that the endpoint should get: 1, or less during slow start.
     pub fn slow_start_weight(&self, now: Time) -> f64 {
         let Some(since) = self.slow_start_since else {
             return 1.0;
@@ -203,14 +203,14 @@
         }
     }
 
-    /// Additive increase, only while the limit is what holds work back.
+    /// Additive increase, applied only while the limit is what constrains concurrency.
     pub(super) fn increase_limit(&mut self) {
         if self.outstanding + 1 >= self.limit() {
             self.limit = (self.limit + 1.0 / self.limit).min(f64::from(self.slots));
         }
     }
 
-    /// Multiplicative decrease, once for the attempts that were in flight together.
+    /// Multiplicative decrease, applied once for attempts that were in flight together.
     pub(super) fn decrease_limit(&mut self, now: Time, took: Duration) {
         let began = Time(now.0.saturating_sub(took.as_micros() as u64));
         if self.limit_decreased_at.is_some_and(|at| began < at) {
@@ -220,7 +220,7 @@
         self.limit_decreased_at = Some(now);
     }
 
-    /// Takes a report that is newer than the last one; says whether it did.
+    /// Applies a report unless it is older than the last one; returns whether it was applied.
     pub(super) fn apply_report(&mut self, report: LoadReport) -> bool {
         if self.report.is_some_and(|last| last.at > report.at) {
             return false;
--- a/crates/pinereel_core/src/endpoint/subset.rs
+++ b/crates/pinereel_core/src/endpoint/subset.rs
@@ -1,12 +1,13 @@
-//! Which endpoints an entry works with, so that its state doesn't grow with the fleet.
+//! Deterministic subsetting: which endpoints an entry works with, so that its state does not grow
+//! with the fleet.
 //!
-//! Each endpoint picks its entries by rendezvous hashing over the entries' names: so many of its
-//! own zone and so many of others. So every endpoint is covered by the same number of entries
-//! whatever the hash does, and a lost entry moves only the endpoints that it covered.
+//! Each endpoint selects a number of entries in its own zone and in other zones by rendezvous
+//! hashing over the entries' names. Every endpoint is thus covered by the same number of entries,
+//! and the loss of an entry moves only the endpoints that it covered.
 
 use crate::hash;
 
-/// How many entries work with each endpoint.
+/// Number of entries that work with each endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cover {
     /// Entries of the endpoint's own zone.
@@ -15,7 +16,7 @@
     pub remote: usize,
 }
 
-/// An entry, as far as subsets matter.
+/// An entry as seen by the subset selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry<'a> {
     /// Unique name.
@@ -24,9 +25,11 @@
     pub zone: &'a str,
 }
 
-/// The cover that gives each entry about `size` of `endpoints`, split evenly between the zones.
+/// The cover that gives each entry about `target_size` of the endpoints, split evenly between own
+/// and other zones.
 ///
-/// At least two entries a side cover an endpoint, so that one lost entry orphans none.
+/// At least two entries in the own zone and two in other zones cover an endpoint, so that the loss
+/// of one entry leaves no endpoint uncovered.
 pub fn cover(entries: usize, endpoints: usize, target_size: usize) -> Cover {
     const MIN_ENTRIES_PER_SIDE: usize = 2;
     let entries_per_endpoint = (entries * target_size).div_ceil(endpoints.max(1));
@@ -37,10 +40,10 @@
     }
 }
 
-/// Whether the entry `me` works with `endpoint` in `zone`.
+/// Whether the entry `own` works with `endpoint` in `zone`.
 ///
-/// `entries` holds all entries, `me` included. If fewer entries of a side exist than asked for,
-/// all of that side work with it.
+/// `entries` contains all entries, `own` included. If the own zone or the other zones have fewer
+/// entries than `cover` asks for, all of them work with the endpoint.
 pub fn contains(
     own: Entry<'_>,
     entries: &[Entry<'_>],
--- a/crates/pinereel_core/tests/endpoint_set.rs
+++ b/crates/pinereel_core/tests/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoint set: leaving is monotonic, incarnations are apart, counts are exact.
+//! The endpoint set: leaving is permanent, incarnations are separate, counts are exact.
 
 use pinereel_core::{
     Time, Version,
@@ -76,7 +76,7 @@
     assert_eq!(set.get(new).unwrap().state, State::Live);
     assert_eq!(set.get(new).unwrap().outstanding, 0);
     assert_eq!(listed(&mut set, 4, "e1", 1), Some(new));
-    // The old one's last attempt ends without touching the new one.
+    // The old incarnation's last attempt ends without affecting the new one.
     end(&mut set, 5, old, AttemptEnd::Completed);
     assert_eq!(set.get(old).unwrap().outstanding, 1);
 }
@@ -103,7 +103,7 @@
     set.step(Time::ZERO, hint);
     let key = listed(&mut set, 1, "e1", 7).unwrap();
     assert_eq!(set.get(key).unwrap().state, State::Leaving);
-    assert!(set.hints().is_empty(), "a hint isn't passed on");
+    assert!(set.hints().is_empty(), "a hint is not forwarded");
 }
 
 #[test]
@@ -168,7 +168,7 @@
     };
     start(&mut set, 10);
     start(&mut set, 20);
-    // As of 15 ms: four running, one of them ours. The second of ours isn't in it.
+    // As of 15 ms, four requests were running, one of them ours. Our second one is not included.
     let event = Event::Reported {
         key,
         incarnation: 1,
--- a/crates/pinereel_core/tests/endpoint_yielding.rs
+++ b/crates/pinereel_core/tests/endpoint_yielding.rs
@@ -1,4 +1,4 @@
-//! Bulk attempts that yield take no room from live requests, and all from others.
+//! Bulk attempts that yield take no room from live requests, but do take room from all others.
 
 #![allow(clippy::unwrap_used)]
 
@@ -53,7 +53,7 @@
         start(&mut set, key, 0);
     }
     assert_eq!(choose(&set, Priority::Live), Err(Refusal::Full));
-    // A bulk attempt that ends makes no room for a live one: two live ones still run.
+    // The end of a bulk attempt makes no room for a live one: two live attempts are still running.
     set.step(NOW, Event::Yielding { key, change: -1 });
     let end = Event::Finished {
         key,
