--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -43,7 +43,7 @@
 const HURRIED: Duration = Duration::from_millis(80);
 /// Endpoints say themselves when they are full, so that no limit of this instance's own refuses.
 const POLICY: Policy = Policy {
-    adaptive: false,
+    adaptive_limits: false,
     ..Policy::FULL
 };
 
--- a/crates/pinereel_core/src/route/candidate.rs
+++ b/crates/pinereel_core/src/route/candidate.rs
@@ -34,31 +34,31 @@
 
 /// A pool's endpoints by what may be done with them.
 #[derive(Debug, Default)]
-pub(super) struct Sieve {
+pub(super) struct Candidates {
     /// May be chosen.
     pub(super) live: Vec<Candidate>,
     /// Ejected, with room.
     pub(super) ejected: Vec<Candidate>,
     /// Ejected, time over and idle: may be probed.
-    pub(super) due: Vec<Key>,
+    pub(super) probe_ready: Vec<Key>,
     /// At least one live endpoint was left out for its limit alone.
-    pub(super) full: bool,
+    pub(super) any_full: bool,
     /// At least one was left out for its version.
-    pub(super) wrong_version: bool,
+    pub(super) any_wrong_version: bool,
     /// Load and slots of the own zone, endpoints at their limit included.
-    pub(super) here: Usage,
+    pub(super) local_usage: ZoneUsage,
     /// The same of all other zones.
-    pub(super) elsewhere: Usage,
+    pub(super) remote_usage: ZoneUsage,
 }
 
 /// Load against slots.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Usage {
+pub(super) struct ZoneUsage {
     load: f64,
     slots: f64,
 }
 
-impl Usage {
+impl ZoneUsage {
     /// Load by slot; above 1 if requests wait.
     pub(super) fn ratio(self) -> f64 {
         self.load / self.slots.max(1.0)
@@ -70,13 +70,13 @@
     }
 }
 
-impl Sieve {
-    pub(super) fn of(set: &Set, request: &Request<'_>, now: Time, policy: &Policy) -> Self {
-        let mut sieve = Self::default();
+impl Candidates {
+    pub(super) fn collect(set: &Set, request: &Request<'_>, now: Time, policy: &Policy) -> Self {
+        let mut candidates = Self::default();
         for (key, endpoint) in set.pool(request.pool) {
-            sieve.add(key, endpoint, request, now, policy);
+            candidates.add(key, endpoint, request, now, policy);
         }
-        sieve
+        candidates
     }
 
     fn add(
@@ -87,36 +87,36 @@
         now: Time,
         policy: &Policy,
     ) {
-        let open = matches!(endpoint.state, State::Live | State::Ejected { .. });
-        if !open || request.excluded.contains(&key) {
+        let may_be_eligible = matches!(endpoint.state, State::Live | State::Ejected { .. });
+        if !may_be_eligible || request.excluded.contains(&key) {
             return;
         }
-        if !admissible(endpoint, request) {
-            self.wrong_version = true;
+        if !serves_admissible_version(endpoint, request) {
+            self.any_wrong_version = true;
             return;
         }
-        let candidate = candidate(key, endpoint, request, now, policy);
+        let candidate = to_candidate(key, endpoint, request, now, policy);
         if endpoint.state == State::Live {
             let zone = if candidate.local {
-                &mut self.here
+                &mut self.local_usage
             } else {
-                &mut self.elsewhere
+                &mut self.remote_usage
             };
             zone.add(&candidate);
         }
         let room = match request.priority {
-            _ if !policy.adaptive => endpoint.outstanding < endpoint.slots,
+            _ if !policy.adaptive_limits => endpoint.outstanding < endpoint.slots,
             Priority::Live => endpoint.has_live_room(),
             Priority::Straggler | Priority::Bulk => endpoint.has_room(),
         };
         if !room {
-            self.full |= endpoint.state == State::Live;
+            self.any_full |= endpoint.state == State::Live;
             return;
         }
         if let State::Ejected { until } = endpoint.state {
             self.ejected.push(candidate);
             if now >= until && endpoint.outstanding == 0 {
-                self.due.push(key);
+                self.probe_ready.push(key);
             }
         } else {
             self.live.push(candidate);
@@ -124,14 +124,14 @@
     }
 }
 
-fn admissible(endpoint: &Endpoint, request: &Request<'_>) -> bool {
+fn serves_admissible_version(endpoint: &Endpoint, request: &Request<'_>) -> bool {
     let Some(versions) = &request.versions else {
         return true;
     };
     endpoint.version.is_some_and(|v| versions.contains(&v))
 }
 
-fn candidate(
+fn to_candidate(
     key: Key,
     endpoint: &Endpoint,
     request: &Request<'_>,
@@ -146,7 +146,7 @@
             weight *= LOADING_WEIGHT;
         }
     }
-    let load = if policy.reports {
+    let load = if policy.load_reports {
         endpoint.load(now)
     } else {
         f64::from(endpoint.outstanding)
--- a/crates/pinereel_core/src/route/mod.rs
+++ b/crates/pinereel_core/src/route/mod.rs
@@ -11,7 +11,7 @@
     Time, Version,
     endpoint::{Key, Set},
 };
-use candidate::{Candidate, Sieve};
+use candidate::{Candidate, Candidates};
 use serde::Serialize;
 use std::ops::RangeInclusive;
 
@@ -62,19 +62,19 @@
     /// Choose the better of two at random in place of the least loaded of all.
     pub two_choices: bool,
     /// Count the work of others by load reports.
-    pub reports: bool,
+    pub load_reports: bool,
     /// Prefer the entry's own zone.
     pub zone_local: bool,
     /// Utilisation (0 to 1) of the own zone up to which nothing spills over.
-    pub spill_at: f64,
+    pub spill_threshold: f64,
     /// Give less to endpoints that just started or came back.
     pub slow_start: bool,
     /// Hold back by the adaptive limit of each endpoint; without it only its slots bound the work.
     /// Where endpoints themselves say that they are full, and a refusal there costs a retry
     /// elsewhere, a limit that was cut by lost answers would refuse callers while slots are idle.
-    pub adaptive: bool,
+    pub adaptive_limits: bool,
     /// One of so many requests probes an ejected endpoint whose time is over; 0 never probes.
-    pub probe_every: u64,
+    pub probe_one_in: u64,
 }
 
 impl Policy {
@@ -83,19 +83,19 @@
         affinity: false,
         load_factor: 1.25,
         two_choices: false,
-        reports: false,
+        load_reports: false,
         zone_local: false,
-        spill_at: 0.8,
+        spill_threshold: 0.8,
         slow_start: false,
-        adaptive: true,
-        probe_every: 32,
+        adaptive_limits: true,
+        probe_one_in: 32,
     };
 
     /// Everything on.
     pub const FULL: Self = Self {
         affinity: true,
         two_choices: true,
-        reports: true,
+        load_reports: true,
         zone_local: true,
         slow_start: true,
         ..Self::BASELINE
@@ -172,25 +172,25 @@
     if !set.has_pool(request.pool) {
         return Err(Refusal::UnknownPool);
     }
-    let sieve = Sieve::of(set, request, now, policy);
-    if let Some(key) = probe(&sieve, request, policy) {
-        return Ok(alone(key, Reason::Probe));
+    let candidates = Candidates::collect(set, request, now, policy);
+    if let Some(key) = choose_probe(&candidates, request, policy) {
+        return Ok(without_runners_up(key, Reason::Probe));
     }
-    if sieve.live.is_empty() {
-        return all_ejected(&sieve);
+    if candidates.live.is_empty() {
+        return choose_ejected(&candidates);
     }
-    let (near, spilled) = zone_of(sieve, request, policy);
-    let mut picked = pick::pick(&near, request, policy);
-    let key = picked.order.remove(0);
+    let (near, spilled) = select_zone(candidates, request, policy);
+    let mut selection = pick::pick(&near, request, policy);
+    let key = selection.order.remove(0);
     Ok(Choice {
         key,
-        reason: picked.reason,
+        reason: selection.reason,
         spilled,
-        runners_up: picked.order,
+        runners_up: selection.order,
     })
 }
 
-fn alone(key: Key, reason: Reason) -> Choice {
+fn without_runners_up(key: Key, reason: Reason) -> Choice {
     Choice {
         key,
         reason,
@@ -200,42 +200,46 @@
 }
 
 /// An ejected endpoint whose time is over, for one of `probe_every` requests.
-fn probe(sieve: &Sieve, request: &Request<'_>, policy: &Policy) -> Option<Key> {
-    if policy.probe_every == 0 || !request.repeatable || sieve.due.is_empty() {
+fn choose_probe(candidates: &Candidates, request: &Request<'_>, policy: &Policy) -> Option<Key> {
+    if policy.probe_one_in == 0 || !request.repeatable || candidates.probe_ready.is_empty() {
         return None;
     }
     let chance = crate::hash::mix(request.seed);
-    if !chance.is_multiple_of(policy.probe_every) {
+    if !chance.is_multiple_of(policy.probe_one_in) {
         return None;
     }
-    let index = (chance / policy.probe_every) % sieve.due.len() as u64;
-    Some(sieve.due[index as usize])
+    let index = (chance / policy.probe_one_in) % candidates.probe_ready.len() as u64;
+    Some(candidates.probe_ready[index as usize])
 }
 
 /// With nothing but ejected endpoints left, refusing all would be worse than trying one.
-fn all_ejected(sieve: &Sieve) -> Result<Choice, Refusal> {
-    if sieve.full {
+fn choose_ejected(candidates: &Candidates) -> Result<Choice, Refusal> {
+    if candidates.any_full {
         return Err(Refusal::Full);
     }
-    let best = sieve
+    let best = candidates
         .ejected
         .iter()
         .min_by(|a, b| a.load.total_cmp(&b.load));
     match best {
-        Some(candidate) => Ok(alone(candidate.key, Reason::AllEjected)),
-        None if sieve.wrong_version => Err(Refusal::NoVersion),
+        Some(candidate) => Ok(without_runners_up(candidate.key, Reason::AllEjected)),
+        None if candidates.any_wrong_version => Err(Refusal::NoVersion),
         None => Err(Refusal::NoEndpoint),
     }
 }
 
 /// The own zone's endpoints, or all if the own zone is busy and the others are less so.
-fn zone_of(sieve: Sieve, request: &Request<'_>, policy: &Policy) -> (Vec<Candidate>, bool) {
-    let Sieve {
+fn select_zone(
+    candidates: Candidates,
+    request: &Request<'_>,
+    policy: &Policy,
+) -> (Vec<Candidate>, bool) {
+    let Candidates {
         live,
-        here,
-        elsewhere,
+        local_usage,
+        remote_usage,
         ..
-    } = sieve;
+    } = candidates;
     if !policy.zone_local {
         return (live, false);
     }
@@ -245,8 +249,9 @@
         return (live, spilled);
     }
     // A live caller doesn't wait for the zones to even out.
-    let spare = request.priority == Priority::Live || here.ratio() > elsewhere.ratio();
-    if here.ratio() > policy.spill_at && spare {
+    let remote_may_help =
+        request.priority == Priority::Live || local_usage.ratio() > remote_usage.ratio();
+    if local_usage.ratio() > policy.spill_threshold && remote_may_help {
         return (live, true);
     }
     (local, false)
--- a/crates/pinereel_core/tests/route_choose.rs
+++ b/crates/pinereel_core/tests/route_choose.rs
@@ -105,8 +105,8 @@
 struct Oracle {
     leaving: BTreeSet<(String, u64)>,
     listed: BTreeMap<String, u64>,
-    flying: Vec<Key>,
-    last: Vec<Key>,
+    in_flight: Vec<Key>,
+    excluded: Vec<Key>,
 }
 
 impl Oracle {
@@ -114,7 +114,7 @@
         let mut request = request(seed);
         request.prefix = prefix;
         request.versions = versions.then_some(Version(2)..=Version(9));
-        request.excluded = &self.last;
+        request.excluded = &self.excluded;
         for policy in [Policy::BASELINE, Policy::FULL] {
             let choice = choose(set, &request, now, &policy);
             assert_eq!(choice, choose(set, &request, now, &policy), "deterministic");
@@ -124,10 +124,10 @@
                 let id = (e.name.to_string(), e.incarnation);
                 assert!(!self.leaving.contains(&id), "{id:?} is leaving");
                 assert_eq!(self.listed.get(&id.0), Some(&id.1), "{id:?} is gone");
-                assert!(!self.last.contains(key), "excluded");
-                let flying = self.flying.iter().filter(|k| *k == key).count();
-                assert!(flying < SLOTS as usize, "beyond its slots");
-                assert!(flying < e.limit() as usize, "beyond its limit");
+                assert!(!self.excluded.contains(key), "excluded");
+                let in_flight = self.in_flight.iter().filter(|k| *k == key).count();
+                assert!(in_flight < SLOTS as usize, "beyond its slots");
+                assert!(in_flight < e.limit() as usize, "beyond its limit");
                 if versions {
                     assert!(e.version >= Some(Version(2)), "inadmissible version");
                 }
@@ -136,7 +136,7 @@
     }
 }
 
-fn run(ops: Vec<Op>) {
+fn check_operations(ops: Vec<Op>) {
     let (mut set, mut oracle, mut now) = (Set::default(), Oracle::default(), Time::ZERO);
     for op in ops {
         match op {
@@ -191,26 +191,26 @@
             }
             Op::Choose(seed, prefix, versions, fresh) => {
                 if fresh {
-                    oracle.last.clear();
+                    oracle.excluded.clear();
                 }
                 oracle.check(&set, seed, prefix, versions, now);
                 let mut request = request(seed);
-                request.excluded = &oracle.last;
+                request.excluded = &oracle.excluded;
                 if let Ok(choice) = choose(&set, &request, now, &Policy::FULL) {
                     let event = Event::Started {
                         key: choice.key,
                         tokens: 5,
                     };
                     set.step(now, event);
-                    oracle.flying.push(choice.key);
-                    oracle.last.push(choice.key);
+                    oracle.in_flight.push(choice.key);
+                    oracle.excluded.push(choice.key);
                 }
             }
             Op::Finish(n, kind) => {
-                if oracle.flying.is_empty() {
+                if oracle.in_flight.is_empty() {
                     continue;
                 }
-                let key = oracle.flying.remove(n % oracle.flying.len());
+                let key = oracle.in_flight.remove(n % oracle.in_flight.len());
                 let e = set.get(key).expect("kept while in flight");
                 let id = (e.name.to_string(), e.incarnation);
                 let end = ENDS[usize::from(kind)];
@@ -228,10 +228,10 @@
             Op::Wait(millis) => now = now + Duration::from_millis(millis),
         }
         for (key, e) in set.iter() {
-            let flying = oracle.flying.iter().filter(|k| **k == key).count();
-            assert_eq!(e.outstanding as usize, flying);
-            assert_eq!(e.tokens, flying as u64 * 5);
-            assert!(e.state != State::Gone || flying > 0, "kept for nothing");
+            let in_flight = oracle.in_flight.iter().filter(|k| **k == key).count();
+            assert_eq!(e.outstanding as usize, in_flight);
+            assert_eq!(e.tokens, in_flight as u64 * 5);
+            assert!(e.state != State::Gone || in_flight > 0, "kept for nothing");
         }
     }
 }
@@ -246,7 +246,7 @@
 
     #[test]
     fn choices_keep_the_rules(ops in vec(op(), 1..120)) {
-        run(ops);
+        check_operations(ops);
     }
 
     #[test]
@@ -359,11 +359,11 @@
 #[test]
 fn probes_are_rare_and_never_carry_what_may_not_run_twice() {
     let mut set = set_of(2);
-    let sick = set.find("e0").unwrap().0;
+    let ejected = set.find("e0").unwrap().0;
     for _ in 0..5 {
-        start(&mut set, sick);
+        start(&mut set, ejected);
         let event = Event::Finished {
-            key: sick,
+            key: ejected,
             tokens: 1,
             took: Duration::ZERO,
             end: AttemptEnd::Failed,
@@ -377,7 +377,7 @@
             choose(&set, &request, Time::from_millis(at), &Policy::FULL)
                 .unwrap()
                 .key
-                == sick
+                == ejected
         });
         chosen.count()
     };
@@ -393,44 +393,47 @@
     let old = set.find("e0").unwrap().0;
     start(&mut set, old);
     start(&mut set, old);
-    let first = |at| choose(&set, &request(1), at, &Policy::FULL).unwrap().key;
-    assert_eq!(first(now), old);
-    assert_eq!(first(now + Duration::from_secs(10)), new);
+    let first_choice = |at| choose(&set, &request(1), at, &Policy::FULL).unwrap().key;
+    assert_eq!(first_choice(now), old);
+    assert_eq!(first_choice(now + Duration::from_secs(10)), new);
 }
 
 #[test]
 fn a_limit_that_lost_answers_have_cut_refuses_nobody_where_endpoints_say_themselves_that_they_are_full()
  {
     let mut set = set_of(1);
-    let own = Policy {
-        adaptive: false,
+    let without_adaptive_limits = Policy {
+        adaptive_limits: false,
         ..Policy::FULL
     };
-    let first = choose(&set, &request(0), Time::ZERO, &own)
+    let chosen = choose(&set, &request(0), Time::ZERO, &without_adaptive_limits)
         .expect("it is idle")
         .key;
     for millis in 1..=4 {
-        start(&mut set, first);
+        start(&mut set, chosen);
         let now = Time::from_millis(millis);
         set.step(
             now,
             Event::Finished {
-                key: first,
+                key: chosen,
                 tokens: 1,
                 took: Duration::from_micros(10),
                 end: AttemptEnd::Overloaded,
             },
         );
     }
-    start(&mut set, first);
+    start(&mut set, chosen);
     let now = Time::from_millis(5);
     assert_eq!(
         choose(&set, &request(0), now, &Policy::FULL),
         Err(Refusal::Full)
     );
     for _ in 1..SLOTS {
-        assert!(choose(&set, &request(0), now, &own).is_ok());
-        start(&mut set, first);
+        assert!(choose(&set, &request(0), now, &without_adaptive_limits).is_ok());
+        start(&mut set, chosen);
     }
-    assert_eq!(choose(&set, &request(0), now, &own), Err(Refusal::Full));
+    assert_eq!(
+        choose(&set, &request(0), now, &without_adaptive_limits),
+        Err(Refusal::Full)
+    );
 }
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -150,7 +150,7 @@
             route(
                 "reports",
                 route::Policy {
-                    reports: true,
+                    load_reports: true,
                     ..routes
                 },
             ),
