--- a/crates/pinereel_core/benches/route.rs
+++ b/crates/pinereel_core/benches/route.rs
@@ -1,4 +1,4 @@
-//! Time of one routing decision against the number of endpoints in the set.
+//! Measures one routing decision by the number of endpoints in the set.
 
 use criterion::{BenchmarkId, Criterion};
 use pinereel_core::{
@@ -9,9 +9,9 @@
 };
 use std::{hint::black_box, time::Duration};
 
-/// Endpoints in the set; 80 is the bounded subset of an entry, 2,900 the whole fleet.
+/// Endpoints in the set: 80 is the bounded subset of an entry, 2,900 the whole fleet.
 const SIZES: [usize; 4] = [8, 80, 800, 2_900];
-/// Prefixes that requests share.
+/// Distinct prefixes among the requests.
 const PREFIXES: u64 = 64;
 
 fn set_of(count: usize) -> Set {
--- a/crates/pinereel_core/src/route/candidate.rs
+++ b/crates/pinereel_core/src/route/candidate.rs
@@ -1,4 +1,4 @@
-//! Sorts a pool's endpoints into those that may be chosen and those that may not.
+//! Classifies a pool's endpoints by whether a request may be sent to them.
 
 use super::{Policy, Priority, Request};
 use crate::{
@@ -6,52 +6,53 @@
     endpoint::{Endpoint, Key, Set, State},
 };
 
-/// Share of its usual work that an endpoint gets while it loads weights.
+/// Fraction of its usual load that an endpoint gets while it loads weights.
 const LOADING_WEIGHT: f64 = 0.5;
 
-/// An endpoint that may be chosen, with the figures that decide.
+/// An endpoint that may be chosen, with the figures that the choice depends on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) key: Key,
-    /// Stable hash of its name.
+    /// Stable hash of its name, for rendezvous hashing.
     pub(super) hash: u64,
-    /// Estimated requests there.
+    /// Estimated requests at the endpoint.
     pub(super) load: f64,
-    /// Its slots.
+    /// Its slots: the maximum number of concurrent requests.
     pub(super) slots: f64,
-    /// Slots times the share that slow-start allows: what its load is measured against.
+    /// Slots times the fractions for slow start and for loading weights; the load is compared to
+    /// it.
     pub(super) weight: f64,
-    /// Whether it is in the entry's zone.
+    /// Whether it is in the entry's own zone.
     pub(super) local: bool,
 }
 
 impl Candidate {
-    /// Load after one more request, against the weight; the least is the best.
+    /// Load with one more request relative to the weight; lower is better.
     pub(super) fn cost(&self) -> f64 {
         (self.load + 1.0) / self.weight
     }
 }
 
-/// A pool's endpoints by what may be done with them.
+/// The endpoints of a pool that may serve a request, and why others may not.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
-    /// May be chosen.
+    /// Live endpoints with room.
     pub(super) live: Vec<Candidate>,
-    /// Ejected, with room.
+    /// Ejected endpoints with room.
     pub(super) ejected: Vec<Candidate>,
-    /// Ejected, time over and idle: may be probed.
+    /// Ejected endpoints that are idle and whose ejection time is over, so they may be probed.
     pub(super) probe_ready: Vec<Key>,
-    /// At least one live endpoint was left out for its limit alone.
+    /// Whether a live endpoint was left out only because of its limit.
     pub(super) any_full: bool,
-    /// At least one was left out for its version.
+    /// Whether an endpoint was left out because of its version.
     pub(super) any_wrong_version: bool,
-    /// Load and slots of the own zone, endpoints at their limit included.
+    /// Usage of the own zone, including endpoints at their limit.
     pub(super) local_usage: ZoneUsage,
-    /// The same of all other zones.
+    /// Usage of all other zones, including endpoints at their limit.
     pub(super) remote_usage: ZoneUsage,
 }
 
-/// Load against slots.
+/// Total load and slots of some zones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneUsage {
     load: f64,
@@ -59,7 +60,7 @@
 }
 
 impl ZoneUsage {
-    /// Load by slot; above 1 if requests wait.
+    /// Load per slot; above 1 if requests are queued.
     pub(super) fn ratio(self) -> f64 {
         self.load / self.slots.max(1.0)
     }
--- a/crates/pinereel_core/src/route/mod.rs
+++ b/crates/pinereel_core/src/route/mod.rs
@@ -1,8 +1,8 @@
-//! Which endpoint gets a request: the plain baseline and the full policy.
+//! Load balancing: chooses the endpoint for a request, with a plain baseline or the full policy.
 //!
-//! [`choose`] is a pure function of the set, the request, the time and the policy, and gives the
-//! same choice for the same seed. It changes nothing: the caller sends
-//! [`Event::Started`](crate::endpoint::Event::Started) for the endpoint that it takes.
+//! [`choose`] is a pure function of the set, the request, the time and the policy; a seed replaces
+//! randomness. It changes nothing: the caller reports the endpoint it uses with
+//! [`Event::Started`](crate::endpoint::Event::Started).
 
 mod candidate;
 mod pick;
@@ -15,70 +15,74 @@
 use serde::Serialize;
 use std::ops::RangeInclusive;
 
-/// Most runners-up that a choice names.
+/// Maximum number of alternatives named by a choice.
 pub const MAX_RUNNERS_UP: usize = 2;
 
-/// Whose requests come first.
+/// Priority class of a request, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
     /// Samples that nobody waits for yet.
     Bulk,
-    /// Samples that hold up a step.
+    /// Samples that delay the completion of a training step.
     Straggler,
-    /// A live caller waits.
+    /// Requests with a caller that is waiting.
     Live,
 }
 
-/// What a request asks of its endpoint.
+/// What a request requires of its endpoint.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
     /// Pool to choose from.
     pub pool: &'a str,
-    /// Hash of the prompt's prefix; requests with the same one share a prefix cache.
+    /// Hash of the prompt's prefix. Requests with the same hash share a prefix cache.
     pub prefix: Option<u64>,
-    /// Priority.
+    /// Priority class.
     pub priority: Priority,
-    /// Zone of this entry.
+    /// Availability zone of this entry.
     pub zone: &'a str,
-    /// Versions that the endpoint must serve; `None` takes any, also an unknown one.
+    /// Versions of which the endpoint must serve one; `None` allows any, including an unknown one.
     pub versions: Option<RangeInclusive<Version>>,
-    /// Endpoints that earlier attempts of the request used up.
+    /// Endpoints that earlier attempts of the request have used.
     pub excluded: &'a [Key],
     /// Whether it may run twice; if not, it is never used as a probe.
     pub repeatable: bool,
-    /// Decides what is left to chance.
+    /// Seed that replaces randomness.
     pub seed: u64,
 }
 
-/// Switches of the full policy, so that each can be measured alone. All off is the baseline: first
-/// in, first out to the least outstanding endpoint.
+/// Routing policy. Each feature can be switched on alone to measure its effect. With all features
+/// off it is the baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Same prefix to the same endpoint, while its load stays within `load_factor`.
+    /// Prefix affinity: the same prefix goes to the same endpoint while its load stays within
+    /// `load_factor`.
     pub affinity: bool,
-    /// Most load of an endpoint against the mean of its peers, above 1.
+    /// Maximum load of an endpoint relative to the mean of its peers; above 1.
     pub load_factor: f64,
-    /// Choose the better of two at random in place of the least loaded of all.
+    /// Power of two choices: takes the better of two random endpoints instead of the least loaded
+    /// of all.
     pub two_choices: bool,
-    /// Count the work of others by load reports.
+    /// Estimates the load from other entries by load reports.
     pub load_reports: bool,
-    /// Prefer the entry's own zone.
+    /// Prefers the entry's own zone.
     pub zone_local: bool,
-    /// Utilisation (0 to 1) of the own zone up to which nothing spills over.
+    /// Utilisation (0 to 1) of the own zone above which requests spill over to other zones.
     pub spill_threshold: f64,
-    /// Give less to endpoints that just started or came back.
+    /// Sends less to endpoints that just started or were restored.
     pub slow_start: bool,
-    /// Hold back by the adaptive limit of each endpoint; without it only its slots bound the work.
-    /// Where endpoints themselves say that they are full, and a refusal there costs a retry
-    /// elsewhere, a limit that was cut by lost answers would refuse callers while slots are idle.
+    /// Applies the adaptive concurrency limit of each endpoint; otherwise only its slots limit it.
+    /// Should be off where endpoints report themselves that they are full and a refusal only costs
+    /// a retry elsewhere: there, a limit reduced by lost answers would refuse callers while slots
+    /// are idle.
     pub adaptive_limits: bool,
-    /// One of so many requests probes an ejected endpoint whose time is over; 0 never probes.
+    /// One in this many requests probes an ejected endpoint whose ejection time is over; 0 disables
+    /// probes.
     pub probe_one_in: u64,
 }
 
 impl Policy {
-    /// First in, first out to the least outstanding endpoint.
+    /// First in, first out to the endpoint with the least outstanding requests.
     pub const BASELINE: Self = Self {
         affinity: false,
         load_factor: 1.25,
@@ -91,7 +95,7 @@
         probe_one_in: 32,
     };
 
-    /// Everything on.
+    /// All features on.
     pub const FULL: Self = Self {
         affinity: true,
         two_choices: true,
@@ -108,16 +112,17 @@
     }
 }
 
-/// The endpoint chosen, and why.
+/// The chosen endpoint, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: Key,
-    /// Why this one.
+    /// Why this endpoint was chosen.
     pub reason: Reason,
-    /// Whether it went past the own zone for load.
+    /// Whether the request left its own zone because of load, or because the zone has no live
+    /// endpoint with room.
     pub spilled: bool,
-    /// The next best, best first; at most [`MAX_RUNNERS_UP`].
+    /// The next best endpoints, best first; at most [`MAX_RUNNERS_UP`].
     pub runners_up: Vec<Key>,
 }
 
@@ -125,19 +130,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Least outstanding work.
+    /// Least outstanding requests.
     LeastOutstanding,
-    /// Least of two at random.
+    /// The better of two random endpoints.
     TwoChoices,
-    /// Home of the prefix.
+    /// The prefix maps to it.
     Affinity,
-    /// Next in line for the prefix, since its home is loaded beyond the bound.
+    /// Next in the hash order of the prefix, since the first one is above its load bound.
     AffinityNext,
-    /// An ejected endpoint is tried.
+    /// Probe of an ejected endpoint.
     Probe,
-    /// All are ejected, so ejection counts for nothing.
+    /// All endpoints are ejected, so ejection is ignored.
     AllEjected,
-    /// Endpoints have crashed under the request: it runs at this one alone.
+    /// Endpoints have crashed under the request, so it runs at this one only.
     InDoubt,
 }
 
@@ -148,21 +153,21 @@
     /// The pool has no listed endpoint.
     #[error("no endpoint of the pool is listed")]
     UnknownPool,
-    /// All are leaving or excluded.
+    /// All endpoints are leaving or excluded.
     #[error("every endpoint of the pool is leaving or was tried")]
     NoEndpoint,
-    /// None serves an admissible version.
+    /// No endpoint serves an admissible version.
     #[error("no endpoint serves an admissible version")]
     NoVersion,
-    /// All that may serve it are at their concurrency limit.
+    /// All endpoints that may serve it are at their concurrency limit.
     #[error("every endpoint is at its limit")]
     Full,
 }
 
 /// Chooses an endpoint for `request`.
 ///
-/// Never returns one that is leaving, gone, excluded, on an inadmissible version, or at its
-/// concurrency limit.
+/// Never returns an endpoint that is leaving, gone, excluded, at its concurrency limit or on an
+/// inadmissible version.
 pub fn choose(
     set: &Set,
     request: &Request<'_>,
@@ -199,7 +204,7 @@
     }
 }
 
-/// An ejected endpoint whose time is over, for one of `probe_every` requests.
+/// An ejected endpoint whose ejection time is over, for one in `probe_one_in` requests.
 fn choose_probe(candidates: &Candidates, request: &Request<'_>, policy: &Policy) -> Option<Key> {
     if policy.probe_one_in == 0 || !request.repeatable || candidates.probe_ready.is_empty() {
         return None;
@@ -212,7 +217,8 @@
     Some(candidates.probe_ready[index as usize])
 }
 
-/// With nothing but ejected endpoints left, refusing all would be worse than trying one.
+/// The least loaded ejected endpoint: with no other endpoint left, trying one is better than
+/// refusing every request.
 fn choose_ejected(candidates: &Candidates) -> Result<Choice, Refusal> {
     if candidates.any_full {
         return Err(Refusal::Full);
@@ -228,7 +234,8 @@
     }
 }
 
-/// The own zone's endpoints, or all if the own zone is busy and the others are less so.
+/// The own zone's endpoints, or those of all zones if the own zone is busy and the others are less
+/// so. The flag tells whether the request may leave its zone.
 fn select_zone(
     candidates: Candidates,
     request: &Request<'_>,
@@ -248,7 +255,7 @@
         let spilled = local.is_empty();
         return (live, spilled);
     }
-    // A live caller doesn't wait for the zones to even out.
+    // A live caller does not wait until the zones are balanced.
     let remote_may_help =
         request.priority == Priority::Live || local_usage.ratio() > remote_usage.ratio();
     if local_usage.ratio() > policy.spill_threshold && remote_may_help {
--- a/crates/pinereel_core/src/route/pick.rs
+++ b/crates/pinereel_core/src/route/pick.rs
@@ -1,17 +1,17 @@
-//! Picks one of the candidates: by prefix, by two choices, or the least outstanding.
+//! Selects one of the candidates: by prefix, by two random choices, or the least loaded.
 
 use super::{MAX_RUNNERS_UP, Policy, Reason, Request, candidate::Candidate};
 use crate::{endpoint::Key, hash};
 
-/// The pick and its runners-up.
+/// The selected endpoint and the runners-up.
 pub(super) struct Selection {
     /// Best first, never empty.
     pub(super) order: Vec<Key>,
-    /// Why the first is the best.
+    /// Why the first one was selected.
     pub(super) reason: Reason,
 }
 
-/// Picks from `candidates`, which isn't empty.
+/// Selects from `candidates`, which must not be empty.
 pub(super) fn pick(candidates: &[Candidate], request: &Request<'_>, policy: &Policy) -> Selection {
     match request.prefix {
         Some(prefix) if policy.affinity => by_prefix(candidates, prefix, policy.load_factor),
@@ -20,10 +20,11 @@
     }
 }
 
-/// Rendezvous hashing with bounded loads: the highest score among those under their bound.
+/// Rendezvous hashing with bounded loads: the highest score among the endpoints under their bound.
 ///
-/// An endpoint's bound is its share by weight of the load with the new request, times `factor`,
-/// rounded up. The bounds add up to more than the load, so one is always under its bound.
+/// The bound of an endpoint is its share by weight of the total load including the new request,
+/// times `factor`, rounded up. The bounds add up to more than the total load, so one endpoint is
+/// always under its bound.
 fn by_prefix(candidates: &[Candidate], prefix: u64, factor: f64) -> Selection {
     let total: f64 = candidates.iter().map(|c| c.load).sum::<f64>() + 1.0;
     let weight: f64 = candidates.iter().map(|c| c.weight).sum();
@@ -70,7 +71,7 @@
 fn least_cost(candidates: &[Candidate]) -> Selection {
     let mut top = TopCandidates::default();
     for c in candidates {
-        // Costs are positive, and positive floats sort as their bits do.
+        // Costs are positive, and positive floats are ordered like their bits.
         top.insert(c.cost().to_bits(), c.key);
     }
     Selection {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The few lowest costs seen; the earlier one wins a tie.
+/// The lowest costs seen; on a tie the earlier one comes first.
 #[derive(Default)]
 struct TopCandidates {
     order: Vec<(u64, Key)>,
--- a/crates/pinereel_core/tests/route_choose.rs
+++ b/crates/pinereel_core/tests/route_choose.rs
@@ -1,4 +1,5 @@
-//! Choices keep the rules whatever happened before, and each policy does what it says.
+//! Every choice satisfies the routing rules after any sequence of events, and each policy feature
+//! has its effect.
 
 use pinereel_core::{
     Time, Version,
@@ -65,7 +66,7 @@
     }
 }
 
-/// One thing that a fuzzed run does.
+/// One operation of a random sequence.
 #[derive(Clone, Debug)]
 enum Op {
     List(usize, u64, bool),
@@ -100,7 +101,7 @@
     AttemptEnd::Leaving,
 ];
 
-/// What the oracle knows: evidence by incarnation, and attempts in flight. Nothing else.
+/// Reference model: which incarnations are leaving or listed, and the attempts in flight.
 #[derive(Default)]
 struct Oracle {
     leaving: BTreeSet<(String, u64)>,
@@ -144,7 +145,7 @@
                 set.step(now, listed(n, incarnation, leaving));
                 let name = format!("e{n}");
                 let before = oracle.listed.get(&name).copied();
-                // An incarnation that was replaced counts as leaving from then on.
+                // A replaced incarnation counts as leaving from then on.
                 if before.is_none_or(|b| b == incarnation)
                     || !oracle.leaving.contains(&(name.clone(), incarnation))
                 {
@@ -231,7 +232,10 @@
             let in_flight = oracle.in_flight.iter().filter(|k| **k == key).count();
             assert_eq!(e.outstanding as usize, in_flight);
             assert_eq!(e.tokens, in_flight as u64 * 5);
-            assert!(e.state != State::Gone || in_flight > 0, "kept for nothing");
+            assert!(
+                e.state != State::Gone || in_flight > 0,
+                "removed endpoint without attempts in flight"
+            );
         }
     }
 }
