--- a/crates/pinereel_core/src/outcome.rs
+++ b/crates/pinereel_core/src/outcome.rs
@@ -8,7 +8,7 @@
 /// An outcome `NotRun` can be built only from one of these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Evidence {
+pub enum NotRunReason {
     /// Refused before an endpoint was chosen (admission, bad input, drain, configuration).
     Refused,
     /// No endpoint of the pool may receive work.
@@ -30,7 +30,8 @@
     /// It did not run. The caller may send it again after `retry_after`.
     NotRun {
         /// What proves it.
-        evidence: Evidence,
+        #[serde(rename = "evidence")]
+        reason: NotRunReason,
         /// When to come back.
         retry_after: Duration,
     },
@@ -40,7 +41,7 @@
 
 impl<T> Outcome<T> {
     /// Whether the same request may be sent again without a risk of running twice.
-    pub const fn may_repeat(&self) -> bool {
+    pub const fn is_safe_to_retry(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
 }
