--- a/crates/pinereel_core/src/outcome.rs
+++ b/crates/pinereel_core/src/outcome.rs
@@ -1,46 +1,46 @@
-//! What became of a request: the answer, "not run" with evidence, or unknown.
+//! Outcome of a request: an answer, proof that it did not run, or unknown.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Why it is certain that a request did not run. Every variant is evidence, not a guess.
+/// Why it is certain that a request did not run.
 ///
-/// An outcome `NotRun` can be built only from one of these.
+/// Each variant is a proof. [`Outcome::NotRun`] can only be built from one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
     /// Refused before an endpoint was chosen (admission, bad input, drain, configuration).
     Refused,
-    /// No endpoint of the pool may receive work.
+    /// The pool has no endpoint that may receive requests.
     NoEndpoint,
-    /// Opening the connection for this very attempt failed, so no byte of it left.
+    /// The connection for this attempt could not be opened, so no byte of it was sent.
     NotOpened,
-    /// The endpoint answered, before it ran anything, that it will not run the request.
+    /// The endpoint refused the request before it ran any of it.
     EndpointRefused,
     /// The idempotency key could not be claimed, so nothing was sent.
     NotClaimed,
 }
 
-/// The final outcome of a request or of one attempt.
+/// Final outcome of a request or of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome<T> {
-    /// The whole answer.
+    /// The complete answer.
     Answer(T),
     /// It did not run. The caller may send it again after `retry_after`.
     NotRun {
-        /// What proves it.
+        /// Proof that it did not run.
         #[serde(rename = "evidence")]
         reason: NotRunReason,
-        /// When to come back.
+        /// Delay before the caller should retry.
         retry_after: Duration,
     },
-    /// Bytes left and no whole answer came back: it may or may not have run.
+    /// Bytes were sent and no complete answer came back, so it may or may not have run.
     Unknown,
 }
 
 impl<T> Outcome<T> {
-    /// Whether the same request may be sent again without a risk of running twice.
+    /// Whether the same request may be sent again without the risk of running twice.
     pub const fn is_safe_to_retry(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
