--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::{
-    crash::{Content, Identity, Parts},
+    crash::{Content, Identity, RequestParts},
     endpoint::AttemptEnd,
     hash,
     lot::Event,
@@ -79,7 +79,7 @@
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
     let question = serde_json::to_vec(&Question { prompt, text }).ok()?;
     let identity = || {
-        Identity::of(Parts {
+        Identity::of(RequestParts {
             caller: &[],
             method: "POST",
             host: &pool,
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -14,7 +14,7 @@
     header,
 };
 use pinereel_core::{
-    crash::{Content, Identity, Parts},
+    crash::{Content, Identity, RequestParts},
     lot::{self, AttemptKey},
     provenance::Stamp,
 };
@@ -79,7 +79,7 @@
     };
     // One that cannot be written is refused before it is sent.
     let body = serde_json::to_vec(&request).unwrap_or_default();
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: &[],
         method: "POST",
         host: &request.model,
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -30,7 +30,7 @@
 };
 use pinereel_core::{
     Time,
-    crash::{Content, Identity, Parts},
+    crash::{Content, Identity, RequestParts},
     endpoint::{AttemptEnd, Key},
 };
 use std::{io, rc::Rc};
@@ -75,7 +75,7 @@
             .headers
             .iter()
             .filter(|(name, _)| name == AUTHORIZATION);
-        Identity::of(Parts {
+        Identity::of(RequestParts {
             caller: caller.next().map_or(&[], |(_, value)| value.as_bytes()),
             method: self.method.as_str(),
             host: pool,
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use pinereel_core::{
     batch::Key,
-    crash::{Content, EndpointStart, Identity, Parts},
+    crash::{Content, EndpointStart, Identity, RequestParts},
 };
 use pinereel_port::{
     config::Route,
@@ -102,7 +102,7 @@
     let mut headers = item.headers.iter();
     let credential = headers.find(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
     let credential = credential.map_or("", |(_, value)| value);
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: caller.workspace().unwrap_or(credential).as_bytes(),
         method: Method::POST.as_str(),
         host,
--- a/crates/pinereel/src/hosted/relay/call.rs
+++ b/crates/pinereel/src/hosted/relay/call.rs
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 use compact_str::CompactString;
-use pinereel_core::crash::{Content, Identity, Parts};
+use pinereel_core::crash::{Content, Identity, RequestParts};
 use pinereel_port::{config::Route, live::Caller};
 use std::{cell::OnceCell, time::Duration};
 use tokio::time::Instant;
@@ -54,7 +54,7 @@
         };
         // One workspace cannot bring another's request to be refused.
         let workspace = self.owner.as_ref().map(|name| name.as_bytes());
-        Identity::of(Parts {
+        Identity::of(RequestParts {
             caller: workspace.unwrap_or_else(|| header(AUTHORIZATION)),
             method: self.method.as_str(),
             host: std::str::from_utf8(header(HOST)).unwrap_or_default(),
--- a/crates/pinereel_core/src/crash/identity.rs
+++ b/crates/pinereel_core/src/crash/identity.rs
@@ -8,7 +8,7 @@
 /// What identifies a request: its caller, its target and its content. The request id is left out,
 /// since each retry has its own.
 #[derive(Clone, Copy, Debug)]
-pub struct Parts<'a> {
+pub struct RequestParts<'a> {
     /// The caller's workspace or its credential; empty if it gives neither. It keeps one caller's
     /// requests from counting against those of another caller that can be told apart.
     pub caller: &'a [u8],
@@ -46,7 +46,7 @@
     }
 }
 
-/// First 128 bits of the SHA-256 of a request's [`Parts`]. The same on all instances and builds,
+/// First 128 bits of the SHA-256 of a request's [`RequestParts`]. The same on all instances and builds,
 /// and the only information about a request that is stored or sent to other instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity(Digest);
@@ -58,7 +58,7 @@
 
 impl Identity {
     /// Hashes the parts of a request.
-    pub fn of(parts: Parts<'_>) -> Self {
+    pub fn of(parts: RequestParts<'_>) -> Self {
         let texts = [parts.method, parts.host, parts.target].map(str::as_bytes);
         let [method, host, target] = texts;
         let mut bytes = Vec::new();
--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -20,7 +20,7 @@
 mod status;
 
 pub use endpoint_start::EndpointStart;
-pub use identity::{Content, Identity, ParseIdentityError, Parts};
+pub use identity::{Content, Identity, ParseIdentityError, RequestParts};
 pub use placement::Placement;
 pub use record::{Involvement, Report};
 pub use register::Register;
--- a/crates/pinereel_core/tests/crash_innocent.rs
+++ b/crates/pinereel_core/tests/crash_innocent.rs
@@ -9,8 +9,8 @@
 use pinereel_core::{
     Time,
     crash::{
-        Content, EndpointStart, Identity, MAX_CRASHES, Parts, Placement, RECORD_TTL, Register,
-        RequestStatus,
+        Content, EndpointStart, Identity, MAX_CRASHES, Placement, RECORD_TTL, Register,
+        RequestParts, RequestStatus,
     },
 };
 use rand::{Rng as _, SeedableRng as _};
@@ -48,7 +48,7 @@
 }
 
 fn request(name: &str) -> Identity {
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: b"",
         method: "POST",
         host: "site.example",
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -7,7 +7,8 @@
 use pinereel_core::{
     Time,
     crash::{
-        Content, EndpointStart, Identity, MAX_CRASHES, Parts, Register, Report, RequestStatus,
+        Content, EndpointStart, Identity, MAX_CRASHES, Register, Report, RequestParts,
+        RequestStatus,
     },
     tree::{Admission, Branch, Peer},
 };
@@ -25,7 +26,7 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn request(number: usize) -> Identity {
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: b"",
         method: "GET",
         host: "site.example",
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -4,7 +4,7 @@
     Time,
     crash::{
         Change, ChangeKind, Content, EndpointStart, Identity, Involvement, MAX_CRASHES,
-        MAX_RECORDS, MAX_SHARED_CRASHES, Parts, RECORD_TTL, Register, Report, RequestStatus,
+        MAX_RECORDS, MAX_SHARED_CRASHES, RECORD_TTL, Register, Report, RequestParts, RequestStatus,
     },
 };
 use proptest::{collection::vec, prelude::*, test_runner::Config};
@@ -17,7 +17,7 @@
 };
 
 fn request(body: &str) -> Identity {
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: b"",
         method: "POST",
         host: "site.example",
@@ -52,7 +52,7 @@
 
 #[test]
 fn what_makes_a_request_another_one() {
-    let usual = Parts {
+    let usual = RequestParts {
         caller: b"key a",
         method: "POST",
         host: "h",
@@ -60,25 +60,25 @@
         content: Content::Body(b"b"),
     };
     let others = [
-        Parts {
+        RequestParts {
             caller: b"key b",
             ..usual
         },
-        Parts {
+        RequestParts {
             method: "PUT",
             ..usual
         },
-        Parts { host: "i", ..usual },
-        Parts {
+        RequestParts { host: "i", ..usual },
+        RequestParts {
             target: "/p?q",
             ..usual
         },
-        Parts {
+        RequestParts {
             content: Content::Body(b""),
             ..usual
         },
         // The same concatenated bytes, split differently.
-        Parts {
+        RequestParts {
             host: "h/",
             target: "p",
             ..usual
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -7,7 +7,7 @@
 };
 use actix_http::Method;
 use bytes::Bytes;
-use pinereel_core::crash::{Content, Identity, MAX_CRASHES, Parts};
+use pinereel_core::crash::{Content, Identity, MAX_CRASHES, RequestParts};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use std::{cell::RefCell, collections::BTreeMap, io, rc::Rc, time::Duration};
@@ -118,7 +118,7 @@
 }
 
 fn identity(body: &str) -> String {
-    let identity = Identity::of(Parts {
+    let identity = Identity::of(RequestParts {
         caller: WORKSPACE.as_bytes(),
         method: "POST",
         host: HOST,
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -7,7 +7,7 @@
 use pinereel_api::object::{Instance, Presence};
 use pinereel_core::{
     config::Document,
-    crash::{Content, EndpointStart, Identity, Involvement, Parts, Report},
+    crash::{Content, EndpointStart, Identity, Involvement, Report, RequestParts},
 };
 use pinereel_fakes::{
     hosting::fragile::{CRASH, Crashes, Fragile, Listed, Mode},
@@ -118,7 +118,7 @@
 async fn each_further_crash_is_told_at_once() {
     let site = site().await;
     let (here, there) = (&site.entries[0].shared, &site.entries[1].shared);
-    let identity = Identity::of(Parts {
+    let identity = Identity::of(RequestParts {
         caller: &[],
         method: "PUT",
         host: POOL,
