--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -5,11 +5,11 @@
 //! [`Report`]s with the other instances. A request is blocked after [`MAX_CRASHES`] crashes; until
 //! then a suspected request runs at one endpoint at a time ([`Register::place`]).
 //!
-//! A crash also ends every other run at that endpoint, so blame has to be attributed: a completed
-//! run clears its request, an answer clears the endpoint, and a crash explained by a blocked
-//! request counts against no other. Suspected requests run one per endpoint, and a request one
-//! crash short of the limit runs in isolation, at an endpoint where nothing else starts
-//! ([`Register::reserved`]).
+//! A crash also ends every other run at that endpoint, so crashes have to be attributed to
+//! requests: a completed run clears its request, an answer clears the endpoint, and a crash
+//! explained by a blocked request counts against no other. Suspected requests run one per endpoint,
+//! and a request one crash short of the limit runs in isolation, at an endpoint where nothing else
+//! starts ([`Register::reserved`]).
 
 mod attribution;
 mod endpoint_start;
--- a/crates/pinereel_core/src/crash/record.rs
+++ b/crates/pinereel_core/src/crash/record.rs
@@ -33,8 +33,8 @@
 
 /// The crash record of one request.
 ///
-/// Merging is commutative and idempotent: starts are only added, and a crash that has stopped
-/// counting never counts again.
+/// Merging is idempotent and independent of order: starts are added, and a crash that has stopped
+/// counting does not count again. Only a full record evicts a start.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     /// Endpoint starts that crashed while the request ran there.
--- a/crates/pinereel_core/src/endpoint/state.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -188,7 +188,7 @@
     }
 
     pub(super) fn finish(&mut self, now: Time, tokens: u32) {
-        debug_assert!(self.outstanding > 0, "an attempt ends once");
+        debug_assert!(self.outstanding > 0, "an attempt ends only once");
         self.outstanding = self.outstanding.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(u64::from(tokens));
         self.record_recent(now, -1);
