--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -46,7 +46,7 @@
 /// long or asks an operator.
 pub const RECORD_TTL: Duration = Duration::from_secs(600);
 
-/// Completed runs per crash from which on a frequent request counts as innocent. Runs take a tenth
+/// Completed runs per crash from which on a frequent request is not blocked. Runs take a tenth
 /// of a second, and endpoints rarely crash on their own more than once in some seconds. A request
 /// that crashes every other endpoint completes one run per crash.
 pub const MIN_COMPLETIONS_PER_CRASH: u32 = 4;
