--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -14,8 +14,8 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::{
-    crash::{Content, Identity, Parts},
-    endpoint::End,
+    crash::{Content, Identity, RequestParts},
+    endpoint::AttemptEnd,
     hash,
     lot::Event,
     route::{Priority, Request},
@@ -79,7 +79,7 @@
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
     let question = serde_json::to_vec(&Question { prompt, text }).ok()?;
     let identity = || {
-        Identity::of(Parts {
+        Identity::of(RequestParts {
             caller: &[],
             method: "POST",
             host: &pool,
@@ -100,9 +100,9 @@
     }
     let answer = answer.ok();
     counted.finish(if answer.is_some() {
-        End::Whole
+        AttemptEnd::Completed
     } else {
-        End::Failed
+        AttemptEnd::Failed
     });
     answer.map(|answer| answer.score)
 }
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -17,8 +17,8 @@
 use compact_str::CompactString;
 use log::Level;
 use pinereel_core::{
-    crash::Start,
-    endpoint::{self, End, Event, Index, Key, Set, State},
+    crash::EndpointStart,
+    endpoint::{self, AttemptEnd, Event, Key, ServiceIndex, Set, State},
     hash,
     route::{self, Policy, Priority, Reason, Refusal, Request},
 };
@@ -43,7 +43,7 @@
 const HURRIED: Duration = Duration::from_millis(80);
 /// Endpoints say themselves when they are full, so that no limit of this instance's own refuses.
 const POLICY: Policy = Policy {
-    adaptive: false,
+    adaptive_limits: false,
     ..Policy::FULL
 };
 
@@ -71,7 +71,7 @@
     affinity: u64,
     entries: RefCell<BTreeMap<CompactString, Listed>>,
     /// Those of the entries that take work.
-    index: RefCell<Index>,
+    index: RefCell<ServiceIndex>,
     /// Revision at which an entry was refused last, by id: each is told of once.
     refused: RefCell<BTreeMap<CompactString, u64>>,
     set: RefCell<Set>,
@@ -115,7 +115,7 @@
     /// Its id.
     pub id: CompactString,
     /// Which start of it.
-    pub start: Start,
+    pub start: EndpointStart,
     /// Where it serves.
     pub address: SocketAddr,
     /// Why this one.
@@ -276,12 +276,12 @@
     }
 
     /// The endpoints of a service that may be chosen for a request in doubt, however busy.
-    pub fn open(&self, service: &str) -> Vec<(Key, Start)> {
+    pub fn open(&self, service: &str) -> Vec<(Key, EndpointStart)> {
         let set = self.set.borrow();
         let listed = set
             .pool(service)
             .filter(|(_, endpoint)| matches!(endpoint.state, State::Live | State::Ejected { .. }));
-        let starts = listed.map(|(key, endpoint)| (key, Start::from(endpoint)));
+        let starts = listed.map(|(key, endpoint)| (key, EndpointStart::from(endpoint)));
         starts.filter(|(_, start)| self.is_current(start)).collect()
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Whether a start of an endpoint is listed, and not leaving.
-    pub fn is_current(&self, start: &Start) -> bool {
+    pub fn is_current(&self, start: &EndpointStart) -> bool {
         let entries = self.entries.borrow();
         entries.get(&start.endpoint).is_some_and(|listed| {
             let entry = &listed.entry;
@@ -318,7 +318,7 @@
     }
 
     /// An attempt ended there.
-    pub fn finished(&self, key: Key, took: Duration, end: End) {
+    pub fn finished(&self, key: Key, took: Duration, end: AttemptEnd) {
         self.step(Event::Finished {
             key,
             tokens: 0,
@@ -329,7 +329,7 @@
 
     /// An answer told the endpoint's load.
     pub fn reported(&self, key: Key, load: Load) {
-        let report = endpoint::Report {
+        let report = endpoint::LoadReport {
             at: self.parts.clock.now(),
             running: load.running,
             waiting: load.waiting,
@@ -357,7 +357,7 @@
         let changes = self.set.borrow_mut().step(now, event);
         for change in changes {
             let endpoint = change.name.as_str();
-            log::log!(level, endpoint, what:serde = change.what; "endpoint changed");
+            log::log!(level, endpoint, what:serde = change.kind; "endpoint changed");
         }
     }
 
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -9,7 +9,7 @@
 };
 use pinereel_core::{
     batch::{EngineKey, Fleet, Listing},
-    crash::{LAST_CHANCE, Standing, Start},
+    crash::{EndpointStart, ISOLATE_AT_CRASHES, RequestStatus},
     hash, routing_table,
 };
 use pinereel_port::{
@@ -113,9 +113,9 @@
     fn doubts(&self, open: &Open, at: usize) -> Option<usize> {
         let identity = || identity(&open.caller, &open.host, &open.submission.items[at]);
         match self.parts.crashes.standing(identity) {
-            Standing::Free => Some(0),
-            Standing::Doubted { endpoints, .. } => Some(endpoints),
-            Standing::Convicted { .. } => None,
+            RequestStatus::Unrestricted => Some(0),
+            RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
+            RequestStatus::Blocked { .. } => None,
         }
     }
 
@@ -135,7 +135,7 @@
                 Some((doubts, key)) => return Some((at, key, doubts)),
                 None => open.lot.defer(at),
             }
-            if doubts.is_some_and(|doubts| doubts >= LAST_CHANCE) {
+            if doubts.is_some_and(|doubts| doubts >= ISOLATE_AT_CRASHES) {
                 fleet.reserve(now, oldest_version);
             }
         }
@@ -176,7 +176,7 @@
             };
             let place = Place {
                 key,
-                start: Start {
+                start: EndpointStart {
                     endpoint: engine.listing.id.clone(),
                     incarnation: engine.listing.incarnation,
                 },
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -9,7 +9,7 @@
 use bytes::BytesMut;
 use pinereel_core::{
     batch::EngineKey,
-    crash::{Content, Identity, Parts, Start},
+    crash::{Content, EndpointStart, Identity, RequestParts},
 };
 use pinereel_port::{
     config::Route,
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Place {
     pub(super) key: EngineKey,
-    pub(super) start: Start,
+    pub(super) start: EndpointStart,
     pub(super) address: SocketAddr,
     /// How many endpoints have crashed under the item.
     pub(super) doubts: usize,
@@ -102,7 +102,7 @@
     let mut headers = item.headers.iter();
     let credential = headers.find(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
     let credential = credential.map_or("", |(_, value)| value);
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: caller.workspace().unwrap_or(credential).as_bytes(),
         method: Method::POST.as_str(),
         host,
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -20,10 +20,10 @@
 use doubt::{Next, convicted};
 use futures_util::{StreamExt as _, future::LocalBoxFuture, stream::FuturesUnordered};
 use pinereel_core::{
-    crash::Standing,
-    endpoint::{End, Key},
+    crash::RequestStatus,
+    endpoint::{AttemptEnd, Key},
     hash,
-    relay::{Attempts, Ended, Limits, Step, Verdict},
+    retry::{Attempts, Failure, Limits, Resolution, Step},
     routing_table,
 };
 use pinereel_port::{
@@ -114,15 +114,15 @@
             // beside it: 20 starts of five endpoints ended in 8 s under one that came again.
             let standing = self.parts.crashes.standing(|| call.identity());
             match standing {
-                Standing::Free => {}
-                Standing::Doubted { .. } => course.attempts.alone(),
-                Standing::Convicted { forgotten_in, .. } => {
+                RequestStatus::Unrestricted => {}
+                RequestStatus::Suspected { .. } => course.attempts.disable_hedging(),
+                RequestStatus::Blocked { forgotten_in, .. } => {
                     self.parts.crashes.count("refusal");
                     report_refusal(&call, standing);
                     break convicted(&course.attempts, forgotten_in);
                 }
             }
-            match course.attempts.next(began.elapsed()) {
+            match course.attempts.next_step(began.elapsed()) {
                 Step::Send => {
                     if let Some(refusal) = self.send(&mut course, standing).await {
                         return self.refuse(&call, service, refusal, began);
@@ -135,11 +135,11 @@
                             trail.push(trace(&tried));
                             self.note(&call, &tried);
                             match tried.ended {
-                                Ok(answer) if course.attempts.accepts(answer.status.as_u16()) => {
+                                Ok(answer) if course.attempts.accept(answer.status.as_u16()) => {
                                     break Outcome::Answer(answer);
                                 }
-                                Ok(answer) => course.attempts.keep(answer),
-                                Err(ended) => course.attempts.ended(ended),
+                                Ok(answer) => course.attempts.keep_error_answer(answer),
+                                Err(ended) => course.attempts.record_failure(ended),
                             }
                         }
                         // What is running is broken off if the request must not run any more.
@@ -152,13 +152,13 @@
                         }
                     }
                 }
-                Step::Done(Verdict::Kept(answer)) => break Outcome::Answer(answer),
-                Step::Done(Verdict::NotRun) => {
+                Step::Done(Resolution::ErrorAnswer(answer)) => break Outcome::Answer(answer),
+                Step::Done(Resolution::NotRun) => {
                     let why = "refused by every endpoint".into();
                     let retry_after = RETRY_AFTER;
                     break Outcome::NotRun { why, retry_after };
                 }
-                Step::Done(Verdict::Unknown) => {
+                Step::Done(Resolution::Unknown) => {
                     let why = "answer lost".into();
                     break Outcome::Unknown { why, late: false };
                 }
@@ -185,24 +185,28 @@
     async fn send(
         self: &Rc<Self>,
         course: &mut Course<'_>,
-        standing: Standing,
+        standing: RequestStatus,
     ) -> Option<(&'static str, Duration)> {
         self.parts.stall.caught_up().await;
         let next = match standing {
-            Standing::Doubted { .. } => self.in_doubt(course, standing).await,
-            Standing::Free | Standing::Convicted { .. } => self.choose(course),
+            RequestStatus::Suspected { .. } => self.in_doubt(course, standing).await,
+            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.choose(course),
         };
         match next {
             Next::Send(picked) => {
-                let in_doubt = matches!(standing, Standing::Doubted { .. });
+                let in_doubt = matches!(standing, RequestStatus::Suspected { .. });
                 let occupied = in_doubt.then(|| self.parts.crashes.occupy(&picked.start));
                 if course.used.is_empty() {
                     course.begun = self.parts.usage.begin(&course.call.caller);
                 }
                 course.used.push(picked.key);
-                course.attempts.sent(course.began.elapsed());
-                let attempt =
-                    self.attempt(&course.call, picked, occupied, standing.is_last_chance());
+                course.attempts.record_send(course.began.elapsed());
+                let attempt = self.attempt(
+                    &course.call,
+                    picked,
+                    occupied,
+                    standing.requires_isolation(),
+                );
                 course.running.push(attempt);
                 None
             }
@@ -211,7 +215,7 @@
                 Some((why, wait))
             }
             Next::Decline(..) => {
-                course.attempts.exhausted();
+                course.attempts.stop_sending();
                 None
             }
         }
@@ -307,12 +311,12 @@
     /// Notes what an attempt says about its endpoint, and about the request.
     fn note(&self, call: &Call, tried: &Tried) {
         let end = match &tried.ended {
-            Ok(answer) if answer.status.is_server_error() => End::Failed,
-            Ok(_) => End::Whole,
-            Err(Ended::Refused) => End::Overloaded,
-            Err(Ended::OtherEndpoint) => End::Leaving,
-            Err(Ended::NotOpened) => End::ConnectionRefused,
-            Err(Ended::Lost | Ended::Crashed | Ended::Garbled) => End::Failed,
+            Ok(answer) if answer.status.is_server_error() => AttemptEnd::Failed,
+            Ok(_) => AttemptEnd::Completed,
+            Err(Failure::Refused) => AttemptEnd::Overloaded,
+            Err(Failure::OtherEndpoint) => AttemptEnd::Leaving,
+            Err(Failure::NotOpened) => AttemptEnd::ConnectionRefused,
+            Err(Failure::Lost | Failure::Crashed | Failure::InvalidAnswer) => AttemptEnd::Failed,
         };
         let result = match &tried.ended {
             Ok(answer) => status_class(answer.status),
@@ -331,7 +335,7 @@
                 crashes.answered(|| call.identity(), picked.start.clone(), tried.took);
             }
             // One that was leaving, or is listed no more, ends by itself.
-            Err(Ended::Crashed) if endpoints.is_current(&picked.start) => {
+            Err(Failure::Crashed) if endpoints.is_current(&picked.start) => {
                 crashes.crashed(call.identity(), picked.start.clone(), tried.alone);
             }
             _ => {}
--- a/crates/pinereel_core/benches/route.rs
+++ b/crates/pinereel_core/benches/route.rs
@@ -1,17 +1,17 @@
-//! Time of one routing decision against the number of endpoints in the set.
+//! Measures one routing decision by the number of endpoints in the set.
 
 use criterion::{BenchmarkId, Criterion};
 use pinereel_core::{
     Time, Version,
-    endpoint::{Event, Instance, Report, Set},
+    endpoint::{Event, Listing, LoadReport, Set},
     hash,
     route::{Policy, Priority, Request, choose},
 };
 use std::{hint::black_box, time::Duration};
 
-/// Endpoints in the set; 80 is the bounded subset of an entry, 2,900 the whole fleet.
+/// Endpoints in the set: 80 is the bounded subset of an entry, 2,900 the whole fleet.
 const SIZES: [usize; 4] = [8, 80, 800, 2_900];
-/// Prefixes that requests share.
+/// Distinct prefixes among the requests.
 const PREFIXES: u64 = 64;
 
 fn set_of(count: usize) -> Set {
@@ -20,7 +20,7 @@
         let name = format!("worker-{i}");
         set.step(
             Time::ZERO,
-            Event::Listed(Instance {
+            Event::Listed(Listing {
                 name: name.as_str().into(),
                 incarnation: 1,
                 address: "127.0.0.1:1".into(),
@@ -33,7 +33,7 @@
         let Some((key, _)) = set.find(&name) else {
             continue;
         };
-        let report = Report {
+        let report = LoadReport {
             at: Time::ZERO,
             running: (i % 5) as u32,
             waiting: 0,
--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Time,
-    crash::{FRESH_RUN, LAST_CHANCE},
+    crash::{ISOLATE_AT_CRASHES, MAX_SUSPECT_RUN_AGE},
 };
 use compact_str::CompactString;
 use std::net::SocketAddr;
@@ -125,8 +125,8 @@
         let is_reserved = self.has_isolated_run || now < self.reserved_until;
         match crashes {
             0 => !is_reserved,
-            crashes if crashes >= LAST_CHANCE => {
-                self.suspect_runs == 0 && now.since(self.last_run_started) >= FRESH_RUN
+            crashes if crashes >= ISOLATE_AT_CRASHES => {
+                self.suspect_runs == 0 && now.since(self.last_run_started) >= MAX_SUSPECT_RUN_AGE
             }
             _ => self.suspect_runs == 0 && !is_reserved,
         }
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -7,7 +7,7 @@
 //! [`Fleet::run_started`] with one [`Fleet::run_ended`].
 
 use super::{Engine, Listing, RunOutcome};
-use crate::{Time, crash::LAST_CHANCE};
+use crate::{Time, crash::ISOLATE_AT_CRASHES};
 use compact_str::CompactString;
 use slotmap::SlotMap;
 use std::{collections::BTreeMap, time::Duration};
@@ -233,7 +233,7 @@
         if crashes > 0 {
             engine.suspect_runs += 1;
         }
-        if crashes >= LAST_CHANCE {
+        if crashes >= ISOLATE_AT_CRASHES {
             engine.has_isolated_run = true;
             engine.reserved_until = Time::ZERO;
         }
--- a/crates/pinereel_core/src/endpoint/index.rs
+++ b/crates/pinereel_core/src/endpoint/index.rs
@@ -1,42 +1,43 @@
-//! The endpoints that take work, by service.
+//! Index of the endpoints that take work, by service.
 
 use crate::rollout::rank;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ids of the endpoints that take work, so that the few that are asked for are found without a look at all others.
+/// Ids of the endpoints that take work, so that a service's endpoints are found without scanning
+/// all others.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct ServiceIndex {
     services: BTreeMap<CompactString, Service>,
     /// Service and slots of each endpoint.
-    places: BTreeMap<CompactString, (CompactString, u32)>,
+    by_id: BTreeMap<CompactString, (CompactString, u32)>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Service {
-    /// By rank, the least first.
+    /// Ordered by rank, lowest first.
     ranked: BTreeSet<(u64, CompactString)>,
-    /// Slots of all of them.
+    /// Total of the slots.
     slots: u64,
 }
 
-impl Index {
-    /// An endpoint takes work of a service, with so many slots.
+impl ServiceIndex {
+    /// Adds an endpoint of a service, or updates its service and slots.
     pub fn insert(&mut self, id: &CompactString, service: &CompactString, slots: u32) {
-        let place = (service.clone(), slots);
-        if self.places.get(id) == Some(&place) {
+        let service_slots = (service.clone(), slots);
+        if self.by_id.get(id) == Some(&service_slots) {
             return;
         }
         self.remove(id);
         let entry = self.services.entry(service.clone()).or_default();
         entry.ranked.insert((rank(id), id.clone()));
         entry.slots += u64::from(slots);
-        self.places.insert(id.clone(), place);
+        self.by_id.insert(id.clone(), service_slots);
     }
 
-    /// An endpoint takes no work any more.
+    /// Removes an endpoint that takes no more work.
     pub fn remove(&mut self, id: &CompactString) {
-        let Some((service, slots)) = self.places.remove(id) else {
+        let Some((service, slots)) = self.by_id.remove(id) else {
             return;
         };
         if let Some(entry) = self.services.get_mut(&service) {
@@ -51,13 +52,13 @@
         service.map_or(0, |service| service.ranked.len())
     }
 
-    /// Slots of all endpoints of a service.
+    /// Total slots of a service's endpoints.
     pub fn slots(&self, service: &str) -> u64 {
         let service = self.services.get(service);
         service.map_or(0, |service| service.slots)
     }
 
-    /// The endpoints of a service in the order in which they join its working set.
+    /// Endpoints of a service, in the order in which they join its working set.
     pub fn ranked(&self, service: &str) -> impl Iterator<Item = &CompactString> {
         let service = self.services.get(service).into_iter();
         service.flat_map(|service| service.ranked.iter().map(|(_, id)| id))
--- a/crates/pinereel_core/src/route/candidate.rs
+++ b/crates/pinereel_core/src/route/candidate.rs
@@ -1,4 +1,4 @@
-//! Sorts a pool's endpoints into those that may be chosen and those that may not.
+//! Classifies a pool's endpoints by whether a request may be sent to them.
 
 use super::{Policy, Priority, Request};
 use crate::{
@@ -6,60 +6,61 @@
     endpoint::{Endpoint, Key, Set, State},
 };
 
-/// Share of its usual work that an endpoint gets while it loads weights.
+/// Fraction of its usual load that an endpoint gets while it loads weights.
 const LOADING_WEIGHT: f64 = 0.5;
 
-/// An endpoint that may be chosen, with the figures that decide.
+/// An endpoint that may be chosen, with the figures that the choice depends on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) key: Key,
-    /// Stable hash of its name.
+    /// Stable hash of its name, for rendezvous hashing.
     pub(super) hash: u64,
-    /// Estimated requests there.
+    /// Estimated requests at the endpoint.
     pub(super) load: f64,
-    /// Its slots.
+    /// Its slots: the maximum number of concurrent requests.
     pub(super) slots: f64,
-    /// Slots times the share that slow-start allows: what its load is measured against.
+    /// Slots times the fractions for slow start and for loading weights; the load is compared to
+    /// it.
     pub(super) weight: f64,
-    /// Whether it is in the entry's zone.
+    /// Whether it is in the entry's own zone.
     pub(super) local: bool,
 }
 
 impl Candidate {
-    /// Load after one more request, against the weight; the least is the best.
+    /// Load with one more request relative to the weight; lower is better.
     pub(super) fn cost(&self) -> f64 {
         (self.load + 1.0) / self.weight
     }
 }
 
-/// A pool's endpoints by what may be done with them.
+/// The endpoints of a pool that may serve a request, and why others may not.
 #[derive(Debug, Default)]
-pub(super) struct Sieve {
-    /// May be chosen.
+pub(super) struct Candidates {
+    /// Live endpoints with room.
     pub(super) live: Vec<Candidate>,
-    /// Ejected, with room.
+    /// Ejected endpoints with room.
     pub(super) ejected: Vec<Candidate>,
-    /// Ejected, time over and idle: may be probed.
-    pub(super) due: Vec<Key>,
-    /// At least one live endpoint was left out for its limit alone.
-    pub(super) full: bool,
-    /// At least one was left out for its version.
-    pub(super) wrong_version: bool,
-    /// Load and slots of the own zone, endpoints at their limit included.
-    pub(super) here: Usage,
-    /// The same of all other zones.
-    pub(super) elsewhere: Usage,
+    /// Ejected endpoints that are idle and whose ejection time is over, so they may be probed.
+    pub(super) probe_ready: Vec<Key>,
+    /// Whether a live endpoint was left out only because of its limit.
+    pub(super) any_full: bool,
+    /// Whether an endpoint was left out because of its version.
+    pub(super) any_wrong_version: bool,
+    /// Usage of the own zone, including endpoints at their limit.
+    pub(super) local_usage: ZoneUsage,
+    /// Usage of all other zones, including endpoints at their limit.
+    pub(super) remote_usage: ZoneUsage,
 }
 
-/// Load against slots.
+/// Total load and slots of some zones.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Usage {
+pub(super) struct ZoneUsage {
     load: f64,
     slots: f64,
 }
 
-impl Usage {
-    /// Load by slot; above 1 if requests wait.
+impl ZoneUsage {
+    /// Load per slot; above 1 if requests are queued.
     pub(super) fn ratio(self) -> f64 {
         self.load / self.slots.max(1.0)
     }
@@ -70,13 +71,13 @@
     }
 }
 
-impl Sieve {
-    pub(super) fn of(set: &Set, request: &Request<'_>, now: Time, policy: &Policy) -> Self {
-        let mut sieve = Self::default();
+impl Candidates {
+    pub(super) fn collect(set: &Set, request: &Request<'_>, now: Time, policy: &Policy) -> Self {
+        let mut candidates = Self::default();
         for (key, endpoint) in set.pool(request.pool) {
-            sieve.add(key, endpoint, request, now, policy);
+            candidates.add(key, endpoint, request, now, policy);
         }
-        sieve
+        candidates
     }
 
     fn add(
@@ -87,36 +88,36 @@
         now: Time,
         policy: &Policy,
     ) {
-        let open = matches!(endpoint.state, State::Live | State::Ejected { .. });
-        if !open || request.excluded.contains(&key) {
+        let may_be_eligible = matches!(endpoint.state, State::Live | State::Ejected { .. });
+        if !may_be_eligible || request.excluded.contains(&key) {
             return;
         }
-        if !admissible(endpoint, request) {
-            self.wrong_version = true;
+        if !serves_admissible_version(endpoint, request) {
+            self.any_wrong_version = true;
             return;
         }
-        let candidate = candidate(key, endpoint, request, now, policy);
+        let candidate = to_candidate(key, endpoint, request, now, policy);
         if endpoint.state == State::Live {
             let zone = if candidate.local {
-                &mut self.here
+                &mut self.local_usage
             } else {
-                &mut self.elsewhere
+                &mut self.remote_usage
             };
             zone.add(&candidate);
         }
         let room = match request.priority {
-            _ if !policy.adaptive => endpoint.outstanding < endpoint.slots,
+            _ if !policy.adaptive_limits => endpoint.outstanding < endpoint.slots,
             Priority::Live => endpoint.has_live_room(),
             Priority::Straggler | Priority::Bulk => endpoint.has_room(),
         };
         if !room {
-            self.full |= endpoint.state == State::Live;
+            self.any_full |= endpoint.state == State::Live;
             return;
         }
         if let State::Ejected { until } = endpoint.state {
             self.ejected.push(candidate);
             if now >= until && endpoint.outstanding == 0 {
-                self.due.push(key);
+                self.probe_ready.push(key);
             }
         } else {
             self.live.push(candidate);
@@ -124,14 +125,14 @@
     }
 }
 
-fn admissible(endpoint: &Endpoint, request: &Request<'_>) -> bool {
+fn serves_admissible_version(endpoint: &Endpoint, request: &Request<'_>) -> bool {
     let Some(versions) = &request.versions else {
         return true;
     };
     endpoint.version.is_some_and(|v| versions.contains(&v))
 }
 
-fn candidate(
+fn to_candidate(
     key: Key,
     endpoint: &Endpoint,
     request: &Request<'_>,
@@ -141,12 +142,12 @@
     let slots = f64::from(endpoint.slots);
     let mut weight = slots;
     if policy.slow_start {
-        weight *= endpoint.warmth(now);
+        weight *= endpoint.slow_start_weight(now);
         if endpoint.loading.is_some() {
             weight *= LOADING_WEIGHT;
         }
     }
-    let load = if policy.reports {
+    let load = if policy.load_reports {
         endpoint.load(now)
     } else {
         f64::from(endpoint.outstanding)
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -1,11 +1,13 @@
-//! How soon every instance of a fleet knows of a crash, in virtual time.
+//! Time until every instance of a fleet knows of a crash, in virtual time.
 //!
-//! The tree is the one that [`Children`] makes, the register the daemon's; a link takes [`HOP`], which is far more than
-//! the 5 ms of a calm one, and an instance gathers news for [`GATHER`] between two messages, as the daemon does.
+//! The broadcast tree is built by [`Children`], and the register is the one of the daemon. A link
+//! takes [`LINK_DELAY`], far more than the 5 ms of a link without load. An instance waits for
+//! [`FLUSH_INTERVAL`] between two messages, as the daemon does.
 
 use pinereel_core::{
     Time,
-    crash::{Content, Identity, LIMIT, Parts, Register, Report, Standing, Start},
+    crash::{Content, EndpointStart, Identity, MAX_CRASHES, Register, Report, RequestParts,
+        RequestStatus,},
     tree::{Admission, Children, Peer},
 };
 use std::{
@@ -13,16 +15,16 @@
     time::Duration,
 };
 
-const HOP: Duration = Duration::from_millis(50);
-const GATHER: Duration = Duration::from_millis(20);
-const BATCH: usize = 128;
-/// The aim for instances in touch.
-const KNOWN: Duration = Duration::from_millis(500);
-/// An instance whose parent is gone finds another one within so long.
-const RELINK: Duration = Duration::from_millis(500);
+const LINK_DELAY: Duration = Duration::from_millis(50);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_BATCH_REPORTS: usize = 128;
+/// Bound for instances that are connected.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Time after which an instance whose parent is gone has a new one.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn request(number: usize) -> Identity {
-    Identity::of(Parts {
+    Identity::of(RequestParts {
         caller: b"",
         method: "GET",
         host: "site.example",
@@ -34,12 +36,12 @@
 struct Node {
     register: Register,
     links: BTreeSet<usize>,
-    /// No message before.
-    quiet_until: Time,
+    /// Earliest time of the next message.
+    next_flush_at: Time,
     alive: bool,
 }
 
-/// What happens at a moment.
+/// Event of the simulation.
 enum Event {
     Arrive(usize, Vec<Report>),
     Flush(usize),
@@ -51,13 +53,13 @@
     nodes: Vec<Node>,
     parents: BTreeMap<usize, usize>,
     queue: BTreeMap<(Time, u64), Event>,
-    count: u64,
+    sequence: u64,
     messages: u64,
-    largest: usize,
+    largest_batch: usize,
 }
 
 impl Fleet {
-    /// A tree of `count` instances that all came to the first one.
+    /// A tree of `count` instances that all joined at the first one.
     fn new(count: usize) -> Self {
         let peer = |number: usize| Peer {
             address: number.to_string().into(),
@@ -86,7 +88,7 @@
         let nodes = (0..count).map(|_| Node {
             register: Register::default(),
             links: BTreeSet::new(),
-            quiet_until: Time::ZERO,
+            next_flush_at: Time::ZERO,
             alive: true,
         });
         let mut fleet = Self {
@@ -94,56 +96,56 @@
             nodes: nodes.collect(),
             parents: parents.clone(),
             queue: BTreeMap::new(),
-            count: 0,
+            sequence: 0,
             messages: 0,
-            largest: 0,
+            largest_batch: 0,
         };
         for (child, parent) in parents {
-            fleet.join(child, parent);
+            fleet.link(child, parent);
         }
         fleet
     }
 
-    fn join(&mut self, child: usize, parent: usize) {
+    fn link(&mut self, child: usize, parent: usize) {
         self.nodes[child].links.insert(parent);
         self.nodes[parent].links.insert(child);
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        self.queue.insert((self.now + after, self.count), event);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
     fn crash(&mut self, node: usize, request: Identity, endpoint: usize) {
-        let start = Start {
+        let start = EndpointStart {
             endpoint: format!("e-{endpoint}").into(),
             incarnation: 0,
         };
         let now = self.now;
         self.nodes[node].register.crashed(now, request, start);
-        self.flush_soon(node);
+        self.schedule_flush(node);
     }
 
-    fn flush_soon(&mut self, node: usize) {
-        let wait = self.nodes[node].quiet_until.since(self.now);
-        self.later(wait, Event::Flush(node));
+    fn schedule_flush(&mut self, node: usize) {
+        let wait = self.nodes[node].next_flush_at.since(self.now);
+        self.schedule(wait, Event::Flush(node));
     }
 
-    /// Lets everything happen that is due until nothing is left.
+    /// Processes events in order of time until none is left.
     fn run(&mut self) {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
             match event {
                 Event::Arrive(node, reports) if self.nodes[node].alive => {
-                    self.nodes[node].register.heard(at, reports);
-                    self.flush_soon(node);
+                    self.nodes[node].register.merge(at, reports);
+                    self.schedule_flush(node);
                 }
                 Event::Flush(node) if self.nodes[node].alive => self.flush(node),
                 Event::Link(child, parent) => {
-                    self.join(child, parent);
+                    self.link(child, parent);
                     for (from, to) in [(child, parent), (parent, child)] {
-                        let all = self.nodes[from].register.all(at);
-                        self.later(HOP, Event::Arrive(to, all));
+                        let all = self.nodes[from].register.reports(at);
+                        self.schedule(LINK_DELAY, Event::Arrive(to, all));
                     }
                 }
                 Event::Arrive(..) | Event::Flush(_) => {}
@@ -153,20 +155,22 @@
 
     fn flush(&mut self, node: usize) {
         let now = self.now;
-        if now < self.nodes[node].quiet_until || !self.nodes[node].register.has_untold() {
+        if now < self.nodes[node].next_flush_at || !self.nodes[node].register.has_pending() {
             return;
         }
-        let reports = self.nodes[node].register.untold(now, BATCH);
-        self.nodes[node].quiet_until = now + GATHER;
-        self.largest = self.largest.max(reports.len());
+        let reports = self.nodes[node]
+            .register
+            .take_pending(now, MAX_BATCH_REPORTS);
+        self.nodes[node].next_flush_at = now + FLUSH_INTERVAL;
+        self.largest_batch = self.largest_batch.max(reports.len());
         for to in self.nodes[node].links.clone() {
             self.messages += 1;
-            self.later(HOP, Event::Arrive(to, reports.clone()));
+            self.schedule(LINK_DELAY, Event::Arrive(to, reports.clone()));
         }
-        self.flush_soon(node);
+        self.schedule_flush(node);
     }
 
-    fn kill(&mut self, node: usize) {
+    fn stop(&mut self, node: usize) {
         self.nodes[node].alive = false;
         for other in std::mem::take(&mut self.nodes[node].links) {
             self.nodes[other].links.remove(&node);
@@ -178,86 +182,90 @@
             .map(|(child, _)| *child)
             .collect();
         for orphan in orphans {
-            self.later(RELINK, Event::Link(orphan, 0));
+            self.schedule(RECONNECT_DELAY, Event::Link(orphan, 0));
         }
     }
 
-    fn knows(&self, node: usize, request: &Identity) -> bool {
-        let standing = self.nodes[node].register.standing(self.now, request);
-        matches!(standing, Standing::Convicted { .. })
+    fn blocks(&self, node: usize, request: &Identity) -> bool {
+        let status = self.nodes[node].register.status(self.now, request);
+        matches!(status, RequestStatus::Blocked { .. })
     }
 
-    fn all_know(&self, request: &Identity) -> bool {
-        (0..self.nodes.len()).all(|node| !self.nodes[node].alive || self.knows(node, request))
+    fn all_block(&self, request: &Identity) -> bool {
+        (0..self.nodes.len()).all(|node| !self.nodes[node].alive || self.blocks(node, request))
     }
 }
 
-/// The third crash, at the last instance that came; returns when all know of it.
-fn time_to_know(count: usize) -> Duration {
+/// Records the last crash before the limit at the instance that joined last; returns the time until
+/// all block the request.
+fn propagation_time(count: usize) -> Duration {
     let mut fleet = Fleet::new(count);
-    let culprit = request(0);
-    for endpoint in 1..LIMIT {
-        fleet.crash(endpoint % count, culprit, endpoint);
+    let crasher = request(0);
+    for endpoint in 1..MAX_CRASHES {
+        fleet.crash(endpoint % count, crasher, endpoint);
         fleet.run();
     }
-    let began = fleet.now;
-    fleet.crash(count - 1, culprit, LIMIT);
+    let started_at = fleet.now;
+    fleet.crash(count - 1, crasher, MAX_CRASHES);
     fleet.run();
-    assert!(fleet.all_know(&culprit));
-    // What comes back to whoever told it ends there.
+    assert!(fleet.all_block(&crasher));
+    // Reports that return to their sender are not sent again.
     assert!(fleet.messages <= 8 * count as u64, "{}", fleet.messages);
-    fleet.now.since(began)
+    fleet.now.since(started_at)
 }
 
 #[test]
 fn all_instances_know_of_the_third_crash_within_half_a_second() {
     for count in [30, 165, 350] {
-        let took = time_to_know(count);
-        assert!(took <= KNOWN, "{took:?} at {count} instances");
+        let took = propagation_time(count);
+        assert!(
+            took <= MAX_PROPAGATION_TIME,
+            "{took:?} at {count} instances"
+        );
     }
 }
 
 #[test]
 fn those_below_a_relay_that_is_lost_know_when_they_have_another_parent() {
     let mut fleet = Fleet::new(165);
-    let culprit = request(0);
-    for endpoint in 1..LIMIT {
-        fleet.crash(2, culprit, endpoint);
+    let crasher = request(0);
+    for endpoint in 1..MAX_CRASHES {
+        fleet.crash(2, crasher, endpoint);
         fleet.run();
     }
     let relay = *fleet.parents.values().max().expect("there are two levels");
-    fleet.kill(relay);
-    let began = fleet.now;
-    fleet.crash(2, culprit, LIMIT);
+    fleet.stop(relay);
+    let started_at = fleet.now;
+    fleet.crash(2, crasher, MAX_CRASHES);
     fleet.run();
-    assert!(fleet.all_know(&culprit));
-    let took = fleet.now.since(began);
-    // The rule's bound for the smallest deployment.
+    assert!(fleet.all_block(&crasher));
+    let took = fleet.now.since(started_at);
+    // Upper bound for the smallest deployment.
     assert!(took <= Duration::from_secs(3), "{took:?}");
 }
 
 #[test]
 fn a_thousand_crashes_in_a_second_take_bounded_messages() {
     let mut fleet = Fleet::new(165);
-    let began = fleet.now;
+    let started_at = fleet.now;
     for number in 0..1_000 {
         let node = number % 165;
         fleet.crash(node, request(number), number);
-        // A tenth of them at once, ten times a second.
+        // Delivers after each tenth of them, ten times a second.
         if number % 100 == 99 {
             fleet.run();
         }
     }
     fleet.run();
-    assert!(fleet.largest <= BATCH);
+    assert!(fleet.largest_batch <= MAX_BATCH_REPORTS);
     let known = fleet.nodes.iter().map(|node| node.register.len().0);
     assert!(
         known.clone().all(|known| known == 1_000),
         "{:?}",
         known.min()
     );
-    let seconds = fleet.now.since(began).as_secs_f64();
+    let seconds = fleet.now.since(started_at).as_secs_f64();
     let per_link = fleet.messages as f64 / seconds / (2.0 * 164.0);
-    // One each 20 ms at the most.
+    // At most one message every 20 ms.
     assert!(per_link <= 50.0, "{per_link} messages a second and link");
 }
--- a/crates/pinereel_core/tests/endpoint_yielding.rs
+++ b/crates/pinereel_core/tests/endpoint_yielding.rs
@@ -1,10 +1,10 @@
-//! Bulk attempts that yield take no room from live requests, and all from others.
+//! Bulk attempts that yield take no room from live requests, but do take room from all others.
 
 #![allow(clippy::unwrap_used)]
 
 use pinereel_core::{
     Time,
-    endpoint::{End, Event, Instance, Key, Set},
+    endpoint::{AttemptEnd, Event, Key, Listing, Set},
     route::{self, Policy, Priority, Refusal, Request},
 };
 use std::time::Duration;
@@ -33,7 +33,7 @@
 #[test]
 fn live_requests_have_room_beside_bulk() {
     let mut set = Set::default();
-    let instance = Instance {
+    let listing = Listing {
         name: "draft-llm-0".into(),
         incarnation: 1,
         address: "127.0.0.1:1".into(),
@@ -42,7 +42,7 @@
         slots: 2,
         leaving: false,
     };
-    set.step(NOW, Event::Listed(instance));
+    set.step(NOW, Event::Listed(listing));
     let key = choose(&set, Priority::Bulk).unwrap();
     start(&mut set, key, 1);
     start(&mut set, key, 1);
@@ -53,13 +53,13 @@
         start(&mut set, key, 0);
     }
     assert_eq!(choose(&set, Priority::Live), Err(Refusal::Full));
-    // A bulk attempt that ends makes no room for a live one: two live ones still run.
+    // The end of a bulk attempt makes no room for a live one: two live attempts are still running.
     set.step(NOW, Event::Yielding { key, change: -1 });
     let end = Event::Finished {
         key,
         tokens: 1,
         took: Duration::ZERO,
-        end: End::Whole,
+        end: AttemptEnd::Completed,
     };
     set.step(NOW, end);
     assert_eq!(choose(&set, Priority::Live), Err(Refusal::Full));
--- a/crates/pinereel_core/tests/route_choose.rs
+++ b/crates/pinereel_core/tests/route_choose.rs
@@ -1,8 +1,9 @@
-//! Choices keep the rules whatever happened before, and each policy does what it says.
+//! Every choice satisfies the routing rules after any sequence of events, and each policy feature
+//! has its effect.
 
 use pinereel_core::{
     Time, Version,
-    endpoint::{End, Event, Instance, Key, Report, Set, State},
+    endpoint::{AttemptEnd, Event, Key, Listing, LoadReport, Set, State},
     route::{Policy, Priority, Reason, Refusal, Request, choose},
 };
 use proptest::{
@@ -18,7 +19,7 @@
 const SLOTS: u32 = 4;
 
 fn listed(name: usize, incarnation: u64, leaving: bool) -> Event {
-    Event::Listed(Instance {
+    Event::Listed(Listing {
         name: format!("e{name}").into(),
         incarnation,
         address: "127.0.0.1:1".into(),
@@ -54,8 +55,8 @@
     set.step(Time::ZERO, Event::Started { key, tokens: 1 });
 }
 
-fn report(version: u64, running: u32) -> Report {
-    Report {
+fn report(version: u64, running: u32) -> LoadReport {
+    LoadReport {
         at: Time::ZERO,
         running,
         waiting: 0,
@@ -65,7 +66,7 @@
     }
 }
 
-/// One thing that a fuzzed run does.
+/// One operation of a random sequence.
 #[derive(Clone, Debug)]
 enum Op {
     List(usize, u64, bool),
@@ -73,7 +74,7 @@
     Hint(usize, u64),
     Report(usize, u64, bool),
     Choose(u64, Option<u64>, bool, bool),
-    End(usize, u8),
+    Finish(usize, u8),
     Wait(u64),
 }
 
@@ -85,28 +86,28 @@
         2 => (0..6usize, 1..4u64, prop::bool::weighted(0.1)).prop_map(|(n, v, l)| Op::Report(n, v, l)),
         12 => (any::<u64>(), prop::option::of(0..4u64), any::<bool>(), any::<bool>())
             .prop_map(|(s, p, v, f)| Op::Choose(s, p, v, f)),
-        8 => (0..40usize, 0..7u8).prop_map(|(n, e)| Op::End(n, e)),
+        8 => (0..40usize, 0..7u8).prop_map(|(n, e)| Op::Finish(n, e)),
         2 => (1..8_000u64).prop_map(Op::Wait),
     ]
 }
 
-const ENDS: [End; 7] = [
-    End::Whole,
-    End::Cancelled,
-    End::Failed,
-    End::Overloaded,
-    End::ConnectionRefused,
-    End::ConnectionTimeout,
-    End::Leaving,
+const ENDS: [AttemptEnd; 7] = [
+    AttemptEnd::Completed,
+    AttemptEnd::Cancelled,
+    AttemptEnd::Failed,
+    AttemptEnd::Overloaded,
+    AttemptEnd::ConnectionRefused,
+    AttemptEnd::ConnectionTimeout,
+    AttemptEnd::Leaving,
 ];
 
-/// What the oracle knows: evidence by incarnation, and attempts in flight. Nothing else.
+/// Reference model: which incarnations are leaving or listed, and the attempts in flight.
 #[derive(Default)]
 struct Oracle {
     leaving: BTreeSet<(String, u64)>,
     listed: BTreeMap<String, u64>,
-    flying: Vec<Key>,
-    last: Vec<Key>,
+    in_flight: Vec<Key>,
+    excluded: Vec<Key>,
 }
 
 impl Oracle {
@@ -114,7 +115,7 @@
         let mut request = request(seed);
         request.prefix = prefix;
         request.versions = versions.then_some(Version(2)..=Version(9));
-        request.excluded = &self.last;
+        request.excluded = &self.excluded;
         for policy in [Policy::BASELINE, Policy::FULL] {
             let choice = choose(set, &request, now, &policy);
             assert_eq!(choice, choose(set, &request, now, &policy), "deterministic");
@@ -124,10 +125,10 @@
                 let id = (e.name.to_string(), e.incarnation);
                 assert!(!self.leaving.contains(&id), "{id:?} is leaving");
                 assert_eq!(self.listed.get(&id.0), Some(&id.1), "{id:?} is gone");
-                assert!(!self.last.contains(key), "excluded");
-                let flying = self.flying.iter().filter(|k| *k == key).count();
-                assert!(flying < SLOTS as usize, "beyond its slots");
-                assert!(flying < e.limit() as usize, "beyond its limit");
+                assert!(!self.excluded.contains(key), "excluded");
+                let in_flight = self.in_flight.iter().filter(|k| *k == key).count();
+                assert!(in_flight < SLOTS as usize, "beyond its slots");
+                assert!(in_flight < e.limit() as usize, "beyond its limit");
                 if versions {
                     assert!(e.version >= Some(Version(2)), "inadmissible version");
                 }
@@ -136,7 +137,7 @@
     }
 }
 
-fn run(ops: Vec<Op>) {
+fn check_operations(ops: Vec<Op>) {
     let (mut set, mut oracle, mut now) = (Set::default(), Oracle::default(), Time::ZERO);
     for op in ops {
         match op {
@@ -144,7 +145,7 @@
                 set.step(now, listed(n, incarnation, leaving));
                 let name = format!("e{n}");
                 let before = oracle.listed.get(&name).copied();
-                // An incarnation that was replaced counts as leaving from then on.
+                // A replaced incarnation counts as leaving from then on.
                 if before.is_none_or(|b| b == incarnation)
                     || !oracle.leaving.contains(&(name.clone(), incarnation))
                 {
@@ -172,7 +173,7 @@
                     continue;
                 };
                 let incarnation = e.incarnation;
-                let report = Report {
+                let report = LoadReport {
                     at: now,
                     leaving,
                     ..report(version, 2)
@@ -191,30 +192,30 @@
             }
             Op::Choose(seed, prefix, versions, fresh) => {
                 if fresh {
-                    oracle.last.clear();
+                    oracle.excluded.clear();
                 }
                 oracle.check(&set, seed, prefix, versions, now);
                 let mut request = request(seed);
-                request.excluded = &oracle.last;
+                request.excluded = &oracle.excluded;
                 if let Ok(choice) = choose(&set, &request, now, &Policy::FULL) {
                     let event = Event::Started {
                         key: choice.key,
                         tokens: 5,
                     };
                     set.step(now, event);
-                    oracle.flying.push(choice.key);
-                    oracle.last.push(choice.key);
+                    oracle.in_flight.push(choice.key);
+                    oracle.excluded.push(choice.key);
                 }
             }
-            Op::End(n, kind) => {
-                if oracle.flying.is_empty() {
+            Op::Finish(n, kind) => {
+                if oracle.in_flight.is_empty() {
                     continue;
                 }
-                let key = oracle.flying.remove(n % oracle.flying.len());
+                let key = oracle.in_flight.remove(n % oracle.in_flight.len());
                 let e = set.get(key).expect("kept while in flight");
                 let id = (e.name.to_string(), e.incarnation);
                 let end = ENDS[usize::from(kind)];
-                if end == End::Leaving {
+                if end == AttemptEnd::Leaving {
                     oracle.leaving.insert(id);
                 }
                 let event = Event::Finished {
@@ -228,10 +229,13 @@
             Op::Wait(millis) => now = now + Duration::from_millis(millis),
         }
         for (key, e) in set.iter() {
-            let flying = oracle.flying.iter().filter(|k| **k == key).count();
-            assert_eq!(e.outstanding as usize, flying);
-            assert_eq!(e.tokens, flying as u64 * 5);
-            assert!(e.state != State::Gone || flying > 0, "kept for nothing");
+            let in_flight = oracle.in_flight.iter().filter(|k| **k == key).count();
+            assert_eq!(e.outstanding as usize, in_flight);
+            assert_eq!(e.tokens, in_flight as u64 * 5);
+            assert!(
+                e.state != State::Gone || in_flight > 0,
+                "removed endpoint without attempts in flight"
+            );
         }
     }
 }
@@ -246,7 +250,7 @@
 
     #[test]
     fn choices_keep_the_rules(ops in vec(op(), 1..120)) {
-        run(ops);
+        check_operations(ops);
     }
 
     #[test]
@@ -359,14 +363,14 @@
 #[test]
 fn probes_are_rare_and_never_carry_what_may_not_run_twice() {
     let mut set = set_of(2);
-    let sick = set.find("e0").unwrap().0;
+    let ejected = set.find("e0").unwrap().0;
     for _ in 0..5 {
-        start(&mut set, sick);
+        start(&mut set, ejected);
         let event = Event::Finished {
-            key: sick,
+            key: ejected,
             tokens: 1,
             took: Duration::ZERO,
-            end: End::Failed,
+            end: AttemptEnd::Failed,
         };
         set.step(Time::ZERO, event);
     }
@@ -377,7 +381,7 @@
             choose(&set, &request, Time::from_millis(at), &Policy::FULL)
                 .unwrap()
                 .key
-                == sick
+                == ejected
         });
         chosen.count()
     };
@@ -393,44 +397,47 @@
     let old = set.find("e0").unwrap().0;
     start(&mut set, old);
     start(&mut set, old);
-    let first = |at| choose(&set, &request(1), at, &Policy::FULL).unwrap().key;
-    assert_eq!(first(now), old);
-    assert_eq!(first(now + Duration::from_secs(10)), new);
+    let first_choice = |at| choose(&set, &request(1), at, &Policy::FULL).unwrap().key;
+    assert_eq!(first_choice(now), old);
+    assert_eq!(first_choice(now + Duration::from_secs(10)), new);
 }
 
 #[test]
 fn a_limit_that_lost_answers_have_cut_refuses_nobody_where_endpoints_say_themselves_that_they_are_full()
  {
     let mut set = set_of(1);
-    let own = Policy {
-        adaptive: false,
+    let without_adaptive_limits = Policy {
+        adaptive_limits: false,
         ..Policy::FULL
     };
-    let first = choose(&set, &request(0), Time::ZERO, &own)
+    let chosen = choose(&set, &request(0), Time::ZERO, &without_adaptive_limits)
         .expect("it is idle")
         .key;
     for millis in 1..=4 {
-        start(&mut set, first);
+        start(&mut set, chosen);
         let now = Time::from_millis(millis);
         set.step(
             now,
             Event::Finished {
-                key: first,
+                key: chosen,
                 tokens: 1,
                 took: Duration::from_micros(10),
-                end: End::Overloaded,
+                end: AttemptEnd::Overloaded,
             },
         );
     }
-    start(&mut set, first);
+    start(&mut set, chosen);
     let now = Time::from_millis(5);
     assert_eq!(
         choose(&set, &request(0), now, &Policy::FULL),
         Err(Refusal::Full)
     );
     for _ in 1..SLOTS {
-        assert!(choose(&set, &request(0), now, &own).is_ok());
-        start(&mut set, first);
+        assert!(choose(&set, &request(0), now, &without_adaptive_limits).is_ok());
+        start(&mut set, chosen);
     }
-    assert_eq!(choose(&set, &request(0), now, &own), Err(Refusal::Full));
+    assert_eq!(
+        choose(&set, &request(0), now, &without_adaptive_limits),
+        Err(Refusal::Full)
+    );
 }
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -156,7 +156,7 @@
             route(
                 "reports",
                 route::Policy {
-                    reports: true,
+                    load_reports: true,
                     ..routes
                 },
             ),
