--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_news.rs
@@ -6,8 +6,10 @@
 
 use pinereel_core::{
     Time,
-    crash::{Content, EndpointStart, Identity, MAX_CRASHES, Register, Report, RequestParts,
-        RequestStatus,},
+    crash::{
+        Content, EndpointStart, Identity, MAX_CRASHES, Register, Report, RequestParts,
+        RequestStatus,
+    },
     tree::{Admission, Children, Peer},
 };
 use std::{
