--- a/crates/pinereel/src/hosted/bulletin/source.rs
+++ b/crates/pinereel/src/hosted/bulletin/source.rs
@@ -20,7 +20,7 @@
 impl Bulletin {
     /// Follows everything in the store, and tells it; ends only when dropped.
     pub(super) async fn read_store(&self) {
-        let places = self.parts.adapter.places;
+        let places = self.parts.adapter.object_kinds;
         let config = self.follow(Topic::Config, Purpose::Config, places.config);
         let endpoints = self.follow(Topic::Endpoints, Purpose::Instances, places.endpoints);
         tokio::join!(config, endpoints, self.follow_leases());
--- a/crates/pinereel/src/hosted/bulletin/topics.rs
+++ b/crates/pinereel/src/hosted/bulletin/topics.rs
@@ -180,7 +180,7 @@
 
     /// Whether an entry of the endpoint list is an engine's.
     fn is_engine(&self, object: &Object) -> bool {
-        let entry = (self.parts.adapter.endpoint)(&object.name, &object.spec);
+        let entry = (self.parts.adapter.decode_endpoint)(&object.name, &object.spec);
         entry.is_ok_and(|entry| !entry.models.is_empty())
     }
 
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -8,7 +8,7 @@
 use crate::hosted::duty::Standing;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
 use pinereel_core::tree::Census;
-use pinereel_port::store::Freshness;
+use pinereel_port::store::Consistency;
 use std::{rc::Rc, time::Duration};
 use tokio::{
     sync::watch,
@@ -232,9 +232,9 @@
             sleep(PATIENCE).await;
         }
         let pause = if is_deputy { DEPUTY_PROBE } else { PROBE };
-        let places = self.parts.adapter.places;
-        let (kind, name) = (places.config, places.config_name);
-        while !self.parts.store.probe(kind, name, Freshness::Stale).await {
+        let places = self.parts.adapter.object_kinds;
+        let (kind, name) = (places.config, places.config_object_name);
+        while !self.parts.store.probe(kind, name, Consistency::Stale).await {
             sleep(pause).await;
         }
     }
--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -38,7 +38,7 @@
         let (state, store) = (Rc::clone(&config), store.clone());
         let fed = Some(feed.hear(Topic::Config));
         actix_rt::spawn(async move {
-            let kind = adapter.places.config;
+            let kind = adapter.object_kinds.config;
             let manner = || Manner {
                 wait,
                 gather: Duration::ZERO,
@@ -103,7 +103,7 @@
             }
         };
         for object in objects {
-            if object.name == adapter.places.config_name {
+            if object.name == adapter.object_kinds.config_object_name {
                 self.put_in_force(adapter, &object);
             }
         }
@@ -111,7 +111,7 @@
 
     fn put_in_force(&self, adapter: Adapter, object: &Object) {
         let revision = object.revision;
-        let document = match (adapter.config)(&object.spec) {
+        let document = match (adapter.decode_config)(&object.spec) {
             Ok(document) => document,
             Err(fault) => {
                 let number = self.table().map(|table| table.number());
@@ -119,7 +119,7 @@
                 return;
             }
         };
-        let number = document.number;
+        let number = document.version;
         let before = self.table().map(|table| table.number());
         if before.is_some_and(|before| number <= before) {
             log::debug!(revision, number; "configuration is in force or older");
--- a/crates/pinereel/src/hosted/duty/call.rs
+++ b/crates/pinereel/src/hosted/duty/call.rs
@@ -3,7 +3,7 @@
 use super::{Duties, KIND, look::decode};
 use crate::objects::{Error, Purpose};
 use pinereel_core::lease::{Action, Event, Holder, Lease};
-use pinereel_port::store::Freshness;
+use pinereel_port::store::Consistency;
 use serde::Serialize;
 
 /// A lease as it lies in the store.
@@ -37,7 +37,7 @@
         }
         let read = self
             .store
-            .read(Purpose::Leases, KIND, duty, Freshness::Current);
+            .read(Purpose::Leases, KIND, duty, Consistency::Linearizable);
         match read.await {
             Ok(None) => Event::Read(None),
             Ok(Some(object)) => {
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 use log::Level;
 use pinereel_core::endpoint::{self, Event};
-use pinereel_port::{Fault, endpoint::Entry, store::Object};
+use pinereel_port::{DecodeError, endpoint::Entry, store::Object};
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
@@ -65,7 +65,7 @@
 
     /// Takes an entry over; what is new in it is logged at `level`.
     fn listed(&self, object: &Object, level: Level) {
-        let entry = match (self.parts.adapter.endpoint)(&object.name, &object.spec) {
+        let entry = match (self.parts.adapter.decode_endpoint)(&object.name, &object.spec) {
             Ok(entry) => entry,
             Err(fault) => {
                 self.refuse(object, &fault);
@@ -94,7 +94,7 @@
         };
         let id = listed.entry.id.clone();
         let mut index = self.index.borrow_mut();
-        if listed.entry.leaving {
+        if listed.entry.draining {
             index.remove(&id);
         } else {
             index.insert(&id, &listed.entry.service, listed.entry.slots);
@@ -106,7 +106,7 @@
 
     /// An entry names no endpoint to use, also when it was a good one before: another writer may have
     /// replaced it.
-    fn refuse(&self, object: &Object, fault: &Fault) {
+    fn refuse(&self, object: &Object, fault: &DecodeError) {
         let id = &object.name;
         let known = self.refused.borrow().get(id) == Some(&object.revision);
         if !known {
@@ -136,7 +136,7 @@
                 return;
             }
             listed.missing_since = Some(now);
-            !listed.entry.leaving && self.may_have_lapsed()
+            !listed.entry.draining && self.may_have_lapsed()
         };
         log::info!(endpoint = id.as_str(), may_return = wait; "endpoint not listed any more");
         if !wait {
@@ -197,7 +197,7 @@
         endpoint = entry.id.as_str(),
         incarnation = entry.incarnation,
         service = entry.service.as_str(),
-        leaving = entry.leaving,
+        leaving = entry.draining,
         versions:serde = entry.models,
         revision;
         "endpoint listed"
@@ -213,7 +213,7 @@
         address,
         zone,
         slots,
-        leaving,
+        draining: leaving,
         models: _,
         spot: _,
     } = entry;
@@ -228,6 +228,6 @@
         zone: entry.zone.clone(),
         pool: entry.service.clone(),
         slots: entry.slots.saturating_mul(QUEUED),
-        leaving: entry.leaving,
+        leaving: entry.draining,
     }
 }
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -22,7 +22,7 @@
     hash,
     route::{self, Policy, Priority, Reason, Refusal, Request},
 };
-use pinereel_port::{Adapter, endpoint::Entry, live::Load};
+use pinereel_port::{Adapter, endpoint::Entry, headers::Load};
 use std::{
     cell::RefCell,
     collections::{BTreeMap, BTreeSet},
@@ -147,7 +147,7 @@
         });
         let state = Rc::clone(&endpoints);
         actix_rt::spawn(async move {
-            let kind = adapter.places.endpoints;
+            let kind = adapter.object_kinds.endpoints;
             let manner = || Manner {
                 wait,
                 gather: if hurried() { HURRIED } else { gather },
@@ -296,7 +296,7 @@
         entries.get(&start.endpoint).is_some_and(|listed| {
             let entry = &listed.entry;
             let same = entry.incarnation == start.incarnation;
-            same && !entry.leaving && listed.missing_since.is_none()
+            same && !entry.draining && listed.missing_since.is_none()
         })
     }
 
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -5,7 +5,7 @@
     runner::Runner,
 };
 use crate::objects::{Error, Purpose};
-use pinereel_port::{lot::Sample, store::Freshness};
+use pinereel_port::{lot::Sample, store::Consistency};
 use std::{rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::sleep};
 
@@ -62,7 +62,7 @@
 pub(super) fn first_segment(samples: &[Sample]) -> Vec<Sample> {
     let mut bytes = 0;
     let fits = samples.iter().take(SEGMENT_SAMPLES).take_while(|sample| {
-        let size = sample.made.as_ref().map_or(0, |made| made.text.len());
+        let size = sample.output.as_ref().map_or(0, |made| made.text.len());
         let first = bytes == 0;
         bytes += size;
         first || bytes <= SEGMENT_BYTES
@@ -107,7 +107,7 @@
     let read = runner
         .parts
         .store
-        .read(Purpose::Lots, &kind, &name, Freshness::Current);
+        .read(Purpose::Lots, &kind, &name, Consistency::Linearizable);
     match read.await {
         Ok(Some(object)) => match segment(&object) {
             Ok((_, segment)) => {
--- a/crates/pinereel/src/hosted/lots/desk.rs
+++ b/crates/pinereel/src/hosted/lots/desk.rs
@@ -15,9 +15,9 @@
 use compact_str::CompactString;
 use pinereel_port::{
     Adapter,
-    live::Caller,
-    lot::{Reading, Sample},
-    store::{Freshness, Object},
+    headers::Caller,
+    lot::{ResultsPage, Sample},
+    store::{Consistency, Object},
 };
 use serde_json::value::RawValue;
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
@@ -102,7 +102,7 @@
             Err(error) => return Reply::Malformed(error.to_string().into()),
         };
         let value = serde_json::from_str(lot.get()).unwrap_or_default();
-        let submission = match (self.adapter.lot.submission)(&value) {
+        let submission = match (self.adapter.lot.decode_submission)(&value) {
             Ok(submission) => submission,
             Err(fault) => return Reply::Malformed(fault.to_string().into()),
         };
@@ -203,11 +203,11 @@
             }
         }
         let total = self.known_total(lot).unwrap_or_default();
-        let count = fitting(&samples, self.adapter.lot.reading_bytes);
+        let count = fitting(&samples, self.adapter.lot.max_page_bytes);
         let samples = &samples[..count];
-        Ok(Some((self.adapter.lot.reading)(Reading {
+        Ok(Some((self.adapter.lot.encode_results)(ResultsPage {
             total,
-            from,
+            offset: from,
             samples,
         })))
     }
@@ -253,7 +253,7 @@
     async fn lot(&self, lot: &str) -> Result<Option<Object>, Error> {
         let read = self
             .store
-            .read(Purpose::Lots, LOTS, lot, Freshness::Current);
+            .read(Purpose::Lots, LOTS, lot, Consistency::Linearizable);
         read.await
     }
 
@@ -336,7 +336,7 @@
     let mut left = bytes / 2;
     let mut count = 0;
     for sample in samples {
-        let size = FRAME + sample.made.as_ref().map_or(0, |made| made.text.len());
+        let size = FRAME + sample.output.as_ref().map_or(0, |made| made.text.len());
         if count > 0 && size > left {
             break;
         }
--- a/crates/pinereel/src/hosted/lots/handover.rs
+++ b/crates/pinereel/src/hosted/lots/handover.rs
@@ -12,7 +12,7 @@
 use crate::objects::{Error, Purpose};
 use compact_str::CompactString;
 use futures_util::future::join_all;
-use pinereel_port::store::Freshness;
+use pinereel_port::store::Consistency;
 use std::{cmp::Reverse, collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
@@ -126,7 +126,7 @@
 async fn write_over(runner: &Runner, lot: &str, left: &Left) -> Result<u64, Error> {
     let (kind, name) = (drafts(lot), name(runner));
     let store = &runner.parts.store;
-    let read = store.read(Purpose::Lots, &kind, &name, Freshness::Current);
+    let read = store.read(Purpose::Lots, &kind, &name, Consistency::Linearizable);
     let left = Left {
         revision: read.await?.map(|object| object.revision),
         texts: left.texts.clone(),
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -112,7 +112,7 @@
                 Err(fault) => log::error!(id = id.as_str(); "{fault}"),
             }
         }
-        let oldest = submission.oldest_version;
+        let oldest = submission.min_version;
         let mut drafts = Vec::new();
         for item in &submission.items {
             let kept = state.drafts.remove(&record::name(&caller, &item.id));
@@ -166,7 +166,7 @@
     /// Tells how much work the model's trainers ask for, so that it gets its share of the engines.
     fn note_demand(&self, state: &mut State, open: &Open) {
         let items = &open.submission.items;
-        let hints = items.iter().map(|item| item.length_hint);
+        let hints = items.iter().map(|item| item.output_tokens_hint);
         let tokens = hints.map(|hint| u64::from(hint.unwrap_or(DEFAULT_LENGTH_TOKENS)));
         self.add_demand(state, &open.model, |asked, now| {
             asked.record_lot(now, items.len() as u64, tokens.sum());
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -13,7 +13,7 @@
     hash, table,
 };
 use pinereel_port::{
-    config::{Kind, Route},
+    config::{Route, RouteKind},
     endpoint::Entry,
     lot::Sample,
 };
@@ -68,7 +68,7 @@
                 incarnation: entry.incarnation,
                 address: entry.address,
                 slots: entry.slots,
-                leaving: entry.leaving,
+                leaving: entry.draining,
                 version: entry.models.get(&name.model).copied(),
             };
             // A run goes on at an engine that is not in the set any more.
@@ -87,7 +87,7 @@
     fn route(&self, open: &Open) -> Option<Route> {
         let table = self.parts.config.table()?;
         let route = table.find(&open.host, &open.path)?;
-        (route.kind == Kind::Lot).then(|| route.clone())
+        (route.kind == RouteKind::Lot).then(|| route.clone())
     }
 
     /// The engines that a lot's items go to.
@@ -123,7 +123,7 @@
     /// held back, and the next one is looked at.
     fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, EngineKey, usize)> {
         let now = self.parts.clock.now();
-        let oldest_version = open.submission.oldest_version;
+        let oldest_version = open.submission.min_version;
         if !fleet.has_free_slot(now, oldest_version) {
             return None;
         }
@@ -167,7 +167,7 @@
             let Some(fleet) = state.fleets.get_mut(&name) else {
                 continue;
             };
-            let oldest_version = open.submission.oldest_version;
+            let oldest_version = open.submission.min_version;
             let Some((at, key, doubts)) = self.next_item(open, fleet) else {
                 continue;
             };
@@ -215,7 +215,7 @@
             for at in 0..open.lot.total() {
                 if !open.lot.is_finished(at) {
                     let item = open.submission.items[at].id.clone();
-                    open.lot.finish(at, Sample { item, made: None });
+                    open.lot.finish(at, Sample { item, output: None });
                     ended.extend(open.tasks.remove(&at));
                 }
             }
--- a/crates/pinereel/src/hosted/lots/record.rs
+++ b/crates/pinereel/src/hosted/lots/record.rs
@@ -16,8 +16,8 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_core::hash::Digest;
 use pinereel_port::{
-    Adapter, Fault,
-    live::Caller,
+    Adapter, DecodeError,
+    headers::Caller,
     lot::{Sample, Submission},
     store::Object,
 };
@@ -116,26 +116,26 @@
 }
 
 /// Reads an accepted lot.
-pub(super) fn accepted(adapter: &Adapter, object: &Object) -> Result<Accepted, Fault> {
+pub(super) fn accepted(adapter: &Adapter, object: &Object) -> Result<Accepted, DecodeError> {
     let text = |field: &str| {
         let value = object.spec.get(field).and_then(Value::as_str);
-        let value = value.ok_or_else(|| Fault::new("accepted lot", format!("no {field}")));
+        let value = value.ok_or_else(|| DecodeError::new("accepted lot", format!("no {field}")));
         value.map(CompactString::from)
     };
     let lot = object.spec.get("lot").unwrap_or(&Value::Null);
     let workspace = object.spec.get("workspace").and_then(Value::as_str);
-    let caller = workspace.map_or(Caller::Open, |name| Caller::Workspace(name.into()));
+    let caller = workspace.map_or(Caller::PassThrough, |name| Caller::Workspace(name.into()));
     Ok(Accepted {
         caller,
         host: text("host")?,
         path: text("path")?,
-        submission: (adapter.lot.submission)(lot)?,
+        submission: (adapter.lot.decode_submission)(lot)?,
     })
 }
 
 impl Stub {
     /// What is or would be kept of a lot.
-    pub(super) fn of(adapter: &Adapter, object: &Object) -> Result<Self, Fault> {
+    pub(super) fn of(adapter: &Adapter, object: &Object) -> Result<Self, DecodeError> {
         if let Some(stub) = stub(object) {
             return Ok(stub);
         }
@@ -164,9 +164,9 @@
 }
 
 /// Reads a segment, with the position of its first sample.
-pub(super) fn segment(object: &Object) -> Result<(usize, Segment), Fault> {
+pub(super) fn segment(object: &Object) -> Result<(usize, Segment), DecodeError> {
     let from = object.name.parse();
-    let from = from.map_err(|_| Fault::new("segment", format!("name {}", object.name)))?;
-    let segment = Segment::deserialize(&object.spec).map_err(|e| Fault::new("segment", e))?;
+    let from = from.map_err(|_| DecodeError::new("segment", format!("name {}", object.name)))?;
+    let segment = Segment::deserialize(&object.spec).map_err(|e| DecodeError::new("segment", e))?;
     Ok((from, segment))
 }
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -12,7 +12,7 @@
 };
 use pinereel_port::{
     config::Route,
-    lot::{Item, Made, Sample},
+    lot::{Item, Output, Sample},
 };
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -123,14 +123,14 @@
         None => None,
     };
     let draft = runner.draft(work);
-    let made = Made {
+    let made = Output {
         text: draft.text,
         versions: draft.versions.into_iter().collect(),
         score,
     };
     let sample = Sample {
         item: item.id.clone(),
-        made: Some(made),
+        output: Some(made),
     };
     runner.finished(work, sample);
 }
@@ -139,7 +139,7 @@
     log::warn!(id = item.id.as_str(), lot = work.lot.as_str(), why; "item given up");
     let sample = Sample {
         item: item.id.clone(),
-        made: None,
+        output: None,
     };
     runner.finished(work, sample);
 }
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use pinereel_core::batch::{DemandWindow, Fleet, Lot};
 use pinereel_port::{
-    live::Caller,
+    headers::Caller,
     lot::{Event, Submission},
 };
 use serde::{Deserialize, Serialize};
@@ -120,7 +120,7 @@
             self.text.push('\n');
         }
         self.text.push_str(&event.data);
-        self.last = Some(event.number);
+        self.last = Some(event.id);
         self.versions.insert(version);
     }
 }
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -13,7 +13,7 @@
 };
 use pinereel_port::{
     config::Route,
-    live::{Attempt, Caller},
+    headers::{AttemptHeaders, Caller},
     lot::Item,
 };
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -107,7 +107,7 @@
         method: Method::POST.as_str(),
         host,
         target: &item.path,
-        content: Content::new(item.prompt.as_deref(), &item.body),
+        content: Content::new(item.prompt_id.as_deref(), &item.body),
     })
 }
 
@@ -153,12 +153,12 @@
         Ok(Err(Error::Lost(_))) => return End::Broken(Break::Lost),
         Ok(Err(Error::NotOpened(_))) | Err(_) => return End::Broken(Break::NoAnswer),
     };
-    let said = (runner.parts.adapter.live.answer)(response.status, &response.headers);
-    if said.not_run {
+    let said = (runner.parts.adapter.headers.decode_response)(response.status, &response.headers);
+    if said.not_executed {
         let _ = timeout(SILENCE, response.body.whole()).await;
         return End::Refused;
     }
-    if said.id.as_ref().is_some_and(|id| *id != item.id) || said.encoded {
+    if said.id.as_ref().is_some_and(|id| *id != item.id) || said.content_encoded {
         return End::Broken(Break::Foreign);
     }
     match response.status {
@@ -173,7 +173,7 @@
         route,
         place,
         oldest: work.oldest_version,
-        version: said.version,
+        version: said.weights_version,
         last,
         made_by,
     };
@@ -194,14 +194,14 @@
     if let Ok(host) = HeaderValue::from_str(&work.host) {
         head.headers.insert(HOST, host);
     }
-    let attempt = Attempt {
-        id: &item.id,
-        endpoint: &place.start.endpoint,
-        time_left: None,
-        after_event,
+    let attempt = AttemptHeaders {
+        request_id: &item.id,
+        endpoint_id: &place.start.endpoint,
+        timeout: None,
+        last_event_id: after_event,
         caller: &work.caller,
     };
-    (runner.parts.adapter.live.attempt)(&mut head.headers, attempt);
+    (runner.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
     head
 }
 
@@ -278,7 +278,7 @@
 
     /// Takes one event in; says if the run ends with it.
     fn take(&mut self, text: &str, gap: Option<Duration>) -> Option<End> {
-        let event = match (self.runner.parts.adapter.lot.event)(text) {
+        let event = match (self.runner.parts.adapter.lot.decode_event)(text) {
             Ok(event) => event,
             Err(fault) => {
                 let (id, endpoint) = (self.work.item.as_str(), self.place.start.endpoint.as_str());
@@ -286,7 +286,7 @@
                 return Some(End::Broken(Break::Event));
             }
         };
-        if self.last.is_some_and(|last| event.number != last + 1) {
+        if self.last.is_some_and(|last| event.id != last + 1) {
             return Some(End::Broken(Break::Event));
         }
         self.version = event.version.or(self.version);
@@ -301,7 +301,7 @@
             self.runner.drop_text(self.work);
             return Some(End::Broken(Break::Mixed));
         }
-        self.last = Some(event.number);
+        self.last = Some(event.id);
         self.made_by = Some(version);
         self.runner.add_event(self.work, &event, version);
         let moved = self.runner.progressed(self.work, self.place.key, gap);
--- a/crates/pinereel/src/hosted/orders/call.rs
+++ b/crates/pinereel/src/hosted/orders/call.rs
@@ -11,8 +11,8 @@
 use pinereel_core::rollout::Event;
 use pinereel_port::{
     endpoint::Entry,
-    engine::Report,
-    live::{Attempt, Caller},
+    engine::StatusReport,
+    headers::{AttemptHeaders, Caller},
 };
 use std::time::Duration;
 use tokio::time::timeout;
@@ -57,14 +57,14 @@
         }
         let json = HeaderValue::from_static("application/json");
         head.headers.insert(CONTENT_TYPE, json);
-        let attempt = Attempt {
-            id: &format_compact!("order-{}", entry.id),
-            endpoint: &entry.id,
-            time_left: None,
-            after_event: None,
+        let attempt = AttemptHeaders {
+            request_id: &format_compact!("order-{}", entry.id),
+            endpoint_id: &entry.id,
+            timeout: None,
+            last_event_id: None,
             caller: &Caller::Anonymous,
         };
-        (self.parts.adapter.live.attempt)(&mut head.headers, attempt);
+        (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
         let exchange = Exchange {
             address: entry.address,
             head,
@@ -86,14 +86,14 @@
             .unwrap_or(Err(NoAnswer::Lost))
     }
 
-    pub(super) async fn report(&self, entry: &Entry) -> Result<Report, NoAnswer> {
+    pub(super) async fn report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
         let engine = self.parts.adapter.engine;
-        let answer = self.call(entry, Method::GET, engine.report_path, Bytes::new());
+        let answer = self.call(entry, Method::GET, engine.status_report_path, Bytes::new());
         let (status, body) = answer.await?;
         if status != StatusCode::OK {
             return Err(NoAnswer::Lost);
         }
-        (engine.report)(&body).map_err(|fault| {
+        (engine.decode_status_report)(&body).map_err(|fault| {
             log::warn!(endpoint = entry.id.as_str(); "{fault}");
             NoAnswer::Lost
         })
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -155,7 +155,7 @@
     async fn work(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let (kind, wait) = (self.parts.adapter.places.versions, self.parts.watch);
+        let (kind, wait) = (self.parts.adapter.object_kinds.versions, self.parts.watch);
         let manner = || Manner {
             wait,
             gather: Duration::ZERO,
@@ -211,7 +211,7 @@
             Update::Changes(changes) => changes.into_iter().map(|c| c.object).collect(),
         };
         for object in objects {
-            match (self.parts.adapter.version)(&object.spec) {
+            match (self.parts.adapter.decode_named_version)(&object.spec) {
                 Ok((model, version)) => {
                     let revision = object.revision;
                     log::info!(model = model.as_str(), version, revision; "version named");
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -10,7 +10,7 @@
 };
 use pinereel_port::{
     endpoint::Entry,
-    engine::{Order, Report, Verdict},
+    engine::{LoadOutcome, LoadRequest, StatusReport},
 };
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -144,7 +144,7 @@
             name: entry.id.clone(),
             zone: entry.zone,
             outstanding: 0,
-            leaving: entry.leaving,
+            leaving: entry.draining,
         });
         // An engine lists a new version as soon as it serves it; its report lags behind.
         if before.is_some_and(|(_, before)| before != version) {
@@ -222,13 +222,13 @@
         self.step(event);
     }
 
-    fn sight(&self, report: &Report) -> Sight {
+    fn sight(&self, report: &StatusReport) -> Sight {
         let named = self.orders.named.borrow().get(&self.model).copied();
         Sight {
             incarnation: report.incarnation,
             version: report.models.get(&self.model).copied().map(Version),
             // The report does not say which version is loaded; orders are given for the newest.
-            loading: report.busy.then(|| Version(named.unwrap_or_default())),
+            loading: report.loading.then(|| Version(named.unwrap_or_default())),
             failed: false,
         }
     }
@@ -249,13 +249,13 @@
         let engine = self.orders.parts.adapter.engine;
         let before = self.orders.report(&entry).await?;
         let single = self.single_version();
-        let body = (engine.order)(Order {
+        let body = (engine.encode_load_request)(LoadRequest {
             model: &self.model,
             version: version.0,
-            whole_runs: single,
-            holder: self.orders.parts.duties.instance(),
-            fence,
-            expected_orders: before.orders,
+            finish_running_first: single,
+            lease_holder: self.orders.parts.duties.instance(),
+            fencing_token: fence,
+            expected_accepted_loads: before.accepted_loads,
         });
         // The lease may have run out during the read.
         if self.grant().is_none_or(|grant| grant.fence != fence) {
@@ -265,37 +265,39 @@
         self.tell_rests(Time::ZERO);
         let answer = self
             .orders
-            .call(&entry, Method::POST, engine.order_path, body);
+            .call(&entry, Method::POST, engine.load_path, body);
         let verdict = answer.await;
-        let verdict = verdict.map(|(status, _)| (engine.verdict)(status));
+        let verdict = verdict.map(|(status, _)| (engine.load_outcome)(status));
         log::info!(
             endpoint = name.as_str(),
             model = self.model.as_str(),
             version = version.0,
             fence,
-            orders_before = before.orders,
+            orders_before = before.accepted_loads,
             outcome:? = verdict;
             "order given"
         );
         let metrics = &self.orders.parts.metrics;
         metrics.count(
             &metrics.orders,
-            &[verdict.map_or("no answer", Verdict::as_str)],
+            &[verdict.map_or("no answer", LoadOutcome::as_str)],
         );
         let name = name.clone();
         let mut sight = self.sight(&before);
         match verdict? {
-            Verdict::Accepted => {
+            LoadOutcome::Accepted => {
                 sight.loading = Some(version);
                 Ok(Event::Taken { name, fence, sight })
             }
-            Verdict::Holds => {
+            LoadOutcome::Holds => {
                 sight.version = Some(version);
                 sight.loading = None;
                 Ok(Event::Taken { name, fence, sight })
             }
-            Verdict::Fenced => Ok(Event::Refused { name, fence }),
-            Verdict::Busy | Verdict::OtherEndpoint | Verdict::Refused => Err(NoAnswer::Lost),
+            LoadOutcome::Fenced => Ok(Event::Refused { name, fence }),
+            LoadOutcome::Busy | LoadOutcome::OtherEndpoint | LoadOutcome::Refused => {
+                Err(NoAnswer::Lost)
+            }
         }
     }
 
--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/sizing.rs
@@ -6,7 +6,7 @@
 use pinereel_core::scale::{Order, Sizer, Terms, Zone};
 use pinereel_port::{
     config::{Scale, Service},
-    duty::{Holder, Size, Verdict},
+    leader::{LeaseHolder, Outcome, ScaleTarget},
 };
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -36,8 +36,8 @@
             };
             let (lacking, zones) = (self.lacking(&service), self.zones(&scale));
             let terms = Terms {
-                most: scale.most,
-                start: scale.start,
+                most: scale.max_endpoints,
+                start: scale.startup_time,
                 spot: scale.spot_price.is_some(),
             };
             let now = self.orders.parts.duties.now();
@@ -71,12 +71,12 @@
 
     fn zones(&self, scale: &Scale) -> BTreeMap<CompactString, Zone> {
         let mut zones: BTreeMap<CompactString, Zone> = BTreeMap::new();
-        for (name, price) in &scale.prices {
+        for (name, price) in &scale.zone_prices {
             zones.entry(name.clone()).or_default().price = *price;
         }
         for entry in self.orders.parts.endpoints.of(&self.service) {
             let zone = zones.entry(entry.zone).or_default();
-            match (entry.leaving, entry.spot) {
+            match (entry.draining, entry.spot) {
                 (true, _) => {}
                 (false, true) => zone.spot += 1,
                 (false, false) => zone.regular += 1,
@@ -92,11 +92,11 @@
         (lacking, zones): (u32, &BTreeMap<CompactString, Zone>),
     ) -> bool {
         let parts = &self.orders.parts;
-        let holder = Holder {
+        let holder = LeaseHolder {
             instance: parts.duties.instance(),
-            fence: grant.fence,
+            fencing_token: grant.fence,
         };
-        let size = Size {
+        let size = ScaleTarget {
             service: &self.service,
             zone: &order.zone,
             count: order.count,
@@ -107,9 +107,9 @@
             return false;
         }
         self.orders.note_order(&self.service);
-        let call = (parts.adapter.duty.size)(holder, size);
+        let call = (parts.adapter.leader.set_endpoint_count)(holder, size);
         let status = platform::call(&parts.pool, self.address, call).await;
-        let verdict = status.map(parts.adapter.duty.verdict);
+        let verdict = status.map(parts.adapter.leader.outcome);
         let has = zones.get(&order.zone).copied().unwrap_or_default();
         log::info!(
             service = self.service.as_str(),
@@ -120,14 +120,14 @@
             listed = has.regular,
             listed_spot = has.spot,
             fence = grant.fence,
-            outcome = verdict.map_or("no answer", Verdict::as_str);
+            outcome = verdict.map_or("no answer", Outcome::as_str);
             "endpoints ordered"
         );
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
         parts
             .metrics
             .count(&parts.metrics.duty_calls, &["size", &label]);
-        verdict == Some(Verdict::Done)
+        verdict == Some(Outcome::Done)
     }
 }
 
--- a/crates/pinereel/src/hosted/platform.rs
+++ b/crates/pinereel/src/hosted/platform.rs
@@ -5,7 +5,7 @@
     RequestHead, StatusCode,
     header::{HOST, HeaderValue},
 };
-use pinereel_port::duty::Call;
+use pinereel_port::leader::Request;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
@@ -13,7 +13,7 @@
 const ANSWER: Duration = Duration::from_millis(1_500);
 
 /// Makes a call to the platform; none if no answer came in time.
-pub async fn call(pool: &Rc<Pool>, address: SocketAddr, call: Call) -> Option<StatusCode> {
+pub async fn call(pool: &Rc<Pool>, address: SocketAddr, call: Request) -> Option<StatusCode> {
     let mut head = RequestHead::default();
     head.method = call.method;
     head.uri = call.path.parse().unwrap_or_default();
--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/relay/attempt.rs
@@ -11,7 +11,7 @@
     endpoint::{End, Key},
     relay::Ended,
 };
-use pinereel_port::{config::Kind, live::Attempt};
+use pinereel_port::{config::RouteKind, headers::AttemptHeaders};
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, timeout};
 
@@ -60,7 +60,7 @@
     ) -> Result<Answer, Ended> {
         let head = self.head(call, picked, wait);
         let began = Instant::now();
-        let repeatable = call.route.kind == Kind::Idempotent;
+        let repeatable = call.route.kind == RouteKind::Idempotent;
         let mut reuse = repeatable;
         let mut broke = false;
         loop {
@@ -116,14 +116,14 @@
             head.method = call.method.clone();
             head.uri = call.target.parse::<Uri>().unwrap_or_default();
             head.headers = end_to_end(&call.headers);
-            let attempt = Attempt {
-                id: &call.id,
-                endpoint: &picked.id,
-                time_left: Some(wait.saturating_sub(began.elapsed())),
-                after_event: None,
+            let attempt = AttemptHeaders {
+                request_id: &call.id,
+                endpoint_id: &picked.id,
+                timeout: Some(wait.saturating_sub(began.elapsed())),
+                last_event_id: None,
                 caller: &call.caller,
             };
-            (self.parts.adapter.live.attempt)(&mut head.headers, attempt);
+            (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
             head
         }
     }
@@ -134,15 +134,15 @@
         picked: &Picked,
         response: Response,
     ) -> Result<Answer, Ended> {
-        let said = (self.parts.adapter.live.answer)(response.status, &response.headers);
+        let said = (self.parts.adapter.headers.decode_response)(response.status, &response.headers);
         if let Some(load) = said.load {
             self.parts.endpoints.reported(picked.key, load);
         }
         let foreign = said.id.as_ref().is_some_and(|id| *id != call.id);
-        if foreign || said.encoded {
+        if foreign || said.content_encoded {
             return Err(Ended::Garbled);
         }
-        if said.not_run {
+        if said.not_executed {
             // Read to its end, so that the connection can be used again.
             let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
             let _ = response.body.whole().await;
--- a/crates/pinereel/src/hosted/relay/call.rs
+++ b/crates/pinereel/src/hosted/relay/call.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::crash::{Content, Identity, Parts};
-use pinereel_port::{config::Route, live::Caller};
+use pinereel_port::{config::Route, headers::Caller};
 use std::{cell::OnceCell, time::Duration};
 use tokio::time::Instant;
 
--- a/crates/pinereel/src/hosted/relay/doubt.rs
+++ b/crates/pinereel/src/hosted/relay/doubt.rs
@@ -40,7 +40,7 @@
                 let picked = untried.and_then(|key| endpoints.pick(key));
                 picked.map_or(Next::Decline(IN_DOUBT, RETRY_AFTER), Next::Send)
             }
-            Seat::After(wait) if began.elapsed() + wait < call.route.objective => {
+            Seat::After(wait) if began.elapsed() + wait < call.route.latency_objective => {
                 sleep(wait).await;
                 Next::LookAgain
             }
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -28,7 +28,7 @@
 };
 use pinereel_port::{
     Adapter,
-    config::{Kind, Route},
+    config::{Route, RouteKind},
 };
 use report::{refusal_name, report, report_refusal, status_class, trace};
 use std::{cell::Cell, rc::Rc, time::Duration};
@@ -220,7 +220,7 @@
     /// The endpoint of the next attempt of a request that nothing counts against: one that is reserved for a request
     /// with a last chance only if no other takes it.
     fn choose(&self, course: &Course<'_>) -> Next {
-        let repeatable = course.call.route.kind == Kind::Idempotent;
+        let repeatable = course.call.route.kind == RouteKind::Idempotent;
         let choose = |excluded: &[Key]| {
             let endpoints = &self.parts.endpoints;
             endpoints.choose(course.service, excluded, repeatable, course.seed)
@@ -345,8 +345,8 @@
 
 fn limits(route: &Route) -> Limits {
     Limits {
-        repeatable: route.kind == Kind::Idempotent,
+        repeatable: route.kind == RouteKind::Idempotent,
         max_attempts: route.max_attempts,
-        objective: route.objective,
+        objective: route.latency_objective,
     }
 }
--- a/crates/pinereel/src/hosted/retire.rs
+++ b/crates/pinereel/src/hosted/retire.rs
@@ -21,7 +21,7 @@
         wait,
         gather: Duration::ZERO,
     };
-    let kind = adapter.places.retirements;
+    let kind = adapter.object_kinds.retirements;
     let requests = follow(
         store,
         Purpose::Retirements,
@@ -60,7 +60,7 @@
 }
 
 async fn answer(store: &Store, adapter: Adapter, object: &Object) {
-    let (kind, status) = (adapter.places.retirements, (adapter.retired)());
+    let (kind, status) = (adapter.object_kinds.retirements, (adapter.retired_status)());
     loop {
         let written = store.report(Purpose::Retirements, kind, &object.name, &status);
         match written.await {
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -148,8 +148,8 @@
         let feed = Rc::new(Feed::default());
         let (looking, told) = (store.clone(), Rc::clone(&feed));
         actix_rt::spawn(async move {
-            let (places, is_told) = (adapter.places, || told.has_parent());
-            let look_out = looking.look_out(places.config, places.config_name, is_told);
+            let (places, is_told) = (adapter.object_kinds, || told.has_parent());
+            let look_out = looking.look_out(places.config, places.config_object_name, is_told);
             look_out.await;
         });
         let config = Config::start(&store, adapter, watch, &feed);
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -21,8 +21,8 @@
 use pinereel_core::table::{NoAccess, Table};
 use pinereel_port::{
     Adapter,
-    config::{Kind, Route},
-    live::{self, Caller},
+    config::{Route, RouteKind},
+    headers::{self, Caller},
     lot,
 };
 use std::{cell::OnceCell, rc::Rc, time::Duration};
@@ -81,7 +81,7 @@
 impl Front {
     async fn answer(&self, mut request: Request) -> Response {
         let arrived = Instant::now();
-        let said = (self.adapter.live.request)(request.headers());
+        let said = (self.adapter.headers.decode_request)(request.headers());
         let path = request.path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let host = request.headers().get(HOST);
@@ -94,8 +94,8 @@
             log::warn!(id = said.id.as_str(); "refused: no configuration is known yet");
             return not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED);
         };
-        match (self.adapter.lot.call)(request.method(), &path, &query) {
-            lot::Call::Other => {}
+        match (self.adapter.lot.decode_request)(request.method(), &path, &query) {
+            lot::Request::Other => {}
             call => {
                 return match self.admit(&table, &said, false) {
                     Ok(caller) => self.lot_call(call, &caller, &said, arrived).await,
@@ -118,7 +118,7 @@
             Ok(caller) => caller,
             Err(refusal) => return refusal,
         };
-        let max = table.document().limits.body;
+        let max = table.document().limits.max_body_bytes;
         let body = match http::read(&mut request, max, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(error) => {
@@ -126,7 +126,7 @@
                 return refuse_body(&said, &error);
             }
         };
-        if route.kind == Kind::Lot && request.method() == Method::POST {
+        if route.kind == RouteKind::Lot && request.method() == Method::POST {
             let give_up = give_up(&said, route.timeout, arrived);
             let reply = self
                 .desk
@@ -142,8 +142,13 @@
     ///
     /// A key that this instance does not know may be new while it is out of touch with the configuration: then the
     /// caller is asked to come again, to an instance that knows.
-    fn admit(&self, table: &Table, said: &live::Request, public: bool) -> Result<Caller, Response> {
-        let refused = match table.caller(said.key.as_ref(), public) {
+    fn admit(
+        &self,
+        table: &Table,
+        said: &headers::RequestHeaders,
+        public: bool,
+    ) -> Result<Caller, Response> {
+        let refused = match table.caller(said.key_digest.as_ref(), public) {
             Ok(caller) => return Ok(caller),
             Err(refused) => refused,
         };
@@ -183,7 +188,7 @@
         request: Request,
         table: &Table,
         (route, caller): (Route, Caller),
-        said: &live::Request,
+        said: &headers::RequestHeaders,
         body: Bytes,
         arrived: Instant,
     ) -> Response {
@@ -201,7 +206,7 @@
             target,
             headers: request.headers().clone(),
             body,
-            prompt: said.prompt.clone(),
+            prompt: said.prompt_id.clone(),
             known: OnceCell::new(),
         };
         match self.relay.run(call).await {
@@ -222,23 +227,25 @@
 
     async fn lot_call(
         &self,
-        call: lot::Call,
+        call: lot::Request,
         caller: &Caller,
-        said: &live::Request,
+        said: &headers::RequestHeaders,
         arrived: Instant,
     ) -> Response {
-        let wait = said.wait.unwrap_or_default();
-        let wait = wait.min(self.adapter.lot.longest_wait);
+        let wait = said.long_poll_wait.unwrap_or_default();
+        let wait = wait.min(self.adapter.lot.max_long_poll_wait);
         let (name, reply) = match call {
-            lot::Call::Read { lot, from } => {
+            lot::Request::ReadResults { lot, offset: from } => {
                 ("read", self.desk.read(caller, &lot, from, wait).await)
             }
-            lot::Call::Body { lot, item } => ("body", self.desk.body(caller, &lot, &item).await),
-            lot::Call::End { lot } => {
+            lot::Request::ReadItemBody { lot, item } => {
+                ("body", self.desk.body(caller, &lot, &item).await)
+            }
+            lot::Request::EndLot { lot } => {
                 let give_up = give_up(said, USUAL_TIMEOUT, arrived);
                 ("end", self.desk.end(caller, &lot, give_up).await)
             }
-            lot::Call::Other => ("other", Reply::NotFound),
+            lot::Request::Other => ("other", Reply::NotFound),
         };
         self.respond(name, reply)
     }
@@ -251,12 +258,12 @@
 }
 
 /// When a request is answered in any case.
-fn give_up(said: &live::Request, timeout: Duration, arrived: Instant) -> Instant {
-    let left = said.time_left.map_or(timeout, |left| left.min(timeout));
+fn give_up(said: &headers::RequestHeaders, timeout: Duration, arrived: Instant) -> Instant {
+    let left = said.timeout.map_or(timeout, |left| left.min(timeout));
     arrived + left.saturating_sub(ANSWER_MARGIN)
 }
 
-fn refuse_body(said: &live::Request, error: &http::Error) -> Response {
+fn refuse_body(said: &headers::RequestHeaders, error: &http::Error) -> Response {
     log::info!(id = said.id.as_str(), error:% = error; "refused: body");
     http::empty(match error {
         http::Error::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -4,8 +4,8 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use pinereel_port::{
-    Fault,
-    store::{Call, Changes, Dialect, Freshness, Object, Page},
+    DecodeError,
+    store::{Codec, Consistency, Object, Page, Request, WatchResponse},
 };
 use serde_json::Value;
 use std::{cell::Cell, rc::Rc, time::Duration};
@@ -34,7 +34,7 @@
 #[derive(Clone)]
 pub struct Store {
     client: Client,
-    dialect: Dialect,
+    dialect: Codec,
     contact: Rc<Contact>,
 }
 
@@ -58,7 +58,7 @@
 
 impl Store {
     /// The store behind `client`, in `dialect`.
-    pub fn new(client: Client, dialect: Dialect) -> Self {
+    pub fn new(client: Client, dialect: Codec) -> Self {
         let contact = Contact {
             away_since: Cell::new(None),
             began_at: Instant::now(),
@@ -133,8 +133,8 @@
                 last = Instant::now();
                 probes = probes.wrapping_add(1);
                 let freshness = match probes % FULL_PROBE {
-                    0 => Freshness::Current,
-                    _ => Freshness::Stale,
+                    0 => Consistency::Linearizable,
+                    _ => Consistency::Stale,
                 };
                 // A store that is silent holds a probe until it times out: the next one goes out
                 // meanwhile.
@@ -145,7 +145,7 @@
     }
 
     /// Looks whether the store answers this instance, past the breaker.
-    pub async fn probe(&self, kind: &str, name: &str, freshness: Freshness) -> bool {
+    pub async fn probe(&self, kind: &str, name: &str, freshness: Consistency) -> bool {
         // What it reads is of no interest, and may be old; `judge` notes the contact.
         let call = (self.dialect.read)(kind, name, freshness);
         let client = &self.client;
@@ -167,11 +167,11 @@
         purpose: Purpose,
         kind: &str,
         name: &str,
-        freshness: Freshness,
+        freshness: Consistency,
     ) -> Result<Option<Object>, Error> {
         let call = (self.dialect.read)(kind, name, freshness);
         match self.ask(purpose, access(freshness), call).await {
-            Ok(body) => decode(self.dialect.object, &body).map(Some),
+            Ok(body) => decode(self.dialect.decode_object, &body).map(Some),
             Err(Error::NotFound) => Ok(None),
             Err(e) => Err(e),
         }
@@ -186,11 +186,11 @@
         purpose: Purpose,
         kind: &str,
         after: Option<&str>,
-        freshness: Freshness,
+        freshness: Consistency,
     ) -> Result<Page, Error> {
         let call = (self.dialect.list)(kind, after, freshness);
         let body = self.ask(purpose, access(freshness), call).await?;
-        decode(self.dialect.page, &body)
+        decode(self.dialect.decode_page, &body)
     }
 
     /// All objects of a kind of the names after `after`, and the revision to watch from.
@@ -203,7 +203,9 @@
         kind: &str,
         after: Option<&str>,
     ) -> Result<(Vec<Object>, u64), Error> {
-        let mut page = self.page(purpose, kind, after, Freshness::Current).await?;
+        let mut page = self
+            .page(purpose, kind, after, Consistency::Linearizable)
+            .await?;
         // Changes during the list are told by a watch from its first page on.
         let revision = page.revision;
         let mut objects = std::mem::take(&mut page.objects);
@@ -212,7 +214,7 @@
                 break;
             };
             page = self
-                .page(purpose, kind, Some(&last), Freshness::Current)
+                .page(purpose, kind, Some(&last), Consistency::Linearizable)
                 .await?;
             objects.append(&mut page.objects);
         }
@@ -229,10 +231,10 @@
         kind: &str,
         after: u64,
         wait: Duration,
-    ) -> Result<Changes, Error> {
+    ) -> Result<WatchResponse, Error> {
         let call = (self.dialect.watch)(kind, after, wait);
         let body = self.exchange(purpose, Access::Watch, call, wait).await?;
-        decode(self.dialect.changes, &body)
+        decode(self.dialect.decode_changes, &body)
     }
 
     /// Creates an object that must not exist; `spec` is JSON text.
@@ -248,7 +250,7 @@
     ) -> Result<Object, Error> {
         let call = (self.dialect.create)(kind, name, spec);
         let body = self.ask(purpose, Access::Write, call).await?;
-        decode(self.dialect.object, &body)
+        decode(self.dialect.decode_object, &body)
     }
 
     /// Replaces the spec of an object that must have `revision`.
@@ -265,7 +267,7 @@
     ) -> Result<Object, Error> {
         let call = (self.dialect.update)(kind, name, revision, spec);
         let body = self.ask(purpose, Access::Write, call).await?;
-        decode(self.dialect.object, &body)
+        decode(self.dialect.decode_object, &body)
     }
 
     /// Replaces the status of an object.
@@ -279,7 +281,7 @@
         name: &str,
         status: &Value,
     ) -> Result<(), Error> {
-        let call = (self.dialect.report)(kind, name, status);
+        let call = (self.dialect.update_status)(kind, name, status);
         self.ask(purpose, Access::Write, call).await.map(drop)
     }
 
@@ -295,7 +297,7 @@
         }
     }
 
-    async fn ask(&self, purpose: Purpose, access: Access, call: Call) -> Result<Bytes, Error> {
+    async fn ask(&self, purpose: Purpose, access: Access, call: Request) -> Result<Bytes, Error> {
         self.exchange(purpose, access, call, Duration::ZERO).await
     }
 
@@ -303,7 +305,7 @@
         &self,
         purpose: Purpose,
         access: Access,
-        call: Call,
+        call: Request,
         wait: Duration,
     ) -> Result<Bytes, Error> {
         if !purpose.is_urgent(access) && self.holds_back() {
@@ -360,16 +362,16 @@
     }
 }
 
-fn decode<T>(decode: fn(&[u8]) -> Result<T, Fault>, body: &[u8]) -> Result<T, Error> {
+fn decode<T>(decode: fn(&[u8]) -> Result<T, DecodeError>, body: &[u8]) -> Result<T, Error> {
     decode(body).map_err(|fault| {
         log::error!("object store: {fault}");
         Error::Malformed(fault.to_string())
     })
 }
 
-const fn access(freshness: Freshness) -> Access {
+const fn access(freshness: Consistency) -> Access {
     match freshness {
-        Freshness::Current => Access::Read,
-        Freshness::Stale => Access::Probe,
+        Consistency::Linearizable => Access::Read,
+        Consistency::Stale => Access::Probe,
     }
 }
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -14,7 +14,7 @@
     Time,
     usage::{Attendance, Clock, Ledger, Report, Wall, Window},
 };
-use pinereel_port::live::Caller;
+use pinereel_port::headers::Caller;
 use std::{
     cell::RefCell,
     rc::Rc,
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -19,8 +19,8 @@
 use pinereel_core::usage::{Collector, Counts, Patience, Window};
 use pinereel_port::{
     Adapter,
-    duty::{Holder, Verdict},
-    store::Freshness,
+    leader::{LeaseHolder, Outcome},
+    store::Consistency,
 };
 use serde::{Deserialize, Serialize};
 use std::{
@@ -132,7 +132,7 @@
     async fn read(&self) -> Sums {
         loop {
             let store = &self.store;
-            let read = store.read(Purpose::Usage, KIND, NAME, Freshness::Current);
+            let read = store.read(Purpose::Usage, KIND, NAME, Consistency::Linearizable);
             match read.await {
                 Ok(None) => return Sums::default(),
                 Ok(Some(object)) => match serde_json::from_value::<Content>(object.spec) {
@@ -196,15 +196,15 @@
             log::info!(
                 window = window.0,
                 fence = grant.fence,
-                outcome = verdict.map_or("no answer", Verdict::as_str);
+                outcome = verdict.map_or("no answer", Outcome::as_str);
                 "usage: window sent"
             );
             match verdict {
                 // A later holder sends it.
-                Some(Verdict::Done | Verdict::Declined) => {
+                Some(Outcome::Done | Outcome::Rejected) => {
                     sent.insert(*window);
                 }
-                Some(Verdict::NotNow) | None => {
+                Some(Outcome::RetryLater) | None => {
                     sleep(RETRY).await;
                     return;
                 }
@@ -218,15 +218,15 @@
         (self.duties.now() >= grant.clear_from(self.gap)).then_some(grant)
     }
 
-    async fn send(&self, grant: &Grant, window: Window, counts: &Counts) -> Option<Verdict> {
-        let holder = Holder {
+    async fn send(&self, grant: &Grant, window: Window, counts: &Counts) -> Option<Outcome> {
+        let holder = LeaseHolder {
             instance: self.duties.instance(),
-            fence: grant.fence,
+            fencing_token: grant.fence,
         };
-        let call = (self.adapter.duty.usage)(holder, window.0, counts);
+        let call = (self.adapter.leader.report_usage)(holder, window.0, counts);
         let status = platform::call(&self.pool, self.address, call).await?;
         self.metrics
             .count(&self.metrics.duty_calls, &["usage", status.as_str()]);
-        Some((self.adapter.duty.verdict)(status))
+        Some((self.adapter.leader.outcome)(status))
     }
 }
--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -19,7 +19,7 @@
 use compact_str::CompactString;
 use pinereel_api::object::{Changes, List, MAX_VALUE, Object, Write, Written};
 use pinereel_core::hash;
-use pinereel_port::store::Call;
+use pinereel_port::store::Request;
 use serde::{Serialize, de::DeserializeOwned};
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 use tokio::{
@@ -182,7 +182,7 @@
         &self,
         purpose: Purpose,
         access: Access,
-        call: Call,
+        call: Request,
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), Error> {
         let turn = match access {
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -101,7 +101,9 @@
         }
         for (item, submitted) in items.iter_mut().zip(&submission.items) {
             // Longest first, so that the items that start last are short.
-            let length = submitted.length_hint.unwrap_or(DEFAULT_LENGTH_TOKENS);
+            let length = submitted
+                .output_tokens_hint
+                .unwrap_or(DEFAULT_LENGTH_TOKENS);
             item.priority.0 = !groups[item.group].resubmitted;
             item.priority.1 = u32::MAX - length;
         }
@@ -109,7 +111,7 @@
             items,
             index_by_id,
             groups,
-            wanted_groups: submission.wanted_groups,
+            wanted_groups: submission.required_groups,
             commit_log: CommitLog::default(),
             uncommitted: Vec::new(),
         }
--- a/crates/pinereel_core/src/table.rs
+++ b/crates/pinereel_core/src/table.rs
@@ -5,7 +5,7 @@
 use pinereel_port::{
     KeyDigest,
     config::{Document, Route, Service},
-    live::Caller,
+    headers::Caller,
 };
 use std::collections::BTreeMap;
 
@@ -34,11 +34,11 @@
         // The longest prefix wins, so it is looked at first.
         document
             .routes
-            .sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            .sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         let holders = document.workspaces.as_ref().map(|workspaces| {
             let keys = workspaces.iter().flat_map(|workspace| {
                 let name = &workspace.name;
-                workspace.keys.iter().map(|key| (*key, name.clone()))
+                workspace.key_digests.iter().map(|key| (*key, name.clone()))
             });
             keys.collect()
         });
@@ -51,7 +51,7 @@
     /// If it may not run.
     pub fn caller(&self, key: Option<&KeyDigest>, public: bool) -> Result<Caller, NoAccess> {
         let Some(holders) = &self.holders else {
-            return Ok(Caller::Open);
+            return Ok(Caller::PassThrough);
         };
         match key.map(|key| holders.get(key)) {
             Some(Some(workspace)) => Ok(Caller::Workspace(workspace.clone())),
@@ -65,13 +65,13 @@
     pub const fn nobody(&self) -> Caller {
         match self.holders {
             Some(_) => Caller::Anonymous,
-            None => Caller::Open,
+            None => Caller::PassThrough,
         }
     }
 
     /// Number of the configuration.
     pub const fn number(&self) -> u64 {
-        self.document.number
+        self.document.version
     }
 
     /// The configuration itself, routes with longer prefixes first.
@@ -87,7 +87,7 @@
         self.document
             .routes
             .iter()
-            .find(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(r.prefix.as_str()))
+            .find(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(r.path_prefix.as_str()))
     }
 
     /// The route of that name.
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -2,7 +2,7 @@
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::batch::{CommitLog, Failure, Lot, RetryDecision};
-use pinereel_port::lot::{Item, Made, Sample, Submission};
+use pinereel_port::lot::{Item, Output, Sample, Submission};
 use proptest::{prelude::*, test_runner::Config};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -14,15 +14,15 @@
         path: "/x/".into(),
         headers: Vec::new(),
         body: Default::default(),
-        prompt: None,
+        prompt_id: None,
         group: format_compact!("group-{}", at / size),
-        length_hint: None,
+        output_tokens_hint: None,
         scorer: None,
     });
     Submission {
         model: "m".into(),
-        oldest_version: 1,
-        wanted_groups: wanted,
+        min_version: 1,
+        required_groups: wanted,
         items: items.collect(),
     }
 }
@@ -30,7 +30,7 @@
 fn sample(item: &str, text: &str) -> Sample {
     Sample {
         item: item.into(),
-        made: Some(Made {
+        output: Some(Output {
             text: text.into(),
             versions: vec![1],
             score: None,
@@ -42,7 +42,7 @@
 fn long_items_start_first_and_groups_that_came_again_before_all() {
     let mut submission = submission(3, 2, 2);
     for (item, hint) in submission.items.iter_mut().zip([10, 900, 50, 60, 5, 7]) {
-        item.length_hint = Some(hint);
+        item.output_tokens_hint = Some(hint);
     }
     let known = BTreeSet::from([CompactString::from("item-5")]);
     let mut lot = Lot::new(&submission, &known);
--- a/crates/pinereel_core/tests/table_access.rs
+++ b/crates/pinereel_core/tests/table_access.rs
@@ -7,20 +7,20 @@
 use pinereel_port::{
     KeyDigest,
     config::{Document, Limits, Workspace},
-    live::Caller,
+    headers::Caller,
 };
 use std::time::Duration;
 
 fn table(workspaces: Option<Vec<Workspace>>) -> Table {
     Table::new(Document {
-        number: 1,
+        version: 1,
         routes: Vec::new(),
         services: Vec::new(),
         limits: Limits {
-            head: 1,
-            body: 1,
+            max_head_bytes: 1,
+            max_body_bytes: 1,
             head_timeout: Duration::ZERO,
-            idle: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         },
         workspaces,
     })
@@ -29,7 +29,7 @@
 fn workspace(name: &str, keys: &[&str]) -> Workspace {
     Workspace {
         name: name.into(),
-        keys: keys.iter().map(|key| key_of(key)).collect(),
+        key_digests: keys.iter().map(|key| key_of(key)).collect(),
         priority: None,
     }
 }
@@ -70,8 +70,8 @@
 #[test]
 fn a_configuration_without_workspaces_lets_everybody_in() {
     let table = table(None);
-    assert_eq!(table.caller(None, false), Ok(Caller::Open));
+    assert_eq!(table.caller(None, false), Ok(Caller::PassThrough));
     let with_key = table.caller(Some(&key_of("a1")), false);
-    assert_eq!(with_key, Ok(Caller::Open));
-    assert_eq!(table.nobody(), Caller::Open);
+    assert_eq!(with_key, Ok(Caller::PassThrough));
+    assert_eq!(table.nobody(), Caller::PassThrough);
 }
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -7,7 +7,7 @@
 };
 use pinereel_fakes::hosting::store;
 use pinereel_platform::adapter;
-use pinereel_port::store::Freshness;
+use pinereel_port::store::Consistency;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -20,7 +20,7 @@
 }
 
 async fn read(store: &Store) -> bool {
-    let read = store.read(Purpose::Config, "config", "main", Freshness::Current);
+    let read = store.read(Purpose::Config, "config", "main", Consistency::Linearizable);
     read.await.is_ok()
 }
 
@@ -76,7 +76,7 @@
     let calls = stand_in.calls();
     let mut refused = Vec::new();
     for _ in 0..40 {
-        let read = store.read(Purpose::Leases, "leases", "a", Freshness::Current);
+        let read = store.read(Purpose::Leases, "leases", "a", Consistency::Linearizable);
         refused.extend(read.await.err());
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/pinereel_port/src/config.rs
+++ b/crates/pinereel_port/src/config.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     /// Grows with each change, in uneven steps.
-    pub number: u64,
+    pub version: u64,
     /// Routes in no order that means anything.
     pub routes: Vec<Route>,
     /// Services.
@@ -25,7 +25,7 @@
     /// Name; endpoints are told it.
     pub name: CompactString,
     /// Its keys, as digests.
-    pub keys: Vec<KeyDigest>,
+    pub key_digests: Vec<KeyDigest>,
     /// Rank of its requests, before that of the route; 0 is the most urgent.
     pub priority: Option<u32>,
 }
@@ -38,15 +38,15 @@
     /// Host that it is for, without a port.
     pub host: CompactString,
     /// Start of the paths that it is for, with a slash at both ends.
-    pub prefix: CompactString,
+    pub path_prefix: CompactString,
     /// What may be done with its requests.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Where its requests go.
     pub targets: Vec<Target>,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Latency objective: the time within which an answer is worth most.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Most endpoints that one request may run on.
@@ -61,11 +61,11 @@
 
 /// What may be done with a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// At most once.
-    Once,
+    AtMostOnce,
     /// Lots of a trainer.
     Lot,
 }
@@ -96,15 +96,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scale {
     /// Fewest in a zone.
-    pub least: u32,
+    pub min_endpoints: u32,
     /// Most in a zone, of both kinds together.
-    pub most: u32,
+    pub max_endpoints: u32,
     /// Time from an order until its endpoints serve.
-    pub start: Duration,
+    pub startup_time: Duration,
     /// Price of an endpoint that may be taken away at short notice, against that of others; none if there are none such.
     pub spot_price: Option<f64>,
     /// Price of an endpoint, by zone.
-    pub prices: BTreeMap<CompactString, f64>,
+    pub zone_prices: BTreeMap<CompactString, f64>,
 }
 
 /// What the configuration says of a service of model engines.
@@ -120,11 +120,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Wait for a whole head.
     pub head_timeout: Duration,
     /// Longest idle time of a connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
--- a/crates/pinereel_port/src/endpoint.rs
+++ b/crates/pinereel_port/src/endpoint.rs
@@ -22,7 +22,7 @@
     /// Whether it may be taken away at short notice.
     pub spot: bool,
     /// Whether it is leaving: no new work for it.
-    pub leaving: bool,
+    pub draining: bool,
     /// Version of the weights that it serves, by model.
     pub models: BTreeMap<CompactString, u64>,
 }
--- a/crates/pinereel_port/src/engine.rs
+++ b/crates/pinereel_port/src/engine.rs
@@ -1,6 +1,6 @@
 //! What model engines are told, and what they tell.
 
-use crate::Fault;
+use crate::DecodeError;
 use actix_http::StatusCode;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -9,24 +9,24 @@
 /// An order to load a version of a model's weights. Running requests go on under the new version
 /// unless `whole_runs` is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order<'a> {
+pub struct LoadRequest<'a> {
     /// The model.
     pub model: &'a str,
     /// The version to load.
     pub version: u64,
     /// Whether running requests end under the old version first.
-    pub whole_runs: bool,
+    pub finish_running_first: bool,
     /// Instance that gives the order.
-    pub holder: &'a str,
+    pub lease_holder: &'a str,
     /// Fencing token of the lease that the order is given under.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Orders that the engine must have accepted before; a later one makes this one void.
-    pub expected_orders: u64,
+    pub expected_accepted_loads: u64,
 }
 
 /// Answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LoadOutcome {
     /// Being carried out.
     Accepted,
     /// The engine has that version.
@@ -41,7 +41,7 @@
     Refused,
 }
 
-impl Verdict {
+impl LoadOutcome {
     /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -57,28 +57,28 @@
 
 /// What an engine reports of itself, some 100 ms old.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct StatusReport {
     /// When it started, in Unix milliseconds; 0 if it does not say.
     pub incarnation: u64,
     /// Version by model.
     pub models: BTreeMap<CompactString, u64>,
     /// Whether an order is being carried out.
-    pub busy: bool,
+    pub loading: bool,
     /// Orders accepted since its start.
-    pub orders: u64,
+    pub accepted_loads: u64,
 }
 
 /// Calls at engines.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Path of the report, for a GET.
-    pub report_path: &'static str,
+    pub status_report_path: &'static str,
     /// Reads a report.
-    pub report: fn(&[u8]) -> Result<Report, Fault>,
+    pub decode_status_report: fn(&[u8]) -> Result<StatusReport, DecodeError>,
     /// Path of orders, for a POST.
-    pub order_path: &'static str,
+    pub load_path: &'static str,
     /// Writes an order.
-    pub order: fn(Order<'_>) -> Bytes,
+    pub encode_load_request: fn(LoadRequest<'_>) -> Bytes,
     /// Reads the answer to an order.
-    pub verdict: fn(StatusCode) -> Verdict,
+    pub load_outcome: fn(StatusCode) -> LoadOutcome,
 }
--- a/crates/pinereel_port/src/fault.rs
+++ b/crates/pinereel_port/src/error.rs
@@ -4,20 +4,20 @@
 
 /// A message of the platform that does not have the form that its protocol says.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("malformed {what}: {why}")]
-pub struct Fault {
+#[error("malformed {subject}: {reason}")]
+pub struct DecodeError {
     /// Which message.
-    pub what: &'static str,
+    pub subject: &'static str,
     /// What is wrong with it.
-    pub why: CompactString,
+    pub reason: CompactString,
 }
 
-impl Fault {
+impl DecodeError {
     /// A fault of `what`, because of `why`.
-    pub fn new(what: &'static str, why: impl ToString) -> Self {
+    pub fn new(subject: &'static str, reason: impl ToString) -> Self {
         Self {
-            what,
-            why: why.to_string().into(),
+            subject,
+            reason: reason.to_string().into(),
         }
     }
 }
--- a/crates/pinereel_port/src/live.rs
+++ b/crates/pinereel_port/src/headers.rs
@@ -7,24 +7,24 @@
 
 /// What a caller's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Request {
+pub struct RequestHeaders {
     /// Id of the request; each attempt of a caller has its own.
     pub id: CompactString,
     /// How long the caller waits from now.
-    pub time_left: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// How long the caller lets a read wait for news.
-    pub wait: Option<Duration>,
+    pub long_poll_wait: Option<Duration>,
     /// Digest of the key that the caller gave.
-    pub key: Option<KeyDigest>,
+    pub key_digest: Option<KeyDigest>,
     /// Names the request's whole prompt and its model, if it has one.
-    pub prompt: Option<CompactString>,
+    pub prompt_id: Option<CompactString>,
 }
 
 /// On whose behalf a request is made, as this side knows it, whatever the request says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
     /// The configuration knows no workspaces: the headers that say who it is go on as they came.
-    Open,
+    PassThrough,
     /// Nobody's: on a route that needs no key.
     Anonymous,
     /// That workspace's.
@@ -36,41 +36,41 @@
     pub fn workspace(&self) -> Option<&str> {
         match self {
             Self::Workspace(name) => Some(name),
-            Self::Open | Self::Anonymous => None,
+            Self::PassThrough | Self::Anonymous => None,
         }
     }
 }
 
 /// What an attempt's head tells the endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt<'a> {
+pub struct AttemptHeaders<'a> {
     /// Id of the request.
-    pub id: &'a str,
+    pub request_id: &'a str,
     /// Id of the endpoint that it is meant for; any other refuses it.
-    pub endpoint: &'a str,
+    pub endpoint_id: &'a str,
     /// The endpoint stops working after it; none lets it work on.
-    pub time_left: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Goes on after this event of a stream.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// On whose behalf. The caller's key goes no further.
     pub caller: &'a Caller,
 }
 
 /// What an answer's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseHeaders {
     /// Id of the request that it answers.
     pub id: Option<CompactString>,
     /// Proof that the endpoint made this answer.
     pub signature: Option<CompactString>,
     /// The endpoint says that the request did not run there and never will.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// How busy the endpoint was.
     pub load: Option<Load>,
     /// Version of the weights at the start of a generation.
-    pub version: Option<u64>,
+    pub weights_version: Option<u64>,
     /// Whether the body is encoded; then it is not what the endpoint made.
-    pub encoded: bool,
+    pub content_encoded: bool,
 }
 
 /// An endpoint's own count of its work.
@@ -86,11 +86,11 @@
 
 /// Reads and writes heads.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Reads a caller's head.
-    pub request: fn(&HeaderMap) -> Request,
+    pub decode_request: fn(&HeaderMap) -> RequestHeaders,
     /// Writes an attempt into a head that may hold the caller's headers.
-    pub attempt: fn(&mut HeaderMap, Attempt<'_>),
+    pub encode_attempt: fn(&mut HeaderMap, AttemptHeaders<'_>),
     /// Reads an answer's head.
-    pub answer: fn(StatusCode, &HeaderMap) -> Answer,
+    pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseHeaders,
 }
--- a/crates/pinereel_port/src/key.rs
+++ b/crates/pinereel_port/src/key_digest.rs
@@ -13,7 +13,7 @@
 /// A text that is no digest of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key's digest has 64 hexadecimal digits")]
-pub struct Malformed;
+pub struct ParseKeyDigestError;
 
 impl KeyDigest {
     /// The digest of a key.
@@ -30,16 +30,16 @@
 }
 
 impl FromStr for KeyDigest {
-    type Err = Malformed;
+    type Err = ParseKeyDigestError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseKeyDigestError> {
         let mut bytes = [0; 32];
         if text.len() != 2 * bytes.len() || !text.is_ascii() {
-            return Err(Malformed);
+            return Err(ParseKeyDigestError);
         }
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[at * 2..at * 2 + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| Malformed)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseKeyDigestError)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/pinereel_port/src/duty.rs
+++ b/crates/pinereel_port/src/leader.rs
@@ -7,16 +7,16 @@
 
 /// Who makes a call, and under which lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holder<'a> {
+pub struct LeaseHolder<'a> {
     /// Name of the instance.
     pub instance: &'a str,
     /// Fencing token of its lease.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// How many endpoints of a service an availability zone should have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size<'a> {
+pub struct ScaleTarget<'a> {
     /// The service.
     pub service: &'a str,
     /// The zone.
@@ -29,7 +29,7 @@
 
 /// A call as it goes out.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Request {
     /// Method.
     pub method: Method,
     /// Path.
@@ -42,33 +42,33 @@
 
 /// What an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     /// Done.
     Done,
     /// Refused: a newer fencing token was seen, or there is nothing of what was asked for.
-    Declined,
+    Rejected,
     /// Not done now.
-    NotNow,
+    RetryLater,
 }
 
-impl Verdict {
+impl Outcome {
     /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
-            Self::Declined => "declined",
-            Self::NotNow => "not now",
+            Self::Rejected => "declined",
+            Self::RetryLater => "not now",
         }
     }
 }
 
 /// Writes these calls and reads their answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Reports how many requests of each workspace began in a window.
-    pub usage: fn(Holder<'_>, u64, &BTreeMap<CompactString, u64>) -> Call,
+    pub report_usage: fn(LeaseHolder<'_>, u64, &BTreeMap<CompactString, u64>) -> Request,
     /// Asks for endpoints.
-    pub size: fn(Holder<'_>, Size<'_>) -> Call,
+    pub set_endpoint_count: fn(LeaseHolder<'_>, ScaleTarget<'_>) -> Request,
     /// Reads an answer.
-    pub verdict: fn(StatusCode) -> Verdict,
+    pub outcome: fn(StatusCode) -> Outcome,
 }
--- a/crates/pinereel_port/src/lib.rs
+++ b/crates/pinereel_port/src/lib.rs
@@ -17,15 +17,15 @@
 
 pub mod adapter;
 pub mod config;
-pub mod duty;
 pub mod endpoint;
 pub mod engine;
-mod fault;
-mod key;
-pub mod live;
+mod error;
+pub mod headers;
+mod key_digest;
+pub mod leader;
 pub mod lot;
 pub mod store;
 
 pub use adapter::Adapter;
-pub use fault::Fault;
-pub use key::{KeyDigest, Malformed};
+pub use error::DecodeError;
+pub use key_digest::{KeyDigest, ParseKeyDigestError};
--- a/crates/pinereel_port/src/lot.rs
+++ b/crates/pinereel_port/src/lot.rs
@@ -1,6 +1,6 @@
 //! What trainers send and read.
 
-use crate::Fault;
+use crate::DecodeError;
 use bytes::Bytes;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -9,23 +9,23 @@
 
 /// One call of a trainer, or of anyone who reads lots, by its method and path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Request {
     /// Reads results.
-    Read {
+    ReadResults {
         /// Id of the lot.
         lot: CompactString,
         /// First position that is asked for, counted from 0.
-        from: usize,
+        offset: usize,
     },
     /// Reads what an item sends to its engine.
-    Body {
+    ReadItemBody {
         /// Id of the lot.
         lot: CompactString,
         /// Id of the item.
         item: CompactString,
     },
     /// Ends a lot.
-    End {
+    EndLot {
         /// Id of the lot.
         lot: CompactString,
     },
@@ -39,9 +39,9 @@
     /// Model that makes the samples.
     pub model: CompactString,
     /// Oldest version of its weights that may be used.
-    pub oldest_version: u64,
+    pub min_version: u64,
     /// Whole groups that the trainer waits for.
-    pub wanted_groups: usize,
+    pub required_groups: usize,
     /// The items, in order.
     pub items: Vec<Item>,
 }
@@ -58,11 +58,11 @@
     /// Body of the request.
     pub body: Bytes,
     /// Names the item's whole prompt and its model, if its headers do.
-    pub prompt: Option<CompactString>,
+    pub prompt_id: Option<CompactString>,
     /// Items of a group share their prompt.
     pub group: CompactString,
     /// Estimate of the output's tokens by the trainer; often far off.
-    pub length_hint: Option<u32>,
+    pub output_tokens_hint: Option<u32>,
     /// The request that scores the sample's text.
     pub scorer: Option<Scorer>,
 }
@@ -86,12 +86,13 @@
     /// Id of the item.
     pub item: CompactString,
     /// The text and what is known of it; none if the item was given up.
-    pub made: Option<Made>,
+    #[serde(rename = "made")]
+    pub output: Option<Output>,
 }
 
 /// A finished sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Made {
+pub struct Output {
     /// Data of all events, in order.
     pub text: String,
     /// All versions of the weights that made a part of it, ascending.
@@ -102,11 +103,11 @@
 
 /// A part of a lot's results.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading<'a> {
+pub struct ResultsPage<'a> {
     /// Items of the lot.
     pub total: usize,
     /// Position of the first sample here.
-    pub from: usize,
+    pub offset: usize,
     /// The samples.
     pub samples: &'a [Sample],
 }
@@ -115,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// Number, counted up by one.
-    pub number: u64,
+    pub id: u64,
     /// Version of the weights from this event on, if it changes here.
     pub version: Option<u64>,
     /// Its part of the text.
@@ -124,17 +125,17 @@
 
 /// Reads trainers' calls and writes their answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Reads method, path and query.
-    pub call: fn(&actix_http::Method, &str, &str) -> Call,
+    pub decode_request: fn(&actix_http::Method, &str, &str) -> Request,
     /// Reads a submitted lot.
-    pub submission: fn(&Value) -> Result<Submission, Fault>,
+    pub decode_submission: fn(&Value) -> Result<Submission, DecodeError>,
     /// Writes results.
-    pub reading: fn(Reading<'_>) -> Vec<u8>,
+    pub encode_results: fn(ResultsPage<'_>) -> Vec<u8>,
     /// Reads one whole event of a stream, without the empty line that ends it.
-    pub event: fn(&str) -> Result<Event, Fault>,
+    pub decode_event: fn(&str) -> Result<Event, DecodeError>,
     /// Longest that a read may be kept waiting.
-    pub longest_wait: Duration,
+    pub max_long_poll_wait: Duration,
     /// Most bytes of one reading.
-    pub reading_bytes: usize,
+    pub max_page_bytes: usize,
 }
--- a/crates/pinereel_port/src/store.rs
+++ b/crates/pinereel_port/src/store.rs
@@ -1,6 +1,6 @@
 //! The platform's object store.
 
-use crate::Fault;
+use crate::DecodeError;
 use actix_http::Method;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -43,7 +43,7 @@
 
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Oldest first; empty if the wait ran out.
     pub changes: Vec<Change>,
     /// The next watch goes on from it.
@@ -52,16 +52,16 @@
 
 /// How recent the answer to a read must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freshness {
+pub enum Consistency {
     /// Linearizable.
-    Current,
+    Linearizable,
     /// May be seconds old; costs a fraction.
     Stale,
 }
 
 /// One HTTP call at the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct Request {
     /// Method.
     pub method: Method,
     /// Path with query.
@@ -72,25 +72,25 @@
 
 /// The calls of a store and the reading of their answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Reads one object: kind, name.
-    pub read: fn(&str, &str, Freshness) -> Call,
+    pub read: fn(&str, &str, Consistency) -> Request,
     /// Lists a kind after a name.
-    pub list: fn(&str, Option<&str>, Freshness) -> Call,
+    pub list: fn(&str, Option<&str>, Consistency) -> Request,
     /// Waits for changes of a kind after a revision.
-    pub watch: fn(&str, u64, Duration) -> Call,
+    pub watch: fn(&str, u64, Duration) -> Request,
     /// Creates an object that must not exist: kind, name, spec as JSON text.
-    pub create: fn(&str, &str, &str) -> Call,
+    pub create: fn(&str, &str, &str) -> Request,
     /// Replaces the spec of an object that must have a revision: kind, name, revision, spec.
-    pub update: fn(&str, &str, u64, &Value) -> Call,
+    pub update: fn(&str, &str, u64, &Value) -> Request,
     /// Replaces the status, whatever the object's revision: kind, name, status.
-    pub report: fn(&str, &str, &Value) -> Call,
+    pub update_status: fn(&str, &str, &Value) -> Request,
     /// Deletes an object, whatever its revision: kind, name.
-    pub delete: fn(&str, &str) -> Call,
+    pub delete: fn(&str, &str) -> Request,
     /// Reads an object.
-    pub object: fn(&[u8]) -> Result<Object, Fault>,
+    pub decode_object: fn(&[u8]) -> Result<Object, DecodeError>,
     /// Reads a page of a list.
-    pub page: fn(&[u8]) -> Result<Page, Fault>,
+    pub decode_page: fn(&[u8]) -> Result<Page, DecodeError>,
     /// Reads the answer to a watch.
-    pub changes: fn(&[u8]) -> Result<Changes, Fault>,
+    pub decode_changes: fn(&[u8]) -> Result<WatchResponse, DecodeError>,
 }
