--- a/crates/pinereel_port/src/adapter.rs
+++ b/crates/pinereel_port/src/adapter.rs
@@ -1,47 +1,49 @@
-//! All functions of one platform.
+//! The functions that one platform's adapter supplies.
 
 use crate::{DecodeError, config, endpoint, engine, headers, leader, lot, store};
 use compact_str::CompactString;
 use serde_json::Value;
 
-/// Translates between one platform and the types of this crate.
+/// Encoding and decoding functions between one platform's wire formats and the types of this crate.
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
-    /// Calls of the object store.
+    /// Requests to the object store and their responses.
     pub store: store::Codec,
-    /// Where the operator, the endpoints and the trainers write in the object store.
+    /// Where the operator, the endpoints and the trainers keep their objects in the object store.
     pub object_kinds: ObjectKinds,
-    /// Heads of live requests and their answers.
+    /// HTTP headers of client requests, of the requests forwarded to endpoints, and of responses.
     pub headers: headers::Codec,
-    /// Trainers' calls and their answers.
+    /// Requests that trainers send and their responses.
     pub lot: lot::Codec,
-    /// Calls at engines.
+    /// Requests to model engines and their responses.
     pub engine: engine::Codec,
-    /// Calls that one instance makes at a time.
+    /// Requests that only the holder of a lease may send.
     pub leader: leader::Codec,
-    /// Reads the configuration document.
+    /// Decodes the operator's configuration from the spec of its object.
     pub decode_config: fn(&Value) -> Result<config::Document, DecodeError>,
-    /// Reads one endpoint of the list; the name of its object is its id.
+    /// Decodes one endpoint from the name of its object, which is the endpoint's id, and its spec.
     pub decode_endpoint: fn(&str, &Value) -> Result<endpoint::Entry, DecodeError>,
-    /// Reads which version of a model's weights its trainer has named.
+    /// Decodes the model and the version of its weights that its trainer published, from the spec
+    /// of the object in [`ObjectKinds::versions`].
     pub decode_named_version: fn(&Value) -> Result<(CompactString, u64), DecodeError>,
-    /// The status of a retirement whose instance holds nothing that is needed.
+    /// Returns the status that marks a retirement request as complete: the instance holds no state
+    /// that is still needed.
     pub retired_status: fn() -> Value,
-    /// The path at which the balancer asks for readiness.
+    /// HTTP path of the readiness check that the load balancer polls.
     pub readiness_path: &'static str,
 }
 
-/// Kinds and names of the objects that others write.
+/// Kinds and names of the objects that other processes write.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectKinds {
-    /// Kind of the configuration.
+    /// Kind of the configuration objects.
     pub config: &'static str,
-    /// Name of the configuration in force.
+    /// Name of the configuration object in force.
     pub config_object_name: &'static str,
-    /// Kind of the endpoints' list.
+    /// Kind of the endpoint objects, one per endpoint.
     pub endpoints: &'static str,
-    /// Kind of the named versions, one object a model.
+    /// Kind of the published weight versions, one object per model.
     pub versions: &'static str,
-    /// Kind of the requests to empty an instance, one object an instance.
+    /// Kind of the requests to retire an instance, one object per instance.
     pub retirements: &'static str,
 }
--- a/crates/pinereel_port/src/endpoint.rs
+++ b/crates/pinereel_port/src/endpoint.rs
@@ -1,28 +1,28 @@
-//! The platform's list of endpoints.
+//! Endpoints as the platform's endpoint list describes them.
 
 use compact_str::CompactString;
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// One start of one endpoint, as the list has it. An endpoint may start again under its id.
+/// One incarnation of an endpoint. An endpoint may restart under the same id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its id.
+    /// Id of the endpoint, which is the same for all its incarnations.
     pub id: CompactString,
-    /// When it started, in Unix milliseconds; 0 if it does not say. A later start holds and knows nothing
-    /// of an earlier one.
+    /// Start time in Unix milliseconds; 0 if the entry has none. A later incarnation has none of
+    /// the state of an earlier one.
     pub incarnation: u64,
-    /// Service that it belongs to.
+    /// Name of the service that the endpoint belongs to.
     pub service: CompactString,
-    /// Where it serves.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: CompactString,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently; at least 1.
     pub slots: u32,
-    /// Whether it may be taken away at short notice.
+    /// Whether it is a spot endpoint, which may be preempted at short notice.
     pub spot: bool,
-    /// Whether it is leaving: no new work for it.
+    /// Whether the endpoint is draining and must get no new requests.
     pub draining: bool,
-    /// Version of the weights that it serves, by model.
+    /// Version of the weights that the endpoint serves, by model.
     pub models: BTreeMap<CompactString, u64>,
 }
--- a/crates/pinereel_port/src/engine.rs
+++ b/crates/pinereel_port/src/engine.rs
@@ -1,4 +1,4 @@
-//! What model engines are told, and what they tell.
+//! Control requests to model engines: load a version of the weights, and report the status.
 
 use crate::DecodeError;
 use actix_http::StatusCode;
@@ -6,43 +6,44 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// An order to load a version of a model's weights. Running requests go on under the new version
-/// unless `whole_runs` is set.
+/// A request to load a version of a model's weights. Requests that the engine is running continue
+/// with the new version unless `finish_running_first` is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadRequest<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
-    /// The version to load.
+    /// Version of the weights to load.
     pub version: u64,
-    /// Whether running requests end under the old version first.
+    /// Whether running requests finish with the old version before the new one is loaded.
     pub finish_running_first: bool,
-    /// Instance that gives the order.
+    /// Name of the instance that sends the request.
     pub lease_holder: &'a str,
-    /// Fencing token of the lease that the order is given under.
+    /// Fencing token of the lease that the request is sent under.
     pub fencing_token: u64,
-    /// Orders that the engine must have accepted before; a later one makes this one void.
+    /// [`StatusReport::accepted_loads`] that the sender last read. The engine rejects the request
+    /// if it has accepted another one since then.
     pub expected_accepted_loads: u64,
 }
 
-/// Answer to an order.
+/// The engine's response to a load request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// Being carried out.
+    /// The version is being loaded.
     Accepted,
-    /// The engine has that version.
+    /// The engine already has this version.
     Holds,
-    /// Another order is being carried out, or the count of orders differs.
+    /// Another load is in progress, or the number of accepted loads differs from the expected one.
     Busy,
     /// The fencing token is older than one that the engine has seen.
     Fenced,
-    /// Another engine has this address now.
+    /// Another engine listens on this address now.
     OtherEndpoint,
-    /// Refused for another reason.
+    /// Rejected for another reason.
     Refused,
 }
 
 impl LoadOutcome {
-    /// The name in logs and metrics.
+    /// Label in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -55,30 +56,30 @@
     }
 }
 
-/// What an engine reports of itself, some 100 ms old.
+/// An engine's status, which is about 100 ms old when it is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusReport {
-    /// When it started, in Unix milliseconds; 0 if it does not say.
+    /// Start time of the engine in Unix milliseconds; 0 if the report has none.
     pub incarnation: u64,
-    /// Version by model.
+    /// Loaded version of the weights, by model.
     pub models: BTreeMap<CompactString, u64>,
-    /// Whether an order is being carried out.
+    /// Whether a load is in progress.
     pub loading: bool,
-    /// Orders accepted since its start.
+    /// Number of load requests accepted since the engine started.
     pub accepted_loads: u64,
 }
 
-/// Calls at engines.
+/// Encodes requests to model engines and decodes their responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// Path of the report, for a GET.
+    /// Path of the status report, requested with `GET`.
     pub status_report_path: &'static str,
-    /// Reads a report.
+    /// Decodes the body of a status report.
     pub decode_status_report: fn(&[u8]) -> Result<StatusReport, DecodeError>,
-    /// Path of orders, for a POST.
+    /// Path of load requests, sent with `POST`.
     pub load_path: &'static str,
-    /// Writes an order.
+    /// Encodes the body of a load request.
     pub encode_load_request: fn(LoadRequest<'_>) -> Bytes,
-    /// Reads the answer to an order.
+    /// Maps the status code of the response to a load request.
     pub load_outcome: fn(StatusCode) -> LoadOutcome,
 }
--- a/crates/pinereel_port/src/error.rs
+++ b/crates/pinereel_port/src/error.rs
@@ -1,19 +1,19 @@
-//! What could not be translated.
+//! The error of all decoding functions.
 
 use compact_str::CompactString;
 
-/// A message of the platform that does not have the form that its protocol says.
+/// A message that does not conform to the platform's protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed {subject}: {reason}")]
 pub struct DecodeError {
-    /// Which message.
+    /// The kind of message, such as `"endpoint"`.
     pub subject: &'static str,
-    /// What is wrong with it.
+    /// Why it could not be decoded.
     pub reason: CompactString,
 }
 
 impl DecodeError {
-    /// A fault of `what`, because of `why`.
+    /// Creates an error for a message of the kind `subject`.
     pub fn new(subject: &'static str, reason: impl ToString) -> Self {
         Self {
             subject,
--- a/crates/pinereel_port/src/headers.rs
+++ b/crates/pinereel_port/src/headers.rs
@@ -1,38 +1,39 @@
-//! Heads of requests that callers send, of their attempts at endpoints, and of the answers.
+//! HTTP headers of client requests, of their forwarding to endpoints, and of responses.
 
 use crate::KeyDigest;
 use actix_http::{StatusCode, header::HeaderMap};
 use compact_str::CompactString;
 use std::time::Duration;
 
-/// What a caller's head says.
+/// The headers of a client request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHeaders {
-    /// Id of the request; each attempt of a caller has its own.
+    /// Id of the request. A client that retries uses a new one for each attempt.
     pub id: CompactString,
-    /// How long the caller waits from now.
+    /// Time from now for which the client waits for the response.
     pub timeout: Option<Duration>,
-    /// How long the caller lets a read wait for news.
+    /// Time for which a long poll may be held open until there is something new.
     pub long_poll_wait: Option<Duration>,
-    /// Digest of the key that the caller gave.
+    /// Digest of the key that the client authenticated with.
     pub key_digest: Option<KeyDigest>,
-    /// Names the request's whole prompt and its model, if it has one.
+    /// Identifies the model and the complete prompt; `None` if the request names no prompt.
     pub prompt_id: Option<CompactString>,
 }
 
-/// On whose behalf a request is made, as this side knows it, whatever the request says.
+/// The authenticated identity that a request is forwarded with, regardless of what its headers
+/// claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// The configuration knows no workspaces: the headers that say who it is go on as they came.
+    /// No workspaces are configured: the client's identity headers are forwarded unchanged.
     PassThrough,
-    /// Nobody's: on a route that needs no key.
+    /// No identity: the route is public.
     Anonymous,
-    /// That workspace's.
+    /// The workspace with this name.
     Workspace(CompactString),
 }
 
 impl Caller {
-    /// Name of the workspace.
+    /// Name of the workspace, if there is one.
     pub fn workspace(&self) -> Option<&str> {
         match self {
             Self::Workspace(name) => Some(name),
@@ -41,56 +42,57 @@
     }
 }
 
-/// What an attempt's head tells the endpoint.
+/// The headers of one attempt to run a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHeaders<'a> {
     /// Id of the request.
     pub request_id: &'a str,
-    /// Id of the endpoint that it is meant for; any other refuses it.
+    /// Id of the endpoint that the attempt is addressed to; any other endpoint rejects it.
     pub endpoint_id: &'a str,
-    /// The endpoint stops working after it; none lets it work on.
+    /// Time after which the endpoint aborts the request; `None` for no limit.
     pub timeout: Option<Duration>,
-    /// Goes on after this event of a stream.
+    /// Id of the last event received of a stream; the endpoint resumes after it.
     pub last_event_id: Option<u64>,
-    /// On whose behalf. The caller's key goes no further.
+    /// Identity of the client. Its key is not forwarded, except with [`Caller::PassThrough`].
     pub caller: &'a Caller,
 }
 
-/// What an answer's head says.
+/// The headers of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHeaders {
-    /// Id of the request that it answers.
+    /// Id of the request that it responds to.
     pub id: Option<CompactString>,
-    /// Proof that the endpoint made this answer.
+    /// Signature that proves that the endpoint produced this response.
     pub signature: Option<CompactString>,
-    /// The endpoint says that the request did not run there and never will.
+    /// Whether the endpoint states that it did not run the request and never will.
     pub not_executed: bool,
-    /// How busy the endpoint was.
+    /// Load of the endpoint when it responded.
     pub load: Option<Load>,
     /// Version of the weights at the start of a generation.
     pub weights_version: Option<u64>,
-    /// Whether the body is encoded; then it is not what the endpoint made.
+    /// Whether the body has a content encoding, so that its bytes are not those the endpoint
+    /// produced.
     pub content_encoded: bool,
 }
 
-/// An endpoint's own count of its work.
+/// The load that an endpoint reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
 }
 
-/// Reads and writes heads.
+/// Decodes and encodes headers.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// Reads a caller's head.
+    /// Decodes the headers of a client request.
     pub decode_request: fn(&HeaderMap) -> RequestHeaders,
-    /// Writes an attempt into a head that may hold the caller's headers.
+    /// Writes an attempt's headers into a map that may already hold those of the client request.
     pub encode_attempt: fn(&mut HeaderMap, AttemptHeaders<'_>),
-    /// Reads an answer's head.
+    /// Decodes the status code and the headers of a response.
     pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseHeaders,
 }
--- a/crates/pinereel_port/src/key_digest.rs
+++ b/crates/pinereel_port/src/key_digest.rs
@@ -1,28 +1,30 @@
-//! Callers' keys, of which nothing is kept but a digest.
+//! Digests of client keys. The keys themselves are never stored.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use sha2::{Digest as _, Sha256};
 use std::{fmt, str::FromStr};
 
-/// SHA-256 of a key. Keys are random, so that the digest neither tells the key nor can be guessed.
+/// SHA-256 digest of a client's key. Keys are random, so a digest neither reveals its key nor can
+/// be found by guessing.
 ///
-/// Two digests are compared, never two keys: how long that takes tells nothing of a key.
+/// Only digests are compared, never keys, so the duration of a comparison reveals nothing about a
+/// key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyDigest([u8; 32]);
 
-/// A text that is no digest of a key.
+/// The text is not a hexadecimal SHA-256 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a key's digest has 64 hexadecimal digits")]
 pub struct ParseKeyDigestError;
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 }
 
-/// Tells nothing: what stands for a key must not come into a log.
+/// Omits the digest, so that nothing derived from a key gets into a log.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
--- a/crates/pinereel_port/src/leader.rs
+++ b/crates/pinereel_port/src/leader.rs
@@ -1,58 +1,61 @@
-//! Calls toward the platform that one instance makes at a time.
+//! Requests to the platform that only the instance holding a lease may send: usage reports and
+//! scaling requests. Each carries the lease's fencing token.
 
 use actix_http::{Method, StatusCode, header::HeaderMap};
 use bytes::Bytes;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// Who makes a call, and under which lease.
+/// The sender of a request and its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseHolder<'a> {
-    /// Name of the instance.
+    /// Name of the instance that holds the lease.
     pub instance: &'a str,
-    /// Fencing token of its lease.
+    /// Fencing token of the lease.
     pub fencing_token: u64,
 }
 
-/// How many endpoints of a service an availability zone should have.
+/// The number of endpoints that a service should have in an availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScaleTarget<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// The zone.
+    /// Name of the availability zone.
     pub zone: &'a str,
-    /// Number of endpoints of that kind.
+    /// Target number of endpoints of the kind that `spot` selects.
     pub count: u32,
-    /// Whether of the cheap ones, which may be taken away at short notice.
+    /// Whether `count` is of spot endpoints, which are cheaper and may be preempted at short
+    /// notice.
     pub spot: bool,
 }
 
-/// A call as it goes out.
+/// An encoded HTTP request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path of the URL.
     pub path: &'static str,
-    /// Headers.
+    /// Headers, with the lease holder and its fencing token.
     pub headers: HeaderMap,
-    /// JSON.
+    /// JSON body.
     pub body: Bytes,
 }
 
-/// What an answer means.
+/// The platform's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// Refused: a newer fencing token was seen, or there is nothing of what was asked for.
+    /// Rejected: the platform has seen a newer fencing token, or what the request names does not
+    /// exist.
     Rejected,
-    /// Not done now.
+    /// Not carried out; the request may be sent again later.
     RetryLater,
 }
 
 impl Outcome {
-    /// The name in logs and metrics.
+    /// Label in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -62,13 +65,14 @@
     }
 }
 
-/// Writes these calls and reads their answers.
+/// Encodes these requests and decodes the responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// Reports how many requests of each workspace began in a window.
+    /// Encodes a report of how many requests of each workspace started in a time window; the second
+    /// argument is the window's number.
     pub report_usage: fn(LeaseHolder<'_>, u64, &BTreeMap<CompactString, u64>) -> Request,
-    /// Asks for endpoints.
+    /// Encodes a request to scale a service in a zone.
     pub set_endpoint_count: fn(LeaseHolder<'_>, ScaleTarget<'_>) -> Request,
-    /// Reads an answer.
+    /// Maps the status code of a response.
     pub outcome: fn(StatusCode) -> Outcome,
 }
--- a/crates/pinereel_port/src/lib.rs
+++ b/crates/pinereel_port/src/lib.rs
@@ -1,19 +1,21 @@
-//! The port between pinereel and the platform that it runs on.
+//! The interface between pinereel and the platform that hosts it.
 //!
-//! An adapter is a plain struct of functions, [`Adapter`]. Each function translates between the
-//! platform's bytes or headers and the typed values of this crate; none of them does I/O, keeps
-//! state or decides anything. The daemon calls them, and knows no name of the platform.
+//! An adapter is a plain struct of functions, [`Adapter`]. Each function converts between the
+//! platform's bytes or headers and the typed values of this crate. The functions are pure: they do
+//! no I/O, keep no state and make no decisions. The daemon calls them and contains no wire names of
+//! the platform.
 //!
 //! The main types:
-//! - [`Adapter`]: all functions of one platform.
-//! - [`store::Dialect`]: the calls of the object store.
-//! - [`config::Document`]: routes, services and limits, as the operator wrote them.
-//! - [`KeyDigest`]: all that is ever known of a caller's key.
-//! - [`endpoint::Entry`]: one endpoint of the platform's list.
-//! - [`live::Request`] and [`live::Answer`]: what is read in the heads of live requests.
-//! - [`lot::Submission`] and [`lot::Call`]: what trainers send.
-//! - [`duty::Dialect`]: calls toward the platform that one instance makes at a time.
-//! - [`engine::Order`] and [`engine::Report`]: what engines are told and tell.
+//! - [`Adapter`]: all functions that a platform supplies.
+//! - [`store::Codec`]: requests to the object store.
+//! - [`config::Document`]: the operator's configuration of routes, services and limits.
+//! - [`KeyDigest`]: the digest of a client's key; the key itself is never stored.
+//! - [`endpoint::Entry`]: an entry of the platform's endpoint list.
+//! - [`headers::RequestHeaders`] and [`headers::ResponseHeaders`]: the decoded headers of client
+//!   requests and of responses.
+//! - [`lot::Submission`] and [`lot::Request`]: what trainers send.
+//! - [`leader::Codec`]: requests to the platform that only the holder of a lease may send.
+//! - [`engine::LoadRequest`] and [`engine::StatusReport`]: control requests to model engines.
 
 pub mod adapter;
 pub mod config;
--- a/crates/pinereel_port/src/lot.rs
+++ b/crates/pinereel_port/src/lot.rs
@@ -1,4 +1,4 @@
-//! What trainers send and read.
+//! Lots: the batches of samples that trainers submit, the requests about them, and their results.
 
 use crate::DecodeError;
 use bytes::Bytes;
@@ -7,17 +7,18 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// One call of a trainer, or of anyone who reads lots, by its method and path.
+/// A request to read or end a lot, decoded from its method and path. Trainers send them, and anyone
+/// else who reads lots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Reads results.
+    /// Reads the results of a lot.
     ReadResults {
         /// Id of the lot.
         lot: CompactString,
-        /// First position that is asked for, counted from 0.
+        /// Index of the first requested result, counted from 0.
         offset: usize,
     },
-    /// Reads what an item sends to its engine.
+    /// Reads the body of the request that an item sends to its engine.
     ReadItemBody {
         /// Id of the lot.
         lot: CompactString,
@@ -29,113 +30,113 @@
         /// Id of the lot.
         lot: CompactString,
     },
-    /// None of these.
+    /// Any other request.
     Other,
 }
 
-/// A lot as it was accepted.
+/// A lot as the trainer submitted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// Model that makes the samples.
+    /// Model that generates the samples.
     pub model: CompactString,
-    /// Oldest version of its weights that may be used.
+    /// Oldest version of the model's weights that may generate a sample.
     pub min_version: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub required_groups: usize,
-    /// The items, in order.
+    /// The items in the order of submission.
     pub items: Vec<Item>,
 }
 
-/// One sample to be made.
+/// One sample to generate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Id, also of the request at the engine.
+    /// Id of the item, also used as the id of its request to the engine.
     pub id: CompactString,
-    /// Path of the request.
+    /// Path of the request to the engine.
     pub path: CompactString,
-    /// Headers of the request.
+    /// Headers of the request to the engine.
     pub headers: Vec<(CompactString, CompactString)>,
-    /// Body of the request.
+    /// Body of the request to the engine.
     pub body: Bytes,
-    /// Names the item's whole prompt and its model, if its headers do.
+    /// Identifies the model and the complete prompt; `None` if the item's headers name no prompt.
     pub prompt_id: Option<CompactString>,
-    /// Items of a group share their prompt.
+    /// Id of the group; all items of a group have the same prompt.
     pub group: CompactString,
-    /// Estimate of the output's tokens by the trainer; often far off.
+    /// The trainer's estimate of the number of output tokens; often far off.
     pub output_tokens_hint: Option<u32>,
-    /// The request that scores the sample's text.
+    /// The request that scores the sample's text, if it is to be scored.
     pub scorer: Option<Scorer>,
 }
 
-/// The request that scores a text.
+/// The request that scores a generated text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scorer {
     /// Id of the request.
     pub id: CompactString,
-    /// Host of its route.
+    /// Host of the route that the request is sent to.
     pub host: CompactString,
-    /// Its path.
+    /// Path of the request.
     pub path: CompactString,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// One result, at a fixed position of its lot.
+/// The result of one item. Its position in the list of results does not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
     /// Id of the item.
     pub item: CompactString,
-    /// The text and what is known of it; none if the item was given up.
+    /// The generated output; `None` if the item was given up.
     #[serde(rename = "made")]
     pub output: Option<Output>,
 }
 
-/// A finished sample.
+/// A completely generated text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Output {
-    /// Data of all events, in order.
+    /// Concatenated data of all events of the stream, in order.
     pub text: String,
-    /// All versions of the weights that made a part of it, ascending.
+    /// All versions of the weights that generated a part of the text, ascending.
     pub versions: Vec<u64>,
-    /// The scoring answer's signature; none if no score was asked for.
+    /// Signature of the scoring response; `None` if the item has no scorer.
     pub score: Option<CompactString>,
 }
 
-/// A part of a lot's results.
+/// A contiguous range of a lot's results.
 #[derive(Clone, Copy, Debug)]
 pub struct ResultsPage<'a> {
-    /// Items of the lot.
+    /// Number of items in the lot.
     pub total: usize,
-    /// Position of the first sample here.
+    /// Index of the first sample of this page.
     pub offset: usize,
-    /// The samples.
+    /// The results, in order.
     pub samples: &'a [Sample],
 }
 
-/// One event of a generation's stream.
+/// One server-sent event of a generation stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Number, counted up by one.
+    /// Id, which increases by one with each event.
     pub id: u64,
-    /// Version of the weights from this event on, if it changes here.
+    /// Version of the weights that generates this event and the following ones, if it changes here.
     pub version: Option<u64>,
-    /// Its part of the text.
+    /// The part of the text that the event carries.
     pub data: String,
 }
 
-/// Reads trainers' calls and writes their answers.
+/// Decodes what trainers send and encodes the responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// Reads method, path and query.
+    /// Decodes the method, path and query of a request.
     pub decode_request: fn(&actix_http::Method, &str, &str) -> Request,
-    /// Reads a submitted lot.
+    /// Decodes a submitted lot.
     pub decode_submission: fn(&Value) -> Result<Submission, DecodeError>,
-    /// Writes results.
+    /// Encodes a page of results.
     pub encode_results: fn(ResultsPage<'_>) -> Vec<u8>,
-    /// Reads one whole event of a stream, without the empty line that ends it.
+    /// Decodes one complete event of a stream, without the blank line that ends it.
     pub decode_event: fn(&str) -> Result<Event, DecodeError>,
-    /// Longest that a read may be kept waiting.
+    /// Maximum time for which a read is held open until there are new results.
     pub max_long_poll_wait: Duration,
-    /// Most bytes of one reading.
+    /// Maximum size of a results page in bytes.
     pub max_page_bytes: usize,
 }
--- a/crates/pinereel_port/src/store.rs
+++ b/crates/pinereel_port/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object store.
+//! The platform's object store: named, versioned JSON objects that can be listed and watched.
 
 use crate::DecodeError;
 use actix_http::Method;
@@ -8,89 +8,91 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// One object.
+/// An object with its spec and status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Name within its kind.
+    /// Name, unique among the objects of its kind.
     pub name: CompactString,
-    /// The store's revision at its last change.
+    /// Revision of the store at the object's last change.
     pub revision: u64,
-    /// The content.
+    /// Desired state or data, as its owner wrote it.
     pub spec: Value,
-    /// What is reported about it; null if nothing was.
+    /// Observed state; null if none was reported.
     pub status: Value,
 }
 
-/// One page of a list, in order of names.
+/// One page of a list, ordered by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
-    /// The objects.
+    /// The objects of this page.
     pub objects: Vec<Object>,
-    /// Whether more follow after the last one.
+    /// Whether more objects follow after the last one of this page.
     pub more: bool,
-    /// The store's revision; a watch goes on from it.
+    /// Revision of the store at the time of the list, from which a watch can start.
     pub revision: u64,
 }
 
-/// One change of one object.
+/// A change to one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The object after the change, or as it last was.
+    /// The object after the change; for a deletion, its last state.
     pub object: Object,
-    /// Whether it was deleted.
+    /// Whether the object was deleted.
     pub deleted: bool,
 }
 
-/// Answer to a watch.
+/// The response to a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchResponse {
-    /// Oldest first; empty if the wait ran out.
+    /// Changes, oldest first; empty if the watch timed out.
     pub changes: Vec<Change>,
-    /// The next watch goes on from it.
+    /// Revision from which the next watch continues.
     pub revision: u64,
 }
 
-/// How recent the answer to a read must be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Linearizable.
+    /// The read sees every write that completed before it.
     Linearizable,
-    /// May be seconds old; costs a fraction.
+    /// The result may be seconds old. Such a read costs a fraction of a linearizable one.
     Stale,
 }
 
-/// One HTTP call at the store.
+/// An encoded HTTP request to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with query.
+    /// Path with the query string.
     pub path: String,
-    /// JSON; empty if there is none.
+    /// JSON body, or empty.
     pub body: Bytes,
 }
 
-/// The calls of a store and the reading of their answers.
+/// Encodes requests to the store and decodes its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// Reads one object: kind, name.
+    /// Reads an object. Arguments: kind, name, consistency.
     pub read: fn(&str, &str, Consistency) -> Request,
-    /// Lists a kind after a name.
+    /// Lists the objects of a kind. Arguments: kind, name after which the page starts, consistency.
     pub list: fn(&str, Option<&str>, Consistency) -> Request,
-    /// Waits for changes of a kind after a revision.
+    /// Waits for changes to objects of a kind. Arguments: kind, revision after which changes are
+    /// returned, timeout.
     pub watch: fn(&str, u64, Duration) -> Request,
-    /// Creates an object that must not exist: kind, name, spec as JSON text.
+    /// Creates an object; fails if it exists. Arguments: kind, name, spec as JSON text.
     pub create: fn(&str, &str, &str) -> Request,
-    /// Replaces the spec of an object that must have a revision: kind, name, revision, spec.
+    /// Replaces the spec of an object; fails if it has another revision. Arguments: kind, name,
+    /// revision, spec.
     pub update: fn(&str, &str, u64, &Value) -> Request,
-    /// Replaces the status, whatever the object's revision: kind, name, status.
+    /// Replaces the status of an object, regardless of its revision. Arguments: kind, name, status.
     pub update_status: fn(&str, &str, &Value) -> Request,
-    /// Deletes an object, whatever its revision: kind, name.
+    /// Deletes an object, regardless of its revision. Arguments: kind, name.
     pub delete: fn(&str, &str) -> Request,
-    /// Reads an object.
+    /// Decodes an object.
     pub decode_object: fn(&[u8]) -> Result<Object, DecodeError>,
-    /// Reads a page of a list.
+    /// Decodes a page of a list.
     pub decode_page: fn(&[u8]) -> Result<Page, DecodeError>,
-    /// Reads the answer to a watch.
+    /// Decodes the response to a watch.
     pub decode_changes: fn(&[u8]) -> Result<WatchResponse, DecodeError>,
 }
