--- a/crates/pinereel_port/src/key_digest.rs
+++ b/crates/pinereel_port/src/key_digest.rs
@@ -39,8 +39,8 @@
         if text.len() != 2 * bytes.len() || !text.is_ascii() {
             return Err(ParseKeyDigestError);
         }
-        for (at, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[at * 2..at * 2 + 2];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseKeyDigestError)?;
         }
         Ok(Self(bytes))
--- a/crates/pinereel_port/src/lot.rs
+++ b/crates/pinereel_port/src/lot.rs
@@ -1,4 +1,5 @@
-//! Lots: the batches of samples that trainers submit, the requests about them, and their results.
+//! Lots, which are the samples that one trainer wants for one training step: their submission, the
+//! requests that read or end them, and their results.
 
 use crate::DecodeError;
 use bytes::Bytes;
