--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -14,7 +14,7 @@
     Time,
     usage::{InstanceCount, Ledger, Report, WallClock, WallTime, Window},
 };
-use pinereel_port::live::Caller;
+use pinereel_port::headers::Caller;
 use std::{
     cell::RefCell,
     rc::Rc,
--- a/crates/pinereel_core/src/routing_table.rs
+++ b/crates/pinereel_core/src/routing_table.rs
@@ -5,7 +5,7 @@
 use pinereel_port::{
     KeyDigest,
     config::{Document, Route, Service},
-    live::Caller,
+    headers::Caller,
 };
 use std::collections::BTreeMap;
 
@@ -34,11 +34,11 @@
         // The longest prefix wins, so it comes first.
         document
             .routes
-            .sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            .sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         let workspace_by_key = document.workspaces.as_ref().map(|workspaces| {
             let keys = workspaces.iter().flat_map(|workspace| {
                 let name = &workspace.name;
-                workspace.keys.iter().map(|key| (*key, name.clone()))
+                workspace.key_digests.iter().map(|key| (*key, name.clone()))
             });
             keys.collect()
         });
@@ -59,7 +59,7 @@
         public: bool,
     ) -> Result<Caller, AccessError> {
         let Some(workspace_by_key) = &self.workspace_by_key else {
-            return Ok(Caller::Open);
+            return Ok(Caller::PassThrough);
         };
         match key.map(|key| workspace_by_key.get(key)) {
             Some(Some(workspace)) => Ok(Caller::Workspace(workspace.clone())),
@@ -73,13 +73,13 @@
     pub const fn internal_caller(&self) -> Caller {
         match self.workspace_by_key {
             Some(_) => Caller::Anonymous,
-            None => Caller::Open,
+            None => Caller::PassThrough,
         }
     }
 
     /// Version number of the configuration.
     pub const fn number(&self) -> u64 {
-        self.document.number
+        self.document.version
     }
 
     /// The configuration itself, with its routes sorted by the length of their prefixes, longest first.
@@ -94,7 +94,7 @@
         self.document
             .routes
             .iter()
-            .find(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(r.prefix.as_str()))
+            .find(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(r.path_prefix.as_str()))
     }
 
     /// The route called `name`.
