--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -28,7 +28,7 @@
     pub(super) async fn dispatch(self: &Rc<Self>) {
         let mut endpoints = self.parts.endpoints.changes();
         loop {
-            self.parts.stall.caught_up().await;
+            self.parts.stall.wait_for_catch_up().await;
             self.sync_fleets();
             self.give_up_old();
             self.release();
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -16,7 +16,7 @@
         follow::{Manner, Update, follow},
         metrics::Metrics,
         relay::Relay,
-        stall::Stall,
+        stall::StallDetector,
         store::Store,
     },
     objects::Purpose,
@@ -53,7 +53,7 @@
     /// Requests under which endpoints crash.
     pub crashes: Rc<Crashes>,
     /// Whether what is known may be old.
-    pub stall: Rc<Stall>,
+    pub stall: Rc<StallDetector>,
     /// Figures.
     pub metrics: Metrics,
     /// The clock.
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -39,5 +39,5 @@
 pub use follow::{Manner, Update, follow};
 pub use metrics::Metrics;
 pub use run::{Error, run};
-pub use stall::Stall;
+pub use stall::StallDetector;
 pub use store::Store;
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -12,7 +12,7 @@
     crashes::Crashes,
     endpoints::{Endpoints, Picked},
     metrics::Metrics,
-    stall::Stall,
+    stall::StallDetector,
     usage::{Begun, Usage},
 };
 use crate::upstream::pool::Pool;
@@ -47,7 +47,7 @@
     /// Connections to endpoints.
     pub pool: Rc<Pool>,
     /// Whether what is known may be old.
-    pub stall: Rc<Stall>,
+    pub stall: Rc<StallDetector>,
     /// Requests under which endpoints crash.
     pub crashes: Rc<Crashes>,
     /// Counts of requests that began to run.
@@ -187,7 +187,7 @@
         course: &mut Course<'_>,
         standing: Standing,
     ) -> Option<(&'static str, Duration)> {
-        self.parts.stall.caught_up().await;
+        self.parts.stall.wait_for_catch_up().await;
         let next = match standing {
             Standing::Doubted { .. } => self.in_doubt(course, standing).await,
             Standing::Free | Standing::Convicted { .. } => self.choose(course),
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -13,7 +13,7 @@
     relay::{self, Relay},
     reload::look_at_settings,
     serve::{Front, serve},
-    stall::Stall,
+    stall::StallDetector,
     stop::{Stop, Times},
     store::Store,
     usage::{self, Usage},
@@ -205,7 +205,7 @@
             clock,
         };
         let endpoints = Endpoints::start(parts, instance, &settings.store, hurried);
-        let stall = Stall::start(boot_time);
+        let stall = StallDetector::start(boot_time);
         let relay = Relay::new(relay::Parts {
             adapter,
             endpoints: Rc::clone(&endpoints),
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -6,7 +6,7 @@
     lots::{Desk, Reply},
     metrics::Metrics,
     relay::{Call, Outcome, Relay},
-    stall::Stall,
+    stall::StallDetector,
     stop::Stop,
     store::Store,
 };
@@ -50,7 +50,7 @@
     /// Translates.
     pub adapter: Adapter,
     /// Whether what is known may be old.
-    pub stall: Rc<Stall>,
+    pub stall: Rc<StallDetector>,
     /// The object store.
     pub store: Store,
     /// The configuration.
@@ -87,7 +87,7 @@
         let host = request.headers().get(HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
         let host = CompactString::from(host);
-        self.stall.caught_up().await;
+        self.stall.wait_for_catch_up().await;
         let Some(table) = self.first_table().await else {
             self.metrics
                 .count(&self.metrics.refused, &["no configuration"]);
--- a/crates/pinereel/src/hosted/stall.rs
+++ b/crates/pinereel/src/hosted/stall.rs
@@ -9,65 +9,65 @@
 use tokio::time::sleep;
 
 /// Pause between two looks at the clock.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// A look that comes so late means that the process stood still. News is passed on within half of
 /// the two seconds after which an endpoint that leaves must get no request, so that as much again
 /// may be lost before it matters.
-const STOOD_STILL: Duration = Duration::from_millis(700);
+const MIN_STALL: Duration = Duration::from_millis(700);
 /// Time for the news that came meanwhile: a link that is still open is read within milliseconds,
 /// and one that was cut is replaced by a call to the store.
-const CATCH_UP: Duration = Duration::from_millis(250);
+const CATCH_UP_TIME: Duration = Duration::from_millis(250);
 
 /// Whether the process has just stood still.
-pub struct Stall {
+pub struct StallDetector {
     clock: Box<dyn Fn() -> Time>,
-    looked_at: Cell<Time>,
+    checked_at: Cell<Time>,
     /// What is known is in doubt until then.
-    doubt_until: Cell<Time>,
+    catch_up_until: Cell<Time>,
 }
 
-impl Stall {
+impl StallDetector {
     /// Looks at `clock`, which must go on while the machine is suspended, from now on.
     pub fn start(clock: impl Fn() -> Time + 'static) -> Rc<Self> {
         let now = clock();
-        let stall = Rc::new(Self {
+        let detector = Rc::new(Self {
             clock: Box::new(clock),
-            looked_at: Cell::new(now),
-            doubt_until: Cell::new(Time::ZERO),
+            checked_at: Cell::new(now),
+            catch_up_until: Cell::new(Time::ZERO),
         });
-        let looking = Rc::clone(&stall);
+        let checker = Rc::clone(&detector);
         actix_rt::spawn(async move {
             loop {
-                sleep(LOOK).await;
-                looking.look();
+                sleep(CHECK_INTERVAL).await;
+                checker.check_clock();
             }
         });
-        stall
+        detector
     }
 
     /// For how long what is known is still in doubt; zero as a rule. To be asked right before an act
     /// that rests on it.
-    pub fn doubt(&self) -> Duration {
-        self.look();
-        self.doubt_until.get().since((self.clock)())
+    pub fn remaining_catch_up(&self) -> Duration {
+        self.check_clock();
+        self.catch_up_until.get().since((self.clock)())
     }
 
     /// Waits until the news that came during a stand-still has been read.
-    pub async fn caught_up(&self) {
+    pub async fn wait_for_catch_up(&self) {
         loop {
-            let doubt = self.doubt();
-            if doubt.is_zero() {
+            let remaining_catch_up = self.remaining_catch_up();
+            if remaining_catch_up.is_zero() {
                 return;
             }
-            sleep(doubt).await;
+            sleep(remaining_catch_up).await;
         }
     }
 
-    fn look(&self) {
+    fn check_clock(&self) {
         let now = (self.clock)();
-        let pause = now.since(self.looked_at.replace(now));
-        if pause >= STOOD_STILL {
-            self.doubt_until.set(now + CATCH_UP);
+        let pause = now.since(self.checked_at.replace(now));
+        if pause >= MIN_STALL {
+            self.catch_up_until.set(now + CATCH_UP_TIME);
             log::warn!(ms = pause.as_millis() as u64; "stood still: waiting for the news");
         }
     }
--- a/crates/pinereel/tests/hosting_stall.rs
+++ b/crates/pinereel/tests/hosting_stall.rs
@@ -1,6 +1,6 @@
 //! A process that stood still waits for the news before it acts, on the runtime's paused clock.
 
-use pinereel::hosted::Stall;
+use pinereel::hosted::StallDetector;
 use pinereel_core::Time;
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, pause, sleep};
@@ -17,9 +17,9 @@
 async fn an_ordinary_process_waits_for_nothing() {
     pause();
     let (_, now) = clock();
-    let stall = Stall::start(now);
+    let detector = StallDetector::start(now);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(stall.doubt(), Duration::ZERO);
+    assert_eq!(detector.remaining_catch_up(), Duration::ZERO);
 }
 
 /// Finding 11: the request that came before is the first thing to run, before any look of its own.
@@ -27,25 +27,25 @@
 async fn what_came_before_a_stand_still_waits_for_the_news() {
     pause();
     let (suspended, now) = clock();
-    let stall = Stall::start(now);
+    let detector = StallDetector::start(now);
     sleep(Duration::from_millis(500)).await;
     suspended.set(3_800_000);
     let woke = Instant::now();
-    stall.caught_up().await;
+    detector.wait_for_catch_up().await;
     assert!(woke.elapsed() >= Duration::from_millis(250));
     assert!(woke.elapsed() < Duration::from_millis(500));
-    assert_eq!(stall.doubt(), Duration::ZERO);
+    assert_eq!(detector.remaining_catch_up(), Duration::ZERO);
 }
 
 #[actix_rt::test]
 async fn a_second_stand_still_counts_anew() {
     pause();
     let (suspended, now) = clock();
-    let stall = Stall::start(now);
+    let detector = StallDetector::start(now);
     for millis in [3_800, 7_600] {
         sleep(Duration::from_millis(500)).await;
         suspended.set(millis * 1_000);
-        assert!(!stall.doubt().is_zero());
-        stall.caught_up().await;
+        assert!(!detector.remaining_catch_up().is_zero());
+        detector.wait_for_catch_up().await;
     }
 }
