--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -6,14 +6,14 @@
 use pinereel_port::config::Engine;
 
 /// What the models of a service ask for, as their runners say in their leases.
-pub fn demands(config: &Config, duties: &Duties, service: &str) -> Vec<Demand> {
-    let models = engine(config, service).map(|engine| engine.models);
+pub fn model_demands(config: &Config, duties: &Duties, service: &str) -> Vec<Demand> {
+    let models = engine_config(config, service).map(|engine| engine.models);
     let demand = |model: CompactString| {
-        let size = duties.demand(&lots::duty(&model));
+        let lot_demand = duties.demand(&lots::duty(&model));
         Demand {
-            tokens: size.tokens,
-            items: size.items,
-            short: size.unplaced_items,
+            tokens: lot_demand.tokens,
+            items: lot_demand.items,
+            short: lot_demand.unplaced_items,
             model,
         }
     };
@@ -21,23 +21,23 @@
 }
 
 /// Engines of a service that do its work: the first ones in the order of [`Endpoints::first`].
-pub fn working_set(
+pub fn working_set_size(
     config: &Config,
     duties: &Duties,
     endpoints: &Endpoints,
     service: &str,
 ) -> usize {
-    let demands = demands(config, duties, service);
-    let slots = slots(config, service);
+    let demands = model_demands(config, duties, service);
+    let slots = slots_per_engine(config, service);
     rollout::working_set(endpoints.count(service), slots, &demands)
 }
 
 /// Requests that each engine of a service runs at once.
-pub fn slots(config: &Config, service: &str) -> u32 {
-    engine(config, service).map_or(1, |engine| engine.slots)
+pub fn slots_per_engine(config: &Config, service: &str) -> u32 {
+    engine_config(config, service).map_or(1, |engine| engine.slots)
 }
 
 /// The engines of a service, as the configuration describes them; none if it has none.
-fn engine(config: &Config, service: &str) -> Option<Engine> {
+fn engine_config(config: &Config, service: &str) -> Option<Engine> {
     config.table()?.service(service)?.engine.clone()
 }
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -52,7 +52,7 @@
             .collect();
         for name in wanted {
             let parts = &self.parts;
-            let count = demand::working_set(
+            let count = demand::working_set_size(
                 &parts.config,
                 &parts.duties,
                 &parts.endpoints,
--- a/crates/pinereel/src/hosted/orders/shares.rs
+++ b/crates/pinereel/src/hosted/orders/shares.rs
@@ -61,8 +61,8 @@
         shares.looked_at = now;
         shares.looked_at_change = Some(change);
         shares.listed = parts.endpoints.count(service);
-        let demands = demand::demands(&parts.config, &parts.duties, service);
-        let slots = demand::slots(&parts.config, service);
+        let demands = demand::model_demands(&parts.config, &parts.duties, service);
+        let slots = demand::slots_per_engine(&parts.config, service);
         let count = working_set(shares.listed, slots, &demands);
         let engines = parts
             .endpoints
