--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -8,7 +8,7 @@
 
 pub use kept::{Kept, take_out};
 
-use super::{metrics::Metrics, news};
+use super::{metrics::Metrics, pending};
 use crate::state::Clock;
 use pinereel_core::{
     Time,
@@ -192,7 +192,7 @@
     /// Waits until others are to be told something, and gives it.
     pub async fn untold(&self) -> Vec<Report> {
         let untold = || self.register.borrow_mut().untold(self.now(), BATCH);
-        news::next(self.changes(), untold).await
+        pending::next_batch(self.changes(), untold).await
     }
 
     /// What is untold is gathered for a moment between two messages.
--- a/crates/pinereel/src/hosted/news.rs
+++ b/crates/pinereel/src/hosted/pending.rs
@@ -3,14 +3,14 @@
 use tokio::sync::watch;
 
 /// What `take` gives, as soon as that is anything; it is asked again after each change.
-pub async fn next<T>(
+pub async fn next_batch<T>(
     mut changes: watch::Receiver<u64>,
-    mut take: impl FnMut() -> Vec<T>,
+    mut take_pending: impl FnMut() -> Vec<T>,
 ) -> Vec<T> {
     loop {
-        let news = take();
-        if !news.is_empty() {
-            return news;
+        let batch = take_pending();
+        if !batch.is_empty() {
+            return batch;
         }
         if changes.changed().await.is_err() {
             // The process is ending.
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -8,7 +8,7 @@
 
 pub use report::{Parts, report};
 
-use super::news;
+use super::pending;
 use crate::settings;
 use pinereel_core::{
     Time,
@@ -112,7 +112,7 @@
     /// Waits until others are to be told something, and gives it.
     pub async fn untold(&self) -> Vec<Report> {
         let untold = || self.ledger.borrow_mut().untold(BATCH);
-        news::next(self.changed.subscribe(), untold).await
+        pending::next_batch(self.changed.subscribe(), untold).await
     }
 
     /// What is untold is gathered for a moment between two messages.
