--- a/crates/pinereel/src/hosted/bulletin/feed.rs
+++ b/crates/pinereel/src/hosted/bulletin/feed.rs
@@ -1,7 +1,7 @@
 //! What the parts of this process hear.
 
 use super::Topic;
-use crate::hosted::follow::Update;
+use crate::hosted::list_watch::Update;
 use pinereel_core::lease::Rank;
 use std::{
     cell::{Cell, RefCell},
--- a/crates/pinereel/src/hosted/bulletin/source.rs
+++ b/crates/pinereel/src/hosted/bulletin/source.rs
@@ -5,7 +5,7 @@
     hosted::{
         crashes::{Kept, take_out},
         duty,
-        follow::{Manner, Update, follow},
+        list_watch::{Update, WatchOptions, list_and_watch},
     },
     objects::Purpose,
 };
@@ -31,12 +31,12 @@
             Topic::Endpoints => GATHER,
             Topic::Config | Topic::Engines | Topic::Leases => Duration::ZERO,
         };
-        let manner = || Manner {
-            wait: self.parts.watch,
-            gather,
+        let manner = || WatchOptions {
+            max_wait: self.parts.watch,
+            batch_delay: gather,
         };
         let take = |update, revision| self.read(topic, update, revision);
-        follow(&self.parts.store, purpose, kind, manner, None, take).await;
+        list_and_watch(&self.parts.store, purpose, kind, manner, None, take).await;
     }
 
     /// Lists the leases now and then, and with them what the store keeps of requests that crash endpoints.
--- a/crates/pinereel/src/hosted/bulletin/topics.rs
+++ b/crates/pinereel/src/hosted/bulletin/topics.rs
@@ -1,7 +1,7 @@
 //! What is told of each topic: taken in, kept for children, and passed on to those that want it.
 
 use super::{Bulletin, Frame, Topic, board::State, packed::Packed};
-use crate::hosted::follow::Update;
+use crate::hosted::list_watch::Update;
 use bytes::Bytes;
 use pinereel_core::tree::ChildKey;
 use pinereel_port::store::{Change, Object};
--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -2,7 +2,7 @@
 
 use super::{
     bulletin::{Feed, Topic},
-    follow::{Manner, Update, follow},
+    list_watch::{Update, WatchOptions, list_and_watch},
     store::Store,
 };
 use crate::objects::Purpose;
@@ -39,11 +39,11 @@
         let fed = Some(feed.hear(Topic::Config));
         actix_rt::spawn(async move {
             let kind = adapter.places.config;
-            let manner = || Manner {
-                wait,
-                gather: Duration::ZERO,
+            let manner = || WatchOptions {
+                max_wait: wait,
+                batch_delay: Duration::ZERO,
             };
-            follow(&store, Purpose::Config, kind, manner, fed, |update, _| {
+            list_and_watch(&store, Purpose::Config, kind, manner, fed, |update, _| {
                 state.take(adapter, update);
             })
             .await;
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -1,7 +1,7 @@
 //! What the platform's list says, taken over.
 
 use super::{Endpoints, Listed, Scope};
-use crate::hosted::follow::Update;
+use crate::hosted::list_watch::Update;
 use compact_str::CompactString;
 use log::Level;
 use pinereel_core::endpoint::{self, Event};
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -4,7 +4,7 @@
 
 use super::{
     bulletin::{Fed, Feed, Topic},
-    follow::{Manner, Origin, follow_from},
+    list_watch::{Origin, WatchOptions, list_and_watch_with_origin},
     metrics::Metrics,
     store::Store,
 };
@@ -148,12 +148,12 @@
         let state = Rc::clone(&endpoints);
         actix_rt::spawn(async move {
             let kind = adapter.places.endpoints;
-            let manner = || Manner {
-                wait,
-                gather: if hurried() { HURRIED } else { gather },
+            let manner = || WatchOptions {
+                max_wait: wait,
+                batch_delay: if hurried() { HURRIED } else { gather },
             };
             let take = move |update, _, origin| state.take(update, Self::scope(origin));
-            follow_from(&store, Purpose::Instances, kind, manner, fed, take).await;
+            list_and_watch_with_origin(&store, Purpose::Instances, kind, manner, fed, take).await;
         });
         let state = Rc::clone(&endpoints);
         actix_rt::spawn(async move { state.hear_engines().await });
@@ -168,7 +168,7 @@
     /// What a list of that origin speaks of; it says nothing of the rest.
     const fn scope(origin: Origin) -> Scope {
         match origin {
-            Origin::Bulletin => Scope::Others,
+            Origin::Tree => Scope::Others,
             Origin::Store => Scope::All,
         }
     }
--- a/crates/pinereel/src/hosted/follow.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -11,12 +11,12 @@
 
 /// Pause after a failed call. A change must be in force within two seconds, and the breaker of the
 /// store's client spares a store that is down.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A part that has just started waits so long for what the bulletin tells, before it asks the store
 /// itself. Instances that start together find the holder within about 0.4 s, or 0.9 s if they have
 /// little processor time.
-const FIRST_WAIT: Duration = Duration::from_millis(1_200);
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// What the store told.
 #[derive(Clone, Debug)]
@@ -29,94 +29,94 @@
 
 /// How the objects of a kind are followed.
 #[derive(Clone, Copy, Debug)]
-pub struct Manner {
+pub struct WatchOptions {
     /// Longest wait of one watch.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Pause after changes, so that what comes together is told by one call.
-    pub gather: Duration,
+    pub batch_delay: Duration,
 }
 
 /// Who told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The bulletin.
-    Bulletin,
+    Tree,
     /// The store, which has all objects of the kind.
     Store,
 }
 
 /// Follows the objects of `kind` until dropped, and tells `take` of each answer with its revision.
 /// `manner` is asked before each watch. While `fed` tells, the store is not asked.
-pub async fn follow(
+pub async fn list_and_watch(
     store: &Store,
     purpose: Purpose,
     kind: &str,
-    manner: impl Fn() -> Manner,
-    fed: Option<broadcast::Receiver<Fed>>,
-    mut take: impl FnMut(Update, u64),
+    options: impl Fn() -> WatchOptions,
+    feed: Option<broadcast::Receiver<Fed>>,
+    mut on_update: impl FnMut(Update, u64),
 ) {
-    let take = |update, revision, _| take(update, revision);
-    follow_from(store, purpose, kind, manner, fed, take).await;
+    let on_update = |update, revision, _| on_update(update, revision);
+    list_and_watch_with_origin(store, purpose, kind, options, feed, on_update).await;
 }
 
 /// The same as [`follow`], where it matters who told.
-pub async fn follow_from(
+pub async fn list_and_watch_with_origin(
     store: &Store,
     purpose: Purpose,
     kind: &str,
-    manner: impl Fn() -> Manner,
-    fed: Option<broadcast::Receiver<Fed>>,
-    mut take: impl FnMut(Update, u64, Origin),
+    options: impl Fn() -> WatchOptions,
+    feed: Option<broadcast::Receiver<Fed>>,
+    mut on_update: impl FnMut(Update, u64, Origin),
 ) {
-    let mut returns = store.returns();
-    let mut fed = Hearing::new(fed);
+    let mut recoveries = store.returns();
+    let mut feed = TreeFeed::new(feed);
     let mut revision = None;
     // Whether a watch may never tell what has changed since the revision: a store that has just cut
     // its watches or come back may take one from a revision whose history it no longer has, and stay
     // silent. In 5 of 16 plays a configuration was missed so for 4.6 s; with the list in none of 56.
     let mut must_list = true;
     loop {
-        returns.mark_unchanged();
-        let expected_until = fed.expected_until();
+        recoveries.mark_unchanged();
+        let first_update_deadline = feed.first_update_deadline();
         let from = revision.filter(|_| !must_list);
         let answer = tokio::select! {
             biased;
-            told = fed.next(), if fed.is_open() => {
-                if let Some((update, told)) = told {
+            received = feed.next_update(), if feed.is_open() => {
+                if let Some((update, update_revision)) = received {
                     // The holder may lag behind what is known here.
-                    if revision.is_none_or(|known| told >= known) {
-                        revision = Some(told);
+                    if revision.is_none_or(|known| update_revision >= known) {
+                        revision = Some(update_revision);
                         must_list = false;
-                        take(update, told, Origin::Bulletin);
+                        on_update(update, update_revision, Origin::Tree);
                     }
                 }
                 continue;
             }
-            () = until(expected_until) => {
-                fed.voice = Voice::Silent;
+            () = sleep_until_some(first_update_deadline) => {
+                feed.state = FeedState::Inactive;
                 continue;
             }
-            answer = once(store, purpose, kind, manner().wait, from), if fed.is_silent() => answer,
+            answer = list_or_watch(store, purpose, kind, options().max_wait, from), if feed.is_inactive() => answer,
             // A watch that began before the contact was lost may never hear of anything.
-            _ = returns.changed(), if fed.is_silent() => {
+            _ = recoveries.changed(), if feed.is_inactive() => {
                 must_list = true;
                 continue;
             }
         };
         match answer {
-            Ok((next, update)) => {
+            Ok((next_revision, update)) => {
                 // A revision that goes back is another history: nothing seen before counts.
-                if revision.is_some_and(|revision| next < revision) {
+                if revision.is_some_and(|revision| next_revision < revision) {
                     log::warn!(kind; "watch: revision went back, listing again");
                     revision = None;
                     must_list = true;
                     continue;
                 }
-                revision = Some(next);
+                revision = Some(next_revision);
                 must_list = false;
                 if let Some(update) = update {
-                    take(update, next, Origin::Store);
-                    sleep(manner().gather).await;
+                    on_update(update, next_revision, Origin::Store);
+                    sleep(options().batch_delay).await;
                 }
             }
             Err(error) => {
@@ -127,8 +127,8 @@
                 if error != Error::Gone {
                     // Callers are refused until what is followed is known.
                     tokio::select! {
-                        () = sleep(RETRY) => {}
-                        _ = returns.changed() => {}
+                        () = sleep(RETRY_DELAY) => {}
+                        _ = recoveries.changed() => {}
                     }
                 }
             }
@@ -138,28 +138,28 @@
 
 /// What is to be heard of the bulletin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Voice {
+enum FeedState {
     /// It may tell for the first time until then.
-    Expected(Instant),
+    Awaited(Instant),
     /// It tells all that changes.
-    Tells,
+    Active,
     /// Nothing: the store must be asked.
-    Silent,
+    Inactive,
 }
 
 /// Hears the bulletin.
-struct Hearing {
+struct TreeFeed {
     receiver: Option<broadcast::Receiver<Fed>>,
-    voice: Voice,
+    state: FeedState,
 }
 
-impl Hearing {
+impl TreeFeed {
     fn new(receiver: Option<broadcast::Receiver<Fed>>) -> Self {
-        let voice = match receiver {
-            Some(_) => Voice::Expected(Instant::now() + FIRST_WAIT),
-            None => Voice::Silent,
+        let state = match receiver {
+            Some(_) => FeedState::Awaited(Instant::now() + FIRST_UPDATE_TIMEOUT),
+            None => FeedState::Inactive,
         };
-        Self { receiver, voice }
+        Self { receiver, state }
     }
 
     const fn is_open(&self) -> bool {
@@ -167,15 +167,15 @@
     }
 
     /// Whether the store must be asked.
-    fn is_silent(&self) -> bool {
-        self.voice == Voice::Silent
+    fn is_inactive(&self) -> bool {
+        self.state == FeedState::Inactive
     }
 
     /// Until when it may tell for the first time, if it may.
-    const fn expected_until(&self) -> Option<Instant> {
-        match self.voice {
-            Voice::Expected(until) => Some(until),
-            Voice::Tells | Voice::Silent => None,
+    const fn first_update_deadline(&self) -> Option<Instant> {
+        match self.state {
+            FeedState::Awaited(deadline) => Some(deadline),
+            FeedState::Active | FeedState::Inactive => None,
         }
     }
 
@@ -183,37 +183,37 @@
     ///
     /// A loss that is told again changes nothing. When each one began a new watch, 70 instances made
     /// 1,700 calls in the 3 s between two holders of the bulletin.
-    async fn next(&mut self) -> Option<(Update, u64)> {
+    async fn next_update(&mut self) -> Option<(Update, u64)> {
         loop {
-            let heard = match &mut self.receiver {
+            let received = match &mut self.receiver {
                 Some(receiver) => receiver.recv().await,
                 None => std::future::pending().await,
             };
-            match heard {
+            match received {
                 Ok(Fed::Told(update, revision)) => {
                     // Changes alone may follow on what this part has missed.
                     if matches!(*update, Update::All(_)) {
-                        self.voice = Voice::Tells;
+                        self.state = FeedState::Active;
                     }
-                    if self.voice == Voice::Tells {
+                    if self.state == FeedState::Active {
                         return Some(((*update).clone(), revision));
                     }
                 }
-                Ok(Fed::Expected(until)) => {
-                    if self.expected_until().is_some() {
-                        self.voice = Voice::Expected(until);
+                Ok(Fed::Expected(deadline)) => {
+                    if self.first_update_deadline().is_some() {
+                        self.state = FeedState::Awaited(deadline);
                         return None;
                     }
                 }
                 Ok(Fed::Place(_)) => {}
                 Ok(Fed::Lost) | Err(broadcast::error::RecvError::Lagged(_)) => {
-                    if !self.is_silent() {
-                        self.voice = Voice::Silent;
+                    if !self.is_inactive() {
+                        self.state = FeedState::Inactive;
                         return None;
                     }
                 }
                 Err(broadcast::error::RecvError::Closed) => {
-                    self.voice = Voice::Silent;
+                    self.state = FeedState::Inactive;
                     self.receiver = None;
                     return None;
                 }
@@ -223,14 +223,14 @@
 }
 
 /// Sleeps until a moment; for good without one.
-async fn until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment).await,
+async fn sleep_until_some(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
 
-async fn once(
+async fn list_or_watch(
     store: &Store,
     purpose: Purpose,
     kind: &str,
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -13,7 +13,7 @@
         crashes::Crashes,
         duty::Duties,
         endpoints::Endpoints,
-        follow::{Manner, Update, follow},
+        list_watch::{Update, WatchOptions, list_and_watch},
         metrics::Metrics,
         relay::Relay,
         stall::StallDetector,
@@ -181,11 +181,11 @@
     async fn work(self: &Rc<Self>, model: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let manner = || Manner {
-            wait: self.parts.watch,
-            gather: Duration::ZERO,
+        let manner = || WatchOptions {
+            max_wait: self.parts.watch,
+            batch_delay: Duration::ZERO,
         };
-        let lots = follow(&store, Purpose::Lots, LOTS, manner, None, |update, _| {
+        let lots = list_and_watch(&store, Purpose::Lots, LOTS, manner, None, |update, _| {
             self.take(model, update);
         });
         tokio::select! {
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -18,7 +18,7 @@
 mod demand;
 mod duty;
 mod endpoints;
-mod follow;
+mod list_watch;
 mod lots;
 mod metrics;
 mod orders;
@@ -36,7 +36,7 @@
 mod usage;
 
 pub use bulletin::Fed;
-pub use follow::{Manner, Update, follow};
+pub use list_watch::{Update, WatchOptions, list_and_watch};
 pub use metrics::Metrics;
 pub use run::{Error, run};
 pub use stall::StallDetector;
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -12,7 +12,7 @@
     config::Config,
     duty::{Duties, Grant},
     endpoints::Endpoints,
-    follow::{Manner, Update, follow},
+    list_watch::{Update, WatchOptions, list_and_watch},
     metrics::Metrics,
     retire,
     store::Store,
@@ -156,11 +156,11 @@
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
         let (kind, wait) = (self.parts.adapter.places.versions, self.parts.watch);
-        let manner = || Manner {
-            wait,
-            gather: Duration::ZERO,
+        let manner = || WatchOptions {
+            max_wait: wait,
+            batch_delay: Duration::ZERO,
         };
-        let versions = follow(&store, Purpose::Weights, kind, manner, None, |update, _| {
+        let versions = list_and_watch(&store, Purpose::Weights, kind, manner, None, |update, _| {
             self.take(update);
         });
         let models = self.models(service).into_iter().map(|model| {
--- a/crates/pinereel/src/hosted/retire.rs
+++ b/crates/pinereel/src/hosted/retire.rs
@@ -3,7 +3,7 @@
 //! Nothing lies on an instance that is not in the object store, so each request is answered at once.
 
 use super::{
-    follow::{Manner, Update, follow},
+    list_watch::{Update, WatchOptions, list_and_watch},
     store::Store,
 };
 use crate::objects::Purpose;
@@ -17,12 +17,12 @@
 /// Answers the requests until dropped.
 pub async fn serve(store: &Store, adapter: Adapter, wait: Duration) {
     let (sender, mut asked) = mpsc::unbounded_channel();
-    let manner = || Manner {
-        wait,
-        gather: Duration::ZERO,
+    let manner = || WatchOptions {
+        max_wait: wait,
+        batch_delay: Duration::ZERO,
     };
     let kind = adapter.places.retirements;
-    let requests = follow(
+    let requests = list_and_watch(
         store,
         Purpose::Retirements,
         kind,
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -1,7 +1,7 @@
 //! Following a kind of objects through outages of the store.
 
 use pinereel::{
-    hosted::{Fed, Manner, Store, Update, follow},
+    hosted::{Fed, Store, Update, WatchOptions, list_and_watch},
     objects::{Client, Purpose},
     state::Clock,
 };
@@ -30,12 +30,12 @@
     let told = Told::default();
     let (following, telling) = (store.clone(), Rc::clone(&told));
     actix_rt::spawn(async move {
-        let manner = || Manner {
-            wait,
-            gather: Duration::ZERO,
+        let manner = || WatchOptions {
+            max_wait: wait,
+            batch_delay: Duration::ZERO,
         };
         let take = |update, _| note(&telling, update);
-        follow(&following, Purpose::Config, KIND, manner, fed, take).await;
+        list_and_watch(&following, Purpose::Config, KIND, manner, fed, take).await;
     });
     let looking = store.clone();
     actix_rt::spawn(async move { looking.look_out(KIND, "a", || false).await });
