--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -137,11 +137,11 @@
     pub(super) fn own(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
         let store = &self.parts.store;
-        let answered_ago = store.answered_ago();
+        let answered_ago = store.last_answer_ago();
         StoreStatus {
             age: answered_ago.filter(|_| listed),
             is_answering: answered_ago.is_some_and(|ago| ago < MAX_AGE),
-            store_uptime: store.calm(),
+            store_uptime: store.uptime(),
         }
     }
 
--- a/crates/pinereel/src/hosted/bulletin/topics.rs
+++ b/crates/pinereel/src/hosted/bulletin/topics.rs
@@ -66,7 +66,7 @@
 impl Bulletin {
     /// The store has told of a topic.
     pub(super) fn read(&self, topic: Topic, update: Update, revision: u64) {
-        let calm = self.parts.store.calm();
+        let calm = self.parts.store.uptime();
         for (topic, update) in self.split(topic, update) {
             if matches!(update, Update::All(_)) {
                 self.state.borrow_mut().listed.insert(topic);
--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -65,7 +65,7 @@
 
     /// Whether this instance hears of each change: from a parent with fresh news, or from the store itself.
     pub fn is_current(&self) -> bool {
-        self.feed.has_parent() || self.store.away_since().is_none()
+        self.feed.has_parent() || self.store.unreachable_since().is_none()
     }
 
     /// Tells the number in force when it changes.
--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -33,7 +33,7 @@
     pub(super) async fn look_out(&self, mut fed: broadcast::Receiver<Fed>) {
         let seed = hash::stable(self.id.as_bytes());
         let mut looks = PollSchedule::new(self.is_preferred(), seed);
-        let mut returns = self.store.returns();
+        let mut returns = self.store.recoveries();
         // The first look is for the holder of the bulletin, who is there only after those that should
         // rather hold it have looked.
         let mut told = false;
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -274,7 +274,7 @@
             holder = holder.with_max_acting_time(*span);
         }
         let mut told = false;
-        let mut returns = self.store.returns();
+        let mut returns = self.store.recoveries();
         // Those that should hold it look first, and find nothing; the others find their lease.
         sleep(self.modesty(duty) + self.jitter(duty)).await;
         loop {
@@ -324,12 +324,12 @@
             holder.set_cooldown_ends(*own, *others);
         }
         holder.set_takeover_delay(turn + self.modesty(duty));
-        if self.store.away_since().is_some() {
+        if self.store.unreachable_since().is_some() {
             holder.note_store_unreachable();
         }
         let now = self.now();
         // A look that was asked for before the store was away may be answered now.
-        if let Some(ago) = self.store.returned_ago() {
+        if let Some(ago) = self.store.recovered_ago() {
             holder.note_store_recovered(now, ago);
         }
         let actions = holder.step(now, event);
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -155,7 +155,7 @@
     /// been answered for longer than entries take to come back: then this instance alone was cut off,
     /// and an endpoint that had left meanwhile got requests for 1.8 s more.
     fn may_have_lapsed(&self) -> bool {
-        self.parts.store.was_away_within(AWAY) && self.parts.feed.calm() < BACK
+        self.parts.store.has_failed_within(AWAY) && self.parts.feed.calm() < BACK
     }
 
     /// Forgets engines that the store told of while there was no bulletin.
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -68,7 +68,7 @@
     feed: Option<broadcast::Receiver<Fed>>,
     mut on_update: impl FnMut(Update, u64, Origin),
 ) {
-    let mut recoveries = store.returns();
+    let mut recoveries = store.recoveries();
     let mut feed = TreeFeed::new(feed);
     let mut revision = None;
     // Whether a watch may never tell what has changed since the revision: a store that has just cut
--- a/crates/pinereel/src/hosted/lots/desk.rs
+++ b/crates/pinereel/src/hosted/lots/desk.rs
@@ -305,7 +305,11 @@
             if Instant::now() >= give_up {
                 break;
             }
-            match self.store.report(Purpose::Lots, LOTS, lot, &status).await {
+            match self
+                .store
+                .update_status(Purpose::Lots, LOTS, lot, &status)
+                .await
+            {
                 Ok(()) => {
                     reply = Reply::Ended;
                     break;
--- a/crates/pinereel/src/hosted/ready.rs
+++ b/crates/pinereel/src/hosted/ready.rs
@@ -55,7 +55,7 @@
         if !self.endpoints.is_known() {
             return Some("no endpoint list\n");
         }
-        let away = self.store.away_since();
+        let away = self.store.unreachable_since();
         let away = away.is_some_and(|since| since.elapsed() >= AWAY);
         away.then_some("no contact with the object store\n")
     }
--- a/crates/pinereel/src/hosted/retire.rs
+++ b/crates/pinereel/src/hosted/retire.rs
@@ -62,7 +62,7 @@
 async fn answer(store: &Store, adapter: Adapter, object: &Object) {
     let (kind, status) = (adapter.places.retirements, (adapter.retired)());
     loop {
-        let written = store.report(Purpose::Retirements, kind, &object.name, &status);
+        let written = store.update_status(Purpose::Retirements, kind, &object.name, &status);
         match written.await {
             Ok(()) => {
                 let instance = object.name.as_str();
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -176,7 +176,7 @@
         loop {
             let table = self.config.table();
             let known = table.is_some() && self.endpoints.is_known();
-            if known || self.store.away_since().is_some() || Instant::now() >= end {
+            if known || self.store.unreachable_since().is_some() || Instant::now() >= end {
                 return table;
             }
             sleep(LOOK).await;
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -17,122 +17,127 @@
 /// Pause between two probes while the store is away; each costs a tenth of a call, 0.7 calls a second.
 /// Instances so find it within 0.15 s of its return; behind the breaker's back-off it takes up to 0.7 s
 /// (times in the logs of nine instances), and lots are refused whose trainers offer them for the last time.
-const PROBE: Duration = Duration::from_millis(150);
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The same for an instance that another one tells of all changes: its news do not wait for the store, and
 /// of 165 instances that are told 7 a second each would look for nothing.
-const TOLD_PROBE: Duration = Duration::from_millis(1_000);
+const FED_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// After so long without an answer only probes and lots' writes go out; all else waits for a probe's
 /// success. A quarter of the instances may be turned away while the others are served, and each call
 /// is paid for, a refused one as well.
-const ONLY_PROBES: Duration = Duration::from_millis(1_000);
+const URGENT_ONLY_AFTER: Duration = Duration::from_millis(1_000);
 /// One probe of so many is a linearizable read, for a store that answers those alone.
-const FULL_PROBE: u32 = 10;
+const LINEARIZABLE_PROBE_PERIOD: u32 = 10;
 
 /// The store's calls; clones share budget and contact.
 #[derive(Clone)]
 pub struct Store {
     client: Client,
     dialect: Dialect,
-    contact: Rc<Contact>,
+    health: Rc<Health>,
 }
 
 /// What this process knows of its contact with the store.
-struct Contact {
+struct Health {
     /// Since when every call has failed; none while calls are answered.
-    away_since: Cell<Option<Instant>>,
+    unreachable_since: Cell<Option<Instant>>,
     /// When this process began to make calls.
-    began_at: Instant,
+    started_at: Instant,
     /// When a call last failed.
-    failed_at: Cell<Option<Instant>>,
+    last_failure_at: Cell<Option<Instant>>,
     /// When a call was last answered.
-    answered_at: Cell<Option<Instant>>,
+    last_answer_at: Cell<Option<Instant>>,
     /// When the contact was last back.
-    returned_at: Cell<Option<Instant>>,
+    recovered_at: Cell<Option<Instant>>,
     /// Grows each time that the contact is back: whoever waits for news asks anew.
-    returns: watch::Sender<u64>,
+    recoveries: watch::Sender<u64>,
     /// Whether probes are sent while the store is away.
-    probed: Cell<bool>,
+    is_probing: Cell<bool>,
 }
 
 impl Store {
     /// The store behind `client`, in `dialect`.
     pub fn new(client: Client, dialect: Dialect) -> Self {
-        let contact = Contact {
-            away_since: Cell::new(None),
-            began_at: Instant::now(),
-            failed_at: Cell::new(None),
-            answered_at: Cell::new(None),
-            returned_at: Cell::new(None),
-            returns: watch::channel(0).0,
-            probed: Cell::new(false),
+        let health = Health {
+            unreachable_since: Cell::new(None),
+            started_at: Instant::now(),
+            last_failure_at: Cell::new(None),
+            last_answer_at: Cell::new(None),
+            recovered_at: Cell::new(None),
+            recoveries: watch::channel(0).0,
+            is_probing: Cell::new(false),
         };
         Self {
             client,
             dialect,
-            contact: Rc::new(contact),
+            health: Rc::new(health),
         }
     }
 
     /// Since when every call has failed; none while calls are answered.
-    pub fn away_since(&self) -> Option<Instant> {
-        self.contact.away_since.get()
+    pub fn unreachable_since(&self) -> Option<Instant> {
+        self.health.unreachable_since.get()
     }
 
     /// Whether calls wait for a probe's success. Decided here and not by the client's breaker, which
     /// takes a refusal for its rate for an answer; an instance that is turned away gets just these.
-    fn holds_back(&self) -> bool {
-        let away = self.away_since();
-        self.contact.probed.get() && away.is_some_and(|since| since.elapsed() >= ONLY_PROBES)
+    fn sends_urgent_only(&self) -> bool {
+        let unreachable_since = self.unreachable_since();
+        self.health.is_probing.get()
+            && unreachable_since.is_some_and(|since| since.elapsed() >= URGENT_ONLY_AFTER)
     }
 
     /// How long ago the contact was last back after failures.
-    pub fn returned_ago(&self) -> Option<Duration> {
-        self.contact.returned_at.get().map(|at| at.elapsed())
+    pub fn recovered_ago(&self) -> Option<Duration> {
+        self.health.recovered_at.get().map(|at| at.elapsed())
     }
 
     /// Whether a call failed within the last `span`.
-    pub fn was_away_within(&self, span: Duration) -> bool {
-        let failed = self.contact.failed_at.get();
-        failed.is_some_and(|at| at.elapsed() < span)
+    pub fn has_failed_within(&self, span: Duration) -> bool {
+        let last_failure_at = self.health.last_failure_at.get();
+        last_failure_at.is_some_and(|at| at.elapsed() < span)
     }
 
     /// For how long no call has failed; since the start if none ever did.
-    pub fn calm(&self) -> Duration {
-        let since = self.contact.failed_at.get();
-        since.unwrap_or(self.contact.began_at).elapsed()
+    pub fn uptime(&self) -> Duration {
+        let since = self.health.last_failure_at.get();
+        since.unwrap_or(self.health.started_at).elapsed()
     }
 
     /// Time since a call was last answered; none if none ever was.
-    pub fn answered_ago(&self) -> Option<Duration> {
-        self.contact.answered_at.get().map(|at| at.elapsed())
+    pub fn last_answer_ago(&self) -> Option<Duration> {
+        self.health.last_answer_at.get().map(|at| at.elapsed())
     }
 
     /// Tells each time that the contact is back after failures.
-    pub fn returns(&self) -> watch::Receiver<u64> {
-        self.contact.returns.subscribe()
+    pub fn recoveries(&self) -> watch::Receiver<u64> {
+        self.health.recoveries.subscribe()
     }
 
     /// While the store is away, looks whether it is back: an instance that the bulletin tells of all
     /// changes may have no other call to make for a long time. `is_told` says whether it is told now.
     /// Never returns.
-    pub async fn look_out(
+    pub async fn probe_while_unreachable(
         &self,
         kind: &'static str,
         name: &'static str,
-        is_told: impl Fn() -> bool,
+        is_fed: impl Fn() -> bool,
     ) {
-        self.contact.probed.set(true);
-        let mut probes = 0_u32;
-        let mut last = Instant::now();
+        self.health.is_probing.set(true);
+        let mut probe_count = 0_u32;
+        let mut last_probe_at = Instant::now();
         loop {
-            sleep(PROBE).await;
-            let pause = if is_told() { TOLD_PROBE } else { PROBE };
-            if self.away_since().is_some() && last.elapsed() >= pause {
-                last = Instant::now();
-                probes = probes.wrapping_add(1);
-                let freshness = match probes % FULL_PROBE {
+            sleep(PROBE_INTERVAL).await;
+            let interval = if is_fed() {
+                FED_PROBE_INTERVAL
+            } else {
+                PROBE_INTERVAL
+            };
+            if self.unreachable_since().is_some() && last_probe_at.elapsed() >= interval {
+                last_probe_at = Instant::now();
+                probe_count = probe_count.wrapping_add(1);
+                let freshness = match probe_count % LINEARIZABLE_PROBE_PERIOD {
                     0 => Freshness::Current,
                     _ => Freshness::Stale,
                 };
@@ -150,7 +155,7 @@
         let call = (self.dialect.read)(kind, name, freshness);
         let client = &self.client;
         let probe = client.exchange(Purpose::Config, Access::Probe, call, Duration::ZERO);
-        self.judge(probe.await).is_ok()
+        self.record_outcome(probe.await).is_ok()
     }
 
     /// Calls since the start.
@@ -170,10 +175,10 @@
         freshness: Freshness,
     ) -> Result<Option<Object>, Error> {
         let call = (self.dialect.read)(kind, name, freshness);
-        match self.ask(purpose, access(freshness), call).await {
-            Ok(body) => decode(self.dialect.object, &body).map(Some),
+        match self.request(purpose, read_access(freshness), call).await {
+            Ok(body) => decode_body(self.dialect.object, &body).map(Some),
             Err(Error::NotFound) => Ok(None),
-            Err(e) => Err(e),
+            Err(error) => Err(error),
         }
     }
 
@@ -181,7 +186,7 @@
     ///
     /// # Errors
     /// If the store did not answer so.
-    pub async fn page(
+    pub async fn list_page(
         &self,
         purpose: Purpose,
         kind: &str,
@@ -189,8 +194,8 @@
         freshness: Freshness,
     ) -> Result<Page, Error> {
         let call = (self.dialect.list)(kind, after, freshness);
-        let body = self.ask(purpose, access(freshness), call).await?;
-        decode(self.dialect.page, &body)
+        let body = self.request(purpose, read_access(freshness), call).await?;
+        decode_body(self.dialect.page, &body)
     }
 
     /// All objects of a kind of the names after `after`, and the revision to watch from.
@@ -203,7 +208,9 @@
         kind: &str,
         after: Option<&str>,
     ) -> Result<(Vec<Object>, u64), Error> {
-        let mut page = self.page(purpose, kind, after, Freshness::Current).await?;
+        let mut page = self
+            .list_page(purpose, kind, after, Freshness::Current)
+            .await?;
         // Changes during the list are told by a watch from its first page on.
         let revision = page.revision;
         let mut objects = std::mem::take(&mut page.objects);
@@ -212,7 +219,7 @@
                 break;
             };
             page = self
-                .page(purpose, kind, Some(&last), Freshness::Current)
+                .list_page(purpose, kind, Some(&last), Freshness::Current)
                 .await?;
             objects.append(&mut page.objects);
         }
@@ -232,7 +239,7 @@
     ) -> Result<Changes, Error> {
         let call = (self.dialect.watch)(kind, after, wait);
         let body = self.exchange(purpose, Access::Watch, call, wait).await?;
-        decode(self.dialect.changes, &body)
+        decode_body(self.dialect.changes, &body)
     }
 
     /// Creates an object that must not exist; `spec` is JSON text.
@@ -247,8 +254,8 @@
         spec: &str,
     ) -> Result<Object, Error> {
         let call = (self.dialect.create)(kind, name, spec);
-        let body = self.ask(purpose, Access::Write, call).await?;
-        decode(self.dialect.object, &body)
+        let body = self.request(purpose, Access::Write, call).await?;
+        decode_body(self.dialect.object, &body)
     }
 
     /// Replaces the spec of an object that must have `revision`.
@@ -264,15 +271,15 @@
         spec: &Value,
     ) -> Result<Object, Error> {
         let call = (self.dialect.update)(kind, name, revision, spec);
-        let body = self.ask(purpose, Access::Write, call).await?;
-        decode(self.dialect.object, &body)
+        let body = self.request(purpose, Access::Write, call).await?;
+        decode_body(self.dialect.object, &body)
     }
 
     /// Replaces the status of an object.
     ///
     /// # Errors
     /// [`Error::NotFound`] if there is no such object.
-    pub async fn report(
+    pub async fn update_status(
         &self,
         purpose: Purpose,
         kind: &str,
@@ -280,7 +287,7 @@
         status: &Value,
     ) -> Result<(), Error> {
         let call = (self.dialect.report)(kind, name, status);
-        self.ask(purpose, Access::Write, call).await.map(drop)
+        self.request(purpose, Access::Write, call).await.map(drop)
     }
 
     /// Deletes an object; one that does not exist is no error.
@@ -289,13 +296,13 @@
     /// If the store did not answer so.
     pub async fn delete(&self, purpose: Purpose, kind: &str, name: &str) -> Result<(), Error> {
         let call = (self.dialect.delete)(kind, name);
-        match self.ask(purpose, Access::Write, call).await {
+        match self.request(purpose, Access::Write, call).await {
             Ok(_) | Err(Error::NotFound) => Ok(()),
-            Err(e) => Err(e),
+            Err(error) => Err(error),
         }
     }
 
-    async fn ask(&self, purpose: Purpose, access: Access, call: Call) -> Result<Bytes, Error> {
+    async fn request(&self, purpose: Purpose, access: Access, call: Call) -> Result<Bytes, Error> {
         self.exchange(purpose, access, call, Duration::ZERO).await
     }
 
@@ -306,47 +313,47 @@
         call: Call,
         wait: Duration,
     ) -> Result<Bytes, Error> {
-        if !purpose.is_urgent(access) && self.holds_back() {
+        if !purpose.is_urgent(access) && self.sends_urgent_only() {
             return Err(Error::NotSent("the store is away".into()));
         }
         let answer = self.client.exchange(purpose, access, call, wait).await;
-        self.judge(answer)
+        self.record_outcome(answer)
     }
 
     /// Notes whether the store is in contact, and what the status means.
-    fn judge(&self, answer: Result<(StatusCode, Bytes), Error>) -> Result<Bytes, Error> {
-        let result = answer.and_then(|(status, body)| meaning(status).map(|()| body));
+    fn record_outcome(&self, answer: Result<(StatusCode, Bytes), Error>) -> Result<Bytes, Error> {
+        let result = answer.and_then(|(status, body)| check_status(status).map(|()| body));
         match &result {
-            Err(Error::NotSent(_) | Error::Refused(_) | Error::Unknown(_)) => self.contact.failed(),
-            _ => self.contact.answered(),
+            Err(Error::NotSent(_) | Error::Refused(_) | Error::Unknown(_)) => self.health.on_fail(),
+            _ => self.health.on_answer(),
         }
         result
     }
 }
 
-impl Contact {
-    fn failed(&self) {
+impl Health {
+    fn on_fail(&self) {
         let now = Instant::now();
-        self.failed_at.set(Some(now));
-        if self.away_since.get().is_none() {
-            self.away_since.set(Some(now));
+        self.last_failure_at.set(Some(now));
+        if self.unreachable_since.get().is_none() {
+            self.unreachable_since.set(Some(now));
             log::warn!("object store: contact lost");
         }
     }
 
-    fn answered(&self) {
-        self.answered_at.set(Some(Instant::now()));
-        if let Some(since) = self.away_since.take() {
-            let millis = since.elapsed().as_millis() as u64;
-            log::info!(away_ms = millis; "object store: contact regained");
-            self.returned_at.set(Some(Instant::now()));
-            self.returns.send_modify(|returns| *returns += 1);
+    fn on_answer(&self) {
+        self.last_answer_at.set(Some(Instant::now()));
+        if let Some(since) = self.unreachable_since.take() {
+            let outage_ms = since.elapsed().as_millis() as u64;
+            log::info!(away_ms = outage_ms; "object store: contact regained");
+            self.recovered_at.set(Some(Instant::now()));
+            self.recoveries.send_modify(|count| *count += 1);
         }
     }
 }
 
 /// Only 429 and 503 promise that nothing was done.
-fn meaning(status: StatusCode) -> Result<(), Error> {
+fn check_status(status: StatusCode) -> Result<(), Error> {
     match status {
         StatusCode::OK | StatusCode::CREATED | StatusCode::NO_CONTENT => Ok(()),
         StatusCode::NOT_FOUND => Err(Error::NotFound),
@@ -360,14 +367,14 @@
     }
 }
 
-fn decode<T>(decode: fn(&[u8]) -> Result<T, Fault>, body: &[u8]) -> Result<T, Error> {
+fn decode_body<T>(decode: fn(&[u8]) -> Result<T, Fault>, body: &[u8]) -> Result<T, Error> {
     decode(body).map_err(|fault| {
         log::error!("object store: {fault}");
         Error::Malformed(fault.to_string())
     })
 }
 
-const fn access(freshness: Freshness) -> Access {
+const fn read_access(freshness: Freshness) -> Access {
     match freshness {
         Freshness::Current => Access::Read,
         Freshness::Stale => Access::Probe,
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -38,7 +38,7 @@
         list_and_watch(&following, Purpose::Config, KIND, manner, fed, take).await;
     });
     let looking = store.clone();
-    actix_rt::spawn(async move { looking.look_out(KIND, "a", || false).await });
+    actix_rt::spawn(async move { looking.probe_while_unreachable(KIND, "a", || false).await });
     (stand_in, store, told)
 }
 
@@ -66,7 +66,7 @@
     stand_in.set(Fault::DOWN);
     // The watch that waits comes to its end, and the next one is refused.
     sleep(Duration::from_millis(500)).await;
-    assert!(store.away_since().is_some());
+    assert!(store.unreachable_since().is_some());
     stand_in.put(KIND, "a", json!({"x": 2}));
     stand_in.compact();
     stand_in.set(Fault {
