--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -296,7 +296,7 @@
 
     /// Whom this instance may turn to for news.
     pub(super) fn targets(&self) -> Vec<CompactString> {
-        let holder = self.parts.duties.address(super::DUTY);
+        let holder = self.parts.duties.holder_address(super::DUTY);
         self.uplink.borrow().link_targets(holder)
     }
 }
--- a/crates/pinereel/src/hosted/bulletin/search.rs
+++ b/crates/pinereel/src/hosted/bulletin/search.rs
@@ -60,7 +60,7 @@
 impl Bulletin {
     /// Looks for a parent until there is one.
     pub(super) async fn search(&self, needed: Needed) -> Link {
-        let mut looks = self.parts.duties.looks();
+        let mut looks = self.parts.duties.subscribe_polls();
         let mut rounds = 0;
         loop {
             looks.mark_unchanged();
--- a/crates/pinereel/src/hosted/bulletin/source.rs
+++ b/crates/pinereel/src/hosted/bulletin/source.rs
@@ -47,7 +47,7 @@
         loop {
             let store = &self.parts.store;
             changes.mark_unchanged();
-            match store.list(Purpose::Leases, duty::KIND, None).await {
+            match store.list(Purpose::Leases, duty::LEASE_KIND, None).await {
                 Ok((mut objects, revision)) => {
                     kept.listed(crashes, take_out(&mut objects));
                     self.read(Topic::Leases, Update::All(objects), revision);
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/bulletin/uplink.rs
@@ -5,7 +5,7 @@
     search::{Link, Needed},
     topics::{Publication, Stamp},
 };
-use crate::hosted::duty::Standing;
+use crate::hosted::duty::Status;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
 use pinereel_core::tree::SubtreeSize;
 use pinereel_port::store::Freshness;
@@ -42,10 +42,10 @@
 
 impl Bulletin {
     pub(super) async fn run(self: Rc<Self>) {
-        let mut standing = self.parts.duties.join(&DUTY.into());
+        let mut standing = self.parts.duties.register_candidate(&DUTY.into());
         let mut found = None;
         loop {
-            let leads = standing.borrow_and_update().grant.is_some();
+            let leads = standing.borrow_and_update().lease.is_some();
             if leads && !self.is_leaving() {
                 let mut leaving = self.leaving.subscribe();
                 let end = async {
@@ -72,7 +72,7 @@
 
     /// Finds a parent; reads the store meanwhile if others wait for its news. None if this instance has
     /// the duty.
-    async fn find(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn find(&self, standing: &mut watch::Receiver<Status>) -> Option<Link> {
         tokio::select! {
             found = timeout(PATIENCE, self.search_patiently()) => match found {
                 Ok(Some(link)) => return Some(link),
@@ -87,7 +87,7 @@
 
     /// Reads the store if others wait for its news, and goes without news else, until there is a parent
     /// again; none if this instance has the duty.
-    async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn go_on_alone(&self, standing: &mut watch::Receiver<Status>) -> Option<Link> {
         let has_children = !self.state.borrow().branch.is_empty();
         let is_needed = has_children || self.uplink.borrow().is_standby();
         if is_needed && !self.is_leaving() {
@@ -109,7 +109,7 @@
     }
 
     /// Reads the store for those below until there is a parent again; none if this instance has the duty.
-    async fn stand_in(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn stand_in(&self, standing: &mut watch::Receiver<Status>) -> Option<Link> {
         log::info!("bulletin: standing in");
         let end = async {
             tokio::select! {
@@ -132,7 +132,7 @@
     }
 
     /// Hears a parent's news as long as they are fresh.
-    async fn stay(&self, mut link: Link, standing: &mut watch::Receiver<Standing>) -> Left {
+    async fn stay(&self, mut link: Link, standing: &mut watch::Receiver<Status>) -> Left {
         let address = link.address.clone();
         if !self
             .uplink
@@ -248,8 +248,8 @@
     }
 
     /// Waits until this instance has the duty; for good if it is leaving.
-    async fn has_taken(&self, standing: &mut watch::Receiver<Standing>) {
-        let taken = standing.wait_for(|s| s.grant.is_some()).await.is_ok();
+    async fn has_taken(&self, standing: &mut watch::Receiver<Status>) {
+        let taken = standing.wait_for(|s| s.lease.is_some()).await.is_ok();
         if !taken || self.is_leaving() {
             // The process is ending.
             std::future::pending::<()>().await;
@@ -326,8 +326,8 @@
 }
 
 /// Waits until this instance does not have the duty any more.
-async fn has_lost(standing: &mut watch::Receiver<Standing>) {
-    if standing.wait_for(Standing::is_lost).await.is_err() {
+async fn has_lost(standing: &mut watch::Receiver<Status>) {
+    if standing.wait_for(Status::is_not_held).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/pinereel/src/hosted/crashes/kept.rs
+++ b/crates/pinereel/src/hosted/crashes/kept.rs
@@ -87,7 +87,7 @@
             .borrow()
             .as_ref()
             .map(|seen| (seen.revision, seen.facts == own));
-        let (purpose, kind) = (Purpose::Leases, duty::KIND);
+        let (purpose, kind) = (Purpose::Leases, duty::LEASE_KIND);
         let spec = || serde_json::json!(Content { reports });
         let written = match seen {
             None if own.is_empty() => return Ok(()),
--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -9,7 +9,7 @@
 pub fn model_demands(config: &Config, duties: &Duties, service: &str) -> Vec<Demand> {
     let models = engine_config(config, service).map(|engine| engine.models);
     let demand = |model: CompactString| {
-        let lot_demand = duties.demand(&lots::duty(&model));
+        let lot_demand = duties.lot_demand(&lots::duty(&model));
         Demand {
             tokens: lot_demand.tokens,
             items: lot_demand.items,
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -1,10 +1,10 @@
 //! Duties that one instance has at a time, by leases in the object store.
 
-mod call;
-mod look;
-mod standing;
+mod poll;
+mod status;
+mod store_call;
 
-pub use standing::{Grant, Standing};
+pub use status::{HeldLease, Status};
 
 use super::{
     bulletin::{Feed, Topic},
@@ -32,11 +32,11 @@
 };
 
 /// Kind of the leases, one object a duty.
-pub const KIND: &str = "pinereel-duties";
+pub const LEASE_KIND: &str = "pinereel-duties";
 
 /// Times of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
 /// and an item must not wait for 5 s. A holder renews about every 0.7 s, which is one call.
-const LIMITS: Timing = Timing {
+const TIMING: Timing = Timing {
     duration: Duration::from_millis(2_000),
     clock_margin: Duration::from_millis(200),
     retry_interval: Duration::from_millis(700),
@@ -45,19 +45,19 @@
 /// Each duty that an instance holds already lets it wait so much longer before it takes another, so
 /// that they spread: about four turns of [`Rank`], so that the loss of one instance seldom ends two
 /// duties.
-const HELD_DELAY: Duration = Duration::from_millis(400);
+const DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(400);
 /// An instance waits so long for each part that it lacks to [`AMPLE_CORES`].
-const SMALL_DELAY: Duration = Duration::from_millis(1_000);
+const MAX_SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(1_000);
 /// The first looks of instances that start together spread over this time.
-const FIRST_LOOKS: Duration = Duration::from_millis(400);
+const MAX_START_DELAY: Duration = Duration::from_millis(400);
 /// Cores with which an instance does not wait: lots of a few hundred items run well on it.
-const AMPLE_CORES: f64 = 0.25;
+const PREFERRED_MIN_CORES: f64 = 0.25;
 
 /// Shortest sleep between two looks at what is due.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(10);
+const MIN_SLEEP: Duration = Duration::from_millis(10);
 
 /// What duties are made of.
-pub struct Parts {
+pub struct Dependencies {
     /// The object store.
     pub store: Store,
     /// Name of this instance.
@@ -86,41 +86,41 @@
     /// Where other instances reach this one; empty if nowhere.
     own_address: CompactString,
     clock: Rc<dyn Fn() -> Time>,
-    joined: RefCell<BTreeMap<CompactString, watch::Sender<Standing>>>,
+    statuses: RefCell<BTreeMap<CompactString, watch::Sender<Status>>>,
     /// Duties that are not released yet after a drain.
-    unreleased: Cell<usize>,
+    unreleased_count: Cell<usize>,
     /// Cores of this instance.
     cores: f64,
     metrics: Metrics,
     /// Requests under which endpoints crash: what the store keeps of them is listed with the leases.
     crashes: Rc<Crashes>,
     draining: Cell<bool>,
-    drain: Notify,
+    drain_started: Notify,
     /// The last look at all leases, counted from 1; 0 before the first.
-    look: watch::Sender<u64>,
-    page: RefCell<Vec<Object>>,
+    poll_count: watch::Sender<u64>,
+    polled_objects: RefCell<Vec<Object>>,
     /// When that was looked at.
-    looked_at: Cell<Option<Time>>,
+    polled_at: Cell<Option<Time>>,
     /// What a lot needs, by duty of this instance; told in their leases.
-    demands: RefCell<BTreeMap<CompactString, LotDemand>>,
+    lot_demands: RefCell<BTreeMap<CompactString, LotDemand>>,
     /// How long after a renewal this instance acts at most, by duty.
-    acts: RefCell<BTreeMap<CompactString, Duration>>,
+    max_acting_times: RefCell<BTreeMap<CompactString, Duration>>,
     /// Until when acts must rest after this holder, by duty: its own next start's, and others'.
-    rests: RefCell<BTreeMap<CompactString, (Time, Time)>>,
+    cooldown_ends: RefCell<BTreeMap<CompactString, (Time, Time)>>,
     /// Somebody wants a look now.
-    wanted: Notify,
+    poll_requested: Notify,
     /// The place of this instance among all candidates, as it was last told.
-    place: Cell<Option<Rank>>,
+    rank: Cell<Option<Rank>>,
     /// Duties that are free, and that this instance is about to take.
-    taking: RefCell<BTreeSet<CompactString>>,
+    pending_takeovers: RefCell<BTreeSet<CompactString>>,
     /// Candidates that wait for the next look.
-    waiting: Cell<usize>,
+    waiting_candidates: Cell<usize>,
 }
 
 impl Duties {
     /// No duties yet.
-    pub fn new(parts: Parts) -> Rc<Self> {
-        let Parts {
+    pub fn new(dependencies: Dependencies) -> Rc<Self> {
+        let Dependencies {
             store,
             instance,
             incarnation,
@@ -130,34 +130,34 @@
             feed,
             crashes,
             clock,
-        } = parts;
+        } = dependencies;
         let duties = Rc::new(Self {
             id: format_compact!("{instance}/{incarnation:x}"),
             store,
             instance,
             own_address: address,
             clock: Rc::new(clock),
-            joined: RefCell::default(),
-            unreleased: Cell::new(0),
+            statuses: RefCell::default(),
+            unreleased_count: Cell::new(0),
             cores,
             metrics,
             crashes,
-            look: watch::channel(0).0,
-            page: RefCell::default(),
-            looked_at: Cell::default(),
-            demands: RefCell::default(),
-            acts: RefCell::default(),
-            rests: RefCell::default(),
-            wanted: Notify::new(),
-            place: Cell::default(),
-            taking: RefCell::default(),
-            waiting: Cell::new(0),
+            poll_count: watch::channel(0).0,
+            polled_objects: RefCell::default(),
+            polled_at: Cell::default(),
+            lot_demands: RefCell::default(),
+            max_acting_times: RefCell::default(),
+            cooldown_ends: RefCell::default(),
+            poll_requested: Notify::new(),
+            rank: Cell::default(),
+            pending_takeovers: RefCell::default(),
+            waiting_candidates: Cell::new(0),
             draining: Cell::new(false),
-            drain: Notify::new(),
+            drain_started: Notify::new(),
         });
-        let looking = Rc::clone(&duties);
-        let fed = feed.hear(Topic::Leases);
-        actix_rt::spawn(async move { looking.look_out(fed).await });
+        let poller = Rc::clone(&duties);
+        let lease_feed = feed.hear(Topic::Leases);
+        actix_rt::spawn(async move { poller.poll_leases(lease_feed).await });
         duties
     }
 
@@ -178,77 +178,81 @@
 
     /// Takes part in a duty from now on, and tells when its lease comes and goes. The receiver may
     /// lag: ask [`Duties::acts`] right before each act.
-    pub fn join(self: &Rc<Self>, duty: &CompactString) -> watch::Receiver<Standing> {
-        let mut joined = self.joined.borrow_mut();
-        if let Some(sender) = joined.get(duty) {
-            return sender.subscribe();
+    pub fn register_candidate(self: &Rc<Self>, duty: &CompactString) -> watch::Receiver<Status> {
+        let mut statuses = self.statuses.borrow_mut();
+        if let Some(status_sender) = statuses.get(duty) {
+            return status_sender.subscribe();
         }
-        let (sender, receiver) = watch::channel(Standing::default());
-        joined.insert(duty.clone(), sender);
-        self.unreleased.set(self.unreleased.get() + 1);
-        let (state, duty) = (Rc::clone(self), duty.clone());
-        actix_rt::spawn(async move { state.run(&duty).await });
+        let (status_sender, receiver) = watch::channel(Status::default());
+        statuses.insert(duty.clone(), status_sender);
+        self.unreleased_count.set(self.unreleased_count.get() + 1);
+        let (duties, duty) = (Rc::clone(self), duty.clone());
+        actix_rt::spawn(async move { duties.run_candidate(&duty).await });
         receiver
     }
 
     /// The lease of a duty if this instance may act on it now.
-    pub fn acts(&self, duty: &str) -> Option<Grant> {
-        let joined = self.joined.borrow();
-        let grant = joined.get(duty)?.borrow().grant?;
-        (self.now() < grant.until).then_some(grant)
+    pub fn held_lease(&self, duty: &str) -> Option<HeldLease> {
+        let statuses = self.statuses.borrow();
+        let lease = statuses.get(duty)?.borrow().lease?;
+        (self.now() < lease.valid_until).then_some(lease)
     }
 
     /// Whether this instance should rather hold duties than others.
     pub fn is_preferred(&self) -> bool {
-        self.cores >= AMPLE_CORES
+        self.cores >= PREFERRED_MIN_CORES
     }
 
     /// Tells in the lease of a duty, from its next renewal on, what its lots need.
-    pub fn set_demand(&self, duty: CompactString, size: LotDemand) {
-        self.demands.borrow_mut().insert(duty, size);
+    pub fn set_lot_demand(&self, duty: CompactString, demand: LotDemand) {
+        self.lot_demands.borrow_mut().insert(duty, demand);
     }
 
     /// Lets this instance act for `span` after a renewal at most; to be called before it takes part in the
     /// duty.
-    pub fn act_for(&self, duty: &CompactString, span: Duration) {
-        self.acts.borrow_mut().insert(duty.clone(), span);
+    pub fn set_max_acting_time(&self, duty: &CompactString, span: Duration) {
+        self.max_acting_times
+            .borrow_mut()
+            .insert(duty.clone(), span);
     }
 
     /// Tells in the lease of a duty until when acts must rest after this holder: those of its own next
     /// start on this machine, and those of others once it has released the lease.
-    pub fn set_rests(&self, duty: &CompactString, own: Time, others: Time) {
-        self.rests.borrow_mut().insert(duty.clone(), (own, others));
+    pub fn set_cooldown_ends(&self, duty: &CompactString, own: Time, others: Time) {
+        self.cooldown_ends
+            .borrow_mut()
+            .insert(duty.clone(), (own, others));
     }
 
     /// Duties that this instance holds.
-    pub fn held(&self) -> usize {
-        let joined = self.joined.borrow();
-        let held = joined
+    pub fn held_count(&self) -> usize {
+        let statuses = self.statuses.borrow();
+        let held = statuses
             .values()
-            .filter(|standing| standing.borrow().grant.is_some());
+            .filter(|status| status.borrow().lease.is_some());
         held.count()
     }
 
     /// Does `work` whenever this instance has the duty, until another one is known to have it or it is given
     /// up; then asks `goes_on` whether to wait for the next time.
-    pub async fn whenever_held(
+    pub async fn run_while_held(
         self: &Rc<Self>,
         duty: &CompactString,
         work: impl AsyncFn(),
-        goes_on: impl Fn() -> bool,
+        should_continue: impl Fn() -> bool,
     ) {
-        let mut standing = self.join(duty);
-        while standing.wait_for(|s| s.grant.is_some()).await.is_ok() {
-            let mut watched = standing.clone();
-            let lost = async {
+        let mut status = self.register_candidate(duty);
+        while status.wait_for(|s| s.lease.is_some()).await.is_ok() {
+            let mut status_watch = status.clone();
+            let superseded = async {
                 // An error means that the process is ending.
-                let _ = watched.wait_for(Standing::is_superseded).await;
+                let _ = status_watch.wait_for(Status::is_superseded).await;
             };
             tokio::select! {
                 () = work() => {}
-                () = lost => {}
+                () = superseded => {}
             }
-            if !goes_on() {
+            if !should_continue() {
                 return;
             }
         }
@@ -257,150 +261,159 @@
     /// Gives up all leases.
     pub fn drain(&self) {
         self.draining.set(true);
-        self.drain.notify_waiters();
+        self.drain_started.notify_waiters();
     }
 
     /// Whether a drained instance is rid of all leases.
-    pub fn released(&self) -> bool {
-        self.unreleased.get() == 0
+    pub fn all_released(&self) -> bool {
+        self.unreleased_count.get() == 0
     }
 
-    async fn run(&self, duty: &CompactString) {
-        let prefix = format_compact!("{}/", self.instance);
-        let mut holder = Candidate::new(self.now(), self.id.clone(), LIMITS)
-            .with_previous_id_prefix(prefix)
+    async fn run_candidate(&self, duty: &CompactString) {
+        let previous_id_prefix = format_compact!("{}/", self.instance);
+        let mut candidate = Candidate::new(self.now(), self.id.clone(), TIMING)
+            .with_previous_id_prefix(previous_id_prefix)
             .with_address(self.own_address.clone());
-        if let Some(span) = self.acts.borrow().get(duty) {
-            holder = holder.with_max_acting_time(*span);
+        if let Some(span) = self.max_acting_times.borrow().get(duty) {
+            candidate = candidate.with_max_acting_time(*span);
         }
-        let mut told = false;
-        let mut returns = self.store.recoveries();
+        let mut drain_sent = false;
+        let mut recoveries = self.store.recoveries();
         // Those that should hold it look first, and find nothing; the others find their lease.
-        sleep(self.modesty(duty) + self.jitter(duty)).await;
+        sleep(self.load_delay(duty) + self.start_jitter(duty)).await;
         loop {
-            let event = if self.draining.get() && !told {
-                told = true;
+            let event = if self.draining.get() && !drain_sent {
+                drain_sent = true;
                 Event::Drain
             } else {
                 Event::Tick
             };
-            self.tick(&mut holder, duty, event).await;
-            if told && holder.is_released() {
+            self.handle_event(&mut candidate, duty, event).await;
+            if drain_sent && candidate.is_released() {
                 log::info!(duty = duty.as_str(); "lease released");
-                self.unreleased.set(self.unreleased.get() - 1);
+                self.unreleased_count.set(self.unreleased_count.get() - 1);
                 return;
             }
             let now = self.now();
-            let mut next = holder.next_call_at().since(now);
-            if holder.fencing_token(now).is_some() {
-                next = next.min(holder.valid_until().since(now));
+            let mut wait = candidate.next_call_at().since(now);
+            if candidate.fencing_token(now).is_some() {
+                wait = wait.min(candidate.valid_until().since(now));
             }
             tokio::select! {
-                () = sleep(next.max(SHORTEST_SLEEP)) => {}
-                () = self.drain.notified() => {}
-                _ = returns.changed() => holder.expedite(self.now()),
+                () = sleep(wait.max(MIN_SLEEP)) => {}
+                () = self.drain_started.notified() => {}
+                _ = recoveries.changed() => candidate.expedite(self.now()),
             }
-            self.tell(duty, &holder);
+            self.publish_status(duty, &candidate);
         }
     }
 
     /// One event, and the calls that it leads to. Each action is carried out and answered.
-    async fn tick(&self, holder: &mut Candidate, duty: &CompactString, event: Event) {
-        let mut actions = self.step(holder, duty, event);
+    async fn handle_event(&self, candidate: &mut Candidate, duty: &CompactString, event: Event) {
+        let mut actions = self.step_candidate(candidate, duty, event);
         while let Some(action) = actions.pop() {
-            let event = self.call(holder, duty, action).await;
-            actions.extend(self.step(holder, duty, event));
-            self.tell(duty, holder);
+            let event = self.perform(candidate, duty, action).await;
+            actions.extend(self.step_candidate(candidate, duty, event));
+            self.publish_status(duty, candidate);
         }
     }
 
-    fn step(&self, holder: &mut Candidate, duty: &CompactString, event: Event) -> Vec<Action> {
-        let place = self.place.get();
-        let turn = place.map_or_else(
+    fn step_candidate(
+        &self,
+        candidate: &mut Candidate,
+        duty: &CompactString,
+        event: Event,
+    ) -> Vec<Action> {
+        let rank = self.rank.get();
+        let rank_delay = rank.map_or_else(
             || unranked_takeover_delay(self.is_preferred()),
-            |place| place.takeover_delay(duty),
+            |rank| rank.takeover_delay(duty),
         );
-        if let Some((own, others)) = self.rests.borrow().get(duty) {
-            holder.set_cooldown_ends(*own, *others);
+        if let Some((own, others)) = self.cooldown_ends.borrow().get(duty) {
+            candidate.set_cooldown_ends(*own, *others);
         }
-        holder.set_takeover_delay(turn + self.modesty(duty));
+        candidate.set_takeover_delay(rank_delay + self.load_delay(duty));
         if self.store.unreachable_since().is_some() {
-            holder.note_store_unreachable();
+            candidate.note_store_unreachable();
         }
         let now = self.now();
         // A look that was asked for before the store was away may be answered now.
         if let Some(ago) = self.store.recovered_ago() {
-            holder.note_store_recovered(now, ago);
+            candidate.note_store_recovered(now, ago);
         }
-        let actions = holder.step(now, event);
-        let takes = !holder.is_presumed_holder()
+        let actions = candidate.step(now, event);
+        let is_takeover = !candidate.is_presumed_holder()
             && actions.iter().any(|a| matches!(a, Action::Write { .. }));
-        let mut taking = self.taking.borrow_mut();
-        if takes || holder.awaits_takeover_delay(now) {
-            taking.insert(duty.clone());
+        let mut pending_takeovers = self.pending_takeovers.borrow_mut();
+        if is_takeover || candidate.awaits_takeover_delay(now) {
+            pending_takeovers.insert(duty.clone());
         } else {
-            taking.remove(duty);
+            pending_takeovers.remove(duty);
         }
         actions
     }
 
     /// Publishes what the holder may do now.
-    fn tell(&self, duty: &CompactString, holder: &Candidate) {
+    fn publish_status(&self, duty: &CompactString, candidate: &Candidate) {
         let now = self.now();
-        let joined = self.joined.borrow();
-        let Some(sender) = joined.get(duty) else {
+        let statuses = self.statuses.borrow();
+        let Some(status_sender) = statuses.get(duty) else {
             return;
         };
-        let stood = *sender.borrow();
-        let before = stood.grant;
-        let grant = holder.fencing_token(now).map(|fence| {
-            let known = before.filter(|grant| grant.fence == fence);
-            let known = known.map(|grant| grant.clear);
-            Grant {
+        let previous_status = *status_sender.borrow();
+        let previous_lease = previous_status.lease;
+        let lease = candidate.fencing_token(now).map(|fence| {
+            let previous_cooldown = previous_lease.filter(|lease| lease.fence == fence);
+            let previous_cooldown = previous_cooldown.map(|lease| lease.cooldown);
+            HeldLease {
                 fence,
-                until: holder.valid_until(),
-                clear: holder
+                valid_until: candidate.valid_until(),
+                cooldown: candidate
                     .cooldown()
-                    .or(known)
+                    .or(previous_cooldown)
                     .unwrap_or(Cooldown::IdleSince(now)),
             }
         });
-        if before.map(|grant| grant.fence) != grant.map(|grant| grant.fence) {
-            let event = if grant.is_some() { "taken" } else { "lost" };
+        if previous_lease.map(|lease| lease.fence) != lease.map(|lease| lease.fence) {
+            let event = if lease.is_some() { "taken" } else { "lost" };
             self.metrics.count(&self.metrics.leases, &[event]);
-            match grant {
-                Some(grant) => log::info!(duty = duty.as_str(), fence = grant.fence; "lease taken"),
+            match lease {
+                Some(lease) => log::info!(duty = duty.as_str(), fence = lease.fence; "lease taken"),
                 None => log::info!(duty = duty.as_str(); "lease lost"),
             }
         }
-        let standing = Standing {
-            grant,
-            presumed: holder.is_presumed_holder(),
+        let status = Status {
+            lease,
+            is_presumed_holder: candidate.is_presumed_holder(),
         };
-        if standing != stood {
-            sender.send_replace(standing);
+        if status != previous_status {
+            status_sender.send_replace(status);
         }
     }
 
     /// Keeps instances that start together from looking together.
-    fn jitter(&self, duty: &str) -> Duration {
-        spread(hash::rendezvous(
+    fn start_jitter(&self, duty: &str) -> Duration {
+        jitter_from_hash(hash::rendezvous(
             hash::stable(duty.as_bytes()),
             &self.instance,
         ))
     }
 
     /// How long this instance lets others go first.
-    fn modesty(&self, duty: &str) -> Duration {
-        let taking = self.taking.borrow();
-        let held = self.held() + taking.iter().filter(|other| *other != duty).count();
+    fn load_delay(&self, duty: &str) -> Duration {
+        let pending_takeovers = self.pending_takeovers.borrow();
+        let held = self.held_count()
+            + pending_takeovers
+                .iter()
+                .filter(|other| *other != duty)
+                .count();
         let held = u32::try_from(held).unwrap_or(u32::MAX);
-        let lacks = (1.0 - self.cores / AMPLE_CORES).max(0.0);
-        HELD_DELAY * held + SMALL_DELAY.mul_f64(lacks)
+        let missing_share = (1.0 - self.cores / PREFERRED_MIN_CORES).max(0.0);
+        DELAY_PER_HELD_DUTY * held + MAX_SMALL_INSTANCE_DELAY.mul_f64(missing_share)
     }
 }
 
 /// A part of [`FIRST_LOOKS`], by chance.
-fn spread(chance: u64) -> Duration {
-    FIRST_LOOKS.mul_f64((chance % 1_000) as f64 / 1_000.0)
+fn jitter_from_hash(hash: u64) -> Duration {
+    MAX_START_DELAY.mul_f64((hash % 1_000) as f64 / 1_000.0)
 }
--- a/crates/pinereel/src/hosted/duty/call.rs
+++ b/crates/pinereel/src/hosted/duty/store_call.rs
@@ -1,6 +1,6 @@
 //! The calls to the store that a candidate for a duty orders.
 
-use super::{Duties, KIND, look::decode};
+use super::{Duties, LEASE_KIND, poll::decode};
 use crate::objects::{Error, Purpose};
 use pinereel_core::lease::{Action, Candidate, Event, Lease};
 use pinereel_port::store::Freshness;
@@ -8,36 +8,38 @@
 
 /// A lease as it lies in the store.
 #[derive(Serialize)]
-struct Stored<'a> {
+struct StoredLease<'a> {
     #[serde(flatten)]
     lease: &'a Lease,
     /// Tokens of a lot of the duty; 0 if that is not known.
-    demand: u64,
+    #[serde(rename = "demand")]
+    tokens: u64,
     /// Items of a lot of the duty that found no slot in time.
-    short: u64,
+    #[serde(rename = "short")]
+    unplaced_items: u64,
     /// Items of the largest lot of the duty lately; 0 if that is not known.
     items: u64,
 }
 
 impl Duties {
     /// Carries an action out; gives what it led to.
-    pub(super) async fn call(&self, holder: &Candidate, duty: &str, action: Action) -> Event {
+    pub(super) async fn perform(&self, candidate: &Candidate, duty: &str, action: Action) -> Event {
         match action {
-            Action::Read => self.read(holder, duty).await,
+            Action::Read => self.read(candidate, duty).await,
             Action::Write { expected, lease } => self.write(duty, expected, &lease).await,
         }
     }
 
-    async fn read(&self, holder: &Candidate, duty: &str) -> Event {
-        if !holder.has_read() {
-            return self.first_look(duty).await;
+    async fn read(&self, candidate: &Candidate, duty: &str) -> Event {
+        if !candidate.has_read() {
+            return self.first_poll_event(duty).await;
         }
-        if holder.is_follower() {
-            return self.next_look(duty, holder.takeover_at()).await;
+        if candidate.is_follower() {
+            return self.next_poll_event(duty, candidate.takeover_at()).await;
         }
         let read = self
             .store
-            .read(Purpose::Leases, KIND, duty, Freshness::Current);
+            .read(Purpose::Leases, LEASE_KIND, duty, Freshness::Current);
         match read.await {
             Ok(None) => Event::Read(None),
             Ok(Some(object)) => {
@@ -51,12 +53,17 @@
     }
 
     async fn write(&self, duty: &str, expected: Option<u64>, lease: &Lease) -> Event {
-        let size = self.demands.borrow().get(duty).copied().unwrap_or_default();
-        let spec = match serde_json::to_value(Stored {
+        let lot_demand = self
+            .lot_demands
+            .borrow()
+            .get(duty)
+            .copied()
+            .unwrap_or_default();
+        let spec = match serde_json::to_value(StoredLease {
             lease,
-            demand: size.tokens,
-            short: size.unplaced_items,
-            items: size.items,
+            tokens: lot_demand.tokens,
+            unplaced_items: lot_demand.unplaced_items,
+            items: lot_demand.items,
         }) {
             Ok(spec) => spec,
             Err(error) => {
@@ -68,12 +75,12 @@
             Some(revision) => {
                 let update = self
                     .store
-                    .update(Purpose::Leases, KIND, duty, revision, &spec);
+                    .update(Purpose::Leases, LEASE_KIND, duty, revision, &spec);
                 update.await
             }
             None => {
                 let spec = spec.to_string();
-                let create = self.store.create(Purpose::Leases, KIND, duty, &spec);
+                let create = self.store.create(Purpose::Leases, LEASE_KIND, duty, &spec);
                 create.await
             }
         };
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -196,7 +196,7 @@
         let asked = state.asked.entry(model.clone()).or_default();
         add(asked, now);
         let duties = &self.parts.duties;
-        duties.set_demand(runner::duty(model), asked.demand(now));
+        duties.set_lot_demand(runner::duty(model), asked.demand(now));
     }
 
     /// What is committed of a lot, and the texts that earlier runners left.
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -163,7 +163,7 @@
         };
         // Two runners cost work and never a wrong result, so that it goes on while the store is away,
         // until another instance is known to have the duty.
-        duties.whenever_held(&duty, work, goes_on).await;
+        duties.run_while_held(&duty, work, goes_on).await;
     }
 
     fn drop_model(&self, model: &CompactString) {
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -10,7 +10,7 @@
 
 use super::{
     config::Config,
-    duty::{Duties, Grant},
+    duty::{Duties, HeldLease},
     endpoints::Endpoints,
     list_watch::{Update, WatchOptions, list_and_watch},
     metrics::Metrics,
@@ -113,12 +113,12 @@
     }
 
     /// From when on orders may be given under a grant.
-    fn clear(&self, service: &str, grant: &Grant) -> Time {
+    fn clear(&self, service: &str, grant: &HeldLease) -> Time {
         if self.settled.borrow().get(service) == Some(&grant.fence) {
             // It lapsed in between, and nobody else had it.
             return Time::ZERO;
         }
-        grant.clear_from(self.gap())
+        grant.may_act_from(self.gap())
     }
 
     /// Time between the last order of one holder and the first of the next.
@@ -147,9 +147,9 @@
         let duty = format_compact!("orders-{service}");
         let (orders, duties) = (&self, Rc::clone(&self.parts.duties));
         let work = async || orders.work(service, &duty).await;
-        duties.act_for(&duty, ACTS);
+        duties.set_max_acting_time(&duty, ACTS);
         // What is known of the engines is kept while a renewal is late; each order asks for the grant.
-        duties.whenever_held(&duty, work, || true).await;
+        duties.run_while_held(&duty, work, || true).await;
     }
 
     async fn work(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -1,7 +1,7 @@
 //! The rollout of one model at one service: what its controller decides is carried out here.
 
 use super::{Orders, call::NoAnswer};
-use crate::hosted::duty::Grant;
+use crate::hosted::duty::HeldLease;
 use actix_http::Method;
 use compact_str::CompactString;
 use pinereel_core::{
@@ -53,8 +53,8 @@
         }
     }
 
-    fn grant(&self) -> Option<Grant> {
-        self.orders.parts.duties.acts(&self.duty)
+    fn grant(&self) -> Option<HeldLease> {
+        self.orders.parts.duties.held_lease(&self.duty)
     }
 
     fn now(&self) -> Time {
@@ -72,7 +72,7 @@
         }
         settled.then_some(Lease {
             fence: grant.fence,
-            until: grant.until,
+            until: grant.valid_until,
         })
     }
 
@@ -83,7 +83,7 @@
         self.orders
             .parts
             .duties
-            .set_rests(&self.duty, clear, others);
+            .set_cooldown_ends(&self.duty, clear, others);
     }
 
     /// Tells the controller what is known.
--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/sizing.rs
@@ -1,7 +1,7 @@
 //! Orders for endpoints: how many of them each availability zone should have.
 
 use super::Orders;
-use crate::hosted::{duty::Grant, lots, platform};
+use crate::hosted::{duty::HeldLease, lots, platform};
 use compact_str::CompactString;
 use pinereel_core::scale::{Order, Sizer, Terms, Zone};
 use pinereel_port::{
@@ -50,9 +50,9 @@
     }
 
     /// The lease, if an order may be given under it now.
-    fn grant(&self) -> Option<Grant> {
+    fn grant(&self) -> Option<HeldLease> {
         let duties = &self.orders.parts.duties;
-        let grant = duties.acts(&self.duty)?;
+        let grant = duties.held_lease(&self.duty)?;
         let clear = self.orders.clear(&self.service, &grant);
         (duties.now() >= clear).then_some(grant)
     }
@@ -63,7 +63,7 @@
             return 0;
         };
         let duties = &self.orders.parts.duties;
-        let short = |model| duties.demand(&lots::duty(model)).unplaced_items;
+        let short = |model| duties.lot_demand(&lots::duty(model)).unplaced_items;
         let items = engine.models.iter().map(|model| short(model));
         let endpoints = items.sum::<u64>().div_ceil(u64::from(engine.slots.max(1)));
         u32::try_from(endpoints).unwrap_or(u32::MAX)
@@ -87,7 +87,7 @@
 
     async fn order(
         &self,
-        grant: &Grant,
+        grant: &HeldLease,
         order: &Order,
         (lacking, zones): (u32, &BTreeMap<CompactString, Zone>),
     ) -> bool {
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -158,7 +158,7 @@
         let metrics = Metrics::new();
         let links = instance.peers.map(|peers| peers.to_string().into());
         let crashes = Crashes::new(clock, &metrics);
-        let duties = Duties::new(duty::Parts {
+        let duties = Duties::new(duty::Dependencies {
             store: store.clone(),
             instance: instance.name.clone(),
             incarnation,
@@ -196,7 +196,7 @@
         }
         let pool = Rc::new(Pool::default());
         let held = Rc::clone(&duties);
-        let hurried = move || held.held() > 0;
+        let hurried = move || held.held_count() > 0;
         let parts = endpoints::Parts {
             adapter,
             store: store.clone(),
@@ -321,7 +321,7 @@
             balancer_lag: settings.stop.balancer_lag,
             killed_after: settings.stop.killed_after,
         };
-        let others = || self.runner.in_flight() + usize::from(!self.duties.released());
+        let others = || self.runner.in_flight() + usize::from(!self.duties.all_released());
         self.stop.finish(times, others).await;
         self.callers.close();
     }
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -7,7 +7,7 @@
 use crate::{
     hosted::{
         bulletin,
-        duty::{Duties, Grant},
+        duty::{Duties, HeldLease},
         metrics::Metrics,
         platform,
         store::Store,
@@ -88,7 +88,7 @@
     let duties = Rc::clone(&parts.duties);
     let work = async || parts.work().await;
     let duty = bulletin::DUTY.into();
-    duties.whenever_held(&duty, work, || true).await;
+    duties.run_while_held(&duty, work, || true).await;
 }
 
 impl Parts {
@@ -213,12 +213,12 @@
     }
 
     /// The lease, if a call may be made under it now.
-    fn grant(&self) -> Option<Grant> {
-        let grant = self.duties.acts(bulletin::DUTY)?;
-        (self.duties.now() >= grant.clear_from(self.gap)).then_some(grant)
+    fn grant(&self) -> Option<HeldLease> {
+        let grant = self.duties.held_lease(bulletin::DUTY)?;
+        (self.duties.now() >= grant.may_act_from(self.gap)).then_some(grant)
     }
 
-    async fn send(&self, grant: &Grant, window: Window, counts: &Counts) -> Option<Verdict> {
+    async fn send(&self, grant: &HeldLease, window: Window, counts: &Counts) -> Option<Verdict> {
         let holder = Holder {
             instance: self.duties.instance(),
             fence: grant.fence,
