--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -118,7 +118,7 @@
     /// While the store is away, looks whether it is back: an instance that the bulletin tells of all
     /// changes may have no other call to make for a long time. `is_told` says whether it is told now.
     /// Never returns.
-    pub async fn probe_while_unreachable(
+    pub async fn probe_in_outages(
         &self,
         kind: &'static str,
         name: &'static str,
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -38,7 +38,7 @@
         list_and_watch(&following, Purpose::Config, KIND, manner, fed, take).await;
     });
     let looking = store.clone();
-    actix_rt::spawn(async move { looking.probe_while_unreachable(KIND, "a", || false).await });
+    actix_rt::spawn(async move { looking.probe_in_outages(KIND, "a", || false).await });
     (stand_in, store, told)
 }
 
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -31,11 +31,7 @@
     assert!(!read(&store).await);
     assert!(store.unreachable_since().is_some());
     let looking = store.clone();
-    actix_rt::spawn(async move {
-        looking
-            .probe_while_unreachable("config", "main", || false)
-            .await
-    });
+    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
     stand_in.set(store::Fault::default());
     sleep(Duration::from_secs(2)).await;
     assert_eq!(store.unreachable_since(), None);
@@ -61,11 +57,7 @@
     }
     stand_in.set(store::Fault::default());
     let looking = store.clone();
-    actix_rt::spawn(async move {
-        looking
-            .probe_while_unreachable("config", "main", || false)
-            .await
-    });
+    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
     sleep(Duration::from_millis(330)).await;
     assert_eq!(store.unreachable_since(), None);
     assert!(read(&store).await, "other calls go out at once");
@@ -77,11 +69,7 @@
 async fn only_probes_and_lots_go_out_while_the_store_is_away() {
     let (stand_in, store) = start().await;
     let looking = store.clone();
-    actix_rt::spawn(async move {
-        looking
-            .probe_while_unreachable("config", "main", || false)
-            .await
-    });
+    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
     stand_in.set(store::Fault::DOWN);
     assert!(!read(&store).await);
     sleep(Duration::from_millis(1_200)).await;
