--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -1,11 +1,12 @@
-//! What the trainers of a service's models ask for, and how many engines do that work.
+//! Demand of the models of a service, and the number of engines that it needs.
 
 use super::{config::Config, duty::Duties, endpoints::Endpoints, lots};
 use compact_str::CompactString;
 use pinereel_core::rollout::{self, Demand};
 use pinereel_port::config::Engine;
 
-/// What the models of a service ask for, as their runners say in their leases.
+/// Demand of each model of `service`, as the holders of the models' duties store it in their
+/// leases.
 pub fn model_demands(config: &Config, duties: &Duties, service: &str) -> Vec<Demand> {
     let models = engine_config(config, service).map(|engine| engine.models);
     let demand = |model: CompactString| {
@@ -20,7 +21,8 @@
     models.unwrap_or_default().into_iter().map(demand).collect()
 }
 
-/// Engines of a service that do its work: the first ones in the order of [`Endpoints::first`].
+/// Number of engines of `service` that the demand needs: the first ones in the order of
+/// [`Endpoints::first`].
 pub fn working_set_size(
     config: &Config,
     duties: &Duties,
@@ -32,12 +34,12 @@
     rollout::working_set(endpoints.count(service), slots, &demands)
 }
 
-/// Requests that each engine of a service runs at once.
+/// Number of requests that each engine of `service` runs at once.
 pub fn slots_per_engine(config: &Config, service: &str) -> u32 {
     engine_config(config, service).map_or(1, |engine| engine.slots)
 }
 
-/// The engines of a service, as the configuration describes them; none if it has none.
+/// The engines of `service` in the configuration; `None` if it has none.
 fn engine_config(config: &Config, service: &str) -> Option<Engine> {
     config.table()?.service(service)?.engine.clone()
 }
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -1,4 +1,8 @@
-//! Duties that one instance has at a time, by leases in the object store.
+//! Leases in the object store for control duties, each of which one instance at a time performs.
+//!
+//! [`Duties`] runs a [`Candidate`] of [`pinereel_core::lease`] for each duty that this instance
+//! registers for, and publishes its [`Status`]. The receiver of the status may lag: callers ask
+//! [`Duties::held_lease`] right before each action.
 
 mod poll;
 mod status;
@@ -31,10 +35,10 @@
     time::sleep,
 };
 
-/// Kind of the leases, one object a duty.
+/// Object kind of the leases; the object name is the duty.
 pub const LEASE_KIND: &str = "pinereel-duties";
 
-/// Times of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
+/// Timing of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
 /// and an item must not wait for 5 s. A holder renews about every 0.7 s, which is one call.
 const TIMING: Timing = Timing {
     duration: Duration::from_millis(2_000),
@@ -42,83 +46,87 @@
     retry_interval: Duration::from_millis(700),
 };
 
-/// Each duty that an instance holds already lets it wait so much longer before it takes another, so
-/// that they spread: about four turns of [`Rank`], so that the loss of one instance seldom ends two
-/// duties.
+/// Added to the takeover delay for each duty that this instance holds already, so that duties
+/// spread over the instances. It is about four steps of [`Rank::takeover_delay`], so that the loss
+/// of one instance seldom leaves two duties without a holder.
 const DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(400);
-/// An instance waits so long for each part that it lacks to [`AMPLE_CORES`].
+/// Added to the takeover delay of an instance without any processor time; one with a part of
+/// [`PREFERRED_MIN_CORES`] waits for the missing part of this time.
 const MAX_SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(1_000);
-/// The first looks of instances that start together spread over this time.
+/// Upper bound of the random delay of the first poll, which spreads the polls of instances that
+/// start together.
 const MAX_START_DELAY: Duration = Duration::from_millis(400);
-/// Cores with which an instance does not wait: lots of a few hundred items run well on it.
+/// Cores from which an instance is preferred as a holder. Lots of a few hundred items run well on
+/// so much.
 const PREFERRED_MIN_CORES: f64 = 0.25;
 
-/// Shortest sleep between two looks at what is due.
+/// Shortest sleep between two checks of what is due.
 const MIN_SLEEP: Duration = Duration::from_millis(10);
 
-/// What duties are made of.
+/// What [`Duties`] needs from the other parts of the instance.
 pub struct Dependencies {
     /// The object store.
     pub store: Store,
     /// Name of this instance.
     pub instance: CompactString,
-    /// Differs between its starts.
+    /// Number of this run of the process; differs between the runs of one instance.
     pub incarnation: u64,
-    /// Its cores.
+    /// Cores that this instance may use.
     pub cores: f64,
-    /// Where other instances reach it; empty if nowhere.
+    /// Address at which other instances reach this one; empty if there is none.
     pub address: CompactString,
-    /// Figures.
+    /// Counts the leases taken and lost.
     pub metrics: Metrics,
-    /// What the bulletin tells.
+    /// Data received over the broadcast tree.
     pub feed: Rc<Feed>,
-    /// Requests under which endpoints crash.
+    /// Register of requests that crash endpoints.
     pub crashes: Rc<Crashes>,
-    /// The clock; it must go on while the machine is suspended.
+    /// The clock of the leases. It must also run while the machine is suspended.
     pub clock: fn() -> Time,
 }
 
-/// The duties that this instance takes part in.
+/// The candidates of this instance for all duties that it has registered for.
 pub struct Duties {
     store: Store,
     instance: CompactString,
     id: CompactString,
-    /// Where other instances reach this one; empty if nowhere.
+    /// Address at which other instances reach this one; empty if there is none.
     own_address: CompactString,
     clock: Rc<dyn Fn() -> Time>,
     statuses: RefCell<BTreeMap<CompactString, watch::Sender<Status>>>,
-    /// Duties that are not released yet after a drain.
+    /// Number of duties whose lease has not been released yet by a drain.
     unreleased_count: Cell<usize>,
-    /// Cores of this instance.
+    /// Cores that this instance may use.
     cores: f64,
     metrics: Metrics,
-    /// Requests under which endpoints crash: what the store keeps of them is listed with the leases.
+    /// Register of requests that crash endpoints. Its stored object is listed with the leases.
     crashes: Rc<Crashes>,
     draining: Cell<bool>,
     drain_started: Notify,
-    /// The last look at all leases, counted from 1; 0 before the first.
+    /// Number of polls of all leases.
     poll_count: watch::Sender<u64>,
     polled_objects: RefCell<Vec<Object>>,
-    /// When that was looked at.
+    /// Time of the last poll.
     polled_at: Cell<Option<Time>>,
-    /// What a lot needs, by duty of this instance; told in their leases.
+    /// Demand of the lots of each duty that this instance holds; stored in its lease.
     lot_demands: RefCell<BTreeMap<CompactString, LotDemand>>,
-    /// How long after a renewal this instance acts at most, by duty.
+    /// Longest time after a renewal during which this instance acts, by duty.
     max_acting_times: RefCell<BTreeMap<CompactString, Duration>>,
-    /// Until when acts must rest after this holder, by duty: its own next start's, and others'.
+    /// When the cooldown after this holder ends, by duty: for the next process of this instance,
+    /// and for others.
     cooldown_ends: RefCell<BTreeMap<CompactString, (Time, Time)>>,
-    /// Somebody wants a look now.
+    /// Notified to request a poll now.
     poll_requested: Notify,
-    /// The place of this instance among all candidates, as it was last told.
+    /// The rank of this instance among all instances, as last received over the broadcast tree.
     rank: Cell<Option<Rank>>,
-    /// Duties that are free, and that this instance is about to take.
+    /// Duties whose lease is free and which this instance is about to take.
     pending_takeovers: RefCell<BTreeSet<CompactString>>,
-    /// Candidates that wait for the next look.
+    /// Number of candidates that wait for the next poll.
     waiting_candidates: Cell<usize>,
 }
 
 impl Duties {
-    /// No duties yet.
+    /// Creates the state and starts to poll the leases; registers for no duty yet.
     pub fn new(dependencies: Dependencies) -> Rc<Self> {
         let Dependencies {
             store,
@@ -161,7 +169,7 @@
         duties
     }
 
-    /// The time on the leases' clock.
+    /// The time on the clock of the leases.
     pub fn now(&self) -> Time {
         (self.clock)()
     }
@@ -171,13 +179,13 @@
         &self.instance
     }
 
-    /// Id of this start of the instance.
+    /// Id of this run of the instance, as stored in the leases that it holds.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Takes part in a duty from now on, and tells when its lease comes and goes. The receiver may
-    /// lag: ask [`Duties::acts`] right before each act.
+    /// Registers this instance as a candidate for `duty` and returns its status from now on. The
+    /// receiver may lag: call [`Duties::held_lease`] right before each action.
     pub fn register_candidate(self: &Rc<Self>, duty: &CompactString) -> watch::Receiver<Status> {
         let mut statuses = self.statuses.borrow_mut();
         if let Some(status_sender) = statuses.get(duty) {
@@ -191,40 +199,42 @@
         receiver
     }
 
-    /// The lease of a duty if this instance may act on it now.
+    /// The lease of `duty` if this instance may act on it now.
     pub fn held_lease(&self, duty: &str) -> Option<HeldLease> {
         let statuses = self.statuses.borrow();
         let lease = statuses.get(duty)?.borrow().lease?;
         (self.now() < lease.valid_until).then_some(lease)
     }
 
-    /// Whether this instance should rather hold duties than others.
+    /// Whether this instance is preferred as a holder of duties.
     pub fn is_preferred(&self) -> bool {
         self.cores >= PREFERRED_MIN_CORES
     }
 
-    /// Tells in the lease of a duty, from its next renewal on, what its lots need.
+    /// Sets the demand of the lots of `duty`, which is stored in the lease from its next renewal
+    /// on.
     pub fn set_lot_demand(&self, duty: CompactString, demand: LotDemand) {
         self.lot_demands.borrow_mut().insert(duty, demand);
     }
 
-    /// Lets this instance act for `span` after a renewal at most; to be called before it takes part in the
-    /// duty.
+    /// Limits the time after a renewal during which this instance acts to `span`. Must be called
+    /// before [`Duties::register_candidate`].
     pub fn set_max_acting_time(&self, duty: &CompactString, span: Duration) {
         self.max_acting_times
             .borrow_mut()
             .insert(duty.clone(), span);
     }
 
-    /// Tells in the lease of a duty until when acts must rest after this holder: those of its own next
-    /// start on this machine, and those of others once it has released the lease.
+    /// Sets when the cooldown after this holder of `duty` ends: for the next process of this
+    /// instance on the same machine (`own`), and for other instances once the lease is released
+    /// (`others`).
     pub fn set_cooldown_ends(&self, duty: &CompactString, own: Time, others: Time) {
         self.cooldown_ends
             .borrow_mut()
             .insert(duty.clone(), (own, others));
     }
 
-    /// Duties that this instance holds.
+    /// Number of duties that this instance holds.
     pub fn held_count(&self) -> usize {
         let statuses = self.statuses.borrow();
         let held = statuses
@@ -233,8 +243,9 @@
         held.count()
     }
 
-    /// Does `work` whenever this instance has the duty, until another one is known to have it or it is given
-    /// up; then asks `goes_on` whether to wait for the next time.
+    /// Runs `work` each time that this instance holds `duty`, until `work` ends, another instance
+    /// is known to have taken the lease, or it is released. After each run, `should_continue` tells
+    /// whether to wait for the lease again.
     pub async fn run_while_held(
         self: &Rc<Self>,
         duty: &CompactString,
@@ -258,17 +269,18 @@
         }
     }
 
-    /// Gives up all leases.
+    /// Starts to release all leases and takes no more.
     pub fn drain(&self) {
         self.draining.set(true);
         self.drain_started.notify_waiters();
     }
 
-    /// Whether a drained instance is rid of all leases.
+    /// Whether all leases have been released after [`Duties::drain`].
     pub fn all_released(&self) -> bool {
         self.unreleased_count.get() == 0
     }
 
+    /// Runs the candidate for `duty` until its lease has been released by a drain.
     async fn run_candidate(&self, duty: &CompactString) {
         let previous_id_prefix = format_compact!("{}/", self.instance);
         let mut candidate = Candidate::new(self.now(), self.id.clone(), TIMING)
@@ -279,7 +291,7 @@
         }
         let mut drain_sent = false;
         let mut recoveries = self.store.recoveries();
-        // Those that should hold it look first, and find nothing; the others find their lease.
+        // Instances that should hold the duty read first and find no lease; the others find theirs.
         sleep(self.load_delay(duty) + self.start_jitter(duty)).await;
         loop {
             let event = if self.draining.get() && !drain_sent {
@@ -308,7 +320,8 @@
         }
     }
 
-    /// One event, and the calls that it leads to. Each action is carried out and answered.
+    /// Passes one event to the candidate, carries out the actions that follow, and passes on their
+    /// results.
     async fn handle_event(&self, candidate: &mut Candidate, duty: &CompactString, event: Event) {
         let mut actions = self.step_candidate(candidate, duty, event);
         while let Some(action) = actions.pop() {
@@ -318,6 +331,7 @@
         }
     }
 
+    /// Updates the inputs of the candidate, and passes one event to it.
     fn step_candidate(
         &self,
         candidate: &mut Candidate,
@@ -337,7 +351,7 @@
             candidate.note_store_unreachable();
         }
         let now = self.now();
-        // A look that was asked for before the store was away may be answered now.
+        // A poll that was sent before the store became unreachable may be answered only now.
         if let Some(ago) = self.store.recovered_ago() {
             candidate.note_store_recovered(now, ago);
         }
@@ -353,7 +367,7 @@
         actions
     }
 
-    /// Publishes what the holder may do now.
+    /// Publishes the status of `duty` if it has changed.
     fn publish_status(&self, duty: &CompactString, candidate: &Candidate) {
         let now = self.now();
         let statuses = self.statuses.borrow();
@@ -391,7 +405,8 @@
         }
     }
 
-    /// Keeps instances that start together from looking together.
+    /// Random delay of the first read of `duty`, so that instances that start together do not read
+    /// together.
     fn start_jitter(&self, duty: &str) -> Duration {
         jitter_from_hash(hash::rendezvous(
             hash::stable(duty.as_bytes()),
@@ -399,7 +414,8 @@
         ))
     }
 
-    /// How long this instance lets others go first.
+    /// How much longer this instance waits before it takes `duty`, because it holds other duties or
+    /// has few cores.
     fn load_delay(&self, duty: &str) -> Duration {
         let pending_takeovers = self.pending_takeovers.borrow();
         let held = self.held_count()
@@ -413,7 +429,7 @@
     }
 }
 
-/// A part of [`FIRST_LOOKS`], by chance.
+/// Maps a hash to a delay below [`MAX_START_DELAY`].
 fn jitter_from_hash(hash: u64) -> Duration {
     MAX_START_DELAY.mul_f64((hash % 1_000) as f64 / 1_000.0)
 }
--- a/crates/pinereel/src/hosted/duty/poll.rs
+++ b/crates/pinereel/src/hosted/duty/poll.rs
@@ -1,4 +1,7 @@
-//! Looks at the leases that others hold.
+//! Polls the leases that other instances hold.
+//!
+//! One list call per poll serves all candidates of this instance. While the broadcast tree delivers
+//! the leases, the store is not polled.
 
 use super::{Duties, LEASE_KIND, MIN_SLEEP, TIMING, jitter_from_hash};
 use crate::{
@@ -22,20 +25,21 @@
     time::sleep,
 };
 
-/// A look that is no older may count as the first one of a duty.
+/// Longest age of a poll that a new candidate takes as its first read.
 const MAX_FIRST_READ_AGE: Duration = Duration::from_millis(100);
 
-/// Those that should rather hold duties have a holder of the bulletin by then.
+/// Delay before the first poll of an instance that is not preferred. By then a preferred instance
+/// is the root of the broadcast tree.
 const UNPREFERRED_START_DELAY: Duration = Duration::from_millis(500);
 
 impl Duties {
-    /// Lists all leases now and then, for the candidates that follow others.
+    /// Polls all leases for the candidates that do not hold theirs. Runs until dropped.
     pub(super) async fn poll_leases(&self, mut feed: broadcast::Receiver<Fed>) {
         let seed = hash::stable(self.id.as_bytes());
         let mut schedule = PollSchedule::new(self.is_preferred(), seed);
         let mut recoveries = self.store.recoveries();
-        // The first look is for the holder of the bulletin, who is there only after those that should
-        // rather hold it have looked.
+        // The first poll happens even if no candidate waits for it: it finds the root of the
+        // broadcast tree. The root is there only once the preferred instances have polled.
         let mut is_fed = false;
         let mut is_first = true;
         sleep(self.start_delay(seed)).await;
@@ -70,8 +74,8 @@
         }
     }
 
-    /// How long an instance that should rather not hold duties waits before it looks for the first time: of
-    /// 165 that start together each would look twice.
+    /// Delay before the first poll of this instance. Without it, each of 165 instances that start
+    /// together and are not preferred would poll twice.
     fn start_delay(&self, seed: u64) -> Duration {
         if self.is_preferred() {
             return Duration::ZERO;
@@ -79,7 +83,8 @@
         UNPREFERRED_START_DELAY + jitter_from_hash(hash::mix(seed))
     }
 
-    /// A look shows these leases; returns when the next one is due.
+    /// Records the leases found by a poll or received from the broadcast tree; returns when the
+    /// next poll is due.
     fn record_poll(&self, mut objects: Vec<Object>, schedule: &mut PollSchedule) -> Time {
         if let Some(crash_records) = take_out(&mut objects) {
             self.crashes.read(crash_records);
@@ -91,7 +96,8 @@
         next_poll_at
     }
 
-    /// The bulletin tells of the leases, or is lost; says whether it goes on telling.
+    /// Handles one event of the broadcast tree; returns whether the tree goes on delivering the
+    /// leases.
     fn handle_feed_event(
         &self,
         received: Result<Fed, RecvError>,
@@ -109,13 +115,14 @@
                 true
             }
             Ok(Fed::Expected(_)) => false,
-            // What was missed is told again soon.
+            // The tree sends the next list soon, which includes what was missed.
             Err(RecvError::Lagged(_)) => true,
             Ok(Fed::Lost) | Err(RecvError::Closed) => false,
         }
     }
 
-    /// Where the holder of a duty can be reached, as far as this instance has seen.
+    /// The address at which the holder of `duty` serves it, as of the last poll. `None` if there is
+    /// no holder, or none that is known.
     pub fn holder_address(&self, duty: &str) -> Option<CompactString> {
         if self.held_lease(duty).is_some() {
             return Some(self.own_address.clone());
@@ -126,7 +133,8 @@
         (!lease.address.is_empty()).then_some(lease.address)
     }
 
-    /// What a lot of a duty needs, as its holder says; nothing if that is not known.
+    /// The demand of the lots of `duty`, as its holder has stored it in the lease; all zero if not
+    /// known.
     pub fn lot_demand(&self, duty: &str) -> LotDemand {
         if self.held_lease(duty).is_some() {
             return self
@@ -149,12 +157,13 @@
         }
     }
 
-    /// Tells each look at the leases.
+    /// Notifies of each poll of the leases; the value is the number of polls.
     pub fn subscribe_polls(&self) -> watch::Receiver<u64> {
         self.poll_count.subscribe()
     }
 
-    /// What a look that is made now shows of a duty.
+    /// The lease of `duty` for a candidate that has read nothing: from the last poll if that is
+    /// recent, otherwise from a poll that is made now.
     pub(super) async fn first_poll_event(&self, duty: &str) -> Event {
         let polled_at = self.polled_at.get();
         if polled_at.is_some_and(|at| self.now().since(at) < MAX_FIRST_READ_AGE) {
@@ -164,7 +173,7 @@
         self.next_poll_event(duty, None).await
     }
 
-    /// What the last look showed of a duty.
+    /// The lease of `duty` as of the last poll.
     fn last_poll_event(&self, duty: &str) -> Event {
         let polled_objects = self.polled_objects.borrow();
         let object = polled_objects
@@ -177,8 +186,9 @@
         }
     }
 
-    /// What the next look shows of a duty; what the last one showed once its lease is `ripe`. That is
-    /// enough to take it, since the write is conditional, and saves half the time between two looks.
+    /// The lease of `duty` as of the next poll, or as of the last one if it may be taken at
+    /// `takeover_at` before. That is enough to take it, since the write is conditional, and saves
+    /// half a poll interval.
     pub(super) async fn next_poll_event(&self, duty: &str, takeover_at: Option<Time>) -> Event {
         let mut poll_count = self.poll_count.subscribe();
         let remaining = takeover_at.map(|takeover_at| takeover_at.since(self.now()));
@@ -204,6 +214,7 @@
     }
 }
 
+/// The leases that have a holder, for the schedule of the polls.
 fn polled_leases(objects: &[Object]) -> Vec<(CompactString, PolledLease)> {
     let polled_lease = |object: &Object| {
         let (version, lease) = decode(&object.name, object.clone())?;
@@ -213,6 +224,7 @@
     objects.iter().filter_map(polled_lease).collect()
 }
 
+/// The object version and the lease; `None` if the spec is not a lease.
 pub(super) fn decode(duty: &str, object: Object) -> Option<(u64, Lease)> {
     match serde_json::from_value::<Lease>(object.spec) {
         Ok(lease) => Some((object.revision, lease)),
--- a/crates/pinereel/src/hosted/duty/status.rs
+++ b/crates/pinereel/src/hosted/duty/status.rs
@@ -1,4 +1,4 @@
-//! How this instance stands to a duty.
+//! Status of one duty at this instance: whether it holds the lease, and what the lease permits.
 
 use pinereel_core::{Time, lease::Cooldown};
 use std::time::Duration;
@@ -8,14 +8,16 @@
 pub struct HeldLease {
     /// Its fencing token.
     pub fence: u64,
-    /// Moment on [`Duties::now`](super::Duties::now)'s clock from which it must not be acted on.
+    /// Time on the clock of [`Duties::now`](super::Duties::now) from which the holder must not act
+    /// any more.
     pub valid_until: Time,
-    /// From when on its acts do not come too soon after those of the holder before.
+    /// The cooldown after the previous holder, before which this one must not act.
     pub cooldown: Cooldown,
 }
 
 impl HeldLease {
-    /// From when on it may be acted on, if so much time must lie between the acts of two holders.
+    /// The time from which the holder may act, for a duty that needs at least `gap` between the
+    /// actions of two holders.
     pub fn may_act_from(&self, gap: Duration) -> Time {
         match self.cooldown {
             Cooldown::EndsAt(ends_at) => ends_at,
@@ -24,23 +26,23 @@
     }
 }
 
-/// How this instance stands to a duty.
+/// The status of one duty at this instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The lease, while it may be acted on.
+    /// The lease, while this instance may act on it.
     pub lease: Option<HeldLease>,
-    /// Whether nobody else is known to have it since this instance did: what may be done twice goes
-    /// on while the store is away.
+    /// Whether no other instance is known to have taken the lease since this one held it. Work that
+    /// may be done twice continues on this condition while the store is unreachable.
     pub is_presumed_holder: bool,
 }
 
 impl Status {
-    /// Whether the lease may not be acted on.
+    /// Whether this instance may not act as the holder at present.
     pub const fn is_not_held(&self) -> bool {
         self.lease.is_none()
     }
 
-    /// Whether another instance is known to have the duty, or this one has given it up.
+    /// Whether another instance is known to have taken the lease, or this one has released it.
     pub const fn is_superseded(&self) -> bool {
         !self.is_presumed_holder
     }
--- a/crates/pinereel/src/hosted/duty/store_call.rs
+++ b/crates/pinereel/src/hosted/duty/store_call.rs
@@ -1,4 +1,4 @@
-//! The calls to the store that a candidate for a duty orders.
+//! Carries out the actions of a candidate: reads and conditional writes of its lease in the store.
 
 use super::{Duties, LEASE_KIND, poll::decode};
 use crate::objects::{Error, Purpose};
@@ -6,23 +6,23 @@
 use pinereel_port::store::Freshness;
 use serde::Serialize;
 
-/// A lease as it lies in the store.
+/// A lease as stored, with the demand of the duty's lots.
 #[derive(Serialize)]
 struct StoredLease<'a> {
     #[serde(flatten)]
     lease: &'a Lease,
-    /// Tokens of a lot of the duty; 0 if that is not known.
+    /// Mean number of output tokens of a lot; 0 if not known.
     #[serde(rename = "demand")]
     tokens: u64,
-    /// Items of a lot of the duty that found no slot in time.
+    /// Mean number of items of a lot that were still queued at the check after it was opened.
     #[serde(rename = "short")]
     unplaced_items: u64,
-    /// Items of the largest lot of the duty lately; 0 if that is not known.
+    /// Number of items of the largest recent lot; 0 if not known.
     items: u64,
 }
 
 impl Duties {
-    /// Carries an action out; gives what it led to.
+    /// Carries out `action` and returns the event that answers it.
     pub(super) async fn perform(&self, candidate: &Candidate, duty: &str, action: Action) -> Event {
         match action {
             Action::Read => self.read(candidate, duty).await,
@@ -88,7 +88,8 @@
             Ok(object) => Event::Written(object.revision),
             Err(Error::Conflict | Error::NotFound) => Event::Conflict,
             Err(error) => {
-                // Also when it certainly had no effect: the holder reads back in any case.
+                // Also if the write certainly had no effect: the candidate reads the lease again in
+                // any case.
                 log::debug!(duty, error:% = error; "lease not written");
                 Event::Unknown
             }
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -1,4 +1,5 @@
-//! Following all objects of a kind: one list, then watches, or what the bulletin tells.
+//! List and watch: keeps up with all objects of a kind, by one list and then watches of the store,
+//! or by the updates of the broadcast tree.
 
 use super::{bulletin::Fed, store::Store};
 use crate::objects::{Error, Purpose};
@@ -9,44 +10,45 @@
     time::{Instant, sleep, sleep_until},
 };
 
-/// Pause after a failed call. A change must be in force within two seconds, and the breaker of the
-/// store's client spares a store that is down.
+/// Delay after a failed call. A change must be in force within two seconds, and the circuit breaker
+/// of the store's client protects a store that is down.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A part that has just started waits so long for what the bulletin tells, before it asks the store
-/// itself. Instances that start together find the holder within about 0.4 s, or 0.9 s if they have
+/// Longest wait for the first update of the broadcast tree after a start, before the store is
+/// asked. Instances that start together find the root within about 0.4 s, or 0.9 s if they have
 /// little processor time.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// What the store told.
+/// An update of the objects of a kind.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// All objects of the kind as they stand.
+    /// All objects of the kind, as of the update's revision.
     All(Vec<Object>),
-    /// What changed since, oldest first; never empty.
+    /// The changes since the previous update, oldest first; never empty.
     Changes(Vec<Change>),
 }
 
-/// How the objects of a kind are followed.
+/// Options of the watches of a kind.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchOptions {
-    /// Longest wait of one watch.
+    /// Longest time that one watch waits for changes.
     pub max_wait: Duration,
-    /// Pause after changes, so that what comes together is told by one call.
+    /// Pause after an update of the store, so that changes at short intervals come in one call.
     pub batch_delay: Duration,
 }
 
-/// Who told.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The bulletin.
+    /// The broadcast tree.
     Tree,
     /// The store, which has all objects of the kind.
     Store,
 }
 
-/// Follows the objects of `kind` until dropped, and tells `take` of each answer with its revision.
-/// `manner` is asked before each watch. While `fed` tells, the store is not asked.
+/// Keeps up with the objects of `kind` until dropped, and calls `on_update` with each update and
+/// its revision. `options` is called before each watch. While `feed` delivers updates, the store is
+/// not asked.
 pub async fn list_and_watch(
     store: &Store,
     purpose: Purpose,
@@ -59,7 +61,7 @@
     list_and_watch_with_origin(store, purpose, kind, options, feed, on_update).await;
 }
 
-/// The same as [`follow`], where it matters who told.
+/// Like [`list_and_watch`], and also passes on where each update came from.
 pub async fn list_and_watch_with_origin(
     store: &Store,
     purpose: Purpose,
@@ -71,9 +73,10 @@
     let mut recoveries = store.recoveries();
     let mut feed = TreeFeed::new(feed);
     let mut revision = None;
-    // Whether a watch may never tell what has changed since the revision: a store that has just cut
-    // its watches or come back may take one from a revision whose history it no longer has, and stay
-    // silent. In 5 of 16 plays a configuration was missed so for 4.6 s; with the list in none of 56.
+    // Whether a watch from the last revision may miss changes: a store that has just cut its
+    // watches or recovered may accept a revision whose history it no longer has, and never answer.
+    // Without the list, a configuration was missed for 4.6 s in 5 of 16 runs; with it, in none of
+    // 56.
     let mut must_list = true;
     loop {
         recoveries.mark_unchanged();
@@ -83,7 +86,7 @@
             biased;
             received = feed.next_update(), if feed.is_open() => {
                 if let Some((update, update_revision)) = received {
-                    // The holder may lag behind what is known here.
+                    // The root may lag behind what is known here.
                     if revision.is_none_or(|known| update_revision >= known) {
                         revision = Some(update_revision);
                         must_list = false;
@@ -96,8 +99,9 @@
                 feed.state = FeedState::Inactive;
                 continue;
             }
-            answer = list_or_watch(store, purpose, kind, options().max_wait, from), if feed.is_inactive() => answer,
-            // A watch that began before the contact was lost may never hear of anything.
+            answer = list_or_watch(store, purpose, kind, options().max_wait, from),
+                if feed.is_inactive() => answer,
+            // A watch that began before the outage may never be answered.
             _ = recoveries.changed(), if feed.is_inactive() => {
                 must_list = true;
                 continue;
@@ -105,7 +109,7 @@
         };
         match answer {
             Ok((next_revision, update)) => {
-                // A revision that goes back is another history: nothing seen before counts.
+                // A lower revision belongs to another history: nothing seen before counts.
                 if revision.is_some_and(|revision| next_revision < revision) {
                     log::warn!(kind; "watch: revision went back, listing again");
                     revision = None;
@@ -125,7 +129,7 @@
                 }
                 must_list = true;
                 if error != Error::Gone {
-                    // Callers are refused until what is followed is known.
+                    // Requests are refused until the objects are known.
                     tokio::select! {
                         () = sleep(RETRY_DELAY) => {}
                         _ = recoveries.changed() => {}
@@ -136,18 +140,18 @@
     }
 }
 
-/// What is to be heard of the bulletin.
+/// Whether the broadcast tree delivers updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FeedState {
-    /// It may tell for the first time until then.
+    /// The first update may arrive until this time.
     Awaited(Instant),
-    /// It tells all that changes.
+    /// It delivers all changes.
     Active,
-    /// Nothing: the store must be asked.
+    /// It delivers nothing: the store must be asked.
     Inactive,
 }
 
-/// Hears the bulletin.
+/// The receiving end of the broadcast tree for one kind of objects.
 struct TreeFeed {
     receiver: Option<broadcast::Receiver<Fed>>,
     state: FeedState,
@@ -171,7 +175,7 @@
         self.state == FeedState::Inactive
     }
 
-    /// Until when it may tell for the first time, if it may.
+    /// Until when the first update may arrive; `None` unless it is awaited.
     const fn first_update_deadline(&self) -> Option<Instant> {
         match self.state {
             FeedState::Awaited(deadline) => Some(deadline),
@@ -179,10 +183,10 @@
         }
     }
 
-    /// The next update and its revision; none if what is to be expected has changed.
+    /// The next update and its revision; `None` if the state has changed instead.
     ///
-    /// A loss that is told again changes nothing. When each one began a new watch, 70 instances made
-    /// 1,700 calls in the 3 s between two holders of the bulletin.
+    /// A repeated loss changes nothing. When each one began a new watch, 70 instances made 1,700
+    /// calls in the 3 s between two roots.
     async fn next_update(&mut self) -> Option<(Update, u64)> {
         loop {
             let received = match &mut self.receiver {
@@ -191,7 +195,7 @@
             };
             match received {
                 Ok(Fed::Told(update, revision)) => {
-                    // Changes alone may follow on what this part has missed.
+                    // Changes alone may follow on updates that were missed here.
                     if matches!(*update, Update::All(_)) {
                         self.state = FeedState::Active;
                     }
@@ -222,7 +226,7 @@
     }
 }
 
-/// Sleeps until a moment; for good without one.
+/// Sleeps until `deadline`; never returns if it is `None`.
 async fn sleep_until_some(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => sleep_until(deadline).await,
@@ -230,6 +234,7 @@
     }
 }
 
+/// Makes one call: a watch after `revision`, or a list if it is `None`. Returns the new revision.
 async fn list_or_watch(
     store: &Store,
     purpose: Purpose,
--- a/crates/pinereel/src/hosted/pending.rs
+++ b/crates/pinereel/src/hosted/pending.rs
@@ -1,8 +1,9 @@
-//! Waiting for what others are to be told.
+//! Waits for pending updates that are to be sent to other instances.
 
 use tokio::sync::watch;
 
-/// What `take` gives, as soon as that is anything; it is asked again after each change.
+/// The first batch of `take_pending` that is not empty. It is called at once, and again after each
+/// change.
 pub async fn next_batch<T>(
     mut changes: watch::Receiver<u64>,
     mut take_pending: impl FnMut() -> Vec<T>,
--- a/crates/pinereel/src/hosted/stall.rs
+++ b/crates/pinereel/src/hosted/stall.rs
@@ -1,33 +1,33 @@
-//! Notices that this process stood still.
+//! Detects that this process was suspended or stopped for a while.
 //!
-//! A process that was suspended or stopped goes on with what it knew before, while what has come
-//! since lies unread in its sockets. Requests that came before must not go out on that knowledge:
-//! an endpoint may have left meanwhile. So nothing is sent until the news has had time to be read.
+//! After a stall the process still has its old data, and what has arrived since is unread in its
+//! sockets. Requests that arrived before must not be sent by the old data: an endpoint may have
+//! left meanwhile. So nothing is sent until there has been time to read the updates.
 
 use pinereel_core::Time;
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Pause between two looks at the clock.
+/// Interval between two checks of the clock.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A look that comes so late means that the process stood still. News is passed on within half of
+/// Shortest time between two checks that counts as a stall. Updates are passed on within half of
 /// the two seconds after which an endpoint that leaves must get no request, so that as much again
 /// may be lost before it matters.
 const MIN_STALL: Duration = Duration::from_millis(700);
-/// Time for the news that came meanwhile: a link that is still open is read within milliseconds,
-/// and one that was cut is replaced by a call to the store.
+/// Time to read the updates that arrived during a stall: an open connection is read within
+/// milliseconds, and one that was cut is replaced by a call to the store.
 const CATCH_UP_TIME: Duration = Duration::from_millis(250);
 
-/// Whether the process has just stood still.
+/// Detects stalls, and delays requests until the updates that arrived meanwhile have been read.
 pub struct StallDetector {
     clock: Box<dyn Fn() -> Time>,
     checked_at: Cell<Time>,
-    /// What is known is in doubt until then.
+    /// Until then the data may be outdated.
     catch_up_until: Cell<Time>,
 }
 
 impl StallDetector {
-    /// Looks at `clock`, which must go on while the machine is suspended, from now on.
+    /// Starts to check `clock`, which must also run while the machine is suspended.
     pub fn start(clock: impl Fn() -> Time + 'static) -> Rc<Self> {
         let now = clock();
         let detector = Rc::new(Self {
@@ -45,14 +45,14 @@
         detector
     }
 
-    /// For how long what is known is still in doubt; zero as a rule. To be asked right before an act
-    /// that rests on it.
+    /// For how long the data may still be outdated; zero unless the process has just stalled. Must
+    /// be called right before each action that depends on the data.
     pub fn remaining_catch_up(&self) -> Duration {
         self.check_clock();
         self.catch_up_until.get().since((self.clock)())
     }
 
-    /// Waits until the news that came during a stand-still has been read.
+    /// Waits until the updates that arrived during a stall have been read.
     pub async fn wait_for_catch_up(&self) {
         loop {
             let remaining_catch_up = self.remaining_catch_up();
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Compares the clock with the previous check.
     fn check_clock(&self) {
         let now = (self.clock)();
         let pause = now.since(self.checked_at.replace(now));
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object store, in typed calls.
+//! Typed calls to the platform's object store, and whether the store is reachable.
 
 use crate::objects::{Access, Client, Error, Purpose};
 use actix_http::StatusCode;
@@ -14,23 +14,25 @@
     time::{Instant, sleep},
 };
 
-/// Pause between two probes while the store is away; each costs a tenth of a call, 0.7 calls a second.
-/// Instances so find it within 0.15 s of its return; behind the breaker's back-off it takes up to 0.7 s
-/// (times in the logs of nine instances), and lots are refused whose trainers offer them for the last time.
+/// Interval between two probes while the store is unreachable. Each probe costs a tenth of a call,
+/// 0.7 calls a second. With it, instances notice the recovery within 0.15 s. Behind the back-off of
+/// the circuit breaker it takes up to 0.7 s, and lots are refused whose trainers submit them for
+/// the last time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The same for an instance that another one tells of all changes: its news do not wait for the store, and
-/// of 165 instances that are told 7 a second each would look for nothing.
+/// Interval between two probes of an instance that gets all changes over the broadcast tree. Its
+/// data do not wait for the store, and 165 such instances would each send 7 probes a second to no
+/// purpose.
 const FED_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// After so long without an answer only probes and lots' writes go out; all else waits for a probe's
-/// success. A quarter of the instances may be turned away while the others are served, and each call
-/// is paid for, a refused one as well.
+/// Time without an answer after which only probes and writes of lots are sent; all other calls wait
+/// for the success of a probe. A quarter of the instances may be refused while the others are
+/// served, and each call is paid for, also a refused one.
 const URGENT_ONLY_AFTER: Duration = Duration::from_millis(1_000);
-/// One probe of so many is a linearizable read, for a store that answers those alone.
+/// One in this many probes is a linearizable read, for a store that answers only those.
 const LINEARIZABLE_PROBE_PERIOD: u32 = 10;
 
-/// The store's calls; clones share budget and contact.
+/// Client of the object store; clones share the call budget and the health of the store.
 #[derive(Clone)]
 pub struct Store {
     client: Client,
@@ -38,9 +40,9 @@
     health: Rc<Health>,
 }
 
-/// What this process knows of its contact with the store.
+/// Health of the store, as the calls of this process show it.
 struct Health {
-    /// Since when every call has failed; none while calls are answered.
+    /// Since when every call has failed; `None` while calls are answered.
     unreachable_since: Cell<Option<Instant>>,
     /// When this process began to make calls.
     started_at: Instant,
@@ -48,16 +50,16 @@
     last_failure_at: Cell<Option<Instant>>,
     /// When a call was last answered.
     last_answer_at: Cell<Option<Instant>>,
-    /// When the contact was last back.
+    /// When the store last became reachable again.
     recovered_at: Cell<Option<Instant>>,
-    /// Grows each time that the contact is back: whoever waits for news asks anew.
+    /// Number of recoveries. Waiting readers ask anew at each.
     recoveries: watch::Sender<u64>,
-    /// Whether probes are sent while the store is away.
+    /// Whether probes are sent while the store is unreachable.
     is_probing: Cell<bool>,
 }
 
 impl Store {
-    /// The store behind `client`, in `dialect`.
+    /// The store behind `client`, whose calls are encoded by `dialect`.
     pub fn new(client: Client, dialect: Dialect) -> Self {
         let health = Health {
             unreachable_since: Cell::new(None),
@@ -75,20 +77,21 @@
         }
     }
 
-    /// Since when every call has failed; none while calls are answered.
+    /// Since when every call has failed; `None` while calls are answered.
     pub fn unreachable_since(&self) -> Option<Instant> {
         self.health.unreachable_since.get()
     }
 
-    /// Whether calls wait for a probe's success. Decided here and not by the client's breaker, which
-    /// takes a refusal for its rate for an answer; an instance that is turned away gets just these.
+    /// Whether only urgent calls are sent, until a probe succeeds. The circuit breaker of the
+    /// client cannot decide this: it takes a refusal for the rate as an answer, and an instance
+    /// that is refused gets just these.
     fn sends_urgent_only(&self) -> bool {
         let unreachable_since = self.unreachable_since();
         self.health.is_probing.get()
             && unreachable_since.is_some_and(|since| since.elapsed() >= URGENT_ONLY_AFTER)
     }
 
-    /// How long ago the contact was last back after failures.
+    /// How long ago the store last became reachable again; `None` if it never was unreachable.
     pub fn recovered_ago(&self) -> Option<Duration> {
         self.health.recovered_at.get().map(|at| at.elapsed())
     }
@@ -99,25 +102,25 @@
         last_failure_at.is_some_and(|at| at.elapsed() < span)
     }
 
-    /// For how long no call has failed; since the start if none ever did.
+    /// Time since a call last failed; since the start if none has.
     pub fn uptime(&self) -> Duration {
         let since = self.health.last_failure_at.get();
         since.unwrap_or(self.health.started_at).elapsed()
     }
 
-    /// Time since a call was last answered; none if none ever was.
+    /// Time since a call was last answered; `None` if none has been.
     pub fn last_answer_ago(&self) -> Option<Duration> {
         self.health.last_answer_at.get().map(|at| at.elapsed())
     }
 
-    /// Tells each time that the contact is back after failures.
+    /// Notifies each time that the store becomes reachable again.
     pub fn recoveries(&self) -> watch::Receiver<u64> {
         self.health.recoveries.subscribe()
     }
 
-    /// While the store is away, looks whether it is back: an instance that the bulletin tells of all
-    /// changes may have no other call to make for a long time. `is_told` says whether it is told now.
-    /// Never returns.
+    /// Probes the store while it is unreachable, by reads of the object `name`. An instance that
+    /// gets all changes over the broadcast tree may have no other call to make for a long time;
+    /// `is_fed` tells whether it gets them now. Never returns.
     pub async fn probe_in_outages(
         &self,
         kind: &'static str,
@@ -141,24 +144,24 @@
                     0 => Freshness::Current,
                     _ => Freshness::Stale,
                 };
-                // A store that is silent holds a probe until it times out: the next one goes out
-                // meanwhile.
+                // A store that does not answer holds a probe until its timeout; the next one is
+                // sent meanwhile.
                 let store = self.clone();
                 actix_rt::spawn(async move { store.probe(kind, name, freshness).await });
             }
         }
     }
 
-    /// Looks whether the store answers this instance, past the breaker.
+    /// Sends one probe past the circuit breaker; returns whether the store answered it.
     pub async fn probe(&self, kind: &str, name: &str, freshness: Freshness) -> bool {
-        // What it reads is of no interest, and may be old; `judge` notes the contact.
+        // The object itself is not used and may be old; `record_outcome` records the answer.
         let call = (self.dialect.read)(kind, name, freshness);
         let client = &self.client;
         let probe = client.exchange(Purpose::Config, Access::Probe, call, Duration::ZERO);
         self.record_outcome(probe.await).is_ok()
     }
 
-    /// Calls since the start.
+    /// The underlying client, which counts the calls.
     pub fn client(&self) -> &Client {
         &self.client
     }
@@ -166,7 +169,7 @@
     /// Reads one object; `None` if it does not exist.
     ///
     /// # Errors
-    /// If the store did not answer so.
+    /// If the store did not answer, or not with an object.
     pub async fn read(
         &self,
         purpose: Purpose,
@@ -182,10 +185,10 @@
         }
     }
 
-    /// One page of a kind, of the names after `after`.
+    /// Reads one page of the objects of a kind, beginning after the name `after`.
     ///
     /// # Errors
-    /// If the store did not answer so.
+    /// If the store did not answer, or not with a page.
     pub async fn list_page(
         &self,
         purpose: Purpose,
@@ -198,10 +201,10 @@
         decode_body(self.dialect.page, &body)
     }
 
-    /// All objects of a kind of the names after `after`, and the revision to watch from.
+    /// Lists all objects of a kind after the name `after`, and the revision to watch from.
     ///
     /// # Errors
-    /// If the store did not answer so.
+    /// If the store did not answer, or not with a page.
     pub async fn list(
         &self,
         purpose: Purpose,
@@ -211,7 +214,8 @@
         let mut page = self
             .list_page(purpose, kind, after, Freshness::Current)
             .await?;
-        // Changes during the list are told by a watch from its first page on.
+        // A watch from the revision of the first page also returns the changes made during the
+        // list.
         let revision = page.revision;
         let mut objects = std::mem::take(&mut page.objects);
         while page.more {
@@ -226,10 +230,10 @@
         Ok((objects, revision))
     }
 
-    /// Waits for changes of a kind after a revision.
+    /// Waits up to `wait` for changes of a kind after the revision `after`.
     ///
     /// # Errors
-    /// [`Error::Gone`] if the store does not know that history any more.
+    /// [`Error::Gone`] if the store no longer has the history since that revision.
     pub async fn watch(
         &self,
         purpose: Purpose,
@@ -242,10 +246,10 @@
         decode_body(self.dialect.changes, &body)
     }
 
-    /// Creates an object that must not exist; `spec` is JSON text.
+    /// Creates an object; `spec` is JSON text.
     ///
     /// # Errors
-    /// [`Error::Conflict`] if it exists.
+    /// [`Error::Conflict`] if the object exists.
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -258,10 +262,10 @@
         decode_body(self.dialect.object, &body)
     }
 
-    /// Replaces the spec of an object that must have `revision`.
+    /// Replaces the spec of an object whose current revision is `revision`.
     ///
     /// # Errors
-    /// [`Error::Conflict`] if it has another one.
+    /// [`Error::Conflict`] if the object has another revision.
     pub async fn update(
         &self,
         purpose: Purpose,
@@ -290,10 +294,10 @@
         self.request(purpose, Access::Write, call).await.map(drop)
     }
 
-    /// Deletes an object; one that does not exist is no error.
+    /// Deletes an object; succeeds if it does not exist.
     ///
     /// # Errors
-    /// If the store did not answer so.
+    /// If the store did not answer, or refused the call.
     pub async fn delete(&self, purpose: Purpose, kind: &str, name: &str) -> Result<(), Error> {
         let call = (self.dialect.delete)(kind, name);
         match self.request(purpose, Access::Write, call).await {
@@ -320,7 +324,7 @@
         self.record_outcome(answer)
     }
 
-    /// Notes whether the store is in contact, and what the status means.
+    /// Records whether the store answered, and turns the HTTP status into a result.
     fn record_outcome(&self, answer: Result<(StatusCode, Bytes), Error>) -> Result<Bytes, Error> {
         let result = answer.and_then(|(status, body)| check_status(status).map(|()| body));
         match &result {
@@ -332,6 +336,7 @@
 }
 
 impl Health {
+    /// Records that a call failed.
     fn on_fail(&self) {
         let now = Instant::now();
         self.last_failure_at.set(Some(now));
@@ -341,6 +346,7 @@
         }
     }
 
+    /// Records that a call was answered, and notifies if that ends an outage.
     fn on_answer(&self) {
         self.last_answer_at.set(Some(Instant::now()));
         if let Some(since) = self.unreachable_since.take() {
@@ -352,7 +358,7 @@
     }
 }
 
-/// Only 429 and 503 promise that nothing was done.
+/// Only 429 and 503 guarantee that the call had no effect.
 fn check_status(status: StatusCode) -> Result<(), Error> {
     match status {
         StatusCode::OK | StatusCode::CREATED | StatusCode::NO_CONTENT => Ok(()),
@@ -374,6 +380,7 @@
     })
 }
 
+/// How a read of this freshness is counted and limited by the client.
 const fn read_access(freshness: Freshness) -> Access {
     match freshness {
         Freshness::Current => Access::Read,
--- a/crates/pinereel/tests/hosting_stall.rs
+++ b/crates/pinereel/tests/hosting_stall.rs
@@ -1,11 +1,11 @@
-//! A process that stood still waits for the news before it acts, on the runtime's paused clock.
+//! The stall detector delays requests after a stall, on the runtime's paused clock.
 
 use pinereel::hosted::StallDetector;
 use pinereel_core::Time;
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, pause, sleep};
 
-/// A clock that goes with the runtime's, and can be moved on as if the machine had been suspended.
+/// A clock that follows the runtime's, and can be moved on as if the machine had been suspended.
 fn clock() -> (Rc<Cell<u64>>, impl Fn() -> Time + 'static) {
     let suspended = Rc::new(Cell::new(0));
     let (began, moved) = (Instant::now(), Rc::clone(&suspended));
@@ -22,7 +22,8 @@
     assert_eq!(detector.remaining_catch_up(), Duration::ZERO);
 }
 
-/// Finding 11: the request that came before is the first thing to run, before any look of its own.
+/// A request that arrived before the stall is the first thing to run after it, before any periodic
+/// check of the clock.
 #[actix_rt::test]
 async fn what_came_before_a_stand_still_waits_for_the_news() {
     pause();
