--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -50,14 +50,14 @@
 /// spread over the instances. It is about four steps of [`Rank::takeover_delay`], so that the loss
 /// of one instance seldom leaves two duties without a holder.
 const DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(400);
-/// Added to the takeover delay of an instance without any processor time; one with a part of
-/// [`PREFERRED_MIN_CORES`] waits for the missing part of this time.
+/// Longest addition to the takeover delay of a small instance. It waits for as large a part of this
+/// time as its cores lack to [`PREFERRED_MIN_CORES`].
 const MAX_SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(1_000);
 /// Upper bound of the random delay of the first poll, which spreads the polls of instances that
 /// start together.
 const MAX_START_DELAY: Duration = Duration::from_millis(400);
-/// Cores from which an instance is preferred as a holder. Lots of a few hundred items run well on
-/// so much.
+/// Fewest cores with which an instance is preferred as a holder. They suffice for lots of a few
+/// hundred items.
 const PREFERRED_MIN_CORES: f64 = 0.25;
 
 /// Shortest sleep between two checks of what is due.
@@ -94,7 +94,7 @@
     own_address: CompactString,
     clock: Rc<dyn Fn() -> Time>,
     statuses: RefCell<BTreeMap<CompactString, watch::Sender<Status>>>,
-    /// Number of duties whose lease has not been released yet by a drain.
+    /// Number of registered duties whose lease has not been released by a drain.
     unreleased_count: Cell<usize>,
     /// Cores that this instance may use.
     cores: f64,
@@ -108,7 +108,7 @@
     polled_objects: RefCell<Vec<Object>>,
     /// Time of the last poll.
     polled_at: Cell<Option<Time>>,
-    /// Demand of the lots of each duty that this instance holds; stored in its lease.
+    /// Demand of the lots of each duty that this instance holds, which is stored in the lease.
     lot_demands: RefCell<BTreeMap<CompactString, LotDemand>>,
     /// Longest time after a renewal during which this instance acts, by duty.
     max_acting_times: RefCell<BTreeMap<CompactString, Duration>>,
@@ -244,8 +244,8 @@
     }
 
     /// Runs `work` each time that this instance holds `duty`, until `work` ends, another instance
-    /// is known to have taken the lease, or it is released. After each run, `should_continue` tells
-    /// whether to wait for the lease again.
+    /// is known to have taken the lease, or it is released. After each run, `should_continue`
+    /// returns whether to wait for the lease again.
     pub async fn run_while_held(
         self: &Rc<Self>,
         duty: &CompactString,
--- a/crates/pinereel/src/hosted/duty/poll.rs
+++ b/crates/pinereel/src/hosted/duty/poll.rs
@@ -40,17 +40,17 @@
         let mut recoveries = self.store.recoveries();
         // The first poll happens even if no candidate waits for it: it finds the root of the
         // broadcast tree. The root is there only once the preferred instances have polled.
-        let mut is_fed = false;
+        let mut is_receiving = false;
         let mut is_first = true;
         sleep(self.start_delay(seed)).await;
         loop {
-            while is_fed {
-                is_fed = self.handle_feed_event(feed.recv().await, &mut schedule);
+            while is_receiving {
+                is_receiving = self.handle_feed_event(feed.recv().await, &mut schedule);
             }
             if self.waiting_candidates.get() == 0 && !is_first {
                 tokio::select! {
                     () = sleep(MIN_SLEEP * 10) => {}
-                    received = feed.recv() => is_fed = self.handle_feed_event(received, &mut schedule),
+                    received = feed.recv() => is_receiving = self.handle_feed_event(received, &mut schedule),
                 }
                 continue;
             }
@@ -69,7 +69,7 @@
                 _ = recoveries.changed() => {}
                 () = self.poll_requested.notified() => {}
                 () = self.drain_started.notified() => {}
-                received = feed.recv() => is_fed = self.handle_feed_event(received, &mut schedule),
+                received = feed.recv() => is_receiving = self.handle_feed_event(received, &mut schedule),
             }
         }
     }
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -33,7 +33,7 @@
 pub struct WatchOptions {
     /// Longest time that one watch waits for changes.
     pub max_wait: Duration,
-    /// Pause after an update of the store, so that changes at short intervals come in one call.
+    /// Pause after an update of the store, so that changes in quick succession come in one answer.
     pub batch_delay: Duration,
 }
 
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -23,7 +23,7 @@
 /// Interval between two probes of an instance that gets all changes over the broadcast tree. Its
 /// data do not wait for the store, and 165 such instances would each send 7 probes a second to no
 /// purpose.
-const FED_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+const RECEIVING_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time without an answer after which only probes and writes of lots are sent; all other calls wait
 /// for the success of a probe. A quarter of the instances may be refused while the others are
@@ -120,20 +120,20 @@
 
     /// Probes the store while it is unreachable, by reads of the object `name`. An instance that
     /// gets all changes over the broadcast tree may have no other call to make for a long time;
-    /// `is_fed` tells whether it gets them now. Never returns.
+    /// `is_receiving` returns whether it gets them now. Never returns.
     pub async fn probe_in_outages(
         &self,
         kind: &'static str,
         name: &'static str,
-        is_fed: impl Fn() -> bool,
+        is_receiving: impl Fn() -> bool,
     ) {
         self.health.is_probing.set(true);
         let mut probe_count = 0_u32;
         let mut last_probe_at = Instant::now();
         loop {
             sleep(PROBE_INTERVAL).await;
-            let interval = if is_fed() {
-                FED_PROBE_INTERVAL
+            let interval = if is_receiving() {
+                RECEIVING_PROBE_INTERVAL
             } else {
                 PROBE_INTERVAL
             };
