--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -318,7 +318,7 @@
         wait: Duration,
     ) -> Result<Bytes, Error> {
         if !purpose.is_urgent(access) && self.sends_urgent_only() {
-            return Err(Error::NotSent("the store is away".into()));
+            return Err(Error::NotSent("the object store is unreachable".into()));
         }
         let answer = self.client.exchange(purpose, access, call, wait).await;
         self.record_outcome(answer)
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -80,7 +80,7 @@
         refused.extend(read.await.err());
         sleep(Duration::from_millis(50)).await;
     }
-    let away = Error::NotSent("the store is away".into());
+    let away = Error::NotSent("the object store is unreachable".into());
     assert!(refused.iter().all(|error| *error == away), "{refused:?}");
     assert_eq!(refused.len(), 40);
     let probes = stand_in.calls() - calls;
