--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -40,8 +40,7 @@
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.config;
             let manner = || WatchOptions {
-                max_wait:
-                wait,
+                max_wait: wait,
                 batch_delay: Duration::ZERO,
             };
             list_and_watch(&store, Purpose::Config, kind, manner, fed, |update, _| {
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -149,8 +149,7 @@
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.endpoints;
             let manner = || WatchOptions {
-                max_wait:
-                wait,
+                max_wait: wait,
                 batch_delay: if hurried() { HURRIED } else { gather },
             };
             let take = move |update, _, origin| state.take(update, Self::scope(origin));
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -157,8 +157,7 @@
         let store = self.parts.store.clone();
         let (kind, wait) = (self.parts.adapter.object_kinds.versions, self.parts.watch);
         let manner = || WatchOptions {
-            max_wait:
-            wait,
+            max_wait: wait,
             batch_delay: Duration::ZERO,
         };
         let versions = list_and_watch(&store, Purpose::Weights, kind, manner, None, |update, _| {
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -149,7 +149,8 @@
         let (looking, told) = (store.clone(), Rc::clone(&feed));
         actix_rt::spawn(async move {
             let (places, is_told) = (adapter.object_kinds, || told.has_parent());
-            let look_out = looking.probe_in_outages(places.config, places.config_object_name, is_told);
+            let look_out =
+                looking.probe_in_outages(places.config, places.config_object_name, is_told);
             look_out.await;
         });
         let config = Config::start(&store, adapter, watch, &feed);
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -133,8 +133,10 @@
         loop {
             sleep(PROBE_INTERVAL).await;
             let interval = if is_receiving() {
-                RECEIVING_PROBE_INTERVAL } else {
-                PROBE_INTERVAL };
+                RECEIVING_PROBE_INTERVAL
+            } else {
+                PROBE_INTERVAL
+            };
             if self.unreachable_since().is_some() && last_probe_at.elapsed() >= interval {
                 last_probe_at = Instant::now();
                 probe_count = probe_count.wrapping_add(1);
@@ -304,7 +306,12 @@
         }
     }
 
-    async fn request(&self, purpose: Purpose, access: Access, call: Request) -> Result<Bytes, Error> {
+    async fn request(
+        &self,
+        purpose: Purpose,
+        access: Access,
+        call: Request,
+    ) -> Result<Bytes, Error> {
         self.exchange(purpose, access, call, Duration::ZERO).await
     }
 
