--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -1,9 +1,9 @@
 //! The configuration in force at this instance.
 
 use super::{
-    bulletin::{Feed, Topic},
     follow::{Manner, Update, follow},
     store::Store,
+    tree::{Feed, Topic},
 };
 use crate::objects::Purpose;
 use compact_str::CompactString;
--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -2,7 +2,7 @@
 
 use super::{Duties, KIND, LIMITS, SHORTEST_SLEEP, spread};
 use crate::{
-    hosted::{bulletin::Fed, crashes::take_out, follow::Update},
+    hosted::{crashes::take_out, follow::Update, tree::Fed},
     objects::Purpose,
 };
 use compact_str::CompactString;
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -7,10 +7,10 @@
 pub use standing::{Grant, Standing};
 
 use super::{
-    bulletin::{Feed, Topic},
     crashes::Crashes,
     metrics::Metrics,
     store::Store,
+    tree::{Feed, Topic},
 };
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -3,10 +3,10 @@
 mod listing;
 
 use super::{
-    bulletin::{Fed, Feed, Topic},
     follow::{Manner, Origin, follow_from},
     metrics::Metrics,
     store::Store,
+    tree::{Fed, Feed, Topic},
 };
 use crate::{
     objects::Purpose,
--- a/crates/pinereel/src/hosted/follow.rs
+++ b/crates/pinereel/src/hosted/follow.rs
@@ -1,6 +1,6 @@
 //! Following all objects of a kind: one list, then watches, or what the bulletin tells.
 
-use super::{bulletin::Fed, store::Store};
+use super::{store::Store, tree::Fed};
 use crate::objects::{Error, Purpose};
 use pinereel_port::store::{Change, Object};
 use std::time::Duration;
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -12,7 +12,6 @@
 //!        └ Duties (leases) ───────────────────┘
 //! ```
 
-mod bulletin;
 mod config;
 mod crashes;
 mod demand;
@@ -33,11 +32,12 @@
 mod stall;
 mod stop;
 mod store;
+mod tree;
 mod usage;
 
-pub use bulletin::Fed;
 pub use follow::{Manner, Update, follow};
 pub use metrics::Metrics;
 pub use run::{Error, run};
 pub use stall::Stall;
 pub use store::Store;
+pub use tree::Fed;
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -1,7 +1,6 @@
 //! The running process.
 
 use super::{
-    bulletin::{self, Bulletin, Feed},
     config::Config,
     crashes::Crashes,
     duty::{self, Duties},
@@ -16,6 +15,7 @@
     stall::Stall,
     stop::{Stop, Times},
     store::Store,
+    tree::{self, Feed, Node},
     usage::{self, Usage},
 };
 use crate::{
@@ -125,7 +125,7 @@
     stop: Rc<Stop>,
     duties: Rc<Duties>,
     /// None without an address for other instances.
-    bulletin: Option<Rc<Bulletin>>,
+    bulletin: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
 
@@ -175,7 +175,7 @@
         let usage = Usage::start(reported.as_ref(), duties.id(), boot_time);
         let mut bulletin = None;
         if let Some(peers) = instance.peers {
-            let parts = bulletin::Parts {
+            let parts = tree::Parts {
                 store: store.clone(),
                 adapter,
                 duties: Rc::clone(&duties),
@@ -191,7 +191,7 @@
                     preferred: duties.is_preferred(),
                 },
             };
-            bulletin = Some(Bulletin::start(parts, listen(peers).await?));
+            bulletin = Some(Node::start(parts, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
         let held = Rc::clone(&duties);
--- a/crates/pinereel/src/hosted/bulletin/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -1,8 +1,6 @@
 //! Links to children.
 
-use super::{
-    Bulletin, CHILD_SILENCE, Frame, HEARTBEAT, Hello, OPEN, Topic, link_config, topics::Link,
-};
+use super::{CHILD_SILENCE, Frame, HEARTBEAT, Hello, Node, OPEN, Topic, link_config, topics::Link};
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
 use pinereel_core::tree::{Admission, ChildKey, RankRange};
@@ -22,7 +20,7 @@
 
 type Socket = WebSocketStream<TcpStream>;
 
-impl Bulletin {
+impl Node {
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let greeted = Arc::new(Semaphore::new(GREETED));
         loop {
@@ -33,12 +31,12 @@
             let Ok(permit) = Arc::clone(&greeted).try_acquire_owned() else {
                 continue;
             };
-            let bulletin = Rc::clone(&self);
+            let node = Rc::clone(&self);
             actix_rt::spawn(async move {
                 let greeting = timeout(OPEN, greet(stream)).await;
                 drop(permit);
                 if let Ok(Some((socket, hello))) = greeting {
-                    bulletin.receive(socket, hello).await;
+                    node.receive(socket, hello).await;
                 }
             });
         }
--- a/crates/pinereel/src/hosted/bulletin/packed.rs
+++ b/crates/pinereel/src/hosted/tree/encoded_object.rs
@@ -7,7 +7,7 @@
 
 /// An encoded object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed {
+pub struct EncodedObject {
     /// Name of the object.
     pub name: CompactString,
     /// Whether it was deleted.
@@ -16,7 +16,7 @@
     pub object: Bytes,
 }
 
-impl Packed {
+impl EncodedObject {
     /// Encodes an object; none if it cannot be encoded.
     pub fn new(object: &Object, deleted: bool) -> Option<Self> {
         let mut bytes = Vec::new();
--- a/crates/pinereel/src/hosted/bulletin/frame.rs
+++ b/crates/pinereel/src/hosted/tree/frame.rs
@@ -1,6 +1,6 @@
 //! What goes over a link.
 
-use super::packed::Packed;
+use super::encoded_object::EncodedObject;
 use compact_str::CompactString;
 use pinereel_core::{
     crash::Report,
@@ -49,7 +49,7 @@
         /// The store's revision.
         revision: u64,
         /// The objects.
-        objects: Vec<Packed>,
+        objects: Vec<EncodedObject>,
         /// For how long the store has answered all calls of the root: an endpoint that is not listed
         /// soon after an outage may only have lapsed.
         calm: Duration,
@@ -61,7 +61,7 @@
         /// The store's revision after them.
         revision: u64,
         /// Oldest first.
-        changes: Vec<Packed>,
+        changes: Vec<EncodedObject>,
         /// As in [`Frame::All`].
         calm: Duration,
     },
--- a/crates/pinereel/src/hosted/bulletin/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -10,27 +10,27 @@
 //! place until the duty has a holder again; only an instance that finds no parent reads the store for
 //! itself.
 //!
-//! - [`Bulletin`]: the instance in the tree; its parts are the state (`board`), the links to children
-//!   (`children`), what goes both ways (`gossip`), the way to a parent (`uplink`, `search`), and reading the store (`source`).
+//! - [`Node`]: the instance in the tree; its parts are the state (`node`), the links to children
+//!   (`children`), what goes both ways (`reports`), the way to a parent (`uplink`, `search`), and reading the store (`source`).
 //! - `topics`, `known`, `packed`: what is told, kept encoded for children, and passed on to those that want it.
 //! - [`Feed`]: what the parts of this process hear.
 //! - [`frame`]: what goes over a link.
 
-mod board;
 mod children;
+mod encoded_object;
 mod feed;
 mod frame;
-mod gossip;
-mod known;
-mod packed;
-mod search;
-mod source;
+mod node;
+mod parent_search;
+mod reports;
+mod store_reader;
+mod topic_cache;
 mod topics;
 mod uplink;
 
-pub use board::{Bulletin, Parts};
 pub use feed::{Fed, Feed};
 pub use frame::{Frame, Hello, Topic};
+pub use node::{Node, Parts};
 
 use std::time::Duration;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,6 +1,6 @@
 //! What this instance has been told, and whom it tells.
 
-use super::{Feed, Frame, HEARTBEAT, Topic, known::Known, topics::Link};
+use super::{Feed, Frame, HEARTBEAT, Topic, topic_cache::TopicCache, topics::Link};
 use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -49,7 +49,7 @@
 }
 
 /// One instance in the tree.
-pub struct Bulletin {
+pub struct Node {
     pub(super) parts: Parts,
     pub(super) state: RefCell<State>,
     pub(super) uplink: RefCell<Uplink>,
@@ -65,7 +65,7 @@
 /// What is known, and the links to children.
 #[derive(Default)]
 pub(super) struct State {
-    pub(super) topics: BTreeMap<Topic, Known>,
+    pub(super) topics: BTreeMap<Topic, TopicCache>,
     /// Topics beyond the base that this instance or one below it wants.
     pub(super) subscribed: BTreeSet<Topic>,
     /// Topics that were listed since this instance began to read the store.
@@ -82,34 +82,34 @@
     }
 }
 
-impl Bulletin {
+impl Node {
     /// Takes part in the tree from now on; children link to `listener`.
     pub fn start(parts: Parts, listener: TcpListener) -> Rc<Self> {
         let own = parts.peer.address.clone();
-        let bulletin = Rc::new(Self {
+        let node = Rc::new(Self {
             parts,
             state: RefCell::default(),
             uplink: RefCell::new(Uplink::new(own)),
             leaving: watch::channel(false).0,
             up: broadcast::channel(QUEUE_UP).0,
         });
-        let accepting = Rc::clone(&bulletin);
+        let accepting = Rc::clone(&node);
         actix_rt::spawn(async move { accepting.accept(listener).await });
-        let beating = Rc::clone(&bulletin);
+        let beating = Rc::clone(&node);
         actix_rt::spawn(async move { beating.beat().await });
-        let telling = Rc::clone(&bulletin);
+        let telling = Rc::clone(&node);
         actix_rt::spawn(async move { telling.tell_crashes().await });
-        let counting = Rc::clone(&bulletin);
+        let counting = Rc::clone(&node);
         actix_rt::spawn(async move { counting.tell_usage().await });
-        let subscribing = Rc::clone(&bulletin);
+        let subscribing = Rc::clone(&node);
         actix_rt::spawn(async move {
             subscribing.parts.feed.engines_subscribed().await;
             subscribing.subscribe(Topic::Engines);
             subscribing.resume();
         });
-        let linking = Rc::clone(&bulletin);
+        let linking = Rc::clone(&node);
         actix_rt::spawn(async move { linking.run().await });
-        bulletin
+        node
     }
 
     /// Sends all children to other parents, before this instance ends.
--- a/crates/pinereel/src/hosted/bulletin/search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -1,6 +1,6 @@
 //! Looking for a parent.
 
-use super::{Bulletin, Frame, Hello, OPEN, link_config};
+use super::{Frame, Hello, Node, OPEN, link_config};
 use compact_str::CompactString;
 use futures_util::{SinkExt as _, StreamExt as _, stream::FuturesUnordered};
 use pinereel_core::tree::Heartbeat;
@@ -57,7 +57,7 @@
     Later(Duration),
 }
 
-impl Bulletin {
+impl Node {
     /// Looks for a parent until there is one.
     pub(super) async fn search(&self, needed: Needed) -> Link {
         let mut looks = self.parts.duties.looks();
--- a/crates/pinereel/src/hosted/bulletin/gossip.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -1,6 +1,6 @@
 //! What goes up the tree: requests that crash endpoints, which go down as well, and counts of requests.
 
-use super::{Bulletin, Frame, Topic};
+use super::{Frame, Node, Topic};
 use crate::hosted::{
     crashes::{Crashes, Source},
     usage::Usage,
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use pinereel_core::crash::Report;
 
-impl Bulletin {
+impl Node {
     /// Tells all neighbours what is news here about requests that crash endpoints. Whoever told it hears it
     /// again, and has nothing to pass on.
     pub(super) async fn tell_crashes(&self) {
--- a/crates/pinereel/src/hosted/bulletin/source.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -1,6 +1,6 @@
 //! Reading the store for all.
 
-use super::{Bulletin, Topic};
+use super::{Node, Topic};
 use crate::{
     hosted::{
         crashes::{Kept, take_out},
@@ -17,7 +17,7 @@
 /// Pause between two lists of the leases: those of a holder that died are found by it.
 const LEASES: Duration = Duration::from_millis(700);
 
-impl Bulletin {
+impl Node {
     /// Follows everything in the store, and tells it; ends only when dropped.
     pub(super) async fn read_store(&self) {
         let places = self.parts.adapter.places;
--- a/crates/pinereel/src/hosted/bulletin/known.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Frame, Topic,
-    packed::{Packed, decode},
+    encoded_object::{EncodedObject, decode},
 };
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -17,7 +17,7 @@
 
 /// The objects of a topic, encoded: each instance keeps them for children that it may get.
 #[derive(Default)]
-pub(super) struct Known {
+pub(super) struct TopicCache {
     /// The store's revision.
     pub(super) revision: u64,
     objects: BTreeMap<CompactString, Bytes>,
@@ -27,9 +27,9 @@
     snapshot: Option<(u64, Bytes)>,
 }
 
-impl Known {
+impl TopicCache {
     /// Takes over all objects of the topic.
-    pub(super) fn set(&mut self, objects: Vec<Packed>, revision: u64) {
+    pub(super) fn set(&mut self, objects: Vec<EncodedObject>, revision: u64) {
         self.revision = revision;
         let objects = objects.into_iter();
         self.objects = objects.map(|packed| (packed.name, packed.object)).collect();
@@ -38,7 +38,7 @@
     }
 
     /// Takes over changes; `frame` tells children of them.
-    pub(super) fn change(&mut self, changes: Vec<Packed>, revision: u64, frame: Bytes) {
+    pub(super) fn change(&mut self, changes: Vec<EncodedObject>, revision: u64, frame: Bytes) {
         self.revision = revision;
         for packed in changes {
             if packed.deleted {
@@ -54,11 +54,11 @@
     }
 
     /// What differs from `objects`, which are all that there are.
-    pub(super) fn differences(&self, objects: &[Packed]) -> Vec<Packed> {
+    pub(super) fn differences(&self, objects: &[EncodedObject]) -> Vec<EncodedObject> {
         let present: BTreeMap<_, _> = objects.iter().map(|o| (&o.name, o)).collect();
         let gone = self.objects.iter();
         let gone = gone.filter(|(name, _)| !present.contains_key(name));
-        let deleted = gone.map(|(name, bytes)| Packed {
+        let deleted = gone.map(|(name, bytes)| EncodedObject {
             name: name.clone(),
             deleted: true,
             object: bytes.clone(),
@@ -87,7 +87,7 @@
             self.snapshot = Some((revision, snapshot.clone()));
             return std::iter::once(snapshot).chain(later).collect();
         }
-        let objects = self.objects.iter().map(|(name, bytes)| Packed {
+        let objects = self.objects.iter().map(|(name, bytes)| EncodedObject {
             name: name.clone(),
             deleted: false,
             object: bytes.clone(),
--- a/crates/pinereel/src/hosted/bulletin/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -1,6 +1,6 @@
 //! What is told of each topic: taken in, kept for children, and passed on to those that want it.
 
-use super::{Bulletin, Frame, Topic, board::State, packed::Packed};
+use super::{Frame, Node, Topic, encoded_object::EncodedObject, node::State};
 use crate::hosted::follow::Update;
 use bytes::Bytes;
 use pinereel_core::tree::ChildKey;
@@ -29,16 +29,26 @@
     pub(super) topic: Topic,
     /// Whether these are all objects of the topic, and not changes alone.
     pub(super) whole: bool,
-    pub(super) objects: Vec<Packed>,
+    pub(super) objects: Vec<EncodedObject>,
 }
 
 impl Publication {
     /// The same for the parts of this process.
     fn update(&self) -> Update {
         if self.whole {
-            Update::All(self.objects.iter().filter_map(Packed::object).collect())
+            Update::All(
+                self.objects
+                    .iter()
+                    .filter_map(EncodedObject::object)
+                    .collect(),
+            )
         } else {
-            Update::Changes(self.objects.iter().filter_map(Packed::change).collect())
+            Update::Changes(
+                self.objects
+                    .iter()
+                    .filter_map(EncodedObject::change)
+                    .collect(),
+            )
         }
     }
 
@@ -63,7 +73,7 @@
     }
 }
 
-impl Bulletin {
+impl Node {
     /// The store has told of a topic.
     pub(super) fn read(&self, topic: Topic, update: Update, revision: u64) {
         let calm = self.parts.store.calm();
@@ -285,12 +295,13 @@
 fn pack(topic: Topic, update: &Update) -> Publication {
     let (whole, objects) = match update {
         Update::All(objects) => {
-            let packed = objects.iter().filter_map(|o| Packed::new(o, false));
+            let packed = objects.iter().filter_map(|o| EncodedObject::new(o, false));
             (true, packed.collect())
         }
         Update::Changes(changes) => {
             let packed = changes.iter();
-            let packed = packed.filter_map(|change| Packed::new(&change.object, change.deleted));
+            let packed =
+                packed.filter_map(|change| EncodedObject::new(&change.object, change.deleted));
             (false, packed.collect())
         }
     };
--- a/crates/pinereel/src/hosted/bulletin/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -1,8 +1,8 @@
 //! Where this instance gets its news from: a parent, or the store itself.
 
 use super::{
-    Bulletin, DUTY, Frame, REPORT,
-    search::{Link, Needed},
+    DUTY, Frame, Node, REPORT,
+    parent_search::{Link, Needed},
     topics::{Publication, Stamp},
 };
 use crate::hosted::duty::Standing;
@@ -40,7 +40,7 @@
     Answered,
 }
 
-impl Bulletin {
+impl Node {
     pub(super) async fn run(self: Rc<Self>) {
         let mut standing = self.parts.duties.join(&DUTY.into());
         let mut found = None;
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -6,11 +6,11 @@
 use super::Usage;
 use crate::{
     hosted::{
-        bulletin,
         duty::{Duties, Grant},
         metrics::Metrics,
         platform,
         store::Store,
+        tree,
     },
     objects::{Error, Purpose},
     settings,
@@ -87,7 +87,7 @@
     let parts = Rc::new(parts);
     let duties = Rc::clone(&parts.duties);
     let work = async || parts.work().await;
-    let duty = bulletin::DUTY.into();
+    let duty = tree::DUTY.into();
     duties.whenever_held(&duty, work, || true).await;
 }
 
@@ -214,7 +214,7 @@
 
     /// The lease, if a call may be made under it now.
     fn grant(&self) -> Option<Grant> {
-        let grant = self.duties.acts(bulletin::DUTY)?;
+        let grant = self.duties.acts(tree::DUTY)?;
         (self.duties.now() >= grant.clear_from(self.gap)).then_some(grant)
     }
 
