--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -1,6 +1,9 @@
 //! Links to children.
 
-use super::{CHILD_SILENCE, Frame, HEARTBEAT, Hello, Node, OPEN, Topic, link_config, topics::Link};
+use super::{
+    CHILD_TIMEOUT, Frame, HEARTBEAT_INTERVAL, Hello, LINK_OPEN_TIMEOUT, Node, Topic, link_config,
+    topics::Link,
+};
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
 use pinereel_core::tree::{Admission, ChildKey, RankRange};
@@ -13,19 +16,19 @@
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, tungstenite::Message};
 
 /// Frames that may wait for a slow link before it is cut.
-const QUEUE: usize = 256;
+const CHILD_QUEUE_FRAMES: usize = 256;
 /// Newcomers that are being greeted at once; one more finds its connection closed and tries again.
 /// Instances that start together all come to one.
-const GREETED: usize = 64;
+const MAX_CONCURRENT_HANDSHAKES: usize = 64;
 
 type Socket = WebSocketStream<TcpStream>;
 
 impl Node {
     pub(super) async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let greeted = Arc::new(Semaphore::new(GREETED));
+        let greeted = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(HEARTBEAT).await;
+                sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             };
             let Ok(permit) = Arc::clone(&greeted).try_acquire_owned() else {
@@ -33,7 +36,7 @@
             };
             let node = Rc::clone(&self);
             actix_rt::spawn(async move {
-                let greeting = timeout(OPEN, greet(stream)).await;
+                let greeting = timeout(LINK_OPEN_TIMEOUT, greet(stream)).await;
                 drop(permit);
                 if let Ok(Some((socket, hello))) = greeting {
                     node.receive(socket, hello).await;
@@ -74,7 +77,7 @@
         key: ChildKey,
         topics: BTreeMap<Topic, u64>,
     ) -> &'static str {
-        let (sender, mut frames) = mpsc::channel::<Bytes>(QUEUE);
+        let (sender, mut frames) = mpsc::channel::<Bytes>(CHILD_QUEUE_FRAMES);
         // Its place follows with the next sign of life.
         let alive = self.alive(RankRange::default()).map(Frame::Alive);
         // Before the configuration and the list: what must not run is known before anything can.
@@ -99,7 +102,7 @@
                         return "not sent";
                     }
                 }
-                () = sleep_until(heard_at + CHILD_SILENCE) => return "silent",
+                () = sleep_until(heard_at + CHILD_TIMEOUT) => return "silent",
                 said = socket.next() => {
                     heard_at = Instant::now();
                     match said {
@@ -147,7 +150,11 @@
 async fn refuse(mut socket: Socket, answer: &Frame) {
     if let Some(bytes) = answer.encode() {
         // A newcomer that hears nothing tries again.
-        let _ = timeout(OPEN, socket.send(Message::Binary(bytes.into()))).await;
+        let _ = timeout(
+            LINK_OPEN_TIMEOUT,
+            socket.send(Message::Binary(bytes.into())),
+        )
+        .await;
     }
-    let _ = timeout(OPEN, socket.close(None)).await;
+    let _ = timeout(LINK_OPEN_TIMEOUT, socket.close(None)).await;
 }
--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -15,7 +15,7 @@
 };
 
 /// Updates that may wait for a part of this process; one that lags further follows the store again.
-const QUEUE: usize = 64;
+const FEED_QUEUE_EVENTS: usize = 64;
 
 /// What a part of this process hears.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 impl Default for Feed {
     fn default() -> Self {
-        let topics = Topic::ALL.map(|topic| (topic, broadcast::channel(QUEUE).0));
+        let topics = Topic::ALL.map(|topic| (topic, broadcast::channel(FEED_QUEUE_EVENTS).0));
         Self {
             topics: topics.into(),
             calm: Cell::default(),
--- a/crates/pinereel/src/hosted/tree/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -36,22 +36,22 @@
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
 /// The duty of the instance that reads for all.
-pub const DUTY: &str = "bulletin";
+pub const ROOT_DUTY: &str = "bulletin";
 /// Pause between two signs of life on a link: five are missing before news count as too old.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// A child says at least so often how many it and those below it are.
-const REPORT: Duration = Duration::from_millis(1_000);
+const SUBTREE_SIZE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A child that says nothing for so long is gone: else it would count, and might be a deputy, until its queue
 /// is full.
-const CHILD_SILENCE: Duration = Duration::from_millis(3_500);
+const CHILD_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Buffer of a link for each direction: frames are mostly small, and an instance has up to 33 links.
-const BUFFER: usize = 4 * 1024;
+const LINK_BUFFER_BYTES: usize = 4 * 1024;
 /// Longest wait for a link to open, and for its first frame.
-const OPEN: Duration = Duration::from_millis(800);
+const LINK_OPEN_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How links are set up.
 fn link_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
-        .write_buffer_size(BUFFER)
+        .read_buffer_size(LINK_BUFFER_BYTES)
+        .write_buffer_size(LINK_BUFFER_BYTES)
 }
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,6 +1,6 @@
 //! What this instance has been told, and whom it tells.
 
-use super::{Feed, Frame, HEARTBEAT, Topic, topic_cache::TopicCache, topics::Link};
+use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::Link};
 use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -60,7 +60,7 @@
 }
 
 /// Frames that may wait for a slow link to the parent; more are made up for by telling all.
-const QUEUE_UP: usize = 64;
+const PARENT_QUEUE_FRAMES: usize = 64;
 
 /// What is known, and the links to children.
 #[derive(Default)]
@@ -91,7 +91,7 @@
             state: RefCell::default(),
             uplink: RefCell::new(Uplink::new(own)),
             leaving: watch::channel(false).0,
-            up: broadcast::channel(QUEUE_UP).0,
+            up: broadcast::channel(PARENT_QUEUE_FRAMES).0,
         });
         let accepting = Rc::clone(&node);
         actix_rt::spawn(async move { accepting.accept(listener).await });
@@ -215,7 +215,7 @@
         loop {
             self.tell_alive();
             self.catch_up();
-            sleep(HEARTBEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -296,7 +296,7 @@
 
     /// Whom this instance may turn to for news.
     pub(super) fn targets(&self) -> Vec<CompactString> {
-        let holder = self.parts.duties.address(super::DUTY);
+        let holder = self.parts.duties.address(super::ROOT_DUTY);
         self.uplink.borrow().link_targets(holder)
     }
 }
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -1,6 +1,6 @@
 //! Looking for a parent.
 
-use super::{Frame, Hello, Node, OPEN, link_config};
+use super::{Frame, Hello, LINK_OPEN_TIMEOUT, Node, link_config};
 use compact_str::CompactString;
 use futures_util::{SinkExt as _, StreamExt as _, stream::FuturesUnordered};
 use pinereel_core::tree::Heartbeat;
@@ -14,17 +14,17 @@
 };
 
 /// Pause between the first rounds.
-const RETRY: Duration = Duration::from_millis(250);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Rounds after which the pause doubles with each further one: a holder is there by then, unless the
 /// store is away.
-const QUICK_ROUNDS: u32 = 6;
+const ROUNDS_BEFORE_BACKOFF: u32 = 6;
 /// Longest pause.
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Each further target is tried so much later, so that the first one is taken if it is there.
-const STAGGER: Duration = Duration::from_millis(60);
+const TARGET_STAGGER: Duration = Duration::from_millis(60);
 /// Parents that are asked from one target on: three are named at each level, and four levels of 32 children
 /// reach a million instances.
-const REFERRALS: usize = 12;
+const MAX_ATTEMPTS_PER_TARGET: usize = 12;
 
 /// A link to a parent.
 pub(super) struct Link {
@@ -98,7 +98,7 @@
         let mut tries: FuturesUnordered<_> = targets
             .map(async |(at, target)| {
                 let at = u32::try_from(at).unwrap_or(u32::MAX);
-                sleep(STAGGER.saturating_mul(at)).await;
+                sleep(TARGET_STAGGER.saturating_mul(at)).await;
                 self.follow_referrals(target, needed).await
             })
             .collect();
@@ -119,11 +119,11 @@
     ) -> Result<Link, Option<Duration>> {
         let mut left = vec![target];
         let mut later = None;
-        for _ in 0..REFERRALS {
+        for _ in 0..MAX_ATTEMPTS_PER_TARGET {
             let Some(address) = left.pop() else {
                 break;
             };
-            match timeout(OPEN, self.open(&address)).await {
+            match timeout(LINK_OPEN_TIMEOUT, self.open(&address)).await {
                 Ok(Some(Opened::Linked(link))) if needed.is_met_by(&link.alive) => {
                     return Ok(*link);
                 }
@@ -168,6 +168,6 @@
 }
 
 fn pause(rounds: u32) -> Duration {
-    let doublings = rounds.saturating_sub(QUICK_ROUNDS).min(8);
-    (RETRY * 2u32.pow(doublings)).min(LONGEST_RETRY)
+    let doublings = rounds.saturating_sub(ROUNDS_BEFORE_BACKOFF).min(8);
+    (MIN_RETRY_DELAY * 2u32.pow(doublings)).min(MAX_RETRY_DELAY)
 }
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -13,9 +13,9 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Pause after changes of the endpoint list, for those that come together.
-const GATHER: Duration = Duration::from_millis(80);
+const ENDPOINT_BATCH_DELAY: Duration = Duration::from_millis(80);
 /// Pause between two lists of the leases: those of a holder that died are found by it.
-const LEASES: Duration = Duration::from_millis(700);
+const LEASE_LIST_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
     /// Follows everything in the store, and tells it; ends only when dropped.
@@ -28,7 +28,7 @@
 
     async fn follow(&self, topic: Topic, purpose: Purpose, kind: &str) {
         let gather = match topic {
-            Topic::Endpoints => GATHER,
+            Topic::Endpoints => ENDPOINT_BATCH_DELAY,
             Topic::Config | Topic::Engines | Topic::Leases => Duration::ZERO,
         };
         let manner = || Manner {
@@ -55,7 +55,7 @@
                 }
                 Err(error) => log::debug!(error:% = error; "leases not listed"),
             }
-            let next = Instant::now() + LEASES;
+            let next = Instant::now() + LEASE_LIST_INTERVAL;
             // A change is kept at once, and those that follow it within the pause with the next list.
             tokio::select! {
                 () = sleep_until(next) => continue,
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -11,9 +11,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Bytes of changes that are kept beside a snapshot, as a part of it (one of so many): beyond that it is made anew.
-const REPLAYED_PART: usize = 4;
+const REPLAY_DIVISOR: usize = 4;
 /// But at least so many bytes.
-const REPLAYED_LEAST: usize = 64 * 1024;
+const MIN_REPLAY_BYTES: usize = 64 * 1024;
 
 /// The objects of a topic, encoded: each instance keeps them for children that it may get.
 #[derive(Default)]
@@ -49,7 +49,7 @@
         }
         let snapshot = self.snapshot.as_ref();
         let size = snapshot.map_or(0, |(_, bytes)| bytes.len());
-        let most = REPLAYED_LEAST.max(size / REPLAYED_PART);
+        let most = MIN_REPLAY_BYTES.max(size / REPLAY_DIVISOR);
         self.replay.push(revision, frame, most);
     }
 
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -1,7 +1,7 @@
 //! Where this instance gets its news from: a parent, or the store itself.
 
 use super::{
-    DUTY, Frame, Node, REPORT,
+    Frame, Node, ROOT_DUTY, SUBTREE_SIZE_INTERVAL,
     parent_search::{Link, Needed},
     topics::{Publication, Stamp},
 };
@@ -18,15 +18,15 @@
 
 /// So long after its parent's loss an instance looks for another one before it reads the store itself
 /// or goes without news: a few tries.
-const PATIENCE: Duration = Duration::from_millis(500);
+const PARENT_SEARCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// A parent that says nothing for so long is gone: four signs of life are missing.
-const SILENCE: Duration = Duration::from_millis(1_200);
+const PARENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Pause between two looks at the age of the news.
-const LOOK: Duration = Duration::from_millis(200);
+const PARENT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause between two looks of a deputy whether the store answers it while the root hears nothing.
-const DEPUTY_PROBE: Duration = Duration::from_millis(150);
+const STANDBY_PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// The same for the others: in an outage for all, 165 of them would look 7 times a second each.
-const PROBE: Duration = Duration::from_millis(1_000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a link to a parent ended.
 enum Left {
@@ -42,7 +42,7 @@
 
 impl Node {
     pub(super) async fn run(self: Rc<Self>) {
-        let mut standing = self.parts.duties.join(&DUTY.into());
+        let mut standing = self.parts.duties.join(&ROOT_DUTY.into());
         let mut found = None;
         loop {
             let leads = standing.borrow_and_update().grant.is_some();
@@ -74,7 +74,7 @@
     /// the duty.
     async fn find(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
         tokio::select! {
-            found = timeout(PATIENCE, self.search_patiently()) => match found {
+            found = timeout(PARENT_SEARCH_TIMEOUT, self.search_patiently()) => match found {
                 Ok(Some(link)) => return Some(link),
                 // Nobody else stands in before this one.
                 Ok(None) => return self.stand_in(standing).await,
@@ -167,7 +167,7 @@
                     }
                     heard_at = Instant::now();
                     let census = self.census();
-                    if census != told || told_at.elapsed() >= REPORT {
+                    if census != told || told_at.elapsed() >= SUBTREE_SIZE_INTERVAL {
                         (told, told_at) = (census, heard_at);
                         let below = Frame::Below(census).encode().unwrap_or_default();
                         if link.socket.send(Message::Binary(below.into())).await.is_err() {
@@ -182,7 +182,7 @@
                     // What was missed is told with all the rest.
                     Err(_) => first = self.first_news(),
                 },
-                () = sleep(LOOK) => if heard_at.elapsed() > SILENCE {
+                () = sleep(PARENT_CHECK_INTERVAL) => if heard_at.elapsed() > PARENT_TIMEOUT {
                     break Left::Lost;
                 },
                 Some(left) = &mut better => break left,
@@ -237,9 +237,13 @@
         };
         // Those further down have waited already.
         if !is_first && is_below_root {
-            sleep(PATIENCE).await;
+            sleep(PARENT_SEARCH_TIMEOUT).await;
         }
-        let pause = if is_deputy { DEPUTY_PROBE } else { PROBE };
+        let pause = if is_deputy {
+            STANDBY_PROBE_INTERVAL
+        } else {
+            PROBE_INTERVAL
+        };
         let places = self.parts.adapter.places;
         let (kind, name) = (places.config, places.config_name);
         while !self.parts.store.probe(kind, name, Freshness::Stale).await {
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -87,7 +87,7 @@
     let parts = Rc::new(parts);
     let duties = Rc::clone(&parts.duties);
     let work = async || parts.work().await;
-    let duty = tree::DUTY.into();
+    let duty = tree::ROOT_DUTY.into();
     duties.whenever_held(&duty, work, || true).await;
 }
 
@@ -214,7 +214,7 @@
 
     /// The lease, if a call may be made under it now.
     fn grant(&self) -> Option<Grant> {
-        let grant = self.duties.acts(tree::DUTY)?;
+        let grant = self.duties.acts(tree::ROOT_DUTY)?;
         (self.duties.now() >= grant.clear_from(self.gap)).then_some(grant)
     }
 
