--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -2,7 +2,7 @@
 
 use super::{Duties, KIND, LIMITS, SHORTEST_SLEEP, spread};
 use crate::{
-    hosted::{crashes::take_out, follow::Update, tree::Fed},
+    hosted::{crashes::take_out, follow::Update, tree::FeedEvent},
     objects::Purpose,
 };
 use compact_str::CompactString;
@@ -30,7 +30,7 @@
 
 impl Duties {
     /// Lists all leases now and then, for the candidates that follow others.
-    pub(super) async fn look_out(&self, mut fed: broadcast::Receiver<Fed>) {
+    pub(super) async fn look_out(&self, mut fed: broadcast::Receiver<FeedEvent>) {
         let seed = hash::stable(self.id.as_bytes());
         let mut looks = PollSchedule::new(self.is_preferred(), seed);
         let mut returns = self.store.returns();
@@ -92,22 +92,22 @@
     }
 
     /// The bulletin tells of the leases, or is lost; says whether it goes on telling.
-    fn take_told(&self, heard: Result<Fed, RecvError>, looks: &mut PollSchedule) -> bool {
+    fn take_told(&self, heard: Result<FeedEvent, RecvError>, looks: &mut PollSchedule) -> bool {
         match heard {
-            Ok(Fed::Told(update, _)) => {
+            Ok(FeedEvent::Update(update, _)) => {
                 if let Update::All(objects) = &*update {
                     self.looked(objects.clone(), looks);
                 }
                 true
             }
-            Ok(Fed::Place(place)) => {
+            Ok(FeedEvent::Rank(place)) => {
                 self.place.set(Some(place));
                 true
             }
-            Ok(Fed::Expected(_)) => false,
+            Ok(FeedEvent::ExpectedBy(_)) => false,
             // What was missed is told again soon.
             Err(RecvError::Lagged(_)) => true,
-            Ok(Fed::Lost) | Err(RecvError::Closed) => false,
+            Ok(FeedEvent::Lost) | Err(RecvError::Closed) => false,
         }
     }
 
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -6,7 +6,7 @@
     follow::{Manner, Origin, follow_from},
     metrics::Metrics,
     store::Store,
-    tree::{Fed, Feed, Topic},
+    tree::{Feed, FeedEvent, Topic},
 };
 use crate::{
     objects::Purpose,
@@ -179,9 +179,9 @@
         let mut told = feed.hear(Topic::Engines);
         loop {
             match told.recv().await {
-                Ok(Fed::Told(update, _)) => self.take((*update).clone(), Scope::Engines),
+                Ok(FeedEvent::Update(update, _)) => self.take((*update).clone(), Scope::Engines),
                 // While nothing is told the whole list is read.
-                Ok(Fed::Lost | Fed::Expected(_) | Fed::Place(_)) => {}
+                Ok(FeedEvent::Lost | FeedEvent::ExpectedBy(_) | FeedEvent::Rank(_)) => {}
                 Err(RecvError::Lagged(_)) => feed.miss(Topic::Engines),
                 Err(RecvError::Closed) => return,
             }
--- a/crates/pinereel/src/hosted/follow.rs
+++ b/crates/pinereel/src/hosted/follow.rs
@@ -1,6 +1,6 @@
 //! Following all objects of a kind: one list, then watches, or what the bulletin tells.
 
-use super::{store::Store, tree::Fed};
+use super::{store::Store, tree::FeedEvent};
 use crate::objects::{Error, Purpose};
 use pinereel_port::store::{Change, Object};
 use std::time::Duration;
@@ -52,7 +52,7 @@
     purpose: Purpose,
     kind: &str,
     manner: impl Fn() -> Manner,
-    fed: Option<broadcast::Receiver<Fed>>,
+    fed: Option<broadcast::Receiver<FeedEvent>>,
     mut take: impl FnMut(Update, u64),
 ) {
     let take = |update, revision, _| take(update, revision);
@@ -65,7 +65,7 @@
     purpose: Purpose,
     kind: &str,
     manner: impl Fn() -> Manner,
-    fed: Option<broadcast::Receiver<Fed>>,
+    fed: Option<broadcast::Receiver<FeedEvent>>,
     mut take: impl FnMut(Update, u64, Origin),
 ) {
     let mut returns = store.returns();
@@ -149,12 +149,12 @@
 
 /// Hears the bulletin.
 struct Hearing {
-    receiver: Option<broadcast::Receiver<Fed>>,
+    receiver: Option<broadcast::Receiver<FeedEvent>>,
     voice: Voice,
 }
 
 impl Hearing {
-    fn new(receiver: Option<broadcast::Receiver<Fed>>) -> Self {
+    fn new(receiver: Option<broadcast::Receiver<FeedEvent>>) -> Self {
         let voice = match receiver {
             Some(_) => Voice::Expected(Instant::now() + FIRST_WAIT),
             None => Voice::Silent,
@@ -190,7 +190,7 @@
                 None => std::future::pending().await,
             };
             match heard {
-                Ok(Fed::Told(update, revision)) => {
+                Ok(FeedEvent::Update(update, revision)) => {
                     // Changes alone may follow on what this part has missed.
                     if matches!(*update, Update::All(_)) {
                         self.voice = Voice::Tells;
@@ -199,14 +199,14 @@
                         return Some(((*update).clone(), revision));
                     }
                 }
-                Ok(Fed::Expected(until)) => {
+                Ok(FeedEvent::ExpectedBy(until)) => {
                     if self.expected_until().is_some() {
                         self.voice = Voice::Expected(until);
                         return None;
                     }
                 }
-                Ok(Fed::Place(_)) => {}
-                Ok(Fed::Lost) | Err(broadcast::error::RecvError::Lagged(_)) => {
+                Ok(FeedEvent::Rank(_)) => {}
+                Ok(FeedEvent::Lost) | Err(broadcast::error::RecvError::Lagged(_)) => {
                     if !self.is_silent() {
                         self.voice = Voice::Silent;
                         return None;
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -40,4 +40,4 @@
 pub use run::{Error, run};
 pub use stall::Stall;
 pub use store::Store;
-pub use tree::Fed;
+pub use tree::FeedEvent;
--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -2,7 +2,7 @@
 
 use super::{
     CHILD_TIMEOUT, Frame, HEARTBEAT_INTERVAL, Hello, LINK_OPEN_TIMEOUT, Node, Topic, link_config,
-    topics::Link,
+    topics::ChildLink,
 };
 use bytes::Bytes;
 use futures_util::{SinkExt as _, StreamExt as _};
@@ -51,11 +51,11 @@
         let Hello { peer, topics } = hello;
         let address = peer.address.clone();
         if self.is_leaving() {
-            return refuse(socket, &Frame::Refer(Vec::new())).await;
+            return refuse(socket, &Frame::Referral(Vec::new())).await;
         }
         if !self.is_fresh() && !self.is_recovering() {
             let wait = self.state.borrow_mut().gate.retry_after(self.now());
-            return refuse(socket, &Frame::Later(wait)).await;
+            return refuse(socket, &Frame::RetryAfter(wait)).await;
         }
         let admission = self.state.borrow_mut().branch.admit(peer);
         match admission {
@@ -65,7 +65,7 @@
                 self.unlinked(key);
                 log::info!(child = address.as_str(), why; "bulletin: child lost");
             }
-            Admission::Referred(addresses) => refuse(socket, &Frame::Refer(addresses)).await,
+            Admission::Referred(addresses) => refuse(socket, &Frame::Referral(addresses)).await,
         }
     }
 
@@ -79,7 +79,7 @@
     ) -> &'static str {
         let (sender, mut frames) = mpsc::channel::<Bytes>(CHILD_QUEUE_FRAMES);
         // Its place follows with the next sign of life.
-        let alive = self.alive(RankRange::default()).map(Frame::Alive);
+        let alive = self.alive(RankRange::default()).map(Frame::Heartbeat);
         // Before the configuration and the list: what must not run is known before anything can.
         let crashes = self.known_crashes();
         for frame in alive.into_iter().chain(crashes) {
@@ -88,7 +88,7 @@
         }
         let topics = topics.into_iter();
         let topics = topics.map(|(topic, revision)| (topic, Some(revision)));
-        let link = Link {
+        let link = ChildLink {
             frames: sender,
             topics: topics.collect(),
         };
@@ -117,7 +117,9 @@
 
     fn hear_child(&self, key: ChildKey, bytes: &[u8]) {
         match Frame::decode(bytes) {
-            Some(Frame::Below(census)) => self.state.borrow_mut().branch.set_size(key, census),
+            Some(Frame::SubtreeSize(census)) => {
+                self.state.borrow_mut().branch.set_size(key, census)
+            }
             Some(Frame::Subscribe { topic, revision }) => self.subscribed_by(key, topic, revision),
             Some(Frame::Crashes(reports)) => self.hear_crashes(reports),
             Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -19,22 +19,22 @@
 
 /// What a part of this process hears.
 #[derive(Clone, Debug)]
-pub enum Fed {
+pub enum FeedEvent {
     /// What was told, as of a revision.
-    Told(Rc<Update>, u64),
+    Update(Rc<Update>, u64),
     /// The place of this instance among all; told to those who hear of leases.
-    Place(Rank),
+    Rank(Rank),
     /// Something will be told until then, as far as can be seen.
-    Expected(Instant),
+    ExpectedBy(Instant),
     /// Nothing is told any more.
     Lost,
 }
 
 /// What this process is told, by topic.
 pub struct Feed {
-    topics: BTreeMap<Topic, broadcast::Sender<Fed>>,
+    topics: BTreeMap<Topic, broadcast::Sender<FeedEvent>>,
     /// For how long the store had answered the root when it last told something.
-    calm: Cell<Duration>,
+    store_uptime: Cell<Duration>,
     /// Topics that were told since nothing was told any more.
     told: RefCell<BTreeSet<Topic>>,
     /// Whether this process wants to know of engines.
@@ -48,7 +48,7 @@
         let topics = Topic::ALL.map(|topic| (topic, broadcast::channel(FEED_QUEUE_EVENTS).0));
         Self {
             topics: topics.into(),
-            calm: Cell::default(),
+            store_uptime: Cell::default(),
             told: RefCell::default(),
             engines: watch::channel(false).0,
             has_parent: Cell::default(),
@@ -58,14 +58,14 @@
 
 impl Feed {
     /// Hears what is told of a topic.
-    pub fn hear(&self, topic: Topic) -> broadcast::Receiver<Fed> {
+    pub fn hear(&self, topic: Topic) -> broadcast::Receiver<FeedEvent> {
         self.topics[&topic].subscribe()
     }
 
     /// For how long the store had answered all calls of the root when it last told something; zero
     /// if that is not known, or nothing is told any more.
     pub fn calm(&self) -> Duration {
-        self.calm.get()
+        self.store_uptime.get()
     }
 
     /// Whether another instance tells this one all that changes.
@@ -77,8 +77,8 @@
         self.has_parent.set(has_parent);
     }
 
-    pub(super) fn set_calm(&self, calm: Duration) {
-        self.calm.set(calm);
+    pub(super) fn set_calm(&self, store_uptime: Duration) {
+        self.store_uptime.set(store_uptime);
     }
 
     /// This process wants to know of engines from now on.
@@ -115,7 +115,7 @@
 
     pub(super) fn tell(&self, topic: Topic, update: Update, revision: u64) {
         self.told.borrow_mut().insert(topic);
-        self.send(topic, Fed::Told(Rc::new(update), revision));
+        self.send(topic, FeedEvent::Update(Rc::new(update), revision));
     }
 
     /// A parent will have news within `wait`; said before the first ones only.
@@ -124,12 +124,12 @@
             return;
         }
         for topic in [Topic::Config, Topic::Endpoints] {
-            self.send(topic, Fed::Expected(Instant::now() + wait));
+            self.send(topic, FeedEvent::ExpectedBy(Instant::now() + wait));
         }
     }
 
     pub(super) fn place(&self, place: Rank) {
-        self.send(Topic::Leases, Fed::Place(place));
+        self.send(Topic::Leases, FeedEvent::Rank(place));
     }
 
     /// Nothing is told any more; said once only.
@@ -138,13 +138,13 @@
             return;
         }
         log::info!("bulletin: no news");
-        self.calm.set(Duration::ZERO);
+        self.store_uptime.set(Duration::ZERO);
         for topic in Topic::ALL {
-            self.send(topic, Fed::Lost);
+            self.send(topic, FeedEvent::Lost);
         }
     }
 
-    fn send(&self, topic: Topic, fed: Fed) {
+    fn send(&self, topic: Topic, fed: FeedEvent) {
         // Nobody hears it if that part has not started yet; it asks the store itself.
         let _ = self.topics[&topic].send(fed);
     }
--- a/crates/pinereel/src/hosted/tree/frame.rs
+++ b/crates/pinereel/src/hosted/tree/frame.rs
@@ -43,7 +43,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// All objects of a topic, as of a revision.
-    All {
+    #[serde(rename = "All")]
+    Snapshot {
         /// The topic.
         topic: Topic,
         /// The store's revision.
@@ -52,7 +53,8 @@
         objects: Vec<EncodedObject>,
         /// For how long the store has answered all calls of the root: an endpoint that is not listed
         /// soon after an outage may only have lapsed.
-        calm: Duration,
+        #[serde(rename = "calm")]
+        store_uptime: Duration,
     },
     /// What changed up to a revision.
     Changes {
@@ -62,11 +64,13 @@
         revision: u64,
         /// Oldest first.
         changes: Vec<EncodedObject>,
-        /// As in [`Frame::All`].
-        calm: Duration,
+        /// As in [`Frame::Snapshot`].
+        #[serde(rename = "calm")]
+        store_uptime: Duration,
     },
     /// The parent lives; the first frame that a child gets.
-    Alive(Heartbeat),
+    #[serde(rename = "Alive")]
+    Heartbeat(Heartbeat),
     /// The first frame of a newcomer.
     Hello(Hello),
     /// A child wants one more topic, which it knows as of a revision.
@@ -77,7 +81,8 @@
         revision: u64,
     },
     /// A child says how many it and those below it are.
-    Below(SubtreeSize),
+    #[serde(rename = "Below")]
+    SubtreeSize(SubtreeSize),
     /// Requests under which endpoints crash: what is news to the sender, or all that it knows when the link
     /// is new. Goes up and down.
     Crashes(Vec<Report>),
@@ -85,9 +90,11 @@
     /// the root's own goes down, so that it outlasts the root.
     Usage(Vec<usage::Report>),
     /// The sender takes no child, or none any more; these may.
-    Refer(Vec<CompactString>),
+    #[serde(rename = "Refer")]
+    Referral(Vec<CompactString>),
     /// The sender has nothing to tell yet: the newcomer may return after this time.
-    Later(Duration),
+    #[serde(rename = "Later")]
+    RetryAfter(Duration),
 }
 
 impl Frame {
--- a/crates/pinereel/src/hosted/tree/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -28,7 +28,7 @@
 mod topics;
 mod uplink;
 
-pub use feed::{Fed, Feed};
+pub use feed::{Feed, FeedEvent};
 pub use frame::{Frame, Hello, Topic};
 pub use node::{Node, Parts};
 
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,6 +1,6 @@
 //! What this instance has been told, and whom it tells.
 
-use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::Link};
+use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
 use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -72,7 +72,7 @@
     pub(super) listed: BTreeSet<Topic>,
     pub(super) branch: Children,
     pub(super) gate: RetryPacer,
-    pub(super) links: BTreeMap<ChildKey, Link>,
+    pub(super) links: BTreeMap<ChildKey, ChildLink>,
 }
 
 impl State {
@@ -120,7 +120,7 @@
             let deputies = self.deputies();
             self.uplink.borrow_mut().set_parent_candidates(deputies);
         }
-        let refer = Frame::Refer(self.targets());
+        let refer = Frame::Referral(self.targets());
         self.tell(&refer);
         self.state.borrow_mut().links.clear();
     }
@@ -196,7 +196,7 @@
     }
 
     /// A child is linked.
-    pub(super) fn linked(&self, key: ChildKey, link: Link) {
+    pub(super) fn linked(&self, key: ChildKey, link: ChildLink) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
         self.state.borrow_mut().links.insert(key, link);
         topics.into_iter().for_each(|topic| self.subscribe(topic));
@@ -239,7 +239,7 @@
                 ranks,
                 ..alive.clone()
             };
-            let Some(bytes) = Frame::Alive(alive).encode() else {
+            let Some(bytes) = Frame::Heartbeat(alive).encode() else {
                 continue;
             };
             let mut state = self.state.borrow_mut();
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -27,7 +27,7 @@
 const MAX_ATTEMPTS_PER_TARGET: usize = 12;
 
 /// A link to a parent.
-pub(super) struct Link {
+pub(super) struct ParentLink {
     pub(super) socket: WebSocketStream<MaybeTlsStream<TcpStream>>,
     pub(super) address: CompactString,
     /// The parent's first sign of life.
@@ -36,36 +36,36 @@
 
 /// What a parent must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Needed {
+pub(super) enum Requirement {
     /// Fresh news: this instance reads the store, or others wait for what it finds.
     Fresh,
     /// Fresh news, or the prospect of some.
     Any,
 }
 
-impl Needed {
+impl Requirement {
     fn is_met_by(self, alive: &Heartbeat) -> bool {
         alive.is_fresh() || (self == Self::Any && alive.age.is_none())
     }
 }
 
 /// What became of one try.
-enum Opened {
-    Linked(Box<Link>),
+enum Attempt {
+    Linked(Box<ParentLink>),
     Referred(Vec<CompactString>),
     /// The target has nothing to tell before then.
-    Later(Duration),
+    RetryAfter(Duration),
 }
 
 impl Node {
     /// Looks for a parent until there is one.
-    pub(super) async fn search(&self, needed: Needed) -> Link {
+    pub(super) async fn search(&self, requirement: Requirement) -> ParentLink {
         let mut looks = self.parts.duties.looks();
         let mut rounds = 0;
         loop {
             looks.mark_unchanged();
             let targets = self.targets();
-            let later = match self.search_among(targets.clone(), needed).await {
+            let later = match self.search_among(targets.clone(), requirement).await {
                 Ok(link) => return link,
                 Err(later) => later,
             };
@@ -82,8 +82,8 @@
     }
 
     /// Tries all targets; none if no one takes this instance.
-    pub(super) async fn search_once(&self) -> Option<Link> {
-        let found = self.search_among(self.targets(), Needed::Fresh).await;
+    pub(super) async fn search_once(&self) -> Option<ParentLink> {
+        let found = self.search_among(self.targets(), Requirement::Fresh).await;
         found.ok()
     }
 
@@ -91,15 +91,15 @@
     async fn search_among(
         &self,
         targets: Vec<CompactString>,
-        needed: Needed,
-    ) -> Result<Link, Option<Duration>> {
+        requirement: Requirement,
+    ) -> Result<ParentLink, Option<Duration>> {
         let targets = targets.into_iter().enumerate();
         let mut later = None;
         let mut tries: FuturesUnordered<_> = targets
             .map(async |(at, target)| {
                 let at = u32::try_from(at).unwrap_or(u32::MAX);
                 sleep(TARGET_STAGGER.saturating_mul(at)).await;
-                self.follow_referrals(target, needed).await
+                self.follow_referrals(target, requirement).await
             })
             .collect();
         while let Some(found) = tries.next().await {
@@ -115,8 +115,8 @@
     async fn follow_referrals(
         &self,
         target: CompactString,
-        needed: Needed,
-    ) -> Result<Link, Option<Duration>> {
+        requirement: Requirement,
+    ) -> Result<ParentLink, Option<Duration>> {
         let mut left = vec![target];
         let mut later = None;
         for _ in 0..MAX_ATTEMPTS_PER_TARGET {
@@ -124,21 +124,21 @@
                 break;
             };
             match timeout(LINK_OPEN_TIMEOUT, self.open(&address)).await {
-                Ok(Some(Opened::Linked(link))) if needed.is_met_by(&link.alive) => {
+                Ok(Some(Attempt::Linked(link))) if requirement.is_met_by(&link.alive) => {
                     return Ok(*link);
                 }
                 // It may be behind this instance itself.
-                Ok(Some(Opened::Linked(_))) => {}
-                Ok(Some(Opened::Later(wait))) => later = later.max(Some(wait)),
+                Ok(Some(Attempt::Linked(_))) => {}
+                Ok(Some(Attempt::RetryAfter(wait))) => later = later.max(Some(wait)),
                 // The first one named comes next.
-                Ok(Some(Opened::Referred(addresses))) => left.extend(addresses.into_iter().rev()),
+                Ok(Some(Attempt::Referred(addresses))) => left.extend(addresses.into_iter().rev()),
                 Ok(None) | Err(_) => {}
             }
         }
         Err(later)
     }
 
-    async fn open(&self, address: &CompactString) -> Option<Opened> {
+    async fn open(&self, address: &CompactString) -> Option<Attempt> {
         let (mut socket, _) =
             connect_async_with_config(format!("ws://{address}/"), Some(link_config()), true)
                 .await
@@ -154,13 +154,13 @@
                 continue;
             };
             return match Frame::decode(&bytes)? {
-                Frame::Later(wait) => Some(Opened::Later(wait)),
-                Frame::Alive(alive) => Some(Opened::Linked(Box::new(Link {
+                Frame::RetryAfter(wait) => Some(Attempt::RetryAfter(wait)),
+                Frame::Heartbeat(alive) => Some(Attempt::Linked(Box::new(ParentLink {
                     socket,
                     address: address.clone(),
                     alive,
                 }))),
-                Frame::Refer(addresses) => Some(Opened::Referred(addresses)),
+                Frame::Referral(addresses) => Some(Attempt::Referred(addresses)),
                 _ => None,
             };
         }
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -75,7 +75,12 @@
     }
 
     /// What a child that knows the topic as of `revision` has missed, as frames.
-    pub(super) fn frames(&mut self, topic: Topic, revision: u64, calm: Duration) -> Vec<Bytes> {
+    pub(super) fn frames(
+        &mut self,
+        topic: Topic,
+        revision: u64,
+        store_uptime: Duration,
+    ) -> Vec<Bytes> {
         if let Some(missed) = self.replay.changes_since(revision) {
             return missed;
         }
@@ -92,11 +97,11 @@
             deleted: false,
             object: bytes.clone(),
         });
-        let frame = Frame::All {
+        let frame = Frame::Snapshot {
             topic,
             revision: self.revision,
             objects: objects.collect(),
-            calm,
+            store_uptime,
         };
         let Some(bytes) = frame.encode().map(Bytes::from) else {
             return Vec::new();
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 /// The link to a child.
-pub(super) struct Link {
+pub(super) struct ChildLink {
     pub(super) frames: mpsc::Sender<Bytes>,
     /// The topics that the child wants. Until it is brought up to date: the revision as of which it knows the topic.
     pub(super) topics: BTreeMap<Topic, Option<u64>>,
@@ -17,11 +17,11 @@
 
 /// When something was told.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stamp {
+pub(super) struct Header {
     /// The store's revision.
     pub(super) revision: u64,
     /// For how long the store had answered all calls of the root.
-    pub(super) calm: Duration,
+    pub(super) store_uptime: Duration,
 }
 
 /// What is told of a topic, encoded.
@@ -52,22 +52,25 @@
         }
     }
 
-    fn frame(&self, stamp: Stamp) -> Frame {
-        let Stamp { revision, calm } = stamp;
+    fn frame(&self, header: Header) -> Frame {
+        let Header {
+            revision,
+            store_uptime,
+        } = header;
         let (topic, objects) = (self.topic, self.objects.clone());
         if self.whole {
-            Frame::All {
+            Frame::Snapshot {
                 topic,
                 revision,
                 objects,
-                calm,
+                store_uptime,
             }
         } else {
             Frame::Changes {
                 topic,
                 revision,
                 changes: objects,
-                calm,
+                store_uptime,
             }
         }
     }
@@ -76,7 +79,7 @@
 impl Node {
     /// The store has told of a topic.
     pub(super) fn read(&self, topic: Topic, update: Update, revision: u64) {
-        let calm = self.parts.store.calm();
+        let store_uptime = self.parts.store.calm();
         for (topic, update) in self.split(topic, update) {
             if matches!(update, Update::All(_)) {
                 self.state.borrow_mut().listed.insert(topic);
@@ -93,40 +96,43 @@
                 self.resume();
                 continue;
             }
-            let stamp = Stamp { revision, calm };
-            let frame = publication.frame(stamp).encode().unwrap_or_default();
-            self.take(publication, stamp, frame.into());
+            let header = Header {
+                revision,
+                store_uptime,
+            };
+            let frame = publication.frame(header).encode().unwrap_or_default();
+            self.take(publication, header, frame.into());
         }
         self.catch_up();
     }
 
     /// The parent has told of a topic; `frame` is how it did, and how children are told.
-    pub(super) fn hear(&self, publication: Publication, stamp: Stamp, frame: Bytes) {
+    pub(super) fn hear(&self, publication: Publication, header: Header, frame: Bytes) {
         // Another parent may lag behind the one before.
         let known = self.state.borrow().revision(publication.topic);
-        if stamp.revision >= known {
-            self.take(publication, stamp, frame);
+        if header.revision >= known {
+            self.take(publication, header, frame);
             self.catch_up();
         }
     }
 
     /// Takes a publication in and passes it on.
-    fn take(&self, publication: Publication, stamp: Stamp, frame: Bytes) {
+    fn take(&self, publication: Publication, header: Header, frame: Bytes) {
         let topic = publication.topic;
         self.send_of(topic, &frame);
         let feed = &self.parts.feed;
-        feed.set_calm(stamp.calm);
+        feed.set_calm(header.store_uptime);
         // Changes alone say nothing to a part that has not been told the rest.
         let told = feed.wants(topic) && (publication.whole || feed.is_told(topic));
         if told {
-            feed.tell(topic, publication.update(), stamp.revision);
+            feed.tell(topic, publication.update(), header.revision);
         }
         let mut state = self.state.borrow_mut();
         let known = state.topics.entry(topic).or_default();
         if publication.whole {
-            known.set(publication.objects, stamp.revision);
+            known.set(publication.objects, header.revision);
         } else {
-            known.change(publication.objects, stamp.revision, frame);
+            known.change(publication.objects, header.revision, frame);
         }
         drop(state);
         if !told {
@@ -255,7 +261,7 @@
         if !self.is_fresh() {
             return;
         }
-        let calm = self.parts.feed.calm();
+        let store_uptime = self.parts.feed.calm();
         let State { links, topics, .. } = &mut *self.state.borrow_mut();
         links.retain(|_, link| {
             let mut sent = true;
@@ -266,7 +272,7 @@
                 let Some(revision) = missed.take() else {
                     continue;
                 };
-                let mut frames = known.frames(*topic, revision, calm).into_iter();
+                let mut frames = known.frames(*topic, revision, store_uptime).into_iter();
                 sent &= frames.all(|frame| link.frames.try_send(frame).is_ok());
             }
             sent
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Frame, Node, ROOT_DUTY, SUBTREE_SIZE_INTERVAL,
-    parent_search::{Link, Needed},
-    topics::{Publication, Stamp},
+    parent_search::{ParentLink, Requirement},
+    topics::{Publication, Header},
 };
 use crate::hosted::duty::Standing;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
@@ -29,15 +29,15 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a link to a parent ended.
-enum Left {
+enum LinkEnd {
     /// The parent is gone, or must not be followed.
-    Lost,
+    ParentLost,
     /// This instance has the duty.
-    Leads,
+    DutyAcquired,
     /// Another parent has fresher news.
-    Better(Box<Link>),
+    FresherParent(Box<ParentLink>),
     /// The store answers this instance, and the root has heard nothing of it for too long.
-    Answered,
+    StoreAnswers,
 }
 
 impl Node {
@@ -63,16 +63,16 @@
             };
             let Some(link) = link else { continue };
             match self.stay(link, &mut standing).await {
-                Left::Lost | Left::Leads => {}
-                Left::Better(link) => found = Some(*link),
-                Left::Answered => found = self.go_on_alone(&mut standing).await,
+                LinkEnd::ParentLost | LinkEnd::DutyAcquired => {}
+                LinkEnd::FresherParent(link) => found = Some(*link),
+                LinkEnd::StoreAnswers => found = self.go_on_alone(&mut standing).await,
             }
         }
     }
 
     /// Finds a parent; reads the store meanwhile if others wait for its news. None if this instance has
     /// the duty.
-    async fn find(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn find(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         tokio::select! {
             found = timeout(PARENT_SEARCH_TIMEOUT, self.search_patiently()) => match found {
                 Ok(Some(link)) => return Some(link),
@@ -87,7 +87,7 @@
 
     /// Reads the store if others wait for its news, and goes without news else, until there is a parent
     /// again; none if this instance has the duty.
-    async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         let has_children = !self.state.borrow().branch.is_empty();
         let is_needed = has_children || self.uplink.borrow().is_standby();
         if is_needed && !self.is_leaving() {
@@ -95,25 +95,25 @@
         }
         self.parts.feed.lose();
         tokio::select! {
-            link = self.search(Needed::Any) => Some(link),
+            link = self.search(Requirement::Any) => Some(link),
             () = self.has_taken(standing) => None,
         }
     }
 
     /// Looks for a parent; none if this instance is the first to stand in for a root that is gone.
-    async fn search_patiently(&self) -> Option<Link> {
+    async fn search_patiently(&self) -> Option<ParentLink> {
         if self.uplink.borrow().is_first_standby() && !self.is_leaving() {
             return self.search_once().await;
         }
-        Some(self.search(Needed::Any).await)
+        Some(self.search(Requirement::Any).await)
     }
 
     /// Reads the store for those below until there is a parent again; none if this instance has the duty.
-    async fn stand_in(&self, standing: &mut watch::Receiver<Standing>) -> Option<Link> {
+    async fn stand_in(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         log::info!("bulletin: standing in");
         let end = async {
             tokio::select! {
-                link = self.search(Needed::Fresh) => Some(link),
+                link = self.search(Requirement::Fresh) => Some(link),
                 () = self.has_taken(standing) => None,
             }
         };
@@ -132,14 +132,18 @@
     }
 
     /// Hears a parent's news as long as they are fresh.
-    async fn stay(&self, mut link: Link, standing: &mut watch::Receiver<Standing>) -> Left {
+    async fn stay(
+        &self,
+        mut link: ParentLink,
+        standing: &mut watch::Receiver<Standing>,
+    ) -> LinkEnd {
         let address = link.address.clone();
         if !self
             .uplink
             .borrow_mut()
             .on_heartbeat(self.now(), link.alive)
         {
-            return Left::Lost;
+            return LinkEnd::ParentLost;
         }
         let level = self.uplink.borrow().level();
         log::info!(address = address.as_str(), level; "bulletin: linked");
@@ -157,36 +161,36 @@
                 sent &= link.socket.send(Message::Binary(bytes)).await.is_ok();
             }
             if !sent {
-                break Left::Lost;
+                break LinkEnd::ParentLost;
             }
             tokio::select! {
                 message = link.socket.next() => {
                     let goes_on = message.is_some_and(|message| message.is_ok_and(|message| self.hear_parent(message)));
                     if !goes_on {
-                        break Left::Lost;
+                        break LinkEnd::ParentLost;
                     }
                     heard_at = Instant::now();
                     let census = self.census();
                     if census != told || told_at.elapsed() >= SUBTREE_SIZE_INTERVAL {
                         (told, told_at) = (census, heard_at);
-                        let below = Frame::Below(census).encode().unwrap_or_default();
+                        let below = Frame::SubtreeSize(census).encode().unwrap_or_default();
                         if link.socket.send(Message::Binary(below.into())).await.is_err() {
-                            break Left::Lost;
+                            break LinkEnd::ParentLost;
                         }
                     }
                 }
                 bytes = up.recv() => match bytes {
                     Ok(bytes) => if link.socket.send(Message::Binary(bytes)).await.is_err() {
-                        break Left::Lost;
+                        break LinkEnd::ParentLost;
                     },
                     // What was missed is told with all the rest.
                     Err(_) => first = self.first_news(),
                 },
                 () = sleep(PARENT_CHECK_INTERVAL) => if heard_at.elapsed() > PARENT_TIMEOUT {
-                    break Left::Lost;
+                    break LinkEnd::ParentLost;
                 },
                 Some(left) = &mut better => break left,
-                () = self.has_taken(standing) => break Left::Leads,
+                () = self.has_taken(standing) => break LinkEnd::DutyAcquired,
             }
             let is_fresh = self.is_fresh();
             self.parts.feed.set_has_parent(is_fresh);
@@ -215,12 +219,12 @@
 
     /// Looks for fresher news than the parent's. While the store answers nobody there are none, and a
     /// parent with old ones is kept: it will have the first new ones.
-    async fn search_better(&self) -> Left {
+    async fn search_better(&self) -> LinkEnd {
         // Those further down are helped by the parent's own search.
         let is_below_root = self.uplink.borrow().level() == 1;
         tokio::select! {
-            link = self.search(Needed::Fresh), if is_below_root => Left::Better(Box::new(link)),
-            () = self.until_answered() => Left::Answered,
+            link = self.search(Requirement::Fresh), if is_below_root => LinkEnd::FresherParent(Box::new(link)),
+            () = self.until_answered() => LinkEnd::StoreAnswers,
         }
     }
 
@@ -271,11 +275,11 @@
             return true;
         };
         match Frame::decode(&bytes) {
-            Some(Frame::All {
+            Some(Frame::Snapshot {
                 topic,
                 revision,
                 objects,
-                calm,
+                store_uptime,
             }) => {
                 let whole = true;
                 let publication = Publication {
@@ -283,22 +287,36 @@
                     whole,
                     objects,
                 };
-                self.hear(publication, Stamp { revision, calm }, bytes);
+                self.hear(
+                    publication,
+                    Header {
+                        revision,
+                        store_uptime,
+                    },
+                    bytes,
+                );
             }
             Some(Frame::Changes {
                 topic,
                 revision,
                 changes,
-                calm,
+                store_uptime,
             }) => {
                 let publication = Publication {
                     topic,
                     whole: false,
                     objects: changes,
                 };
-                self.hear(publication, Stamp { revision, calm }, bytes);
+                self.hear(
+                    publication,
+                    Header {
+                        revision,
+                        store_uptime,
+                    },
+                    bytes,
+                );
             }
-            Some(Frame::Alive(alive)) => {
+            Some(Frame::Heartbeat(alive)) => {
                 let metrics = &self.parts.metrics;
                 if let Some(age) = alive.age {
                     metrics.observe(&metrics.ages, "news", age);
@@ -311,20 +329,20 @@
             }
             Some(Frame::Crashes(reports)) => self.hear_crashes(reports),
             Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
-            Some(Frame::Refer(_) | Frame::Later(_)) | None => return false,
-            Some(Frame::Hello(_) | Frame::Below(_) | Frame::Subscribe { .. }) => {}
+            Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
+            Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
         }
         true
     }
 }
 
-impl Left {
+impl LinkEnd {
     const fn as_str(&self) -> &'static str {
         match self {
-            Self::Lost => "lost",
-            Self::Leads => "leads itself",
-            Self::Better(_) => "another has fresher news",
-            Self::Answered => "its news are old, and the store answers",
+            Self::ParentLost => "lost",
+            Self::DutyAcquired => "leads itself",
+            Self::FresherParent(_) => "another has fresher news",
+            Self::StoreAnswers => "its news are old, and the store answers",
         }
     }
 }
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -1,7 +1,7 @@
 //! Following a kind of objects through outages of the store.
 
 use pinereel::{
-    hosted::{Fed, Manner, Store, Update, follow},
+    hosted::{FeedEvent, Manner, Store, Update, follow},
     objects::{Client, Purpose},
     state::Clock,
 };
@@ -22,7 +22,7 @@
 /// The stand-in, its client, and what a follower is told that watches for `wait` at most.
 async fn start(
     wait: Duration,
-    fed: Option<broadcast::Receiver<Fed>>,
+    fed: Option<broadcast::Receiver<FeedEvent>>,
 ) -> (store::Store, Store, Told) {
     let stand_in = store::Store::start(1).await.expect("a free port");
     let options = stand_in.client_options();
@@ -85,7 +85,7 @@
     let (stand_in, _, told) = start(Duration::from_secs(10), Some(heard)).await;
     stand_in.put(KIND, "a", json!({"x": 1}));
     for _ in 0..6 {
-        feed.send(Fed::Lost).expect("the follower hears");
+        feed.send(FeedEvent::Lost).expect("the follower hears");
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(told.borrow().last().map(|(_, x)| *x), Some(1));
