--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -36,7 +36,7 @@
             feed: Rc::clone(feed),
         });
         let (state, store) = (Rc::clone(&config), store.clone());
-        let fed = Some(feed.hear(Topic::Config));
+        let fed = Some(feed.subscribe(Topic::Config));
         actix_rt::spawn(async move {
             let kind = adapter.places.config;
             let manner = || Manner {
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -156,7 +156,7 @@
             drain: Notify::new(),
         });
         let looking = Rc::clone(&duties);
-        let fed = feed.hear(Topic::Leases);
+        let fed = feed.subscribe(Topic::Leases);
         actix_rt::spawn(async move { looking.look_out(fed).await });
         duties
     }
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -27,7 +27,7 @@
 
 impl Endpoints {
     pub(super) fn take(self: &Rc<Self>, update: Update, scope: Scope) {
-        if scope == Scope::Others && !self.parts.feed.subscribes_engines() {
+        if scope == Scope::Others && !self.parts.feed.is_subscribed_to_engines() {
             self.drop_engines();
         }
         match update {
@@ -155,7 +155,7 @@
     /// been answered for longer than entries take to come back: then this instance alone was cut off,
     /// and an endpoint that had left meanwhile got requests for 1.8 s more.
     fn may_have_lapsed(&self) -> bool {
-        self.parts.store.was_away_within(AWAY) && self.parts.feed.calm() < BACK
+        self.parts.store.was_away_within(AWAY) && self.parts.feed.store_uptime() < BACK
     }
 
     /// Forgets engines that the store told of while there was no bulletin.
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -133,7 +133,7 @@
     ) -> Rc<Self> {
         let (wait, gather) = (settings.watch, settings.leave_after.mul_f64(GATHER));
         let (adapter, store) = (parts.adapter, parts.store.clone());
-        let fed = Some(parts.feed.hear(Topic::Endpoints));
+        let fed = Some(parts.feed.subscribe(Topic::Endpoints));
         let endpoints = Rc::new(Self {
             parts,
             zone: instance.zone.clone(),
@@ -162,7 +162,7 @@
 
     /// This instance has to do with engines from now on.
     pub fn subscribe_engines(&self) {
-        self.parts.feed.subscribe_engines();
+        self.parts.feed.subscribe_to_engines();
     }
 
     /// What a list of that origin speaks of; it says nothing of the rest.
@@ -176,13 +176,13 @@
     /// Hears of engines from the bulletin, once this instance has to do with them.
     async fn hear_engines(self: Rc<Self>) {
         let feed = &self.parts.feed;
-        let mut told = feed.hear(Topic::Engines);
+        let mut told = feed.subscribe(Topic::Engines);
         loop {
             match told.recv().await {
                 Ok(FeedEvent::Update(update, _)) => self.take((*update).clone(), Scope::Engines),
                 // While nothing is told the whole list is read.
                 Ok(FeedEvent::Lost | FeedEvent::ExpectedBy(_) | FeedEvent::Rank(_)) => {}
-                Err(RecvError::Lagged(_)) => feed.miss(Topic::Engines),
+                Err(RecvError::Lagged(_)) => feed.request_snapshot(Topic::Engines),
                 Err(RecvError::Closed) => return,
             }
         }
--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -36,9 +36,9 @@
     /// For how long the store had answered the root when it last told something.
     store_uptime: Cell<Duration>,
     /// Topics that were told since nothing was told any more.
-    told: RefCell<BTreeSet<Topic>>,
+    current: RefCell<BTreeSet<Topic>>,
     /// Whether this process wants to know of engines.
-    engines: watch::Sender<bool>,
+    engines_subscribed: watch::Sender<bool>,
     /// Whether a parent tells, and its news are fresh.
     has_parent: Cell<bool>,
 }
@@ -49,8 +49,8 @@
         Self {
             topics: topics.into(),
             store_uptime: Cell::default(),
-            told: RefCell::default(),
-            engines: watch::channel(false).0,
+            current: RefCell::default(),
+            engines_subscribed: watch::channel(false).0,
             has_parent: Cell::default(),
         }
     }
@@ -58,13 +58,13 @@
 
 impl Feed {
     /// Hears what is told of a topic.
-    pub fn hear(&self, topic: Topic) -> broadcast::Receiver<FeedEvent> {
+    pub fn subscribe(&self, topic: Topic) -> broadcast::Receiver<FeedEvent> {
         self.topics[&topic].subscribe()
     }
 
     /// For how long the store had answered all calls of the root when it last told something; zero
     /// if that is not known, or nothing is told any more.
-    pub fn calm(&self) -> Duration {
+    pub fn store_uptime(&self) -> Duration {
         self.store_uptime.get()
     }
 
@@ -77,50 +77,54 @@
         self.has_parent.set(has_parent);
     }
 
-    pub(super) fn set_calm(&self, store_uptime: Duration) {
+    pub(super) fn set_store_uptime(&self, store_uptime: Duration) {
         self.store_uptime.set(store_uptime);
     }
 
     /// This process wants to know of engines from now on.
-    pub fn subscribe_engines(&self) {
-        self.engines
-            .send_if_modified(|wanted| !std::mem::replace(wanted, true));
+    pub fn subscribe_to_engines(&self) {
+        self.engines_subscribed
+            .send_if_modified(|subscribed| !std::mem::replace(subscribed, true));
     }
 
     /// Whether this process wants to know of engines.
-    pub fn subscribes_engines(&self) -> bool {
-        *self.engines.borrow()
+    pub fn is_subscribed_to_engines(&self) -> bool {
+        *self.engines_subscribed.borrow()
     }
 
     /// Waits until this process wants to know of engines.
-    pub async fn engines_subscribed(&self) {
+    pub async fn until_subscribed_to_engines(&self) {
         // The sender lives as long as this.
-        let _ = self.engines.subscribe().wait_for(|wanted| *wanted).await;
+        let _ = self
+            .engines_subscribed
+            .subscribe()
+            .wait_for(|subscribed| *subscribed)
+            .await;
     }
 
     /// Whether a part of this process wants to know of a topic.
-    pub(super) fn wants(&self, topic: Topic) -> bool {
-        topic != Topic::Engines || self.subscribes_engines()
+    pub(super) fn is_subscribed(&self, topic: Topic) -> bool {
+        topic != Topic::Engines || self.is_subscribed_to_engines()
     }
 
     /// Whether a topic is told to the parts of this process.
-    pub(super) fn is_told(&self, topic: Topic) -> bool {
-        self.told.borrow().contains(&topic)
+    pub(super) fn is_current(&self, topic: Topic) -> bool {
+        self.current.borrow().contains(&topic)
     }
 
     /// A part of this process has missed something of a topic: it is told all again.
-    pub fn miss(&self, topic: Topic) {
-        self.told.borrow_mut().remove(&topic);
+    pub fn request_snapshot(&self, topic: Topic) {
+        self.current.borrow_mut().remove(&topic);
     }
 
-    pub(super) fn tell(&self, topic: Topic, update: Update, revision: u64) {
-        self.told.borrow_mut().insert(topic);
+    pub(super) fn publish(&self, topic: Topic, update: Update, revision: u64) {
+        self.current.borrow_mut().insert(topic);
         self.send(topic, FeedEvent::Update(Rc::new(update), revision));
     }
 
     /// A parent will have news within `wait`; said before the first ones only.
-    pub(super) fn expect(&self, wait: Duration) {
-        if self.is_told(Topic::Config) {
+    pub(super) fn publish_expected(&self, wait: Duration) {
+        if self.is_current(Topic::Config) {
             return;
         }
         for topic in [Topic::Config, Topic::Endpoints] {
@@ -128,13 +132,13 @@
         }
     }
 
-    pub(super) fn place(&self, place: Rank) {
-        self.send(Topic::Leases, FeedEvent::Rank(place));
+    pub(super) fn publish_rank(&self, rank: Rank) {
+        self.send(Topic::Leases, FeedEvent::Rank(rank));
     }
 
     /// Nothing is told any more; said once only.
-    pub(super) fn lose(&self) {
-        if std::mem::take(&mut *self.told.borrow_mut()).is_empty() {
+    pub(super) fn publish_lost(&self) {
+        if std::mem::take(&mut *self.current.borrow_mut()).is_empty() {
             return;
         }
         log::info!("bulletin: no news");
@@ -144,8 +148,8 @@
         }
     }
 
-    fn send(&self, topic: Topic, fed: FeedEvent) {
+    fn send(&self, topic: Topic, event: FeedEvent) {
         // Nobody hears it if that part has not started yet; it asks the store itself.
-        let _ = self.topics[&topic].send(fed);
+        let _ = self.topics[&topic].send(event);
     }
 }
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -103,7 +103,7 @@
         actix_rt::spawn(async move { counting.tell_usage().await });
         let subscribing = Rc::clone(&node);
         actix_rt::spawn(async move {
-            subscribing.parts.feed.engines_subscribed().await;
+            subscribing.parts.feed.until_subscribed_to_engines().await;
             subscribing.subscribe(Topic::Engines);
             subscribing.resume();
         });
@@ -224,11 +224,11 @@
         let preferred = self.parts.peer.preferred;
         let ranks = self.ranks();
         if let Some(ranks) = ranks {
-            self.parts.feed.place(ranks.rank(preferred));
+            self.parts.feed.publish_rank(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
         if self.uplink.borrow().reads_store() {
-            self.parts.feed.set_calm(self.own().store_uptime);
+            self.parts.feed.set_store_uptime(self.own().store_uptime);
         }
         let Some(alive) = self.alive(ranks) else {
             return;
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -121,11 +121,11 @@
         let topic = publication.topic;
         self.send_of(topic, &frame);
         let feed = &self.parts.feed;
-        feed.set_calm(header.store_uptime);
+        feed.set_store_uptime(header.store_uptime);
         // Changes alone say nothing to a part that has not been told the rest.
-        let told = feed.wants(topic) && (publication.whole || feed.is_told(topic));
+        let told = feed.is_subscribed(topic) && (publication.whole || feed.is_current(topic));
         if told {
-            feed.tell(topic, publication.update(), header.revision);
+            feed.publish(topic, publication.update(), header.revision);
         }
         let mut state = self.state.borrow_mut();
         let known = state.topics.entry(topic).or_default();
@@ -145,8 +145,8 @@
         let feed = &self.parts.feed;
         let state = self.state.borrow();
         for (topic, known) in &state.topics {
-            if feed.wants(*topic) && !feed.is_told(*topic) {
-                feed.tell(*topic, Update::All(known.objects()), known.revision);
+            if feed.is_subscribed(*topic) && !feed.is_current(*topic) {
+                feed.publish(*topic, Update::All(known.objects()), known.revision);
                 log::info!(topic:serde = topic, revision = known.revision; "bulletin: updates resumed");
             }
         }
@@ -261,7 +261,7 @@
         if !self.is_fresh() {
             return;
         }
-        let store_uptime = self.parts.feed.calm();
+        let store_uptime = self.parts.feed.store_uptime();
         let State { links, topics, .. } = &mut *self.state.borrow_mut();
         links.retain(|_, link| {
             let mut sent = true;
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -3,7 +3,7 @@
 use super::{
     Frame, Node, ROOT_DUTY, SUBTREE_SIZE_INTERVAL,
     parent_search::{ParentLink, Requirement},
-    topics::{Publication, Header},
+    topics::{Header, Publication},
 };
 use crate::hosted::duty::Standing;
 use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
@@ -93,7 +93,7 @@
         if is_needed && !self.is_leaving() {
             return self.stand_in(standing).await;
         }
-        self.parts.feed.lose();
+        self.parts.feed.publish_lost();
         tokio::select! {
             link = self.search(Requirement::Any) => Some(link),
             () = self.has_taken(standing) => None,
@@ -202,7 +202,7 @@
             }
             let patience = self.patience();
             if !patience.is_zero() {
-                self.parts.feed.expect(patience);
+                self.parts.feed.publish_expected(patience);
                 continue;
             }
             if !is_stale {
@@ -321,7 +321,7 @@
                 if let Some(age) = alive.age {
                     metrics.observe(&metrics.ages, "news", age);
                 }
-                self.parts.feed.set_calm(alive.store_uptime);
+                self.parts.feed.set_store_uptime(alive.store_uptime);
                 if !self.uplink.borrow_mut().on_heartbeat(self.now(), alive) {
                     return false;
                 }
