--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -183,8 +183,8 @@
                 crashes: Rc::clone(&crashes),
                 usage: Rc::clone(&usage),
                 metrics: metrics.clone(),
-                watch,
-                leave_after: settings.store.leave_after,
+                max_watch_time: watch,
+                max_propagation_time: settings.store.leave_after,
                 peer: Peer {
                     address: peers.to_string().into(),
                     zone: instance.zone.clone(),
@@ -312,7 +312,7 @@
         self.stop.wait().await;
         self.runner.drain();
         if let Some(bulletin) = &self.bulletin {
-            bulletin.leave();
+            bulletin.shut_down();
         }
         self.runner.hand_over().await;
         self.duties.drain();
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -41,9 +41,9 @@
     /// Figures.
     pub metrics: Metrics,
     /// Longest wait of a watch.
-    pub watch: Duration,
+    pub max_watch_time: Duration,
     /// Time after a change of the endpoint list within which it must be in force.
-    pub leave_after: Duration,
+    pub max_propagation_time: Duration,
     /// This instance, as others see it.
     pub peer: Peer,
 }
@@ -54,12 +54,12 @@
     pub(super) state: RefCell<State>,
     pub(super) uplink: RefCell<Uplink>,
     /// Whether no child is taken any more.
-    pub(super) leaving: watch::Sender<bool>,
+    pub(super) shutting_down: watch::Sender<bool>,
     /// Frames for the parent.
-    pub(super) up: broadcast::Sender<Bytes>,
+    pub(super) to_parent: broadcast::Sender<Bytes>,
 }
 
-/// Frames that may wait for a slow link to the parent; more are made up for by telling all.
+/// Frames that may wait for a slow link to the parent; more are made up for by crash_reporter all.
 const PARENT_QUEUE_FRAMES: usize = 64;
 
 /// What is known, and the links to children.
@@ -70,63 +70,63 @@
     pub(super) subscribed: BTreeSet<Topic>,
     /// Topics that were listed since this instance began to read the store.
     pub(super) listed: BTreeSet<Topic>,
-    pub(super) branch: Children,
-    pub(super) gate: RetryPacer,
+    pub(super) children: Children,
+    pub(super) retry_pacer: RetryPacer,
     pub(super) links: BTreeMap<ChildKey, ChildLink>,
 }
 
 impl State {
     /// The revision as of which a topic is known; 0 if it is not.
     pub(super) fn revision(&self, topic: Topic) -> u64 {
-        self.topics.get(&topic).map_or(0, |known| known.revision)
+        self.topics.get(&topic).map_or(0, |cache| cache.revision)
     }
 }
 
 impl Node {
     /// Takes part in the tree from now on; children link to `listener`.
     pub fn start(parts: Parts, listener: TcpListener) -> Rc<Self> {
-        let own = parts.peer.address.clone();
+        let own_address = parts.peer.address.clone();
         let node = Rc::new(Self {
             parts,
             state: RefCell::default(),
-            uplink: RefCell::new(Uplink::new(own)),
-            leaving: watch::channel(false).0,
-            up: broadcast::channel(PARENT_QUEUE_FRAMES).0,
+            uplink: RefCell::new(Uplink::new(own_address)),
+            shutting_down: watch::channel(false).0,
+            to_parent: broadcast::channel(PARENT_QUEUE_FRAMES).0,
         });
-        let accepting = Rc::clone(&node);
-        actix_rt::spawn(async move { accepting.accept(listener).await });
-        let beating = Rc::clone(&node);
-        actix_rt::spawn(async move { beating.beat().await });
-        let telling = Rc::clone(&node);
-        actix_rt::spawn(async move { telling.tell_crashes().await });
-        let counting = Rc::clone(&node);
-        actix_rt::spawn(async move { counting.tell_usage().await });
-        let subscribing = Rc::clone(&node);
+        let acceptor = Rc::clone(&node);
+        actix_rt::spawn(async move { acceptor.accept_links(listener).await });
+        let heartbeat_sender = Rc::clone(&node);
+        actix_rt::spawn(async move { heartbeat_sender.send_heartbeats().await });
+        let crash_reporter = Rc::clone(&node);
+        actix_rt::spawn(async move { crash_reporter.send_crash_reports().await });
+        let usage_reporter = Rc::clone(&node);
+        actix_rt::spawn(async move { usage_reporter.send_usage_reports().await });
+        let subscriber = Rc::clone(&node);
         actix_rt::spawn(async move {
-            subscribing.parts.feed.until_subscribed_to_engines().await;
-            subscribing.subscribe(Topic::Engines);
-            subscribing.resume();
+            subscriber.parts.feed.until_subscribed_to_engines().await;
+            subscriber.subscribe(Topic::Engines);
+            subscriber.publish_missing();
         });
-        let linking = Rc::clone(&node);
-        actix_rt::spawn(async move { linking.run().await });
+        let parent_link = Rc::clone(&node);
+        actix_rt::spawn(async move { parent_link.run_uplink().await });
         node
     }
 
     /// Sends all children to other parents, before this instance ends.
-    pub fn leave(&self) {
-        self.leaving.send_replace(true);
+    pub fn shut_down(&self) {
+        self.shutting_down.send_replace(true);
         if self.uplink.borrow().reads_store() {
             // Until its end it hears and tells as a child of whoever stands in.
-            let deputies = self.deputies();
-            self.uplink.borrow_mut().set_parent_candidates(deputies);
+            let standbys = self.standbys();
+            self.uplink.borrow_mut().set_parent_candidates(standbys);
         }
-        let refer = Frame::Referral(self.targets());
-        self.tell(&refer);
+        let referral = Frame::Referral(self.link_targets());
+        self.broadcast(&referral);
         self.state.borrow_mut().links.clear();
     }
 
-    pub(super) fn is_leaving(&self) -> bool {
-        *self.leaving.borrow()
+    pub(super) fn is_shutting_down(&self) -> bool {
+        *self.shutting_down.borrow()
     }
 
     pub(super) fn now(&self) -> Time {
@@ -134,7 +134,7 @@
     }
 
     /// What this instance knows of the store itself: nothing before it has read every topic.
-    pub(super) fn own(&self) -> StoreStatus {
+    pub(super) fn store_status(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
         let store = &self.parts.store;
         let answered_ago = store.answered_ago();
@@ -147,48 +147,50 @@
 
     /// Whether the news here are fresh enough to be passed on.
     pub(super) fn is_fresh(&self) -> bool {
-        let (now, own) = (self.now(), self.own());
+        let (now, status) = (self.now(), self.store_status());
         let mut uplink = self.uplink.borrow_mut();
-        uplink.observe(now, own);
-        uplink.is_fresh(now, own)
+        uplink.observe(now, status);
+        uplink.is_fresh(now, status)
     }
 
     /// Whether children may be kept although the news here are not fresh.
     pub(super) fn is_recovering(&self) -> bool {
-        let (now, own) = (self.now(), self.own());
-        self.uplink.borrow().is_recovering(now, own, self.spare())
+        let (now, status) = (self.now(), self.store_status());
+        self.uplink
+            .borrow()
+            .is_recovering(now, status, self.slack())
     }
 
     /// How much longer this instance stays with a parent whose news are not fresh.
-    pub(super) fn patience(&self) -> Duration {
+    pub(super) fn remaining_grace(&self) -> Duration {
         self.uplink
             .borrow()
-            .remaining_grace(self.now(), self.spare())
+            .remaining_grace(self.now(), self.slack())
     }
 
     /// Half of what the bound on a change leaves beyond the usual age of news; the other half is for finding another parent.
-    fn spare(&self) -> Duration {
+    fn slack(&self) -> Duration {
         self.parts
-            .leave_after
+            .max_propagation_time
             .saturating_sub(MAX_AGE + MAX_AGE_PER_LEVEL)
             / 2
     }
 
     /// This instance begins to read the store itself.
-    pub(super) fn begin_to_read(&self) {
+    pub(super) fn start_reading(&self) {
         self.state.borrow_mut().listed.clear();
         self.uplink.borrow_mut().set_reads_store(true);
     }
 
     /// Sends a frame to all children; one that cannot take it is cut.
-    pub(super) fn tell(&self, frame: &Frame) {
+    pub(super) fn broadcast(&self, frame: &Frame) {
         if let Some(bytes) = frame.encode() {
-            self.send(&bytes.into());
+            self.broadcast_encoded(&bytes.into());
         }
     }
 
     /// Sends an encoded frame to all children; one that cannot take it is cut.
-    pub(super) fn send(&self, bytes: &Bytes) {
+    pub(super) fn broadcast_encoded(&self, bytes: &Bytes) {
         let mut state = self.state.borrow_mut();
         state
             .links
@@ -196,50 +198,52 @@
     }
 
     /// A child is linked.
-    pub(super) fn linked(&self, key: ChildKey, link: ChildLink) {
+    pub(super) fn add_child(&self, key: ChildKey, link: ChildLink) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
         self.state.borrow_mut().links.insert(key, link);
         topics.into_iter().for_each(|topic| self.subscribe(topic));
-        self.catch_up();
+        self.catch_up_children();
     }
 
     /// A child is gone.
-    pub(super) fn unlinked(&self, key: ChildKey) {
+    pub(super) fn remove_child(&self, key: ChildKey) {
         let mut state = self.state.borrow_mut();
         state.links.remove(&key);
-        state.branch.remove(key);
+        state.children.remove(key);
     }
 
     /// Tells from time to time that this instance lives, and how old its news are.
-    async fn beat(&self) {
+    async fn send_heartbeats(&self) {
         loop {
-            self.tell_alive();
-            self.catch_up();
+            self.send_heartbeat();
+            self.catch_up_children();
             sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
     /// Tells each child that this instance lives, with its place, and this process its own.
-    pub(super) fn tell_alive(&self) {
+    pub(super) fn send_heartbeat(&self) {
         let preferred = self.parts.peer.preferred;
-        let ranks = self.ranks();
+        let ranks = self.update_ranks();
         if let Some(ranks) = ranks {
             self.parts.feed.publish_rank(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
         if self.uplink.borrow().reads_store() {
-            self.parts.feed.set_store_uptime(self.own().store_uptime);
+            self.parts
+                .feed
+                .set_store_uptime(self.store_status().store_uptime);
         }
-        let Some(alive) = self.alive(ranks) else {
+        let Some(heartbeat) = self.heartbeat(ranks) else {
             return;
         };
-        let places = self.state.borrow().branch.child_ranks(ranks, preferred);
-        for (key, ranks) in places {
-            let alive = Heartbeat {
+        let child_ranks = self.state.borrow().children.child_ranks(ranks, preferred);
+        for (key, ranks) in child_ranks {
+            let heartbeat = Heartbeat {
                 ranks,
-                ..alive.clone()
+                ..heartbeat.clone()
             };
-            let Some(bytes) = Frame::Heartbeat(alive).encode() else {
+            let Some(bytes) = Frame::Heartbeat(heartbeat).encode() else {
                 continue;
             };
             let mut state = self.state.borrow_mut();
@@ -254,48 +258,48 @@
     }
 
     /// The heartbeat for children; none while there are no news, and none to be expected.
-    pub(super) fn alive(&self, ranks: RankRange) -> Option<Heartbeat> {
-        let (now, own) = (self.now(), self.own());
-        let has_news = self.uplink.borrow().age(now, own).is_some();
-        if !has_news && !self.is_fresh() && !self.is_recovering() {
+    pub(super) fn heartbeat(&self, ranks: RankRange) -> Option<Heartbeat> {
+        let (now, status) = (self.now(), self.store_status());
+        let has_data = self.uplink.borrow().age(now, status).is_some();
+        if !has_data && !self.is_fresh() && !self.is_recovering() {
             return None;
         }
         let uplink = self.uplink.borrow();
-        let deputies = match uplink.reads_store() {
-            true => self.deputies(),
+        let standbys = match uplink.reads_store() {
+            true => self.standbys(),
             false => Vec::new(),
         };
-        Some(uplink.heartbeat(now, own, ranks, deputies))
+        Some(uplink.heartbeat(now, status, ranks, standbys))
     }
 
-    fn deputies(&self) -> Vec<CompactString> {
+    fn standbys(&self) -> Vec<CompactString> {
         let state = self.state.borrow();
-        state.branch.standbys(&self.parts.peer.zone)
+        state.children.standbys(&self.parts.peer.zone)
     }
 
-    /// The places of this instance and all below it; none without news.
-    fn ranks(&self) -> Option<RankRange> {
-        let ranks = self.find_ranks()?;
+    /// The child_ranks of this instance and all below it; none without news.
+    fn update_ranks(&self) -> Option<RankRange> {
+        let ranks = self.ranks()?;
         self.parts
             .usage
             .note_instances(ranks.total.count() as usize);
         Some(ranks)
     }
 
-    fn find_ranks(&self) -> Option<RankRange> {
+    fn ranks(&self) -> Option<RankRange> {
         let uplink = self.uplink.borrow();
         if !uplink.reads_store() {
             return uplink.ranks();
         }
         let preferred = self.parts.peer.preferred;
         Some(RankRange {
-            total: self.state.borrow().branch.subtree_size(preferred),
+            total: self.state.borrow().children.subtree_size(preferred),
             ..RankRange::default()
         })
     }
 
     /// Whom this instance may turn to for news.
-    pub(super) fn targets(&self) -> Vec<CompactString> {
+    pub(super) fn link_targets(&self) -> Vec<CompactString> {
         let holder = self.parts.duties.address(super::ROOT_DUTY);
         self.uplink.borrow().link_targets(holder)
     }
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -31,7 +31,7 @@
     pub(super) socket: WebSocketStream<MaybeTlsStream<TcpStream>>,
     pub(super) address: CompactString,
     /// The parent's first sign of life.
-    pub(super) alive: Heartbeat,
+    pub(super) heartbeat: Heartbeat,
 }
 
 /// What a parent must have.
@@ -44,13 +44,13 @@
 }
 
 impl Requirement {
-    fn is_met_by(self, alive: &Heartbeat) -> bool {
-        alive.is_fresh() || (self == Self::Any && alive.age.is_none())
+    fn is_met_by(self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.is_fresh() || (self == Self::Any && heartbeat.age.is_none())
     }
 }
 
 /// What became of one try.
-enum Attempt {
+enum Reply {
     Linked(Box<ParentLink>),
     Referred(Vec<CompactString>),
     /// The target has nothing to tell before then.
@@ -60,31 +60,34 @@
 impl Node {
     /// Looks for a parent until there is one.
     pub(super) async fn search(&self, requirement: Requirement) -> ParentLink {
-        let mut looks = self.parts.duties.looks();
+        let mut lease_updates = self.parts.duties.looks();
         let mut rounds = 0;
         loop {
-            looks.mark_unchanged();
-            let targets = self.targets();
-            let later = match self.search_among(targets.clone(), requirement).await {
+            lease_updates.mark_unchanged();
+            let targets = self.link_targets();
+            let retry_after = match self.search_among(targets.clone(), requirement).await {
                 Ok(link) => return link,
-                Err(later) => later,
+                Err(retry_after) => retry_after,
             };
             rounds += 1;
-            let next = sleep(later.unwrap_or_default().max(pause(rounds)));
+            let retry = sleep(retry_after.unwrap_or_default().max(retry_delay(rounds)));
             // A look may show another holder.
-            let other_target =
-                async { while looks.changed().await.is_ok() && self.targets() == targets {} };
+            let other_target = async {
+                while lease_updates.changed().await.is_ok() && self.link_targets() == targets {}
+            };
             tokio::select! {
-                () = next => {}
+                () = retry => {}
                 () = other_target => {}
             }
         }
     }
 
     /// Tries all targets; none if no one takes this instance.
-    pub(super) async fn search_once(&self) -> Option<ParentLink> {
-        let found = self.search_among(self.targets(), Requirement::Fresh).await;
-        found.ok()
+    pub(super) async fn search_one_round(&self) -> Option<ParentLink> {
+        let result = self
+            .search_among(self.link_targets(), Requirement::Fresh)
+            .await;
+        result.ok()
     }
 
     /// Tries targets; if none takes this instance, when one of them may, as far as they said.
@@ -94,21 +97,21 @@
         requirement: Requirement,
     ) -> Result<ParentLink, Option<Duration>> {
         let targets = targets.into_iter().enumerate();
-        let mut later = None;
-        let mut tries: FuturesUnordered<_> = targets
+        let mut retry_after = None;
+        let mut attempts: FuturesUnordered<_> = targets
             .map(async |(at, target)| {
                 let at = u32::try_from(at).unwrap_or(u32::MAX);
                 sleep(TARGET_STAGGER.saturating_mul(at)).await;
                 self.follow_referrals(target, requirement).await
             })
             .collect();
-        while let Some(found) = tries.next().await {
-            match found {
+        while let Some(result) = attempts.next().await {
+            match result {
                 Ok(link) => return Ok(link),
-                Err(wait) => later = later.max(wait),
+                Err(wait) => retry_after = retry_after.max(wait),
             }
         }
-        Err(later)
+        Err(retry_after)
     }
 
     /// Goes from a target to those that it refers to, until one takes this instance; if none does, when one may.
@@ -117,28 +120,28 @@
         target: CompactString,
         requirement: Requirement,
     ) -> Result<ParentLink, Option<Duration>> {
-        let mut left = vec![target];
-        let mut later = None;
+        let mut stack = vec![target];
+        let mut retry_after = None;
         for _ in 0..MAX_ATTEMPTS_PER_TARGET {
-            let Some(address) = left.pop() else {
+            let Some(address) = stack.pop() else {
                 break;
             };
-            match timeout(LINK_OPEN_TIMEOUT, self.open(&address)).await {
-                Ok(Some(Attempt::Linked(link))) if requirement.is_met_by(&link.alive) => {
+            match timeout(LINK_OPEN_TIMEOUT, self.connect(&address)).await {
+                Ok(Some(Reply::Linked(link))) if requirement.is_met_by(&link.heartbeat) => {
                     return Ok(*link);
                 }
                 // It may be behind this instance itself.
-                Ok(Some(Attempt::Linked(_))) => {}
-                Ok(Some(Attempt::RetryAfter(wait))) => later = later.max(Some(wait)),
+                Ok(Some(Reply::Linked(_))) => {}
+                Ok(Some(Reply::RetryAfter(wait))) => retry_after = retry_after.max(Some(wait)),
                 // The first one named comes next.
-                Ok(Some(Attempt::Referred(addresses))) => left.extend(addresses.into_iter().rev()),
+                Ok(Some(Reply::Referred(addresses))) => stack.extend(addresses.into_iter().rev()),
                 Ok(None) | Err(_) => {}
             }
         }
-        Err(later)
+        Err(retry_after)
     }
 
-    async fn open(&self, address: &CompactString) -> Option<Attempt> {
+    async fn connect(&self, address: &CompactString) -> Option<Reply> {
         let (mut socket, _) =
             connect_async_with_config(format!("ws://{address}/"), Some(link_config()), true)
                 .await
@@ -154,20 +157,20 @@
                 continue;
             };
             return match Frame::decode(&bytes)? {
-                Frame::RetryAfter(wait) => Some(Attempt::RetryAfter(wait)),
-                Frame::Heartbeat(alive) => Some(Attempt::Linked(Box::new(ParentLink {
+                Frame::RetryAfter(wait) => Some(Reply::RetryAfter(wait)),
+                Frame::Heartbeat(heartbeat) => Some(Reply::Linked(Box::new(ParentLink {
                     socket,
                     address: address.clone(),
-                    alive,
+                    heartbeat,
                 }))),
-                Frame::Referral(addresses) => Some(Attempt::Referred(addresses)),
+                Frame::Referral(addresses) => Some(Reply::Referred(addresses)),
                 _ => None,
             };
         }
     }
 }
 
-fn pause(rounds: u32) -> Duration {
+fn retry_delay(rounds: u32) -> Duration {
     let doublings = rounds.saturating_sub(ROUNDS_BEFORE_BACKOFF).min(8);
     (MIN_RETRY_DELAY * 2u32.pow(doublings)).min(MAX_RETRY_DELAY)
 }
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -21,37 +21,37 @@
     /// Follows everything in the store, and tells it; ends only when dropped.
     pub(super) async fn read_store(&self) {
         let places = self.parts.adapter.places;
-        let config = self.follow(Topic::Config, Purpose::Config, places.config);
-        let endpoints = self.follow(Topic::Endpoints, Purpose::Instances, places.endpoints);
+        let config = self.follow_topic(Topic::Config, Purpose::Config, places.config);
+        let endpoints = self.follow_topic(Topic::Endpoints, Purpose::Instances, places.endpoints);
         tokio::join!(config, endpoints, self.follow_leases());
     }
 
-    async fn follow(&self, topic: Topic, purpose: Purpose, kind: &str) {
-        let gather = match topic {
+    async fn follow_topic(&self, topic: Topic, purpose: Purpose, kind: &str) {
+        let batch_delay = match topic {
             Topic::Endpoints => ENDPOINT_BATCH_DELAY,
             Topic::Config | Topic::Engines | Topic::Leases => Duration::ZERO,
         };
-        let manner = || Manner {
-            wait: self.parts.watch,
-            gather,
+        let options = || Manner {
+            wait: self.parts.max_watch_time,
+            gather: batch_delay,
         };
-        let take = |update, revision| self.read(topic, update, revision);
-        follow(&self.parts.store, purpose, kind, manner, None, take).await;
+        let publish = |update, revision| self.publish_update(topic, update, revision);
+        follow(&self.parts.store, purpose, kind, options, None, publish).await;
     }
 
     /// Lists the leases now and then, and with them what the store keeps of requests that crash endpoints.
     async fn follow_leases(&self) {
         let crashes = &self.parts.crashes;
-        let kept = Kept::default();
+        let stored = Kept::default();
         let mut changes = crashes.changes();
         loop {
             let store = &self.parts.store;
             changes.mark_unchanged();
             match store.list(Purpose::Leases, duty::KIND, None).await {
                 Ok((mut objects, revision)) => {
-                    kept.listed(crashes, take_out(&mut objects));
-                    self.read(Topic::Leases, Update::All(objects), revision);
-                    self.keep_crashes(&kept).await;
+                    stored.listed(crashes, take_out(&mut objects));
+                    self.publish_update(Topic::Leases, Update::All(objects), revision);
+                    self.store_crashes(&stored).await;
                 }
                 Err(error) => log::debug!(error:% = error; "leases not listed"),
             }
@@ -61,14 +61,14 @@
                 () = sleep_until(next) => continue,
                 _ = changes.changed() => {}
             }
-            self.keep_crashes(&kept).await;
+            self.store_crashes(&stored).await;
             sleep_until(next).await;
         }
     }
 
-    async fn keep_crashes(&self, kept: &Kept) {
+    async fn store_crashes(&self, stored: &Kept) {
         let parts = &self.parts;
-        if let Err(error) = kept.keep(&parts.store, &parts.crashes).await {
+        if let Err(error) = stored.keep(&parts.store, &parts.crashes).await {
             log::info!(error:% = error; "requests that crash endpoints: not kept yet");
         }
     }
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -29,43 +29,45 @@
 
 impl TopicCache {
     /// Takes over all objects of the topic.
-    pub(super) fn set(&mut self, objects: Vec<EncodedObject>, revision: u64) {
+    pub(super) fn replace(&mut self, objects: Vec<EncodedObject>, revision: u64) {
         self.revision = revision;
         let objects = objects.into_iter();
-        self.objects = objects.map(|packed| (packed.name, packed.object)).collect();
+        self.objects = objects
+            .map(|encoded| (encoded.name, encoded.object))
+            .collect();
         self.replay.reset(revision);
         self.snapshot = None;
     }
 
     /// Takes over changes; `frame` tells children of them.
-    pub(super) fn change(&mut self, changes: Vec<EncodedObject>, revision: u64, frame: Bytes) {
+    pub(super) fn apply(&mut self, changes: Vec<EncodedObject>, revision: u64, frame: Bytes) {
         self.revision = revision;
-        for packed in changes {
-            if packed.deleted {
-                self.objects.remove(&packed.name);
+        for encoded in changes {
+            if encoded.deleted {
+                self.objects.remove(&encoded.name);
             } else {
-                self.objects.insert(packed.name, packed.object);
+                self.objects.insert(encoded.name, encoded.object);
             }
         }
         let snapshot = self.snapshot.as_ref();
         let size = snapshot.map_or(0, |(_, bytes)| bytes.len());
-        let most = MIN_REPLAY_BYTES.max(size / REPLAY_DIVISOR);
-        self.replay.push(revision, frame, most);
+        let max_bytes = MIN_REPLAY_BYTES.max(size / REPLAY_DIVISOR);
+        self.replay.push(revision, frame, max_bytes);
     }
 
     /// What differs from `objects`, which are all that there are.
-    pub(super) fn differences(&self, objects: &[EncodedObject]) -> Vec<EncodedObject> {
+    pub(super) fn diff(&self, objects: &[EncodedObject]) -> Vec<EncodedObject> {
         let present: BTreeMap<_, _> = objects.iter().map(|o| (&o.name, o)).collect();
-        let gone = self.objects.iter();
-        let gone = gone.filter(|(name, _)| !present.contains_key(name));
-        let deleted = gone.map(|(name, bytes)| EncodedObject {
+        let removed = self.objects.iter();
+        let removed = removed.filter(|(name, _)| !present.contains_key(name));
+        let deleted = removed.map(|(name, bytes)| EncodedObject {
             name: name.clone(),
             deleted: true,
             object: bytes.clone(),
         });
         let changed = objects
             .iter()
-            .filter(|packed| self.objects.get(&packed.name) != Some(&packed.object));
+            .filter(|encoded| self.objects.get(&encoded.name) != Some(&encoded.object));
         deleted.chain(changed.cloned()).collect()
     }
 
@@ -75,22 +77,22 @@
     }
 
     /// What a child that knows the topic as of `revision` has missed, as frames.
-    pub(super) fn frames(
+    pub(super) fn frames_since(
         &mut self,
         topic: Topic,
         revision: u64,
         store_uptime: Duration,
     ) -> Vec<Bytes> {
-        if let Some(missed) = self.replay.changes_since(revision) {
-            return missed;
+        if let Some(frames) = self.replay.changes_since(revision) {
+            return frames;
         }
         let usable = self.snapshot.take().and_then(|(revision, snapshot)| {
-            let later = self.replay.changes_since(revision)?;
-            Some((revision, snapshot, later))
+            let changes = self.replay.changes_since(revision)?;
+            Some((revision, snapshot, changes))
         });
-        if let Some((revision, snapshot, later)) = usable {
+        if let Some((revision, snapshot, changes)) = usable {
             self.snapshot = Some((revision, snapshot.clone()));
-            return std::iter::once(snapshot).chain(later).collect();
+            return std::iter::once(snapshot).chain(changes).collect();
         }
         let objects = self.objects.iter().map(|(name, bytes)| EncodedObject {
             name: name.clone(),
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -28,14 +28,14 @@
 pub(super) struct Publication {
     pub(super) topic: Topic,
     /// Whether these are all objects of the topic, and not changes alone.
-    pub(super) whole: bool,
+    pub(super) full: bool,
     pub(super) objects: Vec<EncodedObject>,
 }
 
 impl Publication {
     /// The same for the parts of this process.
     fn update(&self) -> Update {
-        if self.whole {
+        if self.full {
             Update::All(
                 self.objects
                     .iter()
@@ -58,7 +58,7 @@
             store_uptime,
         } = header;
         let (topic, objects) = (self.topic, self.objects.clone());
-        if self.whole {
+        if self.full {
             Frame::Snapshot {
                 topic,
                 revision,
@@ -78,22 +78,22 @@
 
 impl Node {
     /// The store has told of a topic.
-    pub(super) fn read(&self, topic: Topic, update: Update, revision: u64) {
+    pub(super) fn publish_update(&self, topic: Topic, update: Update, revision: u64) {
         let store_uptime = self.parts.store.calm();
-        for (topic, update) in self.split(topic, update) {
+        for (topic, update) in self.split_engines(topic, update) {
             if matches!(update, Update::All(_)) {
                 self.state.borrow_mut().listed.insert(topic);
             }
-            let publication = self.narrow(pack(topic, &update), revision);
+            let publication = self.diff_from_cache(encode_update(topic, &update), revision);
             // Nothing differs, but the topic is known as of a later revision.
-            if !publication.whole && publication.objects.is_empty() {
+            if !publication.full && publication.objects.is_empty() {
                 self.state
                     .borrow_mut()
                     .topics
                     .entry(topic)
                     .or_default()
                     .revision = revision;
-                self.resume();
+                self.publish_missing();
                 continue;
             }
             let header = Header {
@@ -101,60 +101,61 @@
                 store_uptime,
             };
             let frame = publication.frame(header).encode().unwrap_or_default();
-            self.take(publication, header, frame.into());
+            self.apply(publication, header, frame.into());
         }
-        self.catch_up();
+        self.catch_up_children();
     }
 
     /// The parent has told of a topic; `frame` is how it did, and how children are told.
-    pub(super) fn hear(&self, publication: Publication, header: Header, frame: Bytes) {
+    pub(super) fn on_publication(&self, publication: Publication, header: Header, frame: Bytes) {
         // Another parent may lag behind the one before.
-        let known = self.state.borrow().revision(publication.topic);
-        if header.revision >= known {
-            self.take(publication, header, frame);
-            self.catch_up();
+        let known_revision = self.state.borrow().revision(publication.topic);
+        if header.revision >= known_revision {
+            self.apply(publication, header, frame);
+            self.catch_up_children();
         }
     }
 
     /// Takes a publication in and passes it on.
-    fn take(&self, publication: Publication, header: Header, frame: Bytes) {
+    fn apply(&self, publication: Publication, header: Header, frame: Bytes) {
         let topic = publication.topic;
-        self.send_of(topic, &frame);
+        self.send_to_subscribers(topic, &frame);
         let feed = &self.parts.feed;
         feed.set_store_uptime(header.store_uptime);
         // Changes alone say nothing to a part that has not been told the rest.
-        let told = feed.is_subscribed(topic) && (publication.whole || feed.is_current(topic));
-        if told {
+        let publishes_locally =
+            feed.is_subscribed(topic) && (publication.full || feed.is_current(topic));
+        if publishes_locally {
             feed.publish(topic, publication.update(), header.revision);
         }
         let mut state = self.state.borrow_mut();
-        let known = state.topics.entry(topic).or_default();
-        if publication.whole {
-            known.set(publication.objects, header.revision);
+        let cache = state.topics.entry(topic).or_default();
+        if publication.full {
+            cache.replace(publication.objects, header.revision);
         } else {
-            known.change(publication.objects, header.revision, frame);
+            cache.apply(publication.objects, header.revision, frame);
         }
         drop(state);
-        if !told {
-            self.resume();
+        if !publishes_locally {
+            self.publish_missing();
         }
     }
 
     /// Tells the parts of this process all that they want and were not told.
-    pub(super) fn resume(&self) {
+    pub(super) fn publish_missing(&self) {
         let feed = &self.parts.feed;
         let state = self.state.borrow();
-        for (topic, known) in &state.topics {
+        for (topic, cache) in &state.topics {
             if feed.is_subscribed(*topic) && !feed.is_current(*topic) {
-                feed.publish(*topic, Update::All(known.objects()), known.revision);
-                log::info!(topic:serde = topic, revision = known.revision; "bulletin: updates resumed");
+                feed.publish(*topic, Update::All(cache.objects()), cache.revision);
+                log::info!(topic:serde = topic, revision = cache.revision; "bulletin: updates resumed");
             }
         }
     }
 
     /// Engines are told to those alone that want to know of them: their versions change all the time, and most instances
     /// have nothing to do with them.
-    fn split(&self, topic: Topic, update: Update) -> Vec<(Topic, Update)> {
+    fn split_engines(&self, topic: Topic, update: Update) -> Vec<(Topic, Update)> {
         if topic != Topic::Endpoints {
             return vec![(topic, update)];
         }
@@ -170,16 +171,16 @@
             Update::Changes(changes) => {
                 let mut by_topic = [Topic::Endpoints, Topic::Engines].map(|topic| (topic, vec![]));
                 for change in changes {
-                    let was = self.topic_of(&change.object.name);
-                    let is = match was {
-                        Some(was) if change.deleted => was,
+                    let old_topic = self.topic_of(&change.object.name);
+                    let new_topic = match old_topic {
+                        Some(old_topic) if change.deleted => old_topic,
                         _ if self.is_engine(&change.object) => Topic::Engines,
                         _ => Topic::Endpoints,
                     };
                     for (topic, changes) in &mut by_topic {
-                        if *topic == is {
+                        if *topic == new_topic {
                             changes.push(change.clone());
-                        } else if was == Some(*topic) {
+                        } else if old_topic == Some(*topic) {
                             let object = change.object.clone();
                             let deleted = true;
                             changes.push(Change { object, deleted });
@@ -203,20 +204,22 @@
     /// The topic that an entry of the endpoint list is told under.
     fn topic_of(&self, name: &str) -> Option<Topic> {
         let state = self.state.borrow();
-        let holds = |topic: &Topic| state.topics.get(topic).is_some_and(|k| k.contains(name));
-        [Topic::Endpoints, Topic::Engines].into_iter().find(holds)
+        let has_entry = |topic: &Topic| state.topics.get(topic).is_some_and(|c| c.contains(name));
+        [Topic::Endpoints, Topic::Engines]
+            .into_iter()
+            .find(has_entry)
     }
 
     /// A list that was read again is told as what has changed in it.
-    fn narrow(&self, publication: Publication, revision: u64) -> Publication {
+    fn diff_from_cache(&self, publication: Publication, revision: u64) -> Publication {
         let state = self.state.borrow();
-        let known = state.topics.get(&publication.topic);
-        match known.filter(|known| known.revision > 0 && known.revision <= revision) {
+        let cache = state.topics.get(&publication.topic);
+        match cache.filter(|cache| cache.revision > 0 && cache.revision <= revision) {
             // Those who hear of leases need all of them.
-            Some(known) if publication.whole && publication.topic != Topic::Leases => Publication {
+            Some(cache) if publication.full && publication.topic != Topic::Leases => Publication {
                 topic: publication.topic,
-                whole: false,
-                objects: known.differences(&publication.objects),
+                full: false,
+                objects: cache.diff(&publication.objects),
             },
             _ => publication,
         }
@@ -233,7 +236,7 @@
             drop(state);
             if let Some(bytes) = (Frame::Subscribe { topic, revision }).encode() {
                 // A parent that is found later is told with the first frame.
-                let _ = self.up.send(bytes.into());
+                let _ = self.to_parent.send(bytes.into());
             }
         }
     }
@@ -248,7 +251,7 @@
     }
 
     /// Forgets the topics that no parent will tell of.
-    pub(super) fn forget_unsubscribed(&self) {
+    pub(super) fn drop_unsubscribed(&self) {
         let state = &mut *self.state.borrow_mut();
         let subscribed = &state.subscribed;
         state
@@ -257,7 +260,7 @@
     }
 
     /// Brings children up to date that wait for it, once what is known here is fresh.
-    pub(super) fn catch_up(&self) {
+    pub(super) fn catch_up_children(&self) {
         if !self.is_fresh() {
             return;
         }
@@ -265,14 +268,16 @@
         let State { links, topics, .. } = &mut *self.state.borrow_mut();
         links.retain(|_, link| {
             let mut sent = true;
-            for (topic, missed) in &mut link.topics {
-                let Some(known) = topics.get_mut(topic) else {
+            for (topic, known_revision) in &mut link.topics {
+                let Some(cache) = topics.get_mut(topic) else {
                     continue;
                 };
-                let Some(revision) = missed.take() else {
+                let Some(revision) = known_revision.take() else {
                     continue;
                 };
-                let mut frames = known.frames(*topic, revision, store_uptime).into_iter();
+                let mut frames = cache
+                    .frames_since(*topic, revision, store_uptime)
+                    .into_iter();
                 sent &= frames.all(|frame| link.frames.try_send(frame).is_ok());
             }
             sent
@@ -280,40 +285,40 @@
     }
 
     /// Sends what is told of a topic to the children that want it; one that cannot take it is cut.
-    fn send_of(&self, topic: Topic, frame: &Bytes) {
+    fn send_to_subscribers(&self, topic: Topic, frame: &Bytes) {
         let mut state = self.state.borrow_mut();
         state.links.retain(|_, link| {
-            let wants = link.topics.get(&topic) == Some(&None);
-            !wants || link.frames.try_send(frame.clone()).is_ok()
+            let is_current = link.topics.get(&topic) == Some(&None);
+            !is_current || link.frames.try_send(frame.clone()).is_ok()
         });
     }
 
     /// A child wants a topic, which it knows as of a revision.
-    pub(super) fn subscribed_by(&self, key: ChildKey, topic: Topic, revision: u64) {
+    pub(super) fn on_subscribe(&self, key: ChildKey, topic: Topic, revision: u64) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&key) {
             link.topics.entry(topic).or_insert(Some(revision));
         }
         self.subscribe(topic);
-        self.catch_up();
+        self.catch_up_children();
     }
 }
 
-fn pack(topic: Topic, update: &Update) -> Publication {
-    let (whole, objects) = match update {
+fn encode_update(topic: Topic, update: &Update) -> Publication {
+    let (full, objects) = match update {
         Update::All(objects) => {
-            let packed = objects.iter().filter_map(|o| EncodedObject::new(o, false));
-            (true, packed.collect())
+            let encoded = objects.iter().filter_map(|o| EncodedObject::new(o, false));
+            (true, encoded.collect())
         }
         Update::Changes(changes) => {
-            let packed = changes.iter();
-            let packed =
-                packed.filter_map(|change| EncodedObject::new(&change.object, change.deleted));
-            (false, packed.collect())
+            let encoded = changes.iter();
+            let encoded =
+                encoded.filter_map(|change| EncodedObject::new(&change.object, change.deleted));
+            (false, encoded.collect())
         }
     };
     Publication {
         topic,
-        whole,
+        full,
         objects,
     }
 }
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -41,88 +41,91 @@
 }
 
 impl Node {
-    pub(super) async fn run(self: Rc<Self>) {
+    pub(super) async fn run_uplink(self: Rc<Self>) {
         let mut standing = self.parts.duties.join(&ROOT_DUTY.into());
-        let mut found = None;
+        let mut next = None;
         loop {
-            let leads = standing.borrow_and_update().grant.is_some();
-            if leads && !self.is_leaving() {
-                let mut leaving = self.leaving.subscribe();
+            let is_root = standing.borrow_and_update().grant.is_some();
+            if is_root && !self.is_shutting_down() {
+                let mut shutting_down = self.shutting_down.subscribe();
                 let end = async {
                     tokio::select! {
-                        () = has_lost(&mut standing) => {}
-                        _ = leaving.wait_for(|leaving| *leaving) => {}
+                        () = until_duty_lost(&mut standing) => {}
+                        _ = shutting_down.wait_for(|shutting_down| *shutting_down) => {}
                     }
                 };
-                self.lead(end).await;
+                self.read_store_until(end).await;
                 continue;
             }
-            let link = match found.take() {
+            let link = match next.take() {
                 Some(link) => Some(link),
-                None => self.find(&mut standing).await,
+                None => self.find_parent(&mut standing).await,
             };
             let Some(link) = link else { continue };
-            match self.stay(link, &mut standing).await {
+            match self.follow_parent(link, &mut standing).await {
                 LinkEnd::ParentLost | LinkEnd::DutyAcquired => {}
-                LinkEnd::FresherParent(link) => found = Some(*link),
-                LinkEnd::StoreAnswers => found = self.go_on_alone(&mut standing).await,
+                LinkEnd::FresherParent(link) => next = Some(*link),
+                LinkEnd::StoreAnswers => next = self.run_without_parent(&mut standing).await,
             }
         }
     }
 
     /// Finds a parent; reads the store meanwhile if others wait for its news. None if this instance has
     /// the duty.
-    async fn find(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
+    async fn find_parent(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         tokio::select! {
-            found = timeout(PARENT_SEARCH_TIMEOUT, self.search_patiently()) => match found {
+            found = timeout(PARENT_SEARCH_TIMEOUT, self.search_or_take_over()) => match found {
                 Ok(Some(link)) => return Some(link),
                 // Nobody else stands in before this one.
-                Ok(None) => return self.stand_in(standing).await,
+                Ok(None) => return self.replace_root(standing).await,
                 Err(_) => {}
             },
-            () = self.has_taken(standing) => return None,
+            () = self.until_duty_acquired(standing) => return None,
         }
-        self.go_on_alone(standing).await
+        self.run_without_parent(standing).await
     }
 
     /// Reads the store if others wait for its news, and goes without news else, until there is a parent
     /// again; none if this instance has the duty.
-    async fn go_on_alone(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
-        let has_children = !self.state.borrow().branch.is_empty();
+    async fn run_without_parent(
+        &self,
+        standing: &mut watch::Receiver<Standing>,
+    ) -> Option<ParentLink> {
+        let has_children = !self.state.borrow().children.is_empty();
         let is_needed = has_children || self.uplink.borrow().is_standby();
-        if is_needed && !self.is_leaving() {
-            return self.stand_in(standing).await;
+        if is_needed && !self.is_shutting_down() {
+            return self.replace_root(standing).await;
         }
         self.parts.feed.publish_lost();
         tokio::select! {
             link = self.search(Requirement::Any) => Some(link),
-            () = self.has_taken(standing) => None,
+            () = self.until_duty_acquired(standing) => None,
         }
     }
 
     /// Looks for a parent; none if this instance is the first to stand in for a root that is gone.
-    async fn search_patiently(&self) -> Option<ParentLink> {
-        if self.uplink.borrow().is_first_standby() && !self.is_leaving() {
-            return self.search_once().await;
+    async fn search_or_take_over(&self) -> Option<ParentLink> {
+        if self.uplink.borrow().is_first_standby() && !self.is_shutting_down() {
+            return self.search_one_round().await;
         }
         Some(self.search(Requirement::Any).await)
     }
 
     /// Reads the store for those below until there is a parent again; none if this instance has the duty.
-    async fn stand_in(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
+    async fn replace_root(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         log::info!("bulletin: standing in");
         let end = async {
             tokio::select! {
                 link = self.search(Requirement::Fresh) => Some(link),
-                () = self.has_taken(standing) => None,
+                () = self.until_duty_acquired(standing) => None,
             }
         };
-        self.lead(end).await
+        self.read_store_until(end).await
     }
 
     /// Reads the store for all until `end`.
-    async fn lead<T>(&self, end: impl Future<Output = T>) -> T {
-        self.begin_to_read();
+    async fn read_store_until<T>(&self, end: impl Future<Output = T>) -> T {
+        self.start_reading();
         let ended = tokio::select! {
             ended = end => ended,
             () = self.read_store() => unreachable!("the store is followed for good"),
@@ -132,7 +135,7 @@
     }
 
     /// Hears a parent's news as long as they are fresh.
-    async fn stay(
+    async fn follow_parent(
         &self,
         mut link: ParentLink,
         standing: &mut watch::Receiver<Standing>,
@@ -141,23 +144,23 @@
         if !self
             .uplink
             .borrow_mut()
-            .on_heartbeat(self.now(), link.alive)
+            .on_heartbeat(self.now(), link.heartbeat)
         {
             return LinkEnd::ParentLost;
         }
         let level = self.uplink.borrow().level();
         log::info!(address = address.as_str(), level; "bulletin: linked");
-        let mut told = SubtreeSize::default();
-        let mut better = OptionFuture::from(None);
+        let mut reported_size = SubtreeSize::default();
+        let mut fresher_source = OptionFuture::from(None);
         let mut is_stale = false;
-        let mut heard_at = Instant::now();
-        let mut told_at = heard_at;
-        let mut up = self.up.subscribe();
-        self.forget_unsubscribed();
-        let mut first = self.first_news();
-        let why = loop {
+        let mut last_received = Instant::now();
+        let mut reported_at = last_received;
+        let mut to_parent = self.to_parent.subscribe();
+        self.drop_unsubscribed();
+        let mut pending = self.initial_frames();
+        let end = loop {
             let mut sent = true;
-            for bytes in first.drain(..) {
+            for bytes in pending.drain(..) {
                 sent &= link.socket.send(Message::Binary(bytes)).await.is_ok();
             }
             if !sent {
@@ -165,72 +168,73 @@
             }
             tokio::select! {
                 message = link.socket.next() => {
-                    let goes_on = message.is_some_and(|message| message.is_ok_and(|message| self.hear_parent(message)));
-                    if !goes_on {
+                    let stays_linked = message.is_some_and(|message| message.is_ok_and(|message| self.on_parent_message(message)));
+                    if !stays_linked {
                         break LinkEnd::ParentLost;
                     }
-                    heard_at = Instant::now();
-                    let census = self.census();
-                    if census != told || told_at.elapsed() >= SUBTREE_SIZE_INTERVAL {
-                        (told, told_at) = (census, heard_at);
-                        let below = Frame::SubtreeSize(census).encode().unwrap_or_default();
-                        if link.socket.send(Message::Binary(below.into())).await.is_err() {
+                    last_received = Instant::now();
+                    let size = self.subtree_size();
+                    if size != reported_size || reported_at.elapsed() >= SUBTREE_SIZE_INTERVAL {
+                        (reported_size, reported_at) = (size, last_received);
+                        let frame = Frame::SubtreeSize(size).encode().unwrap_or_default();
+                        if link.socket.send(Message::Binary(frame.into())).await.is_err() {
                             break LinkEnd::ParentLost;
                         }
                     }
                 }
-                bytes = up.recv() => match bytes {
+                bytes = to_parent.recv() => match bytes {
                     Ok(bytes) => if link.socket.send(Message::Binary(bytes)).await.is_err() {
                         break LinkEnd::ParentLost;
                     },
                     // What was missed is told with all the rest.
-                    Err(_) => first = self.first_news(),
+                    Err(_) => pending = self.initial_frames(),
                 },
-                () = sleep(PARENT_CHECK_INTERVAL) => if heard_at.elapsed() > PARENT_TIMEOUT {
+                () = sleep(PARENT_CHECK_INTERVAL) => if last_received.elapsed() > PARENT_TIMEOUT {
                     break LinkEnd::ParentLost;
                 },
-                Some(left) = &mut better => break left,
-                () = self.has_taken(standing) => break LinkEnd::DutyAcquired,
+                Some(end) = &mut fresher_source => break end,
+                () = self.until_duty_acquired(standing) => break LinkEnd::DutyAcquired,
             }
             let is_fresh = self.is_fresh();
             self.parts.feed.set_has_parent(is_fresh);
             if is_fresh {
-                better = OptionFuture::from(None);
+                fresher_source = OptionFuture::from(None);
                 is_stale = false;
-                self.resume();
+                self.publish_missing();
                 continue;
             }
-            let patience = self.patience();
-            if !patience.is_zero() {
-                self.parts.feed.publish_expected(patience);
+            let grace = self.remaining_grace();
+            if !grace.is_zero() {
+                self.parts.feed.publish_expected(grace);
                 continue;
             }
             if !is_stale {
                 is_stale = true;
-                better = OptionFuture::from(Some(self.search_better().boxed_local()));
+                fresher_source =
+                    OptionFuture::from(Some(self.search_fresher_source().boxed_local()));
             }
         };
         self.parts.feed.set_has_parent(false);
         self.uplink.borrow_mut().on_parent_lost();
-        let why_text = why.as_str();
-        log::info!(address = address.as_str(), why = why_text; "bulletin: link lost");
-        why
+        let reason_text = end.as_str();
+        log::info!(address = address.as_str(), why = reason_text; "bulletin: link lost");
+        end
     }
 
     /// Looks for fresher news than the parent's. While the store answers nobody there are none, and a
     /// parent with old ones is kept: it will have the first new ones.
-    async fn search_better(&self) -> LinkEnd {
+    async fn search_fresher_source(&self) -> LinkEnd {
         // Those further down are helped by the parent's own search.
         let is_below_root = self.uplink.borrow().level() == 1;
         tokio::select! {
             link = self.search(Requirement::Fresh), if is_below_root => LinkEnd::FresherParent(Box::new(link)),
-            () = self.until_answered() => LinkEnd::StoreAnswers,
+            () = self.until_store_answers() => LinkEnd::StoreAnswers,
         }
     }
 
     /// Waits until the store answers this instance itself; deputies look first, in their order.
-    async fn until_answered(&self) {
-        let (is_first, is_deputy, is_below_root) = {
+    async fn until_store_answers(&self) {
+        let (is_first_standby, is_standby, is_below_root) = {
             let uplink = self.uplink.borrow();
             let is_below_root = uplink.level() == 1;
             (
@@ -240,10 +244,10 @@
             )
         };
         // Those further down have waited already.
-        if !is_first && is_below_root {
+        if !is_first_standby && is_below_root {
             sleep(PARENT_SEARCH_TIMEOUT).await;
         }
-        let pause = if is_deputy {
+        let pause = if is_standby {
             STANDBY_PROBE_INTERVAL
         } else {
             PROBE_INTERVAL
@@ -255,22 +259,22 @@
         }
     }
 
-    /// Waits until this instance has the duty; for good if it is leaving.
-    async fn has_taken(&self, standing: &mut watch::Receiver<Standing>) {
-        let taken = standing.wait_for(|s| s.grant.is_some()).await.is_ok();
-        if !taken || self.is_leaving() {
+    /// Waits until this instance has the duty; for good if it is shutting_down.
+    async fn until_duty_acquired(&self, standing: &mut watch::Receiver<Standing>) {
+        let acquired = standing.wait_for(|s| s.grant.is_some()).await.is_ok();
+        if !acquired || self.is_shutting_down() {
             // The process is ending.
             std::future::pending::<()>().await;
         }
     }
 
-    fn census(&self) -> SubtreeSize {
+    fn subtree_size(&self) -> SubtreeSize {
         let state = self.state.borrow();
-        state.branch.subtree_size(self.parts.peer.preferred)
+        state.children.subtree_size(self.parts.peer.preferred)
     }
 
     /// Takes in what the parent says; says whether to stay with it.
-    fn hear_parent(&self, message: Message) -> bool {
+    fn on_parent_message(&self, message: Message) -> bool {
         let Message::Binary(bytes) = message else {
             return true;
         };
@@ -281,13 +285,13 @@
                 objects,
                 store_uptime,
             }) => {
-                let whole = true;
+                let full = true;
                 let publication = Publication {
                     topic,
-                    whole,
+                    full,
                     objects,
                 };
-                self.hear(
+                self.on_publication(
                     publication,
                     Header {
                         revision,
@@ -304,10 +308,10 @@
             }) => {
                 let publication = Publication {
                     topic,
-                    whole: false,
+                    full: false,
                     objects: changes,
                 };
-                self.hear(
+                self.on_publication(
                     publication,
                     Header {
                         revision,
@@ -316,18 +320,18 @@
                     bytes,
                 );
             }
-            Some(Frame::Heartbeat(alive)) => {
+            Some(Frame::Heartbeat(heartbeat)) => {
                 let metrics = &self.parts.metrics;
-                if let Some(age) = alive.age {
+                if let Some(age) = heartbeat.age {
                     metrics.observe(&metrics.ages, "news", age);
                 }
-                self.parts.feed.set_store_uptime(alive.store_uptime);
-                if !self.uplink.borrow_mut().on_heartbeat(self.now(), alive) {
+                self.parts.feed.set_store_uptime(heartbeat.store_uptime);
+                if !self.uplink.borrow_mut().on_heartbeat(self.now(), heartbeat) {
                     return false;
                 }
-                self.tell_alive();
+                self.send_heartbeat();
             }
-            Some(Frame::Crashes(reports)) => self.hear_crashes(reports),
+            Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
             Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
             Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
             Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
@@ -348,7 +352,7 @@
 }
 
 /// Waits until this instance does not have the duty any more.
-async fn has_lost(standing: &mut watch::Receiver<Standing>) {
+async fn until_duty_lost(standing: &mut watch::Receiver<Standing>) {
     if standing.wait_for(Standing::is_lost).await.is_err() {
         std::future::pending::<()>().await;
     }
