--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -1,4 +1,4 @@
-//! The tree over which news reach all, with real processes: more than one parent can tell.
+//! The broadcast tree with more instances than one parent can have children, tested with real processes.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -12,38 +12,40 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
 
-/// One more than a root and its children.
-const MANY: Size = Size {
+/// More instances than a root and its children.
+const SITE_SIZE: Size = Size {
     instances: 36,
     engines: 1,
     services: 2,
 };
-const MOST: usize = 32;
+const MAX_CHILDREN: usize = 32;
 
-fn count(instance: &Instance, with: &str) -> usize {
+fn count_log_lines(instance: &Instance, text: &str) -> usize {
     let lines = instance.lines();
-    lines.iter().filter(|line| line.contains(with)).count()
+    lines.iter().filter(|line| line.contains(text)).count()
 }
 
-/// Children that each instance has now.
-fn children(site: &Site) -> BTreeMap<&str, usize> {
-    let children = site.instances.iter().map(|instance| {
-        let linked = count(instance, "bulletin: child linked");
-        let lost = count(instance, "bulletin: child lost");
+/// Current number of children of each instance, by its name.
+fn child_counts(site: &Site) -> BTreeMap<&str, usize> {
+    let child_counts = site.instances.iter().map(|instance| {
+        let linked = count_log_lines(instance, "bulletin: child linked");
+        let lost = count_log_lines(instance, "bulletin: child lost");
         (instance.name.as_str(), linked - lost)
     });
-    children.collect()
+    child_counts.collect()
 }
 
-fn total(site: &Site, with: &str) -> usize {
+fn total_log_lines(site: &Site, text: &str) -> usize {
     let instances = site.instances.iter();
-    instances.map(|instance| count(instance, with)).sum()
+    instances
+        .map(|instance| count_log_lines(instance, text))
+        .sum()
 }
 
-/// Instances that run and do not know the newest routes.
-async fn behind(site: &mut Site) -> Vec<String> {
+/// Names of the running instances that do not serve the newest routes yet.
+async fn outdated_instances(site: &mut Site) -> Vec<String> {
     let path = format!("/only-{}/x", site.config);
-    let mut behind = Vec::new();
+    let mut outdated = Vec::new();
     for instance in &mut site.instances {
         if !instance.is_running() {
             continue;
@@ -56,71 +58,81 @@
         let wait = Duration::from_secs(3);
         let answer = call(address, Method::POST, &path, &headers, Bytes::new(), wait).await;
         if answer.map(|a| a.status) != Ok(StatusCode::OK) {
-            behind.push(instance.name.clone());
+            outdated.push(instance.name.clone());
         }
     }
-    behind
+    outdated
 }
 
-/// The instance that reads for all, and one that has children of its own.
-fn root_and_relay(site: &Site) -> (usize, usize) {
-    let children = children(site);
-    let of = |at: &usize| children[site.instances[*at].name.as_str()];
-    let all = || 0..site.instances.len();
-    let root = all().max_by_key(of).expect("there are instances");
-    let relay = all().filter(|at| *at != root).max_by_key(of);
-    (root, relay.expect("there are others"))
+/// Indexes of the root and of another instance with children.
+fn root_and_inner_node(site: &Site) -> (usize, usize) {
+    let child_counts = child_counts(site);
+    let child_count = |at: &usize| child_counts[site.instances[*at].name.as_str()];
+    let indexes = || 0..site.instances.len();
+    let root = indexes()
+        .max_by_key(child_count)
+        .expect("there are instances");
+    let inner_node = indexes().filter(|at| *at != root).max_by_key(child_count);
+    (root, inner_node.expect("there are others"))
 }
 
+/// Data must reach all instances within a bounded time, also after the failure of an inner node or the root. If
+/// the root fails, only its standbys may read the store, so that the failure costs few calls.
 #[actix_rt::test]
 async fn news_reach_all_and_the_loss_of_a_relay_or_the_root_costs_few_calls() {
-    let mut site = Site::start(MANY, 150).await.unwrap();
+    let mut site = Site::start(SITE_SIZE, 150).await.unwrap();
     sleep(Duration::from_secs(2)).await;
-    let linked = children(&site);
-    assert_eq!(linked.values().sum::<usize>(), 35, "{linked:?}");
+    let counts = child_counts(&site);
+    assert_eq!(counts.values().sum::<usize>(), 35, "{counts:?}");
     assert!(
-        linked.values().all(|children| *children <= MOST),
-        "{linked:?}"
+        counts.values().all(|children| *children <= MAX_CHILDREN),
+        "{counts:?}"
     );
 
     let calls = site.store.calls();
     sleep(Duration::from_secs(2)).await;
-    let quiet = site.store.calls() - calls;
-    // Renewals of three leases and the root's looks: no more than at three instances.
-    assert!(quiet <= 24, "{quiet} calls in 2 s");
+    let idle_calls = site.store.calls() - calls;
+    // Renewals of three leases and the root's listings of the leases: no more than with three instances.
+    assert!(idle_calls <= 24, "{idle_calls} calls in 2 s");
 
-    let (root, relay) = root_and_relay(&site);
+    let (root, inner_node) = root_and_inner_node(&site);
     assert!(
-        linked[site.instances[relay].name.as_str()] >= 1,
-        "{linked:?}"
+        counts[site.instances[inner_node].name.as_str()] >= 1,
+        "{counts:?}"
     );
-    site.instances[relay].signal(Signal::KILL);
+    site.instances[inner_node].signal(Signal::KILL);
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_millis(600)).await;
-    assert_eq!(behind(&mut site).await, Vec::<String>::new());
-    assert_eq!(total(&site, "bulletin: no news"), 0);
+    assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
+    assert_eq!(total_log_lines(&site, "bulletin: no news"), 0);
 
     let calls = site.store.calls();
     site.instances[root].signal(Signal::KILL);
     sleep(Duration::from_millis(300)).await;
     site.configure("other", Duration::from_secs(2));
     sleep(Duration::from_millis(900)).await;
-    assert_eq!(behind(&mut site).await, Vec::<String>::new());
-    assert_eq!(total(&site, "bulletin: no news"), 0);
-    let standing_in = total(&site, "bulletin: standing in");
-    assert!((1..=3).contains(&standing_in), "{standing_in} stand in");
+    assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
+    assert_eq!(total_log_lines(&site, "bulletin: no news"), 0);
+    let taken_over = total_log_lines(&site, "bulletin: standing in");
+    assert!(
+        (1..=3).contains(&taken_over),
+        "{taken_over} instances replaced the root"
+    );
     sleep(Duration::from_millis(800)).await;
-    let lost = site.store.calls() - calls;
-    // In a star each of the others listed and watched three kinds.
-    assert!(lost <= 80, "{lost} calls in 2 s after the loss of the root");
+    let takeover_calls = site.store.calls() - calls;
+    // Without the tree, each of the other instances would list and watch three kinds of objects.
+    assert!(
+        takeover_calls <= 80,
+        "{takeover_calls} calls in 2 s after the loss of the root"
+    );
 
     sleep(Duration::from_secs(2)).await;
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_millis(400)).await;
-    assert_eq!(behind(&mut site).await, Vec::<String>::new());
-    let linked = children(&site);
+    assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
+    let counts = child_counts(&site);
     assert!(
-        linked.values().all(|children| *children <= MOST),
-        "{linked:?}"
+        counts.values().all(|children| *children <= MAX_CHILDREN),
+        "{counts:?}"
     );
 }
