--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -1,4 +1,4 @@
-//! Links to children.
+//! Links to children: the handshake, admission or referral, and the frames in both directions.
 
 use super::{
     CHILD_TIMEOUT, Frame, HEARTBEAT_INTERVAL, Hello, LINK_OPEN_TIMEOUT, Node, Topic, link_config,
@@ -15,15 +15,16 @@
 };
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, tungstenite::Message};
 
-/// Frames that may wait for a slow link before it is cut.
+/// Most frames queued for a child. The link of a child that is slower is dropped.
 const CHILD_QUEUE_FRAMES: usize = 256;
-/// Newcomers that are being handshakes at once; one more finds its connection closed and tries again.
-/// Instances that start together all come to one.
+/// Most handshakes at the same time; further connections are closed, and the newcomers retry. Instances
+/// that start together all connect to the same one.
 const MAX_CONCURRENT_HANDSHAKES: usize = 64;
 
 type Socket = WebSocketStream<TcpStream>;
 
 impl Node {
+    /// Accepts connections of newcomers, and serves each in a task of its own.
     pub(super) async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         let handshakes = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
         loop {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Takes a newcomer as a child, or refers it to others. One that comes before there is anything to tell is kept:
-    /// it need not come again.
+    /// Accepts a newcomer as a child, refers it to other instances, or tells it when to retry. It is also
+    /// accepted before there are data if they are expected, so that it need not connect again.
     async fn admit(&self, socket: Socket, hello: Hello) {
         let Hello { peer, topics } = hello;
         let address = peer.address.clone();
@@ -69,8 +70,9 @@
         }
     }
 
-    /// Serves one child, which knows `topics` as of a revision each: a heartbeat and what it has missed first, then each
-    /// frame as it comes.
+    /// Serves one child until the link ends, and returns the reason. `topics` are its subscriptions with the
+    /// revision that it has of each. It is first sent a heartbeat, the crash reports and the changes that it
+    /// has missed.
     async fn serve_child(
         &self,
         mut socket: Socket,
@@ -78,12 +80,13 @@
         topics: BTreeMap<Topic, u64>,
     ) -> &'static str {
         let (sender, mut frames) = mpsc::channel::<Bytes>(CHILD_QUEUE_FRAMES);
-        // Its place follows with the next sign of life.
+        // Its ranks follow with the next heartbeat.
         let heartbeat = self.heartbeat(RankRange::default()).map(Frame::Heartbeat);
-        // Before the configuration and the list: what must not run is known before anything can.
+        // Sent before the configuration and the endpoint list, so that the child knows which requests must
+        // not run before it can run any.
         let crashes = self.crash_snapshot();
         for frame in heartbeat.into_iter().chain(crashes) {
-            // An empty queue takes these few.
+            // These few frames always fit into the empty queue.
             let _ = frame.encode().map(|bytes| sender.try_send(bytes.into()));
         }
         let topics = topics.into_iter();
@@ -126,9 +129,9 @@
     }
 }
 
-/// Opens a link from its other end's side; gives who that is.
+/// Completes the handshake of a newcomer and receives its [`Hello`].
 async fn accept_hello(stream: TcpStream) -> Option<(Socket, Hello)> {
-    // Signs of life must not wait for more.
+    // A heartbeat must not be held back until there is more to send.
     let _ = stream.set_nodelay(true);
     let mut socket = accept_async_with_config(stream, Some(link_config()))
         .await
@@ -146,10 +149,10 @@
     }
 }
 
-/// Tells a newcomer where, or when, to try instead.
-async fn reject(mut socket: Socket, answer: &Frame) {
-    if let Some(bytes) = answer.encode() {
-        // A newcomer that hears nothing tries again.
+/// Sends a newcomer the referral or the retry time, and closes the connection.
+async fn reject(mut socket: Socket, rejection: &Frame) {
+    if let Some(bytes) = rejection.encode() {
+        // A newcomer that receives no answer retries.
         let _ = timeout(
             LINK_OPEN_TIMEOUT,
             socket.send(Message::Binary(bytes.into())),
--- a/crates/pinereel/src/hosted/tree/encoded_object.rs
+++ b/crates/pinereel/src/hosted/tree/encoded_object.rs
@@ -1,11 +1,12 @@
-//! Objects as they go over links, and as they are kept for children: encoded once, by whoever reads them.
+//! Objects of the store in encoded form. The root encodes each object once; all instances forward and
+//! cache the same bytes.
 
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_port::store::{Change, Object};
 use serde::{Deserialize, Serialize};
 
-/// An encoded object.
+/// An object of the store, or its deletion, in encoded form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EncodedObject {
     /// Name of the object.
@@ -17,7 +18,7 @@
 }
 
 impl EncodedObject {
-    /// Encodes an object; none if it cannot be encoded.
+    /// Encodes an object; `None` if that fails, which is logged.
     pub fn new(object: &Object, deleted: bool) -> Option<Self> {
         let mut bytes = Vec::new();
         match ciborium::into_writer(object, &mut bytes) {
@@ -33,12 +34,12 @@
         }
     }
 
-    /// The object; none if it cannot be decoded.
+    /// Decodes the object; `None` if that fails, which is logged.
     pub fn object(&self) -> Option<Object> {
         decode(&self.name, &self.object)
     }
 
-    /// The change of the object.
+    /// Decodes the object as a change, which may be its deletion.
     pub fn change(&self) -> Option<Change> {
         let object = self.object()?;
         let deleted = self.deleted;
--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -1,4 +1,6 @@
-//! What the parts of this process hear.
+//! Publishes the data of the tree to the other modules of this process, by topic.
+//!
+//! After [`FeedEvent::Lost`], a subscriber reads the store itself until all objects are published again.
 
 use super::Topic;
 use crate::hosted::follow::Update;
@@ -14,32 +16,32 @@
     time::Instant,
 };
 
-/// Updates that may wait for a part of this process; one that lags further follows the store again.
+/// Most events queued for a subscriber. One that lags further behind reads the store itself.
 const FEED_QUEUE_EVENTS: usize = 64;
 
-/// What a part of this process hears.
+/// An event for the subscribers of a topic.
 #[derive(Clone, Debug)]
 pub enum FeedEvent {
-    /// What was told, as of a revision.
+    /// All objects of the topic or changes to them, and the revision of the store after them.
     Update(Rc<Update>, u64),
-    /// The place of this instance among all; told to those who hear of leases.
+    /// The rank of this instance among all. Sent to subscribers of [`Topic::Leases`].
     Rank(Rank),
-    /// Something will be told until then, as far as can be seen.
+    /// The first update is expected by this time.
     ExpectedBy(Instant),
-    /// Nothing is told any more.
+    /// There is no source of updates any more.
     Lost,
 }
 
-/// What this process is told, by topic.
+/// Publishes updates to the subscribers in this process, by topic.
 pub struct Feed {
     topics: BTreeMap<Topic, broadcast::Sender<FeedEvent>>,
-    /// For how long the store had answered the root when it last told something.
+    /// For how long the store had answered all calls of the root, as of its last frame.
     store_uptime: Cell<Duration>,
-    /// Topics that were told since nothing was told any more.
+    /// Topics whose subscribers have all data: a snapshot and each change since.
     current: RefCell<BTreeSet<Topic>>,
-    /// Whether this process wants to know of engines.
+    /// Whether this process has subscribed to [`Topic::Engines`].
     engines_subscribed: watch::Sender<bool>,
-    /// Whether a parent tells, and its news are fresh.
+    /// Whether there is a parent and its data are fresh.
     has_parent: Cell<bool>,
 }
 
@@ -57,18 +59,18 @@
 }
 
 impl Feed {
-    /// Hears what is told of a topic.
+    /// Subscribes to a topic. Engines need [`Feed::subscribe_to_engines`] in addition.
     pub fn subscribe(&self, topic: Topic) -> broadcast::Receiver<FeedEvent> {
         self.topics[&topic].subscribe()
     }
 
-    /// For how long the store had answered all calls of the root when it last told something; zero
-    /// if that is not known, or nothing is told any more.
+    /// For how long the store had answered all calls of the root, as of its last frame; zero if that is
+    /// unknown or there is no source of updates.
     pub fn store_uptime(&self) -> Duration {
         self.store_uptime.get()
     }
 
-    /// Whether another instance tells this one all that changes.
+    /// Whether this instance has a parent whose data are fresh.
     pub fn has_parent(&self) -> bool {
         self.has_parent.get()
     }
@@ -81,20 +83,20 @@
         self.store_uptime.set(store_uptime);
     }
 
-    /// This process wants to know of engines from now on.
+    /// Subscribes this process to [`Topic::Engines`], for good.
     pub fn subscribe_to_engines(&self) {
         self.engines_subscribed
             .send_if_modified(|subscribed| !std::mem::replace(subscribed, true));
     }
 
-    /// Whether this process wants to know of engines.
+    /// Whether this process has subscribed to [`Topic::Engines`].
     pub fn is_subscribed_to_engines(&self) -> bool {
         *self.engines_subscribed.borrow()
     }
 
-    /// Waits until this process wants to know of engines.
+    /// Waits until this process has subscribed to [`Topic::Engines`].
     pub async fn until_subscribed_to_engines(&self) {
-        // The sender lives as long as this.
+        // This cannot fail: `self` owns the sender.
         let _ = self
             .engines_subscribed
             .subscribe()
@@ -102,27 +104,29 @@
             .await;
     }
 
-    /// Whether a part of this process wants to know of a topic.
+    /// Whether this process needs a topic.
     pub(super) fn is_subscribed(&self, topic: Topic) -> bool {
         topic != Topic::Engines || self.is_subscribed_to_engines()
     }
 
-    /// Whether a topic is told to the parts of this process.
+    /// Whether the subscribers have all data of a topic, so that changes alone suffice.
     pub(super) fn is_current(&self, topic: Topic) -> bool {
         self.current.borrow().contains(&topic)
     }
 
-    /// A part of this process has missed something of a topic: it is told all again.
+    /// Requests that all objects of a topic are published again. Called by a subscriber that has missed an
+    /// event.
     pub fn request_snapshot(&self, topic: Topic) {
         self.current.borrow_mut().remove(&topic);
     }
 
+    /// Publishes all objects of a topic or changes to them, as of a revision of the store.
     pub(super) fn publish(&self, topic: Topic, update: Update, revision: u64) {
         self.current.borrow_mut().insert(topic);
         self.send(topic, FeedEvent::Update(Rc::new(update), revision));
     }
 
-    /// A parent will have news within `wait`; said before the first ones only.
+    /// Announces that the first data are expected within `wait`; does nothing once there are data.
     pub(super) fn publish_expected(&self, wait: Duration) {
         if self.is_current(Topic::Config) {
             return;
@@ -136,7 +140,7 @@
         self.send(Topic::Leases, FeedEvent::Rank(rank));
     }
 
-    /// Nothing is told any more; said once only.
+    /// Announces that there is no source of updates any more; does nothing if that has been announced.
     pub(super) fn publish_lost(&self) {
         if std::mem::take(&mut *self.current.borrow_mut()).is_empty() {
             return;
@@ -149,7 +153,7 @@
     }
 
     fn send(&self, topic: Topic, event: FeedEvent) {
-        // Nobody hears it if that part has not started yet; it asks the store itself.
+        // Without subscribers the event is dropped; a module that starts later reads the store itself.
         let _ = self.topics[&topic].send(event);
     }
 }
--- a/crates/pinereel/src/hosted/tree/frame.rs
+++ b/crates/pinereel/src/hosted/tree/frame.rs
@@ -1,4 +1,5 @@
-//! What goes over a link.
+//! The messages on a link, encoded in CBOR. The serialized names of variants and fields are part of the
+//! format.
 
 use super::encoded_object::EncodedObject;
 use compact_str::CompactString;
@@ -10,12 +11,12 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// What is told.
+/// A part of the data to which instances subscribe separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Topic {
     /// The configuration.
     Config,
-    /// The endpoint list but for engines.
+    /// The endpoint list without engines.
     Endpoints,
     /// The engines of the endpoint list.
     Engines,
@@ -26,79 +27,79 @@
 impl Topic {
     /// Every topic.
     pub const ALL: [Self; 4] = [Self::Config, Self::Endpoints, Self::Engines, Self::Leases];
-    /// Those that every instance is told of.
+    /// The topics that every instance subscribes to.
     pub const BASE: [Self; 3] = [Self::Config, Self::Endpoints, Self::Leases];
 }
 
-/// The first frame of a newcomer.
+/// What a newcomer sends first on a new link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Who it is.
+    /// Address, zone and preference of the newcomer.
     pub peer: Peer,
-    /// The topics that it wants, and the revision as of which it knows each; 0 if it does not.
+    /// The topics that it subscribes to, with the revision that it has of each; 0 for none.
     pub topics: BTreeMap<Topic, u64>,
 }
 
 /// One message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// All objects of a topic, as of a revision.
+    /// All objects of a topic at a revision of the store.
     #[serde(rename = "All")]
     Snapshot {
         /// The topic.
         topic: Topic,
         /// The store's revision.
         revision: u64,
-        /// The objects.
+        /// The objects; none of them is marked as deleted.
         objects: Vec<EncodedObject>,
-        /// For how long the store has answered all calls of the root: an endpoint that is not listed
-        /// soon after an outage may only have lapsed.
+        /// For how long the store has answered all calls of the root. Soon after an outage, an endpoint may
+        /// be missing from the list only because its entry has expired.
         #[serde(rename = "calm")]
         store_uptime: Duration,
     },
-    /// What changed up to a revision.
+    /// Changes of a topic up to a revision of the store.
     Changes {
         /// The topic.
         topic: Topic,
-        /// The store's revision after them.
+        /// The store's revision after the changes.
         revision: u64,
-        /// Oldest first.
+        /// The changes, oldest first.
         changes: Vec<EncodedObject>,
-        /// As in [`Frame::Snapshot`].
+        /// The same as in [`Frame::Snapshot`].
         #[serde(rename = "calm")]
         store_uptime: Duration,
     },
-    /// The parent lives; the first frame that a child gets.
+    /// Heartbeat of the parent; also the first frame that an accepted child receives.
     #[serde(rename = "Alive")]
     Heartbeat(Heartbeat),
-    /// The first frame of a newcomer.
+    /// The first frame that a newcomer sends.
     Hello(Hello),
-    /// A child wants one more topic, which it knows as of a revision.
+    /// A child subscribes to one more topic.
     Subscribe {
         /// The topic.
         topic: Topic,
-        /// The store's revision; 0 if the child knows nothing of the topic.
+        /// The revision that the child has; 0 for none.
         revision: u64,
     },
-    /// A child says how many it and those below it are.
+    /// A child reports the size of its subtree.
     #[serde(rename = "Below")]
     SubtreeSize(SubtreeSize),
-    /// Requests under which endpoints crash: what is news to the sender, or all that it knows when the link
-    /// is new. Goes up and down.
+    /// Requests under which endpoints crash: the reports that are new to the sender, or all of them on a new
+    /// link. Sent up and down the tree.
     Crashes(Vec<Report>),
-    /// Counts of requests that began to run: what is news to the sender, or all that it knows when the link is new. Goes up;
-    /// the root's own goes down, so that it outlasts the root.
+    /// Counts of requests that began to run: the reports that are new to the sender, or all of them on a new
+    /// link. Sent up the tree. The root sends its own counts down, so that they survive its failure.
     Usage(Vec<usage::Report>),
-    /// The sender takes no child, or none any more; these may.
+    /// The sender cannot accept or keep the receiver as a child; the instances at these addresses may.
     #[serde(rename = "Refer")]
     Referral(Vec<CompactString>),
-    /// The sender has nothing to tell yet: the newcomer may return after this time.
+    /// The sender has no fresh data; the newcomer may retry after this time.
     #[serde(rename = "Later")]
     RetryAfter(Duration),
 }
 
 impl Frame {
-    /// The frame as bytes; none if it cannot be written.
+    /// Encodes the frame; `None` if that fails, which is logged.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let mut bytes = Vec::new();
         match ciborium::into_writer(self, &mut bytes) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Reads a frame.
+    /// Decodes a frame; `None` if that fails, which is logged.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match ciborium::from_reader(bytes) {
             Ok(frame) => Some(frame),
--- a/crates/pinereel/src/hosted/tree/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -1,20 +1,22 @@
-//! One instance reads what all need, and the others pass it on.
+//! Broadcast tree: one instance, the root, reads the object store, and the data reach all others over
+//! links between instances.
 //!
-//! Every call to the object store is priced, a waiting watch as one, and its rates grow more slowly
-//! than the fleet. So the holder of one duty follows the configuration, the endpoint list and the
-//! leases, and passes each change on over links to other instances, which pass it on in turn: a tree
-//! in which nobody has more than 32 children (`pinereel_core::tree`).
+//! Each call to the store is paid for, a pending watch as well, and its rate limits grow more slowly
+//! than the fleet. So the holder of [`ROOT_DUTY`] lists and watches the configuration, the endpoint list
+//! and the leases, and publishes each change to at most 32 children, which forward it to theirs. The
+//! decisions are in `pinereel_core::tree`.
 //!
-//! Whoever starts finds the holder in the leases, is referred to a parent with room, and is told all
-//! the rest. If the holder falls silent, a few instances that it has named before read the store in its
-//! place until the duty has a holder again; only an instance that finds no parent reads the store for
-//! itself.
+//! A new instance finds the root in the leases, is referred to a parent with room, and receives all data
+//! from it. If the root fails, its standbys read the store until the duty has a holder again. Another
+//! instance reads the store itself only if it finds no parent.
 //!
-//! - [`Node`]: the instance in the tree; its parts are the state (`node`), the links to children
-//!   (`children`), what goes both ways (`reports`), the way to a parent (`uplink`, `search`), and reading the store (`source`).
-//! - `topics`, `known`, `packed`: what is told, kept encoded for children, and passed on to those that want it.
-//! - [`Feed`]: what the parts of this process hear.
-//! - [`frame`]: what goes over a link.
+//! - [`Node`]: this instance in the tree (`node`), with its links to children (`children`), its link to a
+//!   parent (`uplink`, `parent_search`), the reports that it forwards (`reports`), and the reading of the
+//!   store at a root (`store_reader`).
+//! - [`Topic`]: what the data are divided into (`topics`). They are cached for children (`topic_cache`) in
+//!   encoded form (`encoded_object`).
+//! - [`Feed`]: publishes the data to the other modules of this process.
+//! - [`Frame`]: a message on a link.
 
 mod children;
 mod encoded_object;
@@ -35,21 +37,23 @@
 use std::time::Duration;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-/// The duty of the instance that reads for all.
+/// Name of the duty whose holder is the root of the tree.
 pub const ROOT_DUTY: &str = "bulletin";
-/// Pause between two signs of life on a link: five are missing before news count as too old.
+/// Time between two heartbeats on a link. The data are stale after five missing ones.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// A child says at least so often how many it and those below it are.
+/// Longest time between two reports of a child on the size of its subtree.
 const SUBTREE_SIZE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A child that says nothing for so long is gone: else it would count, and might be a deputy, until its queue
-/// is full.
+/// Longest silence of a child before its link is dropped. Without this bound, a failed child would count
+/// as an instance, and might be a standby, until its queue is full.
 const CHILD_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Buffer of a link for each direction: frames are mostly small, and an instance has up to 33 links.
+/// Size of the buffer of a link, for each direction. Most frames are small, and an instance has up to 33
+/// links.
 const LINK_BUFFER_BYTES: usize = 4 * 1024;
-/// Longest wait for a link to open, and for its first frame.
+/// Longest time for each step of opening a link: the handshake up to the first frame, a rejection, the
+/// close.
 const LINK_OPEN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How links are set up.
+/// WebSocket settings of all links.
 fn link_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(LINK_BUFFER_BYTES)
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,4 +1,4 @@
-//! What this instance has been told, and whom it tells.
+//! This instance as a node of the tree: its state, its heartbeats, and the frames to its children.
 
 use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
 use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
@@ -24,66 +24,68 @@
     time::sleep,
 };
 
-/// What an instance in the tree works with.
+/// What a [`Node`] works with.
 pub struct Parts {
     /// The object store.
     pub store: Store,
-    /// Translates.
+    /// Names and parses the objects of the platform.
     pub adapter: Adapter,
-    /// Duties.
+    /// Whether this instance holds the root duty, and the address of the holder.
     pub duties: Rc<Duties>,
-    /// What the parts of this process hear.
+    /// Receives the data on behalf of the other modules of this process.
     pub feed: Rc<Feed>,
-    /// Requests under which endpoints crash.
+    /// Requests under which endpoints crash, exchanged with the parent and the children.
     pub crashes: Rc<Crashes>,
-    /// Counts of requests that began to run.
+    /// Counts of requests that began to run, sent up the tree.
     pub usage: Rc<Usage>,
-    /// Figures.
+    /// The age of the data is recorded here.
     pub metrics: Metrics,
-    /// Longest wait of a watch.
+    /// Longest duration of one watch at the store.
     pub max_watch_time: Duration,
-    /// Time after a change of the endpoint list within which it must be in force.
+    /// Longest time until a change of the endpoint list must be in force at all instances.
     pub max_propagation_time: Duration,
-    /// This instance, as others see it.
+    /// Address, zone and preference of this instance, sent to its parent.
     pub peer: Peer,
 }
 
-/// One instance in the tree.
+/// This instance as a node of the broadcast tree.
 pub struct Node {
     pub(super) parts: Parts,
     pub(super) state: RefCell<State>,
     pub(super) uplink: RefCell<Uplink>,
-    /// Whether no child is taken any more.
+    /// Whether this instance is shutting down and accepts no children any more.
     pub(super) shutting_down: watch::Sender<bool>,
-    /// Frames for the parent.
+    /// Encoded frames for the parent; dropped while there is none.
     pub(super) to_parent: broadcast::Sender<Bytes>,
 }
 
-/// Frames that may wait for a slow link to the parent; more are made up for by crash_reporter all.
+/// Most frames queued for the parent. If a slow link falls further behind, the initial frames are sent
+/// again.
 const PARENT_QUEUE_FRAMES: usize = 64;
 
-/// What is known, and the links to children.
+/// The cached topics, and the links to children.
 #[derive(Default)]
 pub(super) struct State {
     pub(super) topics: BTreeMap<Topic, TopicCache>,
-    /// Topics beyond the base that this instance or one below it wants.
+    /// Topics besides [`Topic::BASE`] that this instance or one below it has subscribed to.
     pub(super) subscribed: BTreeSet<Topic>,
-    /// Topics that were listed since this instance began to read the store.
+    /// Topics that have been listed since this instance began to read the store.
     pub(super) listed: BTreeSet<Topic>,
     pub(super) children: Children,
     pub(super) retry_pacer: RetryPacer,
+    /// Send queues of the children.
     pub(super) links: BTreeMap<ChildKey, ChildLink>,
 }
 
 impl State {
-    /// The revision as of which a topic is known; 0 if it is not.
+    /// The revision of the cached topic; 0 if it is not cached.
     pub(super) fn revision(&self, topic: Topic) -> u64 {
         self.topics.get(&topic).map_or(0, |cache| cache.revision)
     }
 }
 
 impl Node {
-    /// Takes part in the tree from now on; children link to `listener`.
+    /// Joins the tree and spawns the tasks of the node. Children connect to `listener`.
     pub fn start(parts: Parts, listener: TcpListener) -> Rc<Self> {
         let own_address = parts.peer.address.clone();
         let node = Rc::new(Self {
@@ -112,11 +114,11 @@
         node
     }
 
-    /// Sends all children to other parents, before this instance ends.
+    /// Refers all children to other parents. Called before this instance ends.
     pub fn shut_down(&self) {
         self.shutting_down.send_replace(true);
         if self.uplink.borrow().reads_store() {
-            // Until its end it hears and tells as a child of whoever stands in.
+            // Until it ends, it sends and receives as a child of the standby that takes over.
             let standbys = self.standbys();
             self.uplink.borrow_mut().set_parent_candidates(standbys);
         }
@@ -133,7 +135,8 @@
         self.parts.duties.now()
     }
 
-    /// What this instance knows of the store itself: nothing before it has read every topic.
+    /// What this instance knows about the store from its own calls. There is no age before every topic has
+    /// been listed.
     pub(super) fn store_status(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
         let store = &self.parts.store;
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Whether the news here are fresh enough to be passed on.
+    /// Whether the data are fresh enough to accept children.
     pub(super) fn is_fresh(&self) -> bool {
         let (now, status) = (self.now(), self.store_status());
         let mut uplink = self.uplink.borrow_mut();
@@ -153,7 +156,7 @@
         uplink.is_fresh(now, status)
     }
 
-    /// Whether children may be kept although the news here are not fresh.
+    /// Whether children may be kept although the data are stale.
     pub(super) fn is_recovering(&self) -> bool {
         let (now, status) = (self.now(), self.store_status());
         self.uplink
@@ -161,14 +164,15 @@
             .is_recovering(now, status, self.slack())
     }
 
-    /// How much longer this instance stays with a parent whose news are not fresh.
+    /// How much longer this instance stays with a parent whose data are stale.
     pub(super) fn remaining_grace(&self) -> Duration {
         self.uplink
             .borrow()
             .remaining_grace(self.now(), self.slack())
     }
 
-    /// Half of what the bound on a change leaves beyond the usual age of news; the other half is for finding another parent.
+    /// Half of the time that the bound on a change leaves beyond the usual age of the data. The other half
+    /// is for finding another parent.
     fn slack(&self) -> Duration {
         self.parts
             .max_propagation_time
@@ -176,20 +180,20 @@
             / 2
     }
 
-    /// This instance begins to read the store itself.
+    /// Makes this instance a root, which reads the store itself.
     pub(super) fn start_reading(&self) {
         self.state.borrow_mut().listed.clear();
         self.uplink.borrow_mut().set_reads_store(true);
     }
 
-    /// Sends a frame to all children; one that cannot take it is cut.
+    /// Sends a frame to all children, and drops the link of a child whose queue is full.
     pub(super) fn broadcast(&self, frame: &Frame) {
         if let Some(bytes) = frame.encode() {
             self.broadcast_encoded(&bytes.into());
         }
     }
 
-    /// Sends an encoded frame to all children; one that cannot take it is cut.
+    /// Sends an encoded frame to all children, and drops the link of a child whose queue is full.
     pub(super) fn broadcast_encoded(&self, bytes: &Bytes) {
         let mut state = self.state.borrow_mut();
         state
@@ -197,7 +201,8 @@
             .retain(|_, link| link.frames.try_send(bytes.clone()).is_ok());
     }
 
-    /// A child is linked.
+    /// Adds the link to a new child, and subscribes to its topics. The child is sent the data as soon as they
+    /// are fresh.
     pub(super) fn add_child(&self, key: ChildKey, link: ChildLink) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
         self.state.borrow_mut().links.insert(key, link);
@@ -205,14 +210,14 @@
         self.catch_up_children();
     }
 
-    /// A child is gone.
+    /// Removes a child whose link has ended.
     pub(super) fn remove_child(&self, key: ChildKey) {
         let mut state = self.state.borrow_mut();
         state.links.remove(&key);
         state.children.remove(key);
     }
 
-    /// Tells from time to time that this instance lives, and how old its news are.
+    /// Sends heartbeats to the children periodically.
     async fn send_heartbeats(&self) {
         loop {
             self.send_heartbeat();
@@ -221,7 +226,7 @@
         }
     }
 
-    /// Tells each child that this instance lives, with its place, and this process its own.
+    /// Sends a heartbeat with the ranks of its subtree to each child, and publishes the own rank.
     pub(super) fn send_heartbeat(&self) {
         let preferred = self.parts.peer.preferred;
         let ranks = self.update_ranks();
@@ -257,7 +262,7 @@
         }
     }
 
-    /// The heartbeat for children; none while there are no news, and none to be expected.
+    /// The heartbeat for the children; `None` while there are no data and none are expected.
     pub(super) fn heartbeat(&self, ranks: RankRange) -> Option<Heartbeat> {
         let (now, status) = (self.now(), self.store_status());
         let has_data = self.uplink.borrow().age(now, status).is_some();
@@ -272,12 +277,14 @@
         Some(uplink.heartbeat(now, status, ranks, standbys))
     }
 
+    /// Addresses of the children that take over if this root fails.
     fn standbys(&self) -> Vec<CompactString> {
         let state = self.state.borrow();
         state.children.standbys(&self.parts.peer.zone)
     }
 
-    /// The child_ranks of this instance and all below it; none without news.
+    /// The ranks of this instance and all below it, with the number of instances passed to `usage`; `None`
+    /// without data.
     fn update_ranks(&self) -> Option<RankRange> {
         let ranks = self.ranks()?;
         self.parts
@@ -298,7 +305,7 @@
         })
     }
 
-    /// Whom this instance may turn to for news.
+    /// Addresses to try for a parent, in this order.
     pub(super) fn link_targets(&self) -> Vec<CompactString> {
         let holder = self.parts.duties.address(super::ROOT_DUTY);
         self.uplink.borrow().link_targets(holder)
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -1,4 +1,4 @@
-//! Looking for a parent.
+//! Search for a parent: connects to the addresses in question at once, and follows referrals.
 
 use super::{Frame, Hello, LINK_OPEN_TIMEOUT, Node, link_config};
 use compact_str::CompactString;
@@ -13,33 +13,33 @@
     MaybeTlsStream, WebSocketStream, connect_async_with_config, tungstenite::Message,
 };
 
-/// Pause between the first rounds.
+/// Delay between the first rounds.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Rounds after which the pause doubles with each further one: a holder is there by then, unless the
-/// store is away.
+/// Rounds after which the delay doubles with each further round. By then the root duty has a holder, unless
+/// the store is unavailable.
 const ROUNDS_BEFORE_BACKOFF: u32 = 6;
-/// Longest pause.
+/// Longest delay between two rounds.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Each further target is tried so much later, so that the first one is taken if it is there.
+/// Delay between the attempts at two targets, so that the first one is used if it is available.
 const TARGET_STAGGER: Duration = Duration::from_millis(60);
-/// Parents that are asked from one target on: three are named at each level, and four levels of 32 children
-/// reach a million instances.
+/// Most instances that are tried from one target on, by its referrals. Each level refers to three, and four
+/// levels of 32 children reach a million instances.
 const MAX_ATTEMPTS_PER_TARGET: usize = 12;
 
-/// A link to a parent.
+/// An open link to a parent.
 pub(super) struct ParentLink {
     pub(super) socket: WebSocketStream<MaybeTlsStream<TcpStream>>,
     pub(super) address: CompactString,
-    /// The parent's first sign of life.
+    /// The parent's first heartbeat.
     pub(super) heartbeat: Heartbeat,
 }
 
-/// What a parent must have.
+/// What data a parent must have to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Requirement {
-    /// Fresh news: this instance reads the store, or others wait for what it finds.
+    /// Fresh data. Required while this instance reads the store, or others wait for the data that it finds.
     Fresh,
-    /// Fresh news, or the prospect of some.
+    /// Fresh data, or no data yet.
     Any,
 }
 
@@ -49,16 +49,16 @@
     }
 }
 
-/// What became of one try.
+/// What an instance answers to a [`Hello`].
 enum Reply {
     Linked(Box<ParentLink>),
     Referred(Vec<CompactString>),
-    /// The target has nothing to tell before then.
+    /// It has no fresh data; it may be tried again after this time.
     RetryAfter(Duration),
 }
 
 impl Node {
-    /// Looks for a parent until there is one.
+    /// Searches in rounds until a parent is found.
     pub(super) async fn search(&self, requirement: Requirement) -> ParentLink {
         let mut lease_updates = self.parts.duties.looks();
         let mut rounds = 0;
@@ -71,7 +71,7 @@
             };
             rounds += 1;
             let retry = sleep(retry_after.unwrap_or_default().max(retry_delay(rounds)));
-            // A look may show another holder.
+            // A new reading of the leases may show another holder.
             let other_target = async {
                 while lease_updates.changed().await.is_ok() && self.link_targets() == targets {}
             };
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tries all targets; none if no one takes this instance.
+    /// Searches for one round; `None` if no instance with fresh data accepts this one.
     pub(super) async fn search_one_round(&self) -> Option<ParentLink> {
         let result = self
             .search_among(self.link_targets(), Requirement::Fresh)
@@ -90,7 +90,10 @@
         result.ok()
     }
 
-    /// Tries targets; if none takes this instance, when one of them may, as far as they said.
+    /// Tries all targets concurrently.
+    ///
+    /// # Errors
+    /// If none accepts this instance: the longest retry time that was received, if any.
     async fn search_among(
         &self,
         targets: Vec<CompactString>,
@@ -114,7 +117,10 @@
         Err(retry_after)
     }
 
-    /// Goes from a target to those that it refers to, until one takes this instance; if none does, when one may.
+    /// Tries a target and the instances that it refers to, depth first, until one accepts this instance.
+    ///
+    /// # Errors
+    /// If none does: the longest retry time that was received, if any.
     async fn follow_referrals(
         &self,
         target: CompactString,
@@ -130,10 +136,10 @@
                 Ok(Some(Reply::Linked(link))) if requirement.is_met_by(&link.heartbeat) => {
                     return Ok(*link);
                 }
-                // It may be behind this instance itself.
+                // Its data are stale: it may be below this instance in the tree.
                 Ok(Some(Reply::Linked(_))) => {}
                 Ok(Some(Reply::RetryAfter(wait))) => retry_after = retry_after.max(Some(wait)),
-                // The first one named comes next.
+                // The first of the addresses is tried next.
                 Ok(Some(Reply::Referred(addresses))) => stack.extend(addresses.into_iter().rev()),
                 Ok(None) | Err(_) => {}
             }
@@ -141,6 +147,7 @@
         Err(retry_after)
     }
 
+    /// Connects to an instance, sends it a [`Hello`] and waits for the reply; `None` if the link fails.
     async fn connect(&self, address: &CompactString) -> Option<Reply> {
         let (mut socket, _) =
             connect_async_with_config(format!("ws://{address}/"), Some(link_config()), true)
@@ -170,6 +177,7 @@
     }
 }
 
+/// Delay after a number of rounds.
 fn retry_delay(rounds: u32) -> Duration {
     let doublings = rounds.saturating_sub(ROUNDS_BEFORE_BACKOFF).min(8);
     (MIN_RETRY_DELAY * 2u32.pow(doublings)).min(MAX_RETRY_DELAY)
--- a/crates/pinereel/src/hosted/tree/reports.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -1,4 +1,5 @@
-//! What goes up the tree: requests that crash endpoints, which go down as well, and counts of requests.
+//! Reports that instances exchange over the tree: crash reports, in both directions, and usage reports
+//! (counts of requests), up the tree.
 
 use super::{Frame, Node, Topic};
 use crate::hosted::{
@@ -9,33 +10,33 @@
 use pinereel_core::crash::Report;
 
 impl Node {
-    /// Tells all neighbours what is news here about requests that crash endpoints. Whoever told it hears it
-    /// again, and has nothing to pass on.
+    /// Sends new crash reports to the parent and all children. The neighbour that they came from receives
+    /// them again, but does not forward what it has already.
     pub(super) async fn send_crash_reports(&self) {
         loop {
             let reports = self.parts.crashes.untold().await;
             if let Some(bytes) = Frame::Crashes(reports).encode() {
                 let bytes = Bytes::from(bytes);
                 self.broadcast_encoded(&bytes);
-                // Nobody hears it if there is no parent.
+                // Dropped if there is no parent.
                 let _ = self.to_parent.send(bytes);
             }
             Crashes::gather().await;
         }
     }
 
-    /// All that is known of requests that crash endpoints, for a new link; none if that is nothing.
+    /// All crash reports, for a new link; `None` if there are none.
     pub(super) fn crash_snapshot(&self) -> Option<Frame> {
         let reports = self.parts.crashes.all();
         (!reports.is_empty()).then_some(Frame::Crashes(reports))
     }
 
-    /// A neighbour tells of requests that crash endpoints.
+    /// Handles crash reports of the parent or a child.
     pub(super) fn on_crash_reports(&self, reports: Vec<Report>) {
         self.parts.crashes.heard(Source::Link, reports);
     }
 
-    /// Tells the parent what is news here about counts of requests; as the root, tells the children its own.
+    /// Sends new usage reports to the parent. A root sends its own to the children instead.
     pub(super) async fn send_usage_reports(&self) {
         let usage = &self.parts.usage;
         loop {
@@ -47,7 +48,7 @@
             let frame = Frame::Usage(reports).encode().map(Bytes::from);
             match frame {
                 Some(bytes) if is_root => self.broadcast_encoded(&bytes),
-                // Nobody hears it if there is no parent; the next one is told all.
+                // Dropped if there is no parent; a new one receives all reports.
                 Some(bytes) => drop(self.to_parent.send(bytes)),
                 None => {}
             }
@@ -55,12 +56,12 @@
         }
     }
 
-    /// What a new parent is told first.
+    /// What a new parent is sent first: all reports, and the subscriptions.
     pub(super) fn initial_frames(&self) -> Vec<Bytes> {
         let usage = self.parts.usage.all();
         let usage = (!usage.is_empty()).then_some(Frame::Usage(usage));
         let frames = self.crash_snapshot().into_iter().chain(usage);
-        // What began to be wanted while the link was set up.
+        // Includes subscriptions that were made while the link was set up.
         let subscriptions = self.subscriptions().into_iter();
         let subscriptions = subscriptions.filter(|(topic, _)| !Topic::BASE.contains(topic));
         let subscriptions =
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -1,4 +1,4 @@
-//! Reading the store for all.
+//! Reading of the object store at a root, on behalf of all instances.
 
 use super::{Node, Topic};
 use crate::{
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Pause after changes of the endpoint list, for those that come together.
+/// Delay after a change of the endpoint list, so that changes at about the same time are sent together.
 const ENDPOINT_BATCH_DELAY: Duration = Duration::from_millis(80);
-/// Pause between two lists of the leases: those of a holder that died are found by it.
+/// Time between two listings of the leases, which also show that a failed holder has not renewed them.
 const LEASE_LIST_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// Follows everything in the store, and tells it; ends only when dropped.
+    /// Follows all topics in the store and publishes their changes. Ends only when dropped.
     pub(super) async fn read_store(&self) {
         let places = self.parts.adapter.places;
         let config = self.follow_topic(Topic::Config, Purpose::Config, places.config);
@@ -26,6 +26,7 @@
         tokio::join!(config, endpoints, self.follow_leases());
     }
 
+    /// Follows all objects of `kind` by list and watch.
     async fn follow_topic(&self, topic: Topic, purpose: Purpose, kind: &str) {
         let batch_delay = match topic {
             Topic::Endpoints => ENDPOINT_BATCH_DELAY,
@@ -39,7 +40,8 @@
         follow(&self.parts.store, purpose, kind, options, None, publish).await;
     }
 
-    /// Lists the leases now and then, and with them what the store keeps of requests that crash endpoints.
+    /// Lists the leases periodically. The listing contains the stored crash reports as well, which are
+    /// exchanged with the register of this instance.
     async fn follow_leases(&self) {
         let crashes = &self.parts.crashes;
         let stored = Kept::default();
@@ -53,10 +55,11 @@
                     self.publish_update(Topic::Leases, Update::All(objects), revision);
                     self.store_crashes(&stored).await;
                 }
-                Err(error) => log::debug!(error:% = error; "leases not listed"),
+                Err(error) => log::debug!(error:% = error; "listing leases failed"),
             }
             let next = Instant::now() + LEASE_LIST_INTERVAL;
-            // A change is kept at once, and those that follow it within the pause with the next list.
+            // A change of the crash reports is stored at once. Further ones within the interval are stored
+            // with the next listing.
             tokio::select! {
                 () = sleep_until(next) => continue,
                 _ = changes.changed() => {}
@@ -66,6 +69,7 @@
         }
     }
 
+    /// Stores the crash reports that the store does not have yet.
     async fn store_crashes(&self, stored: &Kept) {
         let parts = &self.parts;
         if let Err(error) = stored.keep(&parts.store, &parts.crashes).await {
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -1,4 +1,4 @@
-//! All objects of a topic, as an instance was told.
+//! Cache of all objects of a topic, with the frames that bring a child up to date.
 
 use super::{
     Frame, Topic,
@@ -10,25 +10,26 @@
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Bytes of changes that are kept beside a snapshot, as a part of it (one of so many): beyond that it is made anew.
+/// The size of the snapshot divided by this is the most bytes of changes that are kept beside it. Beyond
+/// that, the snapshot is encoded anew.
 const REPLAY_DIVISOR: usize = 4;
-/// But at least so many bytes.
+/// Bytes of changes that may always be kept, also beside a small snapshot.
 const MIN_REPLAY_BYTES: usize = 64 * 1024;
 
-/// The objects of a topic, encoded: each instance keeps them for children that it may get.
+/// All objects of a topic in encoded form. Each instance keeps them for future children.
 #[derive(Default)]
 pub(super) struct TopicCache {
-    /// The store's revision.
+    /// The store's revision; 0 while nothing is cached.
     pub(super) revision: u64,
     objects: BTreeMap<CompactString, Bytes>,
-    /// Changes that came after what children may have.
+    /// The last changes, as frames.
     replay: ReplayBuffer,
-    /// All objects as one frame, and the revision as of which.
+    /// All objects as one frame, and their revision.
     snapshot: Option<(u64, Bytes)>,
 }
 
 impl TopicCache {
-    /// Takes over all objects of the topic.
+    /// Replaces all objects of the topic.
     pub(super) fn replace(&mut self, objects: Vec<EncodedObject>, revision: u64) {
         self.revision = revision;
         let objects = objects.into_iter();
@@ -39,7 +40,7 @@
         self.snapshot = None;
     }
 
-    /// Takes over changes; `frame` tells children of them.
+    /// Applies changes; `frame` contains the same changes for children.
     pub(super) fn apply(&mut self, changes: Vec<EncodedObject>, revision: u64, frame: Bytes) {
         self.revision = revision;
         for encoded in changes {
@@ -55,7 +56,7 @@
         self.replay.push(revision, frame, max_bytes);
     }
 
-    /// What differs from `objects`, which are all that there are.
+    /// The changes that lead from the cached objects to `objects`.
     pub(super) fn diff(&self, objects: &[EncodedObject]) -> Vec<EncodedObject> {
         let present: BTreeMap<_, _> = objects.iter().map(|o| (&o.name, o)).collect();
         let removed = self.objects.iter();
@@ -71,12 +72,13 @@
         deleted.chain(changed.cloned()).collect()
     }
 
-    /// Whether an object is among them.
+    /// Whether an object with this name is cached.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.objects.contains_key(name)
     }
 
-    /// What a child that knows the topic as of `revision` has missed, as frames.
+    /// Frames that bring a child with `revision` up to date: the changes since, or else a snapshot with the
+    /// changes after it.
     pub(super) fn frames_since(
         &mut self,
         topic: Topic,
@@ -112,7 +114,7 @@
         vec![bytes]
     }
 
-    /// All objects, decoded.
+    /// All objects, decoded. Those that cannot be decoded are left out.
     pub(super) fn objects(&self) -> Vec<Object> {
         let objects = self.objects.iter();
         objects
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -1,4 +1,5 @@
-//! What is told of each topic: taken in, kept for children, and passed on to those that want it.
+//! Publications of the topics: received from the store or the parent, cached, and forwarded to the children
+//! that have subscribed and to this process.
 
 use super::{Frame, Node, Topic, encoded_object::EncodedObject, node::State};
 use crate::hosted::follow::Update;
@@ -8,32 +9,34 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::sync::mpsc;
 
-/// The link to a child.
+/// The sender's side of the link to a child.
 pub(super) struct ChildLink {
+    /// Queue of encoded frames.
     pub(super) frames: mpsc::Sender<Bytes>,
-    /// The topics that the child wants. Until it is brought up to date: the revision as of which it knows the topic.
+    /// The topics that the child has subscribed to, each with the revision that the child has until it is
+    /// brought up to date, and `None` from then on.
     pub(super) topics: BTreeMap<Topic, Option<u64>>,
 }
 
-/// When something was told.
+/// State of the store when a publication was read from it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Header {
-    /// The store's revision.
+    /// The store's revision after the publication.
     pub(super) revision: u64,
     /// For how long the store had answered all calls of the root.
     pub(super) store_uptime: Duration,
 }
 
-/// What is told of a topic, encoded.
+/// All objects of a topic or changes to them, in encoded form.
 pub(super) struct Publication {
     pub(super) topic: Topic,
-    /// Whether these are all objects of the topic, and not changes alone.
+    /// Whether `objects` are all objects of the topic, not changes.
     pub(super) full: bool,
     pub(super) objects: Vec<EncodedObject>,
 }
 
 impl Publication {
-    /// The same for the parts of this process.
+    /// Decodes the publication for this process.
     fn update(&self) -> Update {
         if self.full {
             Update::All(
@@ -52,6 +55,7 @@
         }
     }
 
+    /// The frame for children.
     fn frame(&self, header: Header) -> Frame {
         let Header {
             revision,
@@ -77,7 +81,7 @@
 }
 
 impl Node {
-    /// The store has told of a topic.
+    /// Publishes what was read from the store, as of a revision.
     pub(super) fn publish_update(&self, topic: Topic, update: Update, revision: u64) {
         let store_uptime = self.parts.store.calm();
         for (topic, update) in self.split_engines(topic, update) {
@@ -85,7 +89,7 @@
                 self.state.borrow_mut().listed.insert(topic);
             }
             let publication = self.diff_from_cache(encode_update(topic, &update), revision);
-            // Nothing differs, but the topic is known as of a later revision.
+            // Nothing has changed, but the cached objects are valid at a later revision.
             if !publication.full && publication.objects.is_empty() {
                 self.state
                     .borrow_mut()
@@ -106,9 +110,9 @@
         self.catch_up_children();
     }
 
-    /// The parent has told of a topic; `frame` is how it did, and how children are told.
+    /// Handles a publication of the parent. `frame` is its encoded form, which is forwarded to the children.
     pub(super) fn on_publication(&self, publication: Publication, header: Header, frame: Bytes) {
-        // Another parent may lag behind the one before.
+        // A new parent may lag behind the previous one.
         let known_revision = self.state.borrow().revision(publication.topic);
         if header.revision >= known_revision {
             self.apply(publication, header, frame);
@@ -116,13 +120,13 @@
         }
     }
 
-    /// Takes a publication in and passes it on.
+    /// Forwards a publication to the children and this process, and updates the cache.
     fn apply(&self, publication: Publication, header: Header, frame: Bytes) {
         let topic = publication.topic;
         self.send_to_subscribers(topic, &frame);
         let feed = &self.parts.feed;
         feed.set_store_uptime(header.store_uptime);
-        // Changes alone say nothing to a part that has not been told the rest.
+        // Changes are of no use to a subscriber without the objects before them.
         let publishes_locally =
             feed.is_subscribed(topic) && (publication.full || feed.is_current(topic));
         if publishes_locally {
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Tells the parts of this process all that they want and were not told.
+    /// Publishes in this process all objects of the topics that it has subscribed to and does not have.
     pub(super) fn publish_missing(&self) {
         let feed = &self.parts.feed;
         let state = self.state.borrow();
@@ -153,8 +157,8 @@
         }
     }
 
-    /// Engines are told to those alone that want to know of them: their versions change all the time, and most instances
-    /// have nothing to do with them.
+    /// Splits an update of the endpoint list into one without engines and one of the engines alone. Engines
+    /// change their versions all the time, and most instances do not need them.
     fn split_engines(&self, topic: Topic, update: Update) -> Vec<(Topic, Update)> {
         if topic != Topic::Endpoints {
             return vec![(topic, update)];
@@ -195,13 +199,13 @@
         }
     }
 
-    /// Whether an entry of the endpoint list is an engine's.
+    /// Whether an entry of the endpoint list belongs to an engine, which is an endpoint with models.
     fn is_engine(&self, object: &Object) -> bool {
         let entry = (self.parts.adapter.endpoint)(&object.name, &object.spec);
         entry.is_ok_and(|entry| !entry.models.is_empty())
     }
 
-    /// The topic that an entry of the endpoint list is told under.
+    /// The topic in whose cache an entry of the endpoint list is; `None` for a new entry.
     fn topic_of(&self, name: &str) -> Option<Topic> {
         let state = self.state.borrow();
         let has_entry = |topic: &Topic| state.topics.get(topic).is_some_and(|c| c.contains(name));
@@ -210,12 +214,12 @@
             .find(has_entry)
     }
 
-    /// A list that was read again is told as what has changed in it.
+    /// Reduces a list that was read again to the changes since the cached one.
     fn diff_from_cache(&self, publication: Publication, revision: u64) -> Publication {
         let state = self.state.borrow();
         let cache = state.topics.get(&publication.topic);
         match cache.filter(|cache| cache.revision > 0 && cache.revision <= revision) {
-            // Those who hear of leases need all of them.
+            // Subscribers of the leases need all of them.
             Some(cache) if publication.full && publication.topic != Topic::Leases => Publication {
                 topic: publication.topic,
                 full: false,
@@ -225,7 +229,7 @@
         }
     }
 
-    /// This instance, or one below it, wants a topic from now on.
+    /// Subscribes this instance to a topic, for itself or an instance below it.
     pub(super) fn subscribe(&self, topic: Topic) {
         if Topic::BASE.contains(&topic) {
             return;
@@ -235,13 +239,13 @@
             let revision = state.revision(topic);
             drop(state);
             if let Some(bytes) = (Frame::Subscribe { topic, revision }).encode() {
-                // A parent that is found later is told with the first frame.
+                // Dropped if there is no parent; a new one receives all subscriptions.
                 let _ = self.to_parent.send(bytes.into());
             }
         }
     }
 
-    /// What this instance wants to be told, and as of which revision it knows that.
+    /// The subscriptions of this instance, with the cached revision of each.
     pub(super) fn subscriptions(&self) -> BTreeMap<Topic, u64> {
         let state = self.state.borrow();
         let topics = Topic::BASE.iter().chain(&state.subscribed);
@@ -250,7 +254,7 @@
             .collect()
     }
 
-    /// Forgets the topics that no parent will tell of.
+    /// Drops cached topics without a subscription, for which the parent sends no updates.
     pub(super) fn drop_unsubscribed(&self) {
         let state = &mut *self.state.borrow_mut();
         let subscribed = &state.subscribed;
@@ -259,7 +263,7 @@
             .retain(|topic, _| Topic::BASE.contains(topic) || subscribed.contains(topic));
     }
 
-    /// Brings children up to date that wait for it, once what is known here is fresh.
+    /// Sends children what they have missed, once the data of this instance are fresh.
     pub(super) fn catch_up_children(&self) {
         if !self.is_fresh() {
             return;
@@ -284,7 +288,8 @@
         });
     }
 
-    /// Sends what is told of a topic to the children that want it; one that cannot take it is cut.
+    /// Sends a frame to the children that have subscribed to the topic and are up to date, and drops the link
+    /// of a child whose queue is full.
     fn send_to_subscribers(&self, topic: Topic, frame: &Bytes) {
         let mut state = self.state.borrow_mut();
         state.links.retain(|_, link| {
@@ -293,7 +298,7 @@
         });
     }
 
-    /// A child wants a topic, which it knows as of a revision.
+    /// Handles the subscription of a child, which has `revision` of the topic.
     pub(super) fn on_subscribe(&self, key: ChildKey, topic: Topic, revision: u64) {
         if let Some(link) = self.state.borrow_mut().links.get_mut(&key) {
             link.topics.entry(topic).or_insert(Some(revision));
@@ -303,6 +308,7 @@
     }
 }
 
+/// Encodes an update. Objects that cannot be encoded are left out.
 fn encode_update(topic: Topic, update: &Update) -> Publication {
     let (full, objects) = match update {
         Update::All(objects) => {
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -1,4 +1,5 @@
-//! Where this instance gets its news from: a parent, or the store itself.
+//! The loop that keeps this instance supplied with data: from a parent, or from the store if it is the root
+//! or replaces it.
 
 use super::{
     Frame, Node, ROOT_DUTY, SUBTREE_SIZE_INTERVAL,
@@ -16,31 +17,34 @@
 };
 use tokio_tungstenite::tungstenite::Message;
 
-/// So long after its parent's loss an instance looks for another one before it reads the store itself
-/// or goes without news: a few tries.
+/// How long an instance that has lost its parent searches for another one before it reads the store itself
+/// or goes without data. Enough for a few attempts.
 const PARENT_SEARCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// A parent that says nothing for so long is gone: four signs of life are missing.
+/// Longest silence of a parent before the link is dropped: four missing heartbeats.
 const PARENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Pause between two looks at the age of the news.
+/// Time between two checks of the parent's silence and the age of the data.
 const PARENT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between two looks of a deputy whether the store answers it while the root hears nothing.
+/// Time between two probes with which a standby checks whether the store answers it while it does not
+/// answer the root.
 const STANDBY_PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// The same for the others: in an outage for all, 165 of them would look 7 times a second each.
+/// The same for all other instances. At the rate of the standbys, 165 instances would send 7 probes a
+/// second each during an outage of the store.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a link to a parent ended.
 enum LinkEnd {
-    /// The parent is gone, or must not be followed.
+    /// The link failed, the parent referred this instance elsewhere, or the link would close a loop.
     ParentLost,
-    /// This instance has the duty.
+    /// This instance has acquired the root duty.
     DutyAcquired,
-    /// Another parent has fresher news.
+    /// Another parent has fresher data.
     FresherParent(Box<ParentLink>),
-    /// The store answers this instance, and the root has heard nothing of it for too long.
+    /// The store answers this instance, while it has not answered the root for too long.
     StoreAnswers,
 }
 
 impl Node {
+    /// Reads the store while this instance holds the root duty, and follows a parent otherwise. Never ends.
     pub(super) async fn run_uplink(self: Rc<Self>) {
         let mut standing = self.parts.duties.join(&ROOT_DUTY.into());
         let mut next = None;
@@ -70,13 +74,13 @@
         }
     }
 
-    /// Finds a parent; reads the store meanwhile if others wait for its news. None if this instance has
-    /// the duty.
+    /// Finds a parent, and reads the store meanwhile if other instances need its data. `None` once this
+    /// instance has the root duty.
     async fn find_parent(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         tokio::select! {
             found = timeout(PARENT_SEARCH_TIMEOUT, self.search_or_take_over()) => match found {
                 Ok(Some(link)) => return Some(link),
-                // Nobody else stands in before this one.
+                // No other standby precedes this one.
                 Ok(None) => return self.replace_root(standing).await,
                 Err(_) => {}
             },
@@ -85,8 +89,8 @@
         self.run_without_parent(standing).await
     }
 
-    /// Reads the store if others wait for its news, and goes without news else, until there is a parent
-    /// again; none if this instance has the duty.
+    /// Reads the store if other instances need its data, and goes without data otherwise, until a parent is
+    /// found. `None` once this instance has the root duty.
     async fn run_without_parent(
         &self,
         standing: &mut watch::Receiver<Standing>,
@@ -103,7 +107,8 @@
         }
     }
 
-    /// Looks for a parent; none if this instance is the first to stand in for a root that is gone.
+    /// Searches for a parent. The first standby searches for one round only; `None` if it must replace the
+    /// root.
     async fn search_or_take_over(&self) -> Option<ParentLink> {
         if self.uplink.borrow().is_first_standby() && !self.is_shutting_down() {
             return self.search_one_round().await;
@@ -111,7 +116,8 @@
         Some(self.search(Requirement::Any).await)
     }
 
-    /// Reads the store for those below until there is a parent again; none if this instance has the duty.
+    /// Reads the store in place of the root until a parent with fresh data is found. `None` once this instance
+    /// has the root duty.
     async fn replace_root(&self, standing: &mut watch::Receiver<Standing>) -> Option<ParentLink> {
         log::info!("bulletin: standing in");
         let end = async {
@@ -123,18 +129,18 @@
         self.read_store_until(end).await
     }
 
-    /// Reads the store for all until `end`.
+    /// Makes this instance a root, which reads the store until `end`.
     async fn read_store_until<T>(&self, end: impl Future<Output = T>) -> T {
         self.start_reading();
         let ended = tokio::select! {
             ended = end => ended,
-            () = self.read_store() => unreachable!("the store is followed for good"),
+            () = self.read_store() => unreachable!("read_store never ends"),
         };
         self.uplink.borrow_mut().set_reads_store(false);
         ended
     }
 
-    /// Hears a parent's news as long as they are fresh.
+    /// Receives the data of a parent until the link ends or a fresher source is found.
     async fn follow_parent(
         &self,
         mut link: ParentLink,
@@ -186,7 +192,7 @@
                     Ok(bytes) => if link.socket.send(Message::Binary(bytes)).await.is_err() {
                         break LinkEnd::ParentLost;
                     },
-                    // What was missed is told with all the rest.
+                    // The initial frames contain what was lost from the queue.
                     Err(_) => pending = self.initial_frames(),
                 },
                 () = sleep(PARENT_CHECK_INTERVAL) => if last_received.elapsed() > PARENT_TIMEOUT {
@@ -221,10 +227,10 @@
         end
     }
 
-    /// Looks for fresher news than the parent's. While the store answers nobody there are none, and a
-    /// parent with old ones is kept: it will have the first new ones.
+    /// Searches for fresher data than the parent's. While the store answers no instance there are none, and
+    /// the parent is kept: it will have the next data first.
     async fn search_fresher_source(&self) -> LinkEnd {
-        // Those further down are helped by the parent's own search.
+        // On lower levels, the search of the instances above suffices.
         let is_below_root = self.uplink.borrow().level() == 1;
         tokio::select! {
             link = self.search(Requirement::Fresh), if is_below_root => LinkEnd::FresherParent(Box::new(link)),
@@ -232,7 +238,8 @@
         }
     }
 
-    /// Waits until the store answers this instance itself; deputies look first, in their order.
+    /// Probes the store until it answers this instance. The first standby begins at once and all others on the
+    /// first level after a delay; standbys probe more often.
     async fn until_store_answers(&self) {
         let (is_first_standby, is_standby, is_below_root) = {
             let uplink = self.uplink.borrow();
@@ -243,7 +250,7 @@
                 is_below_root,
             )
         };
-        // Those further down have waited already.
+        // On lower levels, the grace for stale data has passed already.
         if !is_first_standby && is_below_root {
             sleep(PARENT_SEARCH_TIMEOUT).await;
         }
@@ -259,7 +266,7 @@
         }
     }
 
-    /// Waits until this instance has the duty; for good if it is shutting_down.
+    /// Waits until this instance has the root duty; forever if it is shutting down.
     async fn until_duty_acquired(&self, standing: &mut watch::Receiver<Standing>) {
         let acquired = standing.wait_for(|s| s.grant.is_some()).await.is_ok();
         if !acquired || self.is_shutting_down() {
@@ -268,12 +275,13 @@
         }
     }
 
+    /// Size of the subtree of this instance, for the parent.
     fn subtree_size(&self) -> SubtreeSize {
         let state = self.state.borrow();
         state.children.subtree_size(self.parts.peer.preferred)
     }
 
-    /// Takes in what the parent says; says whether to stay with it.
+    /// Handles a message of the parent. Returns whether to keep the link.
     fn on_parent_message(&self, message: Message) -> bool {
         let Message::Binary(bytes) = message else {
             return true;
@@ -344,14 +352,14 @@
     const fn as_str(&self) -> &'static str {
         match self {
             Self::ParentLost => "lost",
-            Self::DutyAcquired => "leads itself",
-            Self::FresherParent(_) => "another has fresher news",
-            Self::StoreAnswers => "its news are old, and the store answers",
+            Self::DutyAcquired => "this instance acquired the root duty",
+            Self::FresherParent(_) => "another parent has fresher data",
+            Self::StoreAnswers => "its data are stale, and the store answers",
         }
     }
 }
 
-/// Waits until this instance does not have the duty any more.
+/// Waits until this instance has lost the root duty.
 async fn until_duty_lost(standing: &mut watch::Receiver<Standing>) {
     if standing.wait_for(Standing::is_lost).await.is_err() {
         std::future::pending::<()>().await;
