--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -66,7 +66,7 @@
 /// The cached topics, and the links to children.
 #[derive(Default)]
 pub(super) struct State {
-    pub(super) topics: BTreeMap<Topic, TopicCache>,
+    pub(super) caches: BTreeMap<Topic, TopicCache>,
     /// Topics besides [`Topic::BASE`] that this instance or one below it has subscribed to.
     pub(super) subscribed: BTreeSet<Topic>,
     /// Topics that have been listed since this instance began to read the store.
@@ -74,13 +74,13 @@
     pub(super) children: Children,
     pub(super) retry_pacer: RetryPacer,
     /// Send queues of the children.
-    pub(super) links: BTreeMap<ChildKey, ChildLink>,
+    pub(super) child_links: BTreeMap<ChildKey, ChildLink>,
 }
 
 impl State {
     /// The revision of the cached topic; 0 if it is not cached.
     pub(super) fn revision(&self, topic: Topic) -> u64 {
-        self.topics.get(&topic).map_or(0, |cache| cache.revision)
+        self.caches.get(&topic).map_or(0, |cache| cache.revision)
     }
 }
 
@@ -95,22 +95,22 @@
             shutting_down: watch::channel(false).0,
             to_parent: broadcast::channel(PARENT_QUEUE_FRAMES).0,
         });
-        let acceptor = Rc::clone(&node);
-        actix_rt::spawn(async move { acceptor.accept_links(listener).await });
-        let heartbeat_sender = Rc::clone(&node);
-        actix_rt::spawn(async move { heartbeat_sender.send_heartbeats().await });
-        let crash_reporter = Rc::clone(&node);
-        actix_rt::spawn(async move { crash_reporter.send_crash_reports().await });
-        let usage_reporter = Rc::clone(&node);
-        actix_rt::spawn(async move { usage_reporter.send_usage_reports().await });
-        let subscriber = Rc::clone(&node);
+        let accept_task = Rc::clone(&node);
+        actix_rt::spawn(async move { accept_task.accept_links(listener).await });
+        let heartbeat_task = Rc::clone(&node);
+        actix_rt::spawn(async move { heartbeat_task.send_heartbeats().await });
+        let crash_task = Rc::clone(&node);
+        actix_rt::spawn(async move { crash_task.send_crash_reports().await });
+        let usage_task = Rc::clone(&node);
+        actix_rt::spawn(async move { usage_task.send_usage_reports().await });
+        let engines_task = Rc::clone(&node);
         actix_rt::spawn(async move {
-            subscriber.parts.feed.until_subscribed_to_engines().await;
-            subscriber.subscribe(Topic::Engines);
-            subscriber.publish_missing();
+            engines_task.parts.feed.until_subscribed_to_engines().await;
+            engines_task.subscribe(Topic::Engines);
+            engines_task.publish_missing();
         });
-        let parent_link = Rc::clone(&node);
-        actix_rt::spawn(async move { parent_link.run_uplink().await });
+        let uplink_task = Rc::clone(&node);
+        actix_rt::spawn(async move { uplink_task.run_uplink().await });
         node
     }
 
@@ -124,7 +124,7 @@
         }
         let referral = Frame::Referral(self.link_targets());
         self.broadcast(&referral);
-        self.state.borrow_mut().links.clear();
+        self.state.borrow_mut().child_links.clear();
     }
 
     pub(super) fn is_shutting_down(&self) -> bool {
@@ -197,7 +197,7 @@
     pub(super) fn broadcast_encoded(&self, bytes: &Bytes) {
         let mut state = self.state.borrow_mut();
         state
-            .links
+            .child_links
             .retain(|_, link| link.frames.try_send(bytes.clone()).is_ok());
     }
 
@@ -205,7 +205,7 @@
     /// are fresh.
     pub(super) fn add_child(&self, key: ChildKey, link: ChildLink) {
         let topics: Vec<Topic> = link.topics.keys().copied().collect();
-        self.state.borrow_mut().links.insert(key, link);
+        self.state.borrow_mut().child_links.insert(key, link);
         topics.into_iter().for_each(|topic| self.subscribe(topic));
         self.catch_up_children();
     }
@@ -213,7 +213,7 @@
     /// Removes a child whose link has ended.
     pub(super) fn remove_child(&self, key: ChildKey) {
         let mut state = self.state.borrow_mut();
-        state.links.remove(&key);
+        state.child_links.remove(&key);
         state.children.remove(key);
     }
 
@@ -253,11 +253,11 @@
             };
             let mut state = self.state.borrow_mut();
             let sent = state
-                .links
+                .child_links
                 .get(&key)
                 .map(|link| link.frames.try_send(bytes.into()));
             if matches!(sent, Some(Err(_))) {
-                state.links.remove(&key);
+                state.child_links.remove(&key);
             }
         }
     }
--- a/crates/pinereel/src/hosted/tree/reports.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -10,8 +10,8 @@
 use pinereel_core::crash::Report;
 
 impl Node {
-    /// Sends new crash reports to the parent and all children. The neighbour that they came from receives
-    /// them again, but does not forward what it has already.
+    /// Sends new crash reports to the parent and all children. The sender of a report receives
+    /// it again, but does not forward what it has already.
     pub(super) async fn send_crash_reports(&self) {
         loop {
             let reports = self.parts.crashes.untold().await;
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -10,11 +10,11 @@
 use pinereel_port::store::Object;
 use std::{collections::BTreeMap, time::Duration};
 
-/// The size of the snapshot divided by this is the most bytes of changes that are kept beside it. Beyond
-/// that, the snapshot is encoded anew.
-const REPLAY_DIVISOR: usize = 4;
-/// Bytes of changes that may always be kept, also beside a small snapshot.
-const MIN_REPLAY_BYTES: usize = 64 * 1024;
+/// Least ratio of the size of the snapshot to that of the changes kept beside it. With more changes, the
+/// snapshot is encoded anew.
+const MIN_SNAPSHOT_REPLAY_RATIO: usize = 4;
+/// Changes up to this size are kept also beside a small snapshot.
+const MIN_REPLAY_LIMIT_BYTES: usize = 64 * 1024;
 
 /// All objects of a topic in encoded form. Each instance keeps them for future children.
 #[derive(Default)]
@@ -52,7 +52,7 @@
         }
         let snapshot = self.snapshot.as_ref();
         let size = snapshot.map_or(0, |(_, bytes)| bytes.len());
-        let max_bytes = MIN_REPLAY_BYTES.max(size / REPLAY_DIVISOR);
+        let max_bytes = MIN_REPLAY_LIMIT_BYTES.max(size / MIN_SNAPSHOT_REPLAY_RATIO);
         self.replay.push(revision, frame, max_bytes);
     }
 
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -93,7 +93,7 @@
             if !publication.full && publication.objects.is_empty() {
                 self.state
                     .borrow_mut()
-                    .topics
+                    .caches
                     .entry(topic)
                     .or_default()
                     .revision = revision;
@@ -133,7 +133,7 @@
             feed.publish(topic, publication.update(), header.revision);
         }
         let mut state = self.state.borrow_mut();
-        let cache = state.topics.entry(topic).or_default();
+        let cache = state.caches.entry(topic).or_default();
         if publication.full {
             cache.replace(publication.objects, header.revision);
         } else {
@@ -149,7 +149,7 @@
     pub(super) fn publish_missing(&self) {
         let feed = &self.parts.feed;
         let state = self.state.borrow();
-        for (topic, cache) in &state.topics {
+        for (topic, cache) in &state.caches {
             if feed.is_subscribed(*topic) && !feed.is_current(*topic) {
                 feed.publish(*topic, Update::All(cache.objects()), cache.revision);
                 log::info!(topic:serde = topic, revision = cache.revision; "bulletin: updates resumed");
@@ -208,7 +208,7 @@
     /// The topic in whose cache an entry of the endpoint list is; `None` for a new entry.
     fn topic_of(&self, name: &str) -> Option<Topic> {
         let state = self.state.borrow();
-        let has_entry = |topic: &Topic| state.topics.get(topic).is_some_and(|c| c.contains(name));
+        let has_entry = |topic: &Topic| state.caches.get(topic).is_some_and(|c| c.contains(name));
         [Topic::Endpoints, Topic::Engines]
             .into_iter()
             .find(has_entry)
@@ -217,7 +217,7 @@
     /// Reduces a list that was read again to the changes since the cached one.
     fn diff_from_cache(&self, publication: Publication, revision: u64) -> Publication {
         let state = self.state.borrow();
-        let cache = state.topics.get(&publication.topic);
+        let cache = state.caches.get(&publication.topic);
         match cache.filter(|cache| cache.revision > 0 && cache.revision <= revision) {
             // Subscribers of the leases need all of them.
             Some(cache) if publication.full && publication.topic != Topic::Leases => Publication {
@@ -259,7 +259,7 @@
         let state = &mut *self.state.borrow_mut();
         let subscribed = &state.subscribed;
         state
-            .topics
+            .caches
             .retain(|topic, _| Topic::BASE.contains(topic) || subscribed.contains(topic));
     }
 
@@ -269,11 +269,15 @@
             return;
         }
         let store_uptime = self.parts.feed.store_uptime();
-        let State { links, topics, .. } = &mut *self.state.borrow_mut();
-        links.retain(|_, link| {
+        let State {
+            child_links,
+            caches,
+            ..
+        } = &mut *self.state.borrow_mut();
+        child_links.retain(|_, link| {
             let mut sent = true;
             for (topic, known_revision) in &mut link.topics {
-                let Some(cache) = topics.get_mut(topic) else {
+                let Some(cache) = caches.get_mut(topic) else {
                     continue;
                 };
                 let Some(revision) = known_revision.take() else {
@@ -292,7 +296,7 @@
     /// of a child whose queue is full.
     fn send_to_subscribers(&self, topic: Topic, frame: &Bytes) {
         let mut state = self.state.borrow_mut();
-        state.links.retain(|_, link| {
+        state.child_links.retain(|_, link| {
             let is_current = link.topics.get(&topic) == Some(&None);
             !is_current || link.frames.try_send(frame.clone()).is_ok()
         });
@@ -300,7 +304,7 @@
 
     /// Handles the subscription of a child, which has `revision` of the topic.
     pub(super) fn on_subscribe(&self, key: ChildKey, topic: Topic, revision: u64) {
-        if let Some(link) = self.state.borrow_mut().links.get_mut(&key) {
+        if let Some(link) = self.state.borrow_mut().child_links.get_mut(&key) {
             link.topics.entry(topic).or_insert(Some(revision));
         }
         self.subscribe(topic);
