--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -24,7 +24,7 @@
 pub enum FeedEvent {
     /// All objects of the topic or changes to them, and the revision of the store after them.
     Update(Rc<Update>, u64),
-    /// The rank of this instance among all. Sent to subscribers of [`Topic::Leases`].
+    /// The rank of this instance among all. Sent to subscribers of the leases.
     Rank(Rank),
     /// The first update is expected by this time.
     ExpectedBy(Instant),
