--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -1,9 +1,9 @@
 //! The configuration in force at this instance.
 
 use super::{
-    bulletin::{Feed, Topic},
     list_watch::{Update, WatchOptions, list_and_watch},
     store::Store,
+    tree::{Feed, Topic},
 };
 use crate::objects::Purpose;
 use compact_str::CompactString;
@@ -36,7 +36,7 @@
             feed: Rc::clone(feed),
         });
         let (state, store) = (Rc::clone(&config), store.clone());
-        let fed = Some(feed.hear(Topic::Config));
+        let fed = Some(feed.subscribe(Topic::Config));
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.config;
             let manner = || WatchOptions {
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -11,10 +11,10 @@
 pub use status::{HeldLease, Status};
 
 use super::{
-    bulletin::{Feed, Topic},
     crashes::Crashes,
     metrics::Metrics,
     store::Store,
+    tree::{Feed, Topic},
 };
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
@@ -164,7 +164,7 @@
             drain_started: Notify::new(),
         });
         let poller = Rc::clone(&duties);
-        let lease_feed = feed.hear(Topic::Leases);
+        let lease_feed = feed.subscribe(Topic::Leases);
         actix_rt::spawn(async move { poller.poll_leases(lease_feed).await });
         duties
     }
--- a/crates/pinereel/src/hosted/duty/poll.rs
+++ b/crates/pinereel/src/hosted/duty/poll.rs
@@ -5,7 +5,7 @@
 
 use super::{Duties, LEASE_KIND, MIN_SLEEP, TIMING, jitter_from_hash};
 use crate::{
-    hosted::{bulletin::Fed, crashes::take_out, list_watch::Update},
+    hosted::{crashes::take_out, list_watch::Update, tree::FeedEvent},
     objects::Purpose,
 };
 use compact_str::CompactString;
@@ -34,7 +34,7 @@
 
 impl Duties {
     /// Polls all leases for the candidates that do not hold theirs. Runs until dropped.
-    pub(super) async fn poll_leases(&self, mut feed: broadcast::Receiver<Fed>) {
+    pub(super) async fn poll_leases(&self, mut feed: broadcast::Receiver<FeedEvent>) {
         let seed = hash::stable(self.id.as_bytes());
         let mut schedule = PollSchedule::new(self.is_preferred(), seed);
         let mut recoveries = self.store.recoveries();
@@ -100,24 +100,24 @@
     /// leases.
     fn handle_feed_event(
         &self,
-        received: Result<Fed, RecvError>,
+        received: Result<FeedEvent, RecvError>,
         schedule: &mut PollSchedule,
     ) -> bool {
         match received {
-            Ok(Fed::Told(update, _)) => {
+            Ok(FeedEvent::Update(update, _)) => {
                 if let Update::All(objects) = &*update {
                     self.record_poll(objects.clone(), schedule);
                 }
                 true
             }
-            Ok(Fed::Place(rank)) => {
+            Ok(FeedEvent::Rank(rank)) => {
                 self.rank.set(Some(rank));
                 true
             }
-            Ok(Fed::Expected(_)) => false,
+            Ok(FeedEvent::ExpectedBy(_)) => false,
             // The tree sends the next list soon, which includes what was missed.
             Err(RecvError::Lagged(_)) => true,
-            Ok(Fed::Lost) | Err(RecvError::Closed) => false,
+            Ok(FeedEvent::Lost) | Err(RecvError::Closed) => false,
         }
     }
 
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -1,7 +1,7 @@
 //! List and watch: keeps up with all objects of a kind, by one list and then watches of the store,
 //! or by the updates of the broadcast tree.
 
-use super::{bulletin::Fed, store::Store};
+use super::{store::Store, tree::FeedEvent};
 use crate::objects::{Error, Purpose};
 use pinereel_port::store::{Change, Object};
 use std::time::Duration;
@@ -54,7 +54,7 @@
     purpose: Purpose,
     kind: &str,
     options: impl Fn() -> WatchOptions,
-    feed: Option<broadcast::Receiver<Fed>>,
+    feed: Option<broadcast::Receiver<FeedEvent>>,
     mut on_update: impl FnMut(Update, u64),
 ) {
     let on_update = |update, revision, _| on_update(update, revision);
@@ -67,7 +67,7 @@
     purpose: Purpose,
     kind: &str,
     options: impl Fn() -> WatchOptions,
-    feed: Option<broadcast::Receiver<Fed>>,
+    feed: Option<broadcast::Receiver<FeedEvent>>,
     mut on_update: impl FnMut(Update, u64, Origin),
 ) {
     let mut recoveries = store.recoveries();
@@ -153,12 +153,12 @@
 
 /// The receiving end of the broadcast tree for one kind of objects.
 struct TreeFeed {
-    receiver: Option<broadcast::Receiver<Fed>>,
+    receiver: Option<broadcast::Receiver<FeedEvent>>,
     state: FeedState,
 }
 
 impl TreeFeed {
-    fn new(receiver: Option<broadcast::Receiver<Fed>>) -> Self {
+    fn new(receiver: Option<broadcast::Receiver<FeedEvent>>) -> Self {
         let state = match receiver {
             Some(_) => FeedState::Awaited(Instant::now() + FIRST_UPDATE_TIMEOUT),
             None => FeedState::Inactive,
@@ -194,7 +194,7 @@
                 None => std::future::pending().await,
             };
             match received {
-                Ok(Fed::Told(update, revision)) => {
+                Ok(FeedEvent::Update(update, revision)) => {
                     // Changes alone may follow on updates that were missed here.
                     if matches!(*update, Update::All(_)) {
                         self.state = FeedState::Active;
@@ -203,14 +203,14 @@
                         return Some(((*update).clone(), revision));
                     }
                 }
-                Ok(Fed::Expected(deadline)) => {
+                Ok(FeedEvent::ExpectedBy(deadline)) => {
                     if self.first_update_deadline().is_some() {
                         self.state = FeedState::Awaited(deadline);
                         return None;
                     }
                 }
-                Ok(Fed::Place(_)) => {}
-                Ok(Fed::Lost) | Err(broadcast::error::RecvError::Lagged(_)) => {
+                Ok(FeedEvent::Rank(_)) => {}
+                Ok(FeedEvent::Lost) | Err(broadcast::error::RecvError::Lagged(_)) => {
                     if !self.is_inactive() {
                         self.state = FeedState::Inactive;
                         return None;
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -1,7 +1,6 @@
 //! The running process.
 
 use super::{
-    bulletin::{self, Bulletin, Feed},
     config::Config,
     crashes::Crashes,
     duty::{self, Duties},
@@ -16,6 +15,7 @@
     stall::StallDetector,
     stop::{Stop, Times},
     store::Store,
+    tree::{self, Feed, Node},
     usage::{self, Usage},
 };
 use crate::{
@@ -125,7 +125,7 @@
     stop: Rc<Stop>,
     duties: Rc<Duties>,
     /// None without an address for other instances.
-    bulletin: Option<Rc<Bulletin>>,
+    bulletin: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
 
@@ -176,7 +176,7 @@
         let usage = Usage::start(reported.as_ref(), duties.id(), boot_time);
         let mut bulletin = None;
         if let Some(peers) = instance.peers {
-            let parts = bulletin::Parts {
+            let parts = tree::Parts {
                 store: store.clone(),
                 adapter,
                 duties: Rc::clone(&duties),
@@ -184,15 +184,15 @@
                 crashes: Rc::clone(&crashes),
                 usage: Rc::clone(&usage),
                 metrics: metrics.clone(),
-                watch,
-                leave_after: settings.store.leave_after,
+                max_watch_time: watch,
+                max_propagation_time: settings.store.leave_after,
                 peer: Peer {
                     address: peers.to_string().into(),
                     zone: instance.zone.clone(),
                     preferred: duties.is_preferred(),
                 },
             };
-            bulletin = Some(Bulletin::start(parts, listen(peers).await?));
+            bulletin = Some(Node::start(parts, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
         let held = Rc::clone(&duties);
@@ -313,7 +313,7 @@
         self.stop.wait().await;
         self.runner.drain();
         if let Some(bulletin) = &self.bulletin {
-            bulletin.leave();
+            bulletin.shut_down();
         }
         self.runner.hand_over().await;
         self.duties.drain();
--- /dev/null
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -0,0 +1,313 @@
+//! This instance as a node of the tree: its state, its heartbeats, and the frames to its children.
+
+use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
+use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
+use bytes::Bytes;
+use compact_str::CompactString;
+use pinereel_core::{
+    Time,
+    tree::{
+        ChildKey, Children, Heartbeat, MAX_AGE, MAX_AGE_PER_LEVEL, Peer, RankRange, RetryPacer,
+        StoreStatus, Uplink,
+    },
+};
+use pinereel_port::Adapter;
+use std::{
+    cell::RefCell,
+    collections::{BTreeMap, BTreeSet},
+    rc::Rc,
+    time::Duration,
+};
+use tokio::{
+    net::TcpListener,
+    sync::{broadcast, watch},
+    time::sleep,
+};
+
+/// What a [`Node`] works with.
+pub struct Parts {
+    /// The object store.
+    pub store: Store,
+    /// Names and parses the objects of the platform.
+    pub adapter: Adapter,
+    /// Whether this instance holds the root duty, and the address of the holder.
+    pub duties: Rc<Duties>,
+    /// Receives the data on behalf of the other modules of this process.
+    pub feed: Rc<Feed>,
+    /// Requests under which endpoints crash, exchanged with the parent and the children.
+    pub crashes: Rc<Crashes>,
+    /// Counts of requests that began to run, sent up the tree.
+    pub usage: Rc<Usage>,
+    /// The age of the data is recorded here.
+    pub metrics: Metrics,
+    /// Longest duration of one watch at the store.
+    pub max_watch_time: Duration,
+    /// Longest time until a change of the endpoint list must be in force at all instances.
+    pub max_propagation_time: Duration,
+    /// Address, zone and preference of this instance, sent to its parent.
+    pub peer: Peer,
+}
+
+/// This instance as a node of the broadcast tree.
+pub struct Node {
+    pub(super) parts: Parts,
+    pub(super) state: RefCell<State>,
+    pub(super) uplink: RefCell<Uplink>,
+    /// Whether this instance is shutting down and accepts no children any more.
+    pub(super) shutting_down: watch::Sender<bool>,
+    /// Encoded frames for the parent; dropped while there is none.
+    pub(super) to_parent: broadcast::Sender<Bytes>,
+}
+
+/// Most frames queued for the parent. If a slow link falls further behind, the initial frames are sent
+/// again.
+const PARENT_QUEUE_FRAMES: usize = 64;
+
+/// The cached topics, and the links to children.
+#[derive(Default)]
+pub(super) struct State {
+    pub(super) caches: BTreeMap<Topic, TopicCache>,
+    /// Topics besides [`Topic::BASE`] that this instance or one below it has subscribed to.
+    pub(super) subscribed: BTreeSet<Topic>,
+    /// Topics that have been listed since this instance began to read the store.
+    pub(super) listed: BTreeSet<Topic>,
+    pub(super) children: Children,
+    pub(super) retry_pacer: RetryPacer,
+    /// Send queues of the children.
+    pub(super) child_links: BTreeMap<ChildKey, ChildLink>,
+}
+
+impl State {
+    /// The revision of the cached topic; 0 if it is not cached.
+    pub(super) fn revision(&self, topic: Topic) -> u64 {
+        self.caches.get(&topic).map_or(0, |cache| cache.revision)
+    }
+}
+
+impl Node {
+    /// Joins the tree and spawns the tasks of the node. Children connect to `listener`.
+    pub fn start(parts: Parts, listener: TcpListener) -> Rc<Self> {
+        let own_address = parts.peer.address.clone();
+        let node = Rc::new(Self {
+            parts,
+            state: RefCell::default(),
+            uplink: RefCell::new(Uplink::new(own_address)),
+            shutting_down: watch::channel(false).0,
+            to_parent: broadcast::channel(PARENT_QUEUE_FRAMES).0,
+        });
+        let accept_task = Rc::clone(&node);
+        actix_rt::spawn(async move { accept_task.accept_links(listener).await });
+        let heartbeat_task = Rc::clone(&node);
+        actix_rt::spawn(async move { heartbeat_task.send_heartbeats().await });
+        let crash_task = Rc::clone(&node);
+        actix_rt::spawn(async move { crash_task.send_crash_reports().await });
+        let usage_task = Rc::clone(&node);
+        actix_rt::spawn(async move { usage_task.send_usage_reports().await });
+        let engines_task = Rc::clone(&node);
+        actix_rt::spawn(async move {
+            engines_task.parts.feed.until_subscribed_to_engines().await;
+            engines_task.subscribe(Topic::Engines);
+            engines_task.publish_missing();
+        });
+        let uplink_task = Rc::clone(&node);
+        actix_rt::spawn(async move { uplink_task.run_uplink().await });
+        node
+    }
+
+    /// Refers all children to other parents. Called before this instance ends.
+    pub fn shut_down(&self) {
+        self.shutting_down.send_replace(true);
+        if self.uplink.borrow().reads_store() {
+            // Until it ends, it sends and receives as a child of the standby that takes over.
+            let standbys = self.standbys();
+            self.uplink.borrow_mut().set_parent_candidates(standbys);
+        }
+        let referral = Frame::Referral(self.link_targets());
+        self.broadcast(&referral);
+        self.state.borrow_mut().child_links.clear();
+    }
+
+    pub(super) fn is_shutting_down(&self) -> bool {
+        *self.shutting_down.borrow()
+    }
+
+    pub(super) fn now(&self) -> Time {
+        self.parts.duties.now()
+    }
+
+    /// What this instance knows about the store from its own calls. There is no age before every topic has
+    /// been listed.
+    pub(super) fn store_status(&self) -> StoreStatus {
+        let listed = self.state.borrow().listed.len() == Topic::ALL.len();
+        let store = &self.parts.store;
+        let answered_ago = store.last_answer_ago();
+        StoreStatus {
+            age: answered_ago.filter(|_| listed),
+            is_answering: answered_ago.is_some_and(|ago| ago < MAX_AGE),
+            store_uptime: store.uptime(),
+        }
+    }
+
+    /// Whether the data are fresh enough to accept children.
+    pub(super) fn is_fresh(&self) -> bool {
+        let (now, status) = (self.now(), self.store_status());
+        let mut uplink = self.uplink.borrow_mut();
+        uplink.observe(now, status);
+        uplink.is_fresh(now, status)
+    }
+
+    /// Whether children may be kept although the data are stale.
+    pub(super) fn is_recovering(&self) -> bool {
+        let (now, status) = (self.now(), self.store_status());
+        self.uplink
+            .borrow()
+            .is_recovering(now, status, self.slack())
+    }
+
+    /// How much longer this instance stays with a parent whose data are stale.
+    pub(super) fn remaining_grace(&self) -> Duration {
+        self.uplink
+            .borrow()
+            .remaining_grace(self.now(), self.slack())
+    }
+
+    /// Half of the time that the bound on a change leaves beyond the usual age of the data. The other half
+    /// is for finding another parent.
+    fn slack(&self) -> Duration {
+        self.parts
+            .max_propagation_time
+            .saturating_sub(MAX_AGE + MAX_AGE_PER_LEVEL)
+            / 2
+    }
+
+    /// Makes this instance a root, which reads the store itself.
+    pub(super) fn start_reading(&self) {
+        self.state.borrow_mut().listed.clear();
+        self.uplink.borrow_mut().set_reads_store(true);
+    }
+
+    /// Sends a frame to all children, and drops the link of a child whose queue is full.
+    pub(super) fn broadcast(&self, frame: &Frame) {
+        if let Some(bytes) = frame.encode() {
+            self.broadcast_encoded(&bytes.into());
+        }
+    }
+
+    /// Sends an encoded frame to all children, and drops the link of a child whose queue is full.
+    pub(super) fn broadcast_encoded(&self, bytes: &Bytes) {
+        let mut state = self.state.borrow_mut();
+        state
+            .child_links
+            .retain(|_, link| link.frames.try_send(bytes.clone()).is_ok());
+    }
+
+    /// Adds the link to a new child, and subscribes to its topics. The child is sent the data as soon as they
+    /// are fresh.
+    pub(super) fn add_child(&self, key: ChildKey, link: ChildLink) {
+        let topics: Vec<Topic> = link.topics.keys().copied().collect();
+        self.state.borrow_mut().child_links.insert(key, link);
+        topics.into_iter().for_each(|topic| self.subscribe(topic));
+        self.catch_up_children();
+    }
+
+    /// Removes a child whose link has ended.
+    pub(super) fn remove_child(&self, key: ChildKey) {
+        let mut state = self.state.borrow_mut();
+        state.child_links.remove(&key);
+        state.children.remove(key);
+    }
+
+    /// Sends heartbeats to the children periodically.
+    async fn send_heartbeats(&self) {
+        loop {
+            self.send_heartbeat();
+            self.catch_up_children();
+            sleep(HEARTBEAT_INTERVAL).await;
+        }
+    }
+
+    /// Sends a heartbeat with the ranks of its subtree to each child, and publishes the own rank.
+    pub(super) fn send_heartbeat(&self) {
+        let preferred = self.parts.peer.preferred;
+        let ranks = self.update_ranks();
+        if let Some(ranks) = ranks {
+            self.parts.feed.publish_rank(ranks.rank(preferred));
+        }
+        let ranks = ranks.unwrap_or_default();
+        if self.uplink.borrow().reads_store() {
+            self.parts
+                .feed
+                .set_store_uptime(self.store_status().store_uptime);
+        }
+        let Some(heartbeat) = self.heartbeat(ranks) else {
+            return;
+        };
+        let child_ranks = self.state.borrow().children.child_ranks(ranks, preferred);
+        for (key, ranks) in child_ranks {
+            let heartbeat = Heartbeat {
+                ranks,
+                ..heartbeat.clone()
+            };
+            let Some(bytes) = Frame::Heartbeat(heartbeat).encode() else {
+                continue;
+            };
+            let mut state = self.state.borrow_mut();
+            let sent = state
+                .child_links
+                .get(&key)
+                .map(|link| link.frames.try_send(bytes.into()));
+            if matches!(sent, Some(Err(_))) {
+                state.child_links.remove(&key);
+            }
+        }
+    }
+
+    /// The heartbeat for the children; `None` while there are no data and none are expected.
+    pub(super) fn heartbeat(&self, ranks: RankRange) -> Option<Heartbeat> {
+        let (now, status) = (self.now(), self.store_status());
+        let has_data = self.uplink.borrow().age(now, status).is_some();
+        if !has_data && !self.is_fresh() && !self.is_recovering() {
+            return None;
+        }
+        let uplink = self.uplink.borrow();
+        let standbys = match uplink.reads_store() {
+            true => self.standbys(),
+            false => Vec::new(),
+        };
+        Some(uplink.heartbeat(now, status, ranks, standbys))
+    }
+
+    /// Addresses of the children that take over if this root fails.
+    fn standbys(&self) -> Vec<CompactString> {
+        let state = self.state.borrow();
+        state.children.standbys(&self.parts.peer.zone)
+    }
+
+    /// The ranks of this instance and all below it, with the number of instances passed to `usage`; `None`
+    /// without data.
+    fn update_ranks(&self) -> Option<RankRange> {
+        let ranks = self.ranks()?;
+        self.parts
+            .usage
+            .note_instances(ranks.total.count() as usize);
+        Some(ranks)
+    }
+
+    fn ranks(&self) -> Option<RankRange> {
+        let uplink = self.uplink.borrow();
+        if !uplink.reads_store() {
+            return uplink.ranks();
+        }
+        let preferred = self.parts.peer.preferred;
+        Some(RankRange {
+            total: self.state.borrow().children.subtree_size(preferred),
+            ..RankRange::default()
+        })
+    }
+
+    /// Addresses to try for a parent, in this order.
+    pub(super) fn link_targets(&self) -> Vec<CompactString> {
+        let holder = self.parts.duties.holder_address(super::ROOT_DUTY);
+        self.uplink.borrow().link_targets(holder)
+    }
+}
--- /dev/null
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -0,0 +1,79 @@
+//! Reading of the object store at a root, on behalf of all instances.
+
+use super::{Node, Topic};
+use crate::{
+    hosted::{
+        crashes::{Kept, take_out},
+        duty,
+        list_watch::{Update, WatchOptions, list_and_watch},
+    },
+    objects::Purpose,
+};
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+
+/// Delay after a change of the endpoint list, so that changes at about the same time are sent together.
+const ENDPOINT_BATCH_DELAY: Duration = Duration::from_millis(80);
+/// Time between two listings of the leases, which also show that a failed holder has not renewed them.
+const LEASE_LIST_INTERVAL: Duration = Duration::from_millis(700);
+
+impl Node {
+    /// Follows all topics in the store and publishes their changes. Ends only when dropped.
+    pub(super) async fn read_store(&self) {
+        let places = self.parts.adapter.object_kinds;
+        let config = self.follow_topic(Topic::Config, Purpose::Config, places.config);
+        let endpoints = self.follow_topic(Topic::Endpoints, Purpose::Instances, places.endpoints);
+        tokio::join!(config, endpoints, self.follow_leases());
+    }
+
+    /// Follows all objects of `kind` by list and watch.
+    async fn follow_topic(&self, topic: Topic, purpose: Purpose, kind: &str) {
+        let batch_delay = match topic {
+            Topic::Endpoints => ENDPOINT_BATCH_DELAY,
+            Topic::Config | Topic::Engines | Topic::Leases => Duration::ZERO,
+        };
+        let options = || WatchOptions {
+            max_wait: self.parts.max_watch_time,
+            batch_delay,
+        };
+        let publish = |update, revision| self.publish_update(topic, update, revision);
+        list_and_watch(&self.parts.store, purpose, kind, options, None, publish).await;
+    }
+
+    /// Lists the leases periodically. The listing contains the stored crash reports as well, which are
+    /// exchanged with the register of this instance.
+    async fn follow_leases(&self) {
+        let crashes = &self.parts.crashes;
+        let stored = Kept::default();
+        let mut changes = crashes.changes();
+        loop {
+            let store = &self.parts.store;
+            changes.mark_unchanged();
+            match store.list(Purpose::Leases, duty::LEASE_KIND, None).await {
+                Ok((mut objects, revision)) => {
+                    stored.listed(crashes, take_out(&mut objects));
+                    self.publish_update(Topic::Leases, Update::All(objects), revision);
+                    self.store_crashes(&stored).await;
+                }
+                Err(error) => log::debug!(error:% = error; "listing leases failed"),
+            }
+            let next = Instant::now() + LEASE_LIST_INTERVAL;
+            // A change of the crash reports is stored at once. Further ones within the interval are stored
+            // with the next listing.
+            tokio::select! {
+                () = sleep_until(next) => continue,
+                _ = changes.changed() => {}
+            }
+            self.store_crashes(&stored).await;
+            sleep_until(next).await;
+        }
+    }
+
+    /// Stores the crash reports that the store does not have yet.
+    async fn store_crashes(&self, stored: &Kept) {
+        let parts = &self.parts;
+        if let Err(error) = stored.keep(&parts.store, &parts.crashes).await {
+            log::info!(error:% = error; "requests that crash endpoints: not kept yet");
+        }
+    }
+}
--- /dev/null
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -0,0 +1,367 @@
+//! The loop that keeps this instance supplied with data: from a parent, or from the store if it is the root
+//! or replaces it.
+
+use super::{
+    Frame, Node, ROOT_DUTY, SUBTREE_SIZE_INTERVAL,
+    parent_search::{ParentLink, Requirement},
+    topics::{Header, Publication},
+};
+use crate::hosted::duty::Status;
+use futures_util::{FutureExt as _, SinkExt as _, StreamExt as _, future::OptionFuture};
+use pinereel_core::tree::SubtreeSize;
+use pinereel_port::store::Consistency;
+use std::{rc::Rc, time::Duration};
+use tokio::{
+    sync::watch,
+    time::{Instant, sleep, timeout},
+};
+use tokio_tungstenite::tungstenite::Message;
+
+/// How long an instance that has lost its parent searches for another one before it reads the store itself
+/// or goes without data. Enough for a few attempts.
+const PARENT_SEARCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest silence of a parent before the link is dropped: four missing heartbeats.
+const PARENT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time between two checks of the parent's silence and the age of the data.
+const PARENT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two probes with which a standby checks whether the store answers it while it does not
+/// answer the root.
+const STANDBY_PROBE_INTERVAL: Duration = Duration::from_millis(150);
+/// The same for all other instances. At the rate of the standbys, 165 instances would send 7 probes a
+/// second each during an outage of the store.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// Why a link to a parent ended.
+enum LinkEnd {
+    /// The link failed, the parent referred this instance elsewhere, or the link would close a loop.
+    ParentLost,
+    /// This instance has acquired the root duty.
+    DutyAcquired,
+    /// Another parent has fresher data.
+    FresherParent(Box<ParentLink>),
+    /// The store answers this instance, while it has not answered the root for too long.
+    StoreAnswers,
+}
+
+impl Node {
+    /// Reads the store while this instance holds the root duty, and follows a parent otherwise. Never ends.
+    pub(super) async fn run_uplink(self: Rc<Self>) {
+        let mut standing = self.parts.duties.register_candidate(&ROOT_DUTY.into());
+        let mut next = None;
+        loop {
+            let is_root = standing.borrow_and_update().lease.is_some();
+            if is_root && !self.is_shutting_down() {
+                let mut shutting_down = self.shutting_down.subscribe();
+                let end = async {
+                    tokio::select! {
+                        () = until_duty_lost(&mut standing) => {}
+                        _ = shutting_down.wait_for(|shutting_down| *shutting_down) => {}
+                    }
+                };
+                self.read_store_until(end).await;
+                continue;
+            }
+            let link = match next.take() {
+                Some(link) => Some(link),
+                None => self.find_parent(&mut standing).await,
+            };
+            let Some(link) = link else { continue };
+            match self.follow_parent(link, &mut standing).await {
+                LinkEnd::ParentLost | LinkEnd::DutyAcquired => {}
+                LinkEnd::FresherParent(link) => next = Some(*link),
+                LinkEnd::StoreAnswers => next = self.run_without_parent(&mut standing).await,
+            }
+        }
+    }
+
+    /// Finds a parent, and reads the store meanwhile if other instances need its data. `None` once this
+    /// instance has the root duty.
+    async fn find_parent(&self, standing: &mut watch::Receiver<Status>) -> Option<ParentLink> {
+        tokio::select! {
+            found = timeout(PARENT_SEARCH_TIMEOUT, self.search_or_take_over()) => match found {
+                Ok(Some(link)) => return Some(link),
+                // No other standby precedes this one.
+                Ok(None) => return self.replace_root(standing).await,
+                Err(_) => {}
+            },
+            () = self.until_duty_acquired(standing) => return None,
+        }
+        self.run_without_parent(standing).await
+    }
+
+    /// Reads the store if other instances need its data, and goes without data otherwise, until a parent is
+    /// found. `None` once this instance has the root duty.
+    async fn run_without_parent(
+        &self,
+        standing: &mut watch::Receiver<Status>,
+    ) -> Option<ParentLink> {
+        let has_children = !self.state.borrow().children.is_empty();
+        let is_needed = has_children || self.uplink.borrow().is_standby();
+        if is_needed && !self.is_shutting_down() {
+            return self.replace_root(standing).await;
+        }
+        self.parts.feed.publish_lost();
+        tokio::select! {
+            link = self.search(Requirement::Any) => Some(link),
+            () = self.until_duty_acquired(standing) => None,
+        }
+    }
+
+    /// Searches for a parent. The first standby searches for one round only; `None` if it must replace the
+    /// root.
+    async fn search_or_take_over(&self) -> Option<ParentLink> {
+        if self.uplink.borrow().is_first_standby() && !self.is_shutting_down() {
+            return self.search_one_round().await;
+        }
+        Some(self.search(Requirement::Any).await)
+    }
+
+    /// Reads the store in place of the root until a parent with fresh data is found. `None` once this instance
+    /// has the root duty.
+    async fn replace_root(&self, standing: &mut watch::Receiver<Status>) -> Option<ParentLink> {
+        log::info!("bulletin: standing in");
+        let end = async {
+            tokio::select! {
+                link = self.search(Requirement::Fresh) => Some(link),
+                () = self.until_duty_acquired(standing) => None,
+            }
+        };
+        self.read_store_until(end).await
+    }
+
+    /// Makes this instance a root, which reads the store until `end`.
+    async fn read_store_until<T>(&self, end: impl Future<Output = T>) -> T {
+        self.start_reading();
+        let ended = tokio::select! {
+            ended = end => ended,
+            () = self.read_store() => unreachable!("read_store never ends"),
+        };
+        self.uplink.borrow_mut().set_reads_store(false);
+        ended
+    }
+
+    /// Receives the data of a parent until the link ends or a fresher source is found.
+    async fn follow_parent(
+        &self,
+        mut link: ParentLink,
+        standing: &mut watch::Receiver<Status>,
+    ) -> LinkEnd {
+        let address = link.address.clone();
+        if !self
+            .uplink
+            .borrow_mut()
+            .on_heartbeat(self.now(), link.heartbeat)
+        {
+            return LinkEnd::ParentLost;
+        }
+        let level = self.uplink.borrow().level();
+        log::info!(address = address.as_str(), level; "bulletin: linked");
+        let mut reported_size = SubtreeSize::default();
+        let mut fresher_source = OptionFuture::from(None);
+        let mut is_stale = false;
+        let mut last_received = Instant::now();
+        let mut reported_at = last_received;
+        let mut to_parent = self.to_parent.subscribe();
+        self.drop_unsubscribed();
+        let mut pending = self.initial_frames();
+        let end = loop {
+            let mut sent = true;
+            for bytes in pending.drain(..) {
+                sent &= link.socket.send(Message::Binary(bytes)).await.is_ok();
+            }
+            if !sent {
+                break LinkEnd::ParentLost;
+            }
+            tokio::select! {
+                message = link.socket.next() => {
+                    let stays_linked = message.is_some_and(|message| message.is_ok_and(|message| self.on_parent_message(message)));
+                    if !stays_linked {
+                        break LinkEnd::ParentLost;
+                    }
+                    last_received = Instant::now();
+                    let size = self.subtree_size();
+                    if size != reported_size || reported_at.elapsed() >= SUBTREE_SIZE_INTERVAL {
+                        (reported_size, reported_at) = (size, last_received);
+                        let frame = Frame::SubtreeSize(size).encode().unwrap_or_default();
+                        if link.socket.send(Message::Binary(frame.into())).await.is_err() {
+                            break LinkEnd::ParentLost;
+                        }
+                    }
+                }
+                bytes = to_parent.recv() => match bytes {
+                    Ok(bytes) => if link.socket.send(Message::Binary(bytes)).await.is_err() {
+                        break LinkEnd::ParentLost;
+                    },
+                    // The initial frames contain what was lost from the queue.
+                    Err(_) => pending = self.initial_frames(),
+                },
+                () = sleep(PARENT_CHECK_INTERVAL) => if last_received.elapsed() > PARENT_TIMEOUT {
+                    break LinkEnd::ParentLost;
+                },
+                Some(end) = &mut fresher_source => break end,
+                () = self.until_duty_acquired(standing) => break LinkEnd::DutyAcquired,
+            }
+            let is_fresh = self.is_fresh();
+            self.parts.feed.set_has_parent(is_fresh);
+            if is_fresh {
+                fresher_source = OptionFuture::from(None);
+                is_stale = false;
+                self.publish_missing();
+                continue;
+            }
+            let grace = self.remaining_grace();
+            if !grace.is_zero() {
+                self.parts.feed.publish_expected(grace);
+                continue;
+            }
+            if !is_stale {
+                is_stale = true;
+                fresher_source =
+                    OptionFuture::from(Some(self.search_fresher_source().boxed_local()));
+            }
+        };
+        self.parts.feed.set_has_parent(false);
+        self.uplink.borrow_mut().on_parent_lost();
+        let reason_text = end.as_str();
+        log::info!(address = address.as_str(), why = reason_text; "bulletin: link lost");
+        end
+    }
+
+    /// Searches for fresher data than the parent's. While the store answers no instance there are none, and
+    /// the parent is kept: it will have the next data first.
+    async fn search_fresher_source(&self) -> LinkEnd {
+        // On lower levels, the search of the instances above suffices.
+        let is_below_root = self.uplink.borrow().level() == 1;
+        tokio::select! {
+            link = self.search(Requirement::Fresh), if is_below_root => LinkEnd::FresherParent(Box::new(link)),
+            () = self.until_store_answers() => LinkEnd::StoreAnswers,
+        }
+    }
+
+    /// Probes the store until it answers this instance. The first standby begins at once and all others on the
+    /// first level after a delay; standbys probe more often.
+    async fn until_store_answers(&self) {
+        let (is_first_standby, is_standby, is_below_root) = {
+            let uplink = self.uplink.borrow();
+            let is_below_root = uplink.level() == 1;
+            (
+                uplink.is_first_standby(),
+                uplink.is_standby(),
+                is_below_root,
+            )
+        };
+        // On lower levels, the grace for stale data has passed already.
+        if !is_first_standby && is_below_root {
+            sleep(PARENT_SEARCH_TIMEOUT).await;
+        }
+        let pause = if is_standby {
+            STANDBY_PROBE_INTERVAL
+        } else {
+            PROBE_INTERVAL
+        };
+        let places = self.parts.adapter.object_kinds;
+        let (kind, name) = (places.config, places.config_object_name);
+        while !self.parts.store.probe(kind, name, Consistency::Stale).await {
+            sleep(pause).await;
+        }
+    }
+
+    /// Waits until this instance has the root duty; forever if it is shutting down.
+    async fn until_duty_acquired(&self, standing: &mut watch::Receiver<Status>) {
+        let acquired = standing.wait_for(|s| s.lease.is_some()).await.is_ok();
+        if !acquired || self.is_shutting_down() {
+            // The process is ending.
+            std::future::pending::<()>().await;
+        }
+    }
+
+    /// Size of the subtree of this instance, for the parent.
+    fn subtree_size(&self) -> SubtreeSize {
+        let state = self.state.borrow();
+        state.children.subtree_size(self.parts.peer.preferred)
+    }
+
+    /// Handles a message of the parent. Returns whether to keep the link.
+    fn on_parent_message(&self, message: Message) -> bool {
+        let Message::Binary(bytes) = message else {
+            return true;
+        };
+        match Frame::decode(&bytes) {
+            Some(Frame::Snapshot {
+                topic,
+                revision,
+                objects,
+                store_uptime,
+            }) => {
+                let full = true;
+                let publication = Publication {
+                    topic,
+                    full,
+                    objects,
+                };
+                self.on_publication(
+                    publication,
+                    Header {
+                        revision,
+                        store_uptime,
+                    },
+                    bytes,
+                );
+            }
+            Some(Frame::Changes {
+                topic,
+                revision,
+                changes,
+                store_uptime,
+            }) => {
+                let publication = Publication {
+                    topic,
+                    full: false,
+                    objects: changes,
+                };
+                self.on_publication(
+                    publication,
+                    Header {
+                        revision,
+                        store_uptime,
+                    },
+                    bytes,
+                );
+            }
+            Some(Frame::Heartbeat(heartbeat)) => {
+                let metrics = &self.parts.metrics;
+                if let Some(age) = heartbeat.age {
+                    metrics.observe(&metrics.ages, "news", age);
+                }
+                self.parts.feed.set_store_uptime(heartbeat.store_uptime);
+                if !self.uplink.borrow_mut().on_heartbeat(self.now(), heartbeat) {
+                    return false;
+                }
+                self.send_heartbeat();
+            }
+            Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
+            Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
+            Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
+            Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
+        }
+        true
+    }
+}
+
+impl LinkEnd {
+    const fn as_str(&self) -> &'static str {
+        match self {
+            Self::ParentLost => "lost",
+            Self::DutyAcquired => "this instance acquired the root duty",
+            Self::FresherParent(_) => "another parent has fresher data",
+            Self::StoreAnswers => "its data are stale, and the store answers",
+        }
+    }
+}
+
+/// Waits until this instance has lost the root duty.
+async fn until_duty_lost(standing: &mut watch::Receiver<Status>) {
+    if standing.wait_for(Status::is_not_held).await.is_err() {
+        std::future::pending::<()>().await;
+    }
+}
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -6,11 +6,11 @@
 use super::Usage;
 use crate::{
     hosted::{
-        bulletin,
         duty::{Duties, HeldLease},
         metrics::Metrics,
         platform,
         store::Store,
+        tree,
     },
     objects::{Error, Purpose},
     settings,
@@ -87,7 +87,7 @@
     let parts = Rc::new(parts);
     let duties = Rc::clone(&parts.duties);
     let work = async || parts.work().await;
-    let duty = bulletin::DUTY.into();
+    let duty = tree::ROOT_DUTY.into();
     duties.run_while_held(&duty, work, || true).await;
 }
 
@@ -214,7 +214,7 @@
 
     /// The lease, if a call may be made under it now.
     fn grant(&self) -> Option<HeldLease> {
-        let grant = self.duties.held_lease(bulletin::DUTY)?;
+        let grant = self.duties.held_lease(tree::ROOT_DUTY)?;
         (self.duties.now() >= grant.may_act_from(self.gap)).then_some(grant)
     }
 
