--- a/crates/pinereel/src/hosted/lots/handover.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -5,7 +5,7 @@
 //! the duty is released: one object a lot, which whoever opens the lot next goes on from.
 
 use super::{
-    record::{drafts, results},
+    schema::{drafts, results},
     runner::Runner,
     state::Draft,
 };
--- a/crates/pinereel/src/hosted/lots/sweep.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -1,6 +1,6 @@
 //! Lots that nobody may read any more are removed from the object store.
 
-use super::{handover::kinds, record::LOTS, runner::Runner};
+use super::{checkpoint::kinds, schema::LOTS, runner::Runner};
 use crate::objects::{Error, Purpose};
 use compact_str::CompactString;
 use futures_util::future::join_all;
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -1,7 +1,7 @@
 //! Commits of results: the next segment of a lot, created only if it does not exist.
 
 use super::{
-    record::{SEGMENT_SAMPLES, Segment, results, segment, segment_name},
+    schema::{SEGMENT_SAMPLES, Segment, results, segment, segment_name},
     runner::Runner,
 };
 use crate::objects::{Error, Purpose};
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::{
     super::demand,
-    run,
+    item_task,
     runner::Runner,
     state::{FleetName, Open, Task, Work},
     stream::{Place, identity},
@@ -193,7 +193,7 @@
                 fleet: name,
                 oldest_version,
             };
-            let task = run::run(Rc::clone(self), work, route, place);
+            let task = item_task::run(Rc::clone(self), work, route, place);
             // One that ended before is replaced.
             open.tasks.insert(at, Task(actix_rt::spawn(task)));
             return true;
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -2,8 +2,8 @@
 
 use super::{
     commit,
-    handover::{self, Drafts},
-    record::{self, Stub, accepted, is_ended, results, segment},
+    checkpoint::{self, Drafts},
+    schema::{self, Stub, accepted, is_ended, results, segment},
     runner::{self, Runner},
     state::{Draft, Ended, Open, State, Task},
 };
@@ -36,7 +36,7 @@
     ) {
         let id = object.name.clone();
         self.ages(|ages| ages.seen(&id));
-        if record::model(&object).is_some_and(|other| other != model) {
+        if schema::model(&object).is_some_and(|other| other != model) {
             return;
         }
         if is_ended(&object) {
@@ -71,7 +71,7 @@
 
     /// An ended lot is cut down to a stub at the next sweep.
     fn note_ended(&self, object: Object) {
-        if record::stub(&object).is_some() {
+        if schema::stub(&object).is_some() {
             return;
         }
         match Stub::of(&self.parts.adapter, &object) {
@@ -88,7 +88,7 @@
     }
 
     /// Reads what is committed of a lot, and begins to work on it.
-    async fn open(self: Rc<Self>, id: CompactString, accepted: record::Accepted, inherited: bool) {
+    async fn open(self: Rc<Self>, id: CompactString, accepted: schema::Accepted, inherited: bool) {
         let (objects, mut texts) = loop {
             match self.read_lot(&id, inherited).await {
                 Ok(read) => break read,
@@ -101,7 +101,7 @@
         let (submission, caller) = (accepted.submission, accepted.caller);
         let mut state = self.state.borrow_mut();
         let again = submission.items.iter().map(|item| &item.id);
-        let again = again.filter(|id| state.known.contains(&record::name(&caller, id)));
+        let again = again.filter(|id| state.known.contains(&schema::name(&caller, id)));
         let mut lot = Lot::new(&submission, &again.cloned().collect());
         for object in &objects {
             let adopted =
@@ -115,7 +115,7 @@
         let oldest = submission.oldest_version;
         let mut drafts = Vec::new();
         for item in &submission.items {
-            let kept = state.drafts.remove(&record::name(&caller, &item.id));
+            let kept = state.drafts.remove(&schema::name(&caller, &item.id));
             let draft = texts.remove(&item.id).or(kept).unwrap_or_default();
             let fits = draft.versions.iter().all(|version| *version >= oldest);
             drafts.push(if fits { draft } else { Draft::default() });
@@ -133,7 +133,7 @@
         metrics.count(&metrics.lots, &["opened"]);
         let more = Rc::new(Notify::new());
         let committer = commit::commit(Rc::clone(&self), id.clone(), Rc::clone(&more));
-        let keeper = handover::keep(Rc::clone(&self), id.clone());
+        let keeper = checkpoint::keep(Rc::clone(&self), id.clone());
         let open = Open {
             caller,
             host: accepted.host,
@@ -208,7 +208,7 @@
         let store = &self.parts.store;
         let (objects, _) = store.list(Purpose::Lots, &results(id), None).await?;
         let texts = if inherited {
-            handover::inherit(self, id).await?
+            checkpoint::inherit(self, id).await?
         } else {
             Drafts::new()
         };
@@ -231,7 +231,7 @@
             if open.lot.commit_log().contains(&item.id) {
                 continue;
             }
-            let name = record::name(&open.caller, &item.id);
+            let name = schema::name(&open.caller, &item.id);
             state.known.insert(name.clone());
             if draft.last.is_some() && state.drafts.len() < DRAFTS {
                 state.drafts.insert(name, draft);
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -4,18 +4,18 @@
 //! that holds the duty for their model.
 
 mod commit;
-mod desk;
-mod handover;
-mod opening;
-mod placing;
-mod progress;
-mod record;
-mod run;
+mod trainer_api;
+mod checkpoint;
+mod lifecycle;
+mod dispatch;
+mod task_state;
+mod schema;
+mod item_task;
 mod runner;
 mod score;
 mod state;
 mod stream;
-mod sweep;
+mod cleanup;
 
-pub use desk::{Desk, Reply};
+pub use trainer_api::{Desk, Reply};
 pub use runner::{Parts, Runner, duty};
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -1,11 +1,11 @@
 //! The runner: makes the samples of all open lots of a model, while it holds the model's duty.
 
 use super::{
-    handover::{self, Left},
-    record::LOTS,
+    checkpoint::{self, Left},
+    schema::LOTS,
     score,
     state::State,
-    sweep::{self, Ages},
+    cleanup::{self, Ages},
 };
 use crate::{
     hosted::{
@@ -100,7 +100,7 @@
 
     /// Hands unfinished texts over to the next runner; to be called before the duties are released.
     pub async fn hand_over(&self) {
-        handover::hand_over(self).await;
+        checkpoint::hand_over(self).await;
     }
 
     /// Ends all runs; returns the texts that are not listed, by lot.
@@ -124,7 +124,7 @@
     pub(super) fn long_texts(&self, lot: &str) -> Option<Left> {
         let state = self.state.borrow();
         let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
-        Some(open.unlisted(handover::LONG_TEXT))
+        Some(open.unlisted(checkpoint::LONG_TEXT))
     }
 
     /// The texts of a lot were written.
@@ -191,7 +191,7 @@
         tokio::select! {
             () = lots => {}
             () = self.dispatch() => {}
-            () = sweep::sweep(self) => {}
+            () = cleanup::sweep(self) => {}
         }
     }
 
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -1,9 +1,9 @@
 //! What a runner knows of its lots.
 
 use super::{
-    handover::{Left, fitting},
-    record::Stub,
-    sweep::Ages,
+    checkpoint::{Left, fitting},
+    schema::Stub,
+    cleanup::Ages,
 };
 use compact_str::CompactString;
 use pinereel_core::batch::{DemandWindow, Fleet, Lot};
--- a/crates/pinereel/src/hosted/lots/desk.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -3,7 +3,7 @@
 //! Everything here is a read or write of the object store, so that it does not matter which
 //! instance is asked, and nothing is shown that is not committed.
 
-use super::record::{
+use super::schema::{
     Accepting, LOTS, SEGMENT_SAMPLES, Standing, Stub, accepted, name, results, segment,
     segment_name, stub,
 };
