--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -5,9 +5,9 @@
 //! the duty is released: one object a lot, which whoever opens the lot next goes on from.
 
 use super::{
-    schema::{drafts, results},
     runner::Runner,
-    state::Draft,
+    schema::{drafts, results},
+    state::PartialOutput,
 };
 use crate::objects::{Error, Purpose};
 use compact_str::CompactString;
@@ -29,7 +29,7 @@
 const TEXT_BYTES: usize = 400_000;
 
 /// Unfinished texts of a lot, by item.
-pub(super) type Drafts = BTreeMap<CompactString, Draft>;
+pub(super) type PartialOutputs = BTreeMap<CompactString, PartialOutput>;
 
 /// Writes the unfinished texts of all lots. What cannot be written in time is begun again.
 pub(super) async fn hand_over(runner: &Runner) {
@@ -42,7 +42,7 @@
 
 /// Writes the long unfinished texts of a lot now and then, until dropped.
 pub(super) async fn keep(runner: Rc<Runner>, lot: CompactString) {
-    let mut kept = Drafts::new();
+    let mut kept = PartialOutputs::new();
     loop {
         sleep(PERIOD).await;
         let Some(left) = runner.long_texts(&lot) else {
@@ -59,7 +59,9 @@
 }
 
 /// The texts that fit into one object: the longest, which decide when the step is whole.
-pub(super) fn fitting<'a>(texts: impl Iterator<Item = (&'a CompactString, &'a Draft)>) -> Drafts {
+pub(super) fn fitting<'a>(
+    texts: impl Iterator<Item = (&'a CompactString, &'a PartialOutput)>,
+) -> PartialOutputs {
     let mut texts: Vec<_> = texts.collect();
     texts.sort_by_key(|(_, draft)| Reverse(draft.last));
     let mut bytes = 0;
@@ -74,15 +76,15 @@
 
 /// What a runner has of a lot and that is not listed.
 #[derive(Debug)]
-pub(super) struct Left {
+pub(super) struct Checkpoint {
     /// The texts.
-    pub(super) texts: Drafts,
+    pub(super) texts: PartialOutputs,
     /// Revision of this runner's object with earlier ones; none before the first.
     pub(super) revision: Option<u64>,
 }
 
 /// Writes texts over those that were written before; gives the revision.
-async fn write(runner: &Runner, lot: &str, left: &Left) -> Option<u64> {
+async fn write(runner: &Runner, lot: &str, left: &Checkpoint) -> Option<u64> {
     let mut written = try_write(runner, lot, left).await;
     if matches!(written, Err(Error::Conflict)) {
         // An earlier write, whose answer was lost or is still under way.
@@ -105,7 +107,7 @@
     runner.parts.duties.id().replace('/', ".")
 }
 
-async fn try_write(runner: &Runner, lot: &str, left: &Left) -> Result<u64, Error> {
+async fn try_write(runner: &Runner, lot: &str, left: &Checkpoint) -> Result<u64, Error> {
     let malformed = |error: serde_json::Error| Error::Malformed(error.to_string());
     let (kind, name) = (drafts(lot), name(runner));
     let store = &runner.parts.store;
@@ -123,11 +125,11 @@
     Ok(object.revision)
 }
 
-async fn write_over(runner: &Runner, lot: &str, left: &Left) -> Result<u64, Error> {
+async fn write_over(runner: &Runner, lot: &str, left: &Checkpoint) -> Result<u64, Error> {
     let (kind, name) = (drafts(lot), name(runner));
     let store = &runner.parts.store;
     let read = store.read(Purpose::Lots, &kind, &name, Freshness::Current);
-    let left = Left {
+    let left = Checkpoint {
         revision: read.await?.map(|object| object.revision),
         texts: left.texts.clone(),
     };
@@ -135,12 +137,12 @@
 }
 
 /// Reads the texts that earlier runners of a lot have handed over; of two for one item the longer.
-pub(super) async fn inherit(runner: &Runner, lot: &str) -> Result<Drafts, Error> {
+pub(super) async fn inherit(runner: &Runner, lot: &str) -> Result<PartialOutputs, Error> {
     let store = &runner.parts.store;
     let (objects, _) = store.list(Purpose::Lots, &drafts(lot), None).await?;
-    let mut all = Drafts::new();
+    let mut all = PartialOutputs::new();
     for object in objects {
-        match serde_json::from_value::<Drafts>(object.spec) {
+        match serde_json::from_value::<PartialOutputs>(object.spec) {
             Ok(texts) => {
                 for (item, draft) in texts {
                     let known = all.entry(item).or_default();
--- a/crates/pinereel/src/hosted/lots/cleanup.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -1,6 +1,6 @@
 //! Lots that nobody may read any more are removed from the object store.
 
-use super::{checkpoint::kinds, schema::LOTS, runner::Runner};
+use super::{checkpoint::kinds, runner::Runner, schema::LOTS};
 use crate::objects::{Error, Purpose};
 use compact_str::CompactString;
 use futures_util::future::join_all;
@@ -18,9 +18,9 @@
 /// When this instance first saw each lot. A later holder of the duty begins anew, so that a lot is
 /// never removed too early.
 #[derive(Debug, Default)]
-pub(super) struct Ages(BTreeMap<CompactString, Instant>);
+pub(super) struct FirstSeen(BTreeMap<CompactString, Instant>);
 
-impl Ages {
+impl FirstSeen {
     /// Notes a lot.
     pub(super) fn seen(&mut self, lot: &CompactString) {
         let now = Instant::now();
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -1,8 +1,8 @@
 //! Commits of results: the next segment of a lot, created only if it does not exist.
 
 use super::{
-    schema::{SEGMENT_SAMPLES, Segment, results, segment, segment_name},
     runner::Runner,
+    schema::{SEGMENT_SAMPLES, Segment, results, segment, segment_name},
 };
 use crate::objects::{Error, Purpose};
 use pinereel_port::{lot::Sample, store::Freshness};
@@ -47,7 +47,7 @@
 }
 
 /// What is to be committed next.
-pub(super) struct Pending {
+pub(super) struct PendingSegment {
     /// Position of the first sample.
     pub(super) from: usize,
     /// Items of the lot.
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -4,8 +4,8 @@
     super::demand,
     item_task,
     runner::Runner,
-    state::{FleetName, Open, Task, Work},
-    stream::{Place, identity},
+    state::{AbortOnDrop, FleetKey, ItemTask, OpenLot},
+    stream::{Placement, identity},
 };
 use pinereel_core::{
     batch::{EngineKey, Fleet, Listing},
@@ -84,17 +84,17 @@
     }
 
     /// The lot's route under the configuration in force.
-    fn route(&self, open: &Open) -> Option<Route> {
+    fn route(&self, open: &OpenLot) -> Option<Route> {
         let table = self.parts.config.table()?;
         let route = table.route_for(&open.host, &open.path)?;
         (route.kind == Kind::Lot).then(|| route.clone())
     }
 
     /// The engines that a lot's items go to.
-    fn fleet(&self, open: &Open) -> Option<FleetName> {
+    fn fleet(&self, open: &OpenLot) -> Option<FleetKey> {
         let route = self.route(open)?;
         let seed = hash::stable(open.path.as_bytes());
-        Some(FleetName {
+        Some(FleetKey {
             service: routing_table::pick_service(&route, seed)?.into(),
             model: open.model.clone(),
         })
@@ -110,7 +110,7 @@
     }
 
     /// How many endpoints have crashed under an item; none if it must not run any more.
-    fn doubts(&self, open: &Open, at: usize) -> Option<usize> {
+    fn doubts(&self, open: &OpenLot, at: usize) -> Option<usize> {
         let identity = || identity(&open.caller, &open.host, &open.submission.items[at]);
         match self.parts.crashes.standing(identity) {
             Standing::Free => Some(0),
@@ -121,7 +121,11 @@
 
     /// The next item of a lot, its engine, and how many endpoints have crashed under it. One that may not run now is
     /// held back, and the next one is looked at.
-    fn next_item(&self, open: &mut Open, fleet: &mut Fleet) -> Option<(usize, EngineKey, usize)> {
+    fn next_item(
+        &self,
+        open: &mut OpenLot,
+        fleet: &mut Fleet,
+    ) -> Option<(usize, EngineKey, usize)> {
         let now = self.parts.clock.now();
         let oldest_version = open.submission.oldest_version;
         if !fleet.has_free_slot(now, oldest_version) {
@@ -174,7 +178,7 @@
             let Some(engine) = fleet.get(key) else {
                 continue;
             };
-            let place = Place {
+            let place = Placement {
                 key,
                 start: Start {
                     endpoint: engine.listing.id.clone(),
@@ -184,7 +188,7 @@
                 doubts,
             };
             fleet.run_started(self.parts.clock.now(), key, doubts);
-            let work = Work {
+            let work = ItemTask {
                 caller: open.caller.clone(),
                 item: open.submission.items[at].id.clone(),
                 host: open.host.clone(),
@@ -195,7 +199,7 @@
             };
             let task = item_task::run(Rc::clone(self), work, route, place);
             // One that ended before is replaced.
-            open.tasks.insert(at, Task(actix_rt::spawn(task)));
+            open.tasks.insert(at, AbortOnDrop(actix_rt::spawn(task)));
             return true;
         }
         false
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -3,8 +3,8 @@
 use super::{
     runner::{Parts, Runner},
     score,
-    state::{FleetName, Work},
-    stream::{Break, End, Place, identity, stream},
+    state::{FleetKey, ItemTask},
+    stream::{Placement, StreamEnd, StreamError, identity, stream},
 };
 use pinereel_core::{
     batch::{Failure, RetryDecision, RunOutcome},
@@ -18,14 +18,14 @@
 use tokio::time::Instant;
 
 /// Counts a run at its engine; one that is dropped counts as cancelled.
-struct Running {
+struct ActiveRun {
     runner: Rc<Runner>,
-    fleet: FleetName,
-    place: Place,
+    fleet: FleetKey,
+    place: Placement,
     halt: RunOutcome,
 }
 
-impl Drop for Running {
+impl Drop for ActiveRun {
     fn drop(&mut self) {
         let key = self.place.key;
         self.runner.run_ended(&self.fleet, key, self.halt);
@@ -36,16 +36,22 @@
 }
 
 /// Runs an item at `place`, and scores it if its text is whole.
-pub(super) async fn run(runner: Rc<Runner>, work: Work, route: Route, place: Place) {
+pub(super) async fn run(runner: Rc<Runner>, work: ItemTask, route: Route, place: Placement) {
     if let Some(item) = runner.item(&work) {
         run_item(&runner, &work, &item, &route, &place).await;
     }
     runner.task_ended(&work);
 }
 
-async fn run_item(runner: &Rc<Runner>, work: &Work, item: &Item, route: &Route, place: &Place) {
+async fn run_item(
+    runner: &Rc<Runner>,
+    work: &ItemTask,
+    item: &Item,
+    route: &Route,
+    place: &Placement,
+) {
     let began = Instant::now();
-    let mut running = Running {
+    let mut running = ActiveRun {
         runner: Rc::clone(runner),
         fleet: work.fleet.clone(),
         place: place.clone(),
@@ -53,13 +59,13 @@
     };
     let end = tokio::select! {
         end = stream(runner, work, item, route, place) => end,
-        () = runner.lost(&work.fleet, place.key) => End::Broken(Break::Restarted),
+        () = runner.lost(&work.fleet, place.key) => StreamEnd::Broken(StreamError::Restarted),
     };
     running.halt = match end {
-        End::Complete | End::Failed | End::Impossible => RunOutcome::Finished,
-        End::Left => RunOutcome::Cancelled,
-        End::Refused | End::Outdated => RunOutcome::Rejected,
-        End::Broken(_) => RunOutcome::Failed,
+        StreamEnd::Complete | StreamEnd::Failed | StreamEnd::Impossible => RunOutcome::Finished,
+        StreamEnd::Left => RunOutcome::Cancelled,
+        StreamEnd::Refused | StreamEnd::Outdated => RunOutcome::Rejected,
+        StreamEnd::Broken(_) => RunOutcome::Failed,
     };
     drop(running);
     let metrics = &runner.parts.metrics;
@@ -67,13 +73,15 @@
     report(work, place, end, began, runner.progress(work).0);
     note_crash(runner, work, item, place, end, began);
     let failure = match end {
-        End::Complete => {
+        StreamEnd::Complete => {
             finish(runner, work, item).await;
             return;
         }
-        End::Failed => Failure::Failed,
-        End::Impossible => Failure::Impossible,
-        End::Refused | End::Broken(_) | End::Left | End::Outdated => Failure::Interrupted,
+        StreamEnd::Failed => Failure::Failed,
+        StreamEnd::Impossible => Failure::Impossible,
+        StreamEnd::Refused | StreamEnd::Broken(_) | StreamEnd::Left | StreamEnd::Outdated => {
+            Failure::Interrupted
+        }
     };
     if runner.run_failed(work, failure, route.max_attempts) == RetryDecision::GiveUp {
         give_up(runner, work, item, "its engine refuses it or fails on it");
@@ -81,24 +89,31 @@
 }
 
 /// Notes what a run says about the item: whether its engine crashed under it.
-fn note_crash(runner: &Runner, work: &Work, item: &Item, place: &Place, end: End, began: Instant) {
+fn note_crash(
+    runner: &Runner,
+    work: &ItemTask,
+    item: &Item,
+    place: &Placement,
+    end: StreamEnd,
+    began: Instant,
+) {
     let Parts {
         crashes, endpoints, ..
     } = &runner.parts;
     let identity = || identity(&work.caller, &work.host, item);
     match end {
         // One that was leaving, or is listed no more, ends by itself.
-        End::Broken(Break::Crashed) if endpoints.is_current(&place.start) => {
+        StreamEnd::Broken(StreamError::Crashed) if endpoints.is_current(&place.start) => {
             crashes.crashed(identity(), place.start.clone(), place.doubts >= LAST_CHANCE);
         }
-        End::Complete | End::Failed | End::Impossible => {
+        StreamEnd::Complete | StreamEnd::Failed | StreamEnd::Impossible => {
             crashes.answered(identity, place.start.clone(), began.elapsed());
         }
         _ => {}
     }
 }
 
-fn report(work: &Work, place: &Place, end: End, began: Instant, last: Option<u64>) {
+fn report(work: &ItemTask, place: &Placement, end: StreamEnd, began: Instant, last: Option<u64>) {
     log::info!(
         id = work.item.as_str(),
         lot = work.lot.as_str(),
@@ -111,7 +126,7 @@
 }
 
 /// The text is whole: it is scored and becomes a result.
-async fn finish(runner: &Rc<Runner>, work: &Work, item: &Item) {
+async fn finish(runner: &Rc<Runner>, work: &ItemTask, item: &Item) {
     let score = match &item.scorer {
         Some(scorer) => match score::score(runner, work, scorer).await {
             Some(score) => Some(score),
@@ -135,7 +150,7 @@
     runner.finished(work, sample);
 }
 
-fn give_up(runner: &Rc<Runner>, work: &Work, item: &Item, why: &str) {
+fn give_up(runner: &Rc<Runner>, work: &ItemTask, item: &Item, why: &str) {
     log::warn!(id = item.id.as_str(), lot = work.lot.as_str(), why; "item given up");
     let sample = Sample {
         item: item.id.clone(),
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -1,11 +1,11 @@
 //! Lots on their way in and out of a runner.
 
 use super::{
+    checkpoint::{self, PartialOutputs},
     commit,
-    checkpoint::{self, Drafts},
-    schema::{self, Stub, accepted, is_ended, results, segment},
     runner::{self, Runner},
-    state::{Draft, Ended, Open, State, Task},
+    schema::{self, Tombstone, accepted, is_ended, results, segment},
+    state::{AbortOnDrop, EndedLot, OpenLot, PartialOutput, State},
 };
 use crate::objects::{Error, Purpose};
 use compact_str::CompactString;
@@ -66,7 +66,10 @@
         let runner = Rc::clone(self);
         let opening = id.clone();
         let task = actix_rt::spawn(async move { runner.open(opening, lot, inherited).await });
-        self.state.borrow_mut().opening.insert(id, Task(task));
+        self.state
+            .borrow_mut()
+            .opening
+            .insert(id, AbortOnDrop(task));
     }
 
     /// An ended lot is cut down to a stub at the next sweep.
@@ -74,9 +77,9 @@
         if schema::stub(&object).is_some() {
             return;
         }
-        match Stub::of(&self.parts.adapter, &object) {
+        match Tombstone::of(&self.parts.adapter, &object) {
             Ok(stub) => {
-                let ended = Ended {
+                let ended = EndedLot {
                     revision: object.revision,
                     since: Instant::now(),
                     stub,
@@ -88,7 +91,12 @@
     }
 
     /// Reads what is committed of a lot, and begins to work on it.
-    async fn open(self: Rc<Self>, id: CompactString, accepted: schema::Accepted, inherited: bool) {
+    async fn open(
+        self: Rc<Self>,
+        id: CompactString,
+        accepted: schema::AcceptedLot,
+        inherited: bool,
+    ) {
         let (objects, mut texts) = loop {
             match self.read_lot(&id, inherited).await {
                 Ok(read) => break read,
@@ -118,7 +126,11 @@
             let kept = state.drafts.remove(&schema::name(&caller, &item.id));
             let draft = texts.remove(&item.id).or(kept).unwrap_or_default();
             let fits = draft.versions.iter().all(|version| *version >= oldest);
-            drafts.push(if fits { draft } else { Draft::default() });
+            drafts.push(if fits {
+                draft
+            } else {
+                PartialOutput::default()
+            });
         }
         let reused = drafts.iter().filter(|draft| draft.last.is_some()).count();
         log::info!(
@@ -134,7 +146,7 @@
         let more = Rc::new(Notify::new());
         let committer = commit::commit(Rc::clone(&self), id.clone(), Rc::clone(&more));
         let keeper = checkpoint::keep(Rc::clone(&self), id.clone());
-        let open = Open {
+        let open = OpenLot {
             caller,
             host: accepted.host,
             path: accepted.path,
@@ -147,8 +159,8 @@
             more,
             opened: Instant::now(),
             texts_revision: None,
-            _committer: Task(actix_rt::spawn(committer)),
-            _keeper: Task(actix_rt::spawn(keeper)),
+            _committer: AbortOnDrop(actix_rt::spawn(committer)),
+            _keeper: AbortOnDrop(actix_rt::spawn(keeper)),
         };
         let ended = state.closed.contains(&id);
         if !ended {
@@ -164,7 +176,7 @@
     }
 
     /// Tells how much work the model's trainers ask for, so that it gets its share of the engines.
-    fn note_demand(&self, state: &mut State, open: &Open) {
+    fn note_demand(&self, state: &mut State, open: &OpenLot) {
         let items = &open.submission.items;
         let hints = items.iter().map(|item| item.length_hint);
         let tokens = hints.map(|hint| u64::from(hint.unwrap_or(DEFAULT_LENGTH_TOKENS)));
@@ -204,13 +216,13 @@
         &self,
         id: &CompactString,
         inherited: bool,
-    ) -> Result<(Vec<Object>, Drafts), Error> {
+    ) -> Result<(Vec<Object>, PartialOutputs), Error> {
         let store = &self.parts.store;
         let (objects, _) = store.list(Purpose::Lots, &results(id), None).await?;
         let texts = if inherited {
             checkpoint::inherit(self, id).await?
         } else {
-            Drafts::new()
+            PartialOutputs::new()
         };
         Ok((objects, texts))
     }
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -1,21 +1,21 @@
 //! Lots of samples whose results are kept in the object store.
 //!
-//! [`Desk`] answers trainers at every instance; [`Runner`] makes the samples at the one instance
+//! [`TrainerApi`] answers trainers at every instance; [`Runner`] makes the samples at the one instance
 //! that holds the duty for their model.
 
-mod commit;
-mod trainer_api;
 mod checkpoint;
-mod lifecycle;
+mod cleanup;
+mod commit;
 mod dispatch;
-mod task_state;
-mod schema;
 mod item_task;
+mod lifecycle;
 mod runner;
+mod schema;
 mod score;
 mod state;
 mod stream;
-mod cleanup;
+mod task_state;
+mod trainer_api;
 
-pub use trainer_api::{Desk, Reply};
 pub use runner::{Parts, Runner, duty};
+pub use trainer_api::{Reply, TrainerApi};
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -1,11 +1,11 @@
 //! The runner: makes the samples of all open lots of a model, while it holds the model's duty.
 
 use super::{
-    checkpoint::{self, Left},
+    checkpoint::{self, Checkpoint},
+    cleanup::{self, FirstSeen},
     schema::LOTS,
     score,
     state::State,
-    cleanup::{self, Ages},
 };
 use crate::{
     hosted::{
@@ -70,7 +70,7 @@
     pub(super) state: RefCell<State>,
     /// Something may be started.
     pub(super) wake: Notify,
-    pub(super) scorings: Rc<score::Gate>,
+    pub(super) scorings: Rc<score::Limiter>,
     /// Grows when an engine with runs has started again.
     pub(super) restarts: watch::Sender<u64>,
     /// Whether no further run is started.
@@ -104,7 +104,7 @@
     }
 
     /// Ends all runs; returns the texts that are not listed, by lot.
-    pub(super) fn leave(&self) -> BTreeMap<CompactString, Left> {
+    pub(super) fn leave(&self) -> BTreeMap<CompactString, Checkpoint> {
         let mut left = BTreeMap::new();
         let mut ended = Vec::new();
         for (id, open) in &mut self.state.borrow_mut().lots {
@@ -121,7 +121,7 @@
     }
 
     /// The long texts of a lot that are not listed; none if they need not be kept any more.
-    pub(super) fn long_texts(&self, lot: &str) -> Option<Left> {
+    pub(super) fn long_texts(&self, lot: &str) -> Option<Checkpoint> {
         let state = self.state.borrow();
         let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
         Some(open.unlisted(checkpoint::LONG_TEXT))
@@ -211,7 +211,7 @@
     }
 
     /// The ages of the lots that this instance has seen.
-    pub(super) fn ages<T>(&self, look: impl FnOnce(&mut Ages) -> T) -> T {
+    pub(super) fn ages<T>(&self, look: impl FnOnce(&mut FirstSeen) -> T) -> T {
         look(&mut self.state.borrow_mut().ages)
     }
 
--- a/crates/pinereel/src/hosted/lots/schema.rs
+++ b/crates/pinereel/src/hosted/lots/schema.rs
@@ -2,7 +2,7 @@
 //!
 //! | kind | name | spec | status |
 //! |---|---|---|---|
-//! | `pinereel-lots` | lot's name | [`Accepted`]; once it is ended, a [`Stub`] | [`Standing`] |
+//! | `pinereel-lots` | lot's name | [`AcceptedLot`]; once it is ended, a [`Tombstone`] | [`LotStatus`] |
 //! | `pinereel-results-LOT` | position of the first sample, six digits | [`Segment`], never changed | |
 //!
 //! | `pinereel-drafts-LOT` | its runner, in this start | unfinished texts by item | |
@@ -45,7 +45,7 @@
 
 /// An accepted lot, as it is written.
 #[derive(Serialize)]
-pub(super) struct Accepting<'a> {
+pub(super) struct LotSpec<'a> {
     /// Workspace that it belongs to; none if the configuration knew none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) workspace: Option<&'a str>,
@@ -61,7 +61,7 @@
 
 /// An accepted lot, as it is read.
 #[derive(Debug)]
-pub(super) struct Accepted {
+pub(super) struct AcceptedLot {
     /// On whose behalf its items run.
     pub(super) caller: Caller,
     /// Host that it was sent to.
@@ -77,7 +77,7 @@
 /// Who begins to run a model's lots lists all that are kept, for three minutes each. Whole ones, of
 /// 0.1 MB to 0.3 MB, took 0.6 s to 0.9 s before the first of the open ones was run.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Stub {
+pub(super) struct Tombstone {
     /// Its model.
     pub(super) model: CompactString,
     /// How many items it had.
@@ -86,7 +86,7 @@
 
 /// How a lot stands.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct Standing {
+pub(super) struct LotStatus {
     /// Whether its trainer has ended it.
     pub(super) ended: bool,
 }
@@ -116,7 +116,7 @@
 }
 
 /// Reads an accepted lot.
-pub(super) fn accepted(adapter: &Adapter, object: &Object) -> Result<Accepted, Fault> {
+pub(super) fn accepted(adapter: &Adapter, object: &Object) -> Result<AcceptedLot, Fault> {
     let text = |field: &str| {
         let value = object.spec.get(field).and_then(Value::as_str);
         let value = value.ok_or_else(|| Fault::new("accepted lot", format!("no {field}")));
@@ -125,7 +125,7 @@
     let lot = object.spec.get("lot").unwrap_or(&Value::Null);
     let workspace = object.spec.get("workspace").and_then(Value::as_str);
     let caller = workspace.map_or(Caller::Open, |name| Caller::Workspace(name.into()));
-    Ok(Accepted {
+    Ok(AcceptedLot {
         caller,
         host: text("host")?,
         path: text("path")?,
@@ -133,7 +133,7 @@
     })
 }
 
-impl Stub {
+impl Tombstone {
     /// What is or would be kept of a lot.
     pub(super) fn of(adapter: &Adapter, object: &Object) -> Result<Self, Fault> {
         if let Some(stub) = stub(object) {
@@ -148,8 +148,8 @@
 }
 
 /// Reads what is kept of an ended lot; none if it is there as it was sent.
-pub(super) fn stub(object: &Object) -> Option<Stub> {
-    Stub::deserialize(&object.spec).ok()
+pub(super) fn stub(object: &Object) -> Option<Tombstone> {
+    Tombstone::deserialize(&object.spec).ok()
 }
 
 /// The model of a lot, if its object tells.
@@ -160,7 +160,7 @@
 /// Whether a lot is ended.
 pub(super) fn is_ended(object: &Object) -> bool {
     // No status yet is a lot that goes on.
-    Standing::deserialize(&object.status).is_ok_and(|standing| standing.ended)
+    LotStatus::deserialize(&object.status).is_ok_and(|standing| standing.ended)
 }
 
 /// Reads a segment, with the position of its first sample.
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -1,6 +1,6 @@
 //! The scoring of a finished text.
 
-use super::{runner::Runner, state::Work};
+use super::{runner::Runner, state::ItemTask};
 use crate::hosted::relay::{Call, Outcome};
 use actix_http::{
     Method,
@@ -27,35 +27,35 @@
 
 /// How many scorings are under way.
 #[derive(Default)]
-pub(super) struct Gate {
+pub(super) struct Limiter {
     used: Cell<u32>,
     freed: Notify,
 }
 
 /// A scoring under way.
-struct Pass(Rc<Gate>);
+struct Permit(Rc<Limiter>);
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get() - 1);
         self.0.freed.notify_one();
     }
 }
 
-impl Gate {
-    async fn enter(self: &Rc<Self>, most: u32) -> Pass {
+impl Limiter {
+    async fn enter(self: &Rc<Self>, most: u32) -> Permit {
         while self.used.get() >= most.max(1) {
             self.freed.notified().await;
         }
         self.used.set(self.used.get() + 1);
-        Pass(Rc::clone(self))
+        Permit(Rc::clone(self))
     }
 }
 
 /// Scores a text; none if its item is to be given up.
 pub(super) async fn score(
     runner: &Rc<Runner>,
-    work: &Work,
+    work: &ItemTask,
     scorer: &Scorer,
 ) -> Option<CompactString> {
     loop {
@@ -99,7 +99,7 @@
     u32::try_from(slots.sum::<u64>()).unwrap_or(u32::MAX)
 }
 
-fn call(runner: &Runner, work: &Work, scorer: &Scorer) -> Option<Call> {
+fn call(runner: &Runner, work: &ItemTask, scorer: &Scorer) -> Option<Call> {
     let table = runner.parts.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
     let route = table.route_for(&scorer.host, path)?.clone();
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -1,9 +1,9 @@
 //! What a runner knows of its lots.
 
 use super::{
-    checkpoint::{Left, fitting},
-    schema::Stub,
-    cleanup::Ages,
+    checkpoint::{Checkpoint, fitting},
+    cleanup::FirstSeen,
+    schema::Tombstone,
 };
 use compact_str::CompactString;
 use pinereel_core::batch::{DemandWindow, Fleet, Lot};
@@ -21,35 +21,35 @@
 #[derive(Default)]
 pub(super) struct State {
     /// Lots that are neither ended nor complete, and those whose results are being read.
-    pub(super) lots: BTreeMap<CompactString, Open>,
-    pub(super) opening: BTreeMap<CompactString, Task>,
+    pub(super) lots: BTreeMap<CompactString, OpenLot>,
+    pub(super) opening: BTreeMap<CompactString, AbortOnDrop>,
     /// Lots that need no work any more.
     pub(super) closed: BTreeSet<CompactString>,
-    /// Ended lots that lie in the store as they were sent.
-    pub(super) ended: BTreeMap<CompactString, Ended>,
+    /// EndedLot lots that lie in the store as they were sent.
+    pub(super) ended: BTreeMap<CompactString, EndedLot>,
     /// What was asked for lately, by model.
     pub(super) asked: BTreeMap<CompactString, DemandWindow>,
     /// When each lot was first seen.
-    pub(super) ages: Ages,
+    pub(super) ages: FirstSeen,
     /// Engines by service and model.
-    pub(super) fleets: BTreeMap<FleetName, Fleet>,
+    pub(super) fleets: BTreeMap<FleetKey, Fleet>,
     /// The change of the endpoint list, and the size of the working set, that each fleet was last brought up to date with.
-    pub(super) synced: BTreeMap<FleetName, (u64, usize)>,
+    pub(super) synced: BTreeMap<FleetKey, (u64, usize)>,
     /// Unfinished texts of ended lots, by the name of the item.
-    pub(super) drafts: BTreeMap<CompactString, Draft>,
+    pub(super) drafts: BTreeMap<CompactString, PartialOutput>,
     /// Names of the items of lots that were ended, which may come again.
     pub(super) known: BTreeSet<CompactString>,
 }
 
 /// The engines of a service, as far as they serve one model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct FleetName {
+pub(super) struct FleetKey {
     pub(super) service: CompactString,
     pub(super) model: CompactString,
 }
 
 /// A lot that is being worked on.
-pub(super) struct Open {
+pub(super) struct OpenLot {
     /// On whose behalf its items run.
     pub(super) caller: Caller,
     pub(super) host: CompactString,
@@ -57,26 +57,26 @@
     pub(super) model: CompactString,
     pub(super) submission: Rc<Submission>,
     pub(super) lot: Lot,
-    pub(super) drafts: Vec<Draft>,
+    pub(super) drafts: Vec<PartialOutput>,
     pub(super) moved: BTreeMap<usize, Instant>,
-    pub(super) tasks: BTreeMap<usize, Task>,
+    pub(super) tasks: BTreeMap<usize, AbortOnDrop>,
     pub(super) more: Rc<Notify>,
     pub(super) opened: Instant,
     /// Revision of the object with its unfinished texts.
     pub(super) texts_revision: Option<u64>,
-    pub(super) _committer: Task,
-    pub(super) _keeper: Task,
+    pub(super) _committer: AbortOnDrop,
+    pub(super) _keeper: AbortOnDrop,
 }
 
-impl Open {
+impl OpenLot {
     /// The texts that are not listed, of those that have come to event `least`.
-    pub(super) fn unlisted(&self, least: u64) -> Left {
+    pub(super) fn unlisted(&self, least: u64) -> Checkpoint {
         let items = self.submission.items.iter().zip(&self.drafts);
         let unlisted = items.filter(|(item, draft)| {
             draft.last.is_some_and(|last| last >= least)
                 && !self.lot.commit_log().contains(&item.id)
         });
-        Left {
+        Checkpoint {
             texts: fitting(unlisted.map(|(item, draft)| (&item.id, draft))),
             revision: self.texts_revision,
         }
@@ -85,19 +85,19 @@
 
 /// A lot that its trainer has ended.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct EndedLot {
     /// Revision of its object.
     pub(super) revision: u64,
     /// Since when this runner knows.
     pub(super) since: Instant,
     /// What is to be kept of it.
-    pub(super) stub: Stub,
+    pub(super) stub: Tombstone,
 }
 
 /// A task that ends with its handle.
-pub(super) struct Task(pub(super) JoinHandle<()>);
+pub(super) struct AbortOnDrop(pub(super) JoinHandle<()>);
 
-impl Drop for Task {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -105,7 +105,7 @@
 
 /// The text of an item so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Draft {
+pub(super) struct PartialOutput {
     /// Number of its last event.
     pub(super) last: Option<u64>,
     /// Data of its events, one a line.
@@ -114,7 +114,7 @@
     pub(super) versions: BTreeSet<u64>,
 }
 
-impl Draft {
+impl PartialOutput {
     pub(super) fn add(&mut self, event: &Event, version: u64) {
         if self.last.is_some() {
             self.text.push('\n');
@@ -127,12 +127,12 @@
 
 /// One item of one lot.
 #[derive(Clone, Debug)]
-pub(super) struct Work {
+pub(super) struct ItemTask {
     pub(super) caller: Caller,
     pub(super) lot: CompactString,
     pub(super) at: usize,
     pub(super) item: CompactString,
     pub(super) host: CompactString,
-    pub(super) fleet: FleetName,
+    pub(super) fleet: FleetKey,
     pub(super) oldest_version: u64,
 }
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -1,6 +1,6 @@
 //! One run of an item at an engine, event by event.
 
-use super::{runner::Runner, state::Work};
+use super::{runner::Runner, state::ItemTask};
 use crate::upstream::pool::{Body, Error, Exchange};
 use actix_http::{
     Method, RequestHead, StatusCode,
@@ -26,7 +26,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum StreamEnd {
     /// The text is whole.
     Complete,
     /// The engine failed on it.
@@ -36,14 +36,14 @@
     /// The engine did not take it now.
     Refused,
     /// Broken off, silent, out of reach, or not in the protocol; with what was seen.
-    Broken(Break),
+    Broken(StreamError),
     /// Another engine is much faster.
     Left,
     /// The engine's weights are older than the lot admits.
     Outdated,
 }
 
-impl End {
+impl StreamEnd {
     /// The name in metrics.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
@@ -60,7 +60,7 @@
 
 /// What broke a run off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Break {
+pub(super) enum StreamError {
     /// No connection, or no head of an answer in time.
     NoAnswer,
     /// The connection broke before the head of an answer.
@@ -89,7 +89,7 @@
 
 /// The engine that a run goes to.
 #[derive(Clone, Debug)]
-pub(super) struct Place {
+pub(super) struct Placement {
     pub(super) key: EngineKey,
     pub(super) start: Start,
     pub(super) address: SocketAddr,
@@ -114,31 +114,31 @@
 /// Runs the item at `place` from where its draft ends.
 pub(super) async fn stream(
     runner: &Rc<Runner>,
-    work: &Work,
+    work: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Place,
-) -> End {
+    place: &Placement,
+) -> StreamEnd {
     let end = attempt(runner, work, item, route, place).await;
-    let End::Broken(Break::Lost | Break::Stale | Break::Cut) = end else {
+    let StreamEnd::Broken(StreamError::Lost | StreamError::Stale | StreamError::Cut) = end else {
         return end;
     };
     if runner.parts.pool.is_gone(place.address).await {
-        return End::Broken(Break::Crashed);
+        return StreamEnd::Broken(StreamError::Crashed);
     }
     match end {
-        End::Broken(Break::Stale) => End::Refused,
+        StreamEnd::Broken(StreamError::Stale) => StreamEnd::Refused,
         end => end,
     }
 }
 
 async fn attempt(
     runner: &Rc<Runner>,
-    work: &Work,
+    work: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Place,
-) -> End {
+    place: &Placement,
+) -> StreamEnd {
     let (last, made_by) = runner.progress(work);
     let exchange = Exchange {
         address: place.address,
@@ -149,25 +149,25 @@
     };
     let response = match timeout(SILENCE, runner.parts.pool.send(exchange)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(Error::Stale(_))) => return End::Broken(Break::Stale),
-        Ok(Err(Error::Lost(_))) => return End::Broken(Break::Lost),
-        Ok(Err(Error::NotOpened(_))) | Err(_) => return End::Broken(Break::NoAnswer),
+        Ok(Err(Error::Stale(_))) => return StreamEnd::Broken(StreamError::Stale),
+        Ok(Err(Error::Lost(_))) => return StreamEnd::Broken(StreamError::Lost),
+        Ok(Err(Error::NotOpened(_))) | Err(_) => return StreamEnd::Broken(StreamError::NoAnswer),
     };
     let said = (runner.parts.adapter.live.answer)(response.status, &response.headers);
     if said.not_run {
         let _ = timeout(SILENCE, response.body.whole()).await;
-        return End::Refused;
+        return StreamEnd::Refused;
     }
     if said.id.as_ref().is_some_and(|id| *id != item.id) || said.encoded {
-        return End::Broken(Break::Foreign);
+        return StreamEnd::Broken(StreamError::Foreign);
     }
     match response.status {
         StatusCode::OK => {}
-        StatusCode::UNPROCESSABLE_ENTITY => return End::Impossible,
-        StatusCode::INTERNAL_SERVER_ERROR => return End::Failed,
-        status => return End::Broken(Break::Status(status.as_u16())),
+        StatusCode::UNPROCESSABLE_ENTITY => return StreamEnd::Impossible,
+        StatusCode::INTERNAL_SERVER_ERROR => return StreamEnd::Failed,
+        status => return StreamEnd::Broken(StreamError::Status(status.as_u16())),
     }
-    let reader = Reader {
+    let reader = EventReader {
         runner,
         work,
         route,
@@ -182,9 +182,9 @@
 
 fn head(
     runner: &Runner,
-    work: &Work,
+    work: &ItemTask,
     item: &Item,
-    place: &Place,
+    place: &Placement,
     after_event: Option<u64>,
 ) -> RequestHead {
     let mut head = RequestHead::default();
@@ -220,11 +220,11 @@
 }
 
 /// Reads the events of one run.
-struct Reader<'a> {
+struct EventReader<'a> {
     runner: &'a Rc<Runner>,
-    work: &'a Work,
+    work: &'a ItemTask,
     route: &'a Route,
-    place: &'a Place,
+    place: &'a Placement,
     oldest: u64,
     /// Version of the weights that make the next event; none if the engine has nothing to add to
     /// a text that is whole already.
@@ -235,12 +235,12 @@
     made_by: Option<u64>,
 }
 
-impl Reader<'_> {
-    async fn read(mut self, mut body: Body) -> End {
+impl EventReader<'_> {
+    async fn read(mut self, mut body: Body) -> StreamEnd {
         let mut buffer = BytesMut::new();
         let mut last_event: Option<Instant> = None;
         if self.version.is_some_and(|version| version < self.oldest) {
-            return End::Outdated;
+            return StreamEnd::Outdated;
         }
         loop {
             let patience = match last_event {
@@ -250,11 +250,11 @@
             let part = match timeout(patience, body.part()).await {
                 Ok(Ok(Some(part))) => part,
                 Ok(Ok(None)) if buffer.is_empty() && self.last.is_some() => {
-                    return End::Complete;
+                    return StreamEnd::Complete;
                 }
-                Err(_) => return End::Broken(Break::Silent),
+                Err(_) => return StreamEnd::Broken(StreamError::Silent),
                 // What is torn off is not kept.
-                _ => return End::Broken(Break::Cut),
+                _ => return StreamEnd::Broken(StreamError::Cut),
             };
             buffer.extend_from_slice(&part);
             while let Some((event, rest)) = next_event(&buffer) {
@@ -264,48 +264,48 @@
                 let gap = last_event.map(|at| now - at);
                 last_event = Some(now);
                 let Ok(event) = event else {
-                    return End::Broken(Break::Event);
+                    return StreamEnd::Broken(StreamError::Event);
                 };
                 if let Some(end) = self.take(&event, gap) {
                     return end;
                 }
             }
             if buffer.len() > MAX_EVENT {
-                return End::Broken(Break::Event);
+                return StreamEnd::Broken(StreamError::Event);
             }
         }
     }
 
     /// Takes one event in; says if the run ends with it.
-    fn take(&mut self, text: &str, gap: Option<Duration>) -> Option<End> {
+    fn take(&mut self, text: &str, gap: Option<Duration>) -> Option<StreamEnd> {
         let event = match (self.runner.parts.adapter.lot.event)(text) {
             Ok(event) => event,
             Err(fault) => {
                 let (id, endpoint) = (self.work.item.as_str(), self.place.start.endpoint.as_str());
                 log::warn!(id, endpoint; "event refused: {fault}");
-                return Some(End::Broken(Break::Event));
+                return Some(StreamEnd::Broken(StreamError::Event));
             }
         };
         if self.last.is_some_and(|last| event.number != last + 1) {
-            return Some(End::Broken(Break::Event));
+            return Some(StreamEnd::Broken(StreamError::Event));
         }
         self.version = event.version.or(self.version);
         let Some(version) = self.version else {
-            return Some(End::Broken(Break::NoVersion));
+            return Some(StreamEnd::Broken(StreamError::NoVersion));
         };
         if version < self.oldest {
-            return Some(End::Outdated);
+            return Some(StreamEnd::Outdated);
         }
         if self.route.single_version && self.made_by.is_some_and(|made_by| made_by != version) {
             // Nothing of it can be used.
             self.runner.drop_text(self.work);
-            return Some(End::Broken(Break::Mixed));
+            return Some(StreamEnd::Broken(StreamError::Mixed));
         }
         self.last = Some(event.number);
         self.made_by = Some(version);
         self.runner.add_event(self.work, &event, version);
         let moved = self.runner.progressed(self.work, self.place.key, gap);
-        moved.then_some(End::Left)
+        moved.then_some(StreamEnd::Left)
     }
 }
 
--- a/crates/pinereel/src/hosted/lots/task_state.rs
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -1,9 +1,9 @@
 //! What the tasks of a runner's items tell it.
 
 use super::{
-    commit::{Pending, first_segment},
+    commit::{PendingSegment, first_segment},
     runner::Runner,
-    state::{Draft, FleetName, Work},
+    state::{FleetKey, ItemTask, PartialOutput},
 };
 use pinereel_core::batch::{EngineKey, Failure, RetryDecision, RunOutcome};
 use pinereel_port::lot::{Event, Item, Sample};
@@ -14,14 +14,14 @@
 const MOVE_PAUSE: Duration = Duration::from_millis(400);
 
 impl Runner {
-    pub(super) fn item(&self, work: &Work) -> Option<Item> {
+    pub(super) fn item(&self, work: &ItemTask) -> Option<Item> {
         let state = self.state.borrow();
         let open = state.lots.get(&work.lot)?;
         open.submission.items.get(work.at).cloned()
     }
 
     /// The text of an item so far.
-    pub(super) fn draft(&self, work: &Work) -> Draft {
+    pub(super) fn draft(&self, work: &ItemTask) -> PartialOutput {
         let state = self.state.borrow();
         let open = state.lots.get(&work.lot);
         open.map(|open| open.drafts[work.at].clone())
@@ -29,7 +29,7 @@
     }
 
     /// Number of an item's last event, and the newest version that made a part of its text.
-    pub(super) fn progress(&self, work: &Work) -> (Option<u64>, Option<u64>) {
+    pub(super) fn progress(&self, work: &ItemTask) -> (Option<u64>, Option<u64>) {
         let state = self.state.borrow();
         let Some(open) = state.lots.get(&work.lot) else {
             return (None, None);
@@ -39,7 +39,7 @@
     }
 
     /// Adds an event to an item's text.
-    pub(super) fn add_event(&self, work: &Work, event: &Event, version: u64) {
+    pub(super) fn add_event(&self, work: &ItemTask, event: &Event, version: u64) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&work.lot) {
             open.drafts[work.at].add(event, version);
@@ -47,15 +47,15 @@
     }
 
     /// Forgets an item's text.
-    pub(super) fn drop_text(&self, work: &Work) {
+    pub(super) fn drop_text(&self, work: &ItemTask) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&work.lot) {
-            open.drafts[work.at] = Draft::default();
+            open.drafts[work.at] = PartialOutput::default();
         }
     }
 
     /// The task of an item is at its end.
-    pub(super) fn task_ended(&self, work: &Work) {
+    pub(super) fn task_ended(&self, work: &ItemTask) {
         let task = {
             let mut state = self.state.borrow_mut();
             let open = state.lots.get_mut(&work.lot);
@@ -65,7 +65,12 @@
     }
 
     /// A run made an event; says whether it should go on at another engine.
-    pub(super) fn progressed(&self, work: &Work, key: EngineKey, gap: Option<Duration>) -> bool {
+    pub(super) fn progressed(
+        &self,
+        work: &ItemTask,
+        key: EngineKey,
+        gap: Option<Duration>,
+    ) -> bool {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -94,14 +99,14 @@
     }
 
     /// How long a run waits for the next event.
-    pub(super) fn patience(&self, work: &Work, key: EngineKey) -> Duration {
+    pub(super) fn patience(&self, work: &ItemTask, key: EngineKey) -> Duration {
         let state = self.state.borrow();
         let fleet = state.fleets.get(&work.fleet);
         fleet.map_or(Duration::MAX, |fleet| fleet.stall_timeout(key))
     }
 
     /// Waits until a run at an engine is lost, since that has started again.
-    pub(super) async fn lost(&self, fleet: &FleetName, key: EngineKey) {
+    pub(super) async fn lost(&self, fleet: &FleetKey, key: EngineKey) {
         let mut restarts = self.restarts.subscribe();
         loop {
             let lost = {
@@ -115,7 +120,7 @@
         }
     }
 
-    pub(super) fn run_ended(&self, fleet: &FleetName, key: EngineKey, halt: RunOutcome) {
+    pub(super) fn run_ended(&self, fleet: &FleetKey, key: EngineKey, halt: RunOutcome) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
@@ -126,7 +131,7 @@
     }
 
     /// A run that began in doubt ended.
-    pub(super) fn doubt_ended(&self, fleet: &FleetName, key: EngineKey) {
+    pub(super) fn doubt_ended(&self, fleet: &FleetKey, key: EngineKey) {
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
             fleet.suspect_run_ended(key);
@@ -135,7 +140,7 @@
 
     pub(super) fn run_failed(
         &self,
-        work: &Work,
+        work: &ItemTask,
         failure: Failure,
         max_attempts: u32,
     ) -> RetryDecision {
@@ -151,7 +156,7 @@
 
     pub(super) fn score_failed(
         &self,
-        work: &Work,
+        work: &ItemTask,
         failure: Failure,
         max_attempts: u32,
     ) -> RetryDecision {
@@ -162,7 +167,7 @@
         }
     }
 
-    pub(super) fn finished(&self, work: &Work, sample: Sample) {
+    pub(super) fn finished(&self, work: &ItemTask, sample: Sample) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&work.lot) {
             open.lot.finish(work.at, sample);
@@ -171,13 +176,13 @@
     }
 
     /// What is to be committed next; `None` if the lot is not worked on any more.
-    pub(super) fn pending(&self, lot: &str) -> Option<Pending> {
+    pub(super) fn pending(&self, lot: &str) -> Option<PendingSegment> {
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
         let samples = first_segment(open.lot.uncommitted());
         let all = open.lot.commit_log().next_position() + open.lot.uncommitted().len()
             >= open.lot.total();
-        Some(Pending {
+        Some(PendingSegment {
             from: open.lot.commit_log().next_position(),
             total: open.lot.total(),
             urgent: self.draining.get()
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -4,7 +4,7 @@
 //! instance is asked, and nothing is shown that is not committed.
 
 use super::schema::{
-    Accepting, LOTS, SEGMENT_SAMPLES, Standing, Stub, accepted, name, results, segment,
+    LOTS, LotSpec, LotStatus, SEGMENT_SAMPLES, Tombstone, accepted, name, results, segment,
     segment_name, stub,
 };
 use crate::{
@@ -71,13 +71,13 @@
 }
 
 /// Answers trainers' calls.
-pub struct Desk {
+pub struct TrainerApi {
     adapter: Adapter,
     store: Store,
     totals: RefCell<BTreeMap<CompactString, usize>>,
 }
 
-impl Desk {
+impl TrainerApi {
     /// A desk before `store`.
     pub fn new(adapter: Adapter, store: &Store) -> Self {
         Self {
@@ -109,7 +109,7 @@
         drop(value);
         let total = submission.items.len();
         let id = &*name(caller, id);
-        let accepting = Accepting {
+        let accepting = LotSpec {
             workspace: caller.workspace(),
             host,
             path,
@@ -242,7 +242,7 @@
         let Some(object) = object else {
             return Ok(None);
         };
-        let stub = Stub::of(&self.adapter, &object);
+        let stub = Tombstone::of(&self.adapter, &object);
         let total = stub
             .map_err(|fault| Error::Malformed(fault.to_string()))?
             .items;
@@ -299,7 +299,7 @@
     /// Ends a lot. Ending it again changes nothing.
     pub async fn end(&self, caller: &Caller, lot: &str, give_up: Instant) -> Reply {
         let lot = &*name(caller, lot);
-        let status = serde_json::json!(Standing { ended: true });
+        let status = serde_json::json!(LotStatus { ended: true });
         let mut reply = Reply::NotDone(RETRY_AFTER);
         for _ in 0..WRITES {
             if Instant::now() >= give_up {
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -6,7 +6,7 @@
     crashes::Crashes,
     duty::{self, Duties},
     endpoints::{self, Endpoints},
-    lots::{self, Desk, Runner},
+    lots::{self, Runner, TrainerApi},
     metrics::{Metrics, Sources},
     orders::{self, Orders},
     ready::Ready,
@@ -283,7 +283,7 @@
             config,
             endpoints,
             relay,
-            desk: Desk::new(adapter, &store),
+            desk: TrainerApi::new(adapter, &store),
             stop: Rc::clone(stop),
             metrics,
         });
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -3,7 +3,7 @@
 use super::{
     config::Config,
     endpoints::Endpoints,
-    lots::{Desk, Reply},
+    lots::{Reply, TrainerApi},
     metrics::Metrics,
     relay::{Call, Outcome, Relay},
     stall::Stall,
@@ -60,7 +60,7 @@
     /// Live requests.
     pub relay: Rc<Relay>,
     /// Trainers' calls.
-    pub desk: Desk,
+    pub desk: TrainerApi,
     /// The graceful stop.
     pub stop: Rc<Stop>,
     /// Figures.
