--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -9,7 +9,7 @@
 pub fn demands(config: &Config, duties: &Duties, service: &str) -> Vec<Demand> {
     let models = engine(config, service).map(|engine| engine.models);
     let demand = |model: CompactString| {
-        let size = duties.demand(&lots::duty(&model));
+        let size = duties.demand(&lots::duty_name(&model));
         Demand {
             tokens: size.tokens,
             items: size.items,
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -2,7 +2,7 @@
 
 use super::{
     runner::Runner,
-    schema::{SEGMENT_SAMPLES, Segment, results, segment, segment_name},
+    schema::{MAX_SEGMENT_SAMPLES, Segment, parse_segment, results_kind, segment_name},
 };
 use crate::objects::{Error, Purpose};
 use pinereel_port::{lot::Sample, store::Freshness};
@@ -11,38 +11,45 @@
 
 /// How long a result waits for others that may be committed with it. Trainers read twice a second,
 /// and each commit is a priced write.
-const GATHER: Duration = Duration::from_millis(300);
+const COMMIT_DELAY: Duration = Duration::from_millis(300);
 /// Pause after a write that failed or whose answer was lost.
-const RETRY: Duration = Duration::from_millis(100);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Most bytes of text in one segment; the store takes a megabyte, and JSON may double the text.
-const SEGMENT_BYTES: usize = 400_000;
+const MAX_SEGMENT_TEXT_BYTES: usize = 400_000;
 
 /// Commits the results of a lot as they come, until dropped.
-pub(super) async fn commit(runner: Rc<Runner>, lot: compact_str::CompactString, more: Rc<Notify>) {
+pub(super) async fn commit_results(
+    runner: Rc<Runner>,
+    lot: compact_str::CompactString,
+    wakeup: Rc<Notify>,
+) {
     loop {
-        let Some(pending) = runner.pending(&lot) else {
+        let Some(pending) = runner.pending_segment(&lot) else {
             return;
         };
         if pending.samples.is_empty() {
-            more.notified().await;
+            wakeup.notified().await;
             continue;
         }
         if !pending.urgent {
             tokio::select! {
-                () = sleep(GATHER) => {}
-                () = until_urgent(&runner, &lot, &more) => {}
+                () = sleep(COMMIT_DELAY) => {}
+                () = until_urgent(&runner, &lot, &wakeup) => {}
             }
         }
-        let Some(pending) = runner.pending(&lot) else {
+        let Some(pending) = runner.pending_segment(&lot) else {
             return;
         };
-        write(&runner, &lot, pending.from, pending.total, pending.samples).await;
+        write_segment(&runner, &lot, pending.from, pending.total, pending.samples).await;
     }
 }
 
-async fn until_urgent(runner: &Runner, lot: &str, more: &Notify) {
-    while runner.pending(lot).is_some_and(|pending| !pending.urgent) {
-        more.notified().await;
+async fn until_urgent(runner: &Runner, lot: &str, wakeup: &Notify) {
+    while runner
+        .pending_segment(lot)
+        .is_some_and(|pending| !pending.urgent)
+    {
+        wakeup.notified().await;
     }
 }
 
@@ -61,23 +68,32 @@
 /// The first samples that fit into one segment.
 pub(super) fn first_segment(samples: &[Sample]) -> Vec<Sample> {
     let mut bytes = 0;
-    let fits = samples.iter().take(SEGMENT_SAMPLES).take_while(|sample| {
-        let size = sample.made.as_ref().map_or(0, |made| made.text.len());
-        let first = bytes == 0;
-        bytes += size;
-        first || bytes <= SEGMENT_BYTES
-    });
+    let fits = samples
+        .iter()
+        .take(MAX_SEGMENT_SAMPLES)
+        .take_while(|sample| {
+            let size = sample.made.as_ref().map_or(0, |made| made.text.len());
+            let is_first = bytes == 0;
+            bytes += size;
+            is_first || bytes <= MAX_SEGMENT_TEXT_BYTES
+        });
     fits.cloned().collect()
 }
 
-async fn write(runner: &Rc<Runner>, lot: &str, from: usize, total: usize, samples: Vec<Sample>) {
-    let (kind, name) = (results(lot), segment_name(from));
+async fn write_segment(
+    runner: &Rc<Runner>,
+    lot: &str,
+    from: usize,
+    total: usize,
+    samples: Vec<Sample>,
+) {
+    let (kind, name) = (results_kind(lot), segment_name(from));
     let segment = Segment { total, samples };
     let spec = match serde_json::to_string(&segment) {
         Ok(spec) => spec,
         Err(error) => {
             log::error!(id = lot, from, error:% = error; "results not written");
-            sleep(RETRY).await;
+            sleep(WRITE_RETRY_DELAY).await;
             return;
         }
     };
@@ -88,45 +104,45 @@
             log::info!(id = lot, from, count, revision = object.revision; "results committed");
             let metrics = &runner.parts.metrics;
             metrics.count(&metrics.committed, &["own"]);
-            runner.listed(lot, from, segment.samples);
+            runner.segment_committed(lot, from, segment.samples);
         }
-        Err(Error::Conflict) => adopt(runner, lot, from).await,
+        Err(Error::Conflict) => load_segment(runner, lot, from).await,
         Err(error) => {
             log::warn!(id = lot, from, error:% = error; "results written or not");
-            sleep(RETRY).await;
+            sleep(WRITE_RETRY_DELAY).await;
             if !error.had_no_effect() {
-                adopt(runner, lot, from).await;
+                load_segment(runner, lot, from).await;
             }
         }
     }
 }
 
 /// Reads what stands at a position and takes it over, whoever wrote it.
-async fn adopt(runner: &Rc<Runner>, lot: &str, from: usize) {
-    let (kind, name) = (results(lot), segment_name(from));
+async fn load_segment(runner: &Rc<Runner>, lot: &str, from: usize) {
+    let (kind, name) = (results_kind(lot), segment_name(from));
     let read = runner
         .parts
         .store
         .read(Purpose::Lots, &kind, &name, Freshness::Current);
     match read.await {
-        Ok(Some(object)) => match segment(&object) {
+        Ok(Some(object)) => match parse_segment(&object) {
             Ok((_, segment)) => {
                 let count = segment.samples.len();
                 log::info!(id = lot, from, count, revision = object.revision; "results found");
                 let metrics = &runner.parts.metrics;
                 metrics.count(&metrics.committed, &["found"]);
-                runner.listed(lot, from, segment.samples);
+                runner.segment_committed(lot, from, segment.samples);
             }
             Err(fault) => {
                 log::error!(id = lot, from; "{fault}");
-                sleep(RETRY).await;
+                sleep(WRITE_RETRY_DELAY).await;
             }
         },
         // Not written: the next round writes it.
         Ok(None) => {}
         Err(error) => {
             log::warn!(id = lot, from, error:% = error; "results not read");
-            sleep(RETRY).await;
+            sleep(WRITE_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -5,7 +5,7 @@
     item_task,
     runner::Runner,
     state::{AbortOnDrop, FleetKey, ItemTask, OpenLot},
-    stream::{Placement, identity},
+    stream::{Placement, item_identity},
 };
 use pinereel_core::{
     batch::{EngineKey, Fleet, Listing},
@@ -21,7 +21,7 @@
 use tokio::time::sleep;
 
 /// Longest pause between two looks for engines that may take an item again.
-const LOOK: Duration = Duration::from_millis(60);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(60);
 
 impl Runner {
     /// Places items at engines as long as there are both.
@@ -30,55 +30,51 @@
         loop {
             self.parts.stall.caught_up().await;
             self.sync_fleets();
-            self.give_up_old();
-            self.release();
-            while self.place_one() {}
+            self.expire_items();
+            self.requeue_deferred();
+            while self.start_next_item() {}
             tokio::select! {
                 () = self.wake.notified() => {}
                 _ = endpoints.changed() => {}
-                () = sleep(LOOK) => {}
+                () = sleep(DISPATCH_INTERVAL) => {}
             }
         }
     }
 
     /// Brings each model's view of its engines up to date, where the list or its working set has changed.
     fn sync_fleets(&self) {
-        let mut lost = false;
+        let mut restarted = false;
         let mut state = self.state.borrow_mut();
-        let wanted: BTreeSet<_> = state
+        let keys: BTreeSet<_> = state
             .lots
             .values()
-            .filter_map(|open| self.fleet(open))
+            .filter_map(|open| self.fleet_key(open))
             .collect();
-        for name in wanted {
+        for key in keys {
             let parts = &self.parts;
-            let count = demand::working_set(
-                &parts.config,
-                &parts.duties,
-                &parts.endpoints,
-                &name.service,
-            );
+            let count =
+                demand::working_set(&parts.config, &parts.duties, &parts.endpoints, &key.service);
             let source = (parts.endpoints.change(), count);
-            if state.synced.insert(name.clone(), source) == Some(source) {
+            if state.fleet_sources.insert(key.clone(), source) == Some(source) {
                 continue;
             }
-            let fleet = state.fleets.entry(name.clone()).or_default();
+            let fleet = state.fleets.entry(key.clone()).or_default();
             let read = |entry: &Entry| Listing {
                 id: entry.id.clone(),
                 incarnation: entry.incarnation,
                 address: entry.address,
                 slots: entry.slots,
                 leaving: entry.leaving,
-                version: entry.models.get(&name.model).copied(),
+                version: entry.models.get(&key.model).copied(),
             };
             // A run goes on at an engine that is not in the set any more.
-            let listed = parts
+            let listings = parts
                 .endpoints
-                .first(&name.service, count, fleet.busy_ids(), read);
-            lost |= fleet.update(listed);
+                .first(&key.service, count, fleet.busy_ids(), read);
+            restarted |= fleet.update(listings);
         }
         drop(state);
-        if lost {
+        if restarted {
             self.restarts.send_modify(|restarts| *restarts += 1);
         }
     }
@@ -91,7 +87,7 @@
     }
 
     /// The engines that a lot's items go to.
-    fn fleet(&self, open: &OpenLot) -> Option<FleetKey> {
+    fn fleet_key(&self, open: &OpenLot) -> Option<FleetKey> {
         let route = self.route(open)?;
         let seed = hash::stable(open.path.as_bytes());
         Some(FleetKey {
@@ -101,7 +97,7 @@
     }
 
     /// Items that could not be started at the last look may be now.
-    fn release(&self) {
+    fn requeue_deferred(&self) {
         let mut state = self.state.borrow_mut();
         state
             .lots
@@ -110,8 +106,8 @@
     }
 
     /// How many endpoints have crashed under an item; none if it must not run any more.
-    fn doubts(&self, open: &OpenLot, at: usize) -> Option<usize> {
-        let identity = || identity(&open.caller, &open.host, &open.submission.items[at]);
+    fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
+        let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
         match self.parts.crashes.standing(identity) {
             Standing::Free => Some(0),
             Standing::Doubted { endpoints, .. } => Some(endpoints),
@@ -121,7 +117,7 @@
 
     /// The next item of a lot, its engine, and how many endpoints have crashed under it. One that may not run now is
     /// held back, and the next one is looked at.
-    fn next_item(
+    fn pick_item(
         &self,
         open: &mut OpenLot,
         fleet: &mut Fleet,
@@ -132,21 +128,21 @@
             return None;
         }
         loop {
-            let at = open.lot.start()?;
-            let doubts = self.doubts(open, at);
-            let pick = |doubts| fleet.pick_for_item(now, oldest_version, doubts);
-            match doubts.zip(doubts.and_then(pick)) {
-                Some((doubts, key)) => return Some((at, key, doubts)),
-                None => open.lot.defer(at),
+            let index = open.lot.start()?;
+            let crashes = self.crash_count(open, index);
+            let pick = |crashes| fleet.pick_for_item(now, oldest_version, crashes);
+            match crashes.zip(crashes.and_then(pick)) {
+                Some((crashes, key)) => return Some((index, key, crashes)),
+                None => open.lot.defer(index),
             }
-            if doubts.is_some_and(|doubts| doubts >= LAST_CHANCE) {
+            if crashes.is_some_and(|crashes| crashes >= LAST_CHANCE) {
                 fleet.reserve(now, oldest_version);
             }
         }
     }
 
     /// Starts the next item of the oldest lot that has one, if an engine takes it.
-    fn place_one(self: &Rc<Self>) -> bool {
+    fn start_next_item(self: &Rc<Self>) -> bool {
         if self.draining.get() {
             return false;
         }
@@ -154,7 +150,7 @@
         let mut by_age: Vec<_> = state
             .lots
             .iter()
-            .map(|(id, open)| (open.opened, id.clone()))
+            .map(|(id, open)| (open.opened_at, id.clone()))
             .collect();
         by_age.sort();
         for (_, id) in by_age {
@@ -165,67 +161,68 @@
             if open.lot.queued() == 0 {
                 continue;
             }
-            let (Some(route), Some(name)) = (self.route(open), self.fleet(open)) else {
+            let (Some(route), Some(fleet_key)) = (self.route(open), self.fleet_key(open)) else {
                 continue;
             };
-            let Some(fleet) = state.fleets.get_mut(&name) else {
+            let Some(fleet) = state.fleets.get_mut(&fleet_key) else {
                 continue;
             };
             let oldest_version = open.submission.oldest_version;
-            let Some((at, key, doubts)) = self.next_item(open, fleet) else {
+            let Some((index, key, crashes)) = self.pick_item(open, fleet) else {
                 continue;
             };
             let Some(engine) = fleet.get(key) else {
                 continue;
             };
-            let place = Placement {
+            let placement = Placement {
                 key,
                 start: Start {
                     endpoint: engine.listing.id.clone(),
                     incarnation: engine.listing.incarnation,
                 },
                 address: engine.listing.address,
-                doubts,
+                crashes,
             };
-            fleet.run_started(self.parts.clock.now(), key, doubts);
-            let work = ItemTask {
+            fleet.run_started(self.parts.clock.now(), key, crashes);
+            let task = ItemTask {
                 caller: open.caller.clone(),
-                item: open.submission.items[at].id.clone(),
+                item: open.submission.items[index].id.clone(),
                 host: open.host.clone(),
                 lot: id,
-                at,
-                fleet: name,
+                index,
+                fleet: fleet_key,
                 oldest_version,
             };
-            let task = item_task::run(Rc::clone(self), work, route, place);
+            let future = item_task::run(Rc::clone(self), task, route, placement);
             // One that ended before is replaced.
-            open.tasks.insert(at, AbortOnDrop(actix_rt::spawn(task)));
+            open.tasks
+                .insert(index, AbortOnDrop(actix_rt::spawn(future)));
             return true;
         }
         false
     }
 
     /// Lists items whose time is over as given up.
-    fn give_up_old(&self) {
+    fn expire_items(&self) {
         let mut state = self.state.borrow_mut();
-        let mut ended = Vec::new();
+        let mut aborted_tasks = Vec::new();
         for open in state.lots.values_mut() {
             let Some(ttl) = self.route(open).and_then(|route| route.item_ttl) else {
                 continue;
             };
-            if open.opened.elapsed() < ttl {
+            if open.opened_at.elapsed() < ttl {
                 continue;
             }
-            for at in 0..open.lot.total() {
-                if !open.lot.is_finished(at) {
-                    let item = open.submission.items[at].id.clone();
-                    open.lot.finish(at, Sample { item, made: None });
-                    ended.extend(open.tasks.remove(&at));
+            for index in 0..open.lot.total() {
+                if !open.lot.is_finished(index) {
+                    let item = open.submission.items[index].id.clone();
+                    open.lot.finish(index, Sample { item, made: None });
+                    aborted_tasks.extend(open.tasks.remove(&index));
                 }
             }
-            open.more.notify_one();
+            open.commit_wakeup.notify_one();
         }
         drop(state);
-        drop(ended);
+        drop(aborted_tasks);
     }
 }
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -4,7 +4,7 @@
     runner::{Parts, Runner},
     score,
     state::{FleetKey, ItemTask},
-    stream::{Placement, StreamEnd, StreamError, identity, stream},
+    stream::{Placement, RunEnd, RunError, item_identity, run_on_engine},
 };
 use pinereel_core::{
     batch::{Failure, RetryDecision, RunOutcome},
@@ -21,140 +21,150 @@
 struct ActiveRun {
     runner: Rc<Runner>,
     fleet: FleetKey,
-    place: Placement,
-    halt: RunOutcome,
+    placement: Placement,
+    outcome: RunOutcome,
 }
 
 impl Drop for ActiveRun {
     fn drop(&mut self) {
-        let key = self.place.key;
-        self.runner.run_ended(&self.fleet, key, self.halt);
-        if self.place.doubts > 0 {
-            self.runner.doubt_ended(&self.fleet, key);
+        let key = self.placement.key;
+        self.runner.run_ended(&self.fleet, key, self.outcome);
+        if self.placement.crashes > 0 {
+            self.runner.suspect_run_ended(&self.fleet, key);
         }
     }
 }
 
 /// Runs an item at `place`, and scores it if its text is whole.
-pub(super) async fn run(runner: Rc<Runner>, work: ItemTask, route: Route, place: Placement) {
-    if let Some(item) = runner.item(&work) {
-        run_item(&runner, &work, &item, &route, &place).await;
+pub(super) async fn run(runner: Rc<Runner>, task: ItemTask, route: Route, placement: Placement) {
+    if let Some(item) = runner.item(&task) {
+        run_item(&runner, &task, &item, &route, &placement).await;
     }
-    runner.task_ended(&work);
+    runner.task_ended(&task);
 }
 
 async fn run_item(
     runner: &Rc<Runner>,
-    work: &ItemTask,
+    task: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Placement,
+    placement: &Placement,
 ) {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut running = ActiveRun {
         runner: Rc::clone(runner),
-        fleet: work.fleet.clone(),
-        place: place.clone(),
-        halt: RunOutcome::Cancelled,
+        fleet: task.fleet.clone(),
+        placement: placement.clone(),
+        outcome: RunOutcome::Cancelled,
     };
     let end = tokio::select! {
-        end = stream(runner, work, item, route, place) => end,
-        () = runner.lost(&work.fleet, place.key) => StreamEnd::Broken(StreamError::Restarted),
+        end = run_on_engine(runner, task, item, route, placement) => end,
+        () = runner.wait_for_restart(&task.fleet, placement.key) => RunEnd::Broken(RunError::Restarted),
     };
-    running.halt = match end {
-        StreamEnd::Complete | StreamEnd::Failed | StreamEnd::Impossible => RunOutcome::Finished,
-        StreamEnd::Left => RunOutcome::Cancelled,
-        StreamEnd::Refused | StreamEnd::Outdated => RunOutcome::Rejected,
-        StreamEnd::Broken(_) => RunOutcome::Failed,
+    running.outcome = match end {
+        RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => RunOutcome::Finished,
+        RunEnd::Left => RunOutcome::Cancelled,
+        RunEnd::Refused | RunEnd::Outdated => RunOutcome::Rejected,
+        RunEnd::Broken(_) => RunOutcome::Failed,
     };
     drop(running);
     let metrics = &runner.parts.metrics;
     metrics.count(&metrics.runs, &[end.as_str()]);
-    report(work, place, end, began, runner.progress(work).0);
-    note_crash(runner, work, item, place, end, began);
+    log_run(task, placement, end, started, runner.resume_point(task).0);
+    record_crash_evidence(runner, task, item, placement, end, started);
     let failure = match end {
-        StreamEnd::Complete => {
-            finish(runner, work, item).await;
+        RunEnd::Complete => {
+            score_and_finish(runner, task, item).await;
             return;
         }
-        StreamEnd::Failed => Failure::Failed,
-        StreamEnd::Impossible => Failure::Impossible,
-        StreamEnd::Refused | StreamEnd::Broken(_) | StreamEnd::Left | StreamEnd::Outdated => {
+        RunEnd::Failed => Failure::Failed,
+        RunEnd::Impossible => Failure::Impossible,
+        RunEnd::Refused | RunEnd::Broken(_) | RunEnd::Left | RunEnd::Outdated => {
             Failure::Interrupted
         }
     };
-    if runner.run_failed(work, failure, route.max_attempts) == RetryDecision::GiveUp {
-        give_up(runner, work, item, "its engine refuses it or fails on it");
+    if runner.run_failed(task, failure, route.max_attempts) == RetryDecision::GiveUp {
+        give_up(runner, task, item, "its engine refuses it or fails on it");
     }
 }
 
 /// Notes what a run says about the item: whether its engine crashed under it.
-fn note_crash(
+fn record_crash_evidence(
     runner: &Runner,
-    work: &ItemTask,
+    task: &ItemTask,
     item: &Item,
-    place: &Placement,
-    end: StreamEnd,
-    began: Instant,
+    placement: &Placement,
+    end: RunEnd,
+    started: Instant,
 ) {
     let Parts {
         crashes, endpoints, ..
     } = &runner.parts;
-    let identity = || identity(&work.caller, &work.host, item);
+    let identity = || item_identity(&task.caller, &task.host, item);
     match end {
         // One that was leaving, or is listed no more, ends by itself.
-        StreamEnd::Broken(StreamError::Crashed) if endpoints.is_current(&place.start) => {
-            crashes.crashed(identity(), place.start.clone(), place.doubts >= LAST_CHANCE);
+        RunEnd::Broken(RunError::Crashed) if endpoints.is_current(&placement.start) => {
+            crashes.crashed(
+                identity(),
+                placement.start.clone(),
+                placement.crashes >= LAST_CHANCE,
+            );
         }
-        StreamEnd::Complete | StreamEnd::Failed | StreamEnd::Impossible => {
-            crashes.answered(identity, place.start.clone(), began.elapsed());
+        RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => {
+            crashes.answered(identity, placement.start.clone(), started.elapsed());
         }
         _ => {}
     }
 }
 
-fn report(work: &ItemTask, place: &Placement, end: StreamEnd, began: Instant, last: Option<u64>) {
+fn log_run(
+    task: &ItemTask,
+    placement: &Placement,
+    end: RunEnd,
+    started: Instant,
+    last_event: Option<u64>,
+) {
     log::info!(
-        id = work.item.as_str(),
-        lot = work.lot.as_str(),
-        endpoint = place.start.endpoint.as_str(),
+        id = task.item.as_str(),
+        lot = task.lot.as_str(),
+        endpoint = placement.start.endpoint.as_str(),
         outcome:? = end,
-        last_event:serde = last,
-        ms = began.elapsed().as_millis() as u64;
+        last_event:serde = last_event,
+        ms = started.elapsed().as_millis() as u64;
         "item run"
     );
 }
 
 /// The text is whole: it is scored and becomes a result.
-async fn finish(runner: &Rc<Runner>, work: &ItemTask, item: &Item) {
+async fn score_and_finish(runner: &Rc<Runner>, task: &ItemTask, item: &Item) {
     let score = match &item.scorer {
-        Some(scorer) => match score::score(runner, work, scorer).await {
+        Some(scorer) => match score::score(runner, task, scorer).await {
             Some(score) => Some(score),
             None => {
-                give_up(runner, work, item, "its scorer fails on it");
+                give_up(runner, task, item, "its scorer fails on it");
                 return;
             }
         },
         None => None,
     };
-    let draft = runner.draft(work);
+    let output = runner.partial_output(task);
     let made = Made {
-        text: draft.text,
-        versions: draft.versions.into_iter().collect(),
+        text: output.text,
+        versions: output.versions.into_iter().collect(),
         score,
     };
     let sample = Sample {
         item: item.id.clone(),
         made: Some(made),
     };
-    runner.finished(work, sample);
+    runner.finish_item(task, sample);
 }
 
-fn give_up(runner: &Rc<Runner>, work: &ItemTask, item: &Item, why: &str) {
-    log::warn!(id = item.id.as_str(), lot = work.lot.as_str(), why; "item given up");
+fn give_up(runner: &Rc<Runner>, task: &ItemTask, item: &Item, reason: &str) {
+    log::warn!(id = item.id.as_str(), lot = task.lot.as_str(), why = reason; "item given up");
     let sample = Sample {
         item: item.id.clone(),
         made: None,
     };
-    runner.finished(work, sample);
+    runner.finish_item(task, sample);
 }
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -4,7 +4,7 @@
     checkpoint::{self, PartialOutputs},
     commit,
     runner::{self, Runner},
-    schema::{self, Tombstone, accepted, is_ended, results, segment},
+    schema::{self, Tombstone, is_ended, parse_lot, parse_segment, results_kind},
     state::{AbortOnDrop, EndedLot, OpenLot, PartialOutput, State},
 };
 use crate::objects::{Error, Purpose};
@@ -21,39 +21,39 @@
 };
 
 /// Pause after a lot's results could not be read.
-const RETRY: Duration = Duration::from_millis(150);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// An item that has no slot so long after its lot came had to wait for others: most texts take less.
-const IN_TIME: Duration = Duration::from_millis(1_500);
+const UNPLACED_CHECK_DELAY: Duration = Duration::from_millis(1_500);
 /// Texts of ended lots that are kept for groups that come again.
-const DRAFTS: usize = 2_048;
+const MAX_KEPT_OUTPUTS: usize = 2_048;
 
 impl Runner {
-    pub(super) fn take_lot(
+    pub(super) fn apply_lot(
         self: &Rc<Self>,
         model: &CompactString,
         object: Object,
-        inherited: bool,
+        has_predecessor: bool,
     ) {
         let id = object.name.clone();
-        self.ages(|ages| ages.seen(&id));
-        if schema::model(&object).is_some_and(|other| other != model) {
+        self.with_first_seen(|first_seen| first_seen.record(&id));
+        if schema::lot_model(&object).is_some_and(|other| other != model) {
             return;
         }
         if is_ended(&object) {
-            self.close(&id, "ended");
-            self.note_ended(object);
+            self.close_lot(&id, "ended");
+            self.record_ended(object);
             return;
         }
-        let new = {
+        let is_new = {
             let state = self.state.borrow();
             !state.closed.contains(&id)
                 && !state.lots.contains_key(&id)
                 && !state.opening.contains_key(&id)
         };
-        if !new {
+        if !is_new {
             return;
         }
-        let lot = match accepted(&self.parts.adapter, &object) {
+        let lot = match parse_lot(&self.parts.adapter, &object) {
             Ok(lot) => lot,
             Err(fault) => {
                 log::error!(id = id.as_str(), revision = object.revision; "{fault}");
@@ -64,8 +64,9 @@
             return;
         }
         let runner = Rc::clone(self);
-        let opening = id.clone();
-        let task = actix_rt::spawn(async move { runner.open(opening, lot, inherited).await });
+        let lot_id = id.clone();
+        let task =
+            actix_rt::spawn(async move { runner.open_lot(lot_id, lot, has_predecessor).await });
         self.state
             .borrow_mut()
             .opening
@@ -73,16 +74,16 @@
     }
 
     /// An ended lot is cut down to a stub at the next sweep.
-    fn note_ended(&self, object: Object) {
-        if schema::stub(&object).is_some() {
+    fn record_ended(&self, object: Object) {
+        if schema::parse_tombstone(&object).is_some() {
             return;
         }
         match Tombstone::of(&self.parts.adapter, &object) {
-            Ok(stub) => {
+            Ok(tombstone) => {
                 let ended = EndedLot {
                     revision: object.revision,
-                    since: Instant::now(),
-                    stub,
+                    noticed_at: Instant::now(),
+                    tombstone,
                 };
                 self.state.borrow_mut().ended.insert(object.name, ended);
             }
@@ -91,48 +92,53 @@
     }
 
     /// Reads what is committed of a lot, and begins to work on it.
-    async fn open(
+    async fn open_lot(
         self: Rc<Self>,
         id: CompactString,
         accepted: schema::AcceptedLot,
-        inherited: bool,
+        has_predecessor: bool,
     ) {
-        let (objects, mut texts) = loop {
-            match self.read_lot(&id, inherited).await {
+        let (objects, mut checkpointed) = loop {
+            match self.read_lot(&id, has_predecessor).await {
                 Ok(read) => break read,
                 Err(error) => {
                     log::warn!(id = id.as_str(), error:% = error; "lot's results not read");
-                    sleep(RETRY).await;
+                    sleep(READ_RETRY_DELAY).await;
                 }
             }
         };
         let (submission, caller) = (accepted.submission, accepted.caller);
         let mut state = self.state.borrow_mut();
-        let again = submission.items.iter().map(|item| &item.id);
-        let again = again.filter(|id| state.known.contains(&schema::name(&caller, id)));
-        let mut lot = Lot::new(&submission, &again.cloned().collect());
+        let ids = submission.items.iter().map(|item| &item.id);
+        let ids = ids.filter(|id| state.known_items.contains(&schema::scoped_id(&caller, id)));
+        let mut lot = Lot::new(&submission, &ids.cloned().collect());
         for object in &objects {
-            let adopted =
-                segment(object).map(|(from, segment)| lot.add_segment(from, segment.samples));
-            match adopted {
+            let added =
+                parse_segment(object).map(|(from, segment)| lot.add_segment(from, segment.samples));
+            match added {
                 Ok(Ok(())) => {}
                 Ok(Err(gap)) => log::error!(id = id.as_str(); "{gap}"),
                 Err(fault) => log::error!(id = id.as_str(); "{fault}"),
             }
         }
         let oldest = submission.oldest_version;
-        let mut drafts = Vec::new();
+        let mut outputs = Vec::new();
         for item in &submission.items {
-            let kept = state.drafts.remove(&schema::name(&caller, &item.id));
-            let draft = texts.remove(&item.id).or(kept).unwrap_or_default();
-            let fits = draft.versions.iter().all(|version| *version >= oldest);
-            drafts.push(if fits {
-                draft
+            let known = state
+                .kept_outputs
+                .remove(&schema::scoped_id(&caller, &item.id));
+            let output = checkpointed.remove(&item.id).or(known).unwrap_or_default();
+            let is_usable = output.versions.iter().all(|version| *version >= oldest);
+            outputs.push(if is_usable {
+                output
             } else {
                 PartialOutput::default()
             });
         }
-        let reused = drafts.iter().filter(|draft| draft.last.is_some()).count();
+        let reused = outputs
+            .iter()
+            .filter(|output| output.last_event.is_some())
+            .count();
         log::info!(
             id = id.as_str(),
             items = submission.items.len(),
@@ -143,9 +149,10 @@
         );
         let metrics = &self.parts.metrics;
         metrics.count(&metrics.lots, &["opened"]);
-        let more = Rc::new(Notify::new());
-        let committer = commit::commit(Rc::clone(&self), id.clone(), Rc::clone(&more));
-        let keeper = checkpoint::keep(Rc::clone(&self), id.clone());
+        let commit_wakeup = Rc::new(Notify::new());
+        let commits =
+            commit::commit_results(Rc::clone(&self), id.clone(), Rc::clone(&commit_wakeup));
+        let checkpoints = checkpoint::write_periodically(Rc::clone(&self), id.clone());
         let open = OpenLot {
             caller,
             host: accepted.host,
@@ -153,20 +160,20 @@
             model: submission.model.clone(),
             submission: Rc::new(submission),
             lot,
-            drafts,
-            moved: BTreeMap::new(),
+            outputs,
+            last_moves: BTreeMap::new(),
             tasks: BTreeMap::new(),
-            more,
-            opened: Instant::now(),
-            texts_revision: None,
-            _committer: AbortOnDrop(actix_rt::spawn(committer)),
-            _keeper: AbortOnDrop(actix_rt::spawn(keeper)),
+            commit_wakeup,
+            opened_at: Instant::now(),
+            checkpoint_revision: None,
+            _commit_task: AbortOnDrop(actix_rt::spawn(commits)),
+            _checkpoint_task: AbortOnDrop(actix_rt::spawn(checkpoints)),
         };
-        let ended = state.closed.contains(&id);
-        if !ended {
-            self.note_demand(&mut state, &open);
+        let is_closed = state.closed.contains(&id);
+        if !is_closed {
+            self.record_demand(&mut state, &open);
             state.lots.insert(id.clone(), open);
-            actix_rt::spawn(Rc::clone(&self).note_shortage(id.clone()));
+            actix_rt::spawn(Rc::clone(&self).record_unplaced_items(id.clone()));
         }
         drop(state);
         self.wake.notify_one();
@@ -176,59 +183,59 @@
     }
 
     /// Tells how much work the model's trainers ask for, so that it gets its share of the engines.
-    fn note_demand(&self, state: &mut State, open: &OpenLot) {
+    fn record_demand(&self, state: &mut State, open: &OpenLot) {
         let items = &open.submission.items;
         let hints = items.iter().map(|item| item.length_hint);
         let tokens = hints.map(|hint| u64::from(hint.unwrap_or(DEFAULT_LENGTH_TOKENS)));
-        self.add_demand(state, &open.model, |asked, now| {
-            asked.record_lot(now, items.len() as u64, tokens.sum());
+        self.update_demand(state, &open.model, |window, now| {
+            window.record_lot(now, items.len() as u64, tokens.sum());
         });
     }
 
     /// Tells how many items of a lot found no slot in time, so that there are more engines for the next ones.
-    async fn note_shortage(self: Rc<Self>, id: CompactString) {
-        sleep(IN_TIME).await;
+    async fn record_unplaced_items(self: Rc<Self>, id: CompactString) {
+        sleep(UNPLACED_CHECK_DELAY).await;
         let mut state = self.state.borrow_mut();
         let Some(open) = state.lots.get(&id) else {
             return;
         };
-        let (model, waiting) = (open.model.clone(), open.lot.queued());
-        self.add_demand(&mut state, &model, |asked, now| {
-            asked.record_unplaced(now, waiting as u64);
+        let (model, queued) = (open.model.clone(), open.lot.queued());
+        self.update_demand(&mut state, &model, |window, now| {
+            window.record_unplaced(now, queued as u64);
         });
     }
 
-    fn add_demand(
+    fn update_demand(
         &self,
         state: &mut State,
         model: &CompactString,
         add: impl FnOnce(&mut DemandWindow, Time),
     ) {
         let now = self.parts.clock.now();
-        let asked = state.asked.entry(model.clone()).or_default();
-        add(asked, now);
+        let window = state.demand_by_model.entry(model.clone()).or_default();
+        add(window, now);
         let duties = &self.parts.duties;
-        duties.set_demand(runner::duty(model), asked.demand(now));
+        duties.set_demand(runner::duty_name(model), window.demand(now));
     }
 
     /// What is committed of a lot, and the texts that earlier runners left.
     async fn read_lot(
         &self,
         id: &CompactString,
-        inherited: bool,
+        has_predecessor: bool,
     ) -> Result<(Vec<Object>, PartialOutputs), Error> {
         let store = &self.parts.store;
-        let (objects, _) = store.list(Purpose::Lots, &results(id), None).await?;
-        let texts = if inherited {
-            checkpoint::inherit(self, id).await?
+        let (objects, _) = store.list(Purpose::Lots, &results_kind(id), None).await?;
+        let outputs = if has_predecessor {
+            checkpoint::read_all(self, id).await?
         } else {
             PartialOutputs::new()
         };
-        Ok((objects, texts))
+        Ok((objects, outputs))
     }
 
     /// Ends the work on a lot, keeping unfinished texts for groups that come again.
-    pub(super) fn close(&self, id: &CompactString, why: &str) {
+    pub(super) fn close_lot(&self, id: &CompactString, reason: &str) {
         let mut state = self.state.borrow_mut();
         state.closed.insert(id.clone());
         let opening = state.opening.remove(id);
@@ -237,29 +244,29 @@
             drop(opening);
             return;
         };
-        let drafts = std::mem::take(&mut open.drafts);
-        for (at, draft) in drafts.into_iter().enumerate() {
-            let item = &open.submission.items[at];
+        let outputs = std::mem::take(&mut open.outputs);
+        for (index, output) in outputs.into_iter().enumerate() {
+            let item = &open.submission.items[index];
             if open.lot.commit_log().contains(&item.id) {
                 continue;
             }
-            let name = schema::name(&open.caller, &item.id);
-            state.known.insert(name.clone());
-            if draft.last.is_some() && state.drafts.len() < DRAFTS {
-                state.drafts.insert(name, draft);
+            let key = schema::scoped_id(&open.caller, &item.id);
+            state.known_items.insert(key.clone());
+            if output.last_event.is_some() && state.kept_outputs.len() < MAX_KEPT_OUTPUTS {
+                state.kept_outputs.insert(key, output);
             }
         }
         drop(state);
         let metrics = &self.parts.metrics;
-        metrics.count(&metrics.lots, &[why]);
-        metrics.observe(&metrics.lot_seconds, why, open.opened.elapsed());
+        metrics.count(&metrics.lots, &[reason]);
+        metrics.observe(&metrics.lot_seconds, reason, open.opened_at.elapsed());
         log::info!(
             id = id.as_str(),
-            why,
+            why = reason,
             listed = open.lot.commit_log().next_position(),
             items = open.lot.total(),
             running = open.tasks.len(),
-            ms = open.opened.elapsed().as_millis() as u64;
+            ms = open.opened_at.elapsed().as_millis() as u64;
             "lot closed"
         );
         drop(open);
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -17,5 +17,5 @@
 mod task_state;
 mod trainer_api;
 
-pub use runner::{Parts, Runner, duty};
+pub use runner::{Parts, Runner, duty_name};
 pub use trainer_api::{Reply, TrainerApi};
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -3,7 +3,7 @@
 use super::{
     checkpoint::{self, Checkpoint},
     cleanup::{self, FirstSeen},
-    schema::LOTS,
+    schema::LOT_KIND,
     score,
     state::State,
 };
@@ -59,9 +59,9 @@
     /// The clock.
     pub clock: Clock,
     /// Longest wait of a watch.
-    pub watch: Duration,
+    pub max_watch_wait: Duration,
     /// How long a lot is kept after its submission.
-    pub kept: Duration,
+    pub retention: Duration,
 }
 
 /// Makes samples.
@@ -70,7 +70,7 @@
     pub(super) state: RefCell<State>,
     /// Something may be started.
     pub(super) wake: Notify,
-    pub(super) scorings: Rc<score::Limiter>,
+    pub(super) scoring_limiter: Rc<score::Limiter>,
     /// Grows when an engine with runs has started again.
     pub(super) restarts: watch::Sender<u64>,
     /// Whether no further run is started.
@@ -84,12 +84,12 @@
             parts,
             state: RefCell::default(),
             wake: Notify::new(),
-            scorings: Rc::default(),
+            scoring_limiter: Rc::default(),
             restarts: watch::channel(0).0,
             draining: Cell::new(false),
         });
-        let state = Rc::clone(&runner);
-        actix_rt::spawn(async move { state.join_duties().await });
+        let serving = Rc::clone(&runner);
+        actix_rt::spawn(async move { serving.serve_models().await });
         runner
     }
 
@@ -99,38 +99,38 @@
     }
 
     /// Hands unfinished texts over to the next runner; to be called before the duties are released.
-    pub async fn hand_over(&self) {
-        checkpoint::hand_over(self).await;
+    pub async fn checkpoint_and_stop(&self) {
+        checkpoint::write_all(self).await;
     }
 
     /// Ends all runs; returns the texts that are not listed, by lot.
-    pub(super) fn leave(&self) -> BTreeMap<CompactString, Checkpoint> {
-        let mut left = BTreeMap::new();
-        let mut ended = Vec::new();
+    pub(super) fn abort_runs(&self) -> BTreeMap<CompactString, Checkpoint> {
+        let mut checkpoints = BTreeMap::new();
+        let mut aborted_tasks = Vec::new();
         for (id, open) in &mut self.state.borrow_mut().lots {
-            ended.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
+            aborted_tasks.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
             // What is made is committed at once.
-            open.more.notify_one();
-            let unlisted = open.unlisted(0);
-            if !unlisted.texts.is_empty() {
-                left.insert(id.clone(), unlisted);
+            open.commit_wakeup.notify_one();
+            let checkpoint = open.checkpoint(0);
+            if !checkpoint.outputs.is_empty() {
+                checkpoints.insert(id.clone(), checkpoint);
             }
         }
-        drop(ended);
-        left
+        drop(aborted_tasks);
+        checkpoints
     }
 
     /// The long texts of a lot that are not listed; none if they need not be kept any more.
-    pub(super) fn long_texts(&self, lot: &str) -> Option<Checkpoint> {
+    pub(super) fn checkpoint(&self, lot: &str) -> Option<Checkpoint> {
         let state = self.state.borrow();
         let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
-        Some(open.unlisted(checkpoint::LONG_TEXT))
+        Some(open.checkpoint(checkpoint::MIN_CHECKPOINT_EVENT))
     }
 
     /// The texts of a lot were written.
-    pub(super) fn texts_kept(&self, lot: &str, revision: u64) {
+    pub(super) fn checkpoint_written(&self, lot: &str, revision: u64) {
         if let Some(open) = self.state.borrow_mut().lots.get_mut(lot) {
-            open.texts_revision = Some(revision);
+            open.checkpoint_revision = Some(revision);
         }
     }
 
@@ -140,64 +140,71 @@
         state.lots.values().map(|open| open.tasks.len()).sum()
     }
 
-    async fn join_duties(self: Rc<Self>) {
+    async fn serve_models(self: Rc<Self>) {
         let start = |model: CompactString| {
             let runner = Rc::clone(&self);
-            actix_rt::spawn(async move { runner.serve(&model).await });
+            actix_rt::spawn(async move { runner.serve_model(&model).await });
         };
-        self.parts.config.for_each_new(models, start).await;
+        self.parts.config.for_each_new(engine_models, start).await;
     }
 
     /// Works for a model whenever this instance holds its duty.
-    async fn serve(self: Rc<Self>, model: &CompactString) {
-        let duty = duty(model);
+    async fn serve_model(self: Rc<Self>, model: &CompactString) {
+        let duty = duty_name(model);
         let (runner, duties) = (&self, Rc::clone(&self.parts.duties));
-        let work = async || runner.work(model).await;
-        let goes_on = || {
+        let work = async || runner.run_lots(model).await;
+        let continues = || {
             // At a stop what is under way ends by itself, and its results are still committed.
-            let stops = runner.draining.get();
-            if !stops {
-                runner.drop_model(model);
+            let is_draining = runner.draining.get();
+            if !is_draining {
+                runner.drop_lots(model);
             }
-            !stops
+            !is_draining
         };
         // Two runners cost work and never a wrong result, so that it goes on while the store is away,
         // until another instance is known to have the duty.
-        duties.whenever_held(&duty, work, goes_on).await;
+        duties.whenever_held(&duty, work, continues).await;
     }
 
-    fn drop_model(&self, model: &CompactString) {
+    fn drop_lots(&self, model: &CompactString) {
         let mut state = self.state.borrow_mut();
         let lots = std::mem::take(&mut state.lots);
-        let (dropped, kept): (BTreeMap<_, _>, _) =
+        let (dropped, remaining): (BTreeMap<_, _>, _) =
             lots.into_iter().partition(|(_, open)| open.model == *model);
-        state.lots = kept;
+        state.lots = remaining;
         state.opening.clear();
         drop(state);
         // Ending their tasks calls back into the state.
         drop(dropped);
     }
 
-    async fn work(self: &Rc<Self>, model: &CompactString) {
+    async fn run_lots(self: &Rc<Self>, model: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let manner = || Manner {
-            wait: self.parts.watch,
+        let options = || Manner {
+            wait: self.parts.max_watch_wait,
             gather: Duration::ZERO,
         };
-        let lots = follow(&store, Purpose::Lots, LOTS, manner, None, |update, _| {
-            self.take(model, update);
-        });
+        let lots = follow(
+            &store,
+            Purpose::Lots,
+            LOT_KIND,
+            options,
+            None,
+            |update, _| {
+                self.apply_update(model, update);
+            },
+        );
         tokio::select! {
             () = lots => {}
             () = self.dispatch() => {}
-            () = cleanup::sweep(self) => {}
+            () = cleanup::clean_up(self) => {}
         }
     }
 
-    fn take(self: &Rc<Self>, model: &CompactString, update: Update) {
+    fn apply_update(self: &Rc<Self>, model: &CompactString, update: Update) {
         // What stands already when a runner begins may have had another one.
-        let inherited = matches!(update, Update::All(_));
+        let has_predecessor = matches!(update, Update::All(_));
         let objects: Vec<_> = match update {
             Update::All(objects) => objects,
             Update::Changes(changes) => {
@@ -206,13 +213,13 @@
             }
         };
         for object in objects {
-            self.take_lot(model, object, inherited);
+            self.apply_lot(model, object, has_predecessor);
         }
     }
 
     /// The ages of the lots that this instance has seen.
-    pub(super) fn ages<T>(&self, look: impl FnOnce(&mut FirstSeen) -> T) -> T {
-        look(&mut self.state.borrow_mut().ages)
+    pub(super) fn with_first_seen<T>(&self, access: impl FnOnce(&mut FirstSeen) -> T) -> T {
+        access(&mut self.state.borrow_mut().first_seen)
     }
 
     /// Whether there is still work to do for a lot.
@@ -223,12 +230,12 @@
 }
 
 /// The duty of running the lots of a model.
-pub fn duty(model: &str) -> CompactString {
+pub fn duty_name(model: &str) -> CompactString {
     format_compact!("lots-{model}")
 }
 
 /// The models of all engines.
-fn models(table: &RoutingTable) -> Vec<CompactString> {
+fn engine_models(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter_map(|service| service.engine.as_ref());
     engines.flat_map(|engine| engine.models.clone()).collect()
--- a/crates/pinereel/src/hosted/lots/schema.rs
+++ b/crates/pinereel/src/hosted/lots/schema.rs
@@ -25,13 +25,13 @@
 use serde_json::{Value, value::RawValue};
 
 /// Most samples of one segment, so that a reader finds the one that holds a position by one list.
-pub(super) const SEGMENT_SAMPLES: usize = 16;
+pub(super) const MAX_SEGMENT_SAMPLES: usize = 16;
 
 /// Kind of the accepted lots.
-pub(super) const LOTS: &str = "pinereel-lots";
+pub(super) const LOT_KIND: &str = "pinereel-lots";
 
 /// The name of what a caller knows by `id`: a lot, or an item of one. Other callers' names differ.
-pub(super) fn name(caller: &Caller, id: &str) -> CompactString {
+pub(super) fn scoped_id(caller: &Caller, id: &str) -> CompactString {
     let Some(workspace) = caller.workspace() else {
         return id.into();
     };
@@ -101,12 +101,12 @@
 }
 
 /// Kind of the results of a lot.
-pub(super) fn results(lot: &str) -> CompactString {
+pub(super) fn results_kind(lot: &str) -> CompactString {
     format_compact!("pinereel-results-{lot}")
 }
 
 /// Kind of the unfinished texts of a lot, as its runners wrote them.
-pub(super) fn drafts(lot: &str) -> CompactString {
+pub(super) fn checkpoint_kind(lot: &str) -> CompactString {
     format_compact!("pinereel-drafts-{lot}")
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Reads an accepted lot.
-pub(super) fn accepted(adapter: &Adapter, object: &Object) -> Result<AcceptedLot, Fault> {
+pub(super) fn parse_lot(adapter: &Adapter, object: &Object) -> Result<AcceptedLot, Fault> {
     let text = |field: &str| {
         let value = object.spec.get(field).and_then(Value::as_str);
         let value = value.ok_or_else(|| Fault::new("accepted lot", format!("no {field}")));
@@ -136,10 +136,10 @@
 impl Tombstone {
     /// What is or would be kept of a lot.
     pub(super) fn of(adapter: &Adapter, object: &Object) -> Result<Self, Fault> {
-        if let Some(stub) = stub(object) {
-            return Ok(stub);
+        if let Some(tombstone) = parse_tombstone(object) {
+            return Ok(tombstone);
         }
-        let submission = accepted(adapter, object)?.submission;
+        let submission = parse_lot(adapter, object)?.submission;
         Ok(Self {
             model: submission.model,
             items: submission.items.len(),
@@ -148,23 +148,23 @@
 }
 
 /// Reads what is kept of an ended lot; none if it is there as it was sent.
-pub(super) fn stub(object: &Object) -> Option<Tombstone> {
+pub(super) fn parse_tombstone(object: &Object) -> Option<Tombstone> {
     Tombstone::deserialize(&object.spec).ok()
 }
 
 /// The model of a lot, if its object tells.
-pub(super) fn model(object: &Object) -> Option<&str> {
+pub(super) fn lot_model(object: &Object) -> Option<&str> {
     object.spec.get("model").and_then(Value::as_str)
 }
 
 /// Whether a lot is ended.
 pub(super) fn is_ended(object: &Object) -> bool {
     // No status yet is a lot that goes on.
-    LotStatus::deserialize(&object.status).is_ok_and(|standing| standing.ended)
+    LotStatus::deserialize(&object.status).is_ok_and(|status| status.ended)
 }
 
 /// Reads a segment, with the position of its first sample.
-pub(super) fn segment(object: &Object) -> Result<(usize, Segment), Fault> {
+pub(super) fn parse_segment(object: &Object) -> Result<(usize, Segment), Fault> {
     let from = object.name.parse();
     let from = from.map_err(|_| Fault::new("segment", format!("name {}", object.name)))?;
     let segment = Segment::deserialize(&object.spec).map_err(|e| Fault::new("segment", e))?;
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -20,16 +20,16 @@
 };
 
 /// Pause before a scoring that found no place, or whose answer was lost, is tried again.
-const PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Scorings at once, as a part of the slots of the service that scores: live callers share it, and
 /// a step's texts end close together.
-const SHARE: u32 = 2;
+const SLOTS_PER_SCORING: u32 = 2;
 
 /// How many scorings are under way.
 #[derive(Default)]
 pub(super) struct Limiter {
-    used: Cell<u32>,
-    freed: Notify,
+    permits_in_use: Cell<u32>,
+    permit_returned: Notify,
 }
 
 /// A scoring under way.
@@ -37,17 +37,17 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.0.used.set(self.0.used.get() - 1);
-        self.0.freed.notify_one();
+        self.0.permits_in_use.set(self.0.permits_in_use.get() - 1);
+        self.0.permit_returned.notify_one();
     }
 }
 
 impl Limiter {
-    async fn enter(self: &Rc<Self>, most: u32) -> Permit {
-        while self.used.get() >= most.max(1) {
-            self.freed.notified().await;
+    async fn acquire(self: &Rc<Self>, max_permits: u32) -> Permit {
+        while self.permits_in_use.get() >= max_permits.max(1) {
+            self.permit_returned.notified().await;
         }
-        self.used.set(self.used.get() + 1);
+        self.permits_in_use.set(self.permits_in_use.get() + 1);
         Permit(Rc::clone(self))
     }
 }
@@ -55,13 +55,13 @@
 /// Scores a text; none if its item is to be given up.
 pub(super) async fn score(
     runner: &Rc<Runner>,
-    work: &ItemTask,
+    task: &ItemTask,
     scorer: &Scorer,
 ) -> Option<CompactString> {
     loop {
-        let Some(call) = call(runner, work, scorer) else {
-            log::warn!(id = work.item.as_str(), scorer = scorer.id.as_str(); "no route to the scorer");
-            sleep(PAUSE).await;
+        let Some(call) = scoring_call(runner, task, scorer) else {
+            log::warn!(id = task.item.as_str(), scorer = scorer.id.as_str(); "no route to the scorer");
+            sleep(RETRY_DELAY).await;
             continue;
         };
         // A scoring that endpoints crash under waits until its item's time is over.
@@ -74,32 +74,32 @@
             continue;
         }
         let max_attempts = call.route.max_attempts;
-        let most = slots(runner, &call) / SHARE;
-        let pass = runner.scorings.enter(most).await;
+        let max_permits = scoring_slots(runner, &call) / SLOTS_PER_SCORING;
+        let permit = runner.scoring_limiter.acquire(max_permits).await;
         let outcome = runner.parts.relay.run(call).await;
-        drop(pass);
+        drop(permit);
         let failure = match outcome {
             Outcome::Answer(answer) if answer.status.is_success() => return answer.signature,
             Outcome::Answer(answer) if answer.status.as_u16() == 500 => Failure::Failed,
             _ => Failure::Interrupted,
         };
-        if runner.score_failed(work, failure, max_attempts) == RetryDecision::GiveUp {
+        if runner.score_failed(task, failure, max_attempts) == RetryDecision::GiveUp {
             return None;
         }
         if failure == Failure::Interrupted {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
 /// Slots of the endpoints that may score.
-fn slots(runner: &Runner, call: &Call) -> u32 {
+fn scoring_slots(runner: &Runner, call: &Call) -> u32 {
     let targets = call.route.targets.iter();
     let slots = targets.map(|target| runner.parts.endpoints.slots(&target.service));
     u32::try_from(slots.sum::<u64>()).unwrap_or(u32::MAX)
 }
 
-fn call(runner: &Runner, work: &ItemTask, scorer: &Scorer) -> Option<Call> {
+fn scoring_call(runner: &Runner, task: &ItemTask, scorer: &Scorer) -> Option<Call> {
     let table = runner.parts.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
     let route = table.route_for(&scorer.host, path)?.clone();
@@ -112,7 +112,7 @@
         give_up: Instant::now() + route.timeout,
         route,
         caller: table.internal_caller(),
-        owner: work.caller.workspace().map(Into::into),
+        owner: task.caller.workspace().map(Into::into),
         method: Method::POST,
         target: scorer.path.clone(),
         headers,
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -1,7 +1,7 @@
 //! What a runner knows of its lots.
 
 use super::{
-    checkpoint::{Checkpoint, fitting},
+    checkpoint::{Checkpoint, longest_outputs},
     cleanup::FirstSeen,
     schema::Tombstone,
 };
@@ -28,17 +28,17 @@
     /// EndedLot lots that lie in the store as they were sent.
     pub(super) ended: BTreeMap<CompactString, EndedLot>,
     /// What was asked for lately, by model.
-    pub(super) asked: BTreeMap<CompactString, DemandWindow>,
+    pub(super) demand_by_model: BTreeMap<CompactString, DemandWindow>,
     /// When each lot was first seen.
-    pub(super) ages: FirstSeen,
+    pub(super) first_seen: FirstSeen,
     /// Engines by service and model.
     pub(super) fleets: BTreeMap<FleetKey, Fleet>,
     /// The change of the endpoint list, and the size of the working set, that each fleet was last brought up to date with.
-    pub(super) synced: BTreeMap<FleetKey, (u64, usize)>,
+    pub(super) fleet_sources: BTreeMap<FleetKey, (u64, usize)>,
     /// Unfinished texts of ended lots, by the name of the item.
-    pub(super) drafts: BTreeMap<CompactString, PartialOutput>,
+    pub(super) kept_outputs: BTreeMap<CompactString, PartialOutput>,
     /// Names of the items of lots that were ended, which may come again.
-    pub(super) known: BTreeSet<CompactString>,
+    pub(super) known_items: BTreeSet<CompactString>,
 }
 
 /// The engines of a service, as far as they serve one model.
@@ -57,28 +57,30 @@
     pub(super) model: CompactString,
     pub(super) submission: Rc<Submission>,
     pub(super) lot: Lot,
-    pub(super) drafts: Vec<PartialOutput>,
-    pub(super) moved: BTreeMap<usize, Instant>,
+    pub(super) outputs: Vec<PartialOutput>,
+    pub(super) last_moves: BTreeMap<usize, Instant>,
     pub(super) tasks: BTreeMap<usize, AbortOnDrop>,
-    pub(super) more: Rc<Notify>,
-    pub(super) opened: Instant,
+    pub(super) commit_wakeup: Rc<Notify>,
+    pub(super) opened_at: Instant,
     /// Revision of the object with its unfinished texts.
-    pub(super) texts_revision: Option<u64>,
-    pub(super) _committer: AbortOnDrop,
-    pub(super) _keeper: AbortOnDrop,
+    pub(super) checkpoint_revision: Option<u64>,
+    pub(super) _commit_task: AbortOnDrop,
+    pub(super) _checkpoint_task: AbortOnDrop,
 }
 
 impl OpenLot {
     /// The texts that are not listed, of those that have come to event `least`.
-    pub(super) fn unlisted(&self, least: u64) -> Checkpoint {
-        let items = self.submission.items.iter().zip(&self.drafts);
-        let unlisted = items.filter(|(item, draft)| {
-            draft.last.is_some_and(|last| last >= least)
+    pub(super) fn checkpoint(&self, min_event: u64) -> Checkpoint {
+        let items = self.submission.items.iter().zip(&self.outputs);
+        let uncommitted = items.filter(|(item, output)| {
+            output
+                .last_event
+                .is_some_and(|last_event| last_event >= min_event)
                 && !self.lot.commit_log().contains(&item.id)
         });
         Checkpoint {
-            texts: fitting(unlisted.map(|(item, draft)| (&item.id, draft))),
-            revision: self.texts_revision,
+            outputs: longest_outputs(uncommitted.map(|(item, output)| (&item.id, output))),
+            revision: self.checkpoint_revision,
         }
     }
 }
@@ -89,9 +91,9 @@
     /// Revision of its object.
     pub(super) revision: u64,
     /// Since when this runner knows.
-    pub(super) since: Instant,
+    pub(super) noticed_at: Instant,
     /// What is to be kept of it.
-    pub(super) stub: Tombstone,
+    pub(super) tombstone: Tombstone,
 }
 
 /// A task that ends with its handle.
@@ -107,7 +109,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PartialOutput {
     /// Number of its last event.
-    pub(super) last: Option<u64>,
+    #[serde(rename = "last")]
+    pub(super) last_event: Option<u64>,
     /// Data of its events, one a line.
     pub(super) text: String,
     /// Versions that made a part of it.
@@ -115,12 +118,12 @@
 }
 
 impl PartialOutput {
-    pub(super) fn add(&mut self, event: &Event, version: u64) {
-        if self.last.is_some() {
+    pub(super) fn push_event(&mut self, event: &Event, version: u64) {
+        if self.last_event.is_some() {
             self.text.push('\n');
         }
         self.text.push_str(&event.data);
-        self.last = Some(event.number);
+        self.last_event = Some(event.number);
         self.versions.insert(version);
     }
 }
@@ -130,7 +133,7 @@
 pub(super) struct ItemTask {
     pub(super) caller: Caller,
     pub(super) lot: CompactString,
-    pub(super) at: usize,
+    pub(super) index: usize,
     pub(super) item: CompactString,
     pub(super) host: CompactString,
     pub(super) fleet: FleetKey,
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -20,13 +20,13 @@
 use tokio::time::{Instant, timeout};
 
 /// An engine that has sent nothing at all for so long is left: it may load weights first, which takes about a second.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest event; an engine that sends a longer one sends no events.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StreamEnd {
+pub(super) enum RunEnd {
     /// The text is whole.
     Complete,
     /// The engine failed on it.
@@ -36,14 +36,14 @@
     /// The engine did not take it now.
     Refused,
     /// Broken off, silent, out of reach, or not in the protocol; with what was seen.
-    Broken(StreamError),
+    Broken(RunError),
     /// Another engine is much faster.
     Left,
     /// The engine's weights are older than the lot admits.
     Outdated,
 }
 
-impl StreamEnd {
+impl RunEnd {
     /// The name in metrics.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
@@ -60,7 +60,7 @@
 
 /// What broke a run off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StreamError {
+pub(super) enum RunError {
     /// No connection, or no head of an answer in time.
     NoAnswer,
     /// The connection broke before the head of an answer.
@@ -94,11 +94,11 @@
     pub(super) start: Start,
     pub(super) address: SocketAddr,
     /// How many endpoints have crashed under the item.
-    pub(super) doubts: usize,
+    pub(super) crashes: usize,
 }
 
 /// What makes an item the same request when it comes again.
-pub(super) fn identity(caller: &Caller, host: &str, item: &Item) -> Identity {
+pub(super) fn item_identity(caller: &Caller, host: &str, item: &Item) -> Identity {
     let mut headers = item.headers.iter();
     let credential = headers.find(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
     let credential = credential.map_or("", |(_, value)| value);
@@ -112,94 +112,94 @@
 }
 
 /// Runs the item at `place` from where its draft ends.
-pub(super) async fn stream(
+pub(super) async fn run_on_engine(
     runner: &Rc<Runner>,
-    work: &ItemTask,
+    task: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Placement,
-) -> StreamEnd {
-    let end = attempt(runner, work, item, route, place).await;
-    let StreamEnd::Broken(StreamError::Lost | StreamError::Stale | StreamError::Cut) = end else {
+    placement: &Placement,
+) -> RunEnd {
+    let end = request_events(runner, task, item, route, placement).await;
+    let RunEnd::Broken(RunError::Lost | RunError::Stale | RunError::Cut) = end else {
         return end;
     };
-    if runner.parts.pool.is_gone(place.address).await {
-        return StreamEnd::Broken(StreamError::Crashed);
+    if runner.parts.pool.is_gone(placement.address).await {
+        return RunEnd::Broken(RunError::Crashed);
     }
     match end {
-        StreamEnd::Broken(StreamError::Stale) => StreamEnd::Refused,
+        RunEnd::Broken(RunError::Stale) => RunEnd::Refused,
         end => end,
     }
 }
 
-async fn attempt(
+async fn request_events(
     runner: &Rc<Runner>,
-    work: &ItemTask,
+    task: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Placement,
-) -> StreamEnd {
-    let (last, made_by) = runner.progress(work);
+    placement: &Placement,
+) -> RunEnd {
+    let (last_event, last_version) = runner.resume_point(task);
     let exchange = Exchange {
-        address: place.address,
-        head: head(runner, work, item, place, last),
+        address: placement.address,
+        head: request_head(runner, task, item, placement, last_event),
         body: item.body.clone(),
         // A run may be repeated, so it may travel on a connection that carried another one.
         reuse: true,
     };
-    let response = match timeout(SILENCE, runner.parts.pool.send(exchange)).await {
+    let response = match timeout(RESPONSE_TIMEOUT, runner.parts.pool.send(exchange)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(Error::Stale(_))) => return StreamEnd::Broken(StreamError::Stale),
-        Ok(Err(Error::Lost(_))) => return StreamEnd::Broken(StreamError::Lost),
-        Ok(Err(Error::NotOpened(_))) | Err(_) => return StreamEnd::Broken(StreamError::NoAnswer),
+        Ok(Err(Error::Stale(_))) => return RunEnd::Broken(RunError::Stale),
+        Ok(Err(Error::Lost(_))) => return RunEnd::Broken(RunError::Lost),
+        Ok(Err(Error::NotOpened(_))) | Err(_) => return RunEnd::Broken(RunError::NoAnswer),
     };
-    let said = (runner.parts.adapter.live.answer)(response.status, &response.headers);
-    if said.not_run {
-        let _ = timeout(SILENCE, response.body.whole()).await;
-        return StreamEnd::Refused;
+    let answer = (runner.parts.adapter.live.answer)(response.status, &response.headers);
+    if answer.not_run {
+        let _ = timeout(RESPONSE_TIMEOUT, response.body.whole()).await;
+        return RunEnd::Refused;
     }
-    if said.id.as_ref().is_some_and(|id| *id != item.id) || said.encoded {
-        return StreamEnd::Broken(StreamError::Foreign);
+    if answer.id.as_ref().is_some_and(|id| *id != item.id) || answer.encoded {
+        return RunEnd::Broken(RunError::Foreign);
     }
     match response.status {
         StatusCode::OK => {}
-        StatusCode::UNPROCESSABLE_ENTITY => return StreamEnd::Impossible,
-        StatusCode::INTERNAL_SERVER_ERROR => return StreamEnd::Failed,
-        status => return StreamEnd::Broken(StreamError::Status(status.as_u16())),
+        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
+        StatusCode::INTERNAL_SERVER_ERROR => return RunEnd::Failed,
+        status => return RunEnd::Broken(RunError::Status(status.as_u16())),
     }
     let reader = EventReader {
         runner,
-        work,
+        task,
         route,
-        place,
-        oldest: work.oldest_version,
-        version: said.version,
-        last,
-        made_by,
+        placement,
+        oldest_version: task.oldest_version,
+        version: answer.version,
+        last_event,
+        last_version,
     };
     reader.read(response.body).await
 }
 
-fn head(
+fn request_head(
     runner: &Runner,
-    work: &ItemTask,
+    task: &ItemTask,
     item: &Item,
-    place: &Placement,
+    placement: &Placement,
     after_event: Option<u64>,
 ) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = item.path.parse().unwrap_or_default();
     head.headers = item_headers(item);
-    if let Ok(host) = HeaderValue::from_str(&work.host) {
+    if let Ok(host) = HeaderValue::from_str(&task.host) {
         head.headers.insert(HOST, host);
     }
     let attempt = Attempt {
         id: &item.id,
-        endpoint: &place.start.endpoint,
+        endpoint: &placement.start.endpoint,
         time_left: None,
         after_event,
-        caller: &work.caller,
+        caller: &task.caller,
     };
     (runner.parts.adapter.live.attempt)(&mut head.headers, attempt);
     head
@@ -222,95 +222,110 @@
 /// Reads the events of one run.
 struct EventReader<'a> {
     runner: &'a Rc<Runner>,
-    work: &'a ItemTask,
+    task: &'a ItemTask,
     route: &'a Route,
-    place: &'a Placement,
-    oldest: u64,
+    placement: &'a Placement,
+    oldest_version: u64,
     /// Version of the weights that make the next event; none if the engine has nothing to add to
     /// a text that is whole already.
     version: Option<u64>,
     /// Number of the last event, of this run or an earlier one.
-    last: Option<u64>,
+    last_event: Option<u64>,
     /// Version that made the last event.
-    made_by: Option<u64>,
+    last_version: Option<u64>,
 }
 
 impl EventReader<'_> {
-    async fn read(mut self, mut body: Body) -> StreamEnd {
+    async fn read(mut self, mut body: Body) -> RunEnd {
         let mut buffer = BytesMut::new();
-        let mut last_event: Option<Instant> = None;
-        if self.version.is_some_and(|version| version < self.oldest) {
-            return StreamEnd::Outdated;
+        let mut last_event_at: Option<Instant> = None;
+        if self
+            .version
+            .is_some_and(|version| version < self.oldest_version)
+        {
+            return RunEnd::Outdated;
         }
         loop {
-            let patience = match last_event {
-                Some(_) => self.runner.patience(self.work, self.place.key),
-                None => SILENCE,
+            let stall_timeout = match last_event_at {
+                Some(_) => self.runner.stall_timeout(self.task, self.placement.key),
+                None => RESPONSE_TIMEOUT,
             };
-            let part = match timeout(patience, body.part()).await {
-                Ok(Ok(Some(part))) => part,
-                Ok(Ok(None)) if buffer.is_empty() && self.last.is_some() => {
-                    return StreamEnd::Complete;
+            let chunk = match timeout(stall_timeout, body.part()).await {
+                Ok(Ok(Some(chunk))) => chunk,
+                Ok(Ok(None)) if buffer.is_empty() && self.last_event.is_some() => {
+                    return RunEnd::Complete;
                 }
-                Err(_) => return StreamEnd::Broken(StreamError::Silent),
+                Err(_) => return RunEnd::Broken(RunError::Silent),
                 // What is torn off is not kept.
-                _ => return StreamEnd::Broken(StreamError::Cut),
+                _ => return RunEnd::Broken(RunError::Cut),
             };
-            buffer.extend_from_slice(&part);
-            while let Some((event, rest)) = next_event(&buffer) {
-                let event = std::str::from_utf8(&buffer[..event]).map(ToOwned::to_owned);
-                let _ = buffer.split_to(rest);
+            buffer.extend_from_slice(&chunk);
+            while let Some((event_len, next_start)) = split_event(&buffer) {
+                let event = std::str::from_utf8(&buffer[..event_len]).map(ToOwned::to_owned);
+                let _ = buffer.split_to(next_start);
                 let now = Instant::now();
-                let gap = last_event.map(|at| now - at);
-                last_event = Some(now);
+                let interval = last_event_at.map(|at| now - at);
+                last_event_at = Some(now);
                 let Ok(event) = event else {
-                    return StreamEnd::Broken(StreamError::Event);
+                    return RunEnd::Broken(RunError::Event);
                 };
-                if let Some(end) = self.take(&event, gap) {
+                if let Some(end) = self.accept_event(&event, interval) {
                     return end;
                 }
             }
-            if buffer.len() > MAX_EVENT {
-                return StreamEnd::Broken(StreamError::Event);
+            if buffer.len() > MAX_EVENT_BYTES {
+                return RunEnd::Broken(RunError::Event);
             }
         }
     }
 
     /// Takes one event in; says if the run ends with it.
-    fn take(&mut self, text: &str, gap: Option<Duration>) -> Option<StreamEnd> {
+    fn accept_event(&mut self, text: &str, interval: Option<Duration>) -> Option<RunEnd> {
         let event = match (self.runner.parts.adapter.lot.event)(text) {
             Ok(event) => event,
             Err(fault) => {
-                let (id, endpoint) = (self.work.item.as_str(), self.place.start.endpoint.as_str());
+                let (id, endpoint) = (
+                    self.task.item.as_str(),
+                    self.placement.start.endpoint.as_str(),
+                );
                 log::warn!(id, endpoint; "event refused: {fault}");
-                return Some(StreamEnd::Broken(StreamError::Event));
+                return Some(RunEnd::Broken(RunError::Event));
             }
         };
-        if self.last.is_some_and(|last| event.number != last + 1) {
-            return Some(StreamEnd::Broken(StreamError::Event));
+        if self
+            .last_event
+            .is_some_and(|last_event| event.number != last_event + 1)
+        {
+            return Some(RunEnd::Broken(RunError::Event));
         }
         self.version = event.version.or(self.version);
         let Some(version) = self.version else {
-            return Some(StreamEnd::Broken(StreamError::NoVersion));
+            return Some(RunEnd::Broken(RunError::NoVersion));
         };
-        if version < self.oldest {
-            return Some(StreamEnd::Outdated);
+        if version < self.oldest_version {
+            return Some(RunEnd::Outdated);
         }
-        if self.route.single_version && self.made_by.is_some_and(|made_by| made_by != version) {
+        if self.route.single_version
+            && self
+                .last_version
+                .is_some_and(|last_version| last_version != version)
+        {
             // Nothing of it can be used.
-            self.runner.drop_text(self.work);
-            return Some(StreamEnd::Broken(StreamError::Mixed));
+            self.runner.discard_output(self.task);
+            return Some(RunEnd::Broken(RunError::Mixed));
         }
-        self.last = Some(event.number);
-        self.made_by = Some(version);
-        self.runner.add_event(self.work, &event, version);
-        let moved = self.runner.progressed(self.work, self.place.key, gap);
-        moved.then_some(StreamEnd::Left)
+        self.last_event = Some(event.number);
+        self.last_version = Some(version);
+        self.runner.add_event(self.task, &event, version);
+        let should_move = self
+            .runner
+            .record_event(self.task, self.placement.key, interval);
+        should_move.then_some(RunEnd::Left)
     }
 }
 
 /// Length of the first whole event in `buffer`, and where the next one begins.
-fn next_event(buffer: &[u8]) -> Option<(usize, usize)> {
-    let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
-    Some((end, end + 2))
+fn split_event(buffer: &[u8]) -> Option<(usize, usize)> {
+    let event_len = buffer.windows(2).position(|pair| pair == b"\n\n")?;
+    Some((event_len, event_len + 2))
 }
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -4,8 +4,8 @@
 //! instance is asked, and nothing is shown that is not committed.
 
 use super::schema::{
-    LOTS, LotSpec, LotStatus, SEGMENT_SAMPLES, Tombstone, accepted, name, results, segment,
-    segment_name, stub,
+    LOT_KIND, LotSpec, LotStatus, MAX_SEGMENT_SAMPLES, Tombstone, parse_lot, parse_segment,
+    parse_tombstone, results_kind, scoped_id, segment_name,
 };
 use crate::{
     hosted::store::Store,
@@ -24,14 +24,14 @@
 use tokio::time::Instant;
 
 /// Lots whose number of items is remembered, so that reading one costs one call.
-const REMEMBERED: usize = 256;
+const MAX_CACHED_TOTALS: usize = 256;
 /// What the store's refusals ask the caller to wait: it answers again within about this time of its
 /// return.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Tries of one write whose outcome is not known, each followed by a look.
-const WRITES: u32 = 4;
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 /// Pause before a look at a write whose answer was lost.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The answer to a trainer's call.
 #[derive(Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
 pub struct TrainerApi {
     adapter: Adapter,
     store: Store,
-    totals: RefCell<BTreeMap<CompactString, usize>>,
+    cached_totals: RefCell<BTreeMap<CompactString, usize>>,
 }
 
 impl TrainerApi {
@@ -83,7 +83,7 @@
         Self {
             adapter,
             store: store.clone(),
-            totals: RefCell::default(),
+            cached_totals: RefCell::default(),
         }
     }
 
@@ -95,7 +95,7 @@
         host: &str,
         path: &str,
         body: &[u8],
-        give_up: Instant,
+        deadline: Instant,
     ) -> Reply {
         let lot = match serde_json::from_slice::<&RawValue>(body) {
             Ok(lot) => lot,
@@ -108,33 +108,33 @@
         };
         drop(value);
         let total = submission.items.len();
-        let id = &*name(caller, id);
-        let accepting = LotSpec {
+        let id = &*scoped_id(caller, id);
+        let spec = LotSpec {
             workspace: caller.workspace(),
             host,
             path,
             model: &submission.model,
             lot,
         };
-        let spec = match serde_json::to_string(&accepting) {
+        let spec = match serde_json::to_string(&spec) {
             Ok(spec) => spec,
             Err(error) => return Reply::Malformed(error.to_string().into()),
         };
-        let reply = self.create(id, &spec, give_up).await;
+        let reply = self.create(id, &spec, deadline).await;
         if reply == Reply::Accepted {
-            self.remember(id, total);
+            self.cache_total(id, total);
         }
         log::info!(id, path, items = total, outcome:? = reply; "lot submitted");
         reply
     }
 
-    async fn create(&self, id: &str, spec: &str, give_up: Instant) -> Reply {
-        let mut sent = false;
-        for _ in 0..WRITES {
-            if Instant::now() >= give_up {
+    async fn create(&self, id: &str, spec: &str, deadline: Instant) -> Reply {
+        let mut maybe_written = false;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
-            match self.store.create(Purpose::Lots, LOTS, id, spec).await {
+            match self.store.create(Purpose::Lots, LOT_KIND, id, spec).await {
                 // It exists: the trainer sent it before, or this write went through unheard.
                 Ok(_) | Err(Error::Conflict) => return Reply::Accepted,
                 Err(error) if error.had_no_effect() => {
@@ -143,12 +143,12 @@
                 }
                 Err(error) => {
                     log::warn!(id, error:% = error; "lot written or not");
-                    sent = true;
-                    tokio::time::sleep(LOOK_PAUSE).await;
+                    maybe_written = true;
+                    tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
-        if sent {
+        if maybe_written {
             Reply::Unknown
         } else {
             Reply::NotDone(RETRY_AFTER)
@@ -157,8 +157,8 @@
 
     /// Reads results from a position on; waits at most `wait` for the first.
     pub async fn read(&self, caller: &Caller, lot: &str, from: usize, wait: Duration) -> Reply {
-        let lot = &*name(caller, lot);
-        let read = self.results(lot, from, wait).await;
+        let lot = &*scoped_id(caller, lot);
+        let read = self.read_results(lot, from, wait).await;
         match read {
             Ok(Some(bytes)) => Reply::Results(bytes),
             Ok(None) => {
@@ -172,20 +172,20 @@
         }
     }
 
-    async fn results(
+    async fn read_results(
         &self,
         lot: &str,
         from: usize,
         wait: Duration,
     ) -> Result<Option<Vec<u8>>, Error> {
-        let kind = results(lot);
+        let kind = results_kind(lot);
         // Far enough back for the segment that holds the position, wherever it begins.
-        let after = from.checked_sub(SEGMENT_SAMPLES).map(segment_name);
+        let after = from.checked_sub(MAX_SEGMENT_SAMPLES).map(segment_name);
         let (objects, revision) = self
             .store
             .list(Purpose::Lots, &kind, after.as_deref())
             .await?;
-        let mut samples = self.samples(lot, from, &objects);
+        let mut samples = self.consecutive_samples(lot, from, &objects);
         if samples.is_empty() {
             let Some(total) = self.total(lot).await? else {
                 return Ok(None);
@@ -199,11 +199,11 @@
                     Err(error) => return Err(error),
                 };
                 let objects: Vec<_> = changes.into_iter().map(|change| change.object).collect();
-                samples = self.samples(lot, from, &objects);
+                samples = self.consecutive_samples(lot, from, &objects);
             }
         }
-        let total = self.known_total(lot).unwrap_or_default();
-        let count = fitting(&samples, self.adapter.lot.reading_bytes);
+        let total = self.cached_total(lot).unwrap_or_default();
+        let count = count_that_fit(&samples, self.adapter.lot.reading_bytes);
         let samples = &samples[..count];
         Ok(Some((self.adapter.lot.reading)(Reading {
             total,
@@ -213,17 +213,17 @@
     }
 
     /// The samples from a position on without a gap, out of segments in the order of their names.
-    fn samples(&self, lot: &str, from: usize, objects: &[Object]) -> Vec<Sample> {
+    fn consecutive_samples(&self, lot: &str, from: usize, objects: &[Object]) -> Vec<Sample> {
         let mut samples = Vec::new();
         for object in objects {
-            let (start, segment) = match segment(object) {
+            let (start, segment) = match parse_segment(object) {
                 Ok(segment) => segment,
                 Err(fault) => {
                     log::error!(id = lot; "{fault}");
                     break;
                 }
             };
-            self.remember(lot, segment.total);
+            self.cache_total(lot, segment.total);
             if start > from + samples.len() {
                 break;
             }
@@ -235,35 +235,35 @@
 
     /// Number of the lot's items; `None` if there is no such lot.
     async fn total(&self, lot: &str) -> Result<Option<usize>, Error> {
-        if let Some(total) = self.known_total(lot) {
+        if let Some(total) = self.cached_total(lot) {
             return Ok(Some(total));
         }
-        let object = self.lot(lot).await?;
+        let object = self.read_lot_object(lot).await?;
         let Some(object) = object else {
             return Ok(None);
         };
-        let stub = Tombstone::of(&self.adapter, &object);
-        let total = stub
+        let tombstone = Tombstone::of(&self.adapter, &object);
+        let total = tombstone
             .map_err(|fault| Error::Malformed(fault.to_string()))?
             .items;
-        self.remember(lot, total);
+        self.cache_total(lot, total);
         Ok(Some(total))
     }
 
-    async fn lot(&self, lot: &str) -> Result<Option<Object>, Error> {
+    async fn read_lot_object(&self, lot: &str) -> Result<Option<Object>, Error> {
         let read = self
             .store
-            .read(Purpose::Lots, LOTS, lot, Freshness::Current);
+            .read(Purpose::Lots, LOT_KIND, lot, Freshness::Current);
         read.await
     }
 
-    fn known_total(&self, lot: &str) -> Option<usize> {
-        self.totals.borrow().get(lot).copied()
+    fn cached_total(&self, lot: &str) -> Option<usize> {
+        self.cached_totals.borrow().get(lot).copied()
     }
 
-    fn remember(&self, lot: &str, total: usize) {
-        let mut totals = self.totals.borrow_mut();
-        if totals.len() >= REMEMBERED && !totals.contains_key(lot) {
+    fn cache_total(&self, lot: &str, total: usize) {
+        let mut totals = self.cached_totals.borrow_mut();
+        if totals.len() >= MAX_CACHED_TOTALS && !totals.contains_key(lot) {
             totals.pop_first();
         }
         totals.insert(lot.into(), total);
@@ -271,8 +271,8 @@
 
     /// What an item sends to its engine.
     pub async fn body(&self, caller: &Caller, lot: &str, item: &str) -> Reply {
-        let lot = &*name(caller, lot);
-        let object = match self.lot(lot).await {
+        let lot = &*scoped_id(caller, lot);
+        let object = match self.read_lot_object(lot).await {
             Ok(Some(object)) => object,
             Ok(None) => return Reply::NotFound,
             Err(error) => {
@@ -280,10 +280,10 @@
                 return Reply::NotDone(RETRY_AFTER);
             }
         };
-        if stub(&object).is_some() {
+        if parse_tombstone(&object).is_some() {
             return Reply::NotFound;
         }
-        match accepted(&self.adapter, &object) {
+        match parse_lot(&self.adapter, &object) {
             Ok(accepted) => {
                 let mut items = accepted.submission.items.into_iter();
                 let found = items.find(|i| i.id == item);
@@ -297,15 +297,19 @@
     }
 
     /// Ends a lot. Ending it again changes nothing.
-    pub async fn end(&self, caller: &Caller, lot: &str, give_up: Instant) -> Reply {
-        let lot = &*name(caller, lot);
+    pub async fn end(&self, caller: &Caller, lot: &str, deadline: Instant) -> Reply {
+        let lot = &*scoped_id(caller, lot);
         let status = serde_json::json!(LotStatus { ended: true });
         let mut reply = Reply::NotDone(RETRY_AFTER);
-        for _ in 0..WRITES {
-            if Instant::now() >= give_up {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
-            match self.store.report(Purpose::Lots, LOTS, lot, &status).await {
+            match self
+                .store
+                .report(Purpose::Lots, LOT_KIND, lot, &status)
+                .await
+            {
                 Ok(()) => {
                     reply = Reply::Ended;
                     break;
@@ -319,7 +323,7 @@
                     if !error.had_no_effect() {
                         reply = Reply::Unknown;
                     }
-                    tokio::time::sleep(LOOK_PAUSE).await;
+                    tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
@@ -330,17 +334,17 @@
 
 /// How many samples fit into an answer of `bytes`; at least one. The text may double in size when
 /// it is written as JSON.
-fn fitting(samples: &[Sample], bytes: usize) -> usize {
+fn count_that_fit(samples: &[Sample], bytes: usize) -> usize {
     /// Bytes of a result beside its text.
-    const FRAME: usize = 256;
-    let mut left = bytes / 2;
+    const RESULT_OVERHEAD_BYTES: usize = 256;
+    let mut remaining_bytes = bytes / 2;
     let mut count = 0;
     for sample in samples {
-        let size = FRAME + sample.made.as_ref().map_or(0, |made| made.text.len());
-        if count > 0 && size > left {
+        let size = RESULT_OVERHEAD_BYTES + sample.made.as_ref().map_or(0, |made| made.text.len());
+        if count > 0 && size > remaining_bytes {
             break;
         }
-        left = left.saturating_sub(size);
+        remaining_bytes = remaining_bytes.saturating_sub(size);
         count += 1;
     }
     count
--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/sizing.rs
@@ -63,7 +63,7 @@
             return 0;
         };
         let duties = &self.orders.parts.duties;
-        let short = |model| duties.demand(&lots::duty(model)).unplaced_items;
+        let short = |model| duties.demand(&lots::duty_name(model)).unplaced_items;
         let items = engine.models.iter().map(|model| short(model));
         let endpoints = items.sum::<u64>().div_ceil(u64::from(engine.slots.max(1)));
         u32::try_from(endpoints).unwrap_or(u32::MAX)
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -241,8 +241,8 @@
             stall: Rc::clone(&stall),
             metrics: metrics.clone(),
             clock,
-            watch,
-            kept: settings.lots.kept,
+            max_watch_wait: watch,
+            retention: settings.lots.kept,
         });
         Orders::start(orders::Parts {
             adapter,
@@ -314,7 +314,7 @@
         if let Some(bulletin) = &self.bulletin {
             bulletin.leave();
         }
-        self.runner.hand_over().await;
+        self.runner.checkpoint_and_stop().await;
         self.duties.drain();
         let times = Times {
             balancer_lag: settings.stop.balancer_lag,
