--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -1,8 +1,9 @@
-//! Unfinished texts pass from one runner to the next.
+//! Checkpoints: partial outputs of a lot's items, from which the next runner resumes.
 //!
-//! The longest texts decide when a step is whole, and take seconds: begun again, they would be late.
-//! So a runner writes them to the store now and then, and a planned stop writes all of them before
-//! the duty is released: one object a lot, which whoever opens the lot next goes on from.
+//! The longest outputs decide when a step completes and take seconds; restarted from the beginning,
+//! they would be late. A runner therefore writes them to the object store periodically, and writes
+//! all partial outputs at a planned stop, before it releases the lease. There is one object for
+//! each lot and process.
 
 use super::{
     runner::Runner,
@@ -16,22 +17,25 @@
 use std::{cmp::Reverse, collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Longest time for the hand-over: the duty waits for it.
+/// Timeout of all writes at a planned stop; the release of the lease waits for them.
 const STOP_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between two writes of a lot's long texts: a runner that is killed loses half as much on
-/// average. A text that decides about its step takes up to 7 s, so that a lot costs three writes.
+/// Interval between two checkpoints of a lot; a runner that is killed loses half of it on average.
+/// An output that decides when its step completes takes up to 7 s, so a lot costs three writes.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Events from which on a text is worth keeping: half a second of an engine's time.
+/// Lowest last event at which a periodic checkpoint includes an output: half a second of an
+/// engine's time.
 pub(super) const MIN_CHECKPOINT_EVENT: u64 = 10;
-/// Most bytes of text that are written; the store takes a megabyte, and JSON may double the text.
+/// Upper bound of the text in a checkpoint. The store accepts objects of up to a megabyte, and JSON
+/// escapes may double the size of the text.
 const MAX_CHECKPOINT_TEXT_BYTES: usize = 400_000;
 
-/// Unfinished texts of a lot, by item.
+/// Partial outputs of a lot, by item id.
 pub(super) type PartialOutputs = BTreeMap<CompactString, PartialOutput>;
 
-/// Writes the unfinished texts of all lots. What cannot be written in time is begun again.
+/// Aborts all runs and writes a checkpoint of each lot. The next runner restarts the items of those
+/// that are not written within [`STOP_WRITE_TIMEOUT`].
 pub(super) async fn write_all(runner: &Runner) {
     let lots = runner.abort_runs();
     let writes = lots
@@ -42,7 +46,7 @@
     }
 }
 
-/// Writes the long unfinished texts of a lot now and then, until dropped.
+/// Writes a checkpoint of a lot's long outputs at a fixed interval, until the lot is closed.
 pub(super) async fn write_periodically(runner: Rc<Runner>, lot: CompactString) {
     let mut written = PartialOutputs::new();
     loop {
@@ -60,7 +64,7 @@
     }
 }
 
-/// The texts that fit into one object: the longest, which decide when the step is whole.
+/// The outputs that fit into one object, longest first: these decide when the step completes.
 pub(super) fn longest_outputs<'a>(
     outputs: impl Iterator<Item = (&'a CompactString, &'a PartialOutput)>,
 ) -> PartialOutputs {
@@ -76,20 +80,20 @@
         .collect()
 }
 
-/// What a runner has of a lot and that is not listed.
+/// Partial outputs of a lot's uncommitted items, as one object.
 #[derive(Debug)]
 pub(super) struct Checkpoint {
-    /// The texts.
+    /// The partial outputs, by item id.
     pub(super) outputs: PartialOutputs,
-    /// Revision of this runner's object with earlier ones; none before the first.
+    /// Revision of the checkpoint that it replaces; `None` if this process has written none.
     pub(super) revision: Option<u64>,
 }
 
-/// Writes texts over those that were written before; gives the revision.
+/// Writes a checkpoint in place of the one before. Returns its revision, or `None` if it failed.
 async fn write(runner: &Runner, lot: &str, checkpoint: &Checkpoint) -> Option<u64> {
     let mut written = try_write(runner, lot, checkpoint).await;
     if matches!(written, Err(Error::Conflict)) {
-        // An earlier write, whose answer was lost or is still under way.
+        // An earlier write took effect although its response was lost or is still to come.
         written = overwrite(runner, lot, checkpoint).await;
     }
     match written {
@@ -104,7 +108,7 @@
     }
 }
 
-/// Name of this runner's object; it stands in paths.
+/// Object name for this process. Slashes are replaced, because names are part of URL paths.
 fn object_name(runner: &Runner) -> String {
     runner.parts.duties.id().replace('/', ".")
 }
@@ -138,7 +142,8 @@
     try_write(runner, lot, &checkpoint).await
 }
 
-/// Reads the texts that earlier runners of a lot have handed over; of two for one item the longer.
+/// Reads the checkpoints that all runners of a lot have written; the longest output of each item
+/// counts.
 pub(super) async fn read_all(runner: &Runner, lot: &str) -> Result<PartialOutputs, Error> {
     let store = &runner.parts.store;
     let (objects, _) = store
@@ -161,7 +166,7 @@
     Ok(longest)
 }
 
-/// Everything that lies in the store of a lot beside the lot itself.
+/// The kinds of the objects that belong to a lot, other than the lot object itself.
 pub(super) fn dependent_kinds(lot: &str) -> [CompactString; 2] {
     [results_kind(lot), checkpoint_kind(lot)]
 }
--- a/crates/pinereel/src/hosted/lots/cleanup.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -1,4 +1,5 @@
-//! Lots that nobody may read any more are removed from the object store.
+//! Deletes lots from the object store after their retention time, and replaces ended ones by
+//! tombstones before that.
 
 use super::{checkpoint::dependent_kinds, runner::Runner, schema::LOT_KIND};
 use crate::objects::{Error, Purpose};
@@ -8,31 +9,31 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Pause between two looks for lots that are over.
+/// Pause between two cleanup passes.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
-/// A lot stays as it was sent so long after its end, for calls that crossed it.
+/// Time from a lot's end to its tombstone, during which concurrent calls still find the whole lot.
 const TOMBSTONE_DELAY: Duration = Duration::from_secs(2);
-/// A lot is kept so much longer than it must be: instances count from when they first saw it.
+/// Added to the retention time, because each instance counts it from when it first saw the lot.
 const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
-/// When this instance first saw each lot. A later holder of the duty begins anew, so that a lot is
-/// never removed too early.
+/// When this instance first saw each lot. A later holder of the lease counts from its own first
+/// sight, so a lot is never deleted too early.
 #[derive(Debug, Default)]
 pub(super) struct FirstSeen(BTreeMap<CompactString, Instant>);
 
 impl FirstSeen {
-    /// Notes a lot.
+    /// Records the current time for a lot, unless it was seen before.
     pub(super) fn record(&mut self, lot: &CompactString) {
         let now = Instant::now();
         self.0.entry(lot.clone()).or_insert(now);
     }
 
-    /// Forgets a lot that is gone.
+    /// Removes a lot that has been deleted.
     pub(super) fn remove(&mut self, lot: &str) {
         self.0.remove(lot);
     }
 
-    /// Lots that are older than `age`.
+    /// Ids of the lots first seen at least `age` ago.
     fn older_than(&self, age: Duration) -> Vec<CompactString> {
         let older = self
             .0
@@ -42,7 +43,7 @@
     }
 }
 
-/// Removes lots that are over, until dropped.
+/// Writes tombstones and deletes expired lots periodically, until dropped.
 pub(super) async fn clean_up(runner: &Rc<Runner>) {
     let retention = runner.parts.retention + RETENTION_MARGIN;
     loop {
@@ -59,15 +60,15 @@
                     metrics.count(&metrics.lots, &["removed"]);
                     runner.with_first_seen(|first_seen| first_seen.remove(&lot));
                 }
-                // The next look tries again.
+                // The next pass retries.
                 Err(error) => log::warn!(id = lot.as_str(), error:% = error; "lot not removed"),
             }
         }
     }
 }
 
-/// Replaces the lots that ended some time ago by stubs. All at once, since each runner's watch of the
-/// lots ends with a change.
+/// Replaces lots that ended at least [`TOMBSTONE_DELAY`] ago by tombstones. The writes are
+/// concurrent so that their changes come together: a change ends each runner's watch of the lots.
 async fn write_tombstones(runner: &Runner) {
     let ended: Vec<_> = {
         let state = runner.state.borrow();
@@ -84,9 +85,9 @@
             Ok(object) => {
                 log::info!(id = lot.as_str(), revision = object.revision; "lot cut down to a stub");
             }
-            // Another runner did it.
+            // Another runner wrote the tombstone or deleted the lot.
             Err(Error::Conflict | Error::NotFound) => {}
-            // The next sweep tries again.
+            // The next pass retries.
             Err(error) => {
                 log::warn!(id = lot.as_str(), error:% = error; "lot not cut down");
                 return;
@@ -97,7 +98,8 @@
     join_all(updates).await;
 }
 
-/// Removes the results first: without its lot object nobody would look for them.
+/// Deletes a lot with its results and checkpoints. The lot object goes last: without it, nothing
+/// would refer to the remaining objects. Returns the number of results and checkpoints deleted.
 async fn remove_lot(runner: &Runner, lot: &str) -> Result<usize, Error> {
     let store = &runner.parts.store;
     let mut count = 0;
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -1,4 +1,7 @@
-//! Commits of results: the next segment of a lot, created only if it does not exist.
+//! Commits the results of a lot, segment by segment, with conditional creates.
+//!
+//! If the segment exists already, it is read and applied, and its samples take the place of the
+//! own ones: several instances may run the same lot.
 
 use super::{
     runner::Runner,
@@ -9,15 +12,16 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::sleep};
 
-/// How long a result waits for others that may be committed with it. Trainers read twice a second,
-/// and each commit is a priced write.
+/// Time for which a result that is not urgent waits for others to share its segment. Trainers read
+/// twice a second, and each commit is a priced write.
 const COMMIT_DELAY: Duration = Duration::from_millis(300);
-/// Pause after a write that failed or whose answer was lost.
+/// Pause after a failed read or write of a segment, or one whose response was lost.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Most bytes of text in one segment; the store takes a megabyte, and JSON may double the text.
+/// Upper bound of the text in a segment. The store accepts objects of up to a megabyte, and JSON
+/// escapes may double the size of the text.
 const MAX_SEGMENT_TEXT_BYTES: usize = 400_000;
 
-/// Commits the results of a lot as they come, until dropped.
+/// Commits the results of a lot as they finish, until it is closed.
 pub(super) async fn commit_results(
     runner: Rc<Runner>,
     lot: compact_str::CompactString,
@@ -53,19 +57,19 @@
     }
 }
 
-/// What is to be committed next.
+/// The next segment to commit.
 pub(super) struct PendingSegment {
     /// Position of the first sample.
     pub(super) from: usize,
-    /// Items of the lot.
+    /// Number of items of the lot.
     pub(super) total: usize,
-    /// The samples; more may wait.
+    /// The samples that fit into the segment.
     pub(super) samples: Vec<Sample>,
-    /// Whether the trainer waits for just these.
+    /// Whether it is committed at once rather than after [`COMMIT_DELAY`].
     pub(super) urgent: bool,
 }
 
-/// The first samples that fit into one segment.
+/// The longest prefix of `samples` that fits into one segment; at least one sample, however large.
 pub(super) fn first_segment(samples: &[Sample]) -> Vec<Sample> {
     let mut bytes = 0;
     let fits = samples
@@ -117,7 +121,7 @@
     }
 }
 
-/// Reads what stands at a position and takes it over, whoever wrote it.
+/// Reads the segment at a position and applies it, whoever wrote it.
 async fn load_segment(runner: &Rc<Runner>, lot: &str, from: usize) {
     let (kind, name) = (results_kind(lot), segment_name(from));
     let read = runner
@@ -138,7 +142,7 @@
                 sleep(WRITE_RETRY_DELAY).await;
             }
         },
-        // Not written: the next round writes it.
+        // The write had no effect; the next iteration repeats it.
         Ok(None) => {}
         Err(error) => {
             log::warn!(id = lot, from, error:% = error; "results not read");
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which item starts next, and at which engine.
+//! The dispatch loop of a runner: starts queued items on engines, oldest lot first.
 
 use super::{
     super::demand,
@@ -20,11 +20,12 @@
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Longest pause between two looks for engines that may take an item again.
+/// Upper bound of the pause between two dispatch rounds, since nothing notifies the loop when an
+/// engine's backoff ends.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(60);
 
 impl Runner {
-    /// Places items at engines as long as there are both.
+    /// Starts items while engines have free slots, and waits for changes; until dropped.
     pub(super) async fn dispatch(self: &Rc<Self>) {
         let mut endpoints = self.parts.endpoints.changes();
         loop {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Brings each model's view of its engines up to date, where the list or its working set has changed.
+    /// Updates each fleet for which the endpoint list or the size of the working set has changed.
     fn sync_fleets(&self) {
         let mut restarted = false;
         let mut state = self.state.borrow_mut();
@@ -67,7 +68,7 @@
                 leaving: entry.leaving,
                 version: entry.models.get(&key.model).copied(),
             };
-            // A run goes on at an engine that is not in the set any more.
+            // Engines with runs stay in the fleet after they leave the working set.
             let listings = parts
                 .endpoints
                 .first(&key.service, count, fleet.busy_ids(), read);
@@ -79,14 +80,14 @@
         }
     }
 
-    /// The lot's route under the configuration in force.
+    /// The lot's route in the current configuration; `None` if there is none for lots.
     fn route(&self, open: &OpenLot) -> Option<Route> {
         let table = self.parts.config.table()?;
         let route = table.route_for(&open.host, &open.path)?;
         (route.kind == Kind::Lot).then(|| route.clone())
     }
 
-    /// The engines that a lot's items go to.
+    /// The fleet that runs the lot's items.
     fn fleet_key(&self, open: &OpenLot) -> Option<FleetKey> {
         let route = self.route(open)?;
         let seed = hash::stable(open.path.as_bytes());
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Items that could not be started at the last look may be now.
+    /// Puts the items that could not be placed in the last round back into the queues.
     fn requeue_deferred(&self) {
         let mut state = self.state.borrow_mut();
         state
@@ -105,7 +106,7 @@
             .for_each(|open| open.lot.requeue_deferred());
     }
 
-    /// How many endpoints have crashed under an item; none if it must not run any more.
+    /// Number of engines that have crashed under an item; `None` if it must not run any more.
     fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
         let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
         match self.parts.crashes.standing(identity) {
@@ -115,8 +116,8 @@
         }
     }
 
-    /// The next item of a lot, its engine, and how many endpoints have crashed under it. One that may not run now is
-    /// held back, and the next one is looked at.
+    /// The next item of a lot that an engine accepts: its index, the engine, and the number of
+    /// engines that have crashed under it. Items that may not run now are deferred.
     fn pick_item(
         &self,
         open: &mut OpenLot,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Starts the next item of the oldest lot that has one, if an engine takes it.
+    /// Starts the next item that an engine accepts, of the oldest lot that has one. Returns `false`
+    /// if there is none.
     fn start_next_item(self: &Rc<Self>) -> bool {
         if self.draining.get() {
             return false;
@@ -194,7 +196,7 @@
                 oldest_version,
             };
             let future = item_task::run(Rc::clone(self), task, route, placement);
-            // One that ended before is replaced.
+            // Replaces the handle of a previous task of the item.
             open.tasks
                 .insert(index, AbortOnDrop(actix_rt::spawn(future)));
             return true;
@@ -202,7 +204,7 @@
         false
     }
 
-    /// Lists items whose time is over as given up.
+    /// Gives up the unfinished items of lots that are older than their route's `item_ttl`.
     fn expire_items(&self) {
         let mut state = self.state.borrow_mut();
         let mut aborted_tasks = Vec::new();
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -1,4 +1,4 @@
-//! The way of one item: engine, scoring, result.
+//! The task of one item: runs it on an engine, scores its output and records the result.
 
 use super::{
     runner::{Parts, Runner},
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Counts a run at its engine; one that is dropped counts as cancelled.
+/// Reports the end of a run to its fleet when dropped; as cancelled, unless `outcome` was set.
 struct ActiveRun {
     runner: Rc<Runner>,
     fleet: FleetKey,
@@ -35,7 +35,8 @@
     }
 }
 
-/// Runs an item at `place`, and scores it if its text is whole.
+/// Runs an item on the engine of `placement`, and scores its output if it is complete. A run that
+/// fails returns the item to the queue.
 pub(super) async fn run(runner: Rc<Runner>, task: ItemTask, route: Route, placement: Placement) {
     if let Some(item) = runner.item(&task) {
         run_item(&runner, &task, &item, &route, &placement).await;
@@ -88,7 +89,8 @@
     }
 }
 
-/// Notes what a run says about the item: whether its engine crashed under it.
+/// Records whether the engine crashed during the run or answered it, for the detection of items
+/// that crash engines.
 fn record_crash_evidence(
     runner: &Runner,
     task: &ItemTask,
@@ -102,7 +104,7 @@
     } = &runner.parts;
     let identity = || item_identity(&task.caller, &task.host, item);
     match end {
-        // One that was leaving, or is listed no more, ends by itself.
+        // An engine that is leaving, or is not listed any more, stops by itself.
         RunEnd::Broken(RunError::Crashed) if endpoints.is_current(&placement.start) => {
             crashes.crashed(
                 identity(),
@@ -135,7 +137,7 @@
     );
 }
 
-/// The text is whole: it is scored and becomes a result.
+/// Scores the complete output and records the result; gives the item up if that fails.
 async fn score_and_finish(runner: &Rc<Runner>, task: &ItemTask, item: &Item) {
     let score = match &item.scorer {
         Some(scorer) => match score::score(runner, task, scorer).await {
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -1,4 +1,7 @@
-//! Lots on their way in and out of a runner.
+//! Opening and closing of lots on a runner, and the demand that they report.
+//!
+//! A lot is opened once its committed results and checkpoints have been read, and closed when it is
+//! complete or its trainer has ended it.
 
 use super::{
     checkpoint::{self, PartialOutputs},
@@ -20,11 +23,12 @@
     time::{Instant, sleep},
 };
 
-/// Pause after a lot's results could not be read.
+/// Pause before a failed read of a lot's results is retried.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// An item that has no slot so long after its lot came had to wait for others: most texts take less.
+/// Time after the opening of a lot at which its queued items are counted as unplaced. Most outputs
+/// take less, so an item that is still queued had to wait for others.
 const UNPLACED_CHECK_DELAY: Duration = Duration::from_millis(1_500);
-/// Texts of ended lots that are kept for groups that come again.
+/// Upper bound of the partial outputs kept from closed lots, for groups that are submitted again.
 const MAX_KEPT_OUTPUTS: usize = 2_048;
 
 impl Runner {
@@ -73,7 +77,7 @@
             .insert(id, AbortOnDrop(task));
     }
 
-    /// An ended lot is cut down to a stub at the next sweep.
+    /// Records an ended lot, for which the next cleanup writes a tombstone.
     fn record_ended(&self, object: Object) {
         if schema::parse_tombstone(&object).is_some() {
             return;
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Reads what is committed of a lot, and begins to work on it.
+    /// Reads the committed results of a lot and its checkpoints, and starts to run it.
     async fn open_lot(
         self: Rc<Self>,
         id: CompactString,
@@ -177,12 +181,12 @@
         }
         drop(state);
         self.wake.notify_one();
-        // Last: it ends this very task.
+        // Last, because dropping the handle aborts this task.
         let task = self.state.borrow_mut().opening.remove(&id);
         drop(task);
     }
 
-    /// Tells how much work the model's trainers ask for, so that it gets its share of the engines.
+    /// Adds a lot to its model's demand, which determines the model's share of the engines.
     fn record_demand(&self, state: &mut State, open: &OpenLot) {
         let items = &open.submission.items;
         let hints = items.iter().map(|item| item.length_hint);
@@ -192,7 +196,8 @@
         });
     }
 
-    /// Tells how many items of a lot found no slot in time, so that there are more engines for the next ones.
+    /// Adds the items that are queued after [`UNPLACED_CHECK_DELAY`] to the model's demand, so that
+    /// further lots get more engines.
     async fn record_unplaced_items(self: Rc<Self>, id: CompactString) {
         sleep(UNPLACED_CHECK_DELAY).await;
         let mut state = self.state.borrow_mut();
@@ -218,7 +223,7 @@
         duties.set_demand(runner::duty_name(model), window.demand(now));
     }
 
-    /// What is committed of a lot, and the texts that earlier runners left.
+    /// Reads the segments of a lot, and the checkpoints if it may have had another runner.
     async fn read_lot(
         &self,
         id: &CompactString,
@@ -234,7 +239,7 @@
         Ok((objects, outputs))
     }
 
-    /// Ends the work on a lot, keeping unfinished texts for groups that come again.
+    /// Stops the runs of a lot and keeps their partial outputs for groups that are submitted again.
     pub(super) fn close_lot(&self, id: &CompactString, reason: &str) {
         let mut state = self.state.borrow_mut();
         state.closed.insert(id.clone());
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -1,7 +1,8 @@
-//! Lots of samples whose results are kept in the object store.
+//! Lots: batch jobs of trainers, with their state and results in the object store.
 //!
-//! [`TrainerApi`] answers trainers at every instance; [`Runner`] makes the samples at the one instance
-//! that holds the duty for their model.
+//! [`TrainerApi`] accepts and reads lots on every instance. [`Runner`] runs their items on engines,
+//! on the one instance that holds the lease of their model. The decisions are in
+//! [`pinereel_core::batch`], the layout of the stored objects in `schema`.
 
 mod checkpoint;
 mod cleanup;
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -1,4 +1,4 @@
-//! The runner: makes the samples of all open lots of a model, while it holds the model's duty.
+//! The runner: runs all open lots of a model while this instance holds the model's lease.
 
 use super::{
     checkpoint::{self, Checkpoint},
@@ -34,9 +34,9 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// What a runner works with.
+/// Services and settings that a runner uses.
 pub struct Parts {
-    /// Translates.
+    /// Adapter for the formats on the wire and in the store.
     pub adapter: Adapter,
     /// The object store.
     pub store: Store,
@@ -44,41 +44,41 @@
     pub config: Rc<Config>,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Duties.
+    /// The leases of this instance.
     pub duties: Rc<Duties>,
-    /// Connections to endpoints.
+    /// Connection pool for engines.
     pub pool: Rc<Pool>,
-    /// Brings scorings to their service.
+    /// Sends scorings to their service.
     pub relay: Rc<Relay>,
-    /// Requests under which endpoints crash.
+    /// Detection of requests that crash endpoints.
     pub crashes: Rc<Crashes>,
-    /// Whether what is known may be old.
+    /// Detection of pauses of this process, after which cached state may be stale.
     pub stall: Rc<Stall>,
-    /// Figures.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// The clock.
+    /// Clock of the fleets and the demand windows.
     pub clock: Clock,
-    /// Longest wait of a watch.
+    /// Longest time that a watch of the lots waits for a change.
     pub max_watch_wait: Duration,
-    /// How long a lot is kept after its submission.
+    /// How long a lot is retained after its submission.
     pub retention: Duration,
 }
 
-/// Makes samples.
+/// Runs the lots of all models whose lease this instance holds.
 pub struct Runner {
     pub(super) parts: Parts,
     pub(super) state: RefCell<State>,
-    /// Something may be started.
+    /// Notified when an item may have become startable.
     pub(super) wake: Notify,
     pub(super) scoring_limiter: Rc<score::Limiter>,
-    /// Grows when an engine with runs has started again.
+    /// Incremented when an engine with runs has restarted.
     pub(super) restarts: watch::Sender<u64>,
-    /// Whether no further run is started.
+    /// Whether no further runs are started.
     pub(super) draining: Cell<bool>,
 }
 
 impl Runner {
-    /// Takes part in the duty of each model of the configuration from now on.
+    /// Starts to compete for the lease of each model in the configuration, and to run its lots.
     pub fn start(parts: Parts) -> Rc<Self> {
         let runner = Rc::new(Self {
             parts,
@@ -93,23 +93,24 @@
         runner
     }
 
-    /// Starts no further run; those under way go on.
+    /// Starts no further runs; those in progress continue.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Hands unfinished texts over to the next runner; to be called before the duties are released.
+    /// Aborts all runs and writes checkpoints for the next runner. To be called before the leases
+    /// are released.
     pub async fn checkpoint_and_stop(&self) {
         checkpoint::write_all(self).await;
     }
 
-    /// Ends all runs; returns the texts that are not listed, by lot.
+    /// Aborts all runs. Returns the checkpoints of the lots with uncommitted outputs, by lot.
     pub(super) fn abort_runs(&self) -> BTreeMap<CompactString, Checkpoint> {
         let mut checkpoints = BTreeMap::new();
         let mut aborted_tasks = Vec::new();
         for (id, open) in &mut self.state.borrow_mut().lots {
             aborted_tasks.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
-            // What is made is committed at once.
+            // Finished samples are committed at once.
             open.commit_wakeup.notify_one();
             let checkpoint = open.checkpoint(0);
             if !checkpoint.outputs.is_empty() {
@@ -120,21 +121,21 @@
         checkpoints
     }
 
-    /// The long texts of a lot that are not listed; none if they need not be kept any more.
+    /// The periodic checkpoint of a lot; `None` if the lot is closed or this instance is draining.
     pub(super) fn checkpoint(&self, lot: &str) -> Option<Checkpoint> {
         let state = self.state.borrow();
         let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
         Some(open.checkpoint(checkpoint::MIN_CHECKPOINT_EVENT))
     }
 
-    /// The texts of a lot were written.
+    /// Records the revision of a lot's checkpoint in the store.
     pub(super) fn checkpoint_written(&self, lot: &str, revision: u64) {
         if let Some(open) = self.state.borrow_mut().lots.get_mut(lot) {
             open.checkpoint_revision = Some(revision);
         }
     }
 
-    /// Runs and scorings under way.
+    /// Number of items that are being run or scored.
     pub fn in_flight(&self) -> usize {
         let state = self.state.borrow();
         state.lots.values().map(|open| open.tasks.len()).sum()
@@ -148,21 +149,21 @@
         self.parts.config.for_each_new(engine_models, start).await;
     }
 
-    /// Works for a model whenever this instance holds its duty.
+    /// Runs a model's lots whenever this instance holds its lease.
     async fn serve_model(self: Rc<Self>, model: &CompactString) {
         let duty = duty_name(model);
         let (runner, duties) = (&self, Rc::clone(&self.parts.duties));
         let work = async || runner.run_lots(model).await;
         let continues = || {
-            // At a stop what is under way ends by itself, and its results are still committed.
+            // While draining, runs in progress finish and their results are still committed.
             let is_draining = runner.draining.get();
             if !is_draining {
                 runner.drop_lots(model);
             }
             !is_draining
         };
-        // Two runners cost work and never a wrong result, so that it goes on while the store is away,
-        // until another instance is known to have the duty.
+        // Two concurrent runners duplicate work but never corrupt results, so this one continues
+        // while the store is unavailable, until another instance is known to hold the lease.
         duties.whenever_held(&duty, work, continues).await;
     }
 
@@ -174,7 +175,7 @@
         state.lots = remaining;
         state.opening.clear();
         drop(state);
-        // Ending their tasks calls back into the state.
+        // Dropping their tasks borrows the state again.
         drop(dropped);
     }
 
@@ -203,7 +204,7 @@
     }
 
     fn apply_update(self: &Rc<Self>, model: &CompactString, update: Update) {
-        // What stands already when a runner begins may have had another one.
+        // Lots that exist already when this runner starts may have had another one.
         let has_predecessor = matches!(update, Update::All(_));
         let objects: Vec<_> = match update {
             Update::All(objects) => objects,
@@ -217,24 +218,24 @@
         }
     }
 
-    /// The ages of the lots that this instance has seen.
+    /// Calls `access` with the record of when each lot was first seen.
     pub(super) fn with_first_seen<T>(&self, access: impl FnOnce(&mut FirstSeen) -> T) -> T {
         access(&mut self.state.borrow_mut().first_seen)
     }
 
-    /// Whether there is still work to do for a lot.
+    /// Whether a lot is open or being opened.
     pub(super) fn is_open(&self, lot: &str) -> bool {
         let state = self.state.borrow();
         state.lots.contains_key(lot) || state.opening.contains_key(lot)
     }
 }
 
-/// The duty of running the lots of a model.
+/// Name of the lease for running the lots of a model.
 pub fn duty_name(model: &str) -> CompactString {
     format_compact!("lots-{model}")
 }
 
-/// The models of all engines.
+/// The models of all engine services in the configuration.
 fn engine_models(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter_map(|service| service.engine.as_ref());
--- a/crates/pinereel/src/hosted/lots/schema.rs
+++ b/crates/pinereel/src/hosted/lots/schema.rs
@@ -1,17 +1,13 @@
-//! How lots and their results lie in the object store.
+//! Layout of lots, results and checkpoints in the object store.
 //!
 //! | kind | name | spec | status |
 //! |---|---|---|---|
-//! | `pinereel-lots` | lot's name | [`AcceptedLot`]; once it is ended, a [`Tombstone`] | [`LotStatus`] |
-//! | `pinereel-results-LOT` | position of the first sample, six digits | [`Segment`], never changed | |
+//! | `pinereel-lots` | [`scoped_id`] | [`LotSpec`]; [`Tombstone`] after its end | [`LotStatus`] |
+//! | `pinereel-results-LOT` | [`segment_name`] | [`Segment`], immutable | |
+//! | `pinereel-drafts-LOT` | id of the runner's process | partial outputs by item id | |
 //!
-//! | `pinereel-drafts-LOT` | its runner, in this start | unfinished texts by item | |
-//!
-//! A lot's name is its id, after its workspace if it has one ([`name`]): a call of another workspace looks
-//! elsewhere and finds nothing.
-//!
-//! All are created only if they do not exist; that create is the acceptance of a
-//! lot, and the commit of results.
+//! All objects are created with a conditional create (only if they do not exist): the create of a
+//! lot object is the lot's acceptance, and the create of a segment commits its results.
 
 use compact_str::{CompactString, format_compact};
 use pinereel_core::hash::Digest;
@@ -24,13 +20,15 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, value::RawValue};
 
-/// Most samples of one segment, so that a reader finds the one that holds a position by one list.
+/// Upper bound of the samples in a segment. With it, one list call finds the segment that holds a
+/// given position.
 pub(super) const MAX_SEGMENT_SAMPLES: usize = 16;
 
-/// Kind of the accepted lots.
+/// Kind of the lot objects.
 pub(super) const LOT_KIND: &str = "pinereel-lots";
 
-/// The name of what a caller knows by `id`: a lot, or an item of one. Other callers' names differ.
+/// The id of a lot or item, prefixed with the caller's workspace if it has one. Ids of different
+/// workspaces never collide, so a call from another workspace finds nothing.
 pub(super) fn scoped_id(caller: &Caller, id: &str) -> CompactString {
     let Some(workspace) = caller.workspace() else {
         return id.into();
@@ -39,83 +37,84 @@
     if !workspace.is_empty() && workspace.chars().all(is_plain) {
         return format_compact!("{workspace}.{id}");
     }
-    // A dot or slash in it must not make two names one, or another path.
+    // Hashed, because a dot or slash in the workspace could make two ids equal or change the path.
     format_compact!("{}.{id}", Digest::of(workspace.as_bytes()))
 }
 
-/// An accepted lot, as it is written.
+/// Spec of a lot object, for writing.
 #[derive(Serialize)]
 pub(super) struct LotSpec<'a> {
-    /// Workspace that it belongs to; none if the configuration knew none.
+    /// Workspace of the caller; absent if the configuration has no workspaces.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) workspace: Option<&'a str>,
     /// Host that it was sent to.
     pub(super) host: &'a str,
     /// Path that it was sent to.
     pub(super) path: &'a str,
-    /// Its model: runners of other models need not read on.
+    /// Model of the lot, repeated here so that runners of other models need not parse the lot.
     pub(super) model: &'a str,
-    /// The lot as its trainer sent it.
+    /// The submission, unchanged.
     pub(super) lot: &'a RawValue,
 }
 
-/// An accepted lot, as it is read.
+/// Spec of a lot object, parsed.
 #[derive(Debug)]
 pub(super) struct AcceptedLot {
-    /// On whose behalf its items run.
+    /// Caller on whose behalf its items run.
     pub(super) caller: Caller,
     /// Host that it was sent to.
     pub(super) host: CompactString,
     /// Path that it was sent to.
     pub(super) path: CompactString,
-    /// The lot.
+    /// The submission.
     pub(super) submission: Submission,
 }
 
-/// What is kept of a lot some time after its trainer has ended it.
+/// Replaces the spec of a lot after its trainer has ended it.
 ///
-/// Who begins to run a model's lots lists all that are kept, for three minutes each. Whole ones, of
-/// 0.1 MB to 0.3 MB, took 0.6 s to 0.9 s before the first of the open ones was run.
+/// A new runner of a model lists all retained lots, which stay for three minutes each. Whole lots
+/// of 0.1 MB to 0.3 MB delayed the first run of an open lot by 0.6 s to 0.9 s.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Tombstone {
-    /// Its model.
+    /// Model of the lot.
     pub(super) model: CompactString,
-    /// How many items it had.
+    /// Number of its items.
     pub(super) items: usize,
 }
 
-/// How a lot stands.
+/// Status of a lot object.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct LotStatus {
     /// Whether its trainer has ended it.
     pub(super) ended: bool,
 }
 
-/// Some results, at positions one after the other.
+/// Committed results at consecutive positions; the name of the object gives the first.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Segment {
-    /// Items of the whole lot.
+    /// Number of items of the whole lot.
     pub(super) total: usize,
-    /// The results.
+    /// The results, in the order of their positions.
     pub(super) samples: Vec<Sample>,
 }
 
-/// Kind of the results of a lot.
+/// Kind of the segments of a lot.
 pub(super) fn results_kind(lot: &str) -> CompactString {
     format_compact!("pinereel-results-{lot}")
 }
 
-/// Kind of the unfinished texts of a lot, as its runners wrote them.
+/// Kind of the checkpoints of a lot, one object for each process that ran it.
 pub(super) fn checkpoint_kind(lot: &str) -> CompactString {
     format_compact!("pinereel-drafts-{lot}")
 }
 
-/// Name of the segment that begins at a position.
+/// Name of the segment whose first sample has position `from`, padded so that names sort by
+/// position.
 pub(super) fn segment_name(from: usize) -> CompactString {
     format_compact!("{from:06}")
 }
 
-/// Reads an accepted lot.
+/// Parses a lot object that is not a [`Tombstone`].
 pub(super) fn parse_lot(adapter: &Adapter, object: &Object) -> Result<AcceptedLot, Fault> {
     let text = |field: &str| {
         let value = object.spec.get(field).and_then(Value::as_str);
@@ -134,7 +133,7 @@
 }
 
 impl Tombstone {
-    /// What is or would be kept of a lot.
+    /// The tombstone that the object holds, or the one that would replace it.
     pub(super) fn of(adapter: &Adapter, object: &Object) -> Result<Self, Fault> {
         if let Some(tombstone) = parse_tombstone(object) {
             return Ok(tombstone);
@@ -147,23 +146,23 @@
     }
 }
 
-/// Reads what is kept of an ended lot; none if it is there as it was sent.
+/// Parses a tombstone; `None` if the object still holds the whole submission.
 pub(super) fn parse_tombstone(object: &Object) -> Option<Tombstone> {
     Tombstone::deserialize(&object.spec).ok()
 }
 
-/// The model of a lot, if its object tells.
+/// The model of a lot object; `None` if its spec names none.
 pub(super) fn lot_model(object: &Object) -> Option<&str> {
     object.spec.get("model").and_then(Value::as_str)
 }
 
-/// Whether a lot is ended.
+/// Whether the trainer has ended the lot.
 pub(super) fn is_ended(object: &Object) -> bool {
-    // No status yet is a lot that goes on.
+    // A lot without a status is not ended.
     LotStatus::deserialize(&object.status).is_ok_and(|status| status.ended)
 }
 
-/// Reads a segment, with the position of its first sample.
+/// Parses a segment and the position of its first sample.
 pub(super) fn parse_segment(object: &Object) -> Result<(usize, Segment), Fault> {
     let from = object.name.parse();
     let from = from.map_err(|_| Fault::new("segment", format!("name {}", object.name)))?;
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -1,4 +1,4 @@
-//! The scoring of a finished text.
+//! Scoring of complete outputs, by a request to the scoring service.
 
 use super::{runner::Runner, state::ItemTask};
 use crate::hosted::relay::{Call, Outcome};
@@ -19,20 +19,20 @@
     time::{Instant, sleep},
 };
 
-/// Pause before a scoring that found no place, or whose answer was lost, is tried again.
+/// Pause before a scoring that found no free slot, or whose response was lost, is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Scorings at once, as a part of the slots of the service that scores: live callers share it, and
-/// a step's texts end close together.
+/// Slots of the scoring service per concurrent scoring. Bounds the scorings to a part of the slots:
+/// live callers share the service, and the outputs of a step finish close together.
 const SLOTS_PER_SCORING: u32 = 2;
 
-/// How many scorings are under way.
+/// Limits the number of concurrent scorings.
 #[derive(Default)]
 pub(super) struct Limiter {
     permits_in_use: Cell<u32>,
     permit_returned: Notify,
 }
 
-/// A scoring under way.
+/// Permit for one scoring, returned when dropped.
 struct Permit(Rc<Limiter>);
 
 impl Drop for Permit {
@@ -52,7 +52,8 @@
     }
 }
 
-/// Scores a text; none if its item is to be given up.
+/// Scores an item. Returns the signature of the scoring response; `None` if the item is to be given
+/// up.
 pub(super) async fn score(
     runner: &Rc<Runner>,
     task: &ItemTask,
@@ -64,7 +65,7 @@
             sleep(RETRY_DELAY).await;
             continue;
         };
-        // A scoring that endpoints crash under waits until its item's time is over.
+        // A scoring that crashes endpoints waits here until its item expires.
         if runner
             .parts
             .crashes
@@ -92,7 +93,7 @@
     }
 }
 
-/// Slots of the endpoints that may score.
+/// Number of slots of the services that the scoring may be routed to.
 fn scoring_slots(runner: &Runner, call: &Call) -> u32 {
     let targets = call.route.targets.iter();
     let slots = targets.map(|target| runner.parts.endpoints.slots(&target.service));
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -1,4 +1,4 @@
-//! What a runner knows of its lots.
+//! In-memory state of a runner: its lots, the partial outputs of their items, and the engines.
 
 use super::{
     checkpoint::{Checkpoint, longest_outputs},
@@ -18,58 +18,67 @@
 };
 use tokio::{sync::Notify, task::JoinHandle, time::Instant};
 
+/// State of the runner on this instance, over all models whose lease it holds.
 #[derive(Default)]
 pub(super) struct State {
-    /// Lots that are neither ended nor complete, and those whose results are being read.
+    /// Lots that are neither ended nor complete.
     pub(super) lots: BTreeMap<CompactString, OpenLot>,
+    /// Lots whose committed results are being read, with the task that does so.
     pub(super) opening: BTreeMap<CompactString, AbortOnDrop>,
-    /// Lots that need no work any more.
+    /// Ids of lots that are ended or complete, and are not opened again.
     pub(super) closed: BTreeSet<CompactString>,
-    /// EndedLot lots that lie in the store as they were sent.
+    /// Ended lots whose object still holds the whole submission; a tombstone will replace it.
     pub(super) ended: BTreeMap<CompactString, EndedLot>,
-    /// What was asked for lately, by model.
+    /// Recent demand, by model.
     pub(super) demand_by_model: BTreeMap<CompactString, DemandWindow>,
-    /// When each lot was first seen.
+    /// When this instance first saw each lot.
     pub(super) first_seen: FirstSeen,
     /// Engines by service and model.
     pub(super) fleets: BTreeMap<FleetKey, Fleet>,
-    /// The change of the endpoint list, and the size of the working set, that each fleet was last brought up to date with.
+    /// The revision of the endpoint list and the size of the working set from which each fleet was
+    /// last updated.
     pub(super) fleet_sources: BTreeMap<FleetKey, (u64, usize)>,
-    /// Unfinished texts of ended lots, by the name of the item.
+    /// Partial outputs of items of ended lots, by [`scoped_id`](super::schema::scoped_id); an item
+    /// that is submitted again continues from there.
     pub(super) kept_outputs: BTreeMap<CompactString, PartialOutput>,
-    /// Names of the items of lots that were ended, which may come again.
+    /// Scoped ids of uncommitted items of closed lots, which may be submitted again.
     pub(super) known_items: BTreeSet<CompactString>,
 }
 
-/// The engines of a service, as far as they serve one model.
+/// Identifies a fleet: the engines of one service that serve one model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FleetKey {
     pub(super) service: CompactString,
     pub(super) model: CompactString,
 }
 
-/// A lot that is being worked on.
+/// A lot whose items are being run.
 pub(super) struct OpenLot {
-    /// On whose behalf its items run.
+    /// Caller on whose behalf its items run.
     pub(super) caller: Caller,
+    /// Host and path that it was submitted to; they select its route.
     pub(super) host: CompactString,
     pub(super) path: CompactString,
     pub(super) model: CompactString,
     pub(super) submission: Rc<Submission>,
     pub(super) lot: Lot,
+    /// Partial output of each item, by index.
     pub(super) outputs: Vec<PartialOutput>,
+    /// When an item was last moved to another engine, by index.
     pub(super) last_moves: BTreeMap<usize, Instant>,
+    /// Tasks of the items that are being run or scored, by index.
     pub(super) tasks: BTreeMap<usize, AbortOnDrop>,
+    /// Notified when there are samples to commit, or when they have become urgent.
     pub(super) commit_wakeup: Rc<Notify>,
     pub(super) opened_at: Instant,
-    /// Revision of the object with its unfinished texts.
+    /// Revision of this runner's checkpoint of the lot; `None` before the first write.
     pub(super) checkpoint_revision: Option<u64>,
     pub(super) _commit_task: AbortOnDrop,
     pub(super) _checkpoint_task: AbortOnDrop,
 }
 
 impl OpenLot {
-    /// The texts that are not listed, of those that have come to event `least`.
+    /// Checkpoint of the uncommitted items whose last event has at least number `min_event`.
     pub(super) fn checkpoint(&self, min_event: u64) -> Checkpoint {
         let items = self.submission.items.iter().zip(&self.outputs);
         let uncommitted = items.filter(|(item, output)| {
@@ -88,15 +97,15 @@
 /// A lot that its trainer has ended.
 #[derive(Debug)]
 pub(super) struct EndedLot {
-    /// Revision of its object.
+    /// Revision of its object in the store.
     pub(super) revision: u64,
-    /// Since when this runner knows.
+    /// When this runner learned that it is ended.
     pub(super) noticed_at: Instant,
-    /// What is to be kept of it.
+    /// Replacement for its object.
     pub(super) tombstone: Tombstone,
 }
 
-/// A task that ends with its handle.
+/// Aborts a task when dropped.
 pub(super) struct AbortOnDrop(pub(super) JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -105,15 +114,15 @@
     }
 }
 
-/// The text of an item so far.
+/// Output of an item that is not finished, from which a further run resumes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PartialOutput {
-    /// Number of its last event.
+    /// Number of its last event; `None` before the first.
     #[serde(rename = "last")]
     pub(super) last_event: Option<u64>,
-    /// Data of its events, one a line.
+    /// Data of its events, separated by newlines.
     pub(super) text: String,
-    /// Versions that made a part of it.
+    /// Versions of the weights that generated a part of it.
     pub(super) versions: BTreeSet<u64>,
 }
 
@@ -128,14 +137,16 @@
     }
 }
 
-/// One item of one lot.
+/// One item of a lot, with what its task needs to run it.
 #[derive(Clone, Debug)]
 pub(super) struct ItemTask {
     pub(super) caller: Caller,
     pub(super) lot: CompactString,
+    /// Index of the item in its lot.
     pub(super) index: usize,
     pub(super) item: CompactString,
     pub(super) host: CompactString,
     pub(super) fleet: FleetKey,
+    /// Oldest version of the weights that the lot admits.
     pub(super) oldest_version: u64,
 }
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -1,4 +1,7 @@
-//! One run of an item at an engine, event by event.
+//! One run of an item on an engine: sends the request and reads the stream of events.
+//!
+//! Events are appended to the item's partial output as they come, so that a further run resumes
+//! after the last of them.
 
 use super::{runner::Runner, state::ItemTask};
 use crate::upstream::pool::{Body, Error, Exchange};
@@ -19,32 +22,33 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{Instant, timeout};
 
-/// An engine that has sent nothing at all for so long is left: it may load weights first, which takes about a second.
+/// Timeout for the response head, and again for the first event: the engine may have to load
+/// weights first, which takes about a second.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest event; an engine that sends a longer one sends no events.
+/// Upper bound of the size of an event; beyond it, the stream is taken for malformed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// How a run ended.
+/// How a run ended. Log lines show the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunEnd {
-    /// The text is whole.
+    /// The output is complete.
     Complete,
-    /// The engine failed on it.
+    /// The engine answered with a failure.
     Failed,
-    /// The engine says that it can never be done.
+    /// The engine answered that the item can never succeed.
     Impossible,
-    /// The engine did not take it now.
+    /// The engine rejected the run for now.
     Refused,
-    /// Broken off, silent, out of reach, or not in the protocol; with what was seen.
+    /// The engine was unreachable, the stream broke off or stalled, or it violated the protocol.
     Broken(RunError),
-    /// Another engine is much faster.
+    /// The run moves to a faster engine.
     Left,
     /// The engine's weights are older than the lot admits.
     Outdated,
 }
 
 impl RunEnd {
-    /// The name in metrics.
+    /// Value of the metric label.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -58,46 +62,46 @@
     }
 }
 
-/// What broke a run off.
+/// Why a run broke off. Log lines show the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunError {
-    /// No connection, or no head of an answer in time.
+    /// No connection, or no response head before the timeout.
     NoAnswer,
-    /// The connection broke before the head of an answer.
+    /// The connection broke before the response head.
     Lost,
-    /// The same, over a connection that had lain idle: the engine may just have closed it.
+    /// The same on a reused connection, which the engine may have closed while it was idle.
     Stale,
-    /// The engine crashed while the item was there.
+    /// The engine crashed during the run.
     Crashed,
-    /// An answer to another request, or with an encoded body.
+    /// The response belongs to another request, or has an encoded body.
     Foreign,
-    /// A status that engines do not answer with.
+    /// A status outside the engines' protocol.
     Status(u16),
-    /// An event of which no version is known.
+    /// An event without a known version of the weights.
     NoVersion,
-    /// Nothing came for too long.
+    /// No event before the timeout.
     Silent,
-    /// The connection broke, or ended within an event.
+    /// The connection broke, or was closed within an event.
     Cut,
-    /// An event that is malformed or does not follow the one before.
+    /// A malformed event, or one out of sequence.
     Event,
-    /// Another version went on with a text that must come from one.
+    /// The version of the weights changed, although the route requires a single one.
     Mixed,
-    /// The engine has started again and knows nothing of the run.
+    /// The engine has restarted and lost the run.
     Restarted,
 }
 
-/// The engine that a run goes to.
+/// The engine on which a run was placed.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     pub(super) key: EngineKey,
     pub(super) start: Start,
     pub(super) address: SocketAddr,
-    /// How many endpoints have crashed under the item.
+    /// Number of engines that have crashed under the item.
     pub(super) crashes: usize,
 }
 
-/// What makes an item the same request when it comes again.
+/// Identity by which the crash detection recognizes the item in further runs and submissions.
 pub(super) fn item_identity(caller: &Caller, host: &str, item: &Item) -> Identity {
     let mut headers = item.headers.iter();
     let credential = headers.find(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
@@ -111,7 +115,8 @@
     })
 }
 
-/// Runs the item at `place` from where its draft ends.
+/// Runs the item on the engine of `placement`, from the end of its partial output. A lost
+/// connection counts as a crash if the engine's address refuses new ones.
 pub(super) async fn run_on_engine(
     runner: &Rc<Runner>,
     task: &ItemTask,
@@ -144,7 +149,7 @@
         address: placement.address,
         head: request_head(runner, task, item, placement, last_event),
         body: item.body.clone(),
-        // A run may be repeated, so it may travel on a connection that carried another one.
+        // A run may be repeated, so a reused connection that turns out to be closed does no harm.
         reuse: true,
     };
     let response = match timeout(RESPONSE_TIMEOUT, runner.parts.pool.send(exchange)).await {
@@ -219,19 +224,19 @@
     headers
 }
 
-/// Reads the events of one run.
+/// Reads and validates the events of one run.
 struct EventReader<'a> {
     runner: &'a Rc<Runner>,
     task: &'a ItemTask,
     route: &'a Route,
     placement: &'a Placement,
     oldest_version: u64,
-    /// Version of the weights that make the next event; none if the engine has nothing to add to
-    /// a text that is whole already.
+    /// Version of the weights that generate the next event; `None` if the engine has nothing to add
+    /// to an output that is complete already.
     version: Option<u64>,
-    /// Number of the last event, of this run or an earlier one.
+    /// Number of the last event of this run or an earlier one.
     last_event: Option<u64>,
-    /// Version that made the last event.
+    /// Version of the weights that generated the last event.
     last_version: Option<u64>,
 }
 
@@ -256,7 +261,7 @@
                     return RunEnd::Complete;
                 }
                 Err(_) => return RunEnd::Broken(RunError::Silent),
-                // What is torn off is not kept.
+                // An incomplete event is discarded.
                 _ => return RunEnd::Broken(RunError::Cut),
             };
             buffer.extend_from_slice(&chunk);
@@ -279,7 +284,8 @@
         }
     }
 
-    /// Takes one event in; says if the run ends with it.
+    /// Validates an event and appends it to the partial output. Returns how the run ends if this
+    /// event ends it.
     fn accept_event(&mut self, text: &str, interval: Option<Duration>) -> Option<RunEnd> {
         let event = match (self.runner.parts.adapter.lot.event)(text) {
             Ok(event) => event,
@@ -310,7 +316,7 @@
                 .last_version
                 .is_some_and(|last_version| last_version != version)
         {
-            // Nothing of it can be used.
+            // The output so far cannot be continued or used.
             self.runner.discard_output(self.task);
             return Some(RunEnd::Broken(RunError::Mixed));
         }
@@ -324,7 +330,7 @@
     }
 }
 
-/// Length of the first whole event in `buffer`, and where the next one begins.
+/// Length of the first complete event in `buffer`, and the offset of the next one.
 fn split_event(buffer: &[u8]) -> Option<(usize, usize)> {
     let event_len = buffer.windows(2).position(|pair| pair == b"\n\n")?;
     Some((event_len, event_len + 2))
--- a/crates/pinereel/src/hosted/lots/task_state.rs
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a runner's items tell it.
+//! The state that the tasks of items read and update: partial outputs, runs, results and commits.
 
 use super::{
     commit::{PendingSegment, first_segment},
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A run is not moved twice within this time: its new engine must show its pace first.
+/// Minimum time between two moves of an item, so that the speed of its new engine is known first.
 const MIN_MOVE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Runner {
@@ -20,7 +20,7 @@
         open.submission.items.get(task.index).cloned()
     }
 
-    /// The text of an item so far.
+    /// The partial output of an item; empty if its lot is closed.
     pub(super) fn partial_output(&self, task: &ItemTask) -> PartialOutput {
         let state = self.state.borrow();
         let open = state.lots.get(&task.lot);
@@ -28,7 +28,8 @@
             .unwrap_or_default()
     }
 
-    /// Number of an item's last event, and the newest version that made a part of its text.
+    /// Where a run of the item resumes: the number of its last event, and the newest version of the
+    /// weights that generated a part of its output.
     pub(super) fn resume_point(&self, task: &ItemTask) -> (Option<u64>, Option<u64>) {
         let state = self.state.borrow();
         let Some(open) = state.lots.get(&task.lot) else {
@@ -38,7 +39,7 @@
         (output.last_event, output.versions.last().copied())
     }
 
-    /// Adds an event to an item's text.
+    /// Appends an event to the item's partial output.
     pub(super) fn add_event(&self, task: &ItemTask, event: &Event, version: u64) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&task.lot) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Forgets an item's text.
+    /// Discards the item's partial output; its next run starts from the beginning.
     pub(super) fn discard_output(&self, task: &ItemTask) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&task.lot) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The task of an item is at its end.
+    /// Removes the handle of an item's task, called by the task as its last step.
     pub(super) fn task_ended(&self, task: &ItemTask) {
         let handle = {
             let mut state = self.state.borrow_mut();
@@ -64,7 +65,8 @@
         drop(handle);
     }
 
-    /// A run made an event; says whether it should go on at another engine.
+    /// Records an event of a run, `interval` after the one before (`None` for the first). Returns
+    /// whether the run should move to another engine; if so, the caller stops it.
     pub(super) fn record_event(
         &self,
         task: &ItemTask,
@@ -102,14 +104,14 @@
         true
     }
 
-    /// How long a run waits for the next event.
+    /// How long a run waits for its next event.
     pub(super) fn stall_timeout(&self, task: &ItemTask, key: EngineKey) -> Duration {
         let state = self.state.borrow();
         let fleet = state.fleets.get(&task.fleet);
         fleet.map_or(Duration::MAX, |fleet| fleet.stall_timeout(key))
     }
 
-    /// Waits until a run at an engine is lost, since that has started again.
+    /// Waits until the engine has restarted, so that a run on it is lost.
     pub(super) async fn wait_for_restart(&self, fleet: &FleetKey, key: EngineKey) {
         let mut restarts = self.restarts.subscribe();
         loop {
@@ -134,7 +136,7 @@
         self.wake.notify_one();
     }
 
-    /// A run that began in doubt ended.
+    /// Records that the run of an item under which engines have crashed ended.
     pub(super) fn suspect_run_ended(&self, fleet: &FleetKey, key: EngineKey) {
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// What is to be committed next; `None` if the lot is not worked on any more.
+    /// The next segment to commit; `None` if the lot is closed.
     pub(super) fn pending_segment(&self, lot: &str) -> Option<PendingSegment> {
         let state = self.state.borrow();
         let open = state.lots.get(lot)?;
@@ -197,7 +199,7 @@
         })
     }
 
-    /// A segment stands in the store.
+    /// Applies a segment that is in the store, and closes the lot if that completes it.
     pub(super) fn segment_committed(&self, lot: &str, from: usize, samples: Vec<Sample>) {
         let mut aborted_tasks = Vec::new();
         let mut is_complete = false;
@@ -209,7 +211,7 @@
             if let Err(gap) = open.lot.add_segment(from, samples) {
                 log::error!(id = lot; "{gap}");
             }
-            // Another runner may have finished what still runs here.
+            // Another runner may have finished items that still run here.
             let running: Vec<_> = open.tasks.keys().copied().collect();
             for index in running {
                 if open.lot.is_finished(index) {
@@ -220,7 +222,7 @@
         }
         drop(aborted_tasks);
         if is_complete {
-            // The committer itself may be the caller, and ends with the lot: so this comes last.
+            // Last, because closing the lot aborts its commit task, which may be the caller.
             self.close_lot(&lot.into(), "complete");
         }
     }
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -1,7 +1,7 @@
-//! Trainers' calls: lots are accepted, read and ended at any instance.
+//! Calls of trainers: submitting, reading and ending lots, on any instance.
 //!
-//! Everything here is a read or write of the object store, so that it does not matter which
-//! instance is asked, and nothing is shown that is not committed.
+//! Each call reads or writes the object store, so any instance can answer it, and only committed
+//! results are returned.
 
 use super::schema::{
     LOT_KIND, LotSpec, LotStatus, MAX_SEGMENT_SAMPLES, Tombstone, parse_lot, parse_segment,
@@ -23,39 +23,41 @@
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 use tokio::time::Instant;
 
-/// Lots whose number of items is remembered, so that reading one costs one call.
+/// Upper bound of the lots whose number of items is cached, so that a read of results costs one
+/// call to the store.
 const MAX_CACHED_TOTALS: usize = 256;
-/// What the store's refusals ask the caller to wait: it answers again within about this time of its
-/// return.
+/// Delay before a retry that trainers are asked for when the store refuses a call. After an outage,
+/// the store answers again within about this time of its return.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Tries of one write whose outcome is not known, each followed by a look.
+/// Upper bound of the attempts of one write. Writes are idempotent: an attempt after one that took
+/// effect, although its response was lost, finds its result.
 const MAX_WRITE_ATTEMPTS: u32 = 4;
-/// Pause before a look at a write whose answer was lost.
+/// Pause after a failed write, or one whose response was lost, before it is repeated.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The answer to a trainer's call.
+/// The answer to a trainer's call. Log lines show the names of the variants.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The lot is kept.
+    /// The lot is stored.
     Accepted,
     /// The lot is ended.
     Ended,
-    /// Results, as they are sent.
+    /// Results, serialized.
     Results(Vec<u8>),
-    /// What an item sends to its engine.
+    /// Body of an item's request.
     Body(Bytes),
     /// There is no such lot or item.
     NotFound,
-    /// What was sent is no lot.
+    /// The submission is malformed; with the reason.
     Malformed(CompactString),
-    /// Nothing was done; come back after this time.
+    /// The call had no effect and may be retried after this delay.
     NotDone(Duration),
-    /// It may have been done.
+    /// The call may have taken effect.
     Unknown,
 }
 
 impl Reply {
-    /// The name in metrics.
+    /// Value of the metric label.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -70,7 +72,7 @@
     }
 }
 
-/// Answers trainers' calls.
+/// Answers trainers' calls from the object store.
 pub struct TrainerApi {
     adapter: Adapter,
     store: Store,
@@ -78,7 +80,7 @@
 }
 
 impl TrainerApi {
-    /// A desk before `store`.
+    /// Creates an instance with an empty cache.
     pub fn new(adapter: Adapter, store: &Store) -> Self {
         Self {
             adapter,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Accepts a lot: it is kept from the moment at which its object was created.
+    /// Accepts a lot: it is durable once its object is created. Starts no attempt after `deadline`.
     pub async fn submit(
         &self,
         caller: &Caller,
@@ -135,7 +137,8 @@
                 break;
             }
             match self.store.create(Purpose::Lots, LOT_KIND, id, spec).await {
-                // It exists: the trainer sent it before, or this write went through unheard.
+                // It exists: the trainer submitted it before, or an attempt whose response was lost
+                // took effect.
                 Ok(_) | Err(Error::Conflict) => return Reply::Accepted,
                 Err(error) if error.had_no_effect() => {
                     log::warn!(id, error:% = error; "lot not written");
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Reads results from a position on; waits at most `wait` for the first.
+    /// Reads results from position `from` on; waits up to `wait` for the first.
     pub async fn read(&self, caller: &Caller, lot: &str, from: usize, wait: Duration) -> Reply {
         let lot = &*scoped_id(caller, lot);
         let read = self.read_results(lot, from, wait).await;
@@ -179,7 +182,8 @@
         wait: Duration,
     ) -> Result<Option<Vec<u8>>, Error> {
         let kind = results_kind(lot);
-        // Far enough back for the segment that holds the position, wherever it begins.
+        // A segment has a bounded number of samples, so the one that holds the position starts
+        // after this name.
         let after = from.checked_sub(MAX_SEGMENT_SAMPLES).map(segment_name);
         let (objects, revision) = self
             .store
@@ -194,7 +198,8 @@
                 let changes = self.store.watch(Purpose::Lots, &kind, revision, wait).await;
                 let changes = match changes {
                     Ok(changes) => changes.changes,
-                    // History is gone, or the watch was cut: the caller asks again.
+                    // The revision is no longer watchable, or the watch broke off: the trainer
+                    // asks again.
                     Err(Error::Gone | Error::Unknown(_)) => Vec::new(),
                     Err(error) => return Err(error),
                 };
@@ -212,7 +217,7 @@
         })))
     }
 
-    /// The samples from a position on without a gap, out of segments in the order of their names.
+    /// The samples from position `from` up to the first gap, from segments ordered by name.
     fn consecutive_samples(&self, lot: &str, from: usize, objects: &[Object]) -> Vec<Sample> {
         let mut samples = Vec::new();
         for object in objects {
@@ -233,7 +238,7 @@
         samples
     }
 
-    /// Number of the lot's items; `None` if there is no such lot.
+    /// Number of items of the lot, cached or read from the store; `None` if there is no such lot.
     async fn total(&self, lot: &str) -> Result<Option<usize>, Error> {
         if let Some(total) = self.cached_total(lot) {
             return Ok(Some(total));
@@ -269,7 +274,7 @@
         totals.insert(lot.into(), total);
     }
 
-    /// What an item sends to its engine.
+    /// Reads the body of an item's request; not found once the lot is a tombstone.
     pub async fn body(&self, caller: &Caller, lot: &str, item: &str) -> Reply {
         let lot = &*scoped_id(caller, lot);
         let object = match self.read_lot_object(lot).await {
@@ -296,7 +301,7 @@
         }
     }
 
-    /// Ends a lot. Ending it again changes nothing.
+    /// Marks a lot as ended; idempotent. Starts no attempt after `deadline`.
     pub async fn end(&self, caller: &Caller, lot: &str, deadline: Instant) -> Reply {
         let lot = &*scoped_id(caller, lot);
         let status = serde_json::json!(LotStatus { ended: true });
@@ -332,10 +337,10 @@
     }
 }
 
-/// How many samples fit into an answer of `bytes`; at least one. The text may double in size when
-/// it is written as JSON.
+/// Number of samples that fit into an answer of `bytes`; at least one if there are any. JSON
+/// escapes may double the size of the text.
 fn count_that_fit(samples: &[Sample], bytes: usize) -> usize {
-    /// Bytes of a result beside its text.
+    /// Assumed size of a serialized result without its text.
     const RESULT_OVERHEAD_BYTES: usize = 256;
     let mut remaining_bytes = bytes / 2;
     let mut count = 0;
