--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -42,7 +42,7 @@
         .iter()
         .map(|(lot, checkpoint)| write(runner, lot, checkpoint));
     if timeout(STOP_WRITE_TIMEOUT, join_all(writes)).await.is_err() {
-        log::warn!(lots = lots.len(); "texts not handed over in time");
+        log::warn!(lots = lots.len(); "checkpoints not written before the timeout");
     }
 }
 
@@ -98,11 +98,14 @@
     }
     match written {
         Ok(revision) => {
-            log::info!(id = lot, texts = checkpoint.outputs.len(), revision; "texts kept");
+            log::info!(id = lot, texts = checkpoint.outputs.len(), revision; "checkpoint written");
             Some(revision)
         }
         Err(error) => {
-            log::warn!(id = lot, texts = checkpoint.outputs.len(), error:% = error; "texts not kept");
+            log::warn!(
+                id = lot, texts = checkpoint.outputs.len(), error:% = error;
+                "checkpoint not written"
+            );
             None
         }
     }
@@ -160,7 +163,7 @@
                     }
                 }
             }
-            Err(error) => log::error!(id = lot, error:% = error; "texts unreadable"),
+            Err(error) => log::error!(id = lot, error:% = error; "malformed checkpoint"),
         }
     }
     Ok(longest)
--- a/crates/pinereel/src/hosted/lots/cleanup.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -55,13 +55,13 @@
             }
             match remove_lot(runner, &lot).await {
                 Ok(count) => {
-                    log::info!(id = lot.as_str(), objects = count; "lot removed");
+                    log::info!(id = lot.as_str(), objects = count; "expired lot deleted");
                     let metrics = &runner.parts.metrics;
                     metrics.count(&metrics.lots, &["removed"]);
                     runner.with_first_seen(|first_seen| first_seen.remove(&lot));
                 }
                 // The next pass retries.
-                Err(error) => log::warn!(id = lot.as_str(), error:% = error; "lot not removed"),
+                Err(error) => log::warn!(id = lot.as_str(), error:% = error; "lot not deleted"),
             }
         }
     }
@@ -83,13 +83,16 @@
         let update = store.update(Purpose::Lots, LOT_KIND, lot, *revision, tombstone);
         match update.await {
             Ok(object) => {
-                log::info!(id = lot.as_str(), revision = object.revision; "lot cut down to a stub");
+                log::info!(
+                    id = lot.as_str(), revision = object.revision;
+                    "ended lot replaced by a tombstone"
+                );
             }
             // Another runner wrote the tombstone or deleted the lot.
             Err(Error::Conflict | Error::NotFound) => {}
             // The next pass retries.
             Err(error) => {
-                log::warn!(id = lot.as_str(), error:% = error; "lot not cut down");
+                log::warn!(id = lot.as_str(), error:% = error; "writing the tombstone failed");
                 return;
             }
         }
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -96,7 +96,7 @@
     let spec = match serde_json::to_string(&segment) {
         Ok(spec) => spec,
         Err(error) => {
-            log::error!(id = lot, from, error:% = error; "results not written");
+            log::error!(id = lot, from, error:% = error; "serializing the segment failed");
             sleep(WRITE_RETRY_DELAY).await;
             return;
         }
@@ -112,7 +112,7 @@
         }
         Err(Error::Conflict) => load_segment(runner, lot, from).await,
         Err(error) => {
-            log::warn!(id = lot, from, error:% = error; "results written or not");
+            log::warn!(id = lot, from, error:% = error; "creating the segment failed");
             sleep(WRITE_RETRY_DELAY).await;
             if !error.had_no_effect() {
                 load_segment(runner, lot, from).await;
@@ -132,7 +132,10 @@
         Ok(Some(object)) => match parse_segment(&object) {
             Ok((_, segment)) => {
                 let count = segment.samples.len();
-                log::info!(id = lot, from, count, revision = object.revision; "results found");
+                log::info!(
+                    id = lot, from, count, revision = object.revision;
+                    "existing segment applied"
+                );
                 let metrics = &runner.parts.metrics;
                 metrics.count(&metrics.committed, &["found"]);
                 runner.segment_committed(lot, from, segment.samples);
@@ -145,7 +148,7 @@
         // The write had no effect; the next iteration repeats it.
         Ok(None) => {}
         Err(error) => {
-            log::warn!(id = lot, from, error:% = error; "results not read");
+            log::warn!(id = lot, from, error:% = error; "reading the segment failed");
             sleep(WRITE_RETRY_DELAY).await;
         }
     }
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -60,7 +60,8 @@
     };
     let end = tokio::select! {
         end = run_on_engine(runner, task, item, route, placement) => end,
-        () = runner.wait_for_restart(&task.fleet, placement.key) => RunEnd::Broken(RunError::Restarted),
+        () = runner.wait_for_restart(&task.fleet, placement.key) =>
+            RunEnd::Broken(RunError::Restarted),
     };
     running.outcome = match end {
         RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => RunOutcome::Finished,
@@ -85,7 +86,7 @@
         }
     };
     if runner.run_failed(task, failure, route.max_attempts) == RetryDecision::GiveUp {
-        give_up(runner, task, item, "its engine refuses it or fails on it");
+        give_up(runner, task, item, "rejected, or too many runs failed");
     }
 }
 
@@ -143,7 +144,7 @@
         Some(scorer) => match score::score(runner, task, scorer).await {
             Some(score) => Some(score),
             None => {
-                give_up(runner, task, item, "its scorer fails on it");
+                give_up(runner, task, item, "too many scorings failed");
                 return;
             }
         },
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -106,7 +106,10 @@
             match self.read_lot(&id, has_predecessor).await {
                 Ok(read) => break read,
                 Err(error) => {
-                    log::warn!(id = id.as_str(), error:% = error; "lot's results not read");
+                    log::warn!(
+                        id = id.as_str(), error:% = error;
+                        "reading the lot's results failed; retrying"
+                    );
                     sleep(READ_RETRY_DELAY).await;
                 }
             }
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -61,7 +61,10 @@
 ) -> Option<CompactString> {
     loop {
         let Some(call) = scoring_call(runner, task, scorer) else {
-            log::warn!(id = task.item.as_str(), scorer = scorer.id.as_str(); "no route to the scorer");
+            log::warn!(
+                id = task.item.as_str(), scorer = scorer.id.as_str();
+                "no route to the scorer"
+            );
             sleep(RETRY_DELAY).await;
             continue;
         };
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -218,7 +218,7 @@
         if let (Ok(name), Ok(value)) = (name, value) {
             headers.append(name, value);
         } else {
-            log::warn!(id = item.id.as_str(); "item header is not valid and left out");
+            log::warn!(id = item.id.as_str(); "invalid item header omitted");
         }
     }
     headers
@@ -294,7 +294,7 @@
                     self.task.item.as_str(),
                     self.placement.start.endpoint.as_str(),
                 );
-                log::warn!(id, endpoint; "event refused: {fault}");
+                log::warn!(id, endpoint; "malformed event: {fault}");
                 return Some(RunEnd::Broken(RunError::Event));
             }
         };
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -141,11 +141,14 @@
                 // took effect.
                 Ok(_) | Err(Error::Conflict) => return Reply::Accepted,
                 Err(error) if error.had_no_effect() => {
-                    log::warn!(id, error:% = error; "lot not written");
+                    log::warn!(id, error:% = error; "creating the lot failed; nothing was written");
                     break;
                 }
                 Err(error) => {
-                    log::warn!(id, error:% = error; "lot written or not");
+                    log::warn!(
+                        id, error:% = error;
+                        "creating the lot failed; it may have been written"
+                    );
                     maybe_written = true;
                     tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
@@ -169,7 +172,7 @@
                 Reply::NotFound
             }
             Err(error) => {
-                log::warn!(id = lot, from, error:% = error; "lot not read");
+                log::warn!(id = lot, from, error:% = error; "reading the lot's results failed");
                 Reply::NotDone(RETRY_AFTER)
             }
         }
@@ -281,7 +284,7 @@
             Ok(Some(object)) => object,
             Ok(None) => return Reply::NotFound,
             Err(error) => {
-                log::warn!(id = lot, item, error:% = error; "item not read");
+                log::warn!(id = lot, item, error:% = error; "reading the item failed");
                 return Reply::NotDone(RETRY_AFTER);
             }
         };
@@ -324,7 +327,7 @@
                     break;
                 }
                 Err(error) => {
-                    log::warn!(id = lot, error:% = error; "lot's end not written");
+                    log::warn!(id = lot, error:% = error; "marking the lot as ended failed");
                     if !error.had_no_effect() {
                         reply = Reply::Unknown;
                     }
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -336,7 +336,11 @@
     assert_eq!(trainer.done, 1);
     assert_eq!(book.faults(), Vec::<String>::new());
     let lines = site.instances[killed].all_lines();
-    assert!(!lines.iter().any(|line| line.contains("texts not kept")));
+    assert!(
+        !lines
+            .iter()
+            .any(|line| line.contains("checkpoint not written"))
+    );
     let others = site
         .instances
         .iter()
@@ -347,7 +351,7 @@
     assert_eq!(opened.len(), 1, "{opened:?}");
     let kept: Vec<_> = lines
         .iter()
-        .filter(|line| line.contains("texts kept"))
+        .filter(|line| line.contains("checkpoint written"))
         .collect();
     assert!(
         !opened[0].contains("\"texts_reused\":0"),
