--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -1,7 +1,7 @@
 //! Commits the results of a lot, segment by segment, with conditional creates.
 //!
-//! If the segment exists already, it is read and applied, and its samples take the place of the
-//! own ones: several instances may run the same lot.
+//! Several instances may run the same lot. If another one has created the segment already, it is
+//! read and applied, and its samples replace those that this instance has for the same items.
 
 use super::{
     runner::Runner,
@@ -48,6 +48,7 @@
     }
 }
 
+/// Waits until the next segment is urgent, or the lot is closed.
 async fn until_urgent(runner: &Runner, lot: &str, wakeup: &Notify) {
     while runner
         .pending_segment(lot)
@@ -84,6 +85,7 @@
     fits.cloned().collect()
 }
 
+/// Creates a segment, or applies the one that exists at its position.
 async fn write_segment(
     runner: &Rc<Runner>,
     lot: &str,
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -25,7 +25,7 @@
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(60);
 
 impl Runner {
-    /// Starts items while engines have free slots, and waits for changes; until dropped.
+    /// Starts items while engines have free slots, and waits for changes, until dropped.
     pub(super) async fn dispatch(self: &Rc<Self>) {
         let mut endpoints = self.parts.endpoints.changes();
         loop {
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -32,6 +32,8 @@
 const MAX_KEPT_OUTPUTS: usize = 2_048;
 
 impl Runner {
+    /// Applies the current object of a lot: opens a new lot and closes an ended one. With
+    /// `has_predecessor`, another runner may have written checkpoints of it.
     pub(super) fn apply_lot(
         self: &Rc<Self>,
         model: &CompactString,
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -70,6 +70,7 @@
     pub(super) state: RefCell<State>,
     /// Notified when an item may have become startable.
     pub(super) wake: Notify,
+    /// Bounds the concurrent scorings of this instance.
     pub(super) scoring_limiter: Rc<score::Limiter>,
     /// Incremented when an engine with runs has restarted.
     pub(super) restarts: watch::Sender<u64>,
@@ -141,6 +142,7 @@
         state.lots.values().map(|open| open.tasks.len()).sum()
     }
 
+    /// Starts [`Runner::serve_model`] for each model, also for models that are configured later.
     async fn serve_models(self: Rc<Self>) {
         let start = |model: CompactString| {
             let runner = Rc::clone(&self);
@@ -167,6 +169,7 @@
         duties.whenever_held(&duty, work, continues).await;
     }
 
+    /// Drops the lots of a model and aborts their tasks, after its lease is lost.
     fn drop_lots(&self, model: &CompactString) {
         let mut state = self.state.borrow_mut();
         let lots = std::mem::take(&mut state.lots);
@@ -179,6 +182,7 @@
         drop(dropped);
     }
 
+    /// Follows the lots in the store, dispatches their items and cleans up, until dropped.
     async fn run_lots(self: &Rc<Self>, model: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
--- a/crates/pinereel/src/hosted/lots/schema.rs
+++ b/crates/pinereel/src/hosted/lots/schema.rs
@@ -47,9 +47,9 @@
     /// Workspace of the caller; absent if the configuration has no workspaces.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) workspace: Option<&'a str>,
-    /// Host that it was sent to.
+    /// Host that it was submitted to.
     pub(super) host: &'a str,
-    /// Path that it was sent to.
+    /// Path that it was submitted to.
     pub(super) path: &'a str,
     /// Model of the lot, repeated here so that runners of other models need not parse the lot.
     pub(super) model: &'a str,
@@ -62,9 +62,9 @@
 pub(super) struct AcceptedLot {
     /// Caller on whose behalf its items run.
     pub(super) caller: Caller,
-    /// Host that it was sent to.
+    /// Host that it was submitted to.
     pub(super) host: CompactString,
-    /// Path that it was sent to.
+    /// Path that it was submitted to.
     pub(super) path: CompactString,
     /// The submission.
     pub(super) submission: Submission,
@@ -72,8 +72,8 @@
 
 /// Replaces the spec of a lot after its trainer has ended it.
 ///
-/// A new runner of a model lists all retained lots, which stay for three minutes each. Whole lots
-/// of 0.1 MB to 0.3 MB delayed the first run of an open lot by 0.6 s to 0.9 s.
+/// A new runner of a model lists all retained lots, which stay for three minutes each. With whole
+/// lots of 0.1 MB to 0.3 MB, that took 0.6 s to 0.9 s before the first open lot was run.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Tombstone {
     /// Model of the lot.
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -22,8 +22,8 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{Instant, timeout};
 
-/// Timeout for the response head, and again for the first event: the engine may have to load
-/// weights first, which takes about a second.
+/// Timeout for the response head, and again for the first event or the body of a rejection. The
+/// engine may have to load weights first, which takes about a second.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Upper bound of the size of an event; beyond it, the stream is taken for malformed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
@@ -94,7 +94,9 @@
 /// The engine on which a run was placed.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
+    /// Key of the engine in its fleet.
     pub(super) key: EngineKey,
+    /// The process of the engine.
     pub(super) start: Start,
     pub(super) address: SocketAddr,
     /// Number of engines that have crashed under the item.
@@ -137,6 +139,7 @@
     }
 }
 
+/// Sends the request and reads the response, without telling a lost connection from a crash.
 async fn request_events(
     runner: &Rc<Runner>,
     task: &ItemTask,
--- a/crates/pinereel/src/hosted/lots/task_state.rs
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -14,6 +14,7 @@
 const MIN_MOVE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Runner {
+    /// The item as submitted; `None` if its lot is closed.
     pub(super) fn item(&self, task: &ItemTask) -> Option<Item> {
         let state = self.state.borrow();
         let open = state.lots.get(&task.lot)?;
@@ -126,6 +127,7 @@
         }
     }
 
+    /// Records the end of a run for the health and load of its engine.
     pub(super) fn run_ended(&self, fleet: &FleetKey, key: EngineKey, outcome: RunOutcome) {
         let now = self.parts.clock.now();
         let mut state = self.state.borrow_mut();
@@ -144,6 +146,7 @@
         }
     }
 
+    /// Records that a run ended without a result; the item is queued again.
     pub(super) fn run_failed(
         &self,
         task: &ItemTask,
@@ -160,6 +163,7 @@
         decision
     }
 
+    /// Records that a scoring ended without a score.
     pub(super) fn score_failed(
         &self,
         task: &ItemTask,
@@ -173,6 +177,7 @@
         }
     }
 
+    /// Records the result of an item, or that it was given up, and wakes the commit task.
     pub(super) fn finish_item(&self, task: &ItemTask, sample: Sample) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.lots.get_mut(&task.lot) {
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -130,6 +130,7 @@
         reply
     }
 
+    /// Creates the lot object, and retries while the outcome is unknown.
     async fn create(&self, id: &str, spec: &str, deadline: Instant) -> Reply {
         let mut maybe_written = false;
         for _ in 0..MAX_WRITE_ATTEMPTS {
@@ -178,6 +179,7 @@
         }
     }
 
+    /// The serialized results; `None` if there is no such lot.
     async fn read_results(
         &self,
         lot: &str,
@@ -269,6 +271,7 @@
         self.cached_totals.borrow().get(lot).copied()
     }
 
+    /// Caches the number of items of a lot; a full cache drops the lot with the smallest name.
     fn cache_total(&self, lot: &str, total: usize) {
         let mut totals = self.cached_totals.borrow_mut();
         if totals.len() >= MAX_CACHED_TOTALS && !totals.contains_key(lot) {
