--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -47,7 +47,7 @@
         let mut restarted = false;
         let mut state = self.state.borrow_mut();
         let keys: BTreeSet<_> = state
-            .lots
+            .open_lots
             .values()
             .filter_map(|open| self.fleet_key(open))
             .collect();
@@ -101,7 +101,7 @@
     fn requeue_deferred(&self) {
         let mut state = self.state.borrow_mut();
         state
-            .lots
+            .open_lots
             .values_mut()
             .for_each(|open| open.lot.requeue_deferred());
     }
@@ -150,14 +150,14 @@
         }
         let mut state = self.state.borrow_mut();
         let mut by_age: Vec<_> = state
-            .lots
+            .open_lots
             .iter()
             .map(|(id, open)| (open.opened_at, id.clone()))
             .collect();
         by_age.sort();
         for (_, id) in by_age {
             let state = &mut *state;
-            let Some(open) = state.lots.get_mut(&id) else {
+            let Some(open) = state.open_lots.get_mut(&id) else {
                 continue;
             };
             if open.lot.queued() == 0 {
@@ -188,9 +188,9 @@
             fleet.run_started(self.parts.clock.now(), key, crashes);
             let task = ItemTask {
                 caller: open.caller.clone(),
-                item: open.submission.items[index].id.clone(),
+                item_id: open.submission.items[index].id.clone(),
                 host: open.host.clone(),
-                lot: id,
+                lot_id: id,
                 index,
                 fleet: fleet_key,
                 oldest_version,
@@ -208,7 +208,7 @@
     fn expire_items(&self) {
         let mut state = self.state.borrow_mut();
         let mut aborted_tasks = Vec::new();
-        for open in state.lots.values_mut() {
+        for open in state.open_lots.values_mut() {
             let Some(ttl) = self.route(open).and_then(|route| route.item_ttl) else {
                 continue;
             };
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -128,8 +128,8 @@
     last_event: Option<u64>,
 ) {
     log::info!(
-        id = task.item.as_str(),
-        lot = task.lot.as_str(),
+        id = task.item_id.as_str(),
+        lot = task.lot_id.as_str(),
         endpoint = placement.start.endpoint.as_str(),
         outcome:? = end,
         last_event:serde = last_event,
@@ -164,7 +164,7 @@
 }
 
 fn give_up(runner: &Rc<Runner>, task: &ItemTask, item: &Item, reason: &str) {
-    log::warn!(id = item.id.as_str(), lot = task.lot.as_str(), why = reason; "item given up");
+    log::warn!(id = item.id.as_str(), lot = task.lot_id.as_str(), why = reason; "item given up");
     let sample = Sample {
         item: item.id.clone(),
         made: None,
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -53,7 +53,7 @@
         let is_new = {
             let state = self.state.borrow();
             !state.closed.contains(&id)
-                && !state.lots.contains_key(&id)
+                && !state.open_lots.contains_key(&id)
                 && !state.opening.contains_key(&id)
         };
         if !is_new {
@@ -181,7 +181,7 @@
         let is_closed = state.closed.contains(&id);
         if !is_closed {
             self.record_demand(&mut state, &open);
-            state.lots.insert(id.clone(), open);
+            state.open_lots.insert(id.clone(), open);
             actix_rt::spawn(Rc::clone(&self).record_unplaced_items(id.clone()));
         }
         drop(state);
@@ -206,7 +206,7 @@
     async fn record_unplaced_items(self: Rc<Self>, id: CompactString) {
         sleep(UNPLACED_CHECK_DELAY).await;
         let mut state = self.state.borrow_mut();
-        let Some(open) = state.lots.get(&id) else {
+        let Some(open) = state.open_lots.get(&id) else {
             return;
         };
         let (model, queued) = (open.model.clone(), open.lot.queued());
@@ -249,7 +249,7 @@
         let mut state = self.state.borrow_mut();
         state.closed.insert(id.clone());
         let opening = state.opening.remove(id);
-        let Some(mut open) = state.lots.remove(id) else {
+        let Some(mut open) = state.open_lots.remove(id) else {
             drop(state);
             drop(opening);
             return;
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -109,7 +109,7 @@
     pub(super) fn abort_runs(&self) -> BTreeMap<CompactString, Checkpoint> {
         let mut checkpoints = BTreeMap::new();
         let mut aborted_tasks = Vec::new();
-        for (id, open) in &mut self.state.borrow_mut().lots {
+        for (id, open) in &mut self.state.borrow_mut().open_lots {
             aborted_tasks.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
             // Finished samples are committed at once.
             open.commit_wakeup.notify_one();
@@ -125,13 +125,13 @@
     /// The periodic checkpoint of a lot; `None` if the lot is closed or this instance is draining.
     pub(super) fn checkpoint(&self, lot: &str) -> Option<Checkpoint> {
         let state = self.state.borrow();
-        let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
+        let open = state.open_lots.get(lot).filter(|_| !self.draining.get())?;
         Some(open.checkpoint(checkpoint::MIN_CHECKPOINT_EVENT))
     }
 
     /// Records the revision of a lot's checkpoint in the store.
     pub(super) fn checkpoint_written(&self, lot: &str, revision: u64) {
-        if let Some(open) = self.state.borrow_mut().lots.get_mut(lot) {
+        if let Some(open) = self.state.borrow_mut().open_lots.get_mut(lot) {
             open.checkpoint_revision = Some(revision);
         }
     }
@@ -139,7 +139,7 @@
     /// Number of items that are being run or scored.
     pub fn in_flight(&self) -> usize {
         let state = self.state.borrow();
-        state.lots.values().map(|open| open.tasks.len()).sum()
+        state.open_lots.values().map(|open| open.tasks.len()).sum()
     }
 
     /// Starts [`Runner::serve_model`] for each model, also for models that are configured later.
@@ -172,10 +172,10 @@
     /// Drops the lots of a model and aborts their tasks, after its lease is lost.
     fn drop_lots(&self, model: &CompactString) {
         let mut state = self.state.borrow_mut();
-        let lots = std::mem::take(&mut state.lots);
+        let lots = std::mem::take(&mut state.open_lots);
         let (dropped, remaining): (BTreeMap<_, _>, _) =
             lots.into_iter().partition(|(_, open)| open.model == *model);
-        state.lots = remaining;
+        state.open_lots = remaining;
         state.opening.clear();
         drop(state);
         // Dropping their tasks borrows the state again.
@@ -230,7 +230,7 @@
     /// Whether a lot is open or being opened.
     pub(super) fn is_open(&self, lot: &str) -> bool {
         let state = self.state.borrow();
-        state.lots.contains_key(lot) || state.opening.contains_key(lot)
+        state.open_lots.contains_key(lot) || state.opening.contains_key(lot)
     }
 }
 
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -62,7 +62,7 @@
     loop {
         let Some(call) = scoring_call(runner, task, scorer) else {
             log::warn!(
-                id = task.item.as_str(), scorer = scorer.id.as_str();
+                id = task.item_id.as_str(), scorer = scorer.id.as_str();
                 "no route to the scorer"
             );
             sleep(RETRY_DELAY).await;
--- a/crates/pinereel/src/hosted/lots/state.rs
+++ b/crates/pinereel/src/hosted/lots/state.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub(super) struct State {
     /// Lots that are neither ended nor complete.
-    pub(super) lots: BTreeMap<CompactString, OpenLot>,
+    pub(super) open_lots: BTreeMap<CompactString, OpenLot>,
     /// Lots whose committed results are being read, with the task that does so.
     pub(super) opening: BTreeMap<CompactString, AbortOnDrop>,
     /// Ids of lots that are ended or complete, and are not opened again.
@@ -141,10 +141,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct ItemTask {
     pub(super) caller: Caller,
-    pub(super) lot: CompactString,
+    pub(super) lot_id: CompactString,
     /// Index of the item in its lot.
     pub(super) index: usize,
-    pub(super) item: CompactString,
+    pub(super) item_id: CompactString,
     pub(super) host: CompactString,
     pub(super) fleet: FleetKey,
     /// Oldest version of the weights that the lot admits.
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -294,7 +294,7 @@
             Ok(event) => event,
             Err(fault) => {
                 let (id, endpoint) = (
-                    self.task.item.as_str(),
+                    self.task.item_id.as_str(),
                     self.placement.start.endpoint.as_str(),
                 );
                 log::warn!(id, endpoint; "malformed event: {fault}");
--- a/crates/pinereel/src/hosted/lots/task_state.rs
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -17,14 +17,14 @@
     /// The item as submitted; `None` if its lot is closed.
     pub(super) fn item(&self, task: &ItemTask) -> Option<Item> {
         let state = self.state.borrow();
-        let open = state.lots.get(&task.lot)?;
+        let open = state.open_lots.get(&task.lot_id)?;
         open.submission.items.get(task.index).cloned()
     }
 
     /// The partial output of an item; empty if its lot is closed.
     pub(super) fn partial_output(&self, task: &ItemTask) -> PartialOutput {
         let state = self.state.borrow();
-        let open = state.lots.get(&task.lot);
+        let open = state.open_lots.get(&task.lot_id);
         open.map(|open| open.outputs[task.index].clone())
             .unwrap_or_default()
     }
@@ -33,7 +33,7 @@
     /// weights that generated a part of its output.
     pub(super) fn resume_point(&self, task: &ItemTask) -> (Option<u64>, Option<u64>) {
         let state = self.state.borrow();
-        let Some(open) = state.lots.get(&task.lot) else {
+        let Some(open) = state.open_lots.get(&task.lot_id) else {
             return (None, None);
         };
         let output = &open.outputs[task.index];
@@ -43,7 +43,7 @@
     /// Appends an event to the item's partial output.
     pub(super) fn add_event(&self, task: &ItemTask, event: &Event, version: u64) {
         let mut state = self.state.borrow_mut();
-        if let Some(open) = state.lots.get_mut(&task.lot) {
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
             open.outputs[task.index].push_event(event, version);
         }
     }
@@ -51,7 +51,7 @@
     /// Discards the item's partial output; its next run starts from the beginning.
     pub(super) fn discard_output(&self, task: &ItemTask) {
         let mut state = self.state.borrow_mut();
-        if let Some(open) = state.lots.get_mut(&task.lot) {
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
             open.outputs[task.index] = PartialOutput::default();
         }
     }
@@ -60,7 +60,7 @@
     pub(super) fn task_ended(&self, task: &ItemTask) {
         let handle = {
             let mut state = self.state.borrow_mut();
-            let open = state.lots.get_mut(&task.lot);
+            let open = state.open_lots.get_mut(&task.lot_id);
             open.and_then(|open| open.tasks.remove(&task.index))
         };
         drop(handle);
@@ -84,8 +84,8 @@
             Some(interval) => fleet.event_received(key, interval),
             None => fleet.first_event_received(key),
         }
-        let has_queued_items = state.lots.values().any(|open| open.lot.queued() > 0);
-        let Some(open) = state.lots.get_mut(&task.lot) else {
+        let has_queued_items = state.open_lots.values().any(|open| open.lot.queued() > 0);
+        let Some(open) = state.open_lots.get_mut(&task.lot_id) else {
             return false;
         };
         let last_event = open.outputs[task.index].last_event.unwrap_or_default();
@@ -154,7 +154,7 @@
         max_attempts: u32,
     ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
-        let decision = match state.lots.get_mut(&task.lot) {
+        let decision = match state.open_lots.get_mut(&task.lot_id) {
             Some(open) => open.lot.run_failed(task.index, failure, max_attempts),
             None => RetryDecision::Retry,
         };
@@ -171,7 +171,7 @@
         max_attempts: u32,
     ) -> RetryDecision {
         let mut state = self.state.borrow_mut();
-        match state.lots.get_mut(&task.lot) {
+        match state.open_lots.get_mut(&task.lot_id) {
             Some(open) => open.lot.score_failed(task.index, failure, max_attempts),
             None => RetryDecision::Retry,
         }
@@ -180,7 +180,7 @@
     /// Records the result of an item, or that it was given up, and wakes the commit task.
     pub(super) fn finish_item(&self, task: &ItemTask, sample: Sample) {
         let mut state = self.state.borrow_mut();
-        if let Some(open) = state.lots.get_mut(&task.lot) {
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
             open.lot.finish(task.index, sample);
             open.commit_wakeup.notify_one();
         }
@@ -189,7 +189,7 @@
     /// The next segment to commit; `None` if the lot is closed.
     pub(super) fn pending_segment(&self, lot: &str) -> Option<PendingSegment> {
         let state = self.state.borrow();
-        let open = state.lots.get(lot)?;
+        let open = state.open_lots.get(lot)?;
         let samples = first_segment(open.lot.uncommitted());
         let all_finished = open.lot.commit_log().next_position() + open.lot.uncommitted().len()
             >= open.lot.total();
@@ -210,7 +210,7 @@
         let mut is_complete = false;
         {
             let mut state = self.state.borrow_mut();
-            let Some(open) = state.lots.get_mut(lot) else {
+            let Some(open) = state.open_lots.get_mut(lot) else {
                 return;
             };
             if let Err(gap) = open.lot.add_segment(from, samples) {
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -76,6 +76,7 @@
 pub struct TrainerApi {
     adapter: Adapter,
     store: Store,
+    /// Number of items, by lot.
     cached_totals: RefCell<BTreeMap<CompactString, usize>>,
 }
 
