--- /dev/null
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -0,0 +1,118 @@
+//! Deletes lots from the object store after their retention time, and replaces ended ones by
+//! tombstones before that.
+
+use super::{checkpoint::dependent_kinds, runner::Runner, schema::LOT_KIND};
+use crate::objects::{Error, Purpose};
+use compact_str::CompactString;
+use futures_util::future::join_all;
+use serde_json::json;
+use std::{collections::BTreeMap, rc::Rc, time::Duration};
+use tokio::time::{Instant, sleep};
+
+/// Pause between two cleanup passes.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
+/// Time from a lot's end to its tombstone, during which concurrent calls still find the whole lot.
+const TOMBSTONE_DELAY: Duration = Duration::from_secs(2);
+/// Added to the retention time, because each instance counts it from when it first saw the lot.
+const RETENTION_MARGIN: Duration = Duration::from_secs(60);
+
+/// When this instance first saw each lot. A later holder of the lease counts from its own first
+/// sight, so a lot is never deleted too early.
+#[derive(Debug, Default)]
+pub(super) struct FirstSeen(BTreeMap<CompactString, Instant>);
+
+impl FirstSeen {
+    /// Records the current time for a lot, unless it was seen before.
+    pub(super) fn record(&mut self, lot: &CompactString) {
+        let now = Instant::now();
+        self.0.entry(lot.clone()).or_insert(now);
+    }
+
+    /// Removes a lot that has been deleted.
+    pub(super) fn remove(&mut self, lot: &str) {
+        self.0.remove(lot);
+    }
+
+    /// Ids of the lots first seen at least `age` ago.
+    fn older_than(&self, age: Duration) -> Vec<CompactString> {
+        let older = self
+            .0
+            .iter()
+            .filter(|(_, first_seen)| first_seen.elapsed() >= age);
+        older.map(|(lot, _)| lot.clone()).collect()
+    }
+}
+
+/// Writes tombstones and deletes expired lots periodically, until dropped.
+pub(super) async fn clean_up(runner: &Rc<Runner>) {
+    let retention = runner.parts.retention + RETENTION_MARGIN;
+    loop {
+        sleep(CLEANUP_INTERVAL).await;
+        write_tombstones(runner).await;
+        for lot in runner.with_first_seen(|first_seen| first_seen.older_than(retention)) {
+            if runner.is_open(&lot) {
+                continue;
+            }
+            match remove_lot(runner, &lot).await {
+                Ok(count) => {
+                    log::info!(id = lot.as_str(), objects = count; "expired lot deleted");
+                    let metrics = &runner.parts.metrics;
+                    metrics.count(&metrics.lots, &["removed"]);
+                    runner.with_first_seen(|first_seen| first_seen.remove(&lot));
+                }
+                // The next pass retries.
+                Err(error) => log::warn!(id = lot.as_str(), error:% = error; "lot not deleted"),
+            }
+        }
+    }
+}
+
+/// Replaces lots that ended at least [`TOMBSTONE_DELAY`] ago by tombstones. The writes are
+/// concurrent so that their changes come together: a change ends each runner's watch of the lots.
+async fn write_tombstones(runner: &Runner) {
+    let ended: Vec<_> = {
+        let state = runner.state.borrow();
+        let ended = state.ended.iter();
+        ended
+            .filter(|(_, ended)| ended.noticed_at.elapsed() >= TOMBSTONE_DELAY)
+            .map(|(id, ended)| (id.clone(), ended.revision, json!(ended.tombstone)))
+            .collect()
+    };
+    let updates = ended.iter().map(async |(lot, revision, tombstone)| {
+        let store = &runner.parts.store;
+        let update = store.update(Purpose::Lots, LOT_KIND, lot, *revision, tombstone);
+        match update.await {
+            Ok(object) => {
+                log::info!(
+                    id = lot.as_str(), revision = object.revision;
+                    "ended lot replaced by a tombstone"
+                );
+            }
+            // Another runner wrote the tombstone or deleted the lot.
+            Err(Error::Conflict | Error::NotFound) => {}
+            // The next pass retries.
+            Err(error) => {
+                log::warn!(id = lot.as_str(), error:% = error; "writing the tombstone failed");
+                return;
+            }
+        }
+        runner.state.borrow_mut().ended.remove(lot);
+    });
+    join_all(updates).await;
+}
+
+/// Deletes a lot with its results and checkpoints. The lot object goes last: without it, nothing
+/// would refer to the remaining objects. Returns the number of results and checkpoints deleted.
+async fn remove_lot(runner: &Runner, lot: &str) -> Result<usize, Error> {
+    let store = &runner.parts.store;
+    let mut count = 0;
+    for kind in dependent_kinds(lot) {
+        let (objects, _) = store.list(Purpose::Lots, &kind, None).await?;
+        for object in &objects {
+            store.delete(Purpose::Lots, &kind, &object.name).await?;
+        }
+        count += objects.len();
+    }
+    store.delete(Purpose::Lots, LOT_KIND, lot).await?;
+    Ok(count)
+}
--- /dev/null
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -0,0 +1,234 @@
+//! The dispatch loop of a runner: starts queued items on engines, oldest lot first.
+
+use super::{
+    super::demand,
+    item_task,
+    runner::Runner,
+    state::{AbortOnDrop, FleetKey, ItemTask, OpenLot},
+    stream::{Placement, item_identity},
+};
+use pinereel_core::{
+    batch::{EngineKey, Fleet, Listing},
+    crash::{EndpointStart, ISOLATE_AT_CRASHES, RequestStatus},
+    hash, routing_table,
+};
+use pinereel_port::{
+    config::{Route, RouteKind},
+    endpoint::Entry,
+    lot::Sample,
+};
+use std::{collections::BTreeSet, rc::Rc, time::Duration};
+use tokio::time::sleep;
+
+/// Upper bound of the pause between two dispatch rounds, since nothing notifies the loop when an
+/// engine's backoff ends.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(60);
+
+impl Runner {
+    /// Starts items while engines have free slots, and waits for changes, until dropped.
+    pub(super) async fn dispatch(self: &Rc<Self>) {
+        let mut endpoints = self.parts.endpoints.changes();
+        loop {
+            self.parts.stall.wait_for_catch_up().await;
+            self.sync_fleets();
+            self.expire_items();
+            self.requeue_deferred();
+            while self.start_next_item() {}
+            tokio::select! {
+                () = self.wake.notified() => {}
+                _ = endpoints.changed() => {}
+                () = sleep(DISPATCH_INTERVAL) => {}
+            }
+        }
+    }
+
+    /// Updates each fleet for which the endpoint list or the size of the working set has changed.
+    fn sync_fleets(&self) {
+        let mut restarted = false;
+        let mut state = self.state.borrow_mut();
+        let keys: BTreeSet<_> = state
+            .open_lots
+            .values()
+            .filter_map(|open| self.fleet_key(open))
+            .collect();
+        for key in keys {
+            let parts = &self.parts;
+            let count = demand::working_set_size(
+                &parts.config,
+                &parts.duties,
+                &parts.endpoints,
+                &key.service,
+            );
+            let source = (parts.endpoints.change(), count);
+            if state.fleet_sources.insert(key.clone(), source) == Some(source) {
+                continue;
+            }
+            let fleet = state.fleets.entry(key.clone()).or_default();
+            let read = |entry: &Entry| Listing {
+                id: entry.id.clone(),
+                incarnation: entry.incarnation,
+                address: entry.address,
+                slots: entry.slots,
+                leaving: entry.draining,
+                version: entry.models.get(&key.model).copied(),
+            };
+            // Engines with runs stay in the fleet after they leave the working set.
+            let listings = parts
+                .endpoints
+                .first(&key.service, count, fleet.busy_ids(), read);
+            restarted |= fleet.update(listings);
+        }
+        drop(state);
+        if restarted {
+            self.restarts.send_modify(|restarts| *restarts += 1);
+        }
+    }
+
+    /// The lot's route in the current configuration; `None` if there is none for lots.
+    fn route(&self, open: &OpenLot) -> Option<Route> {
+        let table = self.parts.config.table()?;
+        let route = table.route_for(&open.host, &open.path)?;
+        (route.kind == RouteKind::Lot).then(|| route.clone())
+    }
+
+    /// The fleet that runs the lot's items.
+    fn fleet_key(&self, open: &OpenLot) -> Option<FleetKey> {
+        let route = self.route(open)?;
+        let seed = hash::stable(open.path.as_bytes());
+        Some(FleetKey {
+            service: routing_table::pick_service(&route, seed)?.into(),
+            model: open.model.clone(),
+        })
+    }
+
+    /// Puts the items that could not be placed in the last round back into the queues.
+    fn requeue_deferred(&self) {
+        let mut state = self.state.borrow_mut();
+        state
+            .open_lots
+            .values_mut()
+            .for_each(|open| open.lot.requeue_deferred());
+    }
+
+    /// Number of engines that have crashed under an item; `None` if it must not run any more.
+    fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
+        let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
+        match self.parts.crashes.standing(identity) {
+            RequestStatus::Unrestricted => Some(0),
+            RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
+            RequestStatus::Blocked { .. } => None,
+        }
+    }
+
+    /// The next item of a lot that an engine accepts: its index, the engine, and the number of
+    /// engines that have crashed under it. Items that may not run now are deferred.
+    fn pick_item(
+        &self,
+        open: &mut OpenLot,
+        fleet: &mut Fleet,
+    ) -> Option<(usize, EngineKey, usize)> {
+        let now = self.parts.clock.now();
+        let oldest_version = open.submission.min_version;
+        if !fleet.has_free_slot(now, oldest_version) {
+            return None;
+        }
+        loop {
+            let index = open.lot.start()?;
+            let crashes = self.crash_count(open, index);
+            let pick = |crashes| fleet.pick_for_item(now, oldest_version, crashes);
+            match crashes.zip(crashes.and_then(pick)) {
+                Some((crashes, key)) => return Some((index, key, crashes)),
+                None => open.lot.defer(index),
+            }
+            if crashes.is_some_and(|crashes| crashes >= ISOLATE_AT_CRASHES) {
+                fleet.reserve(now, oldest_version);
+            }
+        }
+    }
+
+    /// Starts the next item that an engine accepts, of the oldest lot that has one. Returns `false`
+    /// if there is none.
+    fn start_next_item(self: &Rc<Self>) -> bool {
+        if self.draining.get() {
+            return false;
+        }
+        let mut state = self.state.borrow_mut();
+        let mut by_age: Vec<_> = state
+            .open_lots
+            .iter()
+            .map(|(id, open)| (open.opened_at, id.clone()))
+            .collect();
+        by_age.sort();
+        for (_, id) in by_age {
+            let state = &mut *state;
+            let Some(open) = state.open_lots.get_mut(&id) else {
+                continue;
+            };
+            if open.lot.queued() == 0 {
+                continue;
+            }
+            let (Some(route), Some(fleet_key)) = (self.route(open), self.fleet_key(open)) else {
+                continue;
+            };
+            let Some(fleet) = state.fleets.get_mut(&fleet_key) else {
+                continue;
+            };
+            let oldest_version = open.submission.min_version;
+            let Some((index, key, crashes)) = self.pick_item(open, fleet) else {
+                continue;
+            };
+            let Some(engine) = fleet.get(key) else {
+                continue;
+            };
+            let placement = Placement {
+                key,
+                start: EndpointStart {
+                    endpoint: engine.listing.id.clone(),
+                    incarnation: engine.listing.incarnation,
+                },
+                address: engine.listing.address,
+                crashes,
+            };
+            fleet.run_started(self.parts.clock.now(), key, crashes);
+            let task = ItemTask {
+                caller: open.caller.clone(),
+                item_id: open.submission.items[index].id.clone(),
+                host: open.host.clone(),
+                lot_id: id,
+                index,
+                fleet: fleet_key,
+                oldest_version,
+            };
+            let future = item_task::run(Rc::clone(self), task, route, placement);
+            // Replaces the handle of a previous task of the item.
+            open.tasks
+                .insert(index, AbortOnDrop(actix_rt::spawn(future)));
+            return true;
+        }
+        false
+    }
+
+    /// Gives up the unfinished items of lots that are older than their route's `item_ttl`.
+    fn expire_items(&self) {
+        let mut state = self.state.borrow_mut();
+        let mut aborted_tasks = Vec::new();
+        for open in state.open_lots.values_mut() {
+            let Some(ttl) = self.route(open).and_then(|route| route.item_ttl) else {
+                continue;
+            };
+            if open.opened_at.elapsed() < ttl {
+                continue;
+            }
+            for index in 0..open.lot.total() {
+                if !open.lot.is_finished(index) {
+                    let item = open.submission.items[index].id.clone();
+                    open.lot.finish(index, Sample { item, output: None });
+                    aborted_tasks.extend(open.tasks.remove(&index));
+                }
+            }
+            open.commit_wakeup.notify_one();
+        }
+        drop(state);
+        drop(aborted_tasks);
+    }
+}
--- /dev/null
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -0,0 +1,173 @@
+//! The task of one item: runs it on an engine, scores its output and records the result.
+
+use super::{
+    runner::{Parts, Runner},
+    score,
+    state::{FleetKey, ItemTask},
+    stream::{Placement, RunEnd, RunError, item_identity, run_on_engine},
+};
+use pinereel_core::{
+    batch::{Failure, RetryDecision, RunOutcome},
+    crash::ISOLATE_AT_CRASHES,
+};
+use pinereel_port::{
+    config::Route,
+    lot::{Item, Output, Sample},
+};
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Reports the end of a run to its fleet when dropped; as cancelled, unless `outcome` was set.
+struct ActiveRun {
+    runner: Rc<Runner>,
+    fleet: FleetKey,
+    placement: Placement,
+    outcome: RunOutcome,
+}
+
+impl Drop for ActiveRun {
+    fn drop(&mut self) {
+        let key = self.placement.key;
+        self.runner.run_ended(&self.fleet, key, self.outcome);
+        if self.placement.crashes > 0 {
+            self.runner.suspect_run_ended(&self.fleet, key);
+        }
+    }
+}
+
+/// Runs an item on the engine of `placement`, and scores its output if it is complete. A run that
+/// fails returns the item to the queue.
+pub(super) async fn run(runner: Rc<Runner>, task: ItemTask, route: Route, placement: Placement) {
+    if let Some(item) = runner.item(&task) {
+        run_item(&runner, &task, &item, &route, &placement).await;
+    }
+    runner.task_ended(&task);
+}
+
+async fn run_item(
+    runner: &Rc<Runner>,
+    task: &ItemTask,
+    item: &Item,
+    route: &Route,
+    placement: &Placement,
+) {
+    let started = Instant::now();
+    let mut running = ActiveRun {
+        runner: Rc::clone(runner),
+        fleet: task.fleet.clone(),
+        placement: placement.clone(),
+        outcome: RunOutcome::Cancelled,
+    };
+    let end = tokio::select! {
+        end = run_on_engine(runner, task, item, route, placement) => end,
+        () = runner.wait_for_restart(&task.fleet, placement.key) =>
+            RunEnd::Broken(RunError::Restarted),
+    };
+    running.outcome = match end {
+        RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => RunOutcome::Finished,
+        RunEnd::Left => RunOutcome::Cancelled,
+        RunEnd::Refused | RunEnd::Outdated => RunOutcome::Rejected,
+        RunEnd::Broken(_) => RunOutcome::Failed,
+    };
+    drop(running);
+    let metrics = &runner.parts.metrics;
+    metrics.count(&metrics.runs, &[end.as_str()]);
+    log_run(task, placement, end, started, runner.resume_point(task).0);
+    record_crash_evidence(runner, task, item, placement, end, started);
+    let failure = match end {
+        RunEnd::Complete => {
+            score_and_finish(runner, task, item).await;
+            return;
+        }
+        RunEnd::Failed => Failure::Failed,
+        RunEnd::Impossible => Failure::Impossible,
+        RunEnd::Refused | RunEnd::Broken(_) | RunEnd::Left | RunEnd::Outdated => {
+            Failure::Interrupted
+        }
+    };
+    if runner.run_failed(task, failure, route.max_attempts) == RetryDecision::GiveUp {
+        give_up(runner, task, item, "rejected, or too many runs failed");
+    }
+}
+
+/// Records whether the engine crashed during the run or answered it, for the detection of items
+/// that crash engines.
+fn record_crash_evidence(
+    runner: &Runner,
+    task: &ItemTask,
+    item: &Item,
+    placement: &Placement,
+    end: RunEnd,
+    started: Instant,
+) {
+    let Parts {
+        crashes, endpoints, ..
+    } = &runner.parts;
+    let identity = || item_identity(&task.caller, &task.host, item);
+    match end {
+        // An engine that is leaving, or is not listed any more, stops by itself.
+        RunEnd::Broken(RunError::Crashed) if endpoints.is_current(&placement.start) => {
+            crashes.crashed(
+                identity(),
+                placement.start.clone(),
+                placement.crashes >= ISOLATE_AT_CRASHES,
+            );
+        }
+        RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => {
+            crashes.answered(identity, placement.start.clone(), started.elapsed());
+        }
+        _ => {}
+    }
+}
+
+fn log_run(
+    task: &ItemTask,
+    placement: &Placement,
+    end: RunEnd,
+    started: Instant,
+    last_event: Option<u64>,
+) {
+    log::info!(
+        id = task.item_id.as_str(),
+        lot = task.lot_id.as_str(),
+        endpoint = placement.start.endpoint.as_str(),
+        outcome:? = end,
+        last_event:serde = last_event,
+        ms = started.elapsed().as_millis() as u64;
+        "item run"
+    );
+}
+
+/// Scores the complete output and records the result; gives the item up if that fails.
+async fn score_and_finish(runner: &Rc<Runner>, task: &ItemTask, item: &Item) {
+    let score = match &item.scorer {
+        Some(scorer) => match score::score(runner, task, scorer).await {
+            Some(score) => Some(score),
+            None => {
+                give_up(runner, task, item, "too many scorings failed");
+                return;
+            }
+        },
+        None => None,
+    };
+    let output = runner.partial_output(task);
+    let made = Output {
+        text: output.text,
+        versions: output.versions.into_iter().collect(),
+        score,
+    };
+    let sample = Sample {
+        item: item.id.clone(),
+        output: Some(made),
+    };
+    runner.finish_item(task, sample);
+}
+
+fn give_up(runner: &Rc<Runner>, task: &ItemTask, item: &Item, reason: &str) {
+    log::warn!(id = item.id.as_str(), lot = task.lot_id.as_str(), why = reason; "item given up");
+    let sample = Sample {
+        item: item.id.clone(),
+        output: None,
+    };
+    runner.finish_item(task, sample);
+}
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -1,21 +1,22 @@
-//! Lots of samples whose results are kept in the object store.
+//! Lots: batch jobs of trainers, with their state and results in the object store.
 //!
-//! [`Desk`] answers trainers at every instance; [`Runner`] makes the samples at the one instance
-//! that holds the duty for their model.
+//! [`TrainerApi`] accepts and reads lots on every instance. [`Runner`] runs their items on engines,
+//! on the one instance that holds the lease of their model. The decisions are in
+//! [`pinereel_core::batch`], the layout of the stored objects in `schema`.
 
+mod checkpoint;
+mod cleanup;
 mod commit;
-mod desk;
-mod handover;
-mod opening;
-mod placing;
-mod progress;
-mod record;
-mod run;
+mod dispatch;
+mod item_task;
+mod lifecycle;
 mod runner;
+mod schema;
 mod score;
 mod state;
 mod stream;
-mod sweep;
+mod task_state;
+mod trainer_api;
 
-pub use desk::{Desk, Reply};
-pub use runner::{Parts, Runner, duty};
+pub use runner::{Parts, Runner, duty_name};
+pub use trainer_api::{Reply, TrainerApi};
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -1,11 +1,11 @@
-//! The runner: makes the samples of all open lots of a model, while it holds the model's duty.
+//! The runner: runs all open lots of a model while this instance holds the model's lease.
 
 use super::{
-    handover::{self, Left},
-    record::LOTS,
+    checkpoint::{self, Checkpoint},
+    cleanup::{self, FirstSeen},
+    schema::LOT_KIND,
     score,
     state::State,
-    sweep::{self, Ages},
 };
 use crate::{
     hosted::{
@@ -34,9 +34,9 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// What a runner works with.
+/// Services and settings that a runner uses.
 pub struct Parts {
-    /// Translates.
+    /// Adapter for the formats on the wire and in the store.
     pub adapter: Adapter,
     /// The object store.
     pub store: Store,
@@ -44,160 +44,172 @@
     pub config: Rc<Config>,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Duties.
+    /// The leases of this instance.
     pub duties: Rc<Duties>,
-    /// Connections to endpoints.
+    /// Connection pool for engines.
     pub pool: Rc<Pool>,
-    /// Brings scorings to their service.
+    /// Sends scorings to their service.
     pub relay: Rc<Relay>,
-    /// Requests under which endpoints crash.
+    /// Detection of requests that crash endpoints.
     pub crashes: Rc<Crashes>,
-    /// Whether what is known may be old.
+    /// Detection of pauses of this process, after which cached state may be stale.
     pub stall: Rc<StallDetector>,
-    /// Figures.
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// The clock.
+    /// Clock of the fleets and the demand windows.
     pub clock: Clock,
-    /// Longest wait of a watch.
-    pub watch: Duration,
-    /// How long a lot is kept after its submission.
-    pub kept: Duration,
+    /// Longest time that a watch of the lots waits for a change.
+    pub max_watch_wait: Duration,
+    /// How long a lot is retained after its submission.
+    pub retention: Duration,
 }
 
-/// Makes samples.
+/// Runs the lots of all models whose lease this instance holds.
 pub struct Runner {
     pub(super) parts: Parts,
     pub(super) state: RefCell<State>,
-    /// Something may be started.
+    /// Notified when an item may have become startable.
     pub(super) wake: Notify,
-    pub(super) scorings: Rc<score::Gate>,
-    /// Grows when an engine with runs has started again.
+    /// Bounds the concurrent scorings of this instance.
+    pub(super) scoring_limiter: Rc<score::Limiter>,
+    /// Incremented when an engine with runs has restarted.
     pub(super) restarts: watch::Sender<u64>,
-    /// Whether no further run is started.
+    /// Whether no further runs are started.
     pub(super) draining: Cell<bool>,
 }
 
 impl Runner {
-    /// Takes part in the duty of each model of the configuration from now on.
+    /// Starts to compete for the lease of each model in the configuration, and to run its lots.
     pub fn start(parts: Parts) -> Rc<Self> {
         let runner = Rc::new(Self {
             parts,
             state: RefCell::default(),
             wake: Notify::new(),
-            scorings: Rc::default(),
+            scoring_limiter: Rc::default(),
             restarts: watch::channel(0).0,
             draining: Cell::new(false),
         });
-        let state = Rc::clone(&runner);
-        actix_rt::spawn(async move { state.join_duties().await });
+        let serving = Rc::clone(&runner);
+        actix_rt::spawn(async move { serving.serve_models().await });
         runner
     }
 
-    /// Starts no further run; those under way go on.
+    /// Starts no further runs; those in progress continue.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Hands unfinished texts over to the next runner; to be called before the duties are released.
-    pub async fn hand_over(&self) {
-        handover::hand_over(self).await;
+    /// Aborts all runs and writes checkpoints for the next runner. To be called before the leases
+    /// are released.
+    pub async fn checkpoint_and_stop(&self) {
+        checkpoint::write_all(self).await;
     }
 
-    /// Ends all runs; returns the texts that are not listed, by lot.
-    pub(super) fn leave(&self) -> BTreeMap<CompactString, Left> {
-        let mut left = BTreeMap::new();
-        let mut ended = Vec::new();
-        for (id, open) in &mut self.state.borrow_mut().lots {
-            ended.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
-            // What is made is committed at once.
-            open.more.notify_one();
-            let unlisted = open.unlisted(0);
-            if !unlisted.texts.is_empty() {
-                left.insert(id.clone(), unlisted);
+    /// Aborts all runs. Returns the checkpoints of the lots with uncommitted outputs, by lot.
+    pub(super) fn abort_runs(&self) -> BTreeMap<CompactString, Checkpoint> {
+        let mut checkpoints = BTreeMap::new();
+        let mut aborted_tasks = Vec::new();
+        for (id, open) in &mut self.state.borrow_mut().open_lots {
+            aborted_tasks.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
+            // Finished samples are committed at once.
+            open.commit_wakeup.notify_one();
+            let checkpoint = open.checkpoint(0);
+            if !checkpoint.outputs.is_empty() {
+                checkpoints.insert(id.clone(), checkpoint);
             }
         }
-        drop(ended);
-        left
+        drop(aborted_tasks);
+        checkpoints
     }
 
-    /// The long texts of a lot that are not listed; none if they need not be kept any more.
-    pub(super) fn long_texts(&self, lot: &str) -> Option<Left> {
+    /// The periodic checkpoint of a lot; `None` if the lot is closed or this instance is draining.
+    pub(super) fn checkpoint(&self, lot: &str) -> Option<Checkpoint> {
         let state = self.state.borrow();
-        let open = state.lots.get(lot).filter(|_| !self.draining.get())?;
-        Some(open.unlisted(handover::LONG_TEXT))
+        let open = state.open_lots.get(lot).filter(|_| !self.draining.get())?;
+        Some(open.checkpoint(checkpoint::MIN_CHECKPOINT_EVENT))
     }
 
-    /// The texts of a lot were written.
-    pub(super) fn texts_kept(&self, lot: &str, revision: u64) {
-        if let Some(open) = self.state.borrow_mut().lots.get_mut(lot) {
-            open.texts_revision = Some(revision);
+    /// Records the revision of a lot's checkpoint in the store.
+    pub(super) fn checkpoint_written(&self, lot: &str, revision: u64) {
+        if let Some(open) = self.state.borrow_mut().open_lots.get_mut(lot) {
+            open.checkpoint_revision = Some(revision);
         }
     }
 
-    /// Runs and scorings under way.
+    /// Number of items that are being run or scored.
     pub fn in_flight(&self) -> usize {
         let state = self.state.borrow();
-        state.lots.values().map(|open| open.tasks.len()).sum()
+        state.open_lots.values().map(|open| open.tasks.len()).sum()
     }
 
-    async fn join_duties(self: Rc<Self>) {
+    /// Starts [`Runner::serve_model`] for each model, also for models that are configured later.
+    async fn serve_models(self: Rc<Self>) {
         let start = |model: CompactString| {
             let runner = Rc::clone(&self);
-            actix_rt::spawn(async move { runner.serve(&model).await });
+            actix_rt::spawn(async move { runner.serve_model(&model).await });
         };
-        self.parts.config.for_each_new(models, start).await;
+        self.parts.config.for_each_new(engine_models, start).await;
     }
 
-    /// Works for a model whenever this instance holds its duty.
-    async fn serve(self: Rc<Self>, model: &CompactString) {
-        let duty = duty(model);
+    /// Runs a model's lots whenever this instance holds its lease.
+    async fn serve_model(self: Rc<Self>, model: &CompactString) {
+        let duty = duty_name(model);
         let (runner, duties) = (&self, Rc::clone(&self.parts.duties));
-        let work = async || runner.work(model).await;
-        let goes_on = || {
-            // At a stop what is under way ends by itself, and its results are still committed.
-            let stops = runner.draining.get();
-            if !stops {
-                runner.drop_model(model);
+        let work = async || runner.run_lots(model).await;
+        let continues = || {
+            // While draining, runs in progress finish and their results are still committed.
+            let is_draining = runner.draining.get();
+            if !is_draining {
+                runner.drop_lots(model);
             }
-            !stops
+            !is_draining
         };
-        // Two runners cost work and never a wrong result, so that it goes on while the store is away,
-        // until another instance is known to have the duty.
-        duties.run_while_held(&duty, work, goes_on).await;
+        // Two concurrent runners duplicate work but never corrupt results, so this one continues
+        // while the store is unavailable, until another instance is known to hold the lease.
+        duties.run_while_held(&duty, work, continues).await;
     }
 
-    fn drop_model(&self, model: &CompactString) {
+    /// Drops the lots of a model and aborts their tasks, after its lease is lost.
+    fn drop_lots(&self, model: &CompactString) {
         let mut state = self.state.borrow_mut();
-        let lots = std::mem::take(&mut state.lots);
-        let (dropped, kept): (BTreeMap<_, _>, _) =
+        let lots = std::mem::take(&mut state.open_lots);
+        let (dropped, remaining): (BTreeMap<_, _>, _) =
             lots.into_iter().partition(|(_, open)| open.model == *model);
-        state.lots = kept;
+        state.open_lots = remaining;
         state.opening.clear();
         drop(state);
-        // Ending their tasks calls back into the state.
+        // Dropping their tasks borrows the state again.
         drop(dropped);
     }
 
-    async fn work(self: &Rc<Self>, model: &CompactString) {
+    /// Follows the lots in the store, dispatches their items and cleans up, until dropped.
+    async fn run_lots(self: &Rc<Self>, model: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let manner = || WatchOptions {
-            max_wait: self.parts.watch,
+        let options = || WatchOptions {
+            max_wait: self.parts.max_watch_wait,
             batch_delay: Duration::ZERO,
         };
-        let lots = list_and_watch(&store, Purpose::Lots, LOTS, manner, None, |update, _| {
-            self.take(model, update);
-        });
+        let lots = list_and_watch(
+            &store,
+            Purpose::Lots,
+            LOT_KIND,
+            options,
+            None,
+            |update, _| {
+                self.apply_update(model, update);
+            },
+        );
         tokio::select! {
             () = lots => {}
             () = self.dispatch() => {}
-            () = sweep::sweep(self) => {}
+            () = cleanup::clean_up(self) => {}
         }
     }
 
-    fn take(self: &Rc<Self>, model: &CompactString, update: Update) {
-        // What stands already when a runner begins may have had another one.
-        let inherited = matches!(update, Update::All(_));
+    fn apply_update(self: &Rc<Self>, model: &CompactString, update: Update) {
+        // Lots that exist already when this runner starts may have had another one.
+        let has_predecessor = matches!(update, Update::All(_));
         let objects: Vec<_> = match update {
             Update::All(objects) => objects,
             Update::Changes(changes) => {
@@ -206,29 +218,29 @@
             }
         };
         for object in objects {
-            self.take_lot(model, object, inherited);
+            self.apply_lot(model, object, has_predecessor);
         }
     }
 
-    /// The ages of the lots that this instance has seen.
-    pub(super) fn ages<T>(&self, look: impl FnOnce(&mut Ages) -> T) -> T {
-        look(&mut self.state.borrow_mut().ages)
+    /// Calls `access` with the record of when each lot was first seen.
+    pub(super) fn with_first_seen<T>(&self, access: impl FnOnce(&mut FirstSeen) -> T) -> T {
+        access(&mut self.state.borrow_mut().first_seen)
     }
 
-    /// Whether there is still work to do for a lot.
+    /// Whether a lot is open or being opened.
     pub(super) fn is_open(&self, lot: &str) -> bool {
         let state = self.state.borrow();
-        state.lots.contains_key(lot) || state.opening.contains_key(lot)
+        state.open_lots.contains_key(lot) || state.opening.contains_key(lot)
     }
 }
 
-/// The duty of running the lots of a model.
-pub fn duty(model: &str) -> CompactString {
+/// Name of the lease for running the lots of a model.
+pub fn duty_name(model: &str) -> CompactString {
     format_compact!("lots-{model}")
 }
 
-/// The models of all engines.
-fn models(table: &RoutingTable) -> Vec<CompactString> {
+/// The models of all engine services in the configuration.
+fn engine_models(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter_map(|service| service.engine.as_ref());
     engines.flat_map(|engine| engine.models.clone()).collect()
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -1,6 +1,9 @@
-//! One run of an item at an engine, event by event.
+//! One run of an item on an engine: sends the request and reads the stream of events.
+//!
+//! Events are appended to the item's partial output as they come, so that a further run resumes
+//! after the last of them.
 
-use super::{runner::Runner, state::Work};
+use super::{runner::Runner, state::ItemTask};
 use crate::upstream::pool::{Body, Error, Exchange};
 use actix_http::{
     Method, RequestHead, StatusCode,
@@ -19,32 +22,33 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{Instant, timeout};
 
-/// An engine that has sent nothing at all for so long is left: it may load weights first, which takes about a second.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// The longest event; an engine that sends a longer one sends no events.
-const MAX_EVENT: usize = 1 << 20;
+/// Timeout for the response head, and again for the first event or the body of a rejection. The
+/// engine may have to load weights first, which takes about a second.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Upper bound of the size of an event; beyond it, the stream is taken for malformed.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// How a run ended.
+/// How a run ended. Log lines show the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
-    /// The text is whole.
+pub(super) enum RunEnd {
+    /// The output is complete.
     Complete,
-    /// The engine failed on it.
+    /// The engine answered with a failure.
     Failed,
-    /// The engine says that it can never be done.
+    /// The engine answered that the item can never succeed.
     Impossible,
-    /// The engine did not take it now.
+    /// The engine rejected the run for now.
     Refused,
-    /// Broken off, silent, out of reach, or not in the protocol; with what was seen.
-    Broken(Break),
-    /// Another engine is much faster.
+    /// The engine was unreachable, the stream broke off or stalled, or it violated the protocol.
+    Broken(RunError),
+    /// The run moves to a faster engine.
     Left,
     /// The engine's weights are older than the lot admits.
     Outdated,
 }
 
-impl End {
-    /// The name in metrics.
+impl RunEnd {
+    /// Value of the metric label.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -58,47 +62,49 @@
     }
 }
 
-/// What broke a run off.
+/// Why a run broke off. Log lines show the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Break {
-    /// No connection, or no head of an answer in time.
+pub(super) enum RunError {
+    /// No connection, or no response head before the timeout.
     NoAnswer,
-    /// The connection broke before the head of an answer.
+    /// The connection broke before the response head.
     Lost,
-    /// The same, over a connection that had lain idle: the engine may just have closed it.
+    /// The same on a reused connection, which the engine may have closed while it was idle.
     Stale,
-    /// The engine crashed while the item was there.
+    /// The engine crashed during the run.
     Crashed,
-    /// An answer to another request, or with an encoded body.
+    /// The response belongs to another request, or has an encoded body.
     Foreign,
-    /// A status that engines do not answer with.
+    /// A status outside the engines' protocol.
     Status(u16),
-    /// An event of which no version is known.
+    /// An event without a known version of the weights.
     NoVersion,
-    /// Nothing came for too long.
+    /// No event before the timeout.
     Silent,
-    /// The connection broke, or ended within an event.
+    /// The connection broke, or was closed within an event.
     Cut,
-    /// An event that is malformed or does not follow the one before.
+    /// A malformed event, or one out of sequence.
     Event,
-    /// Another version went on with a text that must come from one.
+    /// The version of the weights changed, although the route requires a single one.
     Mixed,
-    /// The engine has started again and knows nothing of the run.
+    /// The engine has restarted and lost the run.
     Restarted,
 }
 
-/// The engine that a run goes to.
+/// The engine on which a run was placed.
 #[derive(Clone, Debug)]
-pub(super) struct Place {
+pub(super) struct Placement {
+    /// Key of the engine in its fleet.
     pub(super) key: EngineKey,
+    /// The process of the engine.
     pub(super) start: EndpointStart,
     pub(super) address: SocketAddr,
-    /// How many endpoints have crashed under the item.
-    pub(super) doubts: usize,
+    /// Number of engines that have crashed under the item.
+    pub(super) crashes: usize,
 }
 
-/// What makes an item the same request when it comes again.
-pub(super) fn identity(caller: &Caller, host: &str, item: &Item) -> Identity {
+/// Identity by which the crash detection recognizes the item in further runs and submissions.
+pub(super) fn item_identity(caller: &Caller, host: &str, item: &Item) -> Identity {
     let mut headers = item.headers.iter();
     let credential = headers.find(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION.as_str()));
     let credential = credential.map_or("", |(_, value)| value);
@@ -111,95 +117,97 @@
     })
 }
 
-/// Runs the item at `place` from where its draft ends.
-pub(super) async fn stream(
+/// Runs the item on the engine of `placement`, from the end of its partial output. A lost
+/// connection counts as a crash if the engine's address refuses new ones.
+pub(super) async fn run_on_engine(
     runner: &Rc<Runner>,
-    work: &Work,
+    task: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Place,
-) -> End {
-    let end = attempt(runner, work, item, route, place).await;
-    let End::Broken(Break::Lost | Break::Stale | Break::Cut) = end else {
+    placement: &Placement,
+) -> RunEnd {
+    let end = request_events(runner, task, item, route, placement).await;
+    let RunEnd::Broken(RunError::Lost | RunError::Stale | RunError::Cut) = end else {
         return end;
     };
-    if runner.parts.pool.is_gone(place.address).await {
-        return End::Broken(Break::Crashed);
+    if runner.parts.pool.is_gone(placement.address).await {
+        return RunEnd::Broken(RunError::Crashed);
     }
     match end {
-        End::Broken(Break::Stale) => End::Refused,
+        RunEnd::Broken(RunError::Stale) => RunEnd::Refused,
         end => end,
     }
 }
 
-async fn attempt(
+/// Sends the request and reads the response, without telling a lost connection from a crash.
+async fn request_events(
     runner: &Rc<Runner>,
-    work: &Work,
+    task: &ItemTask,
     item: &Item,
     route: &Route,
-    place: &Place,
-) -> End {
-    let (last, made_by) = runner.progress(work);
+    placement: &Placement,
+) -> RunEnd {
+    let (last_event, last_version) = runner.resume_point(task);
     let exchange = Exchange {
-        address: place.address,
-        head: head(runner, work, item, place, last),
+        address: placement.address,
+        head: request_head(runner, task, item, placement, last_event),
         body: item.body.clone(),
-        // A run may be repeated, so it may travel on a connection that carried another one.
+        // A run may be repeated, so a reused connection that turns out to be closed does no harm.
         reuse: true,
     };
-    let response = match timeout(SILENCE, runner.parts.pool.send(exchange)).await {
+    let response = match timeout(RESPONSE_TIMEOUT, runner.parts.pool.send(exchange)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(Error::Stale(_))) => return End::Broken(Break::Stale),
-        Ok(Err(Error::Lost(_))) => return End::Broken(Break::Lost),
-        Ok(Err(Error::NotOpened(_))) | Err(_) => return End::Broken(Break::NoAnswer),
+        Ok(Err(Error::Stale(_))) => return RunEnd::Broken(RunError::Stale),
+        Ok(Err(Error::Lost(_))) => return RunEnd::Broken(RunError::Lost),
+        Ok(Err(Error::NotOpened(_))) | Err(_) => return RunEnd::Broken(RunError::NoAnswer),
     };
-    let said = (runner.parts.adapter.headers.decode_response)(response.status, &response.headers);
-    if said.not_executed {
-        let _ = timeout(SILENCE, response.body.whole()).await;
-        return End::Refused;
+    let answer = (runner.parts.adapter.headers.decode_response)(response.status, &response.headers);
+    if answer.not_executed {
+        let _ = timeout(RESPONSE_TIMEOUT, response.body.whole()).await;
+        return RunEnd::Refused;
     }
-    if said.id.as_ref().is_some_and(|id| *id != item.id) || said.content_encoded {
-        return End::Broken(Break::Foreign);
+    if answer.id.as_ref().is_some_and(|id| *id != item.id) || answer.content_encoded {
+        return RunEnd::Broken(RunError::Foreign);
     }
     match response.status {
         StatusCode::OK => {}
-        StatusCode::UNPROCESSABLE_ENTITY => return End::Impossible,
-        StatusCode::INTERNAL_SERVER_ERROR => return End::Failed,
-        status => return End::Broken(Break::Status(status.as_u16())),
+        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Impossible,
+        StatusCode::INTERNAL_SERVER_ERROR => return RunEnd::Failed,
+        status => return RunEnd::Broken(RunError::Status(status.as_u16())),
     }
-    let reader = Reader {
+    let reader = EventReader {
         runner,
-        work,
+        task,
         route,
-        place,
-        oldest: work.oldest_version,
-        version: said.weights_version,
-        last,
-        made_by,
+        placement,
+        oldest_version: task.oldest_version,
+        version: answer.weights_version,
+        last_event,
+        last_version,
     };
     reader.read(response.body).await
 }
 
-fn head(
+fn request_head(
     runner: &Runner,
-    work: &Work,
+    task: &ItemTask,
     item: &Item,
-    place: &Place,
+    placement: &Placement,
     after_event: Option<u64>,
 ) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = Method::POST;
     head.uri = item.path.parse().unwrap_or_default();
     head.headers = item_headers(item);
-    if let Ok(host) = HeaderValue::from_str(&work.host) {
+    if let Ok(host) = HeaderValue::from_str(&task.host) {
         head.headers.insert(HOST, host);
     }
     let attempt = AttemptHeaders {
         request_id: &item.id,
-        endpoint_id: &place.start.endpoint,
+        endpoint_id: &placement.start.endpoint,
         timeout: None,
         last_event_id: after_event,
-        caller: &work.caller,
+        caller: &task.caller,
     };
     (runner.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
     head
@@ -213,104 +221,120 @@
         if let (Ok(name), Ok(value)) = (name, value) {
             headers.append(name, value);
         } else {
-            log::warn!(id = item.id.as_str(); "item header is not valid and left out");
+            log::warn!(id = item.id.as_str(); "invalid item header omitted");
         }
     }
     headers
 }
 
-/// Reads the events of one run.
-struct Reader<'a> {
+/// Reads and validates the events of one run.
+struct EventReader<'a> {
     runner: &'a Rc<Runner>,
-    work: &'a Work,
+    task: &'a ItemTask,
     route: &'a Route,
-    place: &'a Place,
-    oldest: u64,
-    /// Version of the weights that make the next event; none if the engine has nothing to add to
-    /// a text that is whole already.
+    placement: &'a Placement,
+    oldest_version: u64,
+    /// Version of the weights that generate the next event; `None` if the engine has nothing to add
+    /// to an output that is complete already.
     version: Option<u64>,
-    /// Number of the last event, of this run or an earlier one.
-    last: Option<u64>,
-    /// Version that made the last event.
-    made_by: Option<u64>,
+    /// Number of the last event of this run or an earlier one.
+    last_event: Option<u64>,
+    /// Version of the weights that generated the last event.
+    last_version: Option<u64>,
 }
 
-impl Reader<'_> {
-    async fn read(mut self, mut body: Body) -> End {
+impl EventReader<'_> {
+    async fn read(mut self, mut body: Body) -> RunEnd {
         let mut buffer = BytesMut::new();
-        let mut last_event: Option<Instant> = None;
-        if self.version.is_some_and(|version| version < self.oldest) {
-            return End::Outdated;
+        let mut last_event_at: Option<Instant> = None;
+        if self
+            .version
+            .is_some_and(|version| version < self.oldest_version)
+        {
+            return RunEnd::Outdated;
         }
         loop {
-            let patience = match last_event {
-                Some(_) => self.runner.patience(self.work, self.place.key),
-                None => SILENCE,
+            let stall_timeout = match last_event_at {
+                Some(_) => self.runner.stall_timeout(self.task, self.placement.key),
+                None => RESPONSE_TIMEOUT,
             };
-            let part = match timeout(patience, body.part()).await {
-                Ok(Ok(Some(part))) => part,
-                Ok(Ok(None)) if buffer.is_empty() && self.last.is_some() => {
-                    return End::Complete;
+            let chunk = match timeout(stall_timeout, body.part()).await {
+                Ok(Ok(Some(chunk))) => chunk,
+                Ok(Ok(None)) if buffer.is_empty() && self.last_event.is_some() => {
+                    return RunEnd::Complete;
                 }
-                Err(_) => return End::Broken(Break::Silent),
-                // What is torn off is not kept.
-                _ => return End::Broken(Break::Cut),
+                Err(_) => return RunEnd::Broken(RunError::Silent),
+                // An incomplete event is discarded.
+                _ => return RunEnd::Broken(RunError::Cut),
             };
-            buffer.extend_from_slice(&part);
-            while let Some((event, rest)) = next_event(&buffer) {
-                let event = std::str::from_utf8(&buffer[..event]).map(ToOwned::to_owned);
-                let _ = buffer.split_to(rest);
+            buffer.extend_from_slice(&chunk);
+            while let Some((event_len, next_start)) = split_event(&buffer) {
+                let event = std::str::from_utf8(&buffer[..event_len]).map(ToOwned::to_owned);
+                let _ = buffer.split_to(next_start);
                 let now = Instant::now();
-                let gap = last_event.map(|at| now - at);
-                last_event = Some(now);
+                let interval = last_event_at.map(|at| now - at);
+                last_event_at = Some(now);
                 let Ok(event) = event else {
-                    return End::Broken(Break::Event);
+                    return RunEnd::Broken(RunError::Event);
                 };
-                if let Some(end) = self.take(&event, gap) {
+                if let Some(end) = self.accept_event(&event, interval) {
                     return end;
                 }
             }
-            if buffer.len() > MAX_EVENT {
-                return End::Broken(Break::Event);
+            if buffer.len() > MAX_EVENT_BYTES {
+                return RunEnd::Broken(RunError::Event);
             }
         }
     }
 
-    /// Takes one event in; says if the run ends with it.
-    fn take(&mut self, text: &str, gap: Option<Duration>) -> Option<End> {
+    /// Validates an event and appends it to the partial output. Returns how the run ends if this
+    /// event ends it.
+    fn accept_event(&mut self, text: &str, interval: Option<Duration>) -> Option<RunEnd> {
         let event = match (self.runner.parts.adapter.lot.decode_event)(text) {
             Ok(event) => event,
             Err(fault) => {
-                let (id, endpoint) = (self.work.item.as_str(), self.place.start.endpoint.as_str());
-                log::warn!(id, endpoint; "event refused: {fault}");
-                return Some(End::Broken(Break::Event));
+                let (id, endpoint) = (
+                    self.task.item_id.as_str(),
+                    self.placement.start.endpoint.as_str(),
+                );
+                log::warn!(id, endpoint; "malformed event: {fault}");
+                return Some(RunEnd::Broken(RunError::Event));
             }
         };
-        if self.last.is_some_and(|last| event.id != last + 1) {
-            return Some(End::Broken(Break::Event));
+        if self
+            .last_event
+            .is_some_and(|last_event| event.id != last_event + 1)
+        {
+            return Some(RunEnd::Broken(RunError::Event));
         }
         self.version = event.version.or(self.version);
         let Some(version) = self.version else {
-            return Some(End::Broken(Break::NoVersion));
+            return Some(RunEnd::Broken(RunError::NoVersion));
         };
-        if version < self.oldest {
-            return Some(End::Outdated);
+        if version < self.oldest_version {
+            return Some(RunEnd::Outdated);
         }
-        if self.route.single_version && self.made_by.is_some_and(|made_by| made_by != version) {
-            // Nothing of it can be used.
-            self.runner.drop_text(self.work);
-            return Some(End::Broken(Break::Mixed));
+        if self.route.single_version
+            && self
+                .last_version
+                .is_some_and(|last_version| last_version != version)
+        {
+            // The output so far cannot be continued or used.
+            self.runner.discard_output(self.task);
+            return Some(RunEnd::Broken(RunError::Mixed));
         }
-        self.last = Some(event.id);
-        self.made_by = Some(version);
-        self.runner.add_event(self.work, &event, version);
-        let moved = self.runner.progressed(self.work, self.place.key, gap);
-        moved.then_some(End::Left)
+        self.last_event = Some(event.id);
+        self.last_version = Some(version);
+        self.runner.add_event(self.task, &event, version);
+        let should_move = self
+            .runner
+            .record_event(self.task, self.placement.key, interval);
+        should_move.then_some(RunEnd::Left)
     }
 }
 
-/// Length of the first whole event in `buffer`, and where the next one begins.
-fn next_event(buffer: &[u8]) -> Option<(usize, usize)> {
-    let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
-    Some((end, end + 2))
+/// Length of the first complete event in `buffer`, and the offset of the next one.
+fn split_event(buffer: &[u8]) -> Option<(usize, usize)> {
+    let event_len = buffer.windows(2).position(|pair| pair == b"\n\n")?;
+    Some((event_len, event_len + 2))
 }
--- /dev/null
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -0,0 +1,234 @@
+//! The state that the tasks of items read and update: partial outputs, runs, results and commits.
+
+use super::{
+    commit::{PendingSegment, first_segment},
+    runner::Runner,
+    state::{FleetKey, ItemTask, PartialOutput},
+};
+use pinereel_core::batch::{EngineKey, Failure, RetryDecision, RunOutcome};
+use pinereel_port::lot::{Event, Item, Sample};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Minimum time between two moves of an item, so that the speed of its new engine is known first.
+const MIN_MOVE_INTERVAL: Duration = Duration::from_millis(400);
+
+impl Runner {
+    /// The item as submitted; `None` if its lot is closed.
+    pub(super) fn item(&self, task: &ItemTask) -> Option<Item> {
+        let state = self.state.borrow();
+        let open = state.open_lots.get(&task.lot_id)?;
+        open.submission.items.get(task.index).cloned()
+    }
+
+    /// The partial output of an item; empty if its lot is closed.
+    pub(super) fn partial_output(&self, task: &ItemTask) -> PartialOutput {
+        let state = self.state.borrow();
+        let open = state.open_lots.get(&task.lot_id);
+        open.map(|open| open.outputs[task.index].clone())
+            .unwrap_or_default()
+    }
+
+    /// Where a run of the item resumes: the number of its last event, and the newest version of the
+    /// weights that generated a part of its output.
+    pub(super) fn resume_point(&self, task: &ItemTask) -> (Option<u64>, Option<u64>) {
+        let state = self.state.borrow();
+        let Some(open) = state.open_lots.get(&task.lot_id) else {
+            return (None, None);
+        };
+        let output = &open.outputs[task.index];
+        (output.last_event, output.versions.last().copied())
+    }
+
+    /// Appends an event to the item's partial output.
+    pub(super) fn add_event(&self, task: &ItemTask, event: &Event, version: u64) {
+        let mut state = self.state.borrow_mut();
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
+            open.outputs[task.index].push_event(event, version);
+        }
+    }
+
+    /// Discards the item's partial output; its next run starts from the beginning.
+    pub(super) fn discard_output(&self, task: &ItemTask) {
+        let mut state = self.state.borrow_mut();
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
+            open.outputs[task.index] = PartialOutput::default();
+        }
+    }
+
+    /// Removes the handle of an item's task, called by the task as its last step.
+    pub(super) fn task_ended(&self, task: &ItemTask) {
+        let handle = {
+            let mut state = self.state.borrow_mut();
+            let open = state.open_lots.get_mut(&task.lot_id);
+            open.and_then(|open| open.tasks.remove(&task.index))
+        };
+        drop(handle);
+    }
+
+    /// Records an event of a run, `interval` after the one before (`None` for the first). Returns
+    /// whether the run should move to another engine; if so, the caller stops it.
+    pub(super) fn record_event(
+        &self,
+        task: &ItemTask,
+        key: EngineKey,
+        interval: Option<Duration>,
+    ) -> bool {
+        let now = self.parts.clock.now();
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        let Some(fleet) = state.fleets.get_mut(&task.fleet) else {
+            return false;
+        };
+        match interval {
+            Some(interval) => fleet.event_received(key, interval),
+            None => fleet.first_event_received(key),
+        }
+        let has_queued_items = state.open_lots.values().any(|open| open.lot.queued() > 0);
+        let Some(open) = state.open_lots.get_mut(&task.lot_id) else {
+            return false;
+        };
+        let last_event = open.outputs[task.index].last_event.unwrap_or_default();
+        let oldest_version = task.oldest_version;
+        if has_queued_items
+            || fleet
+                .move_target(now, key, oldest_version, last_event)
+                .is_none()
+        {
+            return false;
+        }
+        let last_move = open.last_moves.get(&task.index);
+        if last_move.is_some_and(|at| at.elapsed() < MIN_MOVE_INTERVAL) {
+            return false;
+        }
+        open.last_moves.insert(task.index, Instant::now());
+        true
+    }
+
+    /// How long a run waits for its next event.
+    pub(super) fn stall_timeout(&self, task: &ItemTask, key: EngineKey) -> Duration {
+        let state = self.state.borrow();
+        let fleet = state.fleets.get(&task.fleet);
+        fleet.map_or(Duration::MAX, |fleet| fleet.stall_timeout(key))
+    }
+
+    /// Waits until the engine has restarted, so that a run on it is lost.
+    pub(super) async fn wait_for_restart(&self, fleet: &FleetKey, key: EngineKey) {
+        let mut restarts = self.restarts.subscribe();
+        loop {
+            let restarted = {
+                let state = self.state.borrow();
+                let fleet = state.fleets.get(fleet);
+                fleet.is_some_and(|fleet| fleet.has_restarted(key))
+            };
+            if restarted || restarts.changed().await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Records the end of a run for the health and load of its engine.
+    pub(super) fn run_ended(&self, fleet: &FleetKey, key: EngineKey, outcome: RunOutcome) {
+        let now = self.parts.clock.now();
+        let mut state = self.state.borrow_mut();
+        if let Some(fleet) = state.fleets.get_mut(fleet) {
+            fleet.run_ended(now, key, outcome);
+        }
+        drop(state);
+        self.wake.notify_one();
+    }
+
+    /// Records that the run of an item under which engines have crashed ended.
+    pub(super) fn suspect_run_ended(&self, fleet: &FleetKey, key: EngineKey) {
+        let mut state = self.state.borrow_mut();
+        if let Some(fleet) = state.fleets.get_mut(fleet) {
+            fleet.suspect_run_ended(key);
+        }
+    }
+
+    /// Records that a run ended without a result; the item is queued again.
+    pub(super) fn run_failed(
+        &self,
+        task: &ItemTask,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
+        let mut state = self.state.borrow_mut();
+        let decision = match state.open_lots.get_mut(&task.lot_id) {
+            Some(open) => open.lot.run_failed(task.index, failure, max_attempts),
+            None => RetryDecision::Retry,
+        };
+        drop(state);
+        self.wake.notify_one();
+        decision
+    }
+
+    /// Records that a scoring ended without a score.
+    pub(super) fn score_failed(
+        &self,
+        task: &ItemTask,
+        failure: Failure,
+        max_attempts: u32,
+    ) -> RetryDecision {
+        let mut state = self.state.borrow_mut();
+        match state.open_lots.get_mut(&task.lot_id) {
+            Some(open) => open.lot.score_failed(task.index, failure, max_attempts),
+            None => RetryDecision::Retry,
+        }
+    }
+
+    /// Records the result of an item, or that it was given up, and wakes the commit task.
+    pub(super) fn finish_item(&self, task: &ItemTask, sample: Sample) {
+        let mut state = self.state.borrow_mut();
+        if let Some(open) = state.open_lots.get_mut(&task.lot_id) {
+            open.lot.finish(task.index, sample);
+            open.commit_wakeup.notify_one();
+        }
+    }
+
+    /// The next segment to commit; `None` if the lot is closed.
+    pub(super) fn pending_segment(&self, lot: &str) -> Option<PendingSegment> {
+        let state = self.state.borrow();
+        let open = state.open_lots.get(lot)?;
+        let samples = first_segment(open.lot.uncommitted());
+        let all_finished = open.lot.commit_log().next_position() + open.lot.uncommitted().len()
+            >= open.lot.total();
+        Some(PendingSegment {
+            from: open.lot.commit_log().next_position(),
+            total: open.lot.total(),
+            urgent: self.draining.get()
+                || all_finished
+                || open.lot.will_satisfy_trainer()
+                || samples.len() < open.lot.uncommitted().len(),
+            samples,
+        })
+    }
+
+    /// Applies a segment that is in the store, and closes the lot if that completes it.
+    pub(super) fn segment_committed(&self, lot: &str, from: usize, samples: Vec<Sample>) {
+        let mut aborted_tasks = Vec::new();
+        let mut is_complete = false;
+        {
+            let mut state = self.state.borrow_mut();
+            let Some(open) = state.open_lots.get_mut(lot) else {
+                return;
+            };
+            if let Err(gap) = open.lot.add_segment(from, samples) {
+                log::error!(id = lot; "{gap}");
+            }
+            // Another runner may have finished items that still run here.
+            let running: Vec<_> = open.tasks.keys().copied().collect();
+            for index in running {
+                if open.lot.is_finished(index) {
+                    aborted_tasks.extend(open.tasks.remove(&index));
+                }
+            }
+            is_complete |= open.lot.is_complete();
+        }
+        drop(aborted_tasks);
+        if is_complete {
+            // Last, because closing the lot aborts its commit task, which may be the caller.
+            self.close_lot(&lot.into(), "complete");
+        }
+    }
+}
--- a/crates/pinereel/src/hosted/lots/desk.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -1,11 +1,11 @@
-//! Trainers' calls: lots are accepted, read and ended at any instance.
+//! Calls of trainers: submitting, reading and ending lots, on any instance.
 //!
-//! Everything here is a read or write of the object store, so that it does not matter which
-//! instance is asked, and nothing is shown that is not committed.
+//! Each call reads or writes the object store, so any instance can answer it, and only committed
+//! results are returned.
 
-use super::record::{
-    Accepting, LOTS, SEGMENT_SAMPLES, Standing, Stub, accepted, name, results, segment,
-    segment_name, stub,
+use super::schema::{
+    LOT_KIND, LotSpec, LotStatus, MAX_SEGMENT_SAMPLES, Tombstone, parse_lot, parse_segment,
+    parse_tombstone, results_kind, scoped_id, segment_name,
 };
 use crate::{
     hosted::store::Store,
@@ -23,39 +23,41 @@
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 use tokio::time::Instant;
 
-/// Lots whose number of items is remembered, so that reading one costs one call.
-const REMEMBERED: usize = 256;
-/// What the store's refusals ask the caller to wait: it answers again within about this time of its
-/// return.
+/// Upper bound of the lots whose number of items is cached, so that a read of results costs one
+/// call to the store.
+const MAX_CACHED_TOTALS: usize = 256;
+/// Delay before a retry that trainers are asked for when the store refuses a call. After an outage,
+/// the store answers again within about this time of its return.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Tries of one write whose outcome is not known, each followed by a look.
-const WRITES: u32 = 4;
-/// Pause before a look at a write whose answer was lost.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Upper bound of the attempts of one write. Writes are idempotent: an attempt after one that took
+/// effect, although its response was lost, finds its result.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
+/// Pause after a failed write, or one whose response was lost, before it is repeated.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The answer to a trainer's call.
+/// The answer to a trainer's call. Log lines show the names of the variants.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The lot is kept.
+    /// The lot is stored.
     Accepted,
     /// The lot is ended.
     Ended,
-    /// Results, as they are sent.
+    /// Results, serialized.
     Results(Vec<u8>),
-    /// What an item sends to its engine.
+    /// Body of an item's request.
     Body(Bytes),
     /// There is no such lot or item.
     NotFound,
-    /// What was sent is no lot.
+    /// The submission is malformed; with the reason.
     Malformed(CompactString),
-    /// Nothing was done; come back after this time.
+    /// The call had no effect and may be retried after this delay.
     NotDone(Duration),
-    /// It may have been done.
+    /// The call may have taken effect.
     Unknown,
 }
 
 impl Reply {
-    /// The name in metrics.
+    /// Value of the metric label.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -70,24 +72,25 @@
     }
 }
 
-/// Answers trainers' calls.
-pub struct Desk {
+/// Answers trainers' calls from the object store.
+pub struct TrainerApi {
     adapter: Adapter,
     store: Store,
-    totals: RefCell<BTreeMap<CompactString, usize>>,
+    /// Number of items, by lot.
+    cached_totals: RefCell<BTreeMap<CompactString, usize>>,
 }
 
-impl Desk {
-    /// A desk before `store`.
+impl TrainerApi {
+    /// Creates an instance with an empty cache.
     pub fn new(adapter: Adapter, store: &Store) -> Self {
         Self {
             adapter,
             store: store.clone(),
-            totals: RefCell::default(),
+            cached_totals: RefCell::default(),
         }
     }
 
-    /// Accepts a lot: it is kept from the moment at which its object was created.
+    /// Accepts a lot: it is durable once its object is created. Starts no attempt after `deadline`.
     pub async fn submit(
         &self,
         caller: &Caller,
@@ -95,7 +98,7 @@
         host: &str,
         path: &str,
         body: &[u8],
-        give_up: Instant,
+        deadline: Instant,
     ) -> Reply {
         let lot = match serde_json::from_slice::<&RawValue>(body) {
             Ok(lot) => lot,
@@ -108,57 +111,62 @@
         };
         drop(value);
         let total = submission.items.len();
-        let id = &*name(caller, id);
-        let accepting = Accepting {
+        let id = &*scoped_id(caller, id);
+        let spec = LotSpec {
             workspace: caller.workspace(),
             host,
             path,
             model: &submission.model,
             lot,
         };
-        let spec = match serde_json::to_string(&accepting) {
+        let spec = match serde_json::to_string(&spec) {
             Ok(spec) => spec,
             Err(error) => return Reply::Malformed(error.to_string().into()),
         };
-        let reply = self.create(id, &spec, give_up).await;
+        let reply = self.create(id, &spec, deadline).await;
         if reply == Reply::Accepted {
-            self.remember(id, total);
+            self.cache_total(id, total);
         }
         log::info!(id, path, items = total, outcome:? = reply; "lot submitted");
         reply
     }
 
-    async fn create(&self, id: &str, spec: &str, give_up: Instant) -> Reply {
-        let mut sent = false;
-        for _ in 0..WRITES {
-            if Instant::now() >= give_up {
+    /// Creates the lot object, and retries while the outcome is unknown.
+    async fn create(&self, id: &str, spec: &str, deadline: Instant) -> Reply {
+        let mut maybe_written = false;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
-            match self.store.create(Purpose::Lots, LOTS, id, spec).await {
-                // It exists: the trainer sent it before, or this write went through unheard.
+            match self.store.create(Purpose::Lots, LOT_KIND, id, spec).await {
+                // It exists: the trainer submitted it before, or an attempt whose response was lost
+                // took effect.
                 Ok(_) | Err(Error::Conflict) => return Reply::Accepted,
                 Err(error) if error.had_no_effect() => {
-                    log::warn!(id, error:% = error; "lot not written");
+                    log::warn!(id, error:% = error; "creating the lot failed; nothing was written");
                     break;
                 }
                 Err(error) => {
-                    log::warn!(id, error:% = error; "lot written or not");
-                    sent = true;
-                    tokio::time::sleep(LOOK_PAUSE).await;
+                    log::warn!(
+                        id, error:% = error;
+                        "creating the lot failed; it may have been written"
+                    );
+                    maybe_written = true;
+                    tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
-        if sent {
+        if maybe_written {
             Reply::Unknown
         } else {
             Reply::NotDone(RETRY_AFTER)
         }
     }
 
-    /// Reads results from a position on; waits at most `wait` for the first.
+    /// Reads results from position `from` on; waits up to `wait` for the first.
     pub async fn read(&self, caller: &Caller, lot: &str, from: usize, wait: Duration) -> Reply {
-        let lot = &*name(caller, lot);
-        let read = self.results(lot, from, wait).await;
+        let lot = &*scoped_id(caller, lot);
+        let read = self.read_results(lot, from, wait).await;
         match read {
             Ok(Some(bytes)) => Reply::Results(bytes),
             Ok(None) => {
@@ -166,26 +174,28 @@
                 Reply::NotFound
             }
             Err(error) => {
-                log::warn!(id = lot, from, error:% = error; "lot not read");
+                log::warn!(id = lot, from, error:% = error; "reading the lot's results failed");
                 Reply::NotDone(RETRY_AFTER)
             }
         }
     }
 
-    async fn results(
+    /// The serialized results; `None` if there is no such lot.
+    async fn read_results(
         &self,
         lot: &str,
         from: usize,
         wait: Duration,
     ) -> Result<Option<Vec<u8>>, Error> {
-        let kind = results(lot);
-        // Far enough back for the segment that holds the position, wherever it begins.
-        let after = from.checked_sub(SEGMENT_SAMPLES).map(segment_name);
+        let kind = results_kind(lot);
+        // A segment has a bounded number of samples, so the one that holds the position starts
+        // after this name.
+        let after = from.checked_sub(MAX_SEGMENT_SAMPLES).map(segment_name);
         let (objects, revision) = self
             .store
             .list(Purpose::Lots, &kind, after.as_deref())
             .await?;
-        let mut samples = self.samples(lot, from, &objects);
+        let mut samples = self.consecutive_samples(lot, from, &objects);
         if samples.is_empty() {
             let Some(total) = self.total(lot).await? else {
                 return Ok(None);
@@ -194,16 +204,17 @@
                 let changes = self.store.watch(Purpose::Lots, &kind, revision, wait).await;
                 let changes = match changes {
                     Ok(changes) => changes.changes,
-                    // History is gone, or the watch was cut: the caller asks again.
+                    // The revision is no longer watchable, or the watch broke off: the trainer
+                    // asks again.
                     Err(Error::Gone | Error::Unknown(_)) => Vec::new(),
                     Err(error) => return Err(error),
                 };
                 let objects: Vec<_> = changes.into_iter().map(|change| change.object).collect();
-                samples = self.samples(lot, from, &objects);
+                samples = self.consecutive_samples(lot, from, &objects);
             }
         }
-        let total = self.known_total(lot).unwrap_or_default();
-        let count = fitting(&samples, self.adapter.lot.max_page_bytes);
+        let total = self.cached_total(lot).unwrap_or_default();
+        let count = count_that_fit(&samples, self.adapter.lot.max_page_bytes);
         let samples = &samples[..count];
         Ok(Some((self.adapter.lot.encode_results)(ResultsPage {
             total,
@@ -212,18 +223,18 @@
         })))
     }
 
-    /// The samples from a position on without a gap, out of segments in the order of their names.
-    fn samples(&self, lot: &str, from: usize, objects: &[Object]) -> Vec<Sample> {
+    /// The samples from position `from` up to the first gap, from segments ordered by name.
+    fn consecutive_samples(&self, lot: &str, from: usize, objects: &[Object]) -> Vec<Sample> {
         let mut samples = Vec::new();
         for object in objects {
-            let (start, segment) = match segment(object) {
+            let (start, segment) = match parse_segment(object) {
                 Ok(segment) => segment,
                 Err(fault) => {
                     log::error!(id = lot; "{fault}");
                     break;
                 }
             };
-            self.remember(lot, segment.total);
+            self.cache_total(lot, segment.total);
             if start > from + samples.len() {
                 break;
             }
@@ -233,57 +244,58 @@
         samples
     }
 
-    /// Number of the lot's items; `None` if there is no such lot.
+    /// Number of items of the lot, cached or read from the store; `None` if there is no such lot.
     async fn total(&self, lot: &str) -> Result<Option<usize>, Error> {
-        if let Some(total) = self.known_total(lot) {
+        if let Some(total) = self.cached_total(lot) {
             return Ok(Some(total));
         }
-        let object = self.lot(lot).await?;
+        let object = self.read_lot_object(lot).await?;
         let Some(object) = object else {
             return Ok(None);
         };
-        let stub = Stub::of(&self.adapter, &object);
-        let total = stub
+        let tombstone = Tombstone::of(&self.adapter, &object);
+        let total = tombstone
             .map_err(|fault| Error::Malformed(fault.to_string()))?
             .items;
-        self.remember(lot, total);
+        self.cache_total(lot, total);
         Ok(Some(total))
     }
 
-    async fn lot(&self, lot: &str) -> Result<Option<Object>, Error> {
+    async fn read_lot_object(&self, lot: &str) -> Result<Option<Object>, Error> {
         let read = self
             .store
-            .read(Purpose::Lots, LOTS, lot, Consistency::Linearizable);
+            .read(Purpose::Lots, LOT_KIND, lot, Consistency::Linearizable);
         read.await
     }
 
-    fn known_total(&self, lot: &str) -> Option<usize> {
-        self.totals.borrow().get(lot).copied()
+    fn cached_total(&self, lot: &str) -> Option<usize> {
+        self.cached_totals.borrow().get(lot).copied()
     }
 
-    fn remember(&self, lot: &str, total: usize) {
-        let mut totals = self.totals.borrow_mut();
-        if totals.len() >= REMEMBERED && !totals.contains_key(lot) {
+    /// Caches the number of items of a lot; a full cache drops the lot with the smallest name.
+    fn cache_total(&self, lot: &str, total: usize) {
+        let mut totals = self.cached_totals.borrow_mut();
+        if totals.len() >= MAX_CACHED_TOTALS && !totals.contains_key(lot) {
             totals.pop_first();
         }
         totals.insert(lot.into(), total);
     }
 
-    /// What an item sends to its engine.
+    /// Reads the body of an item's request; not found once the lot is a tombstone.
     pub async fn body(&self, caller: &Caller, lot: &str, item: &str) -> Reply {
-        let lot = &*name(caller, lot);
-        let object = match self.lot(lot).await {
+        let lot = &*scoped_id(caller, lot);
+        let object = match self.read_lot_object(lot).await {
             Ok(Some(object)) => object,
             Ok(None) => return Reply::NotFound,
             Err(error) => {
-                log::warn!(id = lot, item, error:% = error; "item not read");
+                log::warn!(id = lot, item, error:% = error; "reading the item failed");
                 return Reply::NotDone(RETRY_AFTER);
             }
         };
-        if stub(&object).is_some() {
+        if parse_tombstone(&object).is_some() {
             return Reply::NotFound;
         }
-        match accepted(&self.adapter, &object) {
+        match parse_lot(&self.adapter, &object) {
             Ok(accepted) => {
                 let mut items = accepted.submission.items.into_iter();
                 let found = items.find(|i| i.id == item);
@@ -296,18 +308,18 @@
         }
     }
 
-    /// Ends a lot. Ending it again changes nothing.
-    pub async fn end(&self, caller: &Caller, lot: &str, give_up: Instant) -> Reply {
-        let lot = &*name(caller, lot);
-        let status = serde_json::json!(Standing { ended: true });
+    /// Marks a lot as ended; idempotent. Starts no attempt after `deadline`.
+    pub async fn end(&self, caller: &Caller, lot: &str, deadline: Instant) -> Reply {
+        let lot = &*scoped_id(caller, lot);
+        let status = serde_json::json!(LotStatus { ended: true });
         let mut reply = Reply::NotDone(RETRY_AFTER);
-        for _ in 0..WRITES {
-            if Instant::now() >= give_up {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            if Instant::now() >= deadline {
                 break;
             }
             match self
                 .store
-                .update_status(Purpose::Lots, LOTS, lot, &status)
+                .update_status(Purpose::Lots, LOT_KIND, lot, &status)
                 .await
             {
                 Ok(()) => {
@@ -319,11 +331,11 @@
                     break;
                 }
                 Err(error) => {
-                    log::warn!(id = lot, error:% = error; "lot's end not written");
+                    log::warn!(id = lot, error:% = error; "marking the lot as ended failed");
                     if !error.had_no_effect() {
                         reply = Reply::Unknown;
                     }
-                    tokio::time::sleep(LOOK_PAUSE).await;
+                    tokio::time::sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
@@ -332,19 +344,19 @@
     }
 }
 
-/// How many samples fit into an answer of `bytes`; at least one. The text may double in size when
-/// it is written as JSON.
-fn fitting(samples: &[Sample], bytes: usize) -> usize {
-    /// Bytes of a result beside its text.
-    const FRAME: usize = 256;
-    let mut left = bytes / 2;
+/// Number of samples that fit into an answer of `bytes`; at least one if there are any. JSON
+/// escapes may double the size of the text.
+fn count_that_fit(samples: &[Sample], bytes: usize) -> usize {
+    /// Assumed size of a serialized result without its text.
+    const RESULT_OVERHEAD_BYTES: usize = 256;
+    let mut remaining_bytes = bytes / 2;
     let mut count = 0;
     for sample in samples {
-        let size = FRAME + sample.output.as_ref().map_or(0, |made| made.text.len());
-        if count > 0 && size > left {
+        let size = RESULT_OVERHEAD_BYTES + sample.output.as_ref().map_or(0, |made| made.text.len());
+        if count > 0 && size > remaining_bytes {
             break;
         }
-        left = left.saturating_sub(size);
+        remaining_bytes = remaining_bytes.saturating_sub(size);
         count += 1;
     }
     count
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -5,7 +5,7 @@
     crashes::Crashes,
     duty::{self, Duties},
     endpoints::{self, Endpoints},
-    lots::{self, Desk, Runner},
+    lots::{self, Runner, TrainerApi},
     metrics::{Metrics, Sources},
     orders::{self, Orders},
     ready::Ready,
@@ -242,8 +242,8 @@
             stall: Rc::clone(&stall),
             metrics: metrics.clone(),
             clock,
-            watch,
-            kept: settings.lots.kept,
+            max_watch_wait: watch,
+            retention: settings.lots.kept,
         });
         Orders::start(orders::Parts {
             adapter,
@@ -284,7 +284,7 @@
             config,
             endpoints,
             relay,
-            desk: Desk::new(adapter, &store),
+            desk: TrainerApi::new(adapter, &store),
             stop: Rc::clone(stop),
             metrics,
         });
@@ -315,7 +315,7 @@
         if let Some(bulletin) = &self.bulletin {
             bulletin.shut_down();
         }
-        self.runner.hand_over().await;
+        self.runner.checkpoint_and_stop().await;
         self.duties.drain();
         let times = Times {
             balancer_lag: settings.stop.balancer_lag,
