--- a/crates/pinereel/src/hosted/bulletin/board.rs
+++ b/crates/pinereel/src/hosted/bulletin/board.rs
@@ -1,7 +1,9 @@
 //! What this instance has been told, and whom it tells.
 
 use super::{Feed, Frame, HEARTBEAT, Topic, known::Known, topics::Link};
-use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
+use crate::hosted::{
+    crashes::CrashTracker, duty::Duties, metrics::Metrics, store::Store, usage::Usage,
+};
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::{
@@ -35,7 +37,7 @@
     /// What the parts of this process hear.
     pub feed: Rc<Feed>,
     /// Requests under which endpoints crash.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Counts of requests that began to run.
     pub usage: Rc<Usage>,
     /// Figures.
--- a/crates/pinereel/src/hosted/bulletin/gossip.rs
+++ b/crates/pinereel/src/hosted/bulletin/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::{Bulletin, Frame, Topic};
 use crate::hosted::{
-    crashes::{Crashes, Source},
+    crashes::{CrashTracker, Source},
     usage::Usage,
 };
 use bytes::Bytes;
@@ -13,26 +13,26 @@
     /// again, and has nothing to pass on.
     pub(super) async fn tell_crashes(&self) {
         loop {
-            let reports = self.parts.crashes.untold().await;
+            let reports = self.parts.crashes.next_pending().await;
             if let Some(bytes) = Frame::Crashes(reports).encode() {
                 let bytes = Bytes::from(bytes);
                 self.send(&bytes);
                 // Nobody hears it if there is no parent.
                 let _ = self.up.send(bytes);
             }
-            Crashes::gather().await;
+            CrashTracker::delay_next_message().await;
         }
     }
 
     /// All that is known of requests that crash endpoints, for a new link; none if that is nothing.
     pub(super) fn known_crashes(&self) -> Option<Frame> {
-        let reports = self.parts.crashes.all();
+        let reports = self.parts.crashes.reports();
         (!reports.is_empty()).then_some(Frame::Crashes(reports))
     }
 
     /// A neighbour tells of requests that crash endpoints.
     pub(super) fn hear_crashes(&self, reports: Vec<Report>) {
-        self.parts.crashes.heard(Source::Link, reports);
+        self.parts.crashes.merge(Source::Peer, reports);
     }
 
     /// Tells the parent what is news here about counts of requests; as the root, tells the children its own.
--- a/crates/pinereel/src/hosted/bulletin/source.rs
+++ b/crates/pinereel/src/hosted/bulletin/source.rs
@@ -3,7 +3,7 @@
 use super::{Bulletin, Topic};
 use crate::{
     hosted::{
-        crashes::{Kept, take_out},
+        crashes::{StoredReports, take_reports_object},
         duty,
         follow::{Manner, Update, follow},
     },
@@ -42,14 +42,14 @@
     /// Lists the leases now and then, and with them what the store keeps of requests that crash endpoints.
     async fn follow_leases(&self) {
         let crashes = &self.parts.crashes;
-        let kept = Kept::default();
+        let kept = StoredReports::default();
         let mut changes = crashes.changes();
         loop {
             let store = &self.parts.store;
             changes.mark_unchanged();
             match store.list(Purpose::Leases, duty::KIND, None).await {
                 Ok((mut objects, revision)) => {
-                    kept.listed(crashes, take_out(&mut objects));
+                    kept.record_listed(crashes, take_reports_object(&mut objects));
                     self.read(Topic::Leases, Update::All(objects), revision);
                     self.keep_crashes(&kept).await;
                 }
@@ -66,9 +66,9 @@
         }
     }
 
-    async fn keep_crashes(&self, kept: &Kept) {
+    async fn keep_crashes(&self, kept: &StoredReports) {
         let parts = &self.parts;
-        if let Err(error) = kept.keep(&parts.store, &parts.crashes).await {
+        if let Err(error) = kept.save(&parts.store, &parts.crashes).await {
             log::info!(error:% = error; "requests that crash endpoints: not kept yet");
         }
     }
--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -4,9 +4,9 @@
 //! bulletin, up and down, and each instance passes on what is news to it. Whoever reads for all keeps it in
 //! the store, so that it outlasts a restart of all. Nothing is said, kept or asked while nothing crashes.
 
-mod kept;
+mod stored;
 
-pub use kept::{Kept, take_out};
+pub use stored::{StoredReports, take_reports_object};
 
 use super::{metrics::Metrics, news};
 use crate::state::Clock;
@@ -20,20 +20,20 @@
 use tokio::{sync::watch, time::sleep};
 
 /// Requests of one message: 200 bytes each.
-const BATCH: usize = 128;
+const MAX_REPORTS_PER_MESSAGE: usize = 128;
 /// Pause between two messages, so that what comes together goes together: a thousand crashes in a second
 /// make 50 messages a link.
-const GATHER: Duration = Duration::from_millis(20);
+const MESSAGE_DELAY: Duration = Duration::from_millis(20);
 /// Pause between two looks for what is too old to count.
-const SWEEP: Duration = Duration::from_secs(5);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Where news of crashes come from, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// A request of this instance.
-    Own,
+    Local,
     /// Another instance.
-    Link,
+    Peer,
     /// The object store.
     Store,
     /// Whoever is on call.
@@ -43,8 +43,8 @@
 impl Source {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::Own => "own",
-            Self::Link => "link",
+            Self::Local => "own",
+            Self::Peer => "link",
             Self::Store => "store",
             Self::Operator => "operator",
         }
@@ -52,40 +52,40 @@
 }
 
 /// Requests under which endpoints crash.
-pub struct Crashes {
+pub struct CrashTracker {
     register: RefCell<Register>,
     clock: Clock,
     metrics: Metrics,
     /// Grows with each change of what is known.
-    changed: watch::Sender<u64>,
+    change_count: watch::Sender<u64>,
     /// Endpoints where requests in doubt of this instance run now.
     occupied: RefCell<BTreeSet<EndpointStart>>,
 }
 
 /// A request in doubt runs at an endpoint; until this is dropped, no other one of this instance does.
-pub struct Occupied {
-    crashes: Rc<Crashes>,
+pub struct Occupancy {
+    crashes: Rc<CrashTracker>,
     start: EndpointStart,
 }
 
-impl Drop for Occupied {
+impl Drop for Occupancy {
     fn drop(&mut self) {
         self.crashes.occupied.borrow_mut().remove(&self.start);
     }
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Nothing known yet.
     pub fn new(clock: Clock, metrics: &Metrics) -> Rc<Self> {
         let crashes = Rc::new(Self {
             register: RefCell::default(),
             clock,
             metrics: metrics.clone(),
-            changed: watch::channel(0).0,
+            change_count: watch::channel(0).0,
             occupied: RefCell::default(),
         });
-        let swept = Rc::clone(&crashes);
-        actix_rt::spawn(async move { swept.sweep().await });
+        let tracker = Rc::clone(&crashes);
+        actix_rt::spawn(async move { tracker.expire_old().await });
         crashes
     }
 
@@ -100,11 +100,11 @@
 
     /// Tells each change of what is known.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.change_count.subscribe()
     }
 
     /// How a request stands. `identity` is made only if anything is known of any.
-    pub fn standing(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
+    pub fn status(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
         let register = self.register.borrow();
         if register.is_empty() {
             return RequestStatus::Unrestricted;
@@ -113,16 +113,16 @@
     }
 
     /// Where a request in doubt may run, of the endpoints that are `open`.
-    pub fn seat(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
+    pub fn place(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
         let occupied = self.occupied.borrow();
         let register = self.register.borrow();
         register.place(self.now(), identity, open, &occupied)
     }
 
     /// A request in doubt begins to run there.
-    pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupied {
+    pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupancy {
         self.occupied.borrow_mut().insert(start.clone());
-        Occupied {
+        Occupancy {
             crashes: Rc::clone(self),
             start: start.clone(),
         }
@@ -138,10 +138,10 @@
     }
 
     /// Waits while a request must not run; says whether it had to.
-    pub async fn wait_until_free(&self, identity: impl Fn() -> Identity) -> bool {
+    pub async fn wait_while_blocked(&self, identity: impl Fn() -> Identity) -> bool {
         let mut changes = self.changes();
         let mut waited = false;
-        while matches!(self.standing(&identity), RequestStatus::Blocked { .. }) {
+        while matches!(self.status(&identity), RequestStatus::Blocked { .. }) {
             waited = true;
             if changes.changed().await.is_err() {
                 break;
@@ -151,10 +151,10 @@
     }
 
     /// An endpoint crashed while a request ran there; `alone` if it had its last chance.
-    pub fn crashed(&self, identity: Identity, start: EndpointStart, alone: bool) {
-        log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone; "endpoint crashed under a request");
-        self.count("crash");
-        self.step(Source::Own, |register, now| match alone {
+    pub fn record_crash(&self, identity: Identity, start: EndpointStart, isolated: bool) {
+        log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone = isolated; "endpoint crashed under a request");
+        self.count_event("crash");
+        self.apply(Source::Local, |register, now| match isolated {
             true => register.crashed_isolated(now, identity, start),
             false => register.crashed(now, identity, start),
         });
@@ -162,71 +162,75 @@
 
     /// An endpoint answered a request, sent `took` ago, with an answer of its own: the request can come to
     /// its end, and the endpoint lives.
-    pub fn answered(
+    pub fn record_answer(
         &self,
         identity: impl FnOnce() -> Identity,
         start: EndpointStart,
-        took: Duration,
+        duration: Duration,
     ) {
         if self.is_empty() {
             return;
         }
         let identity = identity();
-        self.step(Source::Own, |register, now| {
+        self.apply(Source::Local, |register, now| {
             let mut changes = register.completed(now, identity);
-            changes.extend(register.endpoint_answered(now, &start, now.earlier_by(took)));
+            changes.extend(register.endpoint_answered(now, &start, now.earlier_by(duration)));
             changes
         });
     }
 
     /// Another instance or the store tells of requests.
-    pub fn heard(&self, source: Source, reports: Vec<Report>) {
-        self.step(source, |register, now| register.merge(now, reports));
+    pub fn merge(&self, source: Source, reports: Vec<Report>) {
+        self.apply(source, |register, now| register.merge(now, reports));
     }
 
     /// An operator says that a request may run again.
     pub fn clear(&self, identity: Identity) -> bool {
-        self.step(Source::Operator, |register, now| {
+        self.apply(Source::Operator, |register, now| {
             register.clear(now, identity)
         })
     }
 
     /// All that is known.
-    pub fn all(&self) -> Vec<Report> {
+    pub fn reports(&self) -> Vec<Report> {
         self.register.borrow().reports(self.now())
     }
 
     /// Waits until others are to be told something, and gives it.
-    pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.register.borrow_mut().take_pending(self.now(), BATCH);
-        news::next(self.changes(), untold).await
+    pub async fn next_pending(&self) -> Vec<Report> {
+        let take_pending = || {
+            self.register
+                .borrow_mut()
+                .take_pending(self.now(), MAX_REPORTS_PER_MESSAGE)
+        };
+        news::next(self.changes(), take_pending).await
     }
 
     /// What is untold is gathered for a moment between two messages.
-    pub async fn gather() {
-        sleep(GATHER).await;
+    pub async fn delay_next_message() {
+        sleep(MESSAGE_DELAY).await;
     }
 
     /// Takes news in; says whether they changed anything.
-    fn step(&self, source: Source, step: impl FnOnce(&mut Register, Time) -> Vec<Change>) -> bool {
+    fn apply(&self, source: Source, step: impl FnOnce(&mut Register, Time) -> Vec<Change>) -> bool {
         let changes = step(&mut self.register.borrow_mut(), self.now());
         for change in &changes {
-            self.tell(source, change);
+            self.log_change(source, change);
         }
-        let is_news = self.register.borrow().has_pending();
-        if is_news || !changes.is_empty() {
-            self.note_change();
+        let has_pending = self.register.borrow().has_pending();
+        if has_pending || !changes.is_empty() {
+            self.notify_changed();
         }
         !changes.is_empty()
     }
 
-    fn note_change(&self) {
+    fn notify_changed(&self) {
         let (known, refused) = self.register.borrow().len();
         self.metrics.note_suspects(known, refused);
-        self.changed.send_modify(|changes| *changes += 1);
+        self.change_count.send_modify(|changes| *changes += 1);
     }
 
-    fn tell(&self, source: Source, change: &Change) {
+    fn log_change(&self, source: Source, change: &Change) {
         log::warn!(
             identity:% = change.identity,
             what:serde = change.kind,
@@ -235,7 +239,7 @@
             source = source.as_str();
             "request that crashes endpoints"
         );
-        self.count(match change.kind {
+        self.count_event(match change.kind {
             ChangeKind::Suspected => "doubt",
             ChangeKind::Blocked => "verdict",
             ChangeKind::Unblocked => "acquitted",
@@ -244,12 +248,12 @@
     }
 
     /// Counts one event.
-    pub fn count(&self, event: &str) {
+    pub fn count_event(&self, event: &str) {
         self.metrics.count(&self.metrics.crashes, &[event]);
     }
 
     /// Forgets what is too old to count.
-    async fn sweep(&self) {
+    async fn expire_old(&self) {
         let mut changes = self.changes();
         loop {
             if self.is_empty() {
@@ -258,10 +262,10 @@
                 }
                 continue;
             }
-            sleep(SWEEP).await;
-            let forgot = self.register.borrow_mut().expire(self.now());
-            if forgot {
-                self.note_change();
+            sleep(EXPIRY_CHECK_INTERVAL).await;
+            let expired = self.register.borrow_mut().expire(self.now());
+            if expired {
+                self.notify_changed();
             }
         }
     }
--- a/crates/pinereel/src/hosted/duty/look.rs
+++ b/crates/pinereel/src/hosted/duty/look.rs
@@ -2,7 +2,7 @@
 
 use super::{Duties, KIND, LIMITS, SHORTEST_SLEEP, spread};
 use crate::{
-    hosted::{bulletin::Fed, crashes::take_out, follow::Update},
+    hosted::{bulletin::Fed, crashes::take_reports_object, follow::Update},
     objects::Purpose,
 };
 use compact_str::CompactString;
@@ -81,8 +81,8 @@
 
     /// A look shows these leases; returns when the next one is due.
     fn looked(&self, mut objects: Vec<Object>, looks: &mut PollSchedule) -> Time {
-        if let Some(kept) = take_out(&mut objects) {
-            self.crashes.read(kept);
+        if let Some(kept) = take_reports_object(&mut objects) {
+            self.crashes.load(kept);
         }
         let due = looks.record(self.now(), glances(&objects));
         self.page.replace(objects);
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -8,7 +8,7 @@
 
 use super::{
     bulletin::{Feed, Topic},
-    crashes::Crashes,
+    crashes::CrashTracker,
     metrics::Metrics,
     store::Store,
 };
@@ -73,7 +73,7 @@
     /// What the bulletin tells.
     pub feed: Rc<Feed>,
     /// Requests under which endpoints crash.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// The clock; it must go on while the machine is suspended.
     pub clock: fn() -> Time,
 }
@@ -93,7 +93,7 @@
     cores: f64,
     metrics: Metrics,
     /// Requests under which endpoints crash: what the store keeps of them is listed with the leases.
-    crashes: Rc<Crashes>,
+    crashes: Rc<CrashTracker>,
     draining: Cell<bool>,
     drain: Notify,
     /// The last look at all leases, counted from 1; 0 before the first.
--- a/crates/pinereel/src/hosted/lots/placing.rs
+++ b/crates/pinereel/src/hosted/lots/placing.rs
@@ -112,7 +112,7 @@
     /// How many endpoints have crashed under an item; none if it must not run any more.
     fn doubts(&self, open: &Open, at: usize) -> Option<usize> {
         let identity = || identity(&open.caller, &open.host, &open.submission.items[at]);
-        match self.parts.crashes.standing(identity) {
+        match self.parts.crashes.status(identity) {
             RequestStatus::Unrestricted => Some(0),
             RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
             RequestStatus::Blocked { .. } => None,
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -89,14 +89,14 @@
     match end {
         // One that was leaving, or is listed no more, ends by itself.
         End::Broken(Break::Crashed) if endpoints.is_current(&place.start) => {
-            crashes.crashed(
+            crashes.record_crash(
                 identity(),
                 place.start.clone(),
                 place.doubts >= ISOLATE_AT_CRASHES,
             );
         }
         End::Complete | End::Failed | End::Impossible => {
-            crashes.answered(identity, place.start.clone(), began.elapsed());
+            crashes.record_answer(identity, place.start.clone(), began.elapsed());
         }
         _ => {}
     }
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -10,7 +10,7 @@
 use crate::{
     hosted::{
         config::Config,
-        crashes::Crashes,
+        crashes::CrashTracker,
         duty::Duties,
         endpoints::Endpoints,
         follow::{Manner, Update, follow},
@@ -51,7 +51,7 @@
     /// Brings scorings to their service.
     pub relay: Rc<Relay>,
     /// Requests under which endpoints crash.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Whether what is known may be old.
     pub stall: Rc<Stall>,
     /// Figures.
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -68,7 +68,7 @@
         if runner
             .parts
             .crashes
-            .wait_until_free(|| call.identity())
+            .wait_while_blocked(|| call.identity())
             .await
         {
             continue;
--- a/crates/pinereel/src/hosted/metrics.rs
+++ b/crates/pinereel/src/hosted/metrics.rs
@@ -2,7 +2,7 @@
 //!
 //! Labels come from fixed sets or from the configuration's services and models, never from callers.
 
-use super::crashes::Crashes;
+use super::crashes::CrashTracker;
 use crate::{
     http::{self, Request, Response, Server},
     logging,
@@ -78,7 +78,7 @@
 /// What is read only when the figures are asked for.
 pub struct Sources {
     /// Requests under which endpoints crash.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Calls to the object store.
     pub store: objects::Client,
     /// Connections opened to endpoints.
@@ -141,7 +141,7 @@
     fn answer(&self, request: &Request, sources: &Sources) -> Response {
         match (request.method(), request.path()) {
             (_, PATH) => http::text(StatusCode::OK, self.render(sources)),
-            (&Method::GET, CRASHES) => http::json(StatusCode::OK, &sources.crashes.all()),
+            (&Method::GET, CRASHES) => http::json(StatusCode::OK, &sources.crashes.reports()),
             (&Method::DELETE, path) => clear(&sources.crashes, path),
             _ => http::empty(StatusCode::NOT_FOUND),
         }
@@ -187,7 +187,7 @@
 }
 
 /// An operator lets a request run again.
-fn clear(crashes: &Crashes, path: &str) -> Response {
+fn clear(crashes: &CrashTracker, path: &str) -> Response {
     let named = path
         .strip_prefix(CRASHES)
         .and_then(|rest| rest.strip_prefix('/'));
--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/relay/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Call, Picked, Relay, head::end_to_end, report::report_break};
 use crate::{
-    hosted::{crashes::Occupied, endpoints::Endpoints},
+    hosted::{crashes::Occupancy, endpoints::Endpoints},
     upstream::pool::{Error, Exchange, Response},
 };
 use actix_http::{RequestHead, StatusCode, Uri};
@@ -30,7 +30,7 @@
         self: &Rc<Self>,
         call: &Rc<Call>,
         picked: Picked,
-        occupied: Option<Occupied>,
+        occupied: Option<Occupancy>,
         alone: bool,
     ) -> LocalBoxFuture<'static, Tried> {
         let (relay, call) = (Rc::clone(self), Rc::clone(call));
--- a/crates/pinereel/src/hosted/relay/doubt.rs
+++ b/crates/pinereel/src/hosted/relay/doubt.rs
@@ -32,7 +32,7 @@
         let endpoints = &self.parts.endpoints;
         let open = endpoints.open(course.service);
         let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
-        match self.parts.crashes.seat(&call.identity(), &starts) {
+        match self.parts.crashes.place(&call.identity(), &starts) {
             Placement::Endpoint(seat) => {
                 let key = open.iter().find(|(_, start)| *start == seat);
                 let key = key.map(|(key, _)| *key);
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -9,7 +9,7 @@
 pub use call::{Answer, Call, Outcome};
 
 use super::{
-    crashes::Crashes,
+    crashes::CrashTracker,
     endpoints::{Endpoints, Picked},
     metrics::Metrics,
     stall::Stall,
@@ -49,7 +49,7 @@
     /// Whether what is known may be old.
     pub stall: Rc<Stall>,
     /// Requests under which endpoints crash.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Counts of requests that began to run.
     pub usage: Rc<Usage>,
     /// Figures.
@@ -112,12 +112,12 @@
         let outcome = loop {
             // A request that endpoints crash under went on to the next one within 1 ms, and to a second one
             // beside it: 20 starts of five endpoints ended in 8 s under one that came again.
-            let standing = self.parts.crashes.standing(|| call.identity());
+            let standing = self.parts.crashes.status(|| call.identity());
             match standing {
                 RequestStatus::Unrestricted => {}
                 RequestStatus::Suspected { .. } => course.attempts.disable_hedging(),
                 RequestStatus::Blocked { forgotten_in, .. } => {
-                    self.parts.crashes.count("refusal");
+                    self.parts.crashes.count_event("refusal");
                     report_refusal(&call, standing);
                     break convicted(&course.attempts, forgotten_in);
                 }
@@ -332,11 +332,11 @@
         let picked = &tried.picked;
         match &tried.ended {
             Ok(answer) if answer.signature.is_some() => {
-                crashes.answered(|| call.identity(), picked.start.clone(), tried.took);
+                crashes.record_answer(|| call.identity(), picked.start.clone(), tried.took);
             }
             // One that was leaving, or is listed no more, ends by itself.
             Err(Failure::Crashed) if endpoints.is_current(&picked.start) => {
-                crashes.crashed(call.identity(), picked.start.clone(), tried.alone);
+                crashes.record_crash(call.identity(), picked.start.clone(), tried.alone);
             }
             _ => {}
         }
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -3,7 +3,7 @@
 use super::{
     bulletin::{self, Bulletin, Feed},
     config::Config,
-    crashes::Crashes,
+    crashes::CrashTracker,
     duty::{self, Duties},
     endpoints::{self, Endpoints},
     lots::{self, Desk, Runner},
@@ -156,7 +156,7 @@
         let instance = &settings.instance;
         let metrics = Metrics::new();
         let links = instance.peers.map(|peers| peers.to_string().into());
-        let crashes = Crashes::new(clock, &metrics);
+        let crashes = CrashTracker::new(clock, &metrics);
         let duties = Duties::new(duty::Parts {
             store: store.clone(),
             instance: instance.name.clone(),
