--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -15,7 +15,7 @@
         endpoints::Endpoints,
         follow::{Manner, Update, follow},
         metrics::Metrics,
-        relay::Relay,
+        proxy::Proxy,
         stall::Stall,
         store::Store,
     },
@@ -49,7 +49,7 @@
     /// Connections to endpoints.
     pub pool: Rc<Pool>,
     /// Brings scorings to their service.
-    pub relay: Rc<Relay>,
+    pub proxy: Rc<Proxy>,
     /// Requests under which endpoints crash.
     pub crashes: Rc<CrashTracker>,
     /// Whether what is known may be old.
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -1,7 +1,7 @@
 //! The scoring of a finished text.
 
 use super::{runner::Runner, state::Work};
-use crate::hosted::relay::{Call, Outcome};
+use crate::hosted::proxy::{Call, Outcome};
 use actix_http::{
     Method,
     header::{HOST, HeaderMap, HeaderValue},
@@ -76,7 +76,7 @@
         let max_attempts = call.route.max_attempts;
         let most = slots(runner, &call) / SHARE;
         let pass = runner.scorings.enter(most).await;
-        let outcome = runner.parts.relay.run(call).await;
+        let outcome = runner.parts.proxy.run(call).await;
         drop(pass);
         let failure = match outcome {
             Outcome::Answer(answer) if answer.status.is_success() => return answer.signature,
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -8,7 +8,7 @@
 //! Each part has its own state and knows only the parts that it is given:
 //!
 //! ```text
-//! Store ─ follow ─ Config, Endpoints ─ Relay ─ Desk, Runner, Orders ─ Front (callers)
+//! Store ─ follow ─ Config, Endpoints ─ Proxy ─ Desk, Runner, Orders ─ Front (callers)
 //!        └ Duties (leases) ───────────────────┘
 //! ```
 
@@ -24,8 +24,8 @@
 mod news;
 mod orders;
 mod platform;
+mod proxy;
 mod ready;
-mod relay;
 mod reload;
 mod retire;
 mod run;
--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request at one endpoint, and the evidence of how it ended.
 
-use super::{Answer, Call, Relay, SelectedEndpoint, head::end_to_end, report::report_break};
+use super::{Answer, Call, Proxy, SelectedEndpoint, head::end_to_end, report::report_break};
 use crate::{
     hosted::{crashes::Occupancy, endpoints::Endpoints},
     upstream::pool::{Error, Exchange, Response},
@@ -24,7 +24,7 @@
     pub(super) ended: Result<Answer, Failure>,
 }
 
-impl Relay {
+impl Proxy {
     /// One attempt at an endpoint, which a request in doubt has `occupied`; `alone` if it is its last chance.
     pub(super) fn attempt(
         self: &Rc<Self>,
@@ -33,12 +33,12 @@
         occupied: Option<Occupancy>,
         alone: bool,
     ) -> LocalBoxFuture<'static, Tried> {
-        let (relay, call) = (Rc::clone(self), Rc::clone(call));
+        let (proxy, call) = (Rc::clone(self), Rc::clone(call));
         Box::pin(async move {
             let began = Instant::now();
-            let guard = Running::enter(&relay.parts.endpoints, picked.key, began);
+            let guard = Running::enter(&proxy.parts.endpoints, picked.key, began);
             let wait = call.give_up.saturating_duration_since(began);
-            let exchange = relay.exchange(&call, &picked, wait);
+            let exchange = proxy.exchange(&call, &picked, wait);
             let ended = timeout(wait, exchange).await;
             let ended = ended.unwrap_or(Err(Failure::Lost));
             guard.disarm();
--- a/crates/pinereel/src/hosted/relay/doubt.rs
+++ b/crates/pinereel/src/hosted/proxy/doubt.rs
@@ -1,6 +1,6 @@
 //! The way of a request under which endpoints have crashed.
 
-use super::{Answer, Course, Outcome, RETRY_AFTER, Relay, SelectedEndpoint};
+use super::{Answer, Course, Outcome, Proxy, RETRY_AFTER, SelectedEndpoint};
 use pinereel_core::{
     crash::{Placement, RequestStatus},
     retry::Attempts,
@@ -21,7 +21,7 @@
     Decline(&'static str, Duration),
 }
 
-impl Relay {
+impl Proxy {
     /// The next endpoint of a request in doubt.
     pub(super) async fn in_doubt(&self, course: &Course<'_>, standing: RequestStatus) -> Next {
         if let Some(left) = standing.propagation_wait() {
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -38,7 +38,7 @@
 /// be used again. The endpoint's work is short; a longer wait would look like work for nobody.
 const LINGER: Duration = Duration::from_millis(400);
 
-/// What a relay works with.
+/// What a proxy works with.
 pub struct Parts {
     /// Translates.
     pub adapter: Adapter,
@@ -57,7 +57,7 @@
 }
 
 /// Brings requests to endpoints.
-pub struct Relay {
+pub struct Proxy {
     parts: Parts,
     /// Makes the choices of one process differ from request to request.
     next: Cell<u64>,
@@ -79,8 +79,8 @@
 
 type Attempting = FuturesUnordered<LocalBoxFuture<'static, Tried>>;
 
-impl Relay {
-    /// A relay.
+impl Proxy {
+    /// A proxy.
     pub fn new(parts: Parts) -> Rc<Self> {
         Rc::new(Self {
             parts,
@@ -299,11 +299,11 @@
 
     /// Lets attempts that are not needed any more end by themselves for a moment.
     fn linger(self: &Rc<Self>, call: &Rc<Call>, mut running: Attempting) {
-        let (relay, call) = (Rc::clone(self), Rc::clone(call));
+        let (proxy, call) = (Rc::clone(self), Rc::clone(call));
         actix_rt::spawn(async move {
             let end = Instant::now() + LINGER;
             while let Ok(Some(tried)) = timeout_at(end, running.next()).await {
-                relay.note(&call, &tried);
+                proxy.note(&call, &tried);
             }
         });
     }
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -9,8 +9,8 @@
     lots::{self, Desk, Runner},
     metrics::{Metrics, Sources},
     orders::{self, Orders},
+    proxy::{self, Proxy},
     ready::Ready,
-    relay::{self, Relay},
     reload::look_at_settings,
     serve::{Front, serve},
     stall::Stall,
@@ -206,7 +206,7 @@
         };
         let endpoints = Endpoints::start(parts, instance, &settings.store, needs_prompt_updates);
         let stall = Stall::start(boot_time);
-        let relay = Relay::new(relay::Parts {
+        let proxy = Proxy::new(proxy::Parts {
             adapter,
             endpoints: Rc::clone(&endpoints),
             pool: Rc::clone(&pool),
@@ -236,7 +236,7 @@
             endpoints: Rc::clone(&endpoints),
             duties: Rc::clone(&duties),
             pool: Rc::clone(&pool),
-            relay: Rc::clone(&relay),
+            proxy: Rc::clone(&proxy),
             crashes: Rc::clone(&crashes),
             stall: Rc::clone(&stall),
             metrics: metrics.clone(),
@@ -282,7 +282,7 @@
             store: store.clone(),
             config,
             endpoints,
-            relay,
+            proxy,
             desk: Desk::new(adapter, &store),
             stop: Rc::clone(stop),
             metrics,
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -5,7 +5,7 @@
     endpoints::Endpoints,
     lots::{Desk, Reply},
     metrics::Metrics,
-    relay::{Call, Outcome, Relay},
+    proxy::{Call, Outcome, Proxy},
     stall::Stall,
     stop::Stop,
     store::Store,
@@ -58,7 +58,7 @@
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
     /// Live requests.
-    pub relay: Rc<Relay>,
+    pub proxy: Rc<Proxy>,
     /// Trainers' calls.
     pub desk: Desk,
     /// The graceful stop.
@@ -209,7 +209,7 @@
             prompt: said.prompt.clone(),
             known: OnceCell::new(),
         };
-        match self.relay.run(call).await {
+        match self.proxy.run(call).await {
             Outcome::Answer(answer) => {
                 let mut response = Response::new(answer.status).set_body(BoxBody::new(answer.body));
                 for (name, value) in answer.headers {
