--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -1,7 +1,7 @@
 //! The scoring of a finished text.
 
 use super::{runner::Runner, state::Work};
-use crate::hosted::proxy::{Call, Outcome};
+use crate::hosted::proxy::{Outcome, ProxyRequest};
 use actix_http::{
     Method,
     header::{HOST, HeaderMap, HeaderValue},
@@ -93,31 +93,31 @@
 }
 
 /// Slots of the endpoints that may score.
-fn slots(runner: &Runner, call: &Call) -> u32 {
+fn slots(runner: &Runner, call: &ProxyRequest) -> u32 {
     let targets = call.route.targets.iter();
     let slots = targets.map(|target| runner.parts.endpoints.available_slots(&target.service));
     u32::try_from(slots.sum::<u64>()).unwrap_or(u32::MAX)
 }
 
-fn call(runner: &Runner, work: &Work, scorer: &Scorer) -> Option<Call> {
+fn call(runner: &Runner, work: &Work, scorer: &Scorer) -> Option<ProxyRequest> {
     let table = runner.parts.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
     let route = table.route_for(&scorer.host, path)?.clone();
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(&scorer.host).ok()?);
-    Some(Call {
+    Some(ProxyRequest {
         id: scorer.id.clone(),
-        config: table.number(),
+        config_number: table.number(),
         config_age: runner.parts.config.age().unwrap_or_default(),
-        give_up: Instant::now() + route.timeout,
+        deadline: Instant::now() + route.timeout,
         route,
         caller: table.internal_caller(),
-        owner: work.caller.workspace().map(Into::into),
+        workspace: work.caller.workspace().map(Into::into),
         method: Method::POST,
         target: scorer.path.clone(),
         headers,
         body: scorer.body.clone(),
         prompt: None,
-        known: OnceCell::new(),
+        cached_identity: OnceCell::new(),
     })
 }
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -1,6 +1,9 @@
 //! One attempt of a request at one endpoint, and the evidence of how it ended.
 
-use super::{Answer, Call, Proxy, SelectedEndpoint, head::end_to_end, report::report_break};
+use super::{
+    Answer, Proxy, ProxyRequest, SelectedEndpoint, headers::end_to_end,
+    request_log::log_connection_loss,
+};
 use crate::{
     hosted::{crashes::Occupancy, endpoints::Endpoints},
     upstream::pool::{Error, Exchange, Response},
@@ -16,133 +19,135 @@
 use tokio::time::{Instant, timeout};
 
 /// One attempt that ended.
-pub(super) struct Tried {
-    pub(super) picked: SelectedEndpoint,
+pub(super) struct AttemptResult {
+    pub(super) selected: SelectedEndpoint,
     /// Whether it was the last chance of its request.
-    pub(super) alone: bool,
-    pub(super) took: Duration,
-    pub(super) ended: Result<Answer, Failure>,
+    pub(super) isolated: bool,
+    pub(super) duration: Duration,
+    pub(super) result: Result<Answer, Failure>,
 }
 
 impl Proxy {
     /// One attempt at an endpoint, which a request in doubt has `occupied`; `alone` if it is its last chance.
-    pub(super) fn attempt(
+    pub(super) fn run_attempt(
         self: &Rc<Self>,
-        call: &Rc<Call>,
-        picked: SelectedEndpoint,
-        occupied: Option<Occupancy>,
-        alone: bool,
-    ) -> LocalBoxFuture<'static, Tried> {
-        let (proxy, call) = (Rc::clone(self), Rc::clone(call));
+        request: &Rc<ProxyRequest>,
+        selected: SelectedEndpoint,
+        occupancy: Option<Occupancy>,
+        isolated: bool,
+    ) -> LocalBoxFuture<'static, AttemptResult> {
+        let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         Box::pin(async move {
-            let began = Instant::now();
-            let guard = Running::enter(&proxy.parts.endpoints, picked.key, began);
-            let wait = call.give_up.saturating_duration_since(began);
-            let exchange = proxy.exchange(&call, &picked, wait);
-            let ended = timeout(wait, exchange).await;
-            let ended = ended.unwrap_or(Err(Failure::Lost));
+            let started_at = Instant::now();
+            let guard = InFlightGuard::new(&proxy.parts.endpoints, selected.key, started_at);
+            let wait = request.deadline.saturating_duration_since(started_at);
+            let exchange = proxy.exchange(&request, &selected, wait);
+            let result = timeout(wait, exchange).await;
+            let result = result.unwrap_or(Err(Failure::Lost));
             guard.disarm();
-            drop(occupied);
-            Tried {
-                picked,
-                alone,
-                took: began.elapsed(),
-                ended,
+            drop(occupancy);
+            AttemptResult {
+                selected,
+                isolated,
+                duration: started_at.elapsed(),
+                result,
             }
         })
     }
 
     async fn exchange(
         &self,
-        call: &Call,
-        picked: &SelectedEndpoint,
+        request: &ProxyRequest,
+        selected: &SelectedEndpoint,
         wait: Duration,
     ) -> Result<Answer, Failure> {
-        let head = self.head(call, picked, wait);
-        let began = Instant::now();
-        let repeatable = call.route.kind == Kind::Idempotent;
+        let head = self.head_builder(request, selected, wait);
+        let started_at = Instant::now();
+        let repeatable = request.route.kind == Kind::Idempotent;
         let mut reuse = repeatable;
-        let mut broke = false;
+        let mut connection_broke = false;
         loop {
             let exchange = Exchange {
-                address: picked.address,
+                address: selected.address,
                 head: head(),
-                body: call.body.clone(),
+                body: request.body.clone(),
                 reuse,
             };
             match self.parts.pool.send(exchange).await {
                 Ok(response) => {
-                    let judged = self.judge(call, picked, response).await;
-                    return match judged {
-                        Err(Failure::Lost) => Err(self.after_break(picked).await),
-                        judged => judged,
+                    let classified = self.classify_response(request, selected, response).await;
+                    return match classified {
+                        Err(Failure::Lost) => Err(self.classify_connection_loss(selected).await),
+                        classified => classified,
                     };
                 }
                 // The endpoint closed an idle connection: one more try there, on a fresh one.
-                Err(Error::Stale(why)) => {
-                    report_break(call, picked, began, &why);
-                    (reuse, broke) = (false, true);
+                Err(Error::Stale(reason)) => {
+                    log_connection_loss(request, selected, started_at, &reason);
+                    (reuse, connection_broke) = (false, true);
                 }
                 // What the first connection carried may have run: a refused second one said "not run" of an
                 // endpoint that had run it for 88 ms and crashed.
-                Err(Error::NotOpened(_)) if broke => return Err(self.after_break(picked).await),
+                Err(Error::NotOpened(_)) if connection_broke => {
+                    return Err(self.classify_connection_loss(selected).await);
+                }
                 Err(Error::NotOpened(_)) => return Err(Failure::NotOpened),
-                Err(Error::Lost(why)) => {
-                    report_break(call, picked, began, &why);
-                    return Err(self.after_break(picked).await);
+                Err(Error::Lost(reason)) => {
+                    log_connection_loss(request, selected, started_at, &reason);
+                    return Err(self.classify_connection_loss(selected).await);
                 }
             }
         }
     }
 
     /// What it means that a connection broke under a request: an endpoint that listens has not crashed.
-    async fn after_break(&self, picked: &SelectedEndpoint) -> Failure {
-        match self.parts.pool.is_gone(picked.address).await {
+    async fn classify_connection_loss(&self, selected: &SelectedEndpoint) -> Failure {
+        match self.parts.pool.is_gone(selected.address).await {
             true => Failure::Crashed,
             false => Failure::Lost,
         }
     }
 
     /// What makes the head of each send of one attempt.
-    fn head<'a>(
+    fn head_builder<'a>(
         &'a self,
-        call: &'a Call,
-        picked: &'a SelectedEndpoint,
+        request: &'a ProxyRequest,
+        selected: &'a SelectedEndpoint,
         wait: Duration,
     ) -> impl Fn() -> RequestHead + 'a {
-        let began = Instant::now();
+        let started_at = Instant::now();
         move || {
             let mut head = RequestHead::default();
-            head.method = call.method.clone();
-            head.uri = call.target.parse::<Uri>().unwrap_or_default();
-            head.headers = end_to_end(&call.headers);
+            head.method = request.method.clone();
+            head.uri = request.target.parse::<Uri>().unwrap_or_default();
+            head.headers = end_to_end(&request.headers);
             let attempt = Attempt {
-                id: &call.id,
-                endpoint: &picked.id,
-                time_left: Some(wait.saturating_sub(began.elapsed())),
+                id: &request.id,
+                endpoint: &selected.id,
+                time_left: Some(wait.saturating_sub(started_at.elapsed())),
                 after_event: None,
-                caller: &call.caller,
+                caller: &request.caller,
             };
             (self.parts.adapter.live.attempt)(&mut head.headers, attempt);
             head
         }
     }
 
-    async fn judge(
+    async fn classify_response(
         &self,
-        call: &Call,
-        picked: &SelectedEndpoint,
+        request: &ProxyRequest,
+        selected: &SelectedEndpoint,
         response: Response,
     ) -> Result<Answer, Failure> {
-        let said = (self.parts.adapter.live.answer)(response.status, &response.headers);
-        if let Some(load) = said.load {
-            self.parts.endpoints.record_load(picked.key, load);
+        let parsed = (self.parts.adapter.live.answer)(response.status, &response.headers);
+        if let Some(load) = parsed.load {
+            self.parts.endpoints.record_load(selected.key, load);
         }
-        let foreign = said.id.as_ref().is_some_and(|id| *id != call.id);
-        if foreign || said.encoded {
+        let foreign = parsed.id.as_ref().is_some_and(|id| *id != request.id);
+        if foreign || parsed.encoded {
             return Err(Failure::InvalidAnswer);
         }
-        if said.not_run {
+        if parsed.not_run {
             // Read to its end, so that the connection can be used again.
             let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
             let _ = response.body.whole().await;
@@ -152,7 +157,7 @@
                 Failure::Refused
             });
         }
-        let signed = said.signature.is_some() && said.id.is_some();
+        let signed = parsed.signature.is_some() && parsed.id.is_some();
         if response.status.is_success() && !signed {
             return Err(Failure::InvalidAnswer);
         }
@@ -162,25 +167,25 @@
             status,
             headers,
             body,
-            signature: said.signature,
+            signature: parsed.signature,
         })
     }
 }
 
 /// Counts an attempt at its endpoint; one that is dropped counts as cancelled.
-struct Running {
+struct InFlightGuard {
     endpoints: Rc<Endpoints>,
     key: Option<Key>,
-    began: Instant,
+    started_at: Instant,
 }
 
-impl Running {
-    fn enter(endpoints: &Rc<Endpoints>, key: Key, began: Instant) -> Self {
+impl InFlightGuard {
+    fn new(endpoints: &Rc<Endpoints>, key: Key, started_at: Instant) -> Self {
         endpoints.record_start(key);
         Self {
             endpoints: Rc::clone(endpoints),
             key: Some(key),
-            began,
+            started_at,
         }
     }
 
@@ -189,11 +194,12 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            let took = self.began.elapsed();
-            self.endpoints.record_end(key, took, AttemptEnd::Cancelled);
+            let duration = self.started_at.elapsed();
+            self.endpoints
+                .record_end(key, duration, AttemptEnd::Cancelled);
         }
     }
 }
--- a/crates/pinereel/src/hosted/proxy/head.rs
+++ b/crates/pinereel/src/hosted/proxy/headers.rs
@@ -3,7 +3,7 @@
 use actix_http::header::{HeaderMap, HeaderName};
 
 /// Headers that concern one connection only.
-const HOP_BY_HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -18,10 +18,10 @@
 /// The headers without those of one connection, and without those that framing sets.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
-    let named = connection_headers(headers);
+    let connection_specific = headers_named_by_connection(headers);
     for (name, value) in headers {
-        let hop = HOP_BY_HOP.contains(&name.as_str()) || name == "content-length";
-        if !hop && !named.contains(name) {
+        let hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str()) || name == "content-length";
+        if !hop_by_hop && !connection_specific.contains(name) {
             kept.append(name.clone(), value.clone());
         }
     }
@@ -29,7 +29,7 @@
 }
 
 /// The headers that `Connection` names.
-fn connection_headers(headers: &HeaderMap) -> Vec<HeaderName> {
+fn headers_named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all("connection");
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(',').map(str::trim));
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -1,12 +1,12 @@
 //! One request of a caller, brought to an endpoint and answered with that endpoint's whole answer.
 
 mod attempt;
-mod call;
-mod doubt;
-mod head;
-mod report;
+mod headers;
+mod request;
+mod request_log;
+mod suspected;
 
-pub use call::{Answer, Call, Outcome};
+pub use request::{Answer, Outcome, ProxyRequest};
 
 use super::{
     crashes::CrashTracker,
@@ -16,8 +16,7 @@
     usage::{Begun, Usage},
 };
 use crate::upstream::pool::Pool;
-use attempt::Tried;
-use doubt::{Next, convicted};
+use attempt::AttemptResult;
 use futures_util::{StreamExt as _, future::LocalBoxFuture, stream::FuturesUnordered};
 use pinereel_core::{
     crash::RequestStatus,
@@ -30,13 +29,14 @@
     Adapter,
     config::{Kind, Route},
 };
-use report::{refusal_name, report, report_refusal, status_class, trace};
+use request_log::{describe_attempt, log_blocked, log_request, refusal_text, status_class};
 use std::{cell::Cell, rc::Rc, time::Duration};
+use suspected::{Selection, blocked_outcome};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 /// Attempts that lost against another one may end by themselves for so long: their connections can
 /// be used again. The endpoint's work is short; a longer wait would look like work for nobody.
-const LINGER: Duration = Duration::from_millis(400);
+const LOSER_GRACE_PERIOD: Duration = Duration::from_millis(400);
 
 /// What a proxy works with.
 pub struct Parts {
@@ -60,162 +60,174 @@
 pub struct Proxy {
     parts: Parts,
     /// Makes the choices of one process differ from request to request.
-    next: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 /// A request on its way through its attempts.
-struct Course<'a> {
-    call: Rc<Call>,
+struct RequestState<'a> {
+    request: Rc<ProxyRequest>,
     service: &'a str,
     seed: u64,
-    began: Instant,
+    started_at: Instant,
     attempts: Attempts<Answer>,
     /// Endpoints that it was sent to.
-    used: Vec<Key>,
-    running: Attempting,
+    used_endpoints: Vec<Key>,
+    in_flight: AttemptsInFlight,
     /// How it counts for its workspace, once it was sent.
-    begun: Option<Begun>,
+    usage_record: Option<Begun>,
 }
 
-type Attempting = FuturesUnordered<LocalBoxFuture<'static, Tried>>;
+type AttemptsInFlight = FuturesUnordered<LocalBoxFuture<'static, AttemptResult>>;
 
 impl Proxy {
     /// A proxy.
     pub fn new(parts: Parts) -> Rc<Self> {
         Rc::new(Self {
             parts,
-            next: Cell::new(0),
+            next_number: Cell::new(0),
         })
     }
 
     /// Brings `call` to an endpoint. Dropped, it breaks its attempts off.
-    pub async fn run(self: &Rc<Self>, call: Call) -> Outcome {
-        let began = Instant::now();
-        let seed = self.seed(&call);
-        let call = Rc::new(call);
+    pub async fn run(self: &Rc<Self>, request: ProxyRequest) -> Outcome {
+        let started_at = Instant::now();
+        let seed = self.next_seed(&request);
+        let request = Rc::new(request);
         let list_age = self.parts.endpoints.age().unwrap_or_default();
-        let mut news = self.parts.crashes.changes();
-        let Some(service) = routing_table::pick_service(&call.route, seed) else {
-            return self.refuse(&call, "", ("no service", RETRY_AFTER), began);
+        let mut crash_changes = self.parts.crashes.changes();
+        let Some(service) = routing_table::pick_service(&request.route, seed) else {
+            return self.refuse(&request, "", ("no service", RETRY_AFTER), started_at);
         };
-        let mut course = Course {
-            call: Rc::clone(&call),
+        let mut state = RequestState {
+            request: Rc::clone(&request),
             service,
             seed,
-            began,
-            attempts: Attempts::new(limits(&call.route)),
-            used: Vec::new(),
-            running: Attempting::new(),
-            begun: None,
+            started_at,
+            attempts: Attempts::new(retry_limits(&request.route)),
+            used_endpoints: Vec::new(),
+            in_flight: AttemptsInFlight::new(),
+            usage_record: None,
         };
-        let mut trail = Vec::new();
+        let mut attempt_log = Vec::new();
         let outcome = loop {
             // A request that endpoints crash under went on to the next one within 1 ms, and to a second one
             // beside it: 20 starts of five endpoints ended in 8 s under one that came again.
-            let standing = self.parts.crashes.status(|| call.identity());
-            match standing {
+            let status = self.parts.crashes.status(|| request.identity());
+            match status {
                 RequestStatus::Unrestricted => {}
-                RequestStatus::Suspected { .. } => course.attempts.disable_hedging(),
+                RequestStatus::Suspected { .. } => state.attempts.disable_hedging(),
                 RequestStatus::Blocked { forgotten_in, .. } => {
                     self.parts.crashes.count_event("refusal");
-                    report_refusal(&call, standing);
-                    break convicted(&course.attempts, forgotten_in);
+                    log_blocked(&request, status);
+                    break blocked_outcome(&state.attempts, forgotten_in);
                 }
             }
-            match course.attempts.next_step(began.elapsed()) {
+            match state.attempts.next_step(started_at.elapsed()) {
                 Step::Send => {
-                    if let Some(refusal) = self.send(&mut course, standing).await {
-                        return self.refuse(&call, service, refusal, began);
+                    if let Some(refusal) = self.send_next(&mut state, status).await {
+                        return self.refuse(&request, service, refusal, started_at);
                     }
                 }
                 Step::Wait(until) => {
-                    let wake = until.map_or(call.give_up, |at| (began + at).min(call.give_up));
+                    let wake = until.map_or(request.deadline, |at| {
+                        (started_at + at).min(request.deadline)
+                    });
                     tokio::select! {
-                        Some(tried) = course.running.next() => {
-                            trail.push(trace(&tried));
-                            self.note(&call, &tried);
-                            match tried.ended {
-                                Ok(answer) if course.attempts.accept(answer.status.as_u16()) => {
+                        Some(attempt) = state.in_flight.next() => {
+                            attempt_log.push(describe_attempt(&attempt));
+                            self.record_attempt(&request, &attempt);
+                            match attempt.result {
+                                Ok(answer) if state.attempts.accept(answer.status.as_u16()) => {
                                     break Outcome::Answer(answer);
                                 }
-                                Ok(answer) => course.attempts.keep_error_answer(answer),
-                                Err(ended) => course.attempts.record_failure(ended),
+                                Ok(answer) => state.attempts.keep_error_answer(answer),
+                                Err(failure) => state.attempts.record_failure(failure),
                             }
                         }
                         // What is running is broken off if the request must not run any more.
-                        Ok(()) = news.changed() => {}
+                        Ok(()) = crash_changes.changed() => {}
                         () = sleep_until(wake) => {
-                            if Instant::now() >= call.give_up {
-                                let why = "time ran out".into();
-                                break Outcome::Unknown { why, late: true };
+                            if Instant::now() >= request.deadline {
+                                let reason = "time ran out".into();
+                                break Outcome::Unknown { reason, timed_out: true };
                             }
                         }
                     }
                 }
                 Step::Done(Resolution::ErrorAnswer(answer)) => break Outcome::Answer(answer),
                 Step::Done(Resolution::NotRun) => {
-                    let why = "refused by every endpoint".into();
+                    let reason = "refused by every endpoint".into();
                     let retry_after = RETRY_AFTER;
-                    break Outcome::NotRun { why, retry_after };
+                    break Outcome::NotRun {
+                        reason,
+                        retry_after,
+                    };
                 }
                 Step::Done(Resolution::Unknown) => {
-                    let why = "answer lost".into();
-                    break Outcome::Unknown { why, late: false };
+                    let reason = "answer lost".into();
+                    break Outcome::Unknown {
+                        reason,
+                        timed_out: false,
+                    };
                 }
             }
         };
         if matches!(outcome, Outcome::NotRun { .. })
-            && let Some(begun) = course.begun
+            && let Some(usage_record) = state.usage_record
         {
-            self.parts.usage.undo(begun);
+            self.parts.usage.undo(usage_record);
         }
-        let running = course.running;
-        if !running.is_empty() && matches!(outcome, Outcome::Answer(_)) {
-            self.linger(&call, running);
+        let in_flight = state.in_flight;
+        if !in_flight.is_empty() && matches!(outcome, Outcome::Answer(_)) {
+            self.drain_losers(&request, in_flight);
         }
-        self.count(service, &outcome, began);
+        self.count_outcome(service, &outcome, started_at);
         let metrics = &self.parts.metrics;
-        metrics.observe(&metrics.ages, "config", call.config_age);
+        metrics.observe(&metrics.ages, "config", request.config_age);
         metrics.observe(&metrics.ages, "endpoints", list_age);
-        report(&call, &outcome, began, list_age, &trail);
+        log_request(&request, &outcome, started_at, list_age, &attempt_log);
         outcome
     }
 
     /// Makes the next attempt; gives the reason, and when to come back, if the request is refused unsent.
-    async fn send(
+    async fn send_next(
         self: &Rc<Self>,
-        course: &mut Course<'_>,
-        standing: RequestStatus,
+        state: &mut RequestState<'_>,
+        status: RequestStatus,
     ) -> Option<(&'static str, Duration)> {
         self.parts.stall.caught_up().await;
-        let next = match standing {
-            RequestStatus::Suspected { .. } => self.in_doubt(course, standing).await,
-            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.choose(course),
+        let next = match status {
+            RequestStatus::Suspected { .. } => self.select_for_suspected(state, status).await,
+            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => {
+                self.select_endpoint(state)
+            }
         };
         match next {
-            Next::Send(picked) => {
-                let in_doubt = matches!(standing, RequestStatus::Suspected { .. });
-                let occupied = in_doubt.then(|| self.parts.crashes.occupy(&picked.start));
-                if course.used.is_empty() {
-                    course.begun = self.parts.usage.begin(&course.call.caller);
+            Selection::Endpoint(selected) => {
+                let suspected = matches!(status, RequestStatus::Suspected { .. });
+                let occupancy = suspected.then(|| self.parts.crashes.occupy(&selected.start));
+                if state.used_endpoints.is_empty() {
+                    state.usage_record = self.parts.usage.begin(&state.request.caller);
                 }
-                course.used.push(picked.key);
-                course.attempts.record_send(course.began.elapsed());
-                let attempt = self.attempt(
-                    &course.call,
-                    picked,
-                    occupied,
-                    standing.requires_isolation(),
+                state.used_endpoints.push(selected.key);
+                state.attempts.record_send(state.started_at.elapsed());
+                let attempt = self.run_attempt(
+                    &state.request,
+                    selected,
+                    occupancy,
+                    status.requires_isolation(),
                 );
-                course.running.push(attempt);
+                state.in_flight.push(attempt);
                 None
             }
-            Next::LookAgain => None,
-            Next::Decline(why, wait) if course.running.is_empty() && course.used.is_empty() => {
-                Some((why, wait))
+            Selection::Recheck => None,
+            Selection::Unavailable(reason, wait)
+                if state.in_flight.is_empty() && state.used_endpoints.is_empty() =>
+            {
+                Some((reason, wait))
             }
-            Next::Decline(..) => {
-                course.attempts.stop_sending();
+            Selection::Unavailable(..) => {
+                state.attempts.stop_sending();
                 None
             }
         }
@@ -223,24 +235,24 @@
 
     /// The endpoint of the next attempt of a request that nothing counts against: one that is reserved for a request
     /// with a last chance only if no other takes it.
-    fn choose(&self, course: &Course<'_>) -> Next {
-        let repeatable = course.call.route.kind == Kind::Idempotent;
+    fn select_endpoint(&self, state: &RequestState<'_>) -> Selection {
+        let repeatable = state.request.route.kind == Kind::Idempotent;
         let choose = |excluded: &[Key]| {
             let endpoints = &self.parts.endpoints;
-            endpoints.choose(course.service, excluded, repeatable, course.seed)
+            endpoints.choose(state.service, excluded, repeatable, state.seed)
         };
-        let reserved = self.reserved(course.service);
-        let spared = (!reserved.is_empty())
-            .then(|| choose(&[course.used.clone(), reserved].concat()).ok())
+        let reserved = self.reserved_endpoints(state.service);
+        let unreserved = (!reserved.is_empty())
+            .then(|| choose(&[state.used_endpoints.clone(), reserved].concat()).ok())
             .flatten();
-        match spared.map_or_else(|| choose(&course.used), Ok) {
-            Ok(picked) => Next::Send(picked),
-            Err(refusal) => Next::Decline(refusal_name(refusal), RETRY_AFTER),
+        match unreserved.map_or_else(|| choose(&state.used_endpoints), Ok) {
+            Ok(selected) => Selection::Endpoint(selected),
+            Err(refusal) => Selection::Unavailable(refusal_text(refusal), RETRY_AFTER),
         }
     }
 
     /// Endpoints of a service where nothing else should begin now.
-    fn reserved(&self, service: &str) -> Vec<Key> {
+    fn reserved_endpoints(&self, service: &str) -> Vec<Key> {
         let Parts {
             crashes, endpoints, ..
         } = &self.parts;
@@ -258,59 +270,63 @@
             .collect()
     }
 
-    fn count(&self, service: &str, outcome: &Outcome, began: Instant) {
+    fn count_outcome(&self, service: &str, outcome: &Outcome, started_at: Instant) {
         let label = match outcome {
             Outcome::Answer(answer) if answer.status.is_server_error() => "failure",
             Outcome::Answer(_) => "answer",
             Outcome::NotRun { .. } => "not_run",
-            Outcome::Unknown { late: true, .. } => "late",
-            Outcome::Unknown { late: false, .. } => "unknown",
+            Outcome::Unknown {
+                timed_out: true, ..
+            } => "late",
+            Outcome::Unknown {
+                timed_out: false, ..
+            } => "unknown",
         };
         let metrics = &self.parts.metrics;
         metrics.count(&metrics.requests, &[service, label]);
-        metrics.observe(&metrics.latency, service, began.elapsed());
+        metrics.observe(&metrics.latency, service, started_at.elapsed());
     }
 
-    fn seed(&self, call: &Call) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        hash::stable(call.id.as_bytes()) ^ hash::mix(number)
+    fn next_seed(&self, request: &ProxyRequest) -> u64 {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        hash::stable(request.id.as_bytes()) ^ hash::mix(number)
     }
 
     fn refuse(
         &self,
-        call: &Call,
+        request: &ProxyRequest,
         service: &str,
-        (why, retry_after): (&str, Duration),
-        began: Instant,
+        (reason, retry_after): (&str, Duration),
+        started_at: Instant,
     ) -> Outcome {
         let outcome = Outcome::NotRun {
-            why: why.into(),
+            reason: reason.into(),
             retry_after,
         };
         let list_age = self.parts.endpoints.age().unwrap_or_default();
         self.parts
             .metrics
-            .count(&self.parts.metrics.refused, &[why]);
-        self.count(service, &outcome, began);
-        report(call, &outcome, began, list_age, &[]);
+            .count(&self.parts.metrics.refused, &[reason]);
+        self.count_outcome(service, &outcome, started_at);
+        log_request(request, &outcome, started_at, list_age, &[]);
         outcome
     }
 
     /// Lets attempts that are not needed any more end by themselves for a moment.
-    fn linger(self: &Rc<Self>, call: &Rc<Call>, mut running: Attempting) {
-        let (proxy, call) = (Rc::clone(self), Rc::clone(call));
+    fn drain_losers(self: &Rc<Self>, request: &Rc<ProxyRequest>, mut in_flight: AttemptsInFlight) {
+        let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         actix_rt::spawn(async move {
-            let end = Instant::now() + LINGER;
-            while let Ok(Some(tried)) = timeout_at(end, running.next()).await {
-                proxy.note(&call, &tried);
+            let end = Instant::now() + LOSER_GRACE_PERIOD;
+            while let Ok(Some(attempt)) = timeout_at(end, in_flight.next()).await {
+                proxy.record_attempt(&request, &attempt);
             }
         });
     }
 
     /// Notes what an attempt says about its endpoint, and about the request.
-    fn note(&self, call: &Call, tried: &Tried) {
-        let end = match &tried.ended {
+    fn record_attempt(&self, request: &ProxyRequest, attempt: &AttemptResult) {
+        let end = match &attempt.result {
             Ok(answer) if answer.status.is_server_error() => AttemptEnd::Failed,
             Ok(_) => AttemptEnd::Completed,
             Err(Failure::Refused) => AttemptEnd::Overloaded,
@@ -318,9 +334,9 @@
             Err(Failure::NotOpened) => AttemptEnd::ConnectionRefused,
             Err(Failure::Lost | Failure::Crashed | Failure::InvalidAnswer) => AttemptEnd::Failed,
         };
-        let result = match &tried.ended {
+        let result = match &attempt.result {
             Ok(answer) => status_class(answer.status),
-            Err(ended) => ended.as_str(),
+            Err(failure) => failure.as_str(),
         };
         let Parts {
             metrics,
@@ -329,25 +345,29 @@
             ..
         } = &self.parts;
         metrics.count(&metrics.attempts, &[result]);
-        let picked = &tried.picked;
-        match &tried.ended {
+        let selected = &attempt.selected;
+        match &attempt.result {
             Ok(answer) if answer.signature.is_some() => {
-                crashes.record_answer(|| call.identity(), picked.start.clone(), tried.took);
+                crashes.record_answer(
+                    || request.identity(),
+                    selected.start.clone(),
+                    attempt.duration,
+                );
             }
             // One that was leaving, or is listed no more, ends by itself.
-            Err(Failure::Crashed) if endpoints.is_current(&picked.start) => {
-                crashes.record_crash(call.identity(), picked.start.clone(), tried.alone);
+            Err(Failure::Crashed) if endpoints.is_current(&selected.start) => {
+                crashes.record_crash(request.identity(), selected.start.clone(), attempt.isolated);
             }
             _ => {}
         }
-        endpoints.record_end(picked.key, tried.took, end);
+        endpoints.record_end(selected.key, attempt.duration, end);
     }
 }
 
 /// When a refused caller should come back: places free up within a few requests' work.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-fn limits(route: &Route) -> Limits {
+fn retry_limits(route: &Route) -> Limits {
     Limits {
         repeatable: route.kind == Kind::Idempotent,
         max_attempts: route.max_attempts,
--- a/crates/pinereel/src/hosted/proxy/call.rs
+++ b/crates/pinereel/src/hosted/proxy/request.rs
@@ -12,11 +12,11 @@
 use tokio::time::Instant;
 
 /// A request on its way.
-pub struct Call {
+pub struct ProxyRequest {
     /// Its id.
     pub id: CompactString,
     /// Number of the configuration that it is served under.
-    pub config: u64,
+    pub config_number: u64,
     /// For how long that has been in force here.
     pub config_age: Duration,
     /// Its route.
@@ -24,7 +24,7 @@
     /// On whose behalf.
     pub caller: Caller,
     /// Workspace that it counts for, also where endpoints are not told it.
-    pub owner: Option<CompactString>,
+    pub workspace: Option<CompactString>,
     /// Method.
     pub method: Method,
     /// Path with query.
@@ -36,24 +36,24 @@
     /// Names its whole prompt, if it has one.
     pub prompt: Option<CompactString>,
     /// When it is given up.
-    pub give_up: Instant,
+    pub deadline: Instant,
     /// What makes it the same request when it comes again, once that was asked for.
-    pub known: OnceCell<Identity>,
+    pub cached_identity: OnceCell<Identity>,
 }
 
-impl Call {
+impl ProxyRequest {
     /// What makes it the same request when it comes again.
     pub fn identity(&self) -> Identity {
-        *self.known.get_or_init(|| self.make_identity())
+        *self.cached_identity.get_or_init(|| self.compute_identity())
     }
 
-    fn make_identity(&self) -> Identity {
+    fn compute_identity(&self) -> Identity {
         let header = |name| {
             let value = self.headers.get(name);
             value.map(HeaderValue::as_bytes).unwrap_or_default()
         };
         // One workspace cannot bring another's request to be refused.
-        let workspace = self.owner.as_ref().map(|name| name.as_bytes());
+        let workspace = self.workspace.as_ref().map(|name| name.as_bytes());
         Identity::of(RequestParts {
             caller: workspace.unwrap_or_else(|| header(AUTHORIZATION)),
             method: self.method.as_str(),
@@ -85,15 +85,15 @@
     /// It did not run, and will not.
     NotRun {
         /// Why.
-        why: CompactString,
+        reason: CompactString,
         /// When to come back.
         retry_after: Duration,
     },
     /// It may have run.
     Unknown {
         /// Why.
-        why: CompactString,
+        reason: CompactString,
         /// Whether its time ran out.
-        late: bool,
+        timed_out: bool,
     },
 }
--- a/crates/pinereel/src/hosted/proxy/report.rs
+++ b/crates/pinereel/src/hosted/proxy/request_log.rs
@@ -1,6 +1,6 @@
 //! What is said of a request in the log.
 
-use super::{Call, Outcome, SelectedEndpoint, attempt::Tried};
+use super::{Outcome, ProxyRequest, SelectedEndpoint, attempt::AttemptResult};
 use actix_http::StatusCode;
 use pinereel_core::{crash::RequestStatus, route::Refusal};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     }
 }
 
-pub(super) const fn refusal_name(refusal: Refusal) -> &'static str {
+pub(super) const fn refusal_text(refusal: Refusal) -> &'static str {
     match refusal {
         Refusal::UnknownPool => "no endpoint listed",
         Refusal::NoEndpoint => "no endpoint takes requests",
@@ -25,42 +25,47 @@
 }
 
 /// One attempt, for the log.
-pub(super) fn trace(tried: &Tried) -> String {
-    let result = match &tried.ended {
+pub(super) fn describe_attempt(attempt: &AttemptResult) -> String {
+    let result = match &attempt.result {
         Ok(answer) => answer.status.as_u16().to_string(),
-        Err(ended) => ended.to_string(),
+        Err(failure) => failure.to_string(),
     };
-    let (id, millis) = (&tried.picked.id, tried.took.as_millis());
-    let reason = tried.picked.reason;
+    let (id, millis) = (&attempt.selected.id, attempt.duration.as_millis());
+    let reason = attempt.selected.reason;
     format!("{id} {result} {millis}ms {reason:?}")
 }
 
 /// A connection broke under a request: whether its endpoint has crashed under it is seen by what
 /// became of others with the same identity, and of others at the same endpoint.
-pub(super) fn report_break(call: &Call, picked: &SelectedEndpoint, began: Instant, why: &str) {
+pub(super) fn log_connection_loss(
+    request: &ProxyRequest,
+    selected: &SelectedEndpoint,
+    started_at: Instant,
+    reason: &str,
+) {
     log::info!(
-        id = call.id.as_str(),
-        identity:% = call.identity(),
-        endpoint = picked.id.as_str(),
-        ms = began.elapsed().as_millis() as u64,
-        why;
+        id = request.id.as_str(),
+        identity:% = request.identity(),
+        endpoint = selected.id.as_str(),
+        ms = started_at.elapsed().as_millis() as u64,
+        why = reason;
         "attempt: connection broke"
     );
 }
 
 /// A request is refused since endpoints crash under it.
-pub(super) fn report_refusal(call: &Call, standing: RequestStatus) {
+pub(super) fn log_blocked(request: &ProxyRequest, status: RequestStatus) {
     let RequestStatus::Blocked {
         endpoints,
         age,
         forgotten_in,
-    } = standing
+    } = status
     else {
         return;
     };
     log::warn!(
-        id = call.id.as_str(),
-        identity:% = call.identity(),
+        id = request.id.as_str(),
+        identity:% = request.identity(),
         endpoints,
         age_ms = age.as_millis() as u64,
         forgotten_in_ms = forgotten_in.as_millis() as u64;
@@ -69,28 +74,28 @@
 }
 
 /// One line for the request: what it was decided by, how old that was, and what came of it.
-pub(super) fn report(
-    call: &Call,
+pub(super) fn log_request(
+    request: &ProxyRequest,
     outcome: &Outcome,
-    began: Instant,
+    started_at: Instant,
     list_age: Duration,
-    trail: &[String],
+    attempt_log: &[String],
 ) {
-    let (outcome, why) = match outcome {
+    let (outcome, reason) = match outcome {
         Outcome::Answer(answer) => (answer.status.as_u16().to_string(), ""),
-        Outcome::NotRun { why, .. } => ("not run".into(), why.as_str()),
-        Outcome::Unknown { why, .. } => ("unknown".into(), why.as_str()),
+        Outcome::NotRun { reason, .. } => ("not run".into(), reason.as_str()),
+        Outcome::Unknown { reason, .. } => ("unknown".into(), reason.as_str()),
     };
     log::info!(
-        id = call.id.as_str(),
-        route = call.route.name.as_str(),
-        config = call.config,
-        config_age_ms = call.config_age.as_millis() as u64,
+        id = request.id.as_str(),
+        route = request.route.name.as_str(),
+        config = request.config_number,
+        config_age_ms = request.config_age.as_millis() as u64,
         list_age_ms = list_age.as_millis() as u64,
         outcome = outcome.as_str(),
-        why,
-        attempts:serde = trail,
-        ms = began.elapsed().as_millis() as u64;
+        why = reason,
+        attempts:serde = attempt_log,
+        ms = started_at.elapsed().as_millis() as u64;
         "request"
     );
 }
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -5,7 +5,7 @@
     endpoints::Endpoints,
     lots::{Desk, Reply},
     metrics::Metrics,
-    proxy::{Call, Outcome, Proxy},
+    proxy::{Outcome, Proxy, ProxyRequest},
     stall::Stall,
     stop::Stop,
     store::Store,
@@ -194,22 +194,22 @@
     ) -> Response {
         let target = request.uri().path_and_query();
         let target = target.map_or("/", |target| target.as_str()).into();
-        let call = Call {
+        let proxy_request = ProxyRequest {
             id: said.id.clone(),
-            config: table.number(),
+            config_number: table.number(),
             config_age: self.config.age().unwrap_or_default(),
-            give_up: give_up(said, route.timeout, arrived),
+            deadline: give_up(said, route.timeout, arrived),
             route,
-            owner: caller.workspace().map(Into::into),
+            workspace: caller.workspace().map(Into::into),
             caller,
             method: request.method().clone(),
             target,
             headers: request.headers().clone(),
             body,
             prompt: said.prompt.clone(),
-            known: OnceCell::new(),
+            cached_identity: OnceCell::new(),
         };
-        match self.proxy.run(call).await {
+        match self.proxy.run(proxy_request).await {
             Outcome::Answer(answer) => {
                 let mut response = Response::new(answer.status).set_body(BoxBody::new(answer.body));
                 for (name, value) in answer.headers {
@@ -220,8 +220,12 @@
             Outcome::NotRun { retry_after, .. } => {
                 not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
             }
-            Outcome::Unknown { late: true, .. } => http::empty(StatusCode::GATEWAY_TIMEOUT),
-            Outcome::Unknown { late: false, .. } => http::empty(StatusCode::BAD_GATEWAY),
+            Outcome::Unknown {
+                timed_out: true, ..
+            } => http::empty(StatusCode::GATEWAY_TIMEOUT),
+            Outcome::Unknown {
+                timed_out: false, ..
+            } => http::empty(StatusCode::BAD_GATEWAY),
         }
     }
 
