--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -8,7 +8,7 @@
 //! Each part has its own state and knows only the parts that it is given:
 //!
 //! ```text
-//! Store ─ follow ─ Config, Endpoints ─ Proxy ─ Desk, Runner, Orders ─ Front (callers)
+//! Store ─ follow ─ Config, Endpoints ─ Proxy ─ Desk, Runner, Orders ─ Frontend (callers)
 //!        └ Duties (leases) ───────────────────┘
 //! ```
 
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -12,7 +12,7 @@
     proxy::{self, Proxy},
     ready::Ready,
     reload::look_at_settings,
-    serve::{Front, serve},
+    serve::{Frontend, serve},
     stall::Stall,
     stop::{Stop, Times},
     store::Store,
@@ -276,7 +276,7 @@
             };
             metrics.serve(listen(address).await?, sources).await?;
         }
-        let front = Rc::new(Front {
+        let frontend = Rc::new(Frontend {
             adapter,
             stall,
             store: store.clone(),
@@ -294,7 +294,7 @@
             ..http::Options::default()
         };
         let server = Server::start(callers, options, move |request| {
-            serve(Rc::clone(&front), request)
+            serve(Rc::clone(&frontend), request)
         })
         .await?;
         server.observe(|code| log::info!(code:serde = code; "refused by the listener"));
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -30,7 +30,7 @@
 
 /// A request whose head says nothing of its deadline gets the route's timeout, and a call for which
 /// there is no route so long.
-const USUAL_TIMEOUT: Duration = Duration::from_secs(5);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 /// A final answer leaves so long before the caller's deadline or the route's timeout, to be there
 /// in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
@@ -39,14 +39,14 @@
 /// A request that comes while this instance has not read the configuration and the endpoint list yet
 /// waits for them so long. Both are there 0.02 s after the start (0.25 cores), and 0.15 s after the
 /// return of a store that was away; callers that were refused in between came back late.
-const FIRST_NEWS: Duration = Duration::from_millis(300);
+const INITIAL_STATE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause between two looks for that news.
-const LOOK: Duration = Duration::from_millis(10);
+const INITIAL_STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// When a caller should come back while no configuration is known: it is read within a second.
-const NOT_CONFIGURED: Duration = Duration::from_millis(500);
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What callers' requests are served with.
-pub struct Front {
+pub struct Frontend {
     /// Translates.
     pub adapter: Adapter,
     /// Whether what is known may be old.
@@ -68,37 +68,40 @@
 }
 
 /// Answers one request, which is in flight until the last byte of its answer has been sent.
-pub async fn serve(front: Rc<Front>, request: Request) -> Response {
-    let guard = front.stop.enter();
-    let mut answer = front.answer(request).await;
-    if front.stop.asked() {
+pub async fn serve(frontend: Rc<Frontend>, request: Request) -> Response {
+    let guard = frontend.stop.enter();
+    let mut answer = frontend.answer(request).await;
+    if frontend.stop.asked() {
         // The caller opens its next connection elsewhere.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
     http::hold(answer, guard)
 }
 
-impl Front {
+impl Frontend {
     async fn answer(&self, mut request: Request) -> Response {
-        let arrived = Instant::now();
-        let said = (self.adapter.live.request)(request.headers());
+        let received_at = Instant::now();
+        let metadata = (self.adapter.live.request)(request.headers());
         let path = request.path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let host = request.headers().get(HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
         let host = CompactString::from(host);
         self.stall.caught_up().await;
-        let Some(table) = self.first_table().await else {
+        let Some(table) = self.wait_for_table().await else {
             self.metrics
                 .count(&self.metrics.refused, &["no configuration"]);
-            log::warn!(id = said.id.as_str(); "refused: no configuration is known yet");
-            return not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED);
+            log::warn!(id = metadata.id.as_str(); "refused: no configuration is known yet");
+            return not_run(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER);
         };
         match (self.adapter.lot.call)(request.method(), &path, &query) {
             lot::Call::Other => {}
             call => {
-                return match self.admit(&table, &said, false) {
-                    Ok(caller) => self.lot_call(call, &caller, &said, arrived).await,
+                return match self.authenticate_caller(&table, &metadata, false) {
+                    Ok(caller) => {
+                        self.answer_lot_call(call, &caller, &metadata, received_at)
+                            .await
+                    }
                     Err(refusal) => refusal,
                 };
             }
@@ -106,7 +109,7 @@
         let Some(route) = table.route_for(&host, &path).cloned() else {
             self.metrics.count(&self.metrics.refused, &["no route"]);
             log::info!(
-                id = said.id.as_str(),
+                id = metadata.id.as_str(),
                 host = host.as_str(),
                 path,
                 config = table.number();
@@ -114,7 +117,7 @@
             );
             return http::empty(StatusCode::NOT_FOUND);
         };
-        let caller = match self.admit(&table, &said, route.public) {
+        let caller = match self.authenticate_caller(&table, &metadata, route.public) {
             Ok(caller) => caller,
             Err(refusal) => return refusal,
         };
@@ -123,82 +126,89 @@
             Ok(body) => body,
             Err(error) => {
                 self.metrics.count(&self.metrics.refused, &["body"]);
-                return refuse_body(&said, &error);
+                return refuse_body(&metadata, &error);
             }
         };
         if route.kind == Kind::Lot && request.method() == Method::POST {
-            let give_up = give_up(&said, route.timeout, arrived);
+            let deadline = deadline(&metadata, route.timeout, received_at);
             let reply = self
                 .desk
-                .submit(&caller, &said.id, &host, &path, &body, give_up)
+                .submit(&caller, &metadata.id, &host, &path, &body, deadline)
                 .await;
             return self.respond("submit", reply);
         }
-        self.relay_call(request, &table, (route, caller), &said, body, arrived)
-            .await
+        self.proxy_request(
+            request,
+            &table,
+            (route, caller),
+            &metadata,
+            body,
+            received_at,
+        )
+        .await
     }
 
     /// On whose behalf a request is made, or the answer to one that may not run.
     ///
     /// A key that this instance does not know may be new while it is out of touch with the configuration: then the
     /// caller is asked to come again, to an instance that knows.
-    fn admit(
+    fn authenticate_caller(
         &self,
         table: &RoutingTable,
-        said: &live::Request,
+        metadata: &live::Request,
         public: bool,
     ) -> Result<Caller, Response> {
-        let refused = match table.authenticate(said.key.as_ref(), public) {
+        let error = match table.authenticate(metadata.key.as_ref(), public) {
             Ok(caller) => return Ok(caller),
-            Err(refused) => refused,
+            Err(error) => error,
         };
         let is_current = self.config.is_current();
-        let sure = is_current || refused == AccessError::MissingKey;
+        let is_certain = is_current || error == AccessError::MissingKey;
         self.metrics.count(&self.metrics.refused, &["no access"]);
         log::info!(
-            id = said.id.as_str(),
-            why:% = refused,
+            id = metadata.id.as_str(),
+            why:% = error,
             config = table.number(),
             config_age_ms = self.config.age().unwrap_or_default().as_millis() as u64,
             is_current;
             "refused: no access"
         );
-        Err(match sure {
+        Err(match is_certain {
             true => http::empty(StatusCode::UNAUTHORIZED),
-            false => not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED),
+            false => not_run(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER),
         })
     }
 
     /// The configuration in force, once it and the endpoint list are known; none if there is none
     /// soon. Not waited for while the store is away.
-    async fn first_table(&self) -> Option<Rc<RoutingTable>> {
-        let end = Instant::now() + FIRST_NEWS;
+    async fn wait_for_table(&self) -> Option<Rc<RoutingTable>> {
+        let end = Instant::now() + INITIAL_STATE_TIMEOUT;
         loop {
             let table = self.config.table();
             let known = table.is_some() && self.endpoints.is_loaded();
             if known || self.store.away_since().is_some() || Instant::now() >= end {
                 return table;
             }
-            sleep(LOOK).await;
+            sleep(INITIAL_STATE_POLL_INTERVAL).await;
         }
     }
 
-    async fn relay_call(
+    async fn proxy_request(
         &self,
         request: Request,
         table: &RoutingTable,
         (route, caller): (Route, Caller),
-        said: &live::Request,
+        metadata: &live::Request,
         body: Bytes,
-        arrived: Instant,
+        received_at: Instant,
     ) -> Response {
         let target = request.uri().path_and_query();
         let target = target.map_or("/", |target| target.as_str()).into();
         let proxy_request = ProxyRequest {
-            id: said.id.clone(),
+            id: metadata.id.clone(),
             config_number: table.number(),
             config_age: self.config.age().unwrap_or_default(),
-            deadline: give_up(said, route.timeout, arrived),
+            deadline: deadline(metadata, route.timeout, received_at),
             route,
             workspace: caller.workspace().map(Into::into),
             caller,
@@ -206,7 +216,7 @@
             target,
             headers: request.headers().clone(),
             body,
-            prompt: said.prompt.clone(),
+            prompt: metadata.prompt.clone(),
             cached_identity: OnceCell::new(),
         };
         match self.proxy.run(proxy_request).await {
@@ -229,14 +239,14 @@
         }
     }
 
-    async fn lot_call(
+    async fn answer_lot_call(
         &self,
         call: lot::Call,
         caller: &Caller,
-        said: &live::Request,
-        arrived: Instant,
+        metadata: &live::Request,
+        received_at: Instant,
     ) -> Response {
-        let wait = said.wait.unwrap_or_default();
+        let wait = metadata.wait.unwrap_or_default();
         let wait = wait.min(self.adapter.lot.longest_wait);
         let (name, reply) = match call {
             lot::Call::Read { lot, from } => {
@@ -244,8 +254,8 @@
             }
             lot::Call::Body { lot, item } => ("body", self.desk.body(caller, &lot, &item).await),
             lot::Call::End { lot } => {
-                let give_up = give_up(said, USUAL_TIMEOUT, arrived);
-                ("end", self.desk.end(caller, &lot, give_up).await)
+                let deadline = deadline(metadata, DEFAULT_TIMEOUT, received_at);
+                ("end", self.desk.end(caller, &lot, deadline).await)
             }
             lot::Call::Other => ("other", Reply::NotFound),
         };
@@ -260,13 +270,13 @@
 }
 
 /// When a request is answered in any case.
-fn give_up(said: &live::Request, timeout: Duration, arrived: Instant) -> Instant {
-    let left = said.time_left.map_or(timeout, |left| left.min(timeout));
-    arrived + left.saturating_sub(ANSWER_MARGIN)
+fn deadline(metadata: &live::Request, timeout: Duration, received_at: Instant) -> Instant {
+    let left = metadata.time_left.map_or(timeout, |left| left.min(timeout));
+    received_at + left.saturating_sub(ANSWER_MARGIN)
 }
 
-fn refuse_body(said: &live::Request, error: &http::Error) -> Response {
-    log::info!(id = said.id.as_str(), error:% = error; "refused: body");
+fn refuse_body(metadata: &live::Request, error: &http::Error) -> Response {
+    log::info!(id = metadata.id.as_str(), error:% = error; "refused: body");
     http::empty(match error {
         http::Error::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
         http::Error::Slow(_) => StatusCode::REQUEST_TIMEOUT,
