--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -14,24 +14,24 @@
 
 /// The configuration in force; it never goes back to an older number in one process.
 pub struct Config {
-    in_force: RefCell<Option<InForce>>,
-    changed: watch::Sender<u64>,
+    active: RefCell<Option<ActiveConfig>>,
+    number: watch::Sender<u64>,
     store: Store,
     feed: Rc<Feed>,
 }
 
 #[derive(Clone)]
-struct InForce {
+struct ActiveConfig {
     table: Rc<RoutingTable>,
-    since: Instant,
+    activated_at: Instant,
 }
 
 impl Config {
     /// Follows the configuration in `store` from now on.
     pub fn start(store: &Store, adapter: Adapter, wait: Duration, feed: &Rc<Feed>) -> Rc<Self> {
         let config = Rc::new(Self {
-            in_force: RefCell::new(None),
-            changed: watch::channel(0).0,
+            active: RefCell::new(None),
+            number: watch::channel(0).0,
             store: store.clone(),
             feed: Rc::clone(feed),
         });
@@ -44,7 +44,7 @@
                 gather: Duration::ZERO,
             };
             follow(&store, Purpose::Config, kind, manner, fed, |update, _| {
-                state.take(adapter, update);
+                state.apply_update(adapter, update);
             })
             .await;
         });
@@ -53,14 +53,14 @@
 
     /// The configuration in force; none before the first was read.
     pub fn table(&self) -> Option<Rc<RoutingTable>> {
-        let in_force = self.in_force.borrow();
-        in_force.as_ref().map(|in_force| Rc::clone(&in_force.table))
+        let active = self.active.borrow();
+        active.as_ref().map(|active| Rc::clone(&active.table))
     }
 
     /// For how long it has been in force here.
     pub fn age(&self) -> Option<Duration> {
-        let in_force = self.in_force.borrow();
-        in_force.as_ref().map(|in_force| in_force.since.elapsed())
+        let active = self.active.borrow();
+        active.as_ref().map(|active| active.activated_at.elapsed())
     }
 
     /// Whether this instance hears of each change: from a parent with fresh news, or from the store itself.
@@ -70,7 +70,7 @@
 
     /// Tells the number in force when it changes.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.number.subscribe()
     }
 
     /// Calls `start` once for each name that `names` gives under this configuration or a later one.
@@ -94,7 +94,7 @@
         }
     }
 
-    fn take(&self, adapter: Adapter, update: Update) {
+    fn apply_update(&self, adapter: Adapter, update: Update) {
         let objects = match update {
             Update::All(objects) => objects,
             Update::Changes(changes) => {
@@ -104,12 +104,12 @@
         };
         for object in objects {
             if object.name == adapter.places.config_name {
-                self.put_in_force(adapter, &object);
+                self.activate(adapter, &object);
             }
         }
     }
 
-    fn put_in_force(&self, adapter: Adapter, object: &Object) {
+    fn activate(&self, adapter: Adapter, object: &Object) {
         let revision = object.revision;
         let document = match (adapter.config)(&object.spec) {
             Ok(document) => document,
@@ -126,9 +126,12 @@
             return;
         }
         let table = Rc::new(RoutingTable::new(document));
-        let since = Instant::now();
-        self.in_force.replace(Some(InForce { table, since }));
+        let activated_at = Instant::now();
+        self.active.replace(Some(ActiveConfig {
+            table,
+            activated_at,
+        }));
         log::info!(revision, number, before:serde = before; "configuration in force");
-        self.changed.send_replace(number);
+        self.number.send_replace(number);
     }
 }
