--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -30,19 +30,19 @@
 };
 const ENDPOINTS: usize = 5;
 /// Endpoints that one such request may take in all.
-const MOST: usize = 3;
+const MAX_CRASHES: usize = 3;
 /// How long a crashed endpoint is away.
-const DOWN: Duration = Duration::from_secs(2);
+const RESTART_DELAY: Duration = Duration::from_secs(2);
 /// By then each instance knows of the third crash.
-const KNOWN: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 thread_local! {
-    static NEXT: Cell<u64> = const { Cell::new(0) };
+    static NEXT_ID: Cell<u64> = const { Cell::new(0) };
 }
 
 /// Sends the request under a new id.
 async fn send(instance: &Instance, body: &str) -> Result<Answer, Failure> {
-    let number = NEXT.with(|next| next.replace(next.get() + 1));
+    let number = NEXT_ID.with(|next| next.replace(next.get() + 1));
     let headers = [
         ("host", HOST.to_owned()),
         ("x-request-id", format!("again-{number}")),
@@ -56,12 +56,12 @@
 fn endpoints(site: &Site, count: usize) -> (Vec<Fragile>, Crashes) {
     let crashes = Crashes::default();
     let plain = ("plain", Mode::Plain);
-    let start = |_| Fragile::start(&site.store, plain, DOWN, &crashes).expect("it starts");
+    let start = |_| Fragile::start(&site.store, plain, RESTART_DELAY, &crashes).expect("it starts");
     ((0..count).map(start).collect(), crashes)
 }
 
 /// So many callers send other requests for `span`.
-fn callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
+fn start_callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
     let (balance, end) = (site.balance(), Instant::now() + span);
     let tally = Rc::new(Tally::default());
     for number in 0..count {
@@ -76,7 +76,7 @@
 }
 
 /// Sends the request at each instance in turn for `span`.
-async fn repeat(site: &Site, body: &str, span: Duration) {
+async fn send_repeatedly(site: &Site, body: &str, span: Duration) {
     let end = Instant::now() + span;
     while Instant::now() < end {
         for instance in &site.instances {
@@ -87,7 +87,7 @@
     }
 }
 
-fn refused(answer: &Result<Answer, Failure>) -> bool {
+fn is_refused(answer: &Result<Answer, Failure>) -> bool {
     answer.as_ref().is_ok_and(|answer| {
         answer.status == StatusCode::SERVICE_UNAVAILABLE && answer.header("retry-after").is_some()
     })
@@ -105,7 +105,11 @@
         let began = Instant::now();
         let answer = send(instance, body).await;
         let lines = instance.lines().join("\n");
-        assert!(refused(&answer), "{answer:?} at {}\n{lines}", instance.name);
+        assert!(
+            is_refused(&answer),
+            "{answer:?} at {}\n{lines}",
+            instance.name
+        );
         assert!(began.elapsed() < Duration::from_millis(300));
     }
 }
@@ -116,28 +120,28 @@
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, book) = (
-        callers(&site, 3, Duration::from_secs(9)),
+        start_callers(&site, 3, Duration::from_secs(9)),
         Rc::clone(&site.book),
     );
     let body = format!("{CRASH} a");
-    repeat(&site, &body, Duration::from_secs(8)).await;
-    let taken = crashed_under(&crashes, &body);
-    assert!(taken.len() <= MOST, "{taken:?}");
-    assert!(!taken.is_empty(), "the stand-in crashes");
-    sleep(KNOWN).await;
+    send_repeatedly(&site, &body, Duration::from_secs(8)).await;
+    let crashed = crashed_under(&crashes, &body);
+    assert!(crashed.len() <= MAX_CRASHES, "{crashed:?}");
+    assert!(!crashed.is_empty(), "the stand-in crashes");
+    sleep(PROPAGATION_TIME).await;
     assert_refused_everywhere(&site, &body).await;
-    assert_eq!(crashed_under(&crashes, &body).len(), taken.len());
+    assert_eq!(crashed_under(&crashes, &body).len(), crashed.len());
     assert_eq!(book.faults(), Vec::<String>::new());
     let (good, not) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
     assert!(not * 20 < good, "{good} good, {not} not");
 }
 
 /// Repeats the request until it is refused, and a little longer; at most three endpoints crash.
-async fn until_refused(site: &Site, crashes: &Crashes, body: &str) {
-    repeat(site, body, Duration::from_secs(5)).await;
-    let taken = crashed_under(crashes, body);
-    assert!((1..=MOST).contains(&taken.len()), "{taken:?}");
-    sleep(KNOWN).await;
+async fn send_until_refused(site: &Site, crashes: &Crashes, body: &str) {
+    send_repeatedly(site, body, Duration::from_secs(5)).await;
+    let crashed = crashed_under(crashes, body);
+    assert!((1..=MAX_CRASHES).contains(&crashed.len()), "{crashed:?}");
+    sleep(PROPAGATION_TIME).await;
     assert_refused_everywhere(site, body).await;
 }
 
@@ -147,7 +151,7 @@
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH} b");
-    until_refused(&site, &crashes, &body).await;
+    send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     for instance in &mut site.instances {
         instance.signal(Signal::KILL);
@@ -159,7 +163,7 @@
     for instance in &site.instances {
         instance.wait_ready().await.unwrap();
     }
-    repeat(&site, &body, Duration::from_secs(2)).await;
+    send_repeatedly(&site, &body, Duration::from_secs(2)).await;
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), before);
 }
@@ -170,7 +174,7 @@
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH} c");
-    until_refused(&site, &crashes, &body).await;
+    send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     site.add_instance().await.unwrap();
     site.instances[3].wait_ready().await.unwrap();
@@ -197,9 +201,9 @@
     let path = format!("/crashes/{}", listed[0]["identity"].as_str().unwrap());
     let cleared = call(address, Method::DELETE, &path, &headers, Bytes::new(), wait).await;
     assert_eq!(cleared.unwrap().status, StatusCode::OK);
-    sleep(KNOWN).await;
+    sleep(PROPAGATION_TIME).await;
     let answer = send(&site.instances[3], &body).await;
-    assert!(!refused(&answer), "{answer:?}");
+    assert!(!is_refused(&answer), "{answer:?}");
     assert!(crashed_under(&crashes, &body).len() > before);
 }
 
@@ -211,21 +215,21 @@
     site.store.set(store::Fault::DOWN);
     sleep(Duration::from_millis(500)).await;
     let body = format!("{CRASH} d");
-    repeat(&site, &body, Duration::from_secs(3)).await;
-    let taken = crashed_under(&crashes, &body);
-    assert!((1..=MOST).contains(&taken.len()), "{taken:?}");
+    send_repeatedly(&site, &body, Duration::from_secs(3)).await;
+    let crashed = crashed_under(&crashes, &body);
+    assert!((1..=MAX_CRASHES).contains(&crashed.len()), "{crashed:?}");
     assert_refused_everywhere(&site, &body).await;
     site.store.set(store::Fault::default());
-    repeat(&site, &body, Duration::from_secs(3)).await;
-    assert_eq!(crashed_under(&crashes, &body), taken);
+    send_repeatedly(&site, &body, Duration::from_secs(3)).await;
+    assert_eq!(crashed_under(&crashes, &body), crashed);
 }
 
 /// Sends a lot of four items; the parts of `bad` stand in for those of the first one.
-async fn submit(site: &Site, lot: &str, bad: &serde_json::Value) {
+async fn submit(site: &Site, lot: &str, crashing: &serde_json::Value) {
     let mut items: Vec<_> = (0..4)
         .map(|number| item(&format!("{lot}-{number}")))
         .collect();
-    for (key, value) in bad.as_object().into_iter().flatten() {
+    for (key, value) in crashing.as_object().into_iter().flatten() {
         items[0][key] = value.clone();
     }
     submit_items(site, lot, items).await;
@@ -258,7 +262,7 @@
 }
 
 /// What is listed of a lot.
-async fn listed(site: &Site, lot: &str) -> Vec<serde_json::Value> {
+async fn read_results(site: &Site, lot: &str) -> Vec<serde_json::Value> {
     let headers = [("host", HOST.to_owned())];
     let (address, path) = (
         site.instances[1].callers.address,
@@ -278,7 +282,7 @@
     let (mut fragile, crashes) = endpoints(&site, ENDPOINTS);
     let engine = |_| {
         let service = ("engines", Mode::Engine);
-        Fragile::start(&site.store, service, DOWN, &crashes).expect("it starts")
+        Fragile::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
     };
     fragile.extend((0..ENDPOINTS).map(engine));
     sleep(Duration::from_millis(1_500)).await;
@@ -287,24 +291,24 @@
 
 /// Plays a lot whose first item crashes what it comes to, at engines or at scorers. It takes three, and waits for the
 /// end of its time without an answer that would not be true; the others are done.
-async fn play_lot(seed: u64, lot: &str, bad: &serde_json::Value) {
+async fn run_lot_with_crashing_item(seed: u64, lot: &str, crashing: &serde_json::Value) {
     let (site, _fragile, crashes) = fragile_site(seed).await;
-    submit(&site, lot, bad).await;
+    submit(&site, lot, crashing).await;
     sleep(Duration::from_secs(9)).await;
-    let results = listed(&site, lot).await;
+    let results = read_results(&site, lot).await;
     let done = results
         .iter()
         .filter(|result| result["state"] == "completed");
     assert_eq!(done.count(), 3, "{results:?}");
     assert_eq!(results.len(), 3, "{results:?}");
-    let taken = crashes.borrow().len();
-    assert_eq!(taken, MOST, "{:?}", crashes.borrow());
+    let crashed = crashes.borrow().len();
+    assert_eq!(crashed, MAX_CRASHES, "{:?}", crashes.borrow());
 }
 
 #[actix_rt::test]
 async fn an_item_that_crashes_engines_takes_three() {
-    let bad = serde_json::json!({"body": BASE64.encode(format!("{CRASH} e"))});
-    play_lot(164, "lot-e", &bad).await;
+    let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH} e"))});
+    run_lot_with_crashing_item(164, "lot-e", &crashing).await;
 }
 
 #[actix_rt::test]
@@ -312,12 +316,12 @@
     let scorer = serde_json::json!({
         "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH} f")),
     });
-    play_lot(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
+    run_lot_with_crashing_item(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
 
 /// Items of a crowded lot, and those of them that are bad.
-const CROWD: usize = 40;
-const BAD: usize = 3;
+const ITEMS: usize = 40;
+const CRASHING_ITEMS: usize = 3;
 
 /// Plays a crowded lot with several bad items, `change`d to crash what they come to, at engines or at scorers. Each
 /// takes three endpoints at most, and all other items are done.
@@ -326,39 +330,45 @@
 /// at a scorer, and all of those ran together again: whose crash the second and third one was could not be told, a request under
 /// which three had ended was sent 10 times more, 37 and 38 endpoints ended in a day of 40 s, and 41 % and 65 % of the
 /// callers' work was not done.
-async fn play_crowd(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
+async fn run_lot_with_several_crashing_items(
+    seed: u64,
+    change: impl Fn(&mut serde_json::Value, &str),
+) {
     let (site, _fragile, crashes) = fragile_site(seed).await;
-    let mut items: Vec<_> = (0..CROWD)
+    let mut items: Vec<_> = (0..ITEMS)
         .map(|number| item(&format!("lot-{seed}-{number}")))
         .collect();
-    let bad: Vec<_> = (0..BAD)
+    let crashing: Vec<_> = (0..CRASHING_ITEMS)
         .map(|number| format!("{CRASH} {seed} {number}"))
         .collect();
-    for (item, text) in items.iter_mut().step_by(7).zip(&bad) {
+    for (item, text) in items.iter_mut().step_by(7).zip(&crashing) {
         change(item, text);
     }
     let lot = format!("lot-{seed}");
     submit_items(&site, &lot, items).await;
     sleep(Duration::from_secs(20)).await;
-    for text in &bad {
-        let taken = crashed_under(&crashes, text);
-        assert!(taken.len() <= MOST, "{text}: {taken:?}");
+    for text in &crashing {
+        let crashed = crashed_under(&crashes, text);
+        assert!(crashed.len() <= MAX_CRASHES, "{text}: {crashed:?}");
     }
-    let results = listed(&site, &lot).await;
+    let results = read_results(&site, &lot).await;
     let done = results
         .iter()
         .filter(|result| result["state"] == "completed");
-    assert_eq!(done.count(), CROWD - BAD, "{}", results.len());
+    assert_eq!(done.count(), ITEMS - CRASHING_ITEMS, "{}", results.len());
 }
 
 #[actix_rt::test]
 async fn several_items_of_a_lot_that_crash_engines_take_three_each() {
-    play_crowd(167, |item, text| item["body"] = BASE64.encode(text).into()).await;
+    run_lot_with_several_crashing_items(167, |item, text| {
+        item["body"] = BASE64.encode(text).into()
+    })
+    .await;
 }
 
 #[actix_rt::test]
 async fn several_scorings_of_a_lot_that_crash_endpoints_take_three_each() {
-    play_crowd(168, |item, text| {
+    run_lot_with_several_crashing_items(168, |item, text| {
         item["scorer"]["body"] = BASE64.encode(text).into();
     })
     .await;
@@ -371,7 +381,7 @@
     let (endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, book) = (
-        callers(&site, 6, Duration::from_secs(8)),
+        start_callers(&site, 6, Duration::from_secs(8)),
         Rc::clone(&site.book),
     );
     for round in 0..12 {
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -20,21 +20,21 @@
     engines: 1,
     services: 2,
 };
-const WAIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// A change of the keys is in force everywhere within so long.
-const IN_FORCE: Duration = Duration::from_secs(2);
+const CONFIG_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
 /// Two keys of one workspace, one of another, one that comes later, and one that nobody ever had.
 const A1: &str = "key-of-a-7fe2b1";
 const A2: &str = "key-of-a-30cd55";
 const B1: &str = "key-of-b-91aa0e";
 const B2: &str = "key-of-b-c4d7f3";
-const NOBODYS: &str = "key-of-nobody-55";
+const UNKNOWN_KEY: &str = "key-of-nobody-55";
 
 async fn site(seed: u64) -> Site {
     let mut site = Site::start(SIZE, seed).await.expect("it starts");
     set_keys(&mut site, &[A1, A2], &[B1]);
-    sleep(IN_FORCE).await;
+    sleep(CONFIG_PROPAGATION_TIME).await;
     site
 }
 
@@ -47,7 +47,7 @@
 }
 
 /// One call with a key, and a workspace that the caller claims to be.
-async fn ask(
+async fn send(
     instance: &Instance,
     (method, path): (Method, &str),
     id: &str,
@@ -62,16 +62,16 @@
     ];
     headers.extend(key.map(|key| ("authorization", format!("Bearer {key}"))));
     let (address, body) = (instance.callers.address, Bytes::from(body.to_owned()));
-    let answer = call(address, method, path, &headers, body, WAIT).await;
+    let answer = call(address, method, path, &headers, body, CALL_TIMEOUT).await;
     answer.expect("an answer")
 }
 
 async fn live(instance: &Instance, id: &str, key: Option<&str>) -> StatusCode {
     let call = (Method::POST, "/live/x");
-    ask(instance, call, id, key, "x").await.status
+    send(instance, call, id, key, "x").await.status
 }
 
-fn told(workspace: Option<&str>) -> Vec<Told> {
+fn expected_callers(workspace: Option<&str>) -> Vec<Told> {
     vec![Told {
         workspace: workspace.map(Into::into),
         credential: None,
@@ -84,19 +84,19 @@
     let instance = &site.instances[0];
     assert_eq!(live(instance, "l-1", Some(A1)).await, StatusCode::OK);
     assert_eq!(live(instance, "l-2", Some(B1)).await, StatusCode::OK);
-    assert_eq!(site.book.callers("l-1"), told(Some("a")));
-    assert_eq!(site.book.callers("l-2"), told(Some("b")));
-    for (id, key) in [("l-3", Some(NOBODYS)), ("l-4", None)] {
+    assert_eq!(site.book.callers("l-1"), expected_callers(Some("a")));
+    assert_eq!(site.book.callers("l-2"), expected_callers(Some("b")));
+    for (id, key) in [("l-3", Some(UNKNOWN_KEY)), ("l-4", None)] {
         assert_eq!(live(instance, id, key).await, StatusCode::UNAUTHORIZED);
         assert_eq!(site.book.runs(id), 0);
     }
     let public = (Method::POST, "/score/x");
-    let answer = ask(instance, public, "l-5", Some(NOBODYS), "x").await;
+    let answer = send(instance, public, "l-5", Some(UNKNOWN_KEY), "x").await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(site.book.callers("l-5"), told(None));
+    assert_eq!(site.book.callers("l-5"), expected_callers(None));
 
     set_keys(&mut site, &[A2], &[B1, B2]);
-    sleep(IN_FORCE).await;
+    sleep(CONFIG_PROPAGATION_TIME).await;
     for (number, instance) in site.instances.iter().enumerate() {
         let gone = live(instance, &format!("g-{number}"), Some(A1)).await;
         assert_eq!(gone, StatusCode::UNAUTHORIZED);
@@ -121,7 +121,7 @@
 
 async fn results(instance: &Instance, key: &str) -> (StatusCode, usize) {
     let read = (Method::GET, "/v1/lots/lot-1?after=0");
-    let answer = ask(instance, read, "r", Some(key), "").await;
+    let answer = send(instance, read, "r", Some(key), "").await;
     let read: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     let results = read["results"].as_array().map_or(0, Vec::len);
     (answer.status, results)
@@ -134,20 +134,23 @@
     let end = (Method::DELETE, "/v1/lots/lot-1");
     let body = (Method::GET, "/v1/items/lot-1?id=item-0");
     let instance = &site.instances[0];
-    for key in [Some(NOBODYS), None] {
-        let answer = ask(instance, submit.clone(), "lot-1", key, &lot()).await;
+    for key in [Some(UNKNOWN_KEY), None] {
+        let answer = send(instance, submit.clone(), "lot-1", key, &lot()).await;
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
     }
-    let answer = ask(instance, submit.clone(), "lot-1", Some(A1), &lot()).await;
+    let answer = send(instance, submit.clone(), "lot-1", Some(A1), &lot()).await;
     assert_eq!(answer.status, StatusCode::ACCEPTED);
     // Another workspace learns nothing of it, at no instance.
     for instance in &site.instances {
         assert_eq!(results(instance, B1).await.0, StatusCode::NOT_FOUND);
         for call in [end.clone(), body.clone()] {
-            let answer = ask(instance, call, "r", Some(B1), "").await;
+            let answer = send(instance, call, "r", Some(B1), "").await;
             assert_eq!(answer.status, StatusCode::NOT_FOUND);
         }
-        assert_eq!(results(instance, NOBODYS).await.0, StatusCode::UNAUTHORIZED);
+        assert_eq!(
+            results(instance, UNKNOWN_KEY).await.0,
+            StatusCode::UNAUTHORIZED
+        );
     }
     // A key that is taken away ends no lot, and another one of the workspace goes on.
     set_keys(&mut site, &[A2], &[B1]);
@@ -159,12 +162,12 @@
     assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
     for number in 0..3 {
         let item = site.book.callers(&format!("item-{number}"));
-        assert_eq!(item, told(Some("a")), "the item's workspace");
+        assert_eq!(item, expected_callers(Some("a")), "the item's workspace");
         let scoring = site.book.callers(&format!("s-{number}"));
-        assert_eq!(scoring, told(None), "a scoring needs none");
+        assert_eq!(scoring, expected_callers(None), "a scoring needs none");
     }
     for instance in &site.instances {
-        let answer = ask(instance, end.clone(), "r", Some(A2), "").await;
+        let answer = send(instance, end.clone(), "r", Some(A2), "").await;
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
     }
@@ -184,7 +187,7 @@
             "/metrics",
             &headers,
             Bytes::new(),
-            WAIT,
+            CALL_TIMEOUT,
         );
         all += &String::from_utf8_lossy(&get.await.expect("metrics").body);
     }
@@ -195,7 +198,7 @@
 async fn a_key_is_written_nowhere() {
     let mut site = site(182).await;
     for instance in &site.instances {
-        for key in [A1, B1, NOBODYS] {
+        for key in [A1, B1, UNKNOWN_KEY] {
             live(
                 instance,
                 &format!("{}-{}", instance.name, key.len()),
@@ -204,12 +207,12 @@
             .await;
         }
         let submit = (Method::POST, "/lots/1");
-        ask(instance, submit, "lot-1", Some(A1), &lot()).await;
+        send(instance, submit, "lot-1", Some(A1), &lot()).await;
         results(instance, A2).await;
-        results(instance, NOBODYS).await;
+        results(instance, UNKNOWN_KEY).await;
     }
     set_keys(&mut site, &[A2], &[B1, B2]);
-    sleep(IN_FORCE).await;
+    sleep(CONFIG_PROPAGATION_TIME).await;
     for instance in &site.instances {
         live(instance, &format!("{}-gone", instance.name), Some(A1)).await;
     }
@@ -219,7 +222,7 @@
         written.contains("pinereel-lots a.lot-1"),
         "the store was read"
     );
-    for key in [A1, A2, B1, B2, NOBODYS] {
+    for key in [A1, A2, B1, B2, UNKNOWN_KEY] {
         assert!(!written.contains(key), "{key}");
     }
 }
