--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one endpoint, and the evidence of how it ended.
+//! One attempt: sends a request to one endpoint and classifies how the attempt ended.
 
 use super::{
     Answer, Proxy, ProxyRequest, SelectedEndpoint, headers::end_to_end,
@@ -18,17 +18,20 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, timeout};
 
-/// One attempt that ended.
+/// How one attempt ended.
 pub(super) struct AttemptResult {
     pub(super) selected: SelectedEndpoint,
-    /// Whether it was the last chance of its request.
+    /// Whether the request ran in isolation, where nothing else may start.
     pub(super) isolated: bool,
     pub(super) duration: Duration,
     pub(super) result: Result<Answer, Failure>,
 }
 
 impl Proxy {
-    /// One attempt at an endpoint, which a request in doubt has `occupied`; `alone` if it is its last chance.
+    /// Runs one attempt at the selected endpoint, until the request's deadline at most.
+    ///
+    /// `occupancy` is set for a suspected request and released when the attempt ends; `isolated` if
+    /// the request runs in isolation. Dropping the future cancels the attempt.
     pub(super) fn run_attempt(
         self: &Rc<Self>,
         request: &Rc<ProxyRequest>,
@@ -55,6 +58,8 @@
         })
     }
 
+    /// Sends the request and classifies the response. A repeatable request may reuse an idle
+    /// connection; if that one turns out to be closed, it is sent once more over a fresh one.
     async fn exchange(
         &self,
         request: &ProxyRequest,
@@ -81,13 +86,13 @@
                         classified => classified,
                     };
                 }
-                // The endpoint closed an idle connection: one more try there, on a fresh one.
+                // The endpoint closed the idle connection: send it again over a fresh one.
                 Err(Error::Stale(reason)) => {
                     log_connection_loss(request, selected, started_at, &reason);
                     (reuse, connection_broke) = (false, true);
                 }
-                // What the first connection carried may have run: a refused second one said "not run" of an
-                // endpoint that had run it for 88 ms and crashed.
+                // The request may have run over the first connection: an endpoint that had run it
+                // for 88 ms and crashed refused the second connection, which looks like "not run".
                 Err(Error::NotOpened(_)) if connection_broke => {
                     return Err(self.classify_connection_loss(selected).await);
                 }
@@ -100,7 +105,8 @@
         }
     }
 
-    /// What it means that a connection broke under a request: an endpoint that listens has not crashed.
+    /// Tells a crash of the endpoint from a lost connection: an endpoint that still accepts
+    /// connections has not crashed.
     async fn classify_connection_loss(&self, selected: &SelectedEndpoint) -> Failure {
         match self.parts.pool.is_gone(selected.address).await {
             true => Failure::Crashed,
@@ -108,7 +114,8 @@
         }
     }
 
-    /// What makes the head of each send of one attempt.
+    /// Returns a closure that builds the request head for each send of one attempt, with the time
+    /// that is left then.
     fn head_builder<'a>(
         &'a self,
         request: &'a ProxyRequest,
@@ -133,6 +140,8 @@
         }
     }
 
+    /// Reads the response: an answer that may be passed on, or the failure that it stands for. An
+    /// answer with another request's id, or a successful one without a signature, is invalid.
     async fn classify_response(
         &self,
         request: &ProxyRequest,
@@ -148,7 +157,7 @@
             return Err(Failure::InvalidAnswer);
         }
         if parsed.not_run {
-            // Read to its end, so that the connection can be used again.
+            // Read the body to its end so that the connection can be reused.
             let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
             let _ = response.body.whole().await;
             return Err(if misdirected {
@@ -172,7 +181,8 @@
     }
 }
 
-/// Counts an attempt at its endpoint; one that is dropped counts as cancelled.
+/// Counts an attempt in flight at its endpoint. If dropped without [`InFlightGuard::disarm`], it
+/// records the attempt as cancelled.
 struct InFlightGuard {
     endpoints: Rc<Endpoints>,
     key: Option<Key>,
--- a/crates/pinereel/src/hosted/proxy/headers.rs
+++ b/crates/pinereel/src/hosted/proxy/headers.rs
@@ -1,8 +1,8 @@
-//! Headers that pass from end to end.
+//! Separates end-to-end headers from hop-by-hop headers.
 
 use actix_http::header::{HeaderMap, HeaderName};
 
-/// Headers that concern one connection only.
+/// Headers that concern one connection only and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,7 +15,8 @@
     "upgrade",
 ];
 
-/// The headers without those of one connection, and without those that framing sets.
+/// Returns the headers to forward: without hop-by-hop headers, and without `Content-Length`, which
+/// message framing sets.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
     let connection_specific = headers_named_by_connection(headers);
@@ -28,7 +29,7 @@
     kept
 }
 
-/// The headers that `Connection` names.
+/// The hop-by-hop headers that the `Connection` header lists.
 fn headers_named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all("connection");
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -1,4 +1,9 @@
-//! One request of a caller, brought to an endpoint and answered with that endpoint's whole answer.
+//! Reverse proxy for live requests: forwards each request to an endpoint and returns that
+//! endpoint's complete answer.
+//!
+//! [`Proxy::run`] takes a request through its attempts. [`Attempts`] decides on retries and
+//! hedging, [`Endpoints`] balances the load, and [`CrashTracker`] restricts requests under which
+//! endpoints have crashed.
 
 mod attempt;
 mod headers;
@@ -34,53 +39,55 @@
 use suspected::{Selection, blocked_outcome};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Attempts that lost against another one may end by themselves for so long: their connections can
-/// be used again. The endpoint's work is short; a longer wait would look like work for nobody.
+/// Time for which hedged attempts may still complete after another attempt has answered, so that
+/// their connections can be reused. Endpoints answer quickly; an attempt that runs longer would be
+/// work whose result nobody uses.
 const LOSER_GRACE_PERIOD: Duration = Duration::from_millis(400);
 
-/// What a proxy works with.
+/// Dependencies of a [`Proxy`].
 pub struct Parts {
-    /// Translates.
+    /// Translates between the platform's protocol and the types of this process.
     pub adapter: Adapter,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Connections to endpoints.
+    /// Connection pool for endpoints.
     pub pool: Rc<Pool>,
-    /// Whether what is known may be old.
+    /// Detects that this process was paused, so that its state may be outdated.
     pub stall: Rc<Stall>,
-    /// Requests under which endpoints crash.
+    /// Tracks requests under which endpoints crash.
     pub crashes: Rc<CrashTracker>,
-    /// Counts of requests that began to run.
+    /// Counts the requests that were sent, by workspace.
     pub usage: Rc<Usage>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// Brings requests to endpoints.
+/// Forwards requests to endpoints.
 pub struct Proxy {
     parts: Parts,
-    /// Makes the choices of one process differ from request to request.
+    /// Sequence number of the next request. It is part of the seed, so that requests with the same
+    /// id are routed independently.
     next_number: Cell<u64>,
 }
 
-/// A request on its way through its attempts.
+/// State of a request while it is being forwarded.
 struct RequestState<'a> {
     request: Rc<ProxyRequest>,
     service: &'a str,
     seed: u64,
     started_at: Instant,
     attempts: Attempts<Answer>,
-    /// Endpoints that it was sent to.
+    /// Endpoints of its attempts so far.
     used_endpoints: Vec<Key>,
     in_flight: AttemptsInFlight,
-    /// How it counts for its workspace, once it was sent.
+    /// Its usage count for the workspace, made at the first attempt.
     usage_record: Option<Begun>,
 }
 
 type AttemptsInFlight = FuturesUnordered<LocalBoxFuture<'static, AttemptResult>>;
 
 impl Proxy {
-    /// A proxy.
+    /// Returns a proxy in its initial state.
     pub fn new(parts: Parts) -> Rc<Self> {
         Rc::new(Self {
             parts,
@@ -88,7 +95,8 @@
         })
     }
 
-    /// Brings `call` to an endpoint. Dropped, it breaks its attempts off.
+    /// Forwards `request` and returns its outcome by its deadline. Dropping the future cancels the
+    /// attempts in flight.
     pub async fn run(self: &Rc<Self>, request: ProxyRequest) -> Outcome {
         let started_at = Instant::now();
         let seed = self.next_seed(&request);
@@ -110,8 +118,9 @@
         };
         let mut attempt_log = Vec::new();
         let outcome = loop {
-            // A request that endpoints crash under went on to the next one within 1 ms, and to a second one
-            // beside it: 20 starts of five endpoints ended in 8 s under one that came again.
+            // Checked before each attempt: a retry after a crash reaches the next endpoint within 1
+            // ms, and a hedge reaches a second one at the same time. Without the check one request
+            // that was sent repeatedly crashed five endpoints 20 times within 8 s.
             let status = self.parts.crashes.status(|| request.identity());
             match status {
                 RequestStatus::Unrestricted => {}
@@ -144,7 +153,8 @@
                                 Err(failure) => state.attempts.record_failure(failure),
                             }
                         }
-                        // What is running is broken off if the request must not run any more.
+                        // The status is checked again, and attempts in flight are cancelled if the
+                        // request has been blocked.
                         Ok(()) = crash_changes.changed() => {}
                         () = sleep_until(wake) => {
                             if Instant::now() >= request.deadline {
@@ -189,7 +199,8 @@
         outcome
     }
 
-    /// Makes the next attempt; gives the reason, and when to come back, if the request is refused unsent.
+    /// Starts the next attempt. Returns the reason and the retry delay if the request is refused
+    /// before its first attempt.
     async fn send_next(
         self: &Rc<Self>,
         state: &mut RequestState<'_>,
@@ -233,8 +244,8 @@
         }
     }
 
-    /// The endpoint of the next attempt of a request that nothing counts against: one that is reserved for a request
-    /// with a last chance only if no other takes it.
+    /// Selects the endpoint for the next attempt of an unrestricted request. An endpoint that is
+    /// reserved for an isolated request is used only if no other takes it.
     fn select_endpoint(&self, state: &RequestState<'_>) -> Selection {
         let repeatable = state.request.route.kind == Kind::Idempotent;
         let choose = |excluded: &[Key]| {
@@ -251,7 +262,7 @@
         }
     }
 
-    /// Endpoints of a service where nothing else should begin now.
+    /// Endpoints of a service that are reserved for isolated requests now.
     fn reserved_endpoints(&self, service: &str) -> Vec<Key> {
         let Parts {
             crashes, endpoints, ..
@@ -313,7 +324,8 @@
         outcome
     }
 
-    /// Lets attempts that are not needed any more end by themselves for a moment.
+    /// Lets attempts that are no longer needed complete for up to [`LOSER_GRACE_PERIOD`], and
+    /// cancels the rest.
     fn drain_losers(self: &Rc<Self>, request: &Rc<ProxyRequest>, mut in_flight: AttemptsInFlight) {
         let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         actix_rt::spawn(async move {
@@ -324,7 +336,8 @@
         });
     }
 
-    /// Notes what an attempt says about its endpoint, and about the request.
+    /// Records the result of an attempt: in the metrics, in the state of its endpoint, and in the
+    /// crash tracker.
     fn record_attempt(&self, request: &ProxyRequest, attempt: &AttemptResult) {
         let end = match &attempt.result {
             Ok(answer) if answer.status.is_server_error() => AttemptEnd::Failed,
@@ -354,7 +367,7 @@
                     attempt.duration,
                 );
             }
-            // One that was leaving, or is listed no more, ends by itself.
+            // An endpoint that is leaving or no longer listed may have stopped on its own.
             Err(Failure::Crashed) if endpoints.is_current(&selected.start) => {
                 crashes.record_crash(request.identity(), selected.start.clone(), attempt.isolated);
             }
@@ -364,7 +377,8 @@
     }
 }
 
-/// When a refused caller should come back: places free up within a few requests' work.
+/// Delay after which a refused caller should retry: slots become free after the work of a few
+/// requests.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 fn retry_limits(route: &Route) -> Limits {
--- a/crates/pinereel/src/hosted/proxy/request.rs
+++ b/crates/pinereel/src/hosted/proxy/request.rs
@@ -1,4 +1,4 @@
-//! A request of a caller, and what becomes of it.
+//! The request that the proxy forwards, and its outcome.
 
 use actix_http::{
     Method, StatusCode,
@@ -11,38 +11,38 @@
 use std::{cell::OnceCell, time::Duration};
 use tokio::time::Instant;
 
-/// A request on its way.
+/// A request to be forwarded to an endpoint: a caller's live request, or the scoring of a sample.
 pub struct ProxyRequest {
-    /// Its id.
+    /// Request id.
     pub id: CompactString,
-    /// Number of the configuration that it is served under.
+    /// Number of the configuration under which it is served.
     pub config_number: u64,
-    /// For how long that has been in force here.
+    /// How long that configuration has been active at this instance.
     pub config_age: Duration,
-    /// Its route.
+    /// Route that matched it.
     pub route: Route,
-    /// On whose behalf.
+    /// Caller on whose behalf it is made, as the endpoints are told.
     pub caller: Caller,
-    /// Workspace that it counts for, also where endpoints are not told it.
+    /// Workspace that crashes are attributed to, also where endpoints are not told the workspace.
     pub workspace: Option<CompactString>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with query.
+    /// Path and query.
     pub target: CompactString,
-    /// The sender's headers.
+    /// Headers as the caller sent them.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Names its whole prompt, if it has one.
+    /// Name of its whole prompt, if it has one.
     pub prompt: Option<CompactString>,
-    /// When it is given up.
+    /// When the request is answered as timed out.
     pub deadline: Instant,
-    /// What makes it the same request when it comes again, once that was asked for.
+    /// Result of [`ProxyRequest::identity`], computed on the first call.
     pub cached_identity: OnceCell<Identity>,
 }
 
 impl ProxyRequest {
-    /// What makes it the same request when it comes again.
+    /// Identity that stays the same when a caller retries the request under a new id.
     pub fn identity(&self) -> Identity {
         *self.cached_identity.get_or_init(|| self.compute_identity())
     }
@@ -52,7 +52,8 @@
             let value = self.headers.get(name);
             value.map(HeaderValue::as_bytes).unwrap_or_default()
         };
-        // One workspace cannot bring another's request to be refused.
+        // The workspace is part of the identity, so that one workspace cannot get another's
+        // requests blocked.
         let workspace = self.workspace.as_ref().map(|name| name.as_bytes());
         Identity::of(RequestParts {
             caller: workspace.unwrap_or_else(|| header(AUTHORIZATION)),
@@ -64,29 +65,29 @@
     }
 }
 
-/// An endpoint's whole answer.
+/// Complete answer of an endpoint.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers, without those of one connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
-    /// The endpoint's signature.
+    /// Signature by which the endpoint marks an answer as its own.
     pub signature: Option<CompactString>,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
     /// The endpoint's answer.
     Answer(Answer),
-    /// It did not run, and will not.
+    /// It did not run and will not run.
     NotRun {
         /// Why.
         reason: CompactString,
-        /// When to come back.
+        /// Delay after which the caller should retry.
         retry_after: Duration,
     },
     /// It may have run.
--- a/crates/pinereel/src/hosted/proxy/request_log.rs
+++ b/crates/pinereel/src/hosted/proxy/request_log.rs
@@ -1,4 +1,4 @@
-//! What is said of a request in the log.
+//! Log lines about proxied requests, and the labels of their metrics.
 
 use super::{Outcome, ProxyRequest, SelectedEndpoint, attempt::AttemptResult};
 use actix_http::StatusCode;
@@ -6,6 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Status class as a metric label.
 pub(super) fn status_class(status: StatusCode) -> &'static str {
     match status.as_u16() / 100 {
         2 => "2xx",
@@ -15,6 +16,7 @@
     }
 }
 
+/// Refusal as text for logs, and as a metric label.
 pub(super) const fn refusal_text(refusal: Refusal) -> &'static str {
     match refusal {
         Refusal::UnknownPool => "no endpoint listed",
@@ -24,7 +26,7 @@
     }
 }
 
-/// One attempt, for the log.
+/// Describes one attempt for the request's log line.
 pub(super) fn describe_attempt(attempt: &AttemptResult) -> String {
     let result = match &attempt.result {
         Ok(answer) => answer.status.as_u16().to_string(),
@@ -35,8 +37,8 @@
     format!("{id} {result} {millis}ms {reason:?}")
 }
 
-/// A connection broke under a request: whether its endpoint has crashed under it is seen by what
-/// became of others with the same identity, and of others at the same endpoint.
+/// Logs that a connection was lost during an attempt. Other requests with the same identity, and
+/// others at the same endpoint, show whether the endpoint crashed.
 pub(super) fn log_connection_loss(
     request: &ProxyRequest,
     selected: &SelectedEndpoint,
@@ -49,11 +51,11 @@
         endpoint = selected.id.as_str(),
         ms = started_at.elapsed().as_millis() as u64,
         why = reason;
-        "attempt: connection broke"
+        "attempt: connection lost"
     );
 }
 
-/// A request is refused since endpoints crash under it.
+/// Logs that a request was refused because it crashes endpoints; does nothing for other statuses.
 pub(super) fn log_blocked(request: &ProxyRequest, status: RequestStatus) {
     let RequestStatus::Blocked {
         endpoints,
@@ -73,7 +75,8 @@
     );
 }
 
-/// One line for the request: what it was decided by, how old that was, and what came of it.
+/// Logs one line for each request: its outcome, its attempts, and the age of the configuration and
+/// endpoint list that it was routed by.
 pub(super) fn log_request(
     request: &ProxyRequest,
     outcome: &Outcome,
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -1,4 +1,7 @@
-//! The way of a request under which endpoints have crashed.
+//! Routing of suspected requests: those under which endpoints have crashed.
+//!
+//! They run at one endpoint at a time, which [`CrashTracker::place`] chooses in the same way at
+//! every instance.
 
 use super::{Answer, Outcome, Proxy, RETRY_AFTER, RequestState, SelectedEndpoint};
 use pinereel_core::{
@@ -8,21 +11,24 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Why a request in doubt is refused unsent: its turn is too far off, or no endpoint is open to it.
+/// Refusal reason of a suspected request that was not sent: its time slice is too far off, or no
+/// endpoint may take it.
 const NO_ENDPOINT_FOR_SUSPECTED: &str = "endpoints have crashed under it";
 
-/// What to do with a request that may be sent.
+/// Result of the endpoint selection for the next attempt.
 pub(super) enum Selection {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Endpoint(SelectedEndpoint),
-    /// It waited for a moment: look again how it stands.
+    /// Time has passed: check the request's status again.
     Recheck,
-    /// No endpoint takes it now: why, and when it should come back.
+    /// No endpoint may take it now: the reason, and the delay after which to retry.
     Unavailable(&'static str, Duration),
 }
 
 impl Proxy {
-    /// The next endpoint of a request in doubt.
+    /// Selects the endpoint for a suspected request. Waits while the last crash is still being
+    /// announced to other instances, and for the request's time slice if that begins within the
+    /// latency objective.
     pub(super) async fn select_for_suspected(
         &self,
         state: &RequestState<'_>,
@@ -63,7 +69,8 @@
     }
 }
 
-/// How a request ends that must not run any more.
+/// Outcome of a blocked request. If none of its attempts may have run, the caller may retry when
+/// the record has expired, in `forgotten_in`.
 pub(super) fn blocked_outcome(attempts: &Attempts<Answer>, forgotten_in: Duration) -> Outcome {
     let reason = "endpoints crash under it".into();
     if attempts.may_have_run() {
