--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -1,8 +1,9 @@
-//! Requests under which endpoints crash, as this instance knows them.
+//! Tracks requests that crash endpoints, and shares them among instances.
 //!
-//! The decisions are `pinereel_core::crash`'s. What this instance sees it tells over the links of the
-//! bulletin, up and down, and each instance passes on what is news to it. Whoever reads for all keeps it in
-//! the store, so that it outlasts a restart of all. Nothing is said, kept or asked while nothing crashes.
+//! [`pinereel_core::crash`] decides whether and where such a request may run. Each instance reports
+//! the crashes that it observes over its links to other instances, and every instance forwards
+//! reports that are new to it. The instance that reads the store for all also saves them there, so
+//! that they survive a restart of all instances. Without crashes this sends and stores nothing.
 
 mod stored;
 
@@ -19,24 +20,24 @@
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::sleep};
 
-/// Requests of one message: 200 bytes each.
+/// Maximum number of reports in one message, at 200 bytes each.
 const MAX_REPORTS_PER_MESSAGE: usize = 128;
-/// Pause between two messages, so that what comes together goes together: a thousand crashes in a second
-/// make 50 messages a link.
+/// Delay between two messages, so that reports are batched: 1,000 crashes in a second take 50
+/// messages per link.
 const MESSAGE_DELAY: Duration = Duration::from_millis(20);
-/// Pause between two looks for what is too old to count.
+/// Interval at which expired records are removed.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where news of crashes come from, for the log.
+/// Origin of crash reports, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A request of this instance.
+    /// Observed by this instance.
     Local,
     /// Another instance.
     Peer,
     /// The object store.
     Store,
-    /// Whoever is on call.
+    /// An operator.
     Operator,
 }
 
@@ -51,18 +52,19 @@
     }
 }
 
-/// Requests under which endpoints crash.
+/// Crash records of one instance.
 pub struct CrashTracker {
     register: RefCell<Register>,
     clock: Clock,
     metrics: Metrics,
-    /// Grows with each change of what is known.
+    /// Number of changes of the register so far.
     change_count: watch::Sender<u64>,
-    /// Endpoints where requests in doubt of this instance run now.
+    /// Endpoints at which suspected requests of this instance are running.
     occupied: RefCell<BTreeSet<EndpointStart>>,
 }
 
-/// A request in doubt runs at an endpoint; until this is dropped, no other one of this instance does.
+/// Marks an endpoint as occupied by a suspected request: until it is dropped, no other suspected
+/// request of this instance is placed there.
 pub struct Occupancy {
     crashes: Rc<CrashTracker>,
     start: EndpointStart,
@@ -75,7 +77,7 @@
 }
 
 impl CrashTracker {
-    /// Nothing known yet.
+    /// Returns a tracker without records, and starts a task that removes expired ones.
     pub fn new(clock: Clock, metrics: &Metrics) -> Rc<Self> {
         let crashes = Rc::new(Self {
             register: RefCell::default(),
@@ -93,17 +95,18 @@
         self.clock.now()
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request has a crash record.
     pub fn is_empty(&self) -> bool {
         self.register.borrow().is_empty()
     }
 
-    /// Tells each change of what is known.
+    /// Notifies of each change of the records.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.change_count.subscribe()
     }
 
-    /// How a request stands. `identity` is made only if anything is known of any.
+    /// Whether the request may run, and under which restriction. `identity` is computed only if
+    /// there are records.
     pub fn status(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
         let register = self.register.borrow();
         if register.is_empty() {
@@ -112,14 +115,14 @@
         register.status(self.now(), &identity())
     }
 
-    /// Where a request in doubt may run, of the endpoints that are `open`.
+    /// Where a suspected request may run, out of the endpoints `open`.
     pub fn place(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
         let occupied = self.occupied.borrow();
         let register = self.register.borrow();
         register.place(self.now(), identity, open, &occupied)
     }
 
-    /// A request in doubt begins to run there.
+    /// Marks the endpoint as occupied by a suspected request that starts there.
     pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupancy {
         self.occupied.borrow_mut().insert(start.clone());
         Occupancy {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// The endpoints, of those that are `open`, where nothing may begin now but a request with a last chance.
+    /// The endpoints, out of `open`, at which only isolated requests may start now.
     pub fn reserved(&self, open: impl FnOnce() -> Vec<EndpointStart>) -> BTreeSet<EndpointStart> {
         let register = self.register.borrow();
         if !register.has_isolated() {
@@ -137,7 +140,7 @@
         register.reserved(self.now(), &open())
     }
 
-    /// Waits while a request must not run; says whether it had to.
+    /// Waits while the request is blocked; returns whether it was.
     pub async fn wait_while_blocked(&self, identity: impl Fn() -> Identity) -> bool {
         let mut changes = self.changes();
         let mut waited = false;
@@ -150,7 +153,8 @@
         waited
     }
 
-    /// An endpoint crashed while a request ran there; `alone` if it had its last chance.
+    /// Records that an endpoint crashed while the request ran there; `isolated` if the request ran
+    /// in isolation.
     pub fn record_crash(&self, identity: Identity, start: EndpointStart, isolated: bool) {
         log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone = isolated; "endpoint crashed under a request");
         self.count_event("crash");
@@ -160,8 +164,8 @@
         });
     }
 
-    /// An endpoint answered a request, sent `took` ago, with an answer of its own: the request can come to
-    /// its end, and the endpoint lives.
+    /// Records that an endpoint answered a request that was sent `duration` ago: a run of the
+    /// request completed, and the endpoint is alive.
     pub fn record_answer(
         &self,
         identity: impl FnOnce() -> Identity,
@@ -179,24 +183,24 @@
         });
     }
 
-    /// Another instance or the store tells of requests.
+    /// Merges reports of another instance or from the store.
     pub fn merge(&self, source: Source, reports: Vec<Report>) {
         self.apply(source, |register, now| register.merge(now, reports));
     }
 
-    /// An operator says that a request may run again.
+    /// An operator allows the request to run again. Returns whether that changed its status.
     pub fn clear(&self, identity: Identity) -> bool {
         self.apply(Source::Operator, |register, now| {
             register.clear(now, identity)
         })
     }
 
-    /// All that is known.
+    /// Reports of all records.
     pub fn reports(&self) -> Vec<Report> {
         self.register.borrow().reports(self.now())
     }
 
-    /// Waits until others are to be told something, and gives it.
+    /// Waits until there are reports to send to other instances, and takes them.
     pub async fn next_pending(&self) -> Vec<Report> {
         let take_pending = || {
             self.register
@@ -206,12 +210,13 @@
         news::next(self.changes(), take_pending).await
     }
 
-    /// What is untold is gathered for a moment between two messages.
+    /// Waits for [`MESSAGE_DELAY`], while further reports accumulate.
     pub async fn delay_next_message() {
         sleep(MESSAGE_DELAY).await;
     }
 
-    /// Takes news in; says whether they changed anything.
+    /// Applies `step` to the register, logs the changes and notifies of them. Returns whether a
+    /// request's status changed.
     fn apply(&self, source: Source, step: impl FnOnce(&mut Register, Time) -> Vec<Change>) -> bool {
         let changes = step(&mut self.register.borrow_mut(), self.now());
         for change in &changes {
@@ -247,12 +252,12 @@
         });
     }
 
-    /// Counts one event.
+    /// Counts an event in the metrics; `event` is the label.
     pub fn count_event(&self, event: &str) {
         self.metrics.count(&self.metrics.crashes, &[event]);
     }
 
-    /// Forgets what is too old to count.
+    /// Removes expired records at an interval; idle while there are none.
     async fn expire_old(&self) {
         let mut changes = self.changes();
         loop {
--- a/crates/pinereel/src/hosted/crashes/stored.rs
+++ b/crates/pinereel/src/hosted/crashes/stored.rs
@@ -1,7 +1,8 @@
-//! What the store keeps of the requests under which endpoints crash.
+//! Persists crash reports in the object store.
 //!
-//! One object, of the kind of the leases: whoever starts or reads for all lists that kind anyway, so that
-//! reading it costs no call of its own, and nothing while there is none.
+//! All reports are in a single object of the same kind as the leases. An instance that starts, or
+//! that reads the store for all, lists that kind anyway, so reading the reports costs no extra
+//! call.
 
 use super::{CrashTracker, Source};
 use crate::{
@@ -13,18 +14,18 @@
 use serde::{Deserialize, Serialize};
 use std::{cell::RefCell, collections::BTreeMap};
 
-/// Name of the object.
+/// Name of the object that holds the reports.
 const OBJECT_NAME: &str = "requests-that-crash";
-/// Requests that are kept: 40 kB.
+/// Maximum number of reports in the object, which take 40 kB.
 const MAX_STORED_REPORTS: usize = 200;
 
-/// The object's content.
+/// Content of the object.
 #[derive(Debug, Serialize, Deserialize)]
 struct Content {
     reports: Vec<Report>,
 }
 
-/// What the store keeps, as this instance last saw it.
+/// Saves crash reports to the store, and remembers what the store had when last read or written.
 #[derive(Default)]
 pub struct StoredReports {
     last_known: RefCell<Option<StoredState>>,
@@ -35,10 +36,10 @@
     history: CrashHistory,
 }
 
-/// What is known, without its age.
+/// The reports without their ages, which change all the time.
 type CrashHistory = BTreeMap<Identity, Vec<(EndpointStart, Involvement)>>;
 
-/// Takes the object out of a list of leases.
+/// Removes the object with the reports from a list of leases and returns it.
 pub fn take_reports_object(objects: &mut Vec<Object>) -> Option<Object> {
     let at = objects
         .iter()
@@ -47,12 +48,13 @@
 }
 
 impl CrashTracker {
-    /// The store's object was read; gives what it tells.
+    /// Merges the reports of an object read from the store, and returns them. An unreadable object
+    /// is logged and counts as empty.
     pub fn load(&self, object: Object) -> Vec<Report> {
         let reports = match serde_json::from_value::<Content>(object.spec) {
             Ok(content) => content.reports,
             Err(error) => {
-                log::error!(revision = object.revision, error:% = error; "requests that crash endpoints: object unreadable");
+                log::error!(revision = object.revision, error:% = error; "cannot parse the stored crash reports");
                 Vec::new()
             }
         };
@@ -62,7 +64,7 @@
 }
 
 impl StoredReports {
-    /// A list of the leases showed this.
+    /// Records which object a list of the leases contained, and loads it if it has changed.
     pub fn record_listed(&self, crashes: &CrashTracker, object: Option<Object>) {
         let Some(object) = object else {
             self.last_known.replace(None);
@@ -82,10 +84,10 @@
             .replace(Some(StoredState { revision, history }));
     }
 
-    /// Brings the store up to what is known here.
+    /// Writes this instance's reports to the store, unless it has them already.
     ///
     /// # Errors
-    /// If the store did not take it; a list shows then what it has.
+    /// If the write failed; the next list of the leases shows what the store has.
     pub async fn save(&self, store: &Store, crashes: &CrashTracker) -> Result<(), Error> {
         let reports: Vec<_> = crashes
             .reports()
@@ -128,6 +130,7 @@
     }
 }
 
+/// The part of the reports that is compared to decide whether to write.
 fn history(reports: &[Report]) -> CrashHistory {
     let reports = reports.iter();
     reports
