--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -1,4 +1,5 @@
-//! The configuration in force at this instance.
+//! The active configuration: watches the configuration object in the store and activates each newer
+//! version.
 
 use super::{
     bulletin::{Feed, Topic},
@@ -12,7 +13,8 @@
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::Instant};
 
-/// The configuration in force; it never goes back to an older number in one process.
+/// The configuration that is in force at this instance. Its number never decreases within one
+/// process.
 pub struct Config {
     active: RefCell<Option<ActiveConfig>>,
     number: watch::Sender<u64>,
@@ -20,6 +22,7 @@
     feed: Rc<Feed>,
 }
 
+/// A configuration, and when it was activated here.
 #[derive(Clone)]
 struct ActiveConfig {
     table: Rc<RoutingTable>,
@@ -27,7 +30,8 @@
 }
 
 impl Config {
-    /// Follows the configuration in `store` from now on.
+    /// Starts to watch the configuration in `store`. `wait` is the longest wait of one watch call;
+    /// other instances may forward changes through `feed`.
     pub fn start(store: &Store, adapter: Adapter, wait: Duration, feed: &Rc<Feed>) -> Rc<Self> {
         let config = Rc::new(Self {
             active: RefCell::new(None),
@@ -51,29 +55,31 @@
         config
     }
 
-    /// The configuration in force; none before the first was read.
+    /// Routing table of the active configuration; none before the first one was read.
     pub fn table(&self) -> Option<Rc<RoutingTable>> {
         let active = self.active.borrow();
         active.as_ref().map(|active| Rc::clone(&active.table))
     }
 
-    /// For how long it has been in force here.
+    /// Time since the active configuration was activated here.
     pub fn age(&self) -> Option<Duration> {
         let active = self.active.borrow();
         active.as_ref().map(|active| active.activated_at.elapsed())
     }
 
-    /// Whether this instance hears of each change: from a parent with fresh news, or from the store itself.
+    /// Whether this instance learns of each change: from a parent instance that is up to date, or
+    /// from the store itself.
     pub fn is_current(&self) -> bool {
         self.feed.has_parent() || self.store.away_since().is_none()
     }
 
-    /// Tells the number in force when it changes.
+    /// Notifies of each newly activated configuration, by its number.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.number.subscribe()
     }
 
-    /// Calls `start` once for each name that `names` gives under this configuration or a later one.
+    /// Calls `start` once for each name that `names` returns for the active configuration or a
+    /// later one. Runs until the process ends.
     pub async fn for_each_new(
         &self,
         names: impl Fn(&RoutingTable) -> Vec<CompactString>,
@@ -109,6 +115,7 @@
         }
     }
 
+    /// Activates a configuration unless it is invalid or not newer than the active one.
     fn activate(&self, adapter: Adapter, object: &Object) {
         let revision = object.revision;
         let document = match (adapter.config)(&object.spec) {
@@ -122,7 +129,7 @@
         let number = document.number;
         let before = self.table().map(|table| table.number());
         if before.is_some_and(|before| number <= before) {
-            log::debug!(revision, number; "configuration is in force or older");
+            log::debug!(revision, number; "configuration is not newer than the active one");
             return;
         }
         let table = Rc::new(RoutingTable::new(document));
@@ -131,7 +138,7 @@
             table,
             activated_at,
         }));
-        log::info!(revision, number, before:serde = before; "configuration in force");
+        log::info!(revision, number, before:serde = before; "configuration activated");
         self.number.send_replace(number);
     }
 }
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: trainers' calls and live requests.
+//! HTTP frontend for callers: authenticates requests, matches routes, and passes live requests to
+//! the proxy and trainers' calls to the lots.
 
 use super::{
     config::Config,
@@ -28,28 +29,29 @@
 use std::{cell::OnceCell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// A request whose head says nothing of its deadline gets the route's timeout, and a call for which
-/// there is no route so long.
+/// Default timeout of a trainer's call that has no route. A request with a route and without a
+/// deadline gets the route's timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A final answer leaves so long before the caller's deadline or the route's timeout, to be there
-/// in time.
+/// Time by which the final answer is sent before the caller's deadline or the route's timeout, so
+/// that it arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
-/// Longest wait for the rest of a body.
+/// Maximum time to read a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request that comes while this instance has not read the configuration and the endpoint list yet
-/// waits for them so long. Both are there 0.02 s after the start (0.25 cores), and 0.15 s after the
-/// return of a store that was away; callers that were refused in between came back late.
+/// Maximum wait of a request for the configuration and the endpoint list if this instance has not
+/// read them yet. Both are read 0.02 s after the start with 0.25 cores, and 0.15 s after the store
+/// returns from an outage. Callers that are refused meanwhile retry much later.
 const INITIAL_STATE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two looks for that news.
+/// Interval at which a waiting request checks whether they have been read.
 const INITIAL_STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// When a caller should come back while no configuration is known: it is read within a second.
+/// Delay after which a caller should retry while no configuration is known, or may not be current;
+/// it is read within a second.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What callers' requests are served with.
+/// Serves callers' requests.
 pub struct Frontend {
-    /// Translates.
+    /// Translates between the platform's protocol and the types of this process.
     pub adapter: Adapter,
-    /// Whether what is known may be old.
+    /// Detects that this process was paused, so that its state may be outdated.
     pub stall: Rc<Stall>,
     /// The object store.
     pub store: Store,
@@ -57,22 +59,22 @@
     pub config: Rc<Config>,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Live requests.
+    /// Forwards live requests.
     pub proxy: Rc<Proxy>,
-    /// Trainers' calls.
+    /// Handles trainers' calls.
     pub desk: Desk,
-    /// The graceful stop.
+    /// Graceful shutdown.
     pub stop: Rc<Stop>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// Answers one request, which is in flight until the last byte of its answer has been sent.
+/// Answers one request. It counts as in flight until the last byte of its answer has been sent.
 pub async fn serve(frontend: Rc<Frontend>, request: Request) -> Response {
     let guard = frontend.stop.enter();
     let mut answer = frontend.answer(request).await;
     if frontend.stop.asked() {
-        // The caller opens its next connection elsewhere.
+        // Makes the caller open its next connection to another instance.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
     http::hold(answer, guard)
@@ -148,10 +150,10 @@
         .await
     }
 
-    /// On whose behalf a request is made, or the answer to one that may not run.
+    /// Returns the caller that a request is made for, or the answer that refuses it.
     ///
-    /// A key that this instance does not know may be new while it is out of touch with the configuration: then the
-    /// caller is asked to come again, to an instance that knows.
+    /// While this instance may miss changes of the configuration, a key that it does not know may
+    /// be new: the caller is then asked to retry, which may reach an instance that knows the key.
     fn authenticate_caller(
         &self,
         table: &RoutingTable,
@@ -179,8 +181,8 @@
         })
     }
 
-    /// The configuration in force, once it and the endpoint list are known; none if there is none
-    /// soon. Not waited for while the store is away.
+    /// Returns the active routing table once it and the endpoint list have been read; after
+    /// [`INITIAL_STATE_TIMEOUT`], or at once during a store outage, what there is.
     async fn wait_for_table(&self) -> Option<Rc<RoutingTable>> {
         let end = Instant::now() + INITIAL_STATE_TIMEOUT;
         loop {
@@ -193,6 +195,7 @@
         }
     }
 
+    /// Forwards a live request and turns its outcome into a response.
     async fn proxy_request(
         &self,
         request: Request,
@@ -239,6 +242,7 @@
         }
     }
 
+    /// Answers a trainer's call about a lot that was submitted before.
     async fn answer_lot_call(
         &self,
         call: lot::Call,
@@ -269,7 +273,7 @@
     }
 }
 
-/// When a request is answered in any case.
+/// Time by which a request is answered, even without an outcome.
 fn deadline(metadata: &live::Request, timeout: Duration, received_at: Instant) -> Instant {
     let left = metadata.time_left.map_or(timeout, |left| left.min(timeout));
     received_at + left.saturating_sub(ANSWER_MARGIN)
@@ -284,7 +288,7 @@
     })
 }
 
-/// A refusal of something that did not run, with when to come back.
+/// Response to a request that did not run, with a `Retry-After` in seconds to three decimals.
 fn not_run(status: StatusCode, retry_after: Duration) -> Response {
     let mut response = http::empty(status);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
