--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -1,11 +1,14 @@
-//! A request came again and again under new ids, at every instance, and each endpoint that began to
-//! run it crashed: all four ended within 0.3 s, were back after 3.5 s and ended again, 12 and 21 of
-//! them in one day, while every other caller was refused. Nothing kept what the request had done: each
-//! attempt began with all endpoints again. And the crash itself was taken for its opposite. A kept connection
-//! broke under the request, the same request was sent again over a fresh one, nobody listened there any more, and
-//! the line said `i-22d6b38b11 not opened 91ms`, `not run`, where the endpoint had run it for 88 ms and crashed; a
-//! refused connection takes 1 ms there. So it counted against no bound on attempts: one request alone took three
-//! endpoints in 169 ms.
+//! Requests that crash endpoints crash at most three each, and other callers are served.
+//!
+//! The request is retried under new ids at every instance. Without a record of its crashes, each
+//! attempt may use every endpoint again: all four endpoints crashed within 0.3 s, restarted after
+//! 3.5 s and crashed again, 12 and 21 times in a day, while all other callers were refused.
+//!
+//! A crash must also count as an attempt that ran. When an idle connection is lost under the
+//! request, it is sent again over a fresh one, which the crashed endpoint refuses. If this counts
+//! as "not opened" and "not run", although the endpoint ran the request for 88 ms, no limit on
+//! attempts applies: one request crashed three endpoints within 169 ms. A refused connection alone
+//! takes 1 ms.
 
 use actix_http::{Method, StatusCode};
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
@@ -29,11 +32,11 @@
     services: 0,
 };
 const ENDPOINTS: usize = 5;
-/// Endpoints that one such request may take in all.
+/// Maximum number of endpoints that one request may crash.
 const MAX_CRASHES: usize = 3;
-/// How long a crashed endpoint is away.
+/// Time until a crashed endpoint is back.
 const RESTART_DELAY: Duration = Duration::from_secs(2);
-/// By then each instance knows of the third crash.
+/// Time within which every instance knows of the last crash.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 thread_local! {
@@ -60,7 +63,7 @@
     ((0..count).map(start).collect(), crashes)
 }
 
-/// So many callers send other requests for `span`.
+/// Starts `count` callers that send other requests for `span`.
 fn start_callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
     let (balance, end) = (site.balance(), Instant::now() + span);
     let tally = Rc::new(Tally::default());
@@ -80,7 +83,7 @@
     let end = Instant::now() + span;
     while Instant::now() < end {
         for instance in &site.instances {
-            // What it gets is looked at later.
+            // The caller checks the crashes and later answers.
             let _ = send(instance, body).await;
         }
         sleep(Duration::from_millis(50)).await;
@@ -99,7 +102,7 @@
     own.map(|crash| crash.endpoint.clone()).collect()
 }
 
-/// The request is refused at once everywhere, and nothing crashes.
+/// Checks that every instance refuses the request within 300 ms.
 async fn assert_refused_everywhere(site: &Site, body: &str) {
     for instance in &site.instances {
         let began = Instant::now();
@@ -136,7 +139,8 @@
     assert!(not * 20 < good, "{good} good, {not} not");
 }
 
-/// Repeats the request until it is refused, and a little longer; at most three endpoints crash.
+/// Sends the request for 5 s, until it is refused everywhere, and checks that it crashes at least
+/// one endpoint and at most three.
 async fn send_until_refused(site: &Site, crashes: &Crashes, body: &str) {
     send_repeatedly(site, body, Duration::from_secs(5)).await;
     let crashed = crashed_under(crashes, body);
@@ -224,7 +228,7 @@
     assert_eq!(crashed_under(&crashes, &body), crashed);
 }
 
-/// Sends a lot of four items; the parts of `bad` stand in for those of the first one.
+/// Submits a lot of four items; the fields of `crashing` replace those of the first item.
 async fn submit(site: &Site, lot: &str, crashing: &serde_json::Value) {
     let mut items: Vec<_> = (0..4)
         .map(|number| item(&format!("{lot}-{number}")))
@@ -261,7 +265,7 @@
     })
 }
 
-/// What is listed of a lot.
+/// Results of a lot so far.
 async fn read_results(site: &Site, lot: &str) -> Vec<serde_json::Value> {
     let headers = [("host", HOST.to_owned())];
     let (address, path) = (
@@ -275,7 +279,8 @@
     read["results"].as_array().cloned().unwrap_or_default()
 }
 
-/// A site whose endpoints and engines crash under some requests, its endpoints and engines, and their crashes.
+/// Starts a site with endpoints and engines that crash under some requests. Returns it with them
+/// and the record of their crashes.
 async fn fragile_site(seed: u64) -> (Site, Vec<Fragile>, Crashes) {
     let size = Size { engines: 0, ..SIZE };
     let site = Site::start(size, seed).await.expect("it starts");
@@ -289,8 +294,9 @@
     (site, fragile, crashes)
 }
 
-/// Plays a lot whose first item crashes what it comes to, at engines or at scorers. It takes three, and waits for the
-/// end of its time without an answer that would not be true; the others are done.
+/// Runs a lot whose first item crashes the engines or scorers that run it. It crashes exactly three
+/// and then stays without a result until its deadline, since no result would be true; the other
+/// items complete.
 async fn run_lot_with_crashing_item(seed: u64, lot: &str, crashing: &serde_json::Value) {
     let (site, _fragile, crashes) = fragile_site(seed).await;
     submit(&site, lot, crashing).await;
@@ -319,17 +325,17 @@
     run_lot_with_crashing_item(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
 
-/// Items of a crowded lot, and those of them that are bad.
+/// Items of a large lot, and the number of them that crash endpoints.
 const ITEMS: usize = 40;
 const CRASHING_ITEMS: usize = 3;
 
-/// Plays a crowded lot with several bad items, `change`d to crash what they come to, at engines or at scorers. Each
-/// takes three endpoints at most, and all other items are done.
+/// Runs a large lot with several items that `change` makes crash the engines or scorers that run
+/// them. Each crashes at most three endpoints, and all other items complete.
 ///
-/// Several such items came with each lot. An endpoint that crashed took all that ran there along, 8 at an engine and up to 30
-/// at a scorer, and all of those ran together again: whose crash the second and third one was could not be told, a request under
-/// which three had ended was sent 10 times more, 37 and 38 endpoints ended in a day of 40 s, and 41 % and 65 % of the
-/// callers' work was not done.
+/// A crash ends every run at the endpoint, 8 at an engine and up to 30 at a scorer. If all of those
+/// run together again, the next crashes cannot be attributed to one request: a request under which
+/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of 40
+/// s, and 41 % and 65 % of the callers' work was not done.
 async fn run_lot_with_several_crashing_items(
     seed: u64,
     change: impl Fn(&mut serde_json::Value, &str),
@@ -374,7 +380,7 @@
     .await;
 }
 
-/// Endpoints that crash by themselves while callers are served: nobody is refused for it.
+/// Endpoints that crash without a request as the cause: no request is blocked for it.
 #[actix_rt::test]
 async fn endpoints_that_crash_by_themselves_bring_nobody_a_verdict() {
     let site = Site::start(SIZE, 166).await.unwrap();
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -1,7 +1,9 @@
-//! Callers' keys and workspaces, as a whole path of real processes.
+//! Callers' API keys and workspaces, end to end with real processes.
 //!
-//! Nothing looked at keys: on a quiet day 3,617 requests came to endpoints with the caller's key and without its workspace, one with a
-//! key that no configuration ever had, and on days that take keys away up to 63 ran with one that was gone for 4 s.
+//! Guards against requests that are forwarded without a check of their key. Without it, 3,617
+//! requests of a day without faults reached endpoints with the caller's key and without its
+//! workspace, one had a key that was never configured, and on days that revoke keys up to 63
+//! requests ran with a key that had been revoked for 4 s.
 
 use actix_http::{Method, StatusCode};
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
@@ -21,10 +23,11 @@
     services: 2,
 };
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change of the keys is in force everywhere within so long.
+/// Time within which a change of the keys is in force at every instance.
 const CONFIG_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// Two keys of one workspace, one of another, one that comes later, and one that nobody ever had.
+/// Two keys of workspace a, two of workspace b, the second of which is added later, and one that is
+/// never configured.
 const A1: &str = "key-of-a-7fe2b1";
 const A2: &str = "key-of-a-30cd55";
 const B1: &str = "key-of-b-91aa0e";
@@ -46,7 +49,7 @@
     site.configure("plain", Duration::from_secs(2));
 }
 
-/// One call with a key, and a workspace that the caller claims to be.
+/// Sends one call with a key. Its header claims workspace b, which must have no effect.
 async fn send(
     instance: &Instance,
     (method, path): (Method, &str),
@@ -140,7 +143,7 @@
     }
     let answer = send(instance, submit.clone(), "lot-1", Some(A1), &lot()).await;
     assert_eq!(answer.status, StatusCode::ACCEPTED);
-    // Another workspace learns nothing of it, at no instance.
+    // No instance tells another workspace anything about the lot.
     for instance in &site.instances {
         assert_eq!(results(instance, B1).await.0, StatusCode::NOT_FOUND);
         for call in [end.clone(), body.clone()] {
@@ -152,7 +155,8 @@
             StatusCode::UNAUTHORIZED
         );
     }
-    // A key that is taken away ends no lot, and another one of the workspace goes on.
+    // Revoking the key that submitted a lot does not end it, and the workspace's other key can read
+    // it.
     set_keys(&mut site, &[A2], &[B1]);
     let instance = &site.instances[1];
     let limit = Instant::now() + Duration::from_secs(10);
@@ -174,7 +178,7 @@
     assert_eq!(site.book.faults(), Vec::<String>::new());
 }
 
-/// Everything that a process writes: its log, its metrics, and its objects in the store.
+/// Everything that the processes write: logs, metrics, and objects in the store.
 async fn written(site: &Site) -> String {
     let mut all = site.store.written();
     for instance in &site.instances {
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: endpoints that start again under their id, and entries of other writers.
+//! The endpoint list: endpoints that restart under the same id, and invalid entries of other
+//! writers.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -24,8 +25,8 @@
     lines.filter(|line| line.contains(with)).collect()
 }
 
-/// Load pattern: an engine falls silent behind a cut, and starts again there. Its runs were waited for until
-/// they had been silent for 1.5 s; the list tells sooner that they are lost.
+/// Load pattern: an engine becomes unreachable and restarts meanwhile. Its runs end as lost when
+/// the new entry is listed, rather than after the 1.5 s timeout for silent runs.
 #[actix_rt::test]
 async fn runs_at_an_engine_that_starts_again_are_lost_at_once() {
     let site = Site::start(SMALL, 140).await.unwrap();
@@ -48,7 +49,7 @@
         sleep(Duration::from_millis(200)).await;
         site.engines[0].endpoint.restart();
         sleep(Duration::from_millis(700)).await;
-        // 0.9 s after the engine fell silent.
+        // 0.9 s after the engine became unreachable.
         let lost = lines(&site, "Broken(Restarted)").len();
         site.engines[0].proxy.set(proxy::Fault::default());
         lost
@@ -57,7 +58,7 @@
     assert!(lost > 0, "runs are lost within 0.7 s of the entry");
     assert_eq!(trainer.done, 1);
     assert_eq!(book.faults(), Vec::<String>::new());
-    // Its count of orders has begun anew, and it gets the next version all the same.
+    // The restarted engine counts its orders from the beginning, and still gets the next version.
     let mut trainer = Trainer::new("next", &balance, &site.store, &book, shape, 1);
     for step in 0..2 {
         trainer.step(step).await;
@@ -68,8 +69,8 @@
     assert_eq!(book.faults(), Vec::<String>::new());
 }
 
-/// Load pattern: another writer spoils one entry of a service and adds others that nobody can use. The good
-/// ones hold, and nothing is sent to what the bad ones name.
+/// Load pattern: another writer overwrites one entry of a service with an invalid one and adds
+/// further invalid entries. The valid entries stay in use, and nothing is sent to the invalid ones.
 #[actix_rt::test]
 async fn entries_of_another_writer_name_no_endpoint() {
     let site = Site::start(SMALL, 141).await.unwrap();
@@ -85,7 +86,7 @@
     for (number, spec) in bad.into_iter().enumerate() {
         site.store.put("servers", &format!("other-{number}"), spec);
     }
-    // One that was good names nothing any more.
+    // An entry that was valid before becomes invalid.
     let spoiled = Rc::clone(&site.services[0].endpoint.id);
     site.store.put("servers", &spoiled, json!({"state": 7}));
     sleep(Duration::from_millis(1_200)).await;
@@ -113,7 +114,7 @@
     assert!(used.len() >= 30, "{}", used.len());
     assert!(!used.iter().any(|line| line.contains("other-")));
     assert!(!used.iter().any(|line| line.contains(&*spoiled)));
-    // Each is told of once an instance.
+    // Each instance logs each invalid entry once.
     let refused = lines(&site, "list entry refused");
     assert_eq!(refused.len(), 8 * site.instances.len(), "{refused:?}");
 }
