--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -210,7 +210,7 @@
         news::next(self.changes(), take_pending).await
     }
 
-    /// Waits for [`MESSAGE_DELAY`], while further reports accumulate.
+    /// Waits for the delay between two messages, while further reports accumulate.
     pub async fn delay_next_message() {
         sleep(MESSAGE_DELAY).await;
     }
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -131,7 +131,7 @@
 
 impl Endpoints {
     /// Starts to watch the list. `needs_prompt_updates` returns whether this instance has duties
-    /// that depend on recent changes; then they are read after [`PROMPT_BATCH_DELAY`].
+    /// that depend on recent changes; then changes are read after a shorter delay.
     pub fn start(
         parts: Parts,
         instance: &Instance,
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -1,6 +1,6 @@
 //! Routing of suspected requests: those under which endpoints have crashed.
 //!
-//! They run at one endpoint at a time, which [`CrashTracker::place`] chooses in the same way at
+//! They run at one endpoint at a time, which `CrashTracker::place` chooses in the same way at
 //! every instance.
 
 use super::{Answer, Outcome, Proxy, RETRY_AFTER, RequestState, SelectedEndpoint};
@@ -47,8 +47,8 @@
         let open = endpoints.open(state.service);
         let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
         match self.parts.crashes.place(&request.identity(), &starts) {
-            Placement::Endpoint(seat) => {
-                let key = open.iter().find(|(_, start)| *start == seat);
+            Placement::Endpoint(chosen) => {
+                let key = open.iter().find(|(_, start)| *start == chosen);
                 let key = key.map(|(key, _)| *key);
                 let untried = key.filter(|key| !state.used_endpoints.contains(key));
                 let selected = untried.and_then(|key| endpoints.select(key));
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -29,9 +29,9 @@
 use std::{cell::OnceCell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Default timeout of a trainer's call that has no route. A request with a route and without a
-/// deadline gets the route's timeout.
-const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time to answer the call that ends a lot, which has no route. Other requests are limited
+/// by the timeout of their route. A caller's earlier deadline applies in both cases.
+const LOT_END_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time by which the final answer is sent before the caller's deadline or the route's timeout, so
 /// that it arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
@@ -258,7 +258,7 @@
             }
             lot::Call::Body { lot, item } => ("body", self.desk.body(caller, &lot, &item).await),
             lot::Call::End { lot } => {
-                let deadline = deadline(metadata, DEFAULT_TIMEOUT, received_at);
+                let deadline = deadline(metadata, LOT_END_TIMEOUT, received_at);
                 ("end", self.desk.end(caller, &lot, deadline).await)
             }
             lot::Call::Other => ("other", Reply::NotFound),
