--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -202,12 +202,12 @@
 
     /// Waits until there are reports to send to other instances, and takes them.
     pub async fn next_pending(&self) -> Vec<Report> {
-        let take_pending = || {
+        let take = || {
             self.register
                 .borrow_mut()
                 .take_pending(self.now(), MAX_REPORTS_PER_MESSAGE)
         };
-        news::next(self.changes(), take_pending).await
+        news::next(self.changes(), take).await
     }
 
     /// Waits for the delay between two messages, while further reports accumulate.
--- a/crates/pinereel/src/hosted/crashes/stored.rs
+++ b/crates/pinereel/src/hosted/crashes/stored.rs
@@ -15,7 +15,7 @@
 use std::{cell::RefCell, collections::BTreeMap};
 
 /// Name of the object that holds the reports.
-const OBJECT_NAME: &str = "requests-that-crash";
+const OBJECT: &str = "requests-that-crash";
 /// Maximum number of reports in the object, which take 40 kB.
 const MAX_STORED_REPORTS: usize = 200;
 
@@ -41,9 +41,7 @@
 
 /// Removes the object with the reports from a list of leases and returns it.
 pub fn take_reports_object(objects: &mut Vec<Object>) -> Option<Object> {
-    let at = objects
-        .iter()
-        .position(|object| object.name == OBJECT_NAME)?;
+    let at = objects.iter().position(|object| object.name == OBJECT)?;
     Some(objects.remove(at))
 }
 
@@ -106,18 +104,18 @@
             None if own.is_empty() => return Ok(()),
             Some((_, true)) => return Ok(()),
             Some(_) if own.is_empty() => {
-                store.delete(purpose, kind, OBJECT_NAME).await?;
+                store.delete(purpose, kind, OBJECT).await?;
                 self.last_known.replace(None);
                 return Ok(());
             }
             None => {
                 store
-                    .create(purpose, kind, OBJECT_NAME, &spec().to_string())
+                    .create(purpose, kind, OBJECT, &spec().to_string())
                     .await?
             }
             Some((revision, _)) => {
                 store
-                    .update(purpose, kind, OBJECT_NAME, revision, &spec())
+                    .update(purpose, kind, OBJECT, revision, &spec())
                     .await?
             }
         };
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -41,9 +41,9 @@
     ) -> LocalBoxFuture<'static, AttemptResult> {
         let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         Box::pin(async move {
-            let started_at = Instant::now();
-            let guard = InFlightGuard::new(&proxy.parts.endpoints, selected.key, started_at);
-            let wait = request.deadline.saturating_duration_since(started_at);
+            let started = Instant::now();
+            let guard = InFlightGuard::new(&proxy.parts.endpoints, selected.key, started);
+            let wait = request.deadline.saturating_duration_since(started);
             let exchange = proxy.exchange(&request, &selected, wait);
             let result = timeout(wait, exchange).await;
             let result = result.unwrap_or(Err(Failure::Lost));
@@ -52,7 +52,7 @@
             AttemptResult {
                 selected,
                 isolated,
-                duration: started_at.elapsed(),
+                duration: started.elapsed(),
                 result,
             }
         })
@@ -67,10 +67,10 @@
         wait: Duration,
     ) -> Result<Answer, Failure> {
         let head = self.head_builder(request, selected, wait);
-        let started_at = Instant::now();
+        let started = Instant::now();
         let repeatable = request.route.kind == Kind::Idempotent;
         let mut reuse = repeatable;
-        let mut connection_broke = false;
+        let mut resent = false;
         loop {
             let exchange = Exchange {
                 address: selected.address,
@@ -82,24 +82,22 @@
                 Ok(response) => {
                     let classified = self.classify_response(request, selected, response).await;
                     return match classified {
-                        Err(Failure::Lost) => Err(self.classify_connection_loss(selected).await),
+                        Err(Failure::Lost) => Err(self.loss_cause(selected).await),
                         classified => classified,
                     };
                 }
                 // The endpoint closed the idle connection: send it again over a fresh one.
                 Err(Error::Stale(reason)) => {
-                    log_connection_loss(request, selected, started_at, &reason);
-                    (reuse, connection_broke) = (false, true);
+                    log_connection_loss(request, selected, started, &reason);
+                    (reuse, resent) = (false, true);
                 }
                 // The request may have run over the first connection: an endpoint that had run it
                 // for 88 ms and crashed refused the second connection, which looks like "not run".
-                Err(Error::NotOpened(_)) if connection_broke => {
-                    return Err(self.classify_connection_loss(selected).await);
-                }
+                Err(Error::NotOpened(_)) if resent => return Err(self.loss_cause(selected).await),
                 Err(Error::NotOpened(_)) => return Err(Failure::NotOpened),
                 Err(Error::Lost(reason)) => {
-                    log_connection_loss(request, selected, started_at, &reason);
-                    return Err(self.classify_connection_loss(selected).await);
+                    log_connection_loss(request, selected, started, &reason);
+                    return Err(self.loss_cause(selected).await);
                 }
             }
         }
@@ -107,7 +105,7 @@
 
     /// Tells a crash of the endpoint from a lost connection: an endpoint that still accepts
     /// connections has not crashed.
-    async fn classify_connection_loss(&self, selected: &SelectedEndpoint) -> Failure {
+    async fn loss_cause(&self, selected: &SelectedEndpoint) -> Failure {
         match self.parts.pool.is_gone(selected.address).await {
             true => Failure::Crashed,
             false => Failure::Lost,
@@ -122,7 +120,7 @@
         selected: &'a SelectedEndpoint,
         wait: Duration,
     ) -> impl Fn() -> RequestHead + 'a {
-        let started_at = Instant::now();
+        let started = Instant::now();
         move || {
             let mut head = RequestHead::default();
             head.method = request.method.clone();
@@ -131,7 +129,7 @@
             let attempt = Attempt {
                 id: &request.id,
                 endpoint: &selected.id,
-                time_left: Some(wait.saturating_sub(started_at.elapsed())),
+                time_left: Some(wait.saturating_sub(started.elapsed())),
                 after_event: None,
                 caller: &request.caller,
             };
@@ -186,16 +184,16 @@
 struct InFlightGuard {
     endpoints: Rc<Endpoints>,
     key: Option<Key>,
-    started_at: Instant,
+    started: Instant,
 }
 
 impl InFlightGuard {
-    fn new(endpoints: &Rc<Endpoints>, key: Key, started_at: Instant) -> Self {
+    fn new(endpoints: &Rc<Endpoints>, key: Key, started: Instant) -> Self {
         endpoints.record_start(key);
         Self {
             endpoints: Rc::clone(endpoints),
             key: Some(key),
-            started_at,
+            started,
         }
     }
 
@@ -207,7 +205,7 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            let duration = self.started_at.elapsed();
+            let duration = self.started.elapsed();
             self.endpoints
                 .record_end(key, duration, AttemptEnd::Cancelled);
         }
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -75,7 +75,7 @@
     request: Rc<ProxyRequest>,
     service: &'a str,
     seed: u64,
-    started_at: Instant,
+    started: Instant,
     attempts: Attempts<Answer>,
     /// Endpoints of its attempts so far.
     used_endpoints: Vec<Key>,
@@ -98,19 +98,19 @@
     /// Forwards `request` and returns its outcome by its deadline. Dropping the future cancels the
     /// attempts in flight.
     pub async fn run(self: &Rc<Self>, request: ProxyRequest) -> Outcome {
-        let started_at = Instant::now();
+        let started = Instant::now();
         let seed = self.next_seed(&request);
         let request = Rc::new(request);
         let list_age = self.parts.endpoints.age().unwrap_or_default();
         let mut crash_changes = self.parts.crashes.changes();
         let Some(service) = routing_table::pick_service(&request.route, seed) else {
-            return self.refuse(&request, "", ("no service", RETRY_AFTER), started_at);
+            return self.refuse(&request, "", ("no service", RETRY_AFTER), started);
         };
         let mut state = RequestState {
             request: Rc::clone(&request),
             service,
             seed,
-            started_at,
+            started,
             attempts: Attempts::new(retry_limits(&request.route)),
             used_endpoints: Vec::new(),
             in_flight: AttemptsInFlight::new(),
@@ -131,16 +131,15 @@
                     break blocked_outcome(&state.attempts, forgotten_in);
                 }
             }
-            match state.attempts.next_step(started_at.elapsed()) {
+            match state.attempts.next_step(started.elapsed()) {
                 Step::Send => {
                     if let Some(refusal) = self.send_next(&mut state, status).await {
-                        return self.refuse(&request, service, refusal, started_at);
+                        return self.refuse(&request, service, refusal, started);
                     }
                 }
-                Step::Wait(until) => {
-                    let wake = until.map_or(request.deadline, |at| {
-                        (started_at + at).min(request.deadline)
-                    });
+                Step::Wait(end) => {
+                    let wake =
+                        end.map_or(request.deadline, |at| (started + at).min(request.deadline));
                     tokio::select! {
                         Some(attempt) = state.in_flight.next() => {
                             attempt_log.push(describe_attempt(&attempt));
@@ -191,11 +190,11 @@
         if !in_flight.is_empty() && matches!(outcome, Outcome::Answer(_)) {
             self.drain_losers(&request, in_flight);
         }
-        self.count_outcome(service, &outcome, started_at);
+        self.count_outcome(service, &outcome, started);
         let metrics = &self.parts.metrics;
         metrics.observe(&metrics.ages, "config", request.config_age);
         metrics.observe(&metrics.ages, "endpoints", list_age);
-        log_request(&request, &outcome, started_at, list_age, &attempt_log);
+        log_request(&request, &outcome, started, list_age, &attempt_log);
         outcome
     }
 
@@ -209,9 +208,7 @@
         self.parts.stall.caught_up().await;
         let next = match status {
             RequestStatus::Suspected { .. } => self.select_for_suspected(state, status).await,
-            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => {
-                self.select_endpoint(state)
-            }
+            RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.select(state),
         };
         match next {
             Selection::Endpoint(selected) => {
@@ -221,7 +218,7 @@
                     state.usage_record = self.parts.usage.begin(&state.request.caller);
                 }
                 state.used_endpoints.push(selected.key);
-                state.attempts.record_send(state.started_at.elapsed());
+                state.attempts.record_send(state.started.elapsed());
                 let attempt = self.run_attempt(
                     &state.request,
                     selected,
@@ -246,7 +243,7 @@
 
     /// Selects the endpoint for the next attempt of an unrestricted request. An endpoint that is
     /// reserved for an isolated request is used only if no other takes it.
-    fn select_endpoint(&self, state: &RequestState<'_>) -> Selection {
+    fn select(&self, state: &RequestState<'_>) -> Selection {
         let repeatable = state.request.route.kind == Kind::Idempotent;
         let choose = |excluded: &[Key]| {
             let endpoints = &self.parts.endpoints;
@@ -281,7 +278,7 @@
             .collect()
     }
 
-    fn count_outcome(&self, service: &str, outcome: &Outcome, started_at: Instant) {
+    fn count_outcome(&self, service: &str, outcome: &Outcome, started: Instant) {
         let label = match outcome {
             Outcome::Answer(answer) if answer.status.is_server_error() => "failure",
             Outcome::Answer(_) => "answer",
@@ -295,7 +292,7 @@
         };
         let metrics = &self.parts.metrics;
         metrics.count(&metrics.requests, &[service, label]);
-        metrics.observe(&metrics.latency, service, started_at.elapsed());
+        metrics.observe(&metrics.latency, service, started.elapsed());
     }
 
     fn next_seed(&self, request: &ProxyRequest) -> u64 {
@@ -309,7 +306,7 @@
         request: &ProxyRequest,
         service: &str,
         (reason, retry_after): (&str, Duration),
-        started_at: Instant,
+        started: Instant,
     ) -> Outcome {
         let outcome = Outcome::NotRun {
             reason: reason.into(),
@@ -319,8 +316,8 @@
         self.parts
             .metrics
             .count(&self.parts.metrics.refused, &[reason]);
-        self.count_outcome(service, &outcome, started_at);
-        log_request(request, &outcome, started_at, list_age, &[]);
+        self.count_outcome(service, &outcome, started);
+        log_request(request, &outcome, started, list_age, &[]);
         outcome
     }
 
--- a/crates/pinereel/src/hosted/proxy/request_log.rs
+++ b/crates/pinereel/src/hosted/proxy/request_log.rs
@@ -42,14 +42,14 @@
 pub(super) fn log_connection_loss(
     request: &ProxyRequest,
     selected: &SelectedEndpoint,
-    started_at: Instant,
+    started: Instant,
     reason: &str,
 ) {
     log::info!(
         id = request.id.as_str(),
         identity:% = request.identity(),
         endpoint = selected.id.as_str(),
-        ms = started_at.elapsed().as_millis() as u64,
+        ms = started.elapsed().as_millis() as u64,
         why = reason;
         "attempt: connection lost"
     );
@@ -80,7 +80,7 @@
 pub(super) fn log_request(
     request: &ProxyRequest,
     outcome: &Outcome,
-    started_at: Instant,
+    started: Instant,
     list_age: Duration,
     attempt_log: &[String],
 ) {
@@ -98,7 +98,7 @@
         outcome = outcome.as_str(),
         why = reason,
         attempts:serde = attempt_log,
-        ms = started_at.elapsed().as_millis() as u64;
+        ms = started.elapsed().as_millis() as u64;
         "request"
     );
 }
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -39,9 +39,7 @@
             return Selection::Recheck;
         }
         let RequestState {
-            request,
-            started_at,
-            ..
+            request, started, ..
         } = state;
         let endpoints = &self.parts.endpoints;
         let open = endpoints.open(state.service);
@@ -57,7 +55,7 @@
                     Selection::Endpoint,
                 )
             }
-            Placement::Wait(wait) if started_at.elapsed() + wait < request.route.objective => {
+            Placement::Wait(wait) if started.elapsed() + wait < request.route.objective => {
                 sleep(wait).await;
                 Selection::Recheck
             }
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -100,10 +100,7 @@
             lot::Call::Other => {}
             call => {
                 return match self.authenticate_caller(&table, &metadata, false) {
-                    Ok(caller) => {
-                        self.answer_lot_call(call, &caller, &metadata, received_at)
-                            .await
-                    }
+                    Ok(caller) => self.lot_call(call, &caller, &metadata, received_at).await,
                     Err(refusal) => refusal,
                 };
             }
@@ -243,7 +240,7 @@
     }
 
     /// Answers a trainer's call about a lot that was submitted before.
-    async fn answer_lot_call(
+    async fn lot_call(
         &self,
         call: lot::Call,
         caller: &Caller,
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -297,7 +297,7 @@
 /// Runs a lot whose first item crashes the engines or scorers that run it. It crashes exactly three
 /// and then stays without a result until its deadline, since no result would be true; the other
 /// items complete.
-async fn run_lot_with_crashing_item(seed: u64, lot: &str, crashing: &serde_json::Value) {
+async fn run_small_lot(seed: u64, lot: &str, crashing: &serde_json::Value) {
     let (site, _fragile, crashes) = fragile_site(seed).await;
     submit(&site, lot, crashing).await;
     sleep(Duration::from_secs(9)).await;
@@ -314,7 +314,7 @@
 #[actix_rt::test]
 async fn an_item_that_crashes_engines_takes_three() {
     let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH} e"))});
-    run_lot_with_crashing_item(164, "lot-e", &crashing).await;
+    run_small_lot(164, "lot-e", &crashing).await;
 }
 
 #[actix_rt::test]
@@ -322,7 +322,7 @@
     let scorer = serde_json::json!({
         "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH} f")),
     });
-    run_lot_with_crashing_item(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
+    run_small_lot(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
 
 /// Items of a large lot, and the number of them that crash endpoints.
@@ -334,12 +334,9 @@
 ///
 /// A crash ends every run at the endpoint, 8 at an engine and up to 30 at a scorer. If all of those
 /// run together again, the next crashes cannot be attributed to one request: a request under which
-/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of 40
-/// s, and 41 % and 65 % of the callers' work was not done.
-async fn run_lot_with_several_crashing_items(
-    seed: u64,
-    change: impl Fn(&mut serde_json::Value, &str),
-) {
+/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of
+/// 40 s, and 41 % and 65 % of the callers' work was not done.
+async fn run_large_lot(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
     let (site, _fragile, crashes) = fragile_site(seed).await;
     let mut items: Vec<_> = (0..ITEMS)
         .map(|number| item(&format!("lot-{seed}-{number}")))
@@ -366,15 +363,12 @@
 
 #[actix_rt::test]
 async fn several_items_of_a_lot_that_crash_engines_take_three_each() {
-    run_lot_with_several_crashing_items(167, |item, text| {
-        item["body"] = BASE64.encode(text).into()
-    })
-    .await;
+    run_large_lot(167, |item, text| item["body"] = BASE64.encode(text).into()).await;
 }
 
 #[actix_rt::test]
 async fn several_scorings_of_a_lot_that_crash_endpoints_take_three_each() {
-    run_lot_with_several_crashing_items(168, |item, text| {
+    run_large_lot(168, |item, text| {
         item["scorer"]["body"] = BASE64.encode(text).into();
     })
     .await;
