--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -1,4 +1,5 @@
-//! The configuration in force at this instance.
+//! The active configuration: watches the configuration object in the store and activates each newer
+//! version.
 
 use super::{
     list_watch::{Update, WatchOptions, list_and_watch},
@@ -12,26 +13,29 @@
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::Instant};
 
-/// The configuration in force; it never goes back to an older number in one process.
+/// The configuration that is in force at this instance. Its number never decreases within one
+/// process.
 pub struct Config {
-    in_force: RefCell<Option<InForce>>,
-    changed: watch::Sender<u64>,
+    active: RefCell<Option<ActiveConfig>>,
+    number: watch::Sender<u64>,
     store: Store,
     feed: Rc<Feed>,
 }
 
+/// A configuration, and when it was activated here.
 #[derive(Clone)]
-struct InForce {
+struct ActiveConfig {
     table: Rc<RoutingTable>,
-    since: Instant,
+    activated_at: Instant,
 }
 
 impl Config {
-    /// Follows the configuration in `store` from now on.
+    /// Starts to watch the configuration in `store`. `wait` is the longest wait of one watch call;
+    /// other instances may forward changes through `feed`.
     pub fn start(store: &Store, adapter: Adapter, wait: Duration, feed: &Rc<Feed>) -> Rc<Self> {
         let config = Rc::new(Self {
-            in_force: RefCell::new(None),
-            changed: watch::channel(0).0,
+            active: RefCell::new(None),
+            number: watch::channel(0).0,
             store: store.clone(),
             feed: Rc::clone(feed),
         });
@@ -44,36 +48,38 @@
                 batch_delay: Duration::ZERO,
             };
             list_and_watch(&store, Purpose::Config, kind, manner, fed, |update, _| {
-                state.take(adapter, update);
+                state.apply_update(adapter, update);
             })
             .await;
         });
         config
     }
 
-    /// The configuration in force; none before the first was read.
+    /// Routing table of the active configuration; none before the first one was read.
     pub fn table(&self) -> Option<Rc<RoutingTable>> {
-        let in_force = self.in_force.borrow();
-        in_force.as_ref().map(|in_force| Rc::clone(&in_force.table))
+        let active = self.active.borrow();
+        active.as_ref().map(|active| Rc::clone(&active.table))
     }
 
-    /// For how long it has been in force here.
+    /// Time since the active configuration was activated here.
     pub fn age(&self) -> Option<Duration> {
-        let in_force = self.in_force.borrow();
-        in_force.as_ref().map(|in_force| in_force.since.elapsed())
+        let active = self.active.borrow();
+        active.as_ref().map(|active| active.activated_at.elapsed())
     }
 
-    /// Whether this instance hears of each change: from a parent with fresh news, or from the store itself.
+    /// Whether this instance learns of each change: from a parent instance that is up to date, or
+    /// from the store itself.
     pub fn is_current(&self) -> bool {
         self.feed.has_parent() || self.store.unreachable_since().is_none()
     }
 
-    /// Tells the number in force when it changes.
+    /// Notifies of each newly activated configuration, by its number.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.number.subscribe()
     }
 
-    /// Calls `start` once for each name that `names` gives under this configuration or a later one.
+    /// Calls `start` once for each name that `names` returns for the active configuration or a
+    /// later one. Runs until the process ends.
     pub async fn for_each_new(
         &self,
         names: impl Fn(&RoutingTable) -> Vec<CompactString>,
@@ -94,7 +100,7 @@
         }
     }
 
-    fn take(&self, adapter: Adapter, update: Update) {
+    fn apply_update(&self, adapter: Adapter, update: Update) {
         let objects = match update {
             Update::All(objects) => objects,
             Update::Changes(changes) => {
@@ -104,12 +110,13 @@
         };
         for object in objects {
             if object.name == adapter.object_kinds.config_object_name {
-                self.put_in_force(adapter, &object);
+                self.activate(adapter, &object);
             }
         }
     }
 
-    fn put_in_force(&self, adapter: Adapter, object: &Object) {
+    /// Activates a configuration unless it is invalid or not newer than the active one.
+    fn activate(&self, adapter: Adapter, object: &Object) {
         let revision = object.revision;
         let document = match (adapter.decode_config)(&object.spec) {
             Ok(document) => document,
@@ -122,13 +129,16 @@
         let number = document.version;
         let before = self.table().map(|table| table.number());
         if before.is_some_and(|before| number <= before) {
-            log::debug!(revision, number; "configuration is in force or older");
+            log::debug!(revision, number; "configuration is not newer than the active one");
             return;
         }
         let table = Rc::new(RoutingTable::new(document));
-        let since = Instant::now();
-        self.in_force.replace(Some(InForce { table, since }));
-        log::info!(revision, number, before:serde = before; "configuration in force");
-        self.changed.send_replace(number);
+        let activated_at = Instant::now();
+        self.active.replace(Some(ActiveConfig {
+            table,
+            activated_at,
+        }));
+        log::info!(revision, number, before:serde = before; "configuration activated");
+        self.number.send_replace(number);
     }
 }
--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -1,12 +1,13 @@
-//! Requests under which endpoints crash, as this instance knows them.
+//! Tracks requests that crash endpoints, and shares them among instances.
 //!
-//! The decisions are `pinereel_core::crash`'s. What this instance sees it tells over the links of the
-//! bulletin, up and down, and each instance passes on what is news to it. Whoever reads for all keeps it in
-//! the store, so that it outlasts a restart of all. Nothing is said, kept or asked while nothing crashes.
+//! [`pinereel_core::crash`] decides whether and where such a request may run. Each instance reports
+//! the crashes that it observes over its links to other instances, and every instance forwards
+//! reports that are new to it. The instance that reads the store for all also saves them there, so
+//! that they survive a restart of all instances. Without crashes this sends and stores nothing.
 
-mod kept;
+mod stored;
 
-pub use kept::{Kept, take_out};
+pub use stored::{StoredReports, take_reports_object};
 
 use super::{metrics::Metrics, pending};
 use crate::state::Clock;
@@ -19,73 +20,74 @@
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::sleep};
 
-/// Requests of one message: 200 bytes each.
-const BATCH: usize = 128;
-/// Pause between two messages, so that what comes together goes together: a thousand crashes in a second
-/// make 50 messages a link.
-const GATHER: Duration = Duration::from_millis(20);
-/// Pause between two looks for what is too old to count.
-const SWEEP: Duration = Duration::from_secs(5);
+/// Maximum number of reports in one message, at 200 bytes each.
+const MAX_REPORTS_PER_MESSAGE: usize = 128;
+/// Delay between two messages, so that reports are batched: 1,000 crashes in a second take 50
+/// messages per link.
+const MESSAGE_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which expired records are removed.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where news of crashes come from, for the log.
+/// Origin of crash reports, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A request of this instance.
-    Own,
+    /// Observed by this instance.
+    Local,
     /// Another instance.
-    Link,
+    Peer,
     /// The object store.
     Store,
-    /// Whoever is on call.
+    /// An operator.
     Operator,
 }
 
 impl Source {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::Own => "own",
-            Self::Link => "link",
+            Self::Local => "own",
+            Self::Peer => "link",
             Self::Store => "store",
             Self::Operator => "operator",
         }
     }
 }
 
-/// Requests under which endpoints crash.
-pub struct Crashes {
+/// Crash records of one instance.
+pub struct CrashTracker {
     register: RefCell<Register>,
     clock: Clock,
     metrics: Metrics,
-    /// Grows with each change of what is known.
-    changed: watch::Sender<u64>,
-    /// Endpoints where requests in doubt of this instance run now.
+    /// Number of changes of the register so far.
+    change_count: watch::Sender<u64>,
+    /// Endpoints at which suspected requests of this instance are running.
     occupied: RefCell<BTreeSet<EndpointStart>>,
 }
 
-/// A request in doubt runs at an endpoint; until this is dropped, no other one of this instance does.
-pub struct Occupied {
-    crashes: Rc<Crashes>,
+/// Marks an endpoint as occupied by a suspected request: until it is dropped, no other suspected
+/// request of this instance is placed there.
+pub struct Occupancy {
+    crashes: Rc<CrashTracker>,
     start: EndpointStart,
 }
 
-impl Drop for Occupied {
+impl Drop for Occupancy {
     fn drop(&mut self) {
         self.crashes.occupied.borrow_mut().remove(&self.start);
     }
 }
 
-impl Crashes {
-    /// Nothing known yet.
+impl CrashTracker {
+    /// Returns a tracker without records, and starts a task that removes expired ones.
     pub fn new(clock: Clock, metrics: &Metrics) -> Rc<Self> {
         let crashes = Rc::new(Self {
             register: RefCell::default(),
             clock,
             metrics: metrics.clone(),
-            changed: watch::channel(0).0,
+            change_count: watch::channel(0).0,
             occupied: RefCell::default(),
         });
-        let swept = Rc::clone(&crashes);
-        actix_rt::spawn(async move { swept.sweep().await });
+        let tracker = Rc::clone(&crashes);
+        actix_rt::spawn(async move { tracker.expire_old().await });
         crashes
     }
 
@@ -93,18 +95,19 @@
         self.clock.now()
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request has a crash record.
     pub fn is_empty(&self) -> bool {
         self.register.borrow().is_empty()
     }
 
-    /// Tells each change of what is known.
+    /// Notifies of each change of the records.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.change_count.subscribe()
     }
 
-    /// How a request stands. `identity` is made only if anything is known of any.
-    pub fn standing(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
+    /// Whether the request may run, and under which restriction. `identity` is computed only if
+    /// there are records.
+    pub fn status(&self, identity: impl FnOnce() -> Identity) -> RequestStatus {
         let register = self.register.borrow();
         if register.is_empty() {
             return RequestStatus::Unrestricted;
@@ -112,23 +115,23 @@
         register.status(self.now(), &identity())
     }
 
-    /// Where a request in doubt may run, of the endpoints that are `open`.
-    pub fn seat(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
+    /// Where a suspected request may run, out of the endpoints `open`.
+    pub fn place(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
         let occupied = self.occupied.borrow();
         let register = self.register.borrow();
         register.place(self.now(), identity, open, &occupied)
     }
 
-    /// A request in doubt begins to run there.
-    pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupied {
+    /// Marks the endpoint as occupied by a suspected request that starts there.
+    pub fn occupy(self: &Rc<Self>, start: &EndpointStart) -> Occupancy {
         self.occupied.borrow_mut().insert(start.clone());
-        Occupied {
+        Occupancy {
             crashes: Rc::clone(self),
             start: start.clone(),
         }
     }
 
-    /// The endpoints, of those that are `open`, where nothing may begin now but a request with a last chance.
+    /// The endpoints, out of `open`, at which only isolated requests may start now.
     pub fn reserved(&self, open: impl FnOnce() -> Vec<EndpointStart>) -> BTreeSet<EndpointStart> {
         let register = self.register.borrow();
         if !register.has_isolated() {
@@ -137,11 +140,11 @@
         register.reserved(self.now(), &open())
     }
 
-    /// Waits while a request must not run; says whether it had to.
-    pub async fn wait_until_free(&self, identity: impl Fn() -> Identity) -> bool {
+    /// Waits while the request is blocked; returns whether it was.
+    pub async fn wait_while_blocked(&self, identity: impl Fn() -> Identity) -> bool {
         let mut changes = self.changes();
         let mut waited = false;
-        while matches!(self.standing(&identity), RequestStatus::Blocked { .. }) {
+        while matches!(self.status(&identity), RequestStatus::Blocked { .. }) {
             waited = true;
             if changes.changed().await.is_err() {
                 break;
@@ -150,83 +153,89 @@
         waited
     }
 
-    /// An endpoint crashed while a request ran there; `alone` if it had its last chance.
-    pub fn crashed(&self, identity: Identity, start: EndpointStart, alone: bool) {
-        log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone; "endpoint crashed under a request");
-        self.count("crash");
-        self.step(Source::Own, |register, now| match alone {
+    /// Records that an endpoint crashed while the request ran there; `isolated` if the request ran
+    /// in isolation.
+    pub fn record_crash(&self, identity: Identity, start: EndpointStart, isolated: bool) {
+        log::warn!(identity:% = identity, endpoint = start.endpoint.as_str(), incarnation = start.incarnation, alone = isolated; "endpoint crashed under a request");
+        self.count_event("crash");
+        self.apply(Source::Local, |register, now| match isolated {
             true => register.crashed_isolated(now, identity, start),
             false => register.crashed(now, identity, start),
         });
     }
 
-    /// An endpoint answered a request, sent `took` ago, with an answer of its own: the request can come to
-    /// its end, and the endpoint lives.
-    pub fn answered(
+    /// Records that an endpoint answered a request that was sent `duration` ago: a run of the
+    /// request completed, and the endpoint is alive.
+    pub fn record_answer(
         &self,
         identity: impl FnOnce() -> Identity,
         start: EndpointStart,
-        took: Duration,
+        duration: Duration,
     ) {
         if self.is_empty() {
             return;
         }
         let identity = identity();
-        self.step(Source::Own, |register, now| {
+        self.apply(Source::Local, |register, now| {
             let mut changes = register.completed(now, identity);
-            changes.extend(register.endpoint_answered(now, &start, now.earlier_by(took)));
+            changes.extend(register.endpoint_answered(now, &start, now.earlier_by(duration)));
             changes
         });
     }
 
-    /// Another instance or the store tells of requests.
-    pub fn heard(&self, source: Source, reports: Vec<Report>) {
-        self.step(source, |register, now| register.merge(now, reports));
+    /// Merges reports of another instance or from the store.
+    pub fn merge(&self, source: Source, reports: Vec<Report>) {
+        self.apply(source, |register, now| register.merge(now, reports));
     }
 
-    /// An operator says that a request may run again.
+    /// An operator allows the request to run again. Returns whether that changed its status.
     pub fn clear(&self, identity: Identity) -> bool {
-        self.step(Source::Operator, |register, now| {
+        self.apply(Source::Operator, |register, now| {
             register.clear(now, identity)
         })
     }
 
-    /// All that is known.
-    pub fn all(&self) -> Vec<Report> {
+    /// Reports of all records.
+    pub fn reports(&self) -> Vec<Report> {
         self.register.borrow().reports(self.now())
     }
 
-    /// Waits until others are to be told something, and gives it.
-    pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.register.borrow_mut().take_pending(self.now(), BATCH);
-        pending::next_batch(self.changes(), untold).await
+    /// Waits until there are reports to send to other instances, and takes them.
+    pub async fn next_pending(&self) -> Vec<Report> {
+        let take = || {
+            self.register
+                .borrow_mut()
+                .take_pending(self.now(), MAX_REPORTS_PER_MESSAGE)
+        };
+        pending::next_batch(self.changes(), take).await
     }
 
-    /// What is untold is gathered for a moment between two messages.
-    pub async fn gather() {
-        sleep(GATHER).await;
+    /// Waits for the delay between two messages, while further reports accumulate.
+    pub async fn delay_next_message() {
+        sleep(MESSAGE_DELAY).await;
     }
 
-    /// Takes news in; says whether they changed anything.
-    fn step(&self, source: Source, step: impl FnOnce(&mut Register, Time) -> Vec<Change>) -> bool {
+    /// Applies `step` to the register, logs the changes and notifies of them. Returns whether a
+    /// request's status changed.
+    fn apply(&self, source: Source, step: impl FnOnce(&mut Register, Time) -> Vec<Change>) -> bool {
         let changes = step(&mut self.register.borrow_mut(), self.now());
         for change in &changes {
-            self.tell(source, change);
+            self.log_change(source, change);
         }
-        let is_news = self.register.borrow().has_pending();
-        if is_news || !changes.is_empty() {
-            self.note_change();
+        let has_pending = self.register.borrow().has_pending();
+        if has_pending || !changes.is_empty() {
+            self.notify_changed();
         }
         !changes.is_empty()
     }
 
-    fn note_change(&self) {
+    fn notify_changed(&self) {
         let (known, refused) = self.register.borrow().len();
         self.metrics.note_suspects(known, refused);
-        self.changed.send_modify(|changes| *changes += 1);
+        self.change_count.send_modify(|changes| *changes += 1);
     }
 
-    fn tell(&self, source: Source, change: &Change) {
+    fn log_change(&self, source: Source, change: &Change) {
         log::warn!(
             identity:% = change.identity,
             what:serde = change.kind,
@@ -235,7 +244,7 @@
             source = source.as_str();
             "request that crashes endpoints"
         );
-        self.count(match change.kind {
+        self.count_event(match change.kind {
             ChangeKind::Suspected => "doubt",
             ChangeKind::Blocked => "verdict",
             ChangeKind::Unblocked => "acquitted",
@@ -243,13 +252,13 @@
         });
     }
 
-    /// Counts one event.
-    pub fn count(&self, event: &str) {
+    /// Counts an event in the metrics; `event` is the label.
+    pub fn count_event(&self, event: &str) {
         self.metrics.count(&self.metrics.crashes, &[event]);
     }
 
-    /// Forgets what is too old to count.
-    async fn sweep(&self) {
+    /// Removes expired records at an interval; idle while there are none.
+    async fn expire_old(&self) {
         let mut changes = self.changes();
         loop {
             if self.is_empty() {
@@ -258,10 +267,10 @@
                 }
                 continue;
             }
-            sleep(SWEEP).await;
-            let forgot = self.register.borrow_mut().expire(self.now());
-            if forgot {
-                self.note_change();
+            sleep(EXPIRY_CHECK_INTERVAL).await;
+            let expired = self.register.borrow_mut().expire(self.now());
+            if expired {
+                self.notify_changed();
             }
         }
     }
--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -31,7 +31,7 @@
 ) -> usize {
     let demands = model_demands(config, duties, service);
     let slots = slots_per_engine(config, service);
-    rollout::working_set_size(endpoints.count(service), slots, &demands)
+    rollout::working_set_size(endpoints.available_count(service), slots, &demands)
 }
 
 /// Number of requests that each engine of `service` runs at once.
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -11,7 +11,7 @@
 pub use status::{HeldLease, Status};
 
 use super::{
-    crashes::Crashes,
+    crashes::CrashTracker,
     metrics::Metrics,
     store::Store,
     tree::{Feed, Topic},
@@ -80,7 +80,7 @@
     /// Data received over the broadcast tree.
     pub feed: Rc<Feed>,
     /// Register of requests that crash endpoints.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// The clock of the leases. It must also run while the machine is suspended.
     pub clock: fn() -> Time,
 }
@@ -100,7 +100,7 @@
     cores: f64,
     metrics: Metrics,
     /// Register of requests that crash endpoints. Its stored object is listed with the leases.
-    crashes: Rc<Crashes>,
+    crashes: Rc<CrashTracker>,
     draining: Cell<bool>,
     drain_started: Notify,
     /// Number of polls of all leases.
--- a/crates/pinereel/src/hosted/duty/poll.rs
+++ b/crates/pinereel/src/hosted/duty/poll.rs
@@ -5,7 +5,7 @@
 
 use super::{Duties, LEASE_KIND, MIN_SLEEP, TIMING, jitter_from_hash};
 use crate::{
-    hosted::{crashes::take_out, list_watch::Update, tree::FeedEvent},
+    hosted::{crashes::take_reports_object, list_watch::Update, tree::FeedEvent},
     objects::Purpose,
 };
 use compact_str::CompactString;
@@ -86,8 +86,8 @@
     /// Records the leases found by a poll or received from the broadcast tree; returns when the
     /// next poll is due.
     fn record_poll(&self, mut objects: Vec<Object>, schedule: &mut PollSchedule) -> Time {
-        if let Some(crash_records) = take_out(&mut objects) {
-            self.crashes.read(crash_records);
+        if let Some(crash_records) = take_reports_object(&mut objects) {
+            self.crashes.load(crash_records);
         }
         let next_poll_at = schedule.record(self.now(), polled_leases(&objects));
         self.polled_objects.replace(objects);
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -59,7 +59,7 @@
                 &parts.endpoints,
                 &key.service,
             );
-            let source = (parts.endpoints.change(), count);
+            let source = (parts.endpoints.change_count(), count);
             if state.fleet_sources.insert(key.clone(), source) == Some(source) {
                 continue;
             }
@@ -75,7 +75,7 @@
             // Engines with runs stay in the fleet after they leave the working set.
             let listings = parts
                 .endpoints
-                .first(&key.service, count, fleet.busy_ids(), read);
+                .ranked(&key.service, count, fleet.busy_ids(), read);
             restarted |= fleet.update(listings);
         }
         drop(state);
@@ -113,7 +113,7 @@
     /// Number of engines that have crashed under an item; `None` if it must not run any more.
     fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
         let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
-        match self.parts.crashes.standing(identity) {
+        match self.parts.crashes.status(identity) {
             RequestStatus::Unrestricted => Some(0),
             RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
             RequestStatus::Blocked { .. } => None,
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -107,14 +107,14 @@
     match end {
         // An engine that is leaving, or is not listed any more, stops by itself.
         RunEnd::Broken(RunError::Crashed) if endpoints.is_current(&placement.start) => {
-            crashes.crashed(
+            crashes.record_crash(
                 identity(),
                 placement.start.clone(),
                 placement.crashes >= ISOLATE_AT_CRASHES,
             );
         }
         RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => {
-            crashes.answered(identity, placement.start.clone(), started.elapsed());
+            crashes.record_answer(identity, placement.start.clone(), started.elapsed());
         }
         _ => {}
     }
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -10,12 +10,12 @@
 use crate::{
     hosted::{
         config::Config,
-        crashes::Crashes,
+        crashes::CrashTracker,
         duty::Duties,
         endpoints::Endpoints,
         list_watch::{Update, WatchOptions, list_and_watch},
         metrics::Metrics,
-        relay::Relay,
+        proxy::Proxy,
         stall::StallDetector,
         store::Store,
     },
@@ -49,9 +49,9 @@
     /// Connection pool for engines.
     pub pool: Rc<Pool>,
     /// Sends scorings to their service.
-    pub relay: Rc<Relay>,
+    pub proxy: Rc<Proxy>,
     /// Detection of requests that crash endpoints.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Detection of pauses of this process, after which cached state may be stale.
     pub stall: Rc<StallDetector>,
     /// Metrics of this instance.
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -1,7 +1,7 @@
 //! Scoring of complete outputs, by a request to the scoring service.
 
 use super::{runner::Runner, state::ItemTask};
-use crate::hosted::relay::{Call, Outcome};
+use crate::hosted::proxy::{Outcome, ProxyRequest};
 use actix_http::{
     Method,
     header::{HOST, HeaderMap, HeaderValue},
@@ -72,7 +72,7 @@
         if runner
             .parts
             .crashes
-            .wait_until_free(|| call.identity())
+            .wait_while_blocked(|| call.identity())
             .await
         {
             continue;
@@ -80,7 +80,7 @@
         let max_attempts = call.route.max_attempts;
         let max_permits = scoring_slots(runner, &call) / SLOTS_PER_SCORING;
         let permit = runner.scoring_limiter.acquire(max_permits).await;
-        let outcome = runner.parts.relay.run(call).await;
+        let outcome = runner.parts.proxy.run(call).await;
         drop(permit);
         let failure = match outcome {
             Outcome::Answer(answer) if answer.status.is_success() => return answer.signature,
@@ -97,31 +97,31 @@
 }
 
 /// Number of slots of the services that the scoring may be routed to.
-fn scoring_slots(runner: &Runner, call: &Call) -> u32 {
+fn scoring_slots(runner: &Runner, call: &ProxyRequest) -> u32 {
     let targets = call.route.targets.iter();
-    let slots = targets.map(|target| runner.parts.endpoints.slots(&target.service));
+    let slots = targets.map(|target| runner.parts.endpoints.available_slots(&target.service));
     u32::try_from(slots.sum::<u64>()).unwrap_or(u32::MAX)
 }
 
-fn scoring_call(runner: &Runner, task: &ItemTask, scorer: &Scorer) -> Option<Call> {
+fn scoring_call(runner: &Runner, task: &ItemTask, scorer: &Scorer) -> Option<ProxyRequest> {
     let table = runner.parts.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
     let route = table.route_for(&scorer.host, path)?.clone();
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(&scorer.host).ok()?);
-    Some(Call {
+    Some(ProxyRequest {
         id: scorer.id.clone(),
-        config: table.number(),
+        config_number: table.number(),
         config_age: runner.parts.config.age().unwrap_or_default(),
-        give_up: Instant::now() + route.timeout,
+        deadline: Instant::now() + route.timeout,
         route,
         caller: table.internal_caller(),
-        owner: task.caller.workspace().map(Into::into),
+        workspace: task.caller.workspace().map(Into::into),
         method: Method::POST,
         target: scorer.path.clone(),
         headers,
         body: scorer.body.clone(),
         prompt: None,
-        known: OnceCell::new(),
+        cached_identity: OnceCell::new(),
     })
 }
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -8,7 +8,7 @@
 //! Each part has its own state and knows only the parts that it is given:
 //!
 //! ```text
-//! Store ─ follow ─ Config, Endpoints ─ Relay ─ Desk, Runner, Orders ─ Front (callers)
+//! Store ─ follow ─ Config, Endpoints ─ Proxy ─ Desk, Runner, Orders ─ Frontend (callers)
 //!        └ Duties (leases) ───────────────────┘
 //! ```
 
@@ -23,8 +23,8 @@
 mod orders;
 mod pending;
 mod platform;
+mod proxy;
 mod ready;
-mod relay;
 mod reload;
 mod retire;
 mod run;
--- /dev/null
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -0,0 +1,214 @@
+//! One attempt: sends a request to one endpoint and classifies how the attempt ended.
+
+use super::{
+    Answer, Proxy, ProxyRequest, SelectedEndpoint, headers::end_to_end,
+    request_log::log_connection_loss,
+};
+use crate::{
+    hosted::{crashes::Occupancy, endpoints::Endpoints},
+    upstream::pool::{Error, Exchange, Response},
+};
+use actix_http::{RequestHead, StatusCode, Uri};
+use futures_util::future::LocalBoxFuture;
+use pinereel_core::{
+    endpoint::{AttemptEnd, Key},
+    retry::Failure,
+};
+use pinereel_port::{config::RouteKind, headers::AttemptHeaders};
+use std::{rc::Rc, time::Duration};
+use tokio::time::{Instant, timeout};
+
+/// How one attempt ended.
+pub(super) struct AttemptResult {
+    pub(super) selected: SelectedEndpoint,
+    /// Whether the request ran in isolation, where nothing else may start.
+    pub(super) isolated: bool,
+    pub(super) duration: Duration,
+    pub(super) result: Result<Answer, Failure>,
+}
+
+impl Proxy {
+    /// Runs one attempt at the selected endpoint, until the request's deadline at most.
+    ///
+    /// `occupancy` is set for a suspected request and released when the attempt ends; `isolated` if
+    /// the request runs in isolation. Dropping the future cancels the attempt.
+    pub(super) fn run_attempt(
+        self: &Rc<Self>,
+        request: &Rc<ProxyRequest>,
+        selected: SelectedEndpoint,
+        occupancy: Option<Occupancy>,
+        isolated: bool,
+    ) -> LocalBoxFuture<'static, AttemptResult> {
+        let (proxy, request) = (Rc::clone(self), Rc::clone(request));
+        Box::pin(async move {
+            let started = Instant::now();
+            let guard = InFlightGuard::new(&proxy.parts.endpoints, selected.key, started);
+            let wait = request.deadline.saturating_duration_since(started);
+            let exchange = proxy.exchange(&request, &selected, wait);
+            let result = timeout(wait, exchange).await;
+            let result = result.unwrap_or(Err(Failure::Lost));
+            guard.disarm();
+            drop(occupancy);
+            AttemptResult {
+                selected,
+                isolated,
+                duration: started.elapsed(),
+                result,
+            }
+        })
+    }
+
+    /// Sends the request and classifies the response. A repeatable request may reuse an idle
+    /// connection; if that one turns out to be closed, it is sent once more over a fresh one.
+    async fn exchange(
+        &self,
+        request: &ProxyRequest,
+        selected: &SelectedEndpoint,
+        wait: Duration,
+    ) -> Result<Answer, Failure> {
+        let head = self.head_builder(request, selected, wait);
+        let started = Instant::now();
+        let repeatable = request.route.kind == RouteKind::Idempotent;
+        let mut reuse = repeatable;
+        let mut resent = false;
+        loop {
+            let exchange = Exchange {
+                address: selected.address,
+                head: head(),
+                body: request.body.clone(),
+                reuse,
+            };
+            match self.parts.pool.send(exchange).await {
+                Ok(response) => {
+                    let classified = self.classify_response(request, selected, response).await;
+                    return match classified {
+                        Err(Failure::Lost) => Err(self.loss_cause(selected).await),
+                        classified => classified,
+                    };
+                }
+                // The endpoint closed the idle connection: send it again over a fresh one.
+                Err(Error::Stale(reason)) => {
+                    log_connection_loss(request, selected, started, &reason);
+                    (reuse, resent) = (false, true);
+                }
+                // The request may have run over the first connection: an endpoint that had run it
+                // for 88 ms and crashed refused the second connection, which looks like "not run".
+                Err(Error::NotOpened(_)) if resent => return Err(self.loss_cause(selected).await),
+                Err(Error::NotOpened(_)) => return Err(Failure::NotOpened),
+                Err(Error::Lost(reason)) => {
+                    log_connection_loss(request, selected, started, &reason);
+                    return Err(self.loss_cause(selected).await);
+                }
+            }
+        }
+    }
+
+    /// Tells a crash of the endpoint from a lost connection: an endpoint that still accepts
+    /// connections has not crashed.
+    async fn loss_cause(&self, selected: &SelectedEndpoint) -> Failure {
+        match self.parts.pool.is_gone(selected.address).await {
+            true => Failure::Crashed,
+            false => Failure::Lost,
+        }
+    }
+
+    /// Returns a closure that builds the request head for each send of one attempt, with the time
+    /// that is left then.
+    fn head_builder<'a>(
+        &'a self,
+        request: &'a ProxyRequest,
+        selected: &'a SelectedEndpoint,
+        wait: Duration,
+    ) -> impl Fn() -> RequestHead + 'a {
+        let started = Instant::now();
+        move || {
+            let mut head = RequestHead::default();
+            head.method = request.method.clone();
+            head.uri = request.target.parse::<Uri>().unwrap_or_default();
+            head.headers = end_to_end(&request.headers);
+            let attempt = AttemptHeaders {
+                request_id: &request.id,
+                endpoint_id: &selected.id,
+                timeout: Some(wait.saturating_sub(started.elapsed())),
+                last_event_id: None,
+                caller: &request.caller,
+            };
+            (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
+            head
+        }
+    }
+
+    /// Reads the response: an answer that may be passed on, or the failure that it stands for. An
+    /// answer with another request's id, or a successful one without a signature, is invalid.
+    async fn classify_response(
+        &self,
+        request: &ProxyRequest,
+        selected: &SelectedEndpoint,
+        response: Response,
+    ) -> Result<Answer, Failure> {
+        let parsed =
+            (self.parts.adapter.headers.decode_response)(response.status, &response.headers);
+        if let Some(load) = parsed.load {
+            self.parts.endpoints.record_load(selected.key, load);
+        }
+        let foreign = parsed.id.as_ref().is_some_and(|id| *id != request.id);
+        if foreign || parsed.content_encoded {
+            return Err(Failure::InvalidAnswer);
+        }
+        if parsed.not_executed {
+            // Read the body to its end so that the connection can be reused.
+            let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
+            let _ = response.body.whole().await;
+            return Err(if misdirected {
+                Failure::OtherEndpoint
+            } else {
+                Failure::Refused
+            });
+        }
+        let signed = parsed.signature.is_some() && parsed.id.is_some();
+        if response.status.is_success() && !signed {
+            return Err(Failure::InvalidAnswer);
+        }
+        let (status, headers) = (response.status, end_to_end(&response.headers));
+        let body = response.body.whole().await.map_err(|_| Failure::Lost)?;
+        Ok(Answer {
+            status,
+            headers,
+            body,
+            signature: parsed.signature,
+        })
+    }
+}
+
+/// Counts an attempt in flight at its endpoint. If dropped without [`InFlightGuard::disarm`], it
+/// records the attempt as cancelled.
+struct InFlightGuard {
+    endpoints: Rc<Endpoints>,
+    key: Option<Key>,
+    started: Instant,
+}
+
+impl InFlightGuard {
+    fn new(endpoints: &Rc<Endpoints>, key: Key, started: Instant) -> Self {
+        endpoints.record_start(key);
+        Self {
+            endpoints: Rc::clone(endpoints),
+            key: Some(key),
+            started,
+        }
+    }
+
+    fn disarm(mut self) {
+        self.key = None;
+    }
+}
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        if let Some(key) = self.key {
+            let duration = self.started.elapsed();
+            self.endpoints
+                .record_end(key, duration, AttemptEnd::Cancelled);
+        }
+    }
+}
--- a/crates/pinereel/src/hosted/relay/head.rs
+++ b/crates/pinereel/src/hosted/proxy/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that pass from end to end.
+//! Separates end-to-end headers from hop-by-hop headers.
 
 use actix_http::header::{HeaderMap, HeaderName};
 
-/// Headers that concern one connection only.
-const HOP_BY_HOP: [&str; 9] = [
+/// Headers that concern one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -15,21 +15,22 @@
     "upgrade",
 ];
 
-/// The headers without those of one connection, and without those that framing sets.
+/// Returns the headers to forward: without hop-by-hop headers, and without `Content-Length`, which
+/// message framing sets.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::with_capacity(headers.len());
-    let named = connection_headers(headers);
+    let connection_specific = headers_named_by_connection(headers);
     for (name, value) in headers {
-        let hop = HOP_BY_HOP.contains(&name.as_str()) || name == "content-length";
-        if !hop && !named.contains(name) {
+        let hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str()) || name == "content-length";
+        if !hop_by_hop && !connection_specific.contains(name) {
             kept.append(name.clone(), value.clone());
         }
     }
     kept
 }
 
-/// The headers that `Connection` names.
-fn connection_headers(headers: &HeaderMap) -> Vec<HeaderName> {
+/// The hop-by-hop headers that the `Connection` header lists.
+fn headers_named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all("connection");
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(',').map(str::trim));
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -2,16 +2,16 @@
 
 use super::{
     config::Config,
-    crashes::Crashes,
+    crashes::CrashTracker,
     duty::{self, Duties},
     endpoints::{self, Endpoints},
     lots::{self, Runner, TrainerApi},
     metrics::{Metrics, Sources},
     orders::{self, Orders},
+    proxy::{self, Proxy},
     ready::Ready,
-    relay::{self, Relay},
     reload::look_at_settings,
-    serve::{Front, serve},
+    serve::{Frontend, serve},
     stall::StallDetector,
     stop::{Stop, Times},
     store::Store,
@@ -157,7 +157,7 @@
         let instance = &settings.instance;
         let metrics = Metrics::new();
         let links = instance.peers.map(|peers| peers.to_string().into());
-        let crashes = Crashes::new(clock, &metrics);
+        let crashes = CrashTracker::new(clock, &metrics);
         let duties = Duties::new(duty::Dependencies {
             store: store.clone(),
             instance: instance.name.clone(),
@@ -196,7 +196,7 @@
         }
         let pool = Rc::new(Pool::default());
         let held = Rc::clone(&duties);
-        let hurried = move || held.held_count() > 0;
+        let needs_prompt_updates = move || held.held_count() > 0;
         let parts = endpoints::Parts {
             adapter,
             store: store.clone(),
@@ -205,9 +205,9 @@
             metrics: metrics.clone(),
             clock,
         };
-        let endpoints = Endpoints::start(parts, instance, &settings.store, hurried);
+        let endpoints = Endpoints::start(parts, instance, &settings.store, needs_prompt_updates);
         let stall = StallDetector::start(boot_time);
-        let relay = Relay::new(relay::Parts {
+        let proxy = Proxy::new(proxy::Parts {
             adapter,
             endpoints: Rc::clone(&endpoints),
             pool: Rc::clone(&pool),
@@ -237,7 +237,7 @@
             endpoints: Rc::clone(&endpoints),
             duties: Rc::clone(&duties),
             pool: Rc::clone(&pool),
-            relay: Rc::clone(&relay),
+            proxy: Rc::clone(&proxy),
             crashes: Rc::clone(&crashes),
             stall: Rc::clone(&stall),
             metrics: metrics.clone(),
@@ -277,13 +277,13 @@
             };
             metrics.serve(listen(address).await?, sources).await?;
         }
-        let front = Rc::new(Front {
+        let frontend = Rc::new(Frontend {
             adapter,
             stall,
             store: store.clone(),
             config,
             endpoints,
-            relay,
+            proxy,
             desk: TrainerApi::new(adapter, &store),
             stop: Rc::clone(stop),
             metrics,
@@ -295,7 +295,7 @@
             ..http::Options::default()
         };
         let server = Server::start(callers, options, move |request| {
-            serve(Rc::clone(&front), request)
+            serve(Rc::clone(&frontend), request)
         })
         .await?;
         server.observe(|code| log::info!(code:serde = code; "refused by the listener"));
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -1,11 +1,12 @@
-//! The callers' listener: trainers' calls and live requests.
+//! HTTP frontend for callers: authenticates requests, matches routes, and passes live requests to
+//! the proxy and trainers' calls to the lots.
 
 use super::{
     config::Config,
     endpoints::Endpoints,
     lots::{Reply, TrainerApi},
     metrics::Metrics,
-    relay::{Call, Outcome, Relay},
+    proxy::{Outcome, Proxy, ProxyRequest},
     stall::StallDetector,
     stop::Stop,
     store::Store,
@@ -28,28 +29,29 @@
 use std::{cell::OnceCell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// A request whose head says nothing of its deadline gets the route's timeout, and a call for which
-/// there is no route so long.
-const USUAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A final answer leaves so long before the caller's deadline or the route's timeout, to be there
-/// in time.
+/// Maximum time to answer the call that ends a lot, which has no route. Other requests are limited
+/// by the timeout of their route. A caller's earlier deadline applies in both cases.
+const LOT_END_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time by which the final answer is sent before the caller's deadline or the route's timeout, so
+/// that it arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
-/// Longest wait for the rest of a body.
+/// Maximum time to read a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A request that comes while this instance has not read the configuration and the endpoint list yet
-/// waits for them so long. Both are there 0.02 s after the start (0.25 cores), and 0.15 s after the
-/// return of a store that was away; callers that were refused in between came back late.
-const FIRST_NEWS: Duration = Duration::from_millis(300);
-/// Pause between two looks for that news.
-const LOOK: Duration = Duration::from_millis(10);
-/// When a caller should come back while no configuration is known: it is read within a second.
-const NOT_CONFIGURED: Duration = Duration::from_millis(500);
+/// Maximum wait of a request for the configuration and the endpoint list if this instance has not
+/// read them yet. Both are read 0.02 s after the start with 0.25 cores, and 0.15 s after the store
+/// returns from an outage. Callers that are refused meanwhile retry much later.
+const INITIAL_STATE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval at which a waiting request checks whether they have been read.
+const INITIAL_STATE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay after which a caller should retry while no configuration is known, or may not be current;
+/// it is read within a second.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What callers' requests are served with.
-pub struct Front {
-    /// Translates.
+/// Serves callers' requests.
+pub struct Frontend {
+    /// Translates between the platform's protocol and the types of this process.
     pub adapter: Adapter,
-    /// Whether what is known may be old.
+    /// Detects that this process was paused, so that its state may be outdated.
     pub stall: Rc<StallDetector>,
     /// The object store.
     pub store: Store,
@@ -57,48 +59,48 @@
     pub config: Rc<Config>,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Live requests.
-    pub relay: Rc<Relay>,
-    /// Trainers' calls.
+    /// Forwards live requests.
+    pub proxy: Rc<Proxy>,
+    /// Handles trainers' calls.
     pub desk: TrainerApi,
-    /// The graceful stop.
+    /// Graceful shutdown.
     pub stop: Rc<Stop>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Metrics,
 }
 
-/// Answers one request, which is in flight until the last byte of its answer has been sent.
-pub async fn serve(front: Rc<Front>, request: Request) -> Response {
-    let guard = front.stop.enter();
-    let mut answer = front.answer(request).await;
-    if front.stop.asked() {
-        // The caller opens its next connection elsewhere.
+/// Answers one request. It counts as in flight until the last byte of its answer has been sent.
+pub async fn serve(frontend: Rc<Frontend>, request: Request) -> Response {
+    let guard = frontend.stop.enter();
+    let mut answer = frontend.answer(request).await;
+    if frontend.stop.asked() {
+        // Makes the caller open its next connection to another instance.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
     http::hold(answer, guard)
 }
 
-impl Front {
+impl Frontend {
     async fn answer(&self, mut request: Request) -> Response {
-        let arrived = Instant::now();
-        let said = (self.adapter.headers.decode_request)(request.headers());
+        let received_at = Instant::now();
+        let metadata = (self.adapter.headers.decode_request)(request.headers());
         let path = request.path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let host = request.headers().get(HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
         let host = CompactString::from(host);
         self.stall.wait_for_catch_up().await;
-        let Some(table) = self.first_table().await else {
+        let Some(table) = self.wait_for_table().await else {
             self.metrics
                 .count(&self.metrics.refused, &["no configuration"]);
-            log::warn!(id = said.id.as_str(); "refused: no configuration is known yet");
-            return not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED);
+            log::warn!(id = metadata.id.as_str(); "refused: no configuration is known yet");
+            return not_run(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER);
         };
         match (self.adapter.lot.decode_request)(request.method(), &path, &query) {
             lot::Request::Other => {}
             call => {
-                return match self.admit(&table, &said, false) {
-                    Ok(caller) => self.lot_call(call, &caller, &said, arrived).await,
+                return match self.authenticate_caller(&table, &metadata, false) {
+                    Ok(caller) => self.lot_call(call, &caller, &metadata, received_at).await,
                     Err(refusal) => refusal,
                 };
             }
@@ -106,7 +108,7 @@
         let Some(route) = table.route_for(&host, &path).cloned() else {
             self.metrics.count(&self.metrics.refused, &["no route"]);
             log::info!(
-                id = said.id.as_str(),
+                id = metadata.id.as_str(),
                 host = host.as_str(),
                 path,
                 config = table.number();
@@ -114,7 +116,7 @@
             );
             return http::empty(StatusCode::NOT_FOUND);
         };
-        let caller = match self.admit(&table, &said, route.public) {
+        let caller = match self.authenticate_caller(&table, &metadata, route.public) {
             Ok(caller) => caller,
             Err(refusal) => return refusal,
         };
@@ -123,93 +125,101 @@
             Ok(body) => body,
             Err(error) => {
                 self.metrics.count(&self.metrics.refused, &["body"]);
-                return refuse_body(&said, &error);
+                return refuse_body(&metadata, &error);
             }
         };
         if route.kind == RouteKind::Lot && request.method() == Method::POST {
-            let give_up = give_up(&said, route.timeout, arrived);
+            let deadline = deadline(&metadata, route.timeout, received_at);
             let reply = self
                 .desk
-                .submit(&caller, &said.id, &host, &path, &body, give_up)
+                .submit(&caller, &metadata.id, &host, &path, &body, deadline)
                 .await;
             return self.respond("submit", reply);
         }
-        self.relay_call(request, &table, (route, caller), &said, body, arrived)
-            .await
+        self.proxy_request(
+            request,
+            &table,
+            (route, caller),
+            &metadata,
+            body,
+            received_at,
+        )
+        .await
     }
 
-    /// On whose behalf a request is made, or the answer to one that may not run.
+    /// Returns the caller that a request is made for, or the answer that refuses it.
     ///
-    /// A key that this instance does not know may be new while it is out of touch with the configuration: then the
-    /// caller is asked to come again, to an instance that knows.
-    fn admit(
+    /// While this instance may miss changes of the configuration, a key that it does not know may
+    /// be new: the caller is then asked to retry, which may reach an instance that knows the key.
+    fn authenticate_caller(
         &self,
         table: &RoutingTable,
-        said: &headers::RequestHeaders,
+        metadata: &headers::RequestHeaders,
         public: bool,
     ) -> Result<Caller, Response> {
-        let refused = match table.authenticate(said.key_digest.as_ref(), public) {
+        let error = match table.authenticate(metadata.key_digest.as_ref(), public) {
             Ok(caller) => return Ok(caller),
-            Err(refused) => refused,
+            Err(error) => error,
         };
         let is_current = self.config.is_current();
-        let sure = is_current || refused == AccessError::MissingKey;
+        let is_certain = is_current || error == AccessError::MissingKey;
         self.metrics.count(&self.metrics.refused, &["no access"]);
         log::info!(
-            id = said.id.as_str(),
-            why:% = refused,
+            id = metadata.id.as_str(),
+            why:% = error,
             config = table.number(),
             config_age_ms = self.config.age().unwrap_or_default().as_millis() as u64,
             is_current;
             "refused: no access"
         );
-        Err(match sure {
+        Err(match is_certain {
             true => http::empty(StatusCode::UNAUTHORIZED),
-            false => not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED),
+            false => not_run(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER),
         })
     }
 
-    /// The configuration in force, once it and the endpoint list are known; none if there is none
-    /// soon. Not waited for while the store is away.
-    async fn first_table(&self) -> Option<Rc<RoutingTable>> {
-        let end = Instant::now() + FIRST_NEWS;
+    /// Returns the active routing table once it and the endpoint list have been read; after
+    /// [`INITIAL_STATE_TIMEOUT`], or at once during a store outage, what there is.
+    async fn wait_for_table(&self) -> Option<Rc<RoutingTable>> {
+        let end = Instant::now() + INITIAL_STATE_TIMEOUT;
         loop {
             let table = self.config.table();
-            let known = table.is_some() && self.endpoints.is_known();
+            let known = table.is_some() && self.endpoints.is_loaded();
             if known || self.store.unreachable_since().is_some() || Instant::now() >= end {
                 return table;
             }
-            sleep(LOOK).await;
+            sleep(INITIAL_STATE_POLL_INTERVAL).await;
         }
     }
 
-    async fn relay_call(
+    /// Forwards a live request and turns its outcome into a response.
+    async fn proxy_request(
         &self,
         request: Request,
         table: &RoutingTable,
         (route, caller): (Route, Caller),
-        said: &headers::RequestHeaders,
+        metadata: &headers::RequestHeaders,
         body: Bytes,
-        arrived: Instant,
+        received_at: Instant,
     ) -> Response {
         let target = request.uri().path_and_query();
         let target = target.map_or("/", |target| target.as_str()).into();
-        let call = Call {
-            id: said.id.clone(),
-            config: table.number(),
+        let proxy_request = ProxyRequest {
+            id: metadata.id.clone(),
+            config_number: table.number(),
             config_age: self.config.age().unwrap_or_default(),
-            give_up: give_up(said, route.timeout, arrived),
+            deadline: deadline(metadata, route.timeout, received_at),
             route,
-            owner: caller.workspace().map(Into::into),
+            workspace: caller.workspace().map(Into::into),
             caller,
             method: request.method().clone(),
             target,
             headers: request.headers().clone(),
             body,
-            prompt: said.prompt_id.clone(),
-            known: OnceCell::new(),
+            prompt: metadata.prompt_id.clone(),
+            cached_identity: OnceCell::new(),
         };
-        match self.relay.run(call).await {
+        match self.proxy.run(proxy_request).await {
             Outcome::Answer(answer) => {
                 let mut response = Response::new(answer.status).set_body(BoxBody::new(answer.body));
                 for (name, value) in answer.headers {
@@ -220,19 +230,24 @@
             Outcome::NotRun { retry_after, .. } => {
                 not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after)
             }
-            Outcome::Unknown { late: true, .. } => http::empty(StatusCode::GATEWAY_TIMEOUT),
-            Outcome::Unknown { late: false, .. } => http::empty(StatusCode::BAD_GATEWAY),
+            Outcome::Unknown {
+                timed_out: true, ..
+            } => http::empty(StatusCode::GATEWAY_TIMEOUT),
+            Outcome::Unknown {
+                timed_out: false, ..
+            } => http::empty(StatusCode::BAD_GATEWAY),
         }
     }
 
+    /// Answers a trainer's call about a lot that was submitted before.
     async fn lot_call(
         &self,
         call: lot::Request,
         caller: &Caller,
-        said: &headers::RequestHeaders,
-        arrived: Instant,
+        metadata: &headers::RequestHeaders,
+        received_at: Instant,
     ) -> Response {
-        let wait = said.long_poll_wait.unwrap_or_default();
+        let wait = metadata.long_poll_wait.unwrap_or_default();
         let wait = wait.min(self.adapter.lot.max_long_poll_wait);
         let (name, reply) = match call {
             lot::Request::ReadResults { lot, offset: from } => {
@@ -242,8 +257,8 @@
                 ("body", self.desk.body(caller, &lot, &item).await)
             }
             lot::Request::EndLot { lot } => {
-                let give_up = give_up(said, USUAL_TIMEOUT, arrived);
-                ("end", self.desk.end(caller, &lot, give_up).await)
+                let deadline = deadline(metadata, LOT_END_TIMEOUT, received_at);
+                ("end", self.desk.end(caller, &lot, deadline).await)
             }
             lot::Request::Other => ("other", Reply::NotFound),
         };
@@ -257,14 +272,18 @@
     }
 }
 
-/// When a request is answered in any case.
-fn give_up(said: &headers::RequestHeaders, timeout: Duration, arrived: Instant) -> Instant {
-    let left = said.timeout.map_or(timeout, |left| left.min(timeout));
-    arrived + left.saturating_sub(ANSWER_MARGIN)
+/// Time by which a request is answered, even without an outcome.
+fn deadline(
+    metadata: &headers::RequestHeaders,
+    timeout: Duration,
+    received_at: Instant,
+) -> Instant {
+    let left = metadata.timeout.map_or(timeout, |left| left.min(timeout));
+    received_at + left.saturating_sub(ANSWER_MARGIN)
 }
 
-fn refuse_body(said: &headers::RequestHeaders, error: &http::Error) -> Response {
-    log::info!(id = said.id.as_str(), error:% = error; "refused: body");
+fn refuse_body(metadata: &headers::RequestHeaders, error: &http::Error) -> Response {
+    log::info!(id = metadata.id.as_str(), error:% = error; "refused: body");
     http::empty(match error {
         http::Error::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
         http::Error::Slow(_) => StatusCode::REQUEST_TIMEOUT,
@@ -272,7 +291,7 @@
     })
 }
 
-/// A refusal of something that did not run, with when to come back.
+/// Response to a request that did not run, with a `Retry-After` in seconds to three decimals.
 fn not_run(status: StatusCode, retry_after: Duration) -> Response {
     let mut response = http::empty(status);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,7 +1,9 @@
 //! This instance as a node of the tree: its state, its heartbeats, and the frames to its children.
 
 use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
-use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
+use crate::hosted::{
+    crashes::CrashTracker, duty::Duties, metrics::Metrics, store::Store, usage::Usage,
+};
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::{
@@ -35,7 +37,7 @@
     /// Receives the data on behalf of the other modules of this process.
     pub feed: Rc<Feed>,
     /// Requests under which endpoints crash, exchanged with the parent and the children.
-    pub crashes: Rc<Crashes>,
+    pub crashes: Rc<CrashTracker>,
     /// Counts of requests that began to run, sent up the tree.
     pub usage: Rc<Usage>,
     /// The age of the data is recorded here.
--- a/crates/pinereel/src/hosted/tree/reports.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -3,7 +3,7 @@
 
 use super::{Frame, Node, Topic};
 use crate::hosted::{
-    crashes::{Crashes, Source},
+    crashes::{CrashTracker, Source},
     usage::Usage,
 };
 use bytes::Bytes;
@@ -14,26 +14,26 @@
     /// it again, but does not forward what it has already.
     pub(super) async fn send_crash_reports(&self) {
         loop {
-            let reports = self.parts.crashes.untold().await;
+            let reports = self.parts.crashes.next_pending().await;
             if let Some(bytes) = Frame::Crashes(reports).encode() {
                 let bytes = Bytes::from(bytes);
                 self.broadcast_encoded(&bytes);
                 // Dropped if there is no parent.
                 let _ = self.to_parent.send(bytes);
             }
-            Crashes::gather().await;
+            CrashTracker::delay_next_message().await;
         }
     }
 
     /// All crash reports, for a new link; `None` if there are none.
     pub(super) fn crash_snapshot(&self) -> Option<Frame> {
-        let reports = self.parts.crashes.all();
+        let reports = self.parts.crashes.reports();
         (!reports.is_empty()).then_some(Frame::Crashes(reports))
     }
 
     /// Handles crash reports of the parent or a child.
     pub(super) fn on_crash_reports(&self, reports: Vec<Report>) {
-        self.parts.crashes.heard(Source::Link, reports);
+        self.parts.crashes.merge(Source::Peer, reports);
     }
 
     /// Sends new usage reports to the parent. A root sends its own to the children instead.
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -3,7 +3,7 @@
 use super::{Node, Topic};
 use crate::{
     hosted::{
-        crashes::{Kept, take_out},
+        crashes::{StoredReports, take_reports_object},
         duty,
         list_watch::{Update, WatchOptions, list_and_watch},
     },
@@ -44,14 +44,14 @@
     /// exchanged with the register of this instance.
     async fn follow_leases(&self) {
         let crashes = &self.parts.crashes;
-        let stored = Kept::default();
+        let stored = StoredReports::default();
         let mut changes = crashes.changes();
         loop {
             let store = &self.parts.store;
             changes.mark_unchanged();
             match store.list(Purpose::Leases, duty::LEASE_KIND, None).await {
                 Ok((mut objects, revision)) => {
-                    stored.listed(crashes, take_out(&mut objects));
+                    stored.record_listed(crashes, take_reports_object(&mut objects));
                     self.publish_update(Topic::Leases, Update::All(objects), revision);
                     self.store_crashes(&stored).await;
                 }
@@ -70,9 +70,9 @@
     }
 
     /// Stores the crash reports that the store does not have yet.
-    async fn store_crashes(&self, stored: &Kept) {
+    async fn store_crashes(&self, stored: &StoredReports) {
         let parts = &self.parts;
-        if let Err(error) = stored.keep(&parts.store, &parts.crashes).await {
+        if let Err(error) = stored.save(&parts.store, &parts.crashes).await {
             log::info!(error:% = error; "requests that crash endpoints: not kept yet");
         }
     }
