--- a/crates/pinereel/src/hosted/orders/shares.rs
+++ b/crates/pinereel/src/hosted/orders/assignment.rs
@@ -1,6 +1,6 @@
 //! The models' shares of a service's working set of engines.
 
-use super::{DEMANDS, Orders};
+use super::{DEMAND_CHECK_INTERVAL, Orders};
 use crate::hosted::demand;
 use compact_str::CompactString;
 use pinereel_core::{
@@ -11,11 +11,11 @@
 
 /// Which model each engine of the working set is kept up to date for.
 #[derive(Default)]
-pub(super) struct Shares {
+pub(super) struct Assignment {
     /// The change of the endpoint list that was last looked at.
-    looked_at_change: Option<u64>,
+    checked_change: Option<u64>,
     /// When the demands were last looked at.
-    looked_at: Time,
+    checked_at: Time,
     /// The working set, in its order.
     engines: Vec<CompactString>,
     /// What the models asked for when engines last changed hands.
@@ -23,21 +23,21 @@
     /// Engines by model.
     by_model: BTreeMap<CompactString, Vec<CompactString>>,
     /// Endpoints of the service that take work, in the working set or not.
-    pub(super) listed: usize,
+    pub(super) listed_count: usize,
 }
 
-impl Shares {
+impl Assignment {
     /// The engines of a model.
-    pub(super) fn of(&self, model: &str) -> &[CompactString] {
+    pub(super) fn engines_of(&self, model: &str) -> &[CompactString] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// Number of engines that are shared.
-    pub(super) const fn len(&self) -> usize {
+    pub(super) const fn engine_count(&self) -> usize {
         self.engines.len()
     }
 
-    fn set(&mut self, engines: Vec<CompactString>, demands: Vec<Demand>) {
+    fn assign(&mut self, engines: Vec<CompactString>, demands: Vec<Demand>) {
         self.by_model.clear();
         for (engine, model) in assign_models(engines.iter().cloned(), &demands) {
             self.by_model.entry(model).or_default().push(engine);
@@ -49,37 +49,37 @@
 
 impl Orders {
     /// Brings the shares of a service up to date.
-    pub(super) fn share(&self, service: &CompactString) {
+    pub(super) fn update_assignment(&self, service: &CompactString) {
         let parts = &self.parts;
         let (now, change) = (parts.duties.now(), parts.endpoints.change());
-        let mut all = self.shares.borrow_mut();
-        let shares = all.entry(service.clone()).or_default();
-        let listed_anew = shares.looked_at_change != Some(change);
-        if !listed_anew && now.since(shares.looked_at) < DEMANDS {
+        let mut assignments = self.assignments.borrow_mut();
+        let assignment = assignments.entry(service.clone()).or_default();
+        let list_changed = assignment.checked_change != Some(change);
+        if !list_changed && now.since(assignment.checked_at) < DEMAND_CHECK_INTERVAL {
             return;
         }
-        shares.looked_at = now;
-        shares.looked_at_change = Some(change);
-        shares.listed = parts.endpoints.count(service);
+        assignment.checked_at = now;
+        assignment.checked_change = Some(change);
+        assignment.listed_count = parts.endpoints.count(service);
         let demands = demand::model_demands(&parts.config, &parts.duties, service);
         let slots = demand::slots_per_engine(&parts.config, service);
-        let count = working_set_size(shares.listed, slots, &demands);
+        let count = working_set_size(assignment.listed_count, slots, &demands);
         let engines = parts
             .endpoints
             .first(service, count, [], |entry| entry.id.clone());
-        let worth = should_reassign(engines.len(), &shares.demands, &demands);
-        if worth {
+        let reassign = should_reassign(engines.len(), &assignment.demands, &demands);
+        if reassign {
             log::info!(
                 service = service.as_str(),
                 demands:? = demands,
                 engines = engines.len(),
-                listed = shares.listed;
+                listed = assignment.listed_count;
                 "engines shared anew"
             );
-            shares.set(engines, demands);
-        } else if engines != shares.engines {
-            let demands = std::mem::take(&mut shares.demands);
-            shares.set(engines, demands);
+            assignment.assign(engines, demands);
+        } else if engines != assignment.engines {
+            let demands = std::mem::take(&mut assignment.demands);
+            assignment.assign(engines, demands);
         }
     }
 }
--- a/crates/pinereel/src/hosted/orders/call.rs
+++ b/crates/pinereel/src/hosted/orders/engine_call.rs
@@ -19,7 +19,7 @@
 
 /// Longest wait for an engine's answer. An order without an answer may be carried out later; the
 /// count of orders in the next one makes it void.
-pub(super) const ANSWER: Duration = Duration::from_millis(1_000);
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why a call at an engine brought nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 }
 
 impl NoAnswer {
-    pub(super) const fn event(self, name: CompactString) -> Event {
+    pub(super) const fn into_event(self, name: CompactString) -> Event {
         match self {
             Self::NotOpened => Event::Unreachable { name },
             Self::Lost => Event::NoAnswer { name },
@@ -41,7 +41,7 @@
 
 impl Orders {
     /// One call at an engine.
-    pub(super) async fn call(
+    pub(super) async fn call_engine(
         &self,
         entry: &Entry,
         method: Method,
@@ -81,14 +81,14 @@
             let body = response.body.whole().await;
             Ok((status, body.map_err(|_| NoAnswer::Lost)?))
         };
-        timeout(ANSWER, exchange)
+        timeout(ANSWER_TIMEOUT, exchange)
             .await
             .unwrap_or(Err(NoAnswer::Lost))
     }
 
-    pub(super) async fn report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
+    pub(super) async fn read_status_report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
         let engine = self.parts.adapter.engine;
-        let answer = self.call(entry, Method::GET, engine.status_report_path, Bytes::new());
+        let answer = self.call_engine(entry, Method::GET, engine.status_report_path, Bytes::new());
         let (status, body) = answer.await?;
         if status != StatusCode::OK {
             return Err(NoAnswer::Lost);
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -3,10 +3,10 @@
 //! One instance gives the orders of a service, under a lease with a fencing token. The decisions are
 //! those of [`Controller`]; here they are carried out in the platform's calls.
 
-mod call;
+mod assignment;
+mod engine_call;
 mod rollout;
-mod shares;
-mod sizing;
+mod scaler;
 
 use super::{
     config::Config,
@@ -18,8 +18,9 @@
     store::Store,
 };
 use crate::{objects::Purpose, settings, upstream::pool::Pool};
-use call::ANSWER;
+use assignment::Assignment;
 use compact_str::{CompactString, format_compact};
+use engine_call::ANSWER_TIMEOUT;
 use futures_util::future::OptionFuture;
 use pinereel_core::{
     Time,
@@ -27,30 +28,29 @@
     routing_table::RoutingTable,
 };
 use pinereel_port::{Adapter, store::Object};
-use rollout::{Rollout, TICK};
-use shares::Shares;
-use sizing::Sizing;
+use rollout::{Rollout, TICK_INTERVAL};
+use scaler::ServiceScaler;
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 /// Expected time of one load until one was seen: what the users' engines take while few load.
-const LOAD_TIME: Duration = Duration::from_millis(900);
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(900);
 /// A load that takes so long has failed: several times the usual one, which is longer while more
 /// engines load.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time between reads of an engine whose load should be over. The list tells it as well, later.
-const POLL: Duration = Duration::from_millis(250);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// An order that was sent reaches its engine within this time, or its connection is lost: a segment
 /// that is lost once is sent again after 0.2 s.
-const ARRIVAL: Duration = Duration::from_millis(500);
+const MAX_DELIVERY_TIME: Duration = Duration::from_millis(500);
 
 /// Orders are given for so long after a renewal at most. The next holder waits the engines' gap from then
 /// on: with the whole lease, 1.8 s, engines got no order for 5.5 s after a holder was cut off. Renewals come
 /// every 0.5 s to 0.84 s, so that a late one ends no order at once.
-const ACTS: Duration = Duration::from_millis(1_200);
+const MAX_ACTING_TIME: Duration = Duration::from_millis(1_200);
 
 /// Pause between two looks at what the models ask for; their leases are heard every 0.7 s.
-const DEMANDS: Duration = Duration::from_millis(500);
+const DEMAND_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What orders are given with.
 pub struct Parts {
@@ -73,20 +73,20 @@
     /// Figures.
     pub metrics: Metrics,
     /// Longest wait of a watch.
-    pub watch: Duration,
+    pub max_watch_time: Duration,
 }
 
 /// Gives the orders of all services whose duty this instance holds.
 pub struct Orders {
     parts: Parts,
     /// Newest named version by model.
-    named: RefCell<BTreeMap<CompactString, u64>>,
+    published_versions: RefCell<BTreeMap<CompactString, u64>>,
     /// When this instance last sent an order, by service.
-    last_order: RefCell<BTreeMap<CompactString, Time>>,
+    last_order_times: RefCell<BTreeMap<CompactString, Time>>,
     /// Fencing token under which this instance has given orders, or might have, by service.
-    settled: RefCell<BTreeMap<CompactString, u64>>,
+    cooled_down_fences: RefCell<BTreeMap<CompactString, u64>>,
     /// The model that each engine is kept up to date for, by service.
-    shares: RefCell<BTreeMap<CompactString, Shares>>,
+    assignments: RefCell<BTreeMap<CompactString, Assignment>>,
 }
 
 impl Orders {
@@ -94,118 +94,132 @@
     pub fn start(parts: Parts) -> Rc<Self> {
         let orders = Rc::new(Self {
             parts,
-            named: RefCell::default(),
-            last_order: RefCell::default(),
-            settled: RefCell::default(),
-            shares: RefCell::default(),
+            published_versions: RefCell::default(),
+            last_order_times: RefCell::default(),
+            cooled_down_fences: RefCell::default(),
+            assignments: RefCell::default(),
         });
         let state = Rc::clone(&orders);
-        actix_rt::spawn(async move { state.join_duties().await });
+        actix_rt::spawn(async move { state.run_new_services().await });
         orders
     }
 
-    async fn join_duties(self: Rc<Self>) {
+    async fn run_new_services(self: Rc<Self>) {
         let start = |service: CompactString| {
             let orders = Rc::clone(&self);
-            actix_rt::spawn(async move { orders.serve(&service).await });
+            actix_rt::spawn(async move { orders.run_service(&service).await });
         };
-        self.parts.config.for_each_new(services, start).await;
+        self.parts.config.for_each_new(engine_services, start).await;
     }
 
     /// From when on orders may be given under a grant.
-    fn clear(&self, service: &str, grant: &HeldLease) -> Time {
-        if self.settled.borrow().get(service) == Some(&grant.fence) {
+    fn may_order_from(&self, service: &str, lease: &HeldLease) -> Time {
+        if self.cooled_down_fences.borrow().get(service) == Some(&lease.fence) {
             // It lapsed in between, and nobody else had it.
             return Time::ZERO;
         }
-        grant.may_act_from(self.gap())
+        lease.may_act_from(self.min_gap())
     }
 
     /// Time between the last order of one holder and the first of the next.
-    fn gap(&self) -> Duration {
-        self.parts.settings.gap + ARRIVAL
+    fn min_gap(&self) -> Duration {
+        self.parts.settings.gap + MAX_DELIVERY_TIME
     }
 
     /// An order is about to be given: the next holder waits the gap from now on.
     fn note_order(&self, service: &CompactString) {
         let now = self.parts.duties.now();
-        self.last_order.borrow_mut().insert(service.clone(), now);
+        self.last_order_times
+            .borrow_mut()
+            .insert(service.clone(), now);
     }
 
-    fn note_settled(&self, service: &CompactString, fence: u64) {
-        self.settled.borrow_mut().insert(service.clone(), fence);
+    fn note_cooldown_ended(&self, service: &CompactString, fence: u64) {
+        self.cooled_down_fences
+            .borrow_mut()
+            .insert(service.clone(), fence);
     }
 
-    fn models(&self, service: &str) -> Vec<CompactString> {
+    fn models_of(&self, service: &str) -> Vec<CompactString> {
         let table = self.parts.config.table();
         let engine = table.and_then(|table| table.service(service)?.engine.clone());
         engine.map(|engine| engine.models).unwrap_or_default()
     }
 
     /// Gives the orders of a service whenever this instance holds its duty.
-    async fn serve(self: Rc<Self>, service: &CompactString) {
+    async fn run_service(self: Rc<Self>, service: &CompactString) {
         let duty = format_compact!("orders-{service}");
         let (orders, duties) = (&self, Rc::clone(&self.parts.duties));
-        let work = async || orders.work(service, &duty).await;
-        duties.set_max_acting_time(&duty, ACTS);
+        let control = async || orders.control_service(service, &duty).await;
+        duties.set_max_acting_time(&duty, MAX_ACTING_TIME);
         // What is known of the engines is kept while a renewal is late; each order asks for the grant.
-        duties.run_while_held(&duty, work, || true).await;
+        duties.run_while_held(&duty, control, || true).await;
     }
 
-    async fn work(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
+    async fn control_service(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let (kind, wait) = (self.parts.adapter.object_kinds.versions, self.parts.watch);
-        let manner = || WatchOptions {
-            max_wait: wait,
+        let (kind, max_wait) = (
+            self.parts.adapter.object_kinds.versions,
+            self.parts.max_watch_time,
+        );
+        let watch_options = || WatchOptions {
+            max_wait,
             batch_delay: Duration::ZERO,
         };
-        let versions = list_and_watch(&store, Purpose::Weights, kind, manner, None, |update, _| {
-            self.take(update);
-        });
-        let models = self.models(service).into_iter().map(|model| {
+        let versions = list_and_watch(
+            &store,
+            Purpose::Weights,
+            kind,
+            watch_options,
+            None,
+            |update, _| {
+                self.apply_versions(update);
+            },
+        );
+        let models = self.models_of(service).into_iter().map(|model| {
             let rollout = Rollout {
                 orders: Rc::clone(self),
                 service: service.clone(),
                 model,
                 duty: duty.clone(),
-                controller: RefCell::new(Controller::new(self.settings())),
+                controller: RefCell::new(Controller::new(self.controller_settings())),
             };
             Rc::new(rollout).run()
         });
         // One instance is enough to answer retirements; the holder of this duty is one.
-        let retirements = retire::serve(&store, self.parts.adapter, wait);
-        let sizing = self.parts.platform.map(|address| {
-            let sizing = Sizing {
+        let retirements = retire::serve(&store, self.parts.adapter, max_wait);
+        let scaler = self.parts.platform.map(|address| {
+            let scaler = ServiceScaler {
                 orders: Rc::clone(self),
                 service: service.clone(),
                 duty: duty.clone(),
                 address,
             };
-            sizing.run()
+            scaler.run()
         });
         tokio::select! {
-            Some(()) = OptionFuture::from(sizing) => {}
+            Some(()) = OptionFuture::from(scaler) => {}
             () = versions => {}
             () = retirements => {}
             _ = futures_util::future::join_all(models) => {}
         }
     }
 
-    fn settings(&self) -> Settings {
+    fn controller_settings(&self) -> Settings {
         Settings {
             max_loads: self.parts.settings.loads,
-            initial_load_time: LOAD_TIME,
+            initial_load_time: INITIAL_LOAD_TIME,
             load_timeout: LOAD_TIMEOUT,
-            answer_timeout: ANSWER + TICK,
-            poll_interval: POLL,
+            answer_timeout: ANSWER_TIMEOUT + TICK_INTERVAL,
+            poll_interval: LOAD_POLL_INTERVAL,
             // An engine that loads answers that it is busy.
             can_replace_load: false,
             ..Settings::default()
         }
     }
 
-    fn take(&self, update: Update) {
+    fn apply_versions(&self, update: Update) {
         let objects: Vec<Object> = match update {
             Update::All(objects) => objects,
             Update::Changes(changes) => changes.into_iter().map(|c| c.object).collect(),
@@ -215,8 +229,8 @@
                 Ok((model, version)) => {
                     let revision = object.revision;
                     log::info!(model = model.as_str(), version, revision; "version named");
-                    let mut named = self.named.borrow_mut();
-                    let known = named.entry(model).or_default();
+                    let mut published_versions = self.published_versions.borrow_mut();
+                    let known = published_versions.entry(model).or_default();
                     *known = version.max(*known);
                 }
                 Err(fault) => log::error!(object = object.name.as_str(); "{fault}"),
@@ -226,7 +240,7 @@
 }
 
 /// The services whose endpoints are engines.
-fn services(table: &RoutingTable) -> Vec<CompactString> {
+fn engine_services(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter(|service| service.engine.is_some());
     engines.map(|service| service.name.clone()).collect()
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -1,6 +1,6 @@
 //! The rollout of one model at one service: what its controller decides is carried out here.
 
-use super::{Orders, call::NoAnswer};
+use super::{Orders, engine_call::NoAnswer};
 use crate::hosted::duty::HeldLease;
 use actix_http::Method;
 use compact_str::CompactString;
@@ -16,20 +16,20 @@
 use tokio::time::sleep;
 
 /// Pause between ticks of a controller.
-pub(super) const TICK: Duration = Duration::from_millis(50);
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The engines that were listed: incarnation and version of the model, by id.
-type Known = BTreeMap<CompactString, (u64, u64)>;
+type ListedEngines = BTreeMap<CompactString, (u64, u64)>;
 
 /// What the controller was last told of the list.
 #[derive(Default)]
-struct Listed {
+struct Snapshot {
     /// The change of the list that it was told up to.
     change: Option<u64>,
     /// The model's engines then.
-    own: Vec<CompactString>,
+    assigned: Vec<CompactString>,
     /// What the list showed of them.
-    known: Known,
+    listed: ListedEngines,
 }
 
 /// The rollout of one model at one service.
@@ -43,17 +43,17 @@
 
 impl Rollout {
     pub(super) async fn run(self: Rc<Self>) {
-        let mut listed = Listed::default();
+        let mut snapshot = Snapshot::default();
         loop {
-            let lease = self.lease();
+            let lease = self.usable_lease();
             self.step(Event::Lease(lease));
-            self.inform(&mut listed);
+            self.update_controller(&mut snapshot);
             self.step(Event::Tick);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     }
 
-    fn grant(&self) -> Option<HeldLease> {
+    fn held_lease(&self) -> Option<HeldLease> {
         self.orders.parts.duties.held_lease(&self.duty)
     }
 
@@ -62,81 +62,98 @@
     }
 
     /// The lease, once the holder before may not have given an order for the gap that engines ask.
-    fn lease(&self) -> Option<Lease> {
-        let grant = self.grant()?;
-        let clear = self.orders.clear(&self.service, &grant);
-        self.tell_rests(clear);
-        let settled = self.now() >= clear;
-        if settled {
-            self.orders.note_settled(&self.service, grant.fence);
+    fn usable_lease(&self) -> Option<Lease> {
+        let lease = self.held_lease()?;
+        let may_order_from = self.orders.may_order_from(&self.service, &lease);
+        self.publish_cooldown_ends(may_order_from);
+        let cooled_down = self.now() >= may_order_from;
+        if cooled_down {
+            self.orders.note_cooldown_ended(&self.service, lease.fence);
         }
-        settled.then_some(Lease {
-            fence: grant.fence,
-            expires_at: grant.valid_until,
+        cooled_down.then_some(Lease {
+            fence: lease.fence,
+            expires_at: lease.valid_until,
         })
     }
 
     /// Tells in the lease from when on the next holder may give orders.
-    fn tell_rests(&self, clear: Time) {
-        let last = self.orders.last_order.borrow().get(&self.service).copied();
-        let others = last.map_or(clear, |last| clear.max(last + self.orders.gap()));
+    fn publish_cooldown_ends(&self, may_order_from: Time) {
+        let last = self
+            .orders
+            .last_order_times
+            .borrow()
+            .get(&self.service)
+            .copied();
+        let others_from = last.map_or(may_order_from, |last| {
+            may_order_from.max(last + self.orders.min_gap())
+        });
         self.orders
             .parts
             .duties
-            .set_cooldown_ends(&self.duty, clear, others);
+            .set_cooldown_ends(&self.duty, may_order_from, others_from);
     }
 
     /// Tells the controller what is known.
-    fn inform(self: &Rc<Self>, listed: &mut Listed) {
-        let named = self.orders.named.borrow().get(&self.model).copied();
-        if let Some(version) = named {
+    fn update_controller(self: &Rc<Self>, snapshot: &mut Snapshot) {
+        let published = self
+            .orders
+            .published_versions
+            .borrow()
+            .get(&self.model)
+            .copied();
+        if let Some(version) = published {
             self.step(Event::Published(Version(version)));
         }
-        self.orders.share(&self.service);
-        let shares = self.orders.shares.borrow();
-        let Some(shares) = shares.get(&self.service) else {
+        self.orders.update_assignment(&self.service);
+        let assignment = self.orders.assignments.borrow();
+        let Some(assignment) = assignment.get(&self.service) else {
             return;
         };
-        let own = shares.of(&self.model);
-        let least = self.orders.parts.settings.loads;
-        let at_once = max_loads(shares.listed, shares.len(), own.len(), least);
-        self.controller.borrow_mut().set_max_loads(at_once);
+        let assigned = assignment.engines_of(&self.model);
+        let min_loads = self.orders.parts.settings.loads;
+        let limit = max_loads(
+            assignment.listed_count,
+            assignment.engine_count(),
+            assigned.len(),
+            min_loads,
+        );
+        self.controller.borrow_mut().set_max_loads(limit);
         let change = self.orders.parts.endpoints.change();
-        if listed.change == Some(change) && listed.own == own {
+        if snapshot.change == Some(change) && snapshot.assigned == assigned {
             return;
         }
-        let mut known = Known::new();
-        for name in own {
-            let before = listed.known.get(name).copied();
+        let mut listed = ListedEngines::new();
+        for name in assigned {
+            let before = snapshot.listed.get(name).copied();
             if let Some(entry) = self.entry(name)
-                && let Some(now) = self.inform_of(entry, before)
+                && let Some(now) = self.update_engine(entry, before)
             {
-                known.insert(name.clone(), now);
+                listed.insert(name.clone(), now);
             }
         }
-        for name in listed.known.keys() {
-            if !known.contains_key(name) {
+        for name in snapshot.listed.keys() {
+            if !listed.contains_key(name) {
                 self.step(Event::Unlisted { name: name.clone() });
             }
         }
-        *listed = Listed {
+        *snapshot = Snapshot {
             change: Some(change),
-            own: own.to_vec(),
-            known,
+            assigned: assigned.to_vec(),
+            listed,
         };
     }
 
     /// Tells the controller what the list shows of an engine; `before` is what it showed last. Returns what it shows
     /// now; none if the engine does not serve the model.
-    fn inform_of(
+    fn update_engine(
         self: &Rc<Self>,
         entry: Entry,
-        mut before: Option<(u64, u64)>,
+        mut previous: Option<(u64, u64)>,
     ) -> Option<(u64, u64)> {
         let version = entry.models.get(&self.model).copied()?;
         // A new start knows nothing of orders: what was seen of the one before says nothing.
-        if before.is_some_and(|(incarnation, _)| incarnation != entry.incarnation) {
-            before = None;
+        if previous.is_some_and(|(incarnation, _)| incarnation != entry.incarnation) {
+            previous = None;
             let name = entry.id.clone();
             self.step(Event::Unlisted { name });
         }
@@ -147,7 +164,7 @@
             leaving: entry.draining,
         });
         // An engine lists a new version as soon as it serves it; its report lags behind.
-        if before.is_some_and(|(_, before)| before != version) {
+        if previous.is_some_and(|(_, before)| before != version) {
             let status = Status {
                 incarnation: entry.incarnation,
                 version: Some(Version(version)),
@@ -163,16 +180,16 @@
     fn step(self: &Rc<Self>, event: Event) {
         let actions = self.controller.borrow_mut().step(self.now(), event);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         let service = self.service.as_str();
         match action {
             Action::Read { name } => {
                 let rollout = Rc::clone(self);
-                actix_rt::spawn(async move { rollout.read(name).await });
+                actix_rt::spawn(async move { rollout.read_status(name).await });
             }
             Action::Order {
                 name,
@@ -180,7 +197,7 @@
                 fence,
             } => {
                 let rollout = Rc::clone(self);
-                actix_rt::spawn(async move { rollout.order(name, version, fence).await });
+                actix_rt::spawn(async move { rollout.order_load(name, version, fence).await });
             }
             Action::Quarantined {
                 name,
@@ -207,35 +224,42 @@
         self.orders.parts.endpoints.get(name)
     }
 
-    async fn read(self: Rc<Self>, name: CompactString) {
+    async fn read_status(self: Rc<Self>, name: CompactString) {
         let report = match self.entry(&name) {
-            Some(entry) => self.orders.report(&entry).await,
+            Some(entry) => self.orders.read_status_report(&entry).await,
             None => Err(NoAnswer::Lost),
         };
         let event = match report {
             Ok(report) => Event::Observed {
-                status: self.status(&report),
+                status: self.convert_report(&report),
                 name,
             },
-            Err(no_answer) => no_answer.event(name),
+            Err(no_answer) => no_answer.into_event(name),
         };
         self.step(event);
     }
 
-    fn status(&self, report: &StatusReport) -> Status {
-        let named = self.orders.named.borrow().get(&self.model).copied();
+    fn convert_report(&self, report: &StatusReport) -> Status {
+        let published = self
+            .orders
+            .published_versions
+            .borrow()
+            .get(&self.model)
+            .copied();
         Status {
             incarnation: report.incarnation,
             version: report.models.get(&self.model).copied().map(Version),
             // The report does not say which version is loaded; orders are given for the newest.
-            loading: report.loading.then(|| Version(named.unwrap_or_default())),
+            loading: report
+                .loading
+                .then(|| Version(published.unwrap_or_default())),
             failed: false,
         }
     }
 
-    async fn order(self: Rc<Self>, name: CompactString, version: Version, fence: u64) {
+    async fn order_load(self: Rc<Self>, name: CompactString, version: Version, fence: u64) {
         let event = self.send_order(&name, version, fence).await;
-        self.step(event.unwrap_or_else(|no_answer| no_answer.event(name)));
+        self.step(event.unwrap_or_else(|no_answer| no_answer.into_event(name)));
     }
 
     /// Gives an order.
@@ -247,44 +271,44 @@
     ) -> Result<Event, NoAnswer> {
         let entry = self.entry(name).ok_or(NoAnswer::Lost)?;
         let engine = self.orders.parts.adapter.engine;
-        let before = self.orders.report(&entry).await?;
-        let single = self.single_version();
+        let before = self.orders.read_status_report(&entry).await?;
+        let needs_single_version = self.needs_single_version();
         let body = (engine.encode_load_request)(LoadRequest {
             model: &self.model,
             version: version.0,
-            finish_running_first: single,
+            finish_running_first: needs_single_version,
             lease_holder: self.orders.parts.duties.instance(),
             fencing_token: fence,
             expected_accepted_loads: before.accepted_loads,
         });
         // The lease may have run out during the read.
-        if self.grant().is_none_or(|grant| grant.fence != fence) {
+        if self.held_lease().is_none_or(|lease| lease.fence != fence) {
             return Err(NoAnswer::Lost);
         }
         self.orders.note_order(&self.service);
-        self.tell_rests(Time::ZERO);
+        self.publish_cooldown_ends(Time::ZERO);
         let answer = self
             .orders
-            .call(&entry, Method::POST, engine.load_path, body);
-        let verdict = answer.await;
-        let verdict = verdict.map(|(status, _)| (engine.load_outcome)(status));
+            .call_engine(&entry, Method::POST, engine.load_path, body);
+        let outcome = answer.await;
+        let outcome = outcome.map(|(status, _)| (engine.load_outcome)(status));
         log::info!(
             endpoint = name.as_str(),
             model = self.model.as_str(),
             version = version.0,
             fence,
             orders_before = before.accepted_loads,
-            outcome:? = verdict;
+            outcome:? = outcome;
             "order given"
         );
         let metrics = &self.orders.parts.metrics;
         metrics.count(
             &metrics.orders,
-            &[verdict.map_or("no answer", LoadOutcome::as_str)],
+            &[outcome.map_or("no answer", LoadOutcome::as_str)],
         );
         let name = name.clone();
-        let mut status = self.status(&before);
-        match verdict? {
+        let mut status = self.convert_report(&before);
+        match outcome? {
             LoadOutcome::Accepted => {
                 status.loading = Some(version);
                 Ok(Event::Accepted {
@@ -310,14 +334,14 @@
     }
 
     /// Whether a route of the service wants samples of one version alone.
-    fn single_version(&self) -> bool {
+    fn needs_single_version(&self) -> bool {
         let Some(table) = self.orders.parts.config.table() else {
             return false;
         };
         let mut routes = table.document().routes.iter();
         routes.any(|route| {
-            let here = route.targets.iter().any(|t| t.service == self.service);
-            here && route.single_version
+            let targets_service = route.targets.iter().any(|t| t.service == self.service);
+            targets_service && route.single_version
         })
     }
 }
--- a/crates/pinereel/src/hosted/orders/sizing.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -12,64 +12,68 @@
 use tokio::time::sleep;
 
 /// Pause between two looks at what is wanted; leases with the models' demands are heard every 0.7 s.
-const LOOK: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Orders for endpoints of one service.
-pub(super) struct Sizing {
+pub(super) struct ServiceScaler {
     pub(super) orders: Rc<Orders>,
     pub(super) service: CompactString,
     pub(super) duty: CompactString,
     pub(super) address: SocketAddr,
 }
 
-impl Sizing {
+impl ServiceScaler {
     /// Gives orders as long as they are this instance's to give.
     pub(super) async fn run(self) {
         let mut autoscaler = Autoscaler::default();
         loop {
-            sleep(LOOK).await;
-            let Some(grant) = self.grant() else { continue };
+            sleep(CHECK_INTERVAL).await;
+            let Some(lease) = self.usable_lease() else {
+                continue;
+            };
             let table = self.orders.parts.config.table();
             let service = table.and_then(|table| table.service(&self.service).cloned());
             let Some((service, scale)) = service.and_then(with_scale) else {
                 continue;
             };
-            let (lacking, zones) = (self.lacking(&service), self.zones(&scale));
+            let (shortage, zones) = (self.shortage(&service), self.listed_zones(&scale));
             let settings = Settings {
                 max_per_zone: scale.max_endpoints,
                 startup_time: scale.startup_time,
                 use_spot: scale.spot_price.is_some(),
             };
             let now = self.orders.parts.duties.now();
-            for order in autoscaler.due_requests(now, settings, lacking, &zones) {
-                let done = self.order(&grant, &order, (lacking, &zones)).await;
+            for request in autoscaler.due_requests(now, settings, shortage, &zones) {
+                let succeeded = self
+                    .send_request(&lease, &request, (shortage, &zones))
+                    .await;
                 let now = self.orders.parts.duties.now();
-                autoscaler.note_result(now, &order.zone, done);
+                autoscaler.note_result(now, &request.zone, succeeded);
             }
         }
     }
 
     /// The lease, if an order may be given under it now.
-    fn grant(&self) -> Option<HeldLease> {
+    fn usable_lease(&self) -> Option<HeldLease> {
         let duties = &self.orders.parts.duties;
-        let grant = duties.held_lease(&self.duty)?;
-        let clear = self.orders.clear(&self.service, &grant);
-        (duties.now() >= clear).then_some(grant)
+        let lease = duties.held_lease(&self.duty)?;
+        let may_order_from = self.orders.may_order_from(&self.service, &lease);
+        (duties.now() >= may_order_from).then_some(lease)
     }
 
     /// Endpoints beyond the usual ones, so that items which found no slot in time have one.
-    fn lacking(&self, service: &Service) -> u32 {
+    fn shortage(&self, service: &Service) -> u32 {
         let Some(engine) = &service.engine else {
             return 0;
         };
         let duties = &self.orders.parts.duties;
-        let short = |model| duties.lot_demand(&lots::duty(model)).unplaced_items;
-        let items = engine.models.iter().map(|model| short(model));
-        let endpoints = items.sum::<u64>().div_ceil(u64::from(engine.slots.max(1)));
-        u32::try_from(endpoints).unwrap_or(u32::MAX)
+        let unplaced = |model| duties.lot_demand(&lots::duty(model)).unplaced_items;
+        let items = engine.models.iter().map(|model| unplaced(model));
+        let endpoint_count = items.sum::<u64>().div_ceil(u64::from(engine.slots.max(1)));
+        u32::try_from(endpoint_count).unwrap_or(u32::MAX)
     }
 
-    fn zones(&self, scale: &Scale) -> BTreeMap<CompactString, Zone> {
+    fn listed_zones(&self, scale: &Scale) -> BTreeMap<CompactString, Zone> {
         let mut zones: BTreeMap<CompactString, Zone> = BTreeMap::new();
         for (name, price) in &scale.zone_prices {
             zones.entry(name.clone()).or_default().price = *price;
@@ -85,49 +89,52 @@
         zones
     }
 
-    async fn order(
+    async fn send_request(
         &self,
-        grant: &HeldLease,
-        order: &Request,
-        (lacking, zones): (u32, &BTreeMap<CompactString, Zone>),
+        lease: &HeldLease,
+        request: &Request,
+        (shortage, zones): (u32, &BTreeMap<CompactString, Zone>),
     ) -> bool {
         let parts = &self.orders.parts;
         let holder = LeaseHolder {
             instance: parts.duties.instance(),
-            fencing_token: grant.fence,
+            fencing_token: lease.fence,
         };
-        let size = ScaleTarget {
+        let target = ScaleTarget {
             service: &self.service,
-            zone: &order.zone,
-            count: order.count,
-            spot: order.spot,
+            zone: &request.zone,
+            count: request.count,
+            spot: request.spot,
         };
         // The lease may have run out during the call before.
-        if self.grant().is_none_or(|now| now.fence != grant.fence) {
+        if self
+            .usable_lease()
+            .is_none_or(|now| now.fence != lease.fence)
+        {
             return false;
         }
         self.orders.note_order(&self.service);
-        let call = (parts.adapter.leader.set_endpoint_count)(holder, size);
+        let call = (parts.adapter.leader.set_endpoint_count)(holder, target);
         let status = platform::call(&parts.pool, self.address, call).await;
-        let verdict = status.map(parts.adapter.leader.outcome);
-        let has = zones.get(&order.zone).copied().unwrap_or_default();
+        let outcome = status.map(parts.adapter.leader.outcome);
+        let listed = zones.get(&request.zone).copied().unwrap_or_default();
         log::info!(
             service = self.service.as_str(),
-            zone = order.zone.as_str(),
-            count = order.count,
-            spot = order.spot,
-            lacking,
-            listed = has.regular,
-            listed_spot = has.spot,
-            fence = grant.fence,
-            outcome = verdict.map_or("no answer", Outcome::as_str);
+            zone = request.zone.as_str(),
+            count = request.count,
+            spot = request.spot,
+            lacking = shortage,
+            listed = listed.regular,
+            listed_spot = listed.spot,
+            fence = lease.fence,
+            outcome = outcome.map_or("no answer", Outcome::as_str);
             "endpoints ordered"
         );
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
         parts
             .metrics
             .count(&parts.metrics.duty_calls, &["size", &label]);
-        verdict == Some(Outcome::Done)
+        outcome == Some(Outcome::Done)
     }
 }
 
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -255,7 +255,7 @@
             metrics: metrics.clone(),
             settings: settings.orders.clone(),
             platform: ordered,
-            watch,
+            max_watch_time: watch,
         });
         if let Some(readiness) = settings.instance.readiness {
             let readiness = listen(readiness).await?;
