--- a/crates/pinereel/src/hosted/orders/assignment.rs
+++ b/crates/pinereel/src/hosted/orders/assignment.rs
@@ -1,4 +1,4 @@
-//! The models' shares of a service's working set of engines.
+//! Assigns the engines in the working set of a service to its models, by their demand.
 
 use super::{DEMAND_CHECK_INTERVAL, Orders};
 use crate::hosted::demand;
@@ -9,30 +9,30 @@
 };
 use std::collections::BTreeMap;
 
-/// Which model each engine of the working set is kept up to date for.
+/// The model for which each engine of the working set is kept up to date.
 #[derive(Default)]
 pub(super) struct Assignment {
-    /// The change of the endpoint list that was last looked at.
+    /// Number of the last change of the endpoint list that was taken into account.
     checked_change: Option<u64>,
-    /// When the demands were last looked at.
+    /// Time of the last check of the demand.
     checked_at: Time,
-    /// The working set, in its order.
+    /// The working set, in the order of the endpoint ranking.
     engines: Vec<CompactString>,
-    /// What the models asked for when engines last changed hands.
+    /// The models' demand at the last reassignment.
     demands: Vec<Demand>,
-    /// Engines by model.
+    /// The engines assigned to each model.
     by_model: BTreeMap<CompactString, Vec<CompactString>>,
-    /// Endpoints of the service that take work, in the working set or not.
+    /// Number of endpoints of the service that take work, in the working set or not.
     pub(super) listed_count: usize,
 }
 
 impl Assignment {
-    /// The engines of a model.
+    /// The engines assigned to a model.
     pub(super) fn engines_of(&self, model: &str) -> &[CompactString] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Number of engines that are shared.
+    /// Number of engines in the working set.
     pub(super) const fn engine_count(&self) -> usize {
         self.engines.len()
     }
@@ -48,7 +48,8 @@
 }
 
 impl Orders {
-    /// Brings the shares of a service up to date.
+    /// Updates the assignment of a service if the endpoint list has changed or a check of the demand is
+    /// due.
     pub(super) fn update_assignment(&self, service: &CompactString) {
         let parts = &self.parts;
         let (now, change) = (parts.duties.now(), parts.endpoints.change());
--- a/crates/pinereel/src/hosted/orders/engine_call.rs
+++ b/crates/pinereel/src/hosted/orders/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls at engines.
+//! HTTP calls to engines: status reports and load orders.
 
 use super::Orders;
 use crate::upstream::pool::{Error, Exchange};
@@ -17,16 +17,16 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for an engine's answer. An order without an answer may be carried out later; the
-/// count of orders in the next one makes it void.
+/// Timeout for an engine's answer. An order without an answer may still be executed later; the number
+/// of accepted loads that the next order carries makes it invalid.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a call at an engine brought nothing.
+/// Why a call to an engine has no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoAnswer {
     /// No connection could be opened.
     NotOpened,
-    /// It may have been taken, or the answer says nothing.
+    /// The engine may have received the call, or its answer does not tell the result.
     Lost,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Orders {
-    /// One call at an engine.
+    /// Sends one request to an engine, and returns the status and the body of the answer.
     pub(super) async fn call_engine(
         &self,
         entry: &Entry,
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -1,7 +1,9 @@
-//! Orders to the engines: which version of the weights they load.
+//! Orders engines to load new weight versions, and requests endpoints from the platform.
 //!
-//! One instance gives the orders of a service, under a lease with a fencing token. The decisions are
-//! those of [`Controller`]; here they are carried out in the platform's calls.
+//! For each service of engines, one instance at a time does this, under a lease with a fencing
+//! token. [`Controller`] decides which engine loads which version, and
+//! [`Autoscaler`](pinereel_core::scale::Autoscaler) how many endpoints to request. This module makes
+//! the calls that they decide on.
 
 mod assignment;
 mod engine_call;
@@ -32,65 +34,69 @@
 use scaler::ServiceScaler;
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Expected time of one load until one was seen: what the users' engines take while few load.
+/// Expected time of a load until one has been observed: that of an engine while few others load.
 const INITIAL_LOAD_TIME: Duration = Duration::from_millis(900);
-/// A load that takes so long has failed: several times the usual one, which is longer while more
-/// engines load.
+/// A load that takes longer counts as failed. This is several times the usual time, as loads take
+/// longer while more engines load.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time between reads of an engine whose load should be over. The list tells it as well, later.
+/// Interval between status reads of an engine whose load should have ended. The endpoint list shows
+/// the end of a load too, but later.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An order that was sent reaches its engine within this time, or its connection is lost: a segment
-/// that is lost once is sent again after 0.2 s.
+/// Maximum time until an order that was sent reaches its engine, unless its connection is lost. A TCP
+/// segment that is lost once is retransmitted after 0.2 s.
 const MAX_DELIVERY_TIME: Duration = Duration::from_millis(500);
 
-/// Orders are given for so long after a renewal at most. The next holder waits the engines' gap from then
-/// on: with the whole lease, 1.8 s, engines got no order for 5.5 s after a holder was cut off. Renewals come
-/// every 0.5 s to 0.84 s, so that a late one ends no order at once.
+/// Maximum time after a lease renewal during which orders are sent. The gap before the orders of the
+/// next holder starts at its end: with the whole lease of 1.8 s, engines got no order for 5.5 s after
+/// a holder lost its network. Renewals are 0.5 s to 0.84 s apart, so one that is a little late does
+/// not interrupt the orders.
 const MAX_ACTING_TIME: Duration = Duration::from_millis(1_200);
 
-/// Pause between two looks at what the models ask for; their leases are heard every 0.7 s.
+/// Minimum interval between checks of the models' demand, which is received with their leases every
+/// 0.7 s.
 const DEMAND_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What orders are given with.
+/// What [`Orders`] needs from the other parts of the instance.
 pub struct Parts {
-    /// Translates.
+    /// Message formats of the platform and the engines.
     pub adapter: Adapter,
     /// The object store.
     pub store: Store,
-    /// The configuration.
+    /// The configuration in force.
     pub config: Rc<Config>,
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
-    /// Duties.
+    /// Leases of the control duties.
     pub duties: Rc<Duties>,
-    /// Connections to endpoints.
+    /// Connections to endpoints and to the platform.
     pub pool: Rc<Pool>,
-    /// Bounds.
+    /// Minimum gap between the orders of two holders, and the number of loads at a time.
     pub settings: settings::Orders,
-    /// Where the platform takes orders for endpoints; none if they are no duty.
+    /// Address at which the platform takes requests for endpoints; `None` if autoscaling is off.
     pub platform: Option<SocketAddr>,
-    /// Figures.
+    /// Counts orders and requests.
     pub metrics: Metrics,
-    /// Longest wait of a watch.
+    /// Longest duration of one watch call to the object store.
     pub max_watch_time: Duration,
 }
 
-/// Gives the orders of all services whose duty this instance holds.
+/// Sends the orders of all services whose lease this instance holds.
 pub struct Orders {
     parts: Parts,
-    /// Newest named version by model.
+    /// Newest published weight version, by model.
     published_versions: RefCell<BTreeMap<CompactString, u64>>,
-    /// When this instance last sent an order, by service.
+    /// Time of the last order or request of this instance, by service.
     last_order_times: RefCell<BTreeMap<CompactString, Time>>,
-    /// Fencing token under which this instance has given orders, or might have, by service.
+    /// Fencing token of the last lease whose cooldown has ended here, so that this instance may have
+    /// sent orders under it, by service.
     cooled_down_fences: RefCell<BTreeMap<CompactString, u64>>,
-    /// The model that each engine is kept up to date for, by service.
+    /// The model for which each engine is kept up to date, by service.
     assignments: RefCell<BTreeMap<CompactString, Assignment>>,
 }
 
 impl Orders {
-    /// Takes part in the duty of each service of engines from now on.
+    /// Registers for the lease of each service of engines, now and when the configuration adds one.
     pub fn start(parts: Parts) -> Rc<Self> {
         let orders = Rc::new(Self {
             parts,
@@ -112,21 +118,21 @@
         self.parts.config.for_each_new(engine_services, start).await;
     }
 
-    /// From when on orders may be given under a grant.
+    /// The time from which orders may be sent under a lease.
     fn may_order_from(&self, service: &str, lease: &HeldLease) -> Time {
         if self.cooled_down_fences.borrow().get(service) == Some(&lease.fence) {
-            // It lapsed in between, and nobody else had it.
+            // The lease expired in between, but no other instance has held it.
             return Time::ZERO;
         }
         lease.may_act_from(self.min_gap())
     }
 
-    /// Time between the last order of one holder and the first of the next.
+    /// Minimum time between the last order of one holder and the first order of the next.
     fn min_gap(&self) -> Duration {
         self.parts.settings.gap + MAX_DELIVERY_TIME
     }
 
-    /// An order is about to be given: the next holder waits the gap from now on.
+    /// Records that an order is about to be sent: the gap before the next holder's orders starts now.
     fn note_order(&self, service: &CompactString) {
         let now = self.parts.duties.now();
         self.last_order_times
@@ -146,13 +152,14 @@
         engine.map(|engine| engine.models).unwrap_or_default()
     }
 
-    /// Gives the orders of a service whenever this instance holds its duty.
+    /// Sends the orders of a service whenever this instance holds its lease.
     async fn run_service(self: Rc<Self>, service: &CompactString) {
         let duty = format_compact!("orders-{service}");
         let (orders, duties) = (&self, Rc::clone(&self.parts.duties));
         let control = async || orders.control_service(service, &duty).await;
         duties.set_max_acting_time(&duty, MAX_ACTING_TIME);
-        // What is known of the engines is kept while a renewal is late; each order asks for the grant.
+        // The known status of the engines is kept while a renewal is late: the lease is checked again
+        // before each order.
         duties.run_while_held(&duty, control, || true).await;
     }
 
@@ -187,7 +194,7 @@
             };
             Rc::new(rollout).run()
         });
-        // One instance is enough to answer retirements; the holder of this duty is one.
+        // One instance suffices to answer retirement requests, so the lease holder does it.
         let retirements = retire::serve(&store, self.parts.adapter, max_wait);
         let scaler = self.parts.platform.map(|address| {
             let scaler = ServiceScaler {
@@ -213,7 +220,7 @@
             load_timeout: LOAD_TIMEOUT,
             answer_timeout: ANSWER_TIMEOUT + TICK_INTERVAL,
             poll_interval: LOAD_POLL_INTERVAL,
-            // An engine that loads answers that it is busy.
+            // An engine refuses orders as busy while it loads.
             can_replace_load: false,
             ..Settings::default()
         }
@@ -239,7 +246,7 @@
     }
 }
 
-/// The services whose endpoints are engines.
+/// Names of the services whose endpoints are engines.
 fn engine_services(table: &RoutingTable) -> Vec<CompactString> {
     let services = table.document().services.iter();
     let engines = services.filter(|service| service.engine.is_some());
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -1,4 +1,5 @@
-//! The rollout of one model at one service: what its controller decides is carried out here.
+//! Rolling update of the weights of one model at one service: executes the actions of its
+//! [`Controller`] and feeds back the results.
 
 use super::{Orders, engine_call::NoAnswer};
 use crate::hosted::duty::HeldLease;
@@ -15,20 +16,20 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Pause between ticks of a controller.
+/// Interval between ticks of a controller.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The engines that were listed: incarnation and version of the model, by id.
+/// Incarnation and version of the model of each listed engine, by endpoint id.
 type ListedEngines = BTreeMap<CompactString, (u64, u64)>;
 
-/// What the controller was last told of the list.
+/// The state of the endpoint list that the controller was last informed of.
 #[derive(Default)]
 struct Snapshot {
-    /// The change of the list that it was told up to.
+    /// Number of the last change of the list.
     change: Option<u64>,
-    /// The model's engines then.
+    /// The engines that were assigned to the model.
     assigned: Vec<CompactString>,
-    /// What the list showed of them.
+    /// What the list showed of these engines.
     listed: ListedEngines,
 }
 
@@ -61,7 +62,7 @@
         self.orders.parts.duties.now()
     }
 
-    /// The lease, once the holder before may not have given an order for the gap that engines ask.
+    /// The lease, if the gap after the last possible order of the previous holder has passed.
     fn usable_lease(&self) -> Option<Lease> {
         let lease = self.held_lease()?;
         let may_order_from = self.orders.may_order_from(&self.service, &lease);
@@ -76,7 +77,8 @@
         })
     }
 
-    /// Tells in the lease from when on the next holder may give orders.
+    /// Records in the lease when the cooldown ends: `may_order_from` for the next process of this
+    /// instance, and the gap after the last order for other instances.
     fn publish_cooldown_ends(&self, may_order_from: Time) {
         let last = self
             .orders
@@ -93,7 +95,8 @@
             .set_cooldown_ends(&self.duty, may_order_from, others_from);
     }
 
-    /// Tells the controller what is known.
+    /// Informs the controller of the published version, its limit of loads, and changes of the endpoint
+    /// list.
     fn update_controller(self: &Rc<Self>, snapshot: &mut Snapshot) {
         let published = self
             .orders
@@ -143,15 +146,15 @@
         };
     }
 
-    /// Tells the controller what the list shows of an engine; `before` is what it showed last. Returns what it shows
-    /// now; none if the engine does not serve the model.
+    /// Informs the controller of what the list shows of an engine; `previous` is what it showed last.
+    /// Returns what it shows now, or `None` if the engine does not serve the model.
     fn update_engine(
         self: &Rc<Self>,
         entry: Entry,
         mut previous: Option<(u64, u64)>,
     ) -> Option<(u64, u64)> {
         let version = entry.models.get(&self.model).copied()?;
-        // A new start knows nothing of orders: what was seen of the one before says nothing.
+        // A restarted engine has no orders, so the status from before the restart is void.
         if previous.is_some_and(|(incarnation, _)| incarnation != entry.incarnation) {
             previous = None;
             let name = entry.id.clone();
@@ -163,7 +166,7 @@
             outstanding: 0,
             leaving: entry.draining,
         });
-        // An engine lists a new version as soon as it serves it; its report lags behind.
+        // The list shows a new version as soon as the engine serves it; its status report is later.
         if previous.is_some_and(|(_, before)| before != version) {
             let status = Status {
                 incarnation: entry.incarnation,
@@ -249,7 +252,7 @@
         Status {
             incarnation: report.incarnation,
             version: report.models.get(&self.model).copied().map(Version),
-            // The report does not say which version is loaded; orders are given for the newest.
+            // The report does not say which version is loading; orders are for the newest one.
             loading: report
                 .loading
                 .then(|| Version(published.unwrap_or_default())),
@@ -262,7 +265,7 @@
         self.step(event.unwrap_or_else(|no_answer| no_answer.into_event(name)));
     }
 
-    /// Gives an order.
+    /// Orders an engine to load a version, after a read of the number of loads that it has accepted.
     async fn send_order(
         &self,
         name: &CompactString,
@@ -281,7 +284,7 @@
             fencing_token: fence,
             expected_accepted_loads: before.accepted_loads,
         });
-        // The lease may have run out during the read.
+        // The lease may have expired during the read.
         if self.held_lease().is_none_or(|lease| lease.fence != fence) {
             return Err(NoAnswer::Lost);
         }
@@ -333,7 +336,7 @@
         }
     }
 
-    /// Whether a route of the service wants samples of one version alone.
+    /// Whether a route to the service needs each sample from a single version.
     fn needs_single_version(&self) -> bool {
         let Some(table) = self.orders.parts.config.table() else {
             return false;
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -1,4 +1,5 @@
-//! Orders for endpoints: how many of them each availability zone should have.
+//! Requests endpoints of a service from the platform, as the [`Autoscaler`] decides for each
+//! availability zone.
 
 use super::Orders;
 use crate::hosted::{duty::HeldLease, lots, platform};
@@ -11,10 +12,11 @@
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Pause between two looks at what is wanted; leases with the models' demands are heard every 0.7 s.
+/// Interval between checks of the shortage. The leases with the models' demand are received every
+/// 0.7 s.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Orders for endpoints of one service.
+/// Sends the requests for endpoints of one service.
 pub(super) struct ServiceScaler {
     pub(super) orders: Rc<Orders>,
     pub(super) service: CompactString,
@@ -23,7 +25,7 @@
 }
 
 impl ServiceScaler {
-    /// Gives orders as long as they are this instance's to give.
+    /// Checks at each interval which requests are due, and sends them while the lease is held.
     pub(super) async fn run(self) {
         let mut autoscaler = Autoscaler::default();
         loop {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The lease, if an order may be given under it now.
+    /// The lease, if a request may be sent under it now.
     fn usable_lease(&self) -> Option<HeldLease> {
         let duties = &self.orders.parts.duties;
         let lease = duties.held_lease(&self.duty)?;
@@ -61,7 +63,7 @@
         (duties.now() >= may_order_from).then_some(lease)
     }
 
-    /// Endpoints beyond the usual ones, so that items which found no slot in time have one.
+    /// Number of endpoints, beyond the baseline, that give a slot to the items that got none in time.
     fn shortage(&self, service: &Service) -> u32 {
         let Some(engine) = &service.engine else {
             return 0;
@@ -106,7 +108,7 @@
             count: request.count,
             spot: request.spot,
         };
-        // The lease may have run out during the call before.
+        // The lease may have expired during the previous call.
         if self
             .usable_lease()
             .is_none_or(|now| now.fence != lease.fence)
