--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -166,12 +166,12 @@
     async fn control_service(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
-        let (kind, max_wait) = (
+        let (kind, watch_time) = (
             self.parts.adapter.object_kinds.versions,
             self.parts.max_watch_time,
         );
         let watch_options = || WatchOptions {
-            max_wait,
+            max_wait: watch_time,
             batch_delay: Duration::ZERO,
         };
         let versions = list_and_watch(
@@ -195,7 +195,7 @@
             Rc::new(rollout).run()
         });
         // One instance suffices to answer retirement requests, so the lease holder does it.
-        let retirements = retire::serve(&store, self.parts.adapter, max_wait);
+        let retirements = retire::serve(&store, self.parts.adapter, watch_time);
         let scaler = self.parts.platform.map(|address| {
             let scaler = ServiceScaler {
                 orders: Rc::clone(self),
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -46,7 +46,7 @@
     pub(super) async fn run(self: Rc<Self>) {
         let mut snapshot = Snapshot::default();
         loop {
-            let lease = self.usable_lease();
+            let lease = self.lease();
             self.step(Event::Lease(lease));
             self.update_controller(&mut snapshot);
             self.step(Event::Tick);
@@ -63,7 +63,7 @@
     }
 
     /// The lease, if the gap after the last possible order of the previous holder has passed.
-    fn usable_lease(&self) -> Option<Lease> {
+    fn lease(&self) -> Option<Lease> {
         let lease = self.held_lease()?;
         let may_order_from = self.orders.may_order_from(&self.service, &lease);
         self.publish_cooldown_ends(may_order_from);
@@ -77,22 +77,20 @@
         })
     }
 
-    /// Records in the lease when the cooldown ends: `may_order_from` for the next process of this
+    /// Records in the lease when the cooldown ends: `own` is for the next process of this
     /// instance, and the gap after the last order for other instances.
-    fn publish_cooldown_ends(&self, may_order_from: Time) {
+    fn publish_cooldown_ends(&self, own: Time) {
         let last = self
             .orders
             .last_order_times
             .borrow()
             .get(&self.service)
             .copied();
-        let others_from = last.map_or(may_order_from, |last| {
-            may_order_from.max(last + self.orders.min_gap())
-        });
+        let others = last.map_or(own, |last| own.max(last + self.orders.min_gap()));
         self.orders
             .parts
             .duties
-            .set_cooldown_ends(&self.duty, may_order_from, others_from);
+            .set_cooldown_ends(&self.duty, own, others);
     }
 
     /// Informs the controller of the published version, its limit of loads, and changes of the endpoint
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -30,9 +30,7 @@
         let mut autoscaler = Autoscaler::default();
         loop {
             sleep(CHECK_INTERVAL).await;
-            let Some(lease) = self.usable_lease() else {
-                continue;
-            };
+            let Some(lease) = self.lease() else { continue };
             let table = self.orders.parts.config.table();
             let service = table.and_then(|table| table.service(&self.service).cloned());
             let Some((service, scale)) = service.and_then(with_scale) else {
@@ -56,7 +54,7 @@
     }
 
     /// The lease, if a request may be sent under it now.
-    fn usable_lease(&self) -> Option<HeldLease> {
+    fn lease(&self) -> Option<HeldLease> {
         let duties = &self.orders.parts.duties;
         let lease = duties.held_lease(&self.duty)?;
         let may_order_from = self.orders.may_order_from(&self.service, &lease);
@@ -109,10 +107,7 @@
             spot: request.spot,
         };
         // The lease may have expired during the previous call.
-        if self
-            .usable_lease()
-            .is_none_or(|now| now.fence != lease.fence)
-        {
+        if self.lease().is_none_or(|now| now.fence != lease.fence) {
             return false;
         }
         self.orders.note_order(&self.service);
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -13,7 +13,7 @@
     endpoints::{Endpoints, Picked},
     metrics::Metrics,
     stall::StallDetector,
-    usage::{Begun, Usage},
+    usage::{CountedRequest, Meter},
 };
 use crate::upstream::pool::Pool;
 use attempt::Tried;
@@ -51,7 +51,7 @@
     /// Requests under which endpoints crash.
     pub crashes: Rc<Crashes>,
     /// Counts of requests that began to run.
-    pub usage: Rc<Usage>,
+    pub usage: Rc<Meter>,
     /// Figures.
     pub metrics: Metrics,
 }
@@ -74,7 +74,7 @@
     used: Vec<Key>,
     running: Attempting,
     /// How it counts for its workspace, once it was sent.
-    begun: Option<Begun>,
+    begun: Option<CountedRequest>,
 }
 
 type Attempting = FuturesUnordered<LocalBoxFuture<'static, Tried>>;
@@ -167,7 +167,7 @@
         if matches!(outcome, Outcome::NotRun { .. })
             && let Some(begun) = course.begun
         {
-            self.parts.usage.undo(begun);
+            self.parts.usage.retract(begun);
         }
         let running = course.running;
         if !running.is_empty() && matches!(outcome, Outcome::Answer(_)) {
@@ -197,7 +197,7 @@
                 let in_doubt = matches!(standing, RequestStatus::Suspected { .. });
                 let occupied = in_doubt.then(|| self.parts.crashes.occupy(&picked.start));
                 if course.used.is_empty() {
-                    course.begun = self.parts.usage.begin(&course.call.caller);
+                    course.begun = self.parts.usage.count(&course.call.caller);
                 }
                 course.used.push(picked.key);
                 course.attempts.record_send(course.began.elapsed());
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -16,7 +16,7 @@
     stop::{Stop, Times},
     store::Store,
     tree::{self, Feed, Node},
-    usage::{self, Usage},
+    usage::{self, Meter},
 };
 use crate::{
     http::{self, Server},
@@ -173,7 +173,7 @@
         let reported = platform.and_then(|platform| platform.usage.clone());
         let ordered = platform.filter(|platform| platform.autoscale);
         let ordered = ordered.map(|platform| platform.address);
-        let usage = Usage::start(reported.as_ref(), duties.id(), boot_time);
+        let usage = Meter::start(reported.as_ref(), duties.id(), boot_time);
         let mut bulletin = None;
         if let Some(peers) = instance.peers {
             let parts = tree::Parts {
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -1,7 +1,7 @@
 //! This instance as a node of the tree: its state, its heartbeats, and the frames to its children.
 
 use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
-use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Usage};
+use crate::hosted::{crashes::Crashes, duty::Duties, metrics::Metrics, store::Store, usage::Meter};
 use bytes::Bytes;
 use compact_str::CompactString;
 use pinereel_core::{
@@ -37,7 +37,7 @@
     /// Requests under which endpoints crash, exchanged with the parent and the children.
     pub crashes: Rc<Crashes>,
     /// Counts of requests that began to run, sent up the tree.
-    pub usage: Rc<Usage>,
+    pub usage: Rc<Meter>,
     /// The age of the data is recorded here.
     pub metrics: Metrics,
     /// Longest duration of one watch at the store.
@@ -289,7 +289,7 @@
         let ranks = self.ranks()?;
         self.parts
             .usage
-            .note_instances(ranks.total.count() as usize);
+            .observe_instance_count(ranks.total.count() as usize);
         Some(ranks)
     }
 
--- a/crates/pinereel/src/hosted/tree/reports.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -4,7 +4,7 @@
 use super::{Frame, Node, Topic};
 use crate::hosted::{
     crashes::{Crashes, Source},
-    usage::Usage,
+    usage::Meter,
 };
 use bytes::Bytes;
 use pinereel_core::crash::Report;
@@ -40,7 +40,7 @@
     pub(super) async fn send_usage_reports(&self) {
         let usage = &self.parts.usage;
         loop {
-            let mut reports = usage.untold().await;
+            let mut reports = usage.next_unsent().await;
             let is_root = self.uplink.borrow().reads_store();
             if is_root {
                 reports.retain(|report| report.source == self.parts.duties.id());
@@ -52,13 +52,13 @@
                 Some(bytes) => drop(self.to_parent.send(bytes)),
                 None => {}
             }
-            Usage::gather().await;
+            Meter::wait_between_sends().await;
         }
     }
 
     /// What a new parent is sent first: all reports, and the subscriptions.
     pub(super) fn initial_frames(&self) -> Vec<Bytes> {
-        let usage = self.parts.usage.all();
+        let usage = self.parts.usage.all_reports();
         let usage = (!usage.is_empty()).then_some(Frame::Usage(usage));
         let frames = self.crash_snapshot().into_iter().chain(usage);
         // Includes subscriptions that were made while the link was set up.
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -340,7 +340,7 @@
                 self.send_heartbeat();
             }
             Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
-            Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
+            Some(Frame::Usage(reports)) => self.parts.usage.merge(reports),
             Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
             Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
         }
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -23,81 +23,81 @@
 use tokio::{sync::watch, time::sleep};
 
 /// Reports of one message: about 100 bytes each.
-const BATCH: usize = 64;
+const MAX_BATCH_LEN: usize = 64;
 /// Pause between two messages, so that what comes together goes together.
-const GATHER: Duration = Duration::from_millis(200);
+const SEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause between two looks at the time.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A window is closed so long after its end: a request that began just before it has been counted, or found not to run.
-const CLOSE: Duration = Duration::from_millis(250);
+const CLOSE_DELAY: Duration = Duration::from_millis(250);
 /// Windows that are kept beside the one that is open: those that may still be reported.
-const KEPT: u64 = 6;
+const KEPT_WINDOWS: u64 = 6;
 
 /// Counts of this instance and of those that tell it.
-pub struct Usage {
+pub struct Meter {
     /// Length of a window; none if nothing is reported.
-    length: Option<Duration>,
+    window_length: Option<Duration>,
     ledger: RefCell<Ledger>,
-    wall: RefCell<WallClock>,
+    wall_clock: RefCell<WallClock>,
     clock: fn() -> Time,
-    changed: watch::Sender<u64>,
+    change_count: watch::Sender<u64>,
     /// Instances in all, as far as this one knows.
     instance_count: RefCell<InstanceCount>,
 }
 
 /// A request that counts as begun.
 #[derive(Debug)]
-pub struct Begun {
+pub struct CountedRequest {
     window: Window,
     workspace: compact_str::CompactString,
 }
 
-impl Usage {
+impl Meter {
     /// Counts from now on, as the instance start `id`.
     pub fn start(settings: Option<&settings::Usage>, id: &str, clock: fn() -> Time) -> Rc<Self> {
         let usage = Rc::new(Self {
-            length: settings.map(|settings| settings.window),
+            window_length: settings.map(|settings| settings.window),
             ledger: RefCell::new(Ledger::new(id)),
-            wall: RefCell::new(WallClock::new(clock(), time_of_day())),
+            wall_clock: RefCell::new(WallClock::new(clock(), system_time_millis())),
             clock,
-            changed: watch::channel(0).0,
+            change_count: watch::channel(0).0,
             instance_count: RefCell::default(),
         });
-        if let Some(length) = usage.length {
+        if let Some(window_length) = usage.window_length {
             let state = Rc::clone(&usage);
-            actix_rt::spawn(async move { state.look(length).await });
+            actix_rt::spawn(async move { state.close_windows(window_length).await });
         }
         usage
     }
 
     /// True time.
-    pub fn now(&self) -> WallTime {
-        self.wall.borrow().wall_time((self.clock)())
+    pub fn wall_time(&self) -> WallTime {
+        self.wall_clock.borrow().wall_time((self.clock)())
     }
 
     /// A request begins to run.
-    pub fn begin(&self, caller: &Caller) -> Option<Begun> {
+    pub fn count(&self, caller: &Caller) -> Option<CountedRequest> {
         let workspace = caller.workspace()?;
-        let window = self.now().window(self.length?);
+        let window = self.wall_time().window(self.window_length?);
         self.ledger.borrow_mut().add(window, workspace, 1);
         self.note_change();
-        Some(Begun {
+        Some(CountedRequest {
             window,
             workspace: workspace.into(),
         })
     }
 
     /// It did not run after all.
-    pub fn undo(&self, begun: Begun) {
+    pub fn retract(&self, request: CountedRequest) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.add(begun.window, &begun.workspace, -1);
+        ledger.add(request.window, &request.workspace, -1);
         drop(ledger);
         self.note_change();
     }
 
     /// A neighbour tells of counts.
-    pub fn heard(&self, reports: Vec<Report>) {
-        if self.length.is_none() {
+    pub fn merge(&self, reports: Vec<Report>) {
+        if self.window_length.is_none() {
             return;
         }
         self.ledger.borrow_mut().merge(reports);
@@ -105,58 +105,62 @@
     }
 
     /// All that is known, for a new parent.
-    pub fn all(&self) -> Vec<Report> {
+    pub fn all_reports(&self) -> Vec<Report> {
         self.ledger.borrow().all_reports()
     }
 
     /// Waits until others are to be told something, and gives it.
-    pub async fn untold(&self) -> Vec<Report> {
-        let untold = || self.ledger.borrow_mut().take_unsent(BATCH);
-        pending::next_batch(self.changed.subscribe(), untold).await
+    pub async fn next_unsent(&self) -> Vec<Report> {
+        let take_unsent = || self.ledger.borrow_mut().take_unsent(MAX_BATCH_LEN);
+        pending::next_batch(self.change_count.subscribe(), take_unsent).await
     }
 
     /// What is untold is gathered for a moment between two messages.
-    pub async fn gather() {
-        sleep(GATHER).await;
+    pub async fn wait_between_sends() {
+        sleep(SEND_INTERVAL).await;
     }
 
     /// So many instances are in the tree now.
-    pub fn note_instances(&self, count: usize) {
+    pub fn observe_instance_count(&self, count: usize) {
         let now = (self.clock)();
         self.instance_count.borrow_mut().observe(now, count);
     }
 
     /// Instances whose counts are waited for.
-    fn instances(&self) -> usize {
+    fn expected_instances(&self) -> usize {
         self.instance_count.borrow().expected()
     }
 
     fn note_change(&self) {
         if self.ledger.borrow().has_unsent() {
-            self.changed.send_modify(|changes| *changes += 1);
+            self.change_count.send_modify(|changes| *changes += 1);
         }
     }
 
     /// Closes windows, and forgets old ones.
-    async fn look(&self, length: Duration) {
-        let mut closed = None;
+    async fn close_windows(&self, window_length: Duration) {
+        let mut last_closed = None;
         loop {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             let now = (self.clock)();
-            self.wall.borrow_mut().observe(now, time_of_day());
-            let window = self.now().window(length);
-            let over = Window(window.0.saturating_sub(1));
-            if closed >= Some(over) || self.now() < over.end(length).after(CLOSE) {
+            self.wall_clock
+                .borrow_mut()
+                .observe(now, system_time_millis());
+            let window = self.wall_time().window(window_length);
+            let ended = Window(window.0.saturating_sub(1));
+            if last_closed >= Some(ended)
+                || self.wall_time() < ended.end(window_length).after(CLOSE_DELAY)
+            {
                 continue;
             }
-            closed = Some(over);
+            last_closed = Some(ended);
             let mut ledger = self.ledger.borrow_mut();
-            ledger.close(over);
-            ledger.forget_before(Window(window.0.saturating_sub(KEPT)));
-            let counts = ledger.own_counts(over);
+            ledger.close(ended);
+            ledger.forget_before(Window(window.0.saturating_sub(KEPT_WINDOWS)));
+            let counts = ledger.own_counts(ended);
             drop(ledger);
             if !counts.is_empty() {
-                log::info!(window = over.0, counts:serde = counts; "usage: window closed here");
+                log::info!(window = ended.0, counts:serde = counts; "usage: window closed here");
             }
             self.note_change();
         }
@@ -164,7 +168,7 @@
 }
 
 /// What the machine's time of day tells, in milliseconds since the start of 1970.
-fn time_of_day() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| u64::try_from(since.as_millis()).unwrap_or(0))
+fn system_time_millis() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(0))
 }
