--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -1,8 +1,10 @@
-//! How many requests of each workspace began to run here, and how all instances' counts are reported.
+//! Usage metering: counts the requests of each workspace that began to run, and reports the sum of all
+//! instances to the platform.
 //!
-//! The decisions are `pinereel_core::usage`'s. Counts go up the links of the bulletin, at once when they change; whoever reads
-//! the store for all adds them up, keeps the sum in the store and reports it to the platform (`report`). Without a report in the
-//! settings nothing is counted or told.
+//! [`Meter`] keeps the counts of this instance and the reports received from others, with the types
+//! of [`pinereel_core::usage`]. Changed reports go up the broadcast tree. The instance at its root
+//! sums them up, stores the sum of each time window, and sends it to the platform ([`report`]).
+//! Nothing is counted or sent if the settings ask for no usage reports.
 
 mod report;
 
@@ -22,30 +24,31 @@
 };
 use tokio::{sync::watch, time::sleep};
 
-/// Reports of one message: about 100 bytes each.
+/// Maximum number of reports in one message to another instance. A report takes about 100 bytes.
 const MAX_BATCH_LEN: usize = 64;
-/// Pause between two messages, so that what comes together goes together.
+/// Interval between messages to another instance, so that changes are sent in batches.
 const SEND_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause between two looks at the time.
+/// Interval between checks whether a window has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A window is closed so long after its end: a request that began just before it has been counted, or found not to run.
+/// Time from the end of a window until it is closed. By then, a request that began just before the
+/// end has been counted, or retracted because it did not run.
 const CLOSE_DELAY: Duration = Duration::from_millis(250);
-/// Windows that are kept beside the one that is open: those that may still be reported.
+/// Number of windows that are kept besides the open one: those that may still be reported.
 const KEPT_WINDOWS: u64 = 6;
 
-/// Counts of this instance and of those that tell it.
+/// Counts of this instance and reports received from others.
 pub struct Meter {
-    /// Length of a window; none if nothing is reported.
+    /// Length of a window; `None` if usage is not reported.
     window_length: Option<Duration>,
     ledger: RefCell<Ledger>,
     wall_clock: RefCell<WallClock>,
     clock: fn() -> Time,
     change_count: watch::Sender<u64>,
-    /// Instances in all, as far as this one knows.
+    /// Number of instances in the tree, as far as this one knows.
     instance_count: RefCell<InstanceCount>,
 }
 
-/// A request that counts as begun.
+/// A request that was counted; passed to [`Meter::retract`] if it did not run.
 #[derive(Debug)]
 pub struct CountedRequest {
     window: Window,
@@ -53,7 +56,7 @@
 }
 
 impl Meter {
-    /// Counts from now on, as the instance start `id`.
+    /// Starts to count and to close windows; `id` identifies this run of the instance in its reports.
     pub fn start(settings: Option<&settings::Usage>, id: &str, clock: fn() -> Time) -> Rc<Self> {
         let usage = Rc::new(Self {
             window_length: settings.map(|settings| settings.window),
@@ -70,12 +73,13 @@
         usage
     }
 
-    /// True time.
+    /// The wall-clock time, without jumps of the system clock.
     pub fn wall_time(&self) -> WallTime {
         self.wall_clock.borrow().wall_time((self.clock)())
     }
 
-    /// A request begins to run.
+    /// Counts a request that begins to run. Returns `None` if the caller has no workspace, or usage is
+    /// not reported.
     pub fn count(&self, caller: &Caller) -> Option<CountedRequest> {
         let workspace = caller.workspace()?;
         let window = self.wall_time().window(self.window_length?);
@@ -87,7 +91,7 @@
         })
     }
 
-    /// It did not run after all.
+    /// Takes back the count of a request that turned out not to have run.
     pub fn retract(&self, request: CountedRequest) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.add(request.window, &request.workspace, -1);
@@ -95,7 +99,7 @@
         self.note_change();
     }
 
-    /// A neighbour tells of counts.
+    /// Merges reports received from the parent or a child in the tree.
     pub fn merge(&self, reports: Vec<Report>) {
         if self.window_length.is_none() {
             return;
@@ -104,29 +108,29 @@
         self.note_change();
     }
 
-    /// All that is known, for a new parent.
+    /// All known reports, for a new parent.
     pub fn all_reports(&self) -> Vec<Report> {
         self.ledger.borrow().all_reports()
     }
 
-    /// Waits until others are to be told something, and gives it.
+    /// Waits for changed reports, and takes up to [`MAX_BATCH_LEN`] of them to send.
     pub async fn next_unsent(&self) -> Vec<Report> {
         let take_unsent = || self.ledger.borrow_mut().take_unsent(MAX_BATCH_LEN);
         pending::next_batch(self.change_count.subscribe(), take_unsent).await
     }
 
-    /// What is untold is gathered for a moment between two messages.
+    /// Waits between two messages, so that further changes go into the next batch.
     pub async fn wait_between_sends() {
         sleep(SEND_INTERVAL).await;
     }
 
-    /// So many instances are in the tree now.
+    /// Records the number of instances that are in the tree now.
     pub fn observe_instance_count(&self, count: usize) {
         let now = (self.clock)();
         self.instance_count.borrow_mut().observe(now, count);
     }
 
-    /// Instances whose counts are waited for.
+    /// Number of instances whose reports to wait for.
     fn expected_instances(&self) -> usize {
         self.instance_count.borrow().expected()
     }
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Closes windows, and forgets old ones.
+    /// Closes each window after its end, and drops old ones.
     async fn close_windows(&self, window_length: Duration) {
         let mut last_closed = None;
         loop {
@@ -167,7 +171,7 @@
     }
 }
 
-/// What the machine's time of day tells, in milliseconds since the start of 1970.
+/// The system clock, in milliseconds since the Unix epoch.
 fn system_time_millis() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(0))
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -1,7 +1,8 @@
-//! Adding up all instances' counts, and reporting them to the platform.
+//! Sums up the counts of all instances for each window, and reports them to the platform.
 //!
-//! A window must never be reported twice with other counts. So its sum lies in the store before it is sent, in one object that is
-//! only written over the revision that was read: whoever has the duty later finds it there and sends the same.
+//! A window must never be reported twice with different counts. So its sum is stored before it is
+//! sent, in one object that is only updated at the revision that was read (compare-and-swap). A later
+//! lease holder finds the sum there and sends the same.
 
 use super::Meter;
 use crate::{
@@ -31,58 +32,59 @@
 };
 use tokio::time::sleep;
 
-/// Kind of the sums that were made.
+/// Object kind of the stored sums.
 const KIND: &str = "pinereel-usage";
-/// Name of the object.
+/// Name of the only object of that kind.
 const NAME: &str = "sums";
-/// Sums that are kept: more than may still be sent.
+/// Maximum number of stored sums; more than may still have to be sent.
 const MAX_KEPT_SUMS: usize = 8;
-/// Pause between two looks at what is due.
+/// Interval between checks of which window is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause after a report that was not taken.
+/// Delay after a read of the sums or a report that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Counts of a window are on their way for so long after its end: closing, two hops with a pause each.
+/// Minimum delay after the end of a window before it is summed up. The counts need this long to
+/// arrive: the window is closed, then its reports take two hops with a send interval each.
 const MIN_DELAY: Duration = Duration::from_millis(700);
-/// Part of the time until a report is late that is waited for counts that are missing: the rest is for a successor, should this
-/// instance be lost, and for a platform that is slow.
+/// Fraction of the time until a report is late for which missing counts are waited for. The rest is
+/// reserved for the next lease holder, if this instance fails, and for a slow platform.
 const MAX_DELAY_SHARE: f64 = 0.5;
 
-/// What usage is reported with.
+/// What [`report`] needs from the other parts of the instance.
 pub struct Parts {
-    /// Translates.
+    /// Message formats of the platform.
     pub adapter: Adapter,
     /// The object store.
     pub store: Store,
-    /// Duties.
+    /// Leases of the control duties.
     pub duties: Rc<Duties>,
     /// Connections to the platform.
     pub pool: Rc<Pool>,
-    /// Figures.
+    /// Counts the calls to the platform.
     pub metrics: Metrics,
-    /// Where the platform takes reports.
+    /// Address at which the platform takes reports.
     pub address: SocketAddr,
-    /// What is reported, and when.
+    /// Length of a window, and the age at which its report is late.
     pub settings: settings::Usage,
-    /// Time between the last call of one holder and the first of the next.
+    /// Minimum time between the last call of one lease holder and the first call of the next.
     pub gap: Duration,
-    /// Counts.
+    /// Counts of this instance and reports of the others.
     pub usage: Rc<Meter>,
 }
 
-/// The object's content.
+/// Content of the object.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct StoredSums {
     sums: BTreeMap<Window, Counts>,
 }
 
-/// The sums that were made, as this holder knows them.
+/// The stored sums and their revision, as last read or written.
 #[derive(Default)]
 struct Sums {
     revision: Option<u64>,
     by_window: BTreeMap<Window, Counts>,
 }
 
-/// Reports usage whenever this instance reads the store for all.
+/// Reports usage whenever this instance holds the lease of the tree's root.
 pub async fn report(parts: Parts) {
     let parts = Rc::new(parts);
     let duties = Rc::clone(&parts.duties);
@@ -104,7 +106,7 @@
                     Ok(()) => aggregator.mark_finalized(window),
                     Err(error) => {
                         log::info!(window = window.0, error:% = error; "usage: sum not kept yet");
-                        // It may be there after all, or another holder's.
+                        // The write may have succeeded, or another holder may have stored a sum.
                         sums = self.read_sums().await;
                         aggregator.resume(&sums.by_window);
                     }
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Reads the sums that were made, as long as it takes.
+    /// Reads the stored sums, with retries until that succeeds.
     async fn read_sums(&self) -> Sums {
         loop {
             let store = &self.store;
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Keeps the sum of a window for good.
+    /// Stores the sum of a window, which then never changes.
     async fn store_sum(
         &self,
         sums: &mut Sums,
@@ -192,7 +194,7 @@
         Ok(())
     }
 
-    /// Sends the sums that the platform has not taken yet, oldest first.
+    /// Sends the sums that the platform has not accepted yet, oldest first.
     async fn send_pending(&self, sums: &Sums, sent: &mut BTreeSet<Window>) {
         for (window, counts) in &sums.by_window {
             let deadline = window.end(self.settings.window).after(self.settings.late);
@@ -210,7 +212,7 @@
                 "usage: window sent"
             );
             match outcome {
-                // A later holder sends it.
+                // A call is rejected under an old fencing token; then the newer holder sends the sum.
                 Some(Outcome::Done | Outcome::Rejected) => {
                     sent.insert(*window);
                 }
