--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -16,7 +16,7 @@
     endpoints::Endpoints,
     list_watch::{Update, WatchOptions, list_and_watch},
     metrics::Metrics,
-    retire,
+    retirement,
     store::Store,
 };
 use crate::{objects::Purpose, settings, upstream::pool::Pool};
@@ -195,7 +195,7 @@
             Rc::new(rollout).run()
         });
         // One instance suffices to answer retirement requests, so the lease holder does it.
-        let retirements = retire::serve(&store, self.parts.adapter, watch_time);
+        let retirements = retirement::answer_requests(&store, self.parts.adapter, watch_time);
         let scaler = self.parts.platform.map(|address| {
             let scaler = ServiceScaler {
                 orders: Rc::clone(self),
--- a/crates/pinereel/src/hosted/platform.rs
+++ b/crates/pinereel/src/hosted/platform.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// Longest wait for the platform's answer.
-const ANSWER: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Makes a call to the platform; none if no answer came in time.
 pub async fn call(pool: &Rc<Pool>, address: SocketAddr, call: Request) -> Option<StatusCode> {
@@ -35,5 +35,5 @@
         response.body.whole().await.ok()?;
         Some(status)
     };
-    timeout(ANSWER, exchange).await.ok().flatten()
+    timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/crates/pinereel/src/hosted/ready.rs
+++ b/crates/pinereel/src/hosted/readiness.rs
@@ -1,6 +1,6 @@
 //! Whether callers' new connections should come here.
 
-use super::{config::Config, endpoints::Endpoints, stop::Stop, store::Store};
+use super::{config::Config, endpoints::Endpoints, shutdown::Shutdown, store::Store};
 use crate::http::{self, Server};
 use actix_http::{Method, StatusCode};
 use std::{io, rc::Rc, time::Duration};
@@ -8,10 +8,10 @@
 
 /// An instance whose calls to the store have failed for so long says that it is not ready: callers'
 /// new connections then go to one that can accept lots and knows the newest configuration.
-const AWAY: Duration = Duration::from_millis(1_500);
+const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
 /// What readiness is told by.
-pub struct Ready {
+pub struct Readiness {
     /// The object store.
     pub store: Store,
     /// The configuration.
@@ -19,24 +19,24 @@
     /// The endpoint list.
     pub endpoints: Rc<Endpoints>,
     /// Whether a stop was asked for.
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<Shutdown>,
 }
 
-impl Ready {
+impl Readiness {
     /// Answers at `path`.
     ///
     /// # Errors
     /// If the listener cannot be served.
     pub async fn serve(self, listener: TcpListener, path: &'static str) -> io::Result<()> {
-        let ready = Rc::new(self);
+        let readiness = Rc::new(self);
         let answer = move |request: http::Request| {
-            let known = request.method() == Method::GET && request.path() == path;
-            let why = ready.why_not();
+            let path_matches = request.method() == Method::GET && request.path() == path;
+            let reason = readiness.unready_reason();
             async move {
-                match why {
-                    _ if !known => http::empty(StatusCode::NOT_FOUND),
+                match reason {
+                    _ if !path_matches => http::empty(StatusCode::NOT_FOUND),
                     None => http::text(StatusCode::OK, "ready\n"),
-                    Some(why) => http::text(StatusCode::SERVICE_UNAVAILABLE, why),
+                    Some(reason) => http::text(StatusCode::SERVICE_UNAVAILABLE, reason),
                 }
             }
         };
@@ -45,8 +45,8 @@
     }
 
     /// Why this instance should get no new connections.
-    fn why_not(&self) -> Option<&'static str> {
-        if self.stop.asked() {
+    fn unready_reason(&self) -> Option<&'static str> {
+        if self.shutdown.is_initiated() {
             return Some("stopping\n");
         }
         if self.config.table().is_none() {
@@ -55,8 +55,8 @@
         if !self.endpoints.is_known() {
             return Some("no endpoint list\n");
         }
-        let away = self.store.unreachable_since();
-        let away = away.is_some_and(|since| since.elapsed() >= AWAY);
-        away.then_some("no contact with the object store\n")
+        let unreachable = self.store.unreachable_since();
+        let unreachable = unreachable.is_some_and(|since| since.elapsed() >= MAX_STORE_OUTAGE);
+        unreachable.then_some("no contact with the object store\n")
     }
 }
--- a/crates/pinereel/src/hosted/retire.rs
+++ b/crates/pinereel/src/hosted/retirement.rs
@@ -12,13 +12,13 @@
 use tokio::{sync::mpsc, time::sleep};
 
 /// Pause after an answer that was not written.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Answers the requests until dropped.
-pub async fn serve(store: &Store, adapter: Adapter, wait: Duration) {
-    let (sender, mut asked) = mpsc::unbounded_channel();
-    let manner = || WatchOptions {
-        max_wait: wait,
+pub async fn answer_requests(store: &Store, adapter: Adapter, max_watch_time: Duration) {
+    let (request_sender, mut unanswered) = mpsc::unbounded_channel();
+    let watch_options = || WatchOptions {
+        max_wait: max_watch_time,
         batch_delay: Duration::ZERO,
     };
     let kind = adapter.object_kinds.retirements;
@@ -26,17 +26,17 @@
         store,
         Purpose::Retirements,
         kind,
-        manner,
+        watch_options,
         None,
         |update, _| {
-            for object in open(update) {
+            for object in unanswered_requests(update) {
                 // The receiver lives as long as this function.
-                let _ = sender.send(object);
+                let _ = request_sender.send(object);
             }
         },
     );
     let answers = async {
-        while let Some(object) = asked.recv().await {
+        while let Some(object) = unanswered.recv().await {
             answer(store, adapter, &object).await;
         }
     };
@@ -47,7 +47,7 @@
 }
 
 /// The requests that nobody has answered.
-fn open(update: Update) -> Vec<Object> {
+fn unanswered_requests(update: Update) -> Vec<Object> {
     let objects: Vec<_> = match update {
         Update::All(objects) => objects,
         Update::Changes(changes) => {
@@ -55,8 +55,8 @@
             present.map(|change| change.object).collect()
         }
     };
-    let open = objects.into_iter().filter(|object| object.status.is_null());
-    open.collect()
+    let unanswered = objects.into_iter().filter(|object| object.status.is_null());
+    unanswered.collect()
 }
 
 async fn answer(store: &Store, adapter: Adapter, object: &Object) {
@@ -72,7 +72,7 @@
             Err(crate::objects::Error::NotFound) => return,
             Err(error) => {
                 log::warn!(instance = object.name.as_str(), error:% = error; "retirement not answered");
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -8,12 +8,12 @@
     lots::{self, Desk, Runner},
     metrics::{Metrics, Sources},
     orders::{self, Orders},
-    ready::Ready,
+    readiness::Readiness,
     relay::{self, Relay},
-    reload::look_at_settings,
+    reload::watch_settings_file,
     serve::{Front, serve},
+    shutdown::{Shutdown, Timing},
     stall::StallDetector,
-    stop::{Stop, Times},
     store::Store,
     tree::{self, Feed, Node},
     usage::{self, Meter},
@@ -44,12 +44,12 @@
 };
 
 /// Calls to the object store at once, watches not counted.
-const STORE_CALLS: usize = 32;
+const MAX_STORE_CALLS: usize = 32;
 /// Longest idle time of a caller's connection. The operator's own bound may change while it is
 /// open; this one is above any of them, so that a caller's next request never crosses a close.
-const CALLER_IDLE: Duration = Duration::from_secs(120);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Pause between two summaries of calls to the store.
-const SUMMARY: Duration = Duration::from_secs(20);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Why an instance did not run.
 #[derive(Debug, thiserror::Error)]
@@ -76,12 +76,12 @@
 /// See [`Error`].
 pub fn run(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
     let handle = logging::init(&settings.log)?;
-    let result = actix_rt::System::new().block_on(serve_until_told(settings, path, adapter));
+    let result = actix_rt::System::new().block_on(run_until_stopped(settings, path, adapter));
     handle.flush(Duration::from_secs(1));
     result
 }
 
-async fn serve_until_told(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
+async fn run_until_stopped(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let incarnation = incarnation();
@@ -93,27 +93,27 @@
         settings:? = settings;
         "started"
     );
-    actix_rt::spawn(look_at_settings(settings.clone(), path));
-    let stop = Rc::new(Stop::default());
-    let signalled = Rc::clone(&stop);
+    actix_rt::spawn(watch_settings_file(settings.clone(), path));
+    let shutdown = Rc::new(Shutdown::default());
+    let signalled = Rc::clone(&shutdown);
     actix_rt::spawn(async move {
         loop {
             // A second signal asks for what is under way already.
             tokio::select! {
-                _ = terminate.recv() => signalled.ask(),
-                _ = interrupt.recv() => signalled.ask(),
+                _ = terminate.recv() => signalled.initiate(),
+                _ = interrupt.recv() => signalled.initiate(),
             }
         }
     });
     match settings.instance.callers {
         Some(callers) => {
-            Instance::start(&settings, adapter, callers, incarnation, &stop)
+            Instance::start(&settings, adapter, callers, incarnation, &shutdown)
                 .await?
-                .finished(&settings)
+                .drain_on_shutdown(&settings)
                 .await;
         }
         // Nothing lies on an instance without callers: it stands by, and stops at once.
-        None => stop.wait().await,
+        None => shutdown.wait_until_initiated().await,
     }
     log::info!(instance = settings.instance.name.as_str(); "stopped");
     Ok(())
@@ -122,10 +122,10 @@
 /// An instance that serves callers.
 struct Instance {
     callers: Server,
-    stop: Rc<Stop>,
+    shutdown: Rc<Shutdown>,
     duties: Rc<Duties>,
     /// None without an address for other instances.
-    bulletin: Option<Rc<Node>>,
+    tree_node: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
 
@@ -135,46 +135,50 @@
         adapter: Adapter,
         callers: SocketAddr,
         incarnation: u64,
-        stop: &Rc<Stop>,
+        shutdown: &Rc<Shutdown>,
     ) -> Result<Self, Error> {
         let clock = Clock::new();
         let callers = listen(callers).await?;
         let store = Store::new(
-            objects::Client::new(options(settings), clock),
+            objects::Client::new(store_options(settings), clock),
             adapter.store,
         );
-        actix_rt::spawn(summarise(store.client().clone()));
+        actix_rt::spawn(log_store_calls(store.client().clone()));
         let watch = settings.store.watch;
         let feed = Rc::new(Feed::default());
-        let (looking, told) = (store.clone(), Rc::clone(&feed));
+        let (probed, probe_feed) = (store.clone(), Rc::clone(&feed));
         actix_rt::spawn(async move {
-            let (places, is_told) = (adapter.object_kinds, || told.has_parent());
-            let look_out =
-                looking.probe_in_outages(places.config, places.config_object_name, is_told);
-            look_out.await;
+            let (object_kinds, has_tree_parent) =
+                (adapter.object_kinds, || probe_feed.has_parent());
+            let probe = probed.probe_in_outages(
+                object_kinds.config,
+                object_kinds.config_object_name,
+                has_tree_parent,
+            );
+            probe.await;
         });
         let config = Config::start(&store, adapter, watch, &feed);
         let instance = &settings.instance;
         let metrics = Metrics::new();
-        let links = instance.peers.map(|peers| peers.to_string().into());
+        let peer_address = instance.peers.map(|peers| peers.to_string().into());
         let crashes = Crashes::new(clock, &metrics);
         let duties = Duties::new(duty::Dependencies {
             store: store.clone(),
             instance: instance.name.clone(),
             incarnation,
             cores: instance.cores,
-            address: links.unwrap_or_default(),
+            address: peer_address.unwrap_or_default(),
             metrics: metrics.clone(),
             feed: Rc::clone(&feed),
             crashes: Rc::clone(&crashes),
             clock: boot_time,
         });
         let platform = settings.platform.as_ref();
-        let reported = platform.and_then(|platform| platform.usage.clone());
-        let ordered = platform.filter(|platform| platform.autoscale);
-        let ordered = ordered.map(|platform| platform.address);
-        let usage = Meter::start(reported.as_ref(), duties.id(), boot_time);
-        let mut bulletin = None;
+        let usage_settings = platform.and_then(|platform| platform.usage.clone());
+        let autoscaling = platform.filter(|platform| platform.autoscale);
+        let autoscaling = autoscaling.map(|platform| platform.address);
+        let usage = Meter::start(usage_settings.as_ref(), duties.id(), boot_time);
+        let mut tree_node = None;
         if let Some(peers) = instance.peers {
             let parts = tree::Parts {
                 store: store.clone(),
@@ -192,11 +196,11 @@
                     preferred: duties.is_preferred(),
                 },
             };
-            bulletin = Some(Node::start(parts, listen(peers).await?));
+            tree_node = Some(Node::start(parts, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
-        let held = Rc::clone(&duties);
-        let hurried = move || held.held_count() > 0;
+        let lease_counter = Rc::clone(&duties);
+        let holds_leases = move || lease_counter.held_count() > 0;
         let parts = endpoints::Parts {
             adapter,
             store: store.clone(),
@@ -205,7 +209,7 @@
             metrics: metrics.clone(),
             clock,
         };
-        let endpoints = Endpoints::start(parts, instance, &settings.store, hurried);
+        let endpoints = Endpoints::start(parts, instance, &settings.store, holds_leases);
         let stall = StallDetector::start(boot_time);
         let relay = Relay::new(relay::Parts {
             adapter,
@@ -216,7 +220,7 @@
             usage: Rc::clone(&usage),
             metrics: metrics.clone(),
         });
-        if let (Some(platform), Some(reported)) = (platform, reported) {
+        if let (Some(platform), Some(usage_settings)) = (platform, usage_settings) {
             let parts = usage::Parts {
                 adapter,
                 store: store.clone(),
@@ -224,7 +228,7 @@
                 pool: Rc::clone(&pool),
                 metrics: metrics.clone(),
                 address: platform.address,
-                settings: reported,
+                settings: usage_settings,
                 gap: settings.orders.gap,
                 usage,
             };
@@ -254,18 +258,20 @@
             pool: Rc::clone(&pool),
             metrics: metrics.clone(),
             settings: settings.orders.clone(),
-            platform: ordered,
+            platform: autoscaling,
             max_watch_time: watch,
         });
         if let Some(readiness) = settings.instance.readiness {
             let readiness = listen(readiness).await?;
-            let ready = Ready {
+            let readiness_server = Readiness {
                 store: store.clone(),
                 config: Rc::clone(&config),
                 endpoints: Rc::clone(&endpoints),
-                stop: Rc::clone(stop),
+                shutdown: Rc::clone(shutdown),
             };
-            ready.serve(readiness, adapter.readiness_path).await?;
+            readiness_server
+                .serve(readiness, adapter.readiness_path)
+                .await?;
         }
         if let Some(address) = instance.metrics {
             let (pool, config) = (Rc::clone(&pool), Rc::clone(&config));
@@ -285,12 +291,12 @@
             endpoints,
             relay,
             desk: Desk::new(adapter, &store),
-            stop: Rc::clone(stop),
+            stop: Rc::clone(shutdown),
             metrics,
         });
         let options = http::Options {
             connections: settings.instance.connections,
-            keep_alive: CALLER_IDLE,
+            keep_alive: CALLER_IDLE_TIMEOUT,
             half_closed: false,
             ..http::Options::default()
         };
@@ -301,37 +307,37 @@
         server.observe(|code| log::info!(code:serde = code; "refused by the listener"));
         Ok(Self {
             callers: server,
-            stop: Rc::clone(stop),
+            shutdown: Rc::clone(shutdown),
             duties,
-            bulletin,
+            tree_node,
             runner,
         })
     }
 
     /// Waits until a stop was asked for, and carries it out.
-    async fn finished(&self, settings: &Hosted) {
-        self.stop.wait().await;
+    async fn drain_on_shutdown(&self, settings: &Hosted) {
+        self.shutdown.wait_until_initiated().await;
         self.runner.drain();
-        if let Some(bulletin) = &self.bulletin {
-            bulletin.shut_down();
+        if let Some(tree_node) = &self.tree_node {
+            tree_node.shut_down();
         }
         self.runner.hand_over().await;
         self.duties.drain();
-        let times = Times {
+        let timing = Timing {
             balancer_lag: settings.stop.balancer_lag,
             killed_after: settings.stop.killed_after,
         };
-        let others = || self.runner.in_flight() + usize::from(!self.duties.all_released());
-        self.stop.finish(times, others).await;
+        let other_work = || self.runner.in_flight() + usize::from(!self.duties.all_released());
+        self.shutdown.wait_until_idle(timing, other_work).await;
         self.callers.close();
     }
 }
 
-fn options(settings: &Hosted) -> objects::Options {
+fn store_options(settings: &Hosted) -> objects::Options {
     objects::Options {
         address: settings.store.address.to_string(),
         agent: settings.instance.name.clone(),
-        concurrency: STORE_CALLS,
+        concurrency: MAX_STORE_CALLS,
         timeout: settings.store.timeout,
         reads: f64::from(settings.store.reads_per_second),
         writes: f64::from(settings.store.writes_per_second),
@@ -345,9 +351,9 @@
 }
 
 /// Tells from time to time what this instance has asked of the store, since each call is priced.
-async fn summarise(client: objects::Client) {
+async fn log_store_calls(client: objects::Client) {
     loop {
-        sleep(SUMMARY).await;
+        sleep(SUMMARY_INTERVAL).await;
         let calls: BTreeMap<_, _> = client
             .calls()
             .into_iter()
@@ -361,8 +367,8 @@
 
 /// Differs between starts of one instance's process; the wall clock is used for nothing else.
 fn incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
 /// The time since the machine's start, the time while it was suspended included: a lease runs out
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -6,8 +6,8 @@
     lots::{Desk, Reply},
     metrics::Metrics,
     relay::{Call, Outcome, Relay},
+    shutdown::Shutdown,
     stall::StallDetector,
-    stop::Stop,
     store::Store,
 };
 use crate::http::{self, Request, Response};
@@ -62,16 +62,16 @@
     /// Trainers' calls.
     pub desk: Desk,
     /// The graceful stop.
-    pub stop: Rc<Stop>,
+    pub stop: Rc<Shutdown>,
     /// Figures.
     pub metrics: Metrics,
 }
 
 /// Answers one request, which is in flight until the last byte of its answer has been sent.
 pub async fn serve(front: Rc<Front>, request: Request) -> Response {
-    let guard = front.stop.enter();
+    let guard = front.stop.track_request();
     let mut answer = front.answer(request).await;
-    if front.stop.asked() {
+    if front.stop.is_initiated() {
         // The caller opens its next connection elsewhere.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
