--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -222,7 +222,7 @@
 
     fn note_change(&self) {
         let (known, refused) = self.register.borrow().len();
-        self.metrics.note_suspects(known, refused);
+        self.metrics.set_crash_suspects(known, refused);
         self.changed.send_modify(|changes| *changes += 1);
     }
 
@@ -245,7 +245,7 @@
 
     /// Counts one event.
     pub fn count(&self, event: &str) {
-        self.metrics.count(&self.metrics.crashes, &[event]);
+        self.metrics.count(&self.metrics.crash_events, &[event]);
     }
 
     /// Forgets what is too old to count.
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -390,7 +390,7 @@
         });
         if previous_lease.map(|lease| lease.fence) != lease.map(|lease| lease.fence) {
             let event = if lease.is_some() { "taken" } else { "lost" };
-            self.metrics.count(&self.metrics.leases, &[event]);
+            self.metrics.count(&self.metrics.lease_events, &[event]);
             match lease {
                 Some(lease) => log::info!(duty = duty.as_str(), fence = lease.fence; "lease taken"),
                 None => log::info!(duty = duty.as_str(); "lease lost"),
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -112,7 +112,7 @@
         if !known {
             log::error!(endpoint = id.as_str(), revision = object.revision; "list entry refused: {fault}");
             let metrics = &self.parts.metrics;
-            metrics.count(&metrics.entries, &["refused"]);
+            metrics.count(&metrics.endpoint_entries, &["refused"]);
             let refused = (id.clone(), object.revision);
             self.refused.borrow_mut().extend([refused]);
         }
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -87,7 +87,7 @@
             let count = segment.samples.len();
             log::info!(id = lot, from, count, revision = object.revision; "results committed");
             let metrics = &runner.parts.metrics;
-            metrics.count(&metrics.committed, &["own"]);
+            metrics.count(&metrics.committed_results, &["own"]);
             runner.listed(lot, from, segment.samples);
         }
         Err(Error::Conflict) => adopt(runner, lot, from).await,
@@ -114,7 +114,7 @@
                 let count = segment.samples.len();
                 log::info!(id = lot, from, count, revision = object.revision; "results found");
                 let metrics = &runner.parts.metrics;
-                metrics.count(&metrics.committed, &["found"]);
+                metrics.count(&metrics.committed_results, &["found"]);
                 runner.listed(lot, from, segment.samples);
             }
             Err(fault) => {
--- a/crates/pinereel/src/hosted/lots/opening.rs
+++ b/crates/pinereel/src/hosted/lots/opening.rs
@@ -130,7 +130,7 @@
             "lot opened"
         );
         let metrics = &self.parts.metrics;
-        metrics.count(&metrics.lots, &["opened"]);
+        metrics.count(&metrics.lot_events, &["opened"]);
         let more = Rc::new(Notify::new());
         let committer = commit::commit(Rc::clone(&self), id.clone(), Rc::clone(&more));
         let keeper = handover::keep(Rc::clone(&self), id.clone());
@@ -239,7 +239,7 @@
         }
         drop(state);
         let metrics = &self.parts.metrics;
-        metrics.count(&metrics.lots, &[why]);
+        metrics.count(&metrics.lot_events, &[why]);
         metrics.observe(&metrics.lot_seconds, why, open.opened.elapsed());
         log::info!(
             id = id.as_str(),
--- a/crates/pinereel/src/hosted/lots/run.rs
+++ b/crates/pinereel/src/hosted/lots/run.rs
@@ -63,7 +63,7 @@
     };
     drop(running);
     let metrics = &runner.parts.metrics;
-    metrics.count(&metrics.runs, &[end.as_str()]);
+    metrics.count(&metrics.item_runs, &[end.as_str()]);
     report(work, place, end, began, runner.progress(work).0);
     note_crash(runner, work, item, place, end, began);
     let failure = match end {
--- a/crates/pinereel/src/hosted/lots/sweep.rs
+++ b/crates/pinereel/src/hosted/lots/sweep.rs
@@ -53,7 +53,7 @@
                 Ok(count) => {
                     log::info!(id = lot.as_str(), objects = count; "lot removed");
                     let metrics = &runner.parts.metrics;
-                    metrics.count(&metrics.lots, &["removed"]);
+                    metrics.count(&metrics.lot_events, &["removed"]);
                     runner.ages(|ages| ages.forget(&lot));
                 }
                 // The next look tries again.
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -130,7 +130,7 @@
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
         parts
             .metrics
-            .count(&parts.metrics.duty_calls, &["size", &label]);
+            .count(&parts.metrics.platform_calls, &["size", &label]);
         outcome == Some(Outcome::Done)
     }
 }
--- a/crates/pinereel/src/hosted/relay/mod.rs
+++ b/crates/pinereel/src/hosted/relay/mod.rs
@@ -175,8 +175,8 @@
         }
         self.count(service, &outcome, began);
         let metrics = &self.parts.metrics;
-        metrics.observe(&metrics.ages, "config", call.config_age);
-        metrics.observe(&metrics.ages, "endpoints", list_age);
+        metrics.observe(&metrics.input_ages, "config", call.config_age);
+        metrics.observe(&metrics.input_ages, "endpoints", list_age);
         report(&call, &outcome, began, list_age, &trail);
         outcome
     }
@@ -268,7 +268,7 @@
         };
         let metrics = &self.parts.metrics;
         metrics.count(&metrics.requests, &[service, label]);
-        metrics.observe(&metrics.latency, service, began.elapsed());
+        metrics.observe(&metrics.request_seconds, service, began.elapsed());
     }
 
     fn seed(&self, call: &Call) -> u64 {
@@ -291,7 +291,7 @@
         let list_age = self.parts.endpoints.age().unwrap_or_default();
         self.parts
             .metrics
-            .count(&self.parts.metrics.refused, &[why]);
+            .count(&self.parts.metrics.refusals, &[why]);
         self.count(service, &outcome, began);
         report(call, &outcome, began, list_age, &[]);
         outcome
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -278,8 +278,8 @@
             let sources = Sources {
                 crashes: Rc::clone(&crashes),
                 store: store.client().clone(),
-                connections: Box::new(move || pool.opened()),
-                config: Box::new(move || config.table().map_or(0, |table| table.number())),
+                connections_opened: Box::new(move || pool.opened()),
+                config_number: Box::new(move || config.table().map_or(0, |table| table.number())),
             };
             metrics.serve(listen(address).await?, sources).await?;
         }
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -90,7 +90,7 @@
         self.stall.wait_for_catch_up().await;
         let Some(table) = self.first_table().await else {
             self.metrics
-                .count(&self.metrics.refused, &["no configuration"]);
+                .count(&self.metrics.refusals, &["no configuration"]);
             log::warn!(id = said.id.as_str(); "refused: no configuration is known yet");
             return not_run(StatusCode::SERVICE_UNAVAILABLE, NOT_CONFIGURED);
         };
@@ -104,7 +104,7 @@
             }
         }
         let Some(route) = table.route_for(&host, &path).cloned() else {
-            self.metrics.count(&self.metrics.refused, &["no route"]);
+            self.metrics.count(&self.metrics.refusals, &["no route"]);
             log::info!(
                 id = said.id.as_str(),
                 host = host.as_str(),
@@ -122,7 +122,7 @@
         let body = match http::read(&mut request, max, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(error) => {
-                self.metrics.count(&self.metrics.refused, &["body"]);
+                self.metrics.count(&self.metrics.refusals, &["body"]);
                 return refuse_body(&said, &error);
             }
         };
@@ -154,7 +154,7 @@
         };
         let is_current = self.config.is_current();
         let sure = is_current || refused == AccessError::MissingKey;
-        self.metrics.count(&self.metrics.refused, &["no access"]);
+        self.metrics.count(&self.metrics.refusals, &["no access"]);
         log::info!(
             id = said.id.as_str(),
             why:% = refused,
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -331,7 +331,7 @@
             Some(Frame::Heartbeat(heartbeat)) => {
                 let metrics = &self.parts.metrics;
                 if let Some(age) = heartbeat.age {
-                    metrics.observe(&metrics.ages, "news", age);
+                    metrics.observe(&metrics.input_ages, "news", age);
                 }
                 self.parts.feed.set_store_uptime(heartbeat.store_uptime);
                 if !self.uplink.borrow_mut().on_heartbeat(self.now(), heartbeat) {
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -243,7 +243,7 @@
         let call = (self.adapter.leader.report_usage)(holder, window.0, counts);
         let status = platform::call(&self.pool, self.address, call).await?;
         self.metrics
-            .count(&self.metrics.duty_calls, &["usage", status.as_str()]);
+            .count(&self.metrics.platform_calls, &["usage", status.as_str()]);
         Some((self.adapter.leader.outcome)(status))
     }
 }
