--- a/crates/pinereel/src/hosted/metrics.rs
+++ b/crates/pinereel/src/hosted/metrics.rs
@@ -1,6 +1,7 @@
-//! The figures of a hosted instance, on the metrics address.
+//! Prometheus metrics of a hosted instance, and the HTTP listener that serves them.
 //!
-//! Labels come from fixed sets or from the configuration's services and models, never from callers.
+//! Label values come from fixed sets or from the services and models of the configuration, never from
+//! callers, so their number is bounded.
 
 use super::crashes::Crashes;
 use crate::{
@@ -17,19 +18,19 @@
 use std::{io, rc::Rc, time::Duration};
 use tokio::net::TcpListener;
 
-/// Upper bounds of the latency buckets, in seconds: around the objectives of live requests and of
-/// steps.
+/// Upper bounds of the latency buckets, in seconds, close to the latency objectives of live requests
+/// and of steps.
 const LATENCY_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 4.0, 7.5, 12.0, 30.0,
 ];
 /// Upper bounds of the age buckets, in seconds.
 const AGE_BUCKETS: [f64; 9] = [0.1, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0];
-/// Path at which the figures are read.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Path at which the requests under which endpoints crash are read, and one of them is cleared.
+/// Path of the list of requests that crash endpoints. A DELETE below it clears one of them.
 const CRASHES_PATH: &str = "/crashes";
 
-/// All figures of one instance.
+/// All metrics of one instance.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -40,12 +41,12 @@
     pub request_seconds: HistogramVec,
     /// Attempts by `result`: a status class or why there was no answer.
     pub attempts: IntCounterVec,
-    /// Refusals before any attempt, by `cause`.
+    /// Requests refused before any attempt, by `cause`.
     pub refusals: IntCounterVec,
-    /// Seconds since the configuration came in force or the endpoint list changed, by `what`, at
-    /// each request.
+    /// Age of the inputs of a decision, by `what`, in seconds: of the configuration and the endpoint list
+    /// at each request, and of data received over the broadcast tree.
     pub input_ages: HistogramVec,
-    /// Trainers' calls by `call` and `outcome`.
+    /// Calls of trainers by `call` and `outcome`.
     pub trainer_calls: IntCounterVec,
     /// Runs of items by `outcome`.
     pub item_runs: IntCounterVec,
@@ -57,13 +58,13 @@
     pub committed_results: IntCounterVec,
     /// Orders to engines by `outcome`.
     pub orders: IntCounterVec,
-    /// Calls toward the platform that are a duty, by `call` and `status`.
+    /// Calls that lease holders make to the platform, by `call` and `status`.
     pub platform_calls: IntCounterVec,
     /// Leases by `event` (`taken`, `lost`).
     pub lease_events: IntCounterVec,
     /// Entries of the endpoint list by `event` (`refused`: it names no endpoint to use).
     pub endpoint_entries: IntCounterVec,
-    /// Requests under which endpoints crash, by `event` (`crash`, `doubt`, `verdict`, `refusal`,
+    /// Events of requests that crash endpoints, by `event` (`crash`, `doubt`, `verdict`, `refusal`,
     /// `acquitted`, `cleared`).
     pub crash_events: IntCounterVec,
     crash_suspects: IntGaugeVec,
@@ -75,13 +76,13 @@
     resident_memory: Gauge,
 }
 
-/// What is read only when the figures are asked for.
+/// Sources of the values that are read at each scrape.
 pub struct Sources {
-    /// Requests under which endpoints crash.
+    /// Register of requests that crash endpoints.
     pub crashes: Rc<Crashes>,
-    /// Calls to the object store.
+    /// Client of the object store, which counts its calls.
     pub store: objects::Client,
-    /// Connections opened to endpoints.
+    /// Number of connections opened to endpoints since the start.
     pub connections_opened: Box<dyn Fn() -> u64>,
     /// Number of the configuration in force; 0 before the first.
     pub config_number: Box<dyn Fn() -> u64>,
@@ -94,7 +95,7 @@
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// Registers all metrics, with the value 0.
     pub fn new() -> Self {
         let r = Registry::new();
         Self {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Serves the figures at `listener`.
+    /// Serves the metrics and the list of crashing requests at `listener`.
     ///
     /// # Errors
     /// If the listener cannot be served.
@@ -185,12 +186,13 @@
         text.expect("families without samples are not gathered, and the rest encode")
     }
 
-    /// Counts one event.
+    /// Increments a counter by one.
     pub fn count(&self, metric: &IntCounterVec, labels: &[&str]) {
         metric.with_label_values(labels).inc();
     }
 
-    /// Notes how many requests are known under which endpoints crashed, and how many are refused.
+    /// Sets the number of requests that are known to have crashed endpoints, and how many of them are
+    /// refused.
     pub fn set_crash_suspects(&self, known: usize, refused: usize) {
         let not_refused = known.saturating_sub(refused);
         for (standing, count) in [("doubted", not_refused), ("refused", refused)] {
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Notes a time.
+    /// Records a duration in a histogram.
     pub fn observe(&self, metric: &HistogramVec, label: &str, duration: Duration) {
         metric
             .with_label_values(&[label])
@@ -207,7 +209,7 @@
     }
 }
 
-/// An operator lets a request run again.
+/// Handles an operator's call to let a request run again.
 fn clear_crashing_request(crashes: &Crashes, path: &str) -> Response {
     let id_text = path
         .strip_prefix(CRASHES_PATH)
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -1,15 +1,15 @@
-//! An instance whose state is kept by the platform that it runs on.
+//! A stateless instance, which keeps its state in the object store of the platform that it runs on.
 //!
-//! The platform's object store holds the configuration, the endpoint list, the leases, the lots and
-//! their results. An instance keeps nothing that it cannot read again there, so that any of them may
-//! be killed, replaced or cut off. One of them reads the store for all and tells the others what has
-//! changed (`bulletin`); whoever has no link to it reads the store itself.
+//! The store holds the configuration, the endpoint list, the leases, the lots and their results. An
+//! instance has nothing in memory that it cannot read from there again, so each may be killed,
+//! replaced or disconnected. One instance reads the store and publishes the changes to the others over
+//! the broadcast tree (`tree`); an instance without a link to the tree reads the store itself.
 //!
-//! Each part has its own state and knows only the parts that it is given:
+//! Each part has its own state and uses only the parts that it is given:
 //!
 //! ```text
-//! Store ─ follow ─ Config, Endpoints ─ Relay ─ Desk, Runner, Orders ─ Front (callers)
-//!        └ Duties (leases) ───────────────────┘
+//! Store ─ list_and_watch ─ Config, Endpoints ─ Relay ─ Desk, Runner, Orders ─ Front (callers)
+//!        └ Duties (leases) ───────────────────────────┘
 //! ```
 
 mod config;
--- a/crates/pinereel/src/hosted/platform.rs
+++ b/crates/pinereel/src/hosted/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform that one instance makes at a time.
+//! Calls to the platform's HTTP interface, which only a lease holder makes.
 
 use crate::upstream::pool::{Exchange, Pool};
 use actix_http::{
@@ -9,10 +9,10 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Longest wait for the platform's answer.
+/// Timeout for the platform's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Makes a call to the platform; none if no answer came in time.
+/// Makes a call to the platform; returns `None` if there is no answer in time.
 pub async fn call(pool: &Rc<Pool>, address: SocketAddr, call: Request) -> Option<StatusCode> {
     let mut head = RequestHead::default();
     head.method = call.method;
@@ -26,7 +26,7 @@
         address,
         head,
         body: call.body,
-        // A kept connection may be broken, and the call may be made again.
+        // A reused connection may be broken; a call that fails may be made again.
         reuse: false,
     };
     let exchange = async {
--- a/crates/pinereel/src/hosted/readiness.rs
+++ b/crates/pinereel/src/hosted/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether callers' new connections should come here.
+//! Readiness probe: tells the load balancer whether this instance takes callers' new connections.
 
 use super::{config::Config, endpoints::Endpoints, shutdown::Shutdown, store::Store};
 use crate::http::{self, Server};
@@ -6,24 +6,24 @@
 use std::{io, rc::Rc, time::Duration};
 use tokio::net::TcpListener;
 
-/// An instance whose calls to the store have failed for so long says that it is not ready: callers'
-/// new connections then go to one that can accept lots and knows the newest configuration.
+/// Maximum time of failed calls to the store before the instance is unready. Callers' new connections
+/// then go to an instance that can accept lots and has the newest configuration.
 const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// What readiness is told by.
+/// The parts of the instance that decide whether it is ready.
 pub struct Readiness {
-    /// The object store.
+    /// The object store, with the time since which it is unreachable.
     pub store: Store,
-    /// The configuration.
+    /// The configuration in force; the instance is unready without one.
     pub config: Rc<Config>,
-    /// The endpoint list.
+    /// The endpoint list; the instance is unready until it is known.
     pub endpoints: Rc<Endpoints>,
-    /// Whether a stop was asked for.
+    /// Whether a shutdown was initiated.
     pub shutdown: Rc<Shutdown>,
 }
 
 impl Readiness {
-    /// Answers at `path`.
+    /// Serves the probe at `path`.
     ///
     /// # Errors
     /// If the listener cannot be served.
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Why this instance should get no new connections.
+    /// Why this instance is unready, as the body of the answer; `None` if it is ready.
     fn unready_reason(&self) -> Option<&'static str> {
         if self.shutdown.is_initiated() {
             return Some("stopping\n");
--- a/crates/pinereel/src/hosted/reload.rs
+++ b/crates/pinereel/src/hosted/reload.rs
@@ -1,4 +1,4 @@
-//! Changes of the settings file.
+//! Watches the settings file and logs its changes, which take effect at the next start.
 
 use crate::settings::Hosted;
 use std::{
@@ -10,10 +10,10 @@
     time::sleep,
 };
 
-/// Pause between two looks whether the settings file has changed without a signal.
+/// Interval between checks for a change without a signal.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Tells when the settings file changes. What it says is in force from the next start on.
+/// Checks the settings file at each SIGHUP and at each interval, and logs a change or an error in it.
 pub async fn watch_settings_file(settings: Hosted, path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         log::error!("settings: no signal will be heard");
--- a/crates/pinereel/src/hosted/retirement.rs
+++ b/crates/pinereel/src/hosted/retirement.rs
@@ -1,6 +1,7 @@
-//! Instances that are to be emptied before they are taken away.
+//! Answers the platform's requests to drain instances before their removal.
 //!
-//! Nothing lies on an instance that is not in the object store, so each request is answered at once.
+//! An instance has no state outside the object store, so each request is answered at once: the instance
+//! may be removed.
 
 use super::{
     list_watch::{Update, WatchOptions, list_and_watch},
@@ -11,10 +12,10 @@
 use std::time::Duration;
 use tokio::{sync::mpsc, time::sleep};
 
-/// Pause after an answer that was not written.
+/// Delay before the retry of an answer that could not be written.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Answers the requests until dropped.
+/// Watches the requests and answers them, until the future is dropped.
 pub async fn answer_requests(store: &Store, adapter: Adapter, max_watch_time: Duration) {
     let (request_sender, mut unanswered) = mpsc::unbounded_channel();
     let watch_options = || WatchOptions {
@@ -46,7 +47,7 @@
     }
 }
 
-/// The requests that nobody has answered.
+/// The requests without an answer.
 fn unanswered_requests(update: Update) -> Vec<Object> {
     let objects: Vec<_> = match update {
         Update::All(objects) => objects,
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -1,4 +1,5 @@
-//! The running process.
+//! Startup and shutdown of the process: creates the parts of an instance, connects them, and stops them
+//! in order.
 
 use super::{
     config::Config,
@@ -43,15 +44,16 @@
     time::sleep,
 };
 
-/// Calls to the object store at once, watches not counted.
+/// Maximum number of concurrent calls to the object store, watches excluded.
 const MAX_STORE_CALLS: usize = 32;
-/// Longest idle time of a caller's connection. The operator's own bound may change while it is
-/// open; this one is above any of them, so that a caller's next request never crosses a close.
+/// Idle timeout of a caller's connection. The operator's own limit may change while the connection is
+/// open. This one is longer than any of them, so that a caller never sends a request while the
+/// connection is being closed.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Pause between two summaries of calls to the store.
+/// Interval between log lines with the number of calls to the object store.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Why an instance did not run.
+/// Error at the start of an instance.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener could not be opened.
@@ -59,21 +61,21 @@
     Listen {
         /// The address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The log could not be opened.
     #[error(transparent)]
     Log(#[from] logging::Error),
-    /// The system refused something else.
+    /// Another call to the operating system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Runs an instance as this process until it is told to stop.
+/// Runs an instance as this process, until SIGTERM or SIGINT has stopped it gracefully.
 ///
 /// # Errors
-/// See [`Error`].
+/// If the log or a listener cannot be opened, or the signals cannot be handled.
 pub fn run(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
     let handle = logging::init(&settings.log)?;
     let result = actix_rt::System::new().block_on(run_until_stopped(settings, path, adapter));
@@ -98,7 +100,7 @@
     let signalled = Rc::clone(&shutdown);
     actix_rt::spawn(async move {
         loop {
-            // A second signal asks for what is under way already.
+            // A further signal has no effect, as the shutdown is in progress.
             tokio::select! {
                 _ = terminate.recv() => signalled.initiate(),
                 _ = interrupt.recv() => signalled.initiate(),
@@ -112,7 +114,7 @@
                 .drain_on_shutdown(&settings)
                 .await;
         }
-        // Nothing lies on an instance without callers: it stands by, and stops at once.
+        // An instance without a listener for callers is a standby. It has no work and stops at once.
         None => shutdown.wait_until_initiated().await,
     }
     log::info!(instance = settings.instance.name.as_str(); "stopped");
@@ -124,7 +126,7 @@
     callers: Server,
     shutdown: Rc<Shutdown>,
     duties: Rc<Duties>,
-    /// None without an address for other instances.
+    /// `None` without an address for other instances.
     tree_node: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
@@ -314,7 +316,7 @@
         })
     }
 
-    /// Waits until a stop was asked for, and carries it out.
+    /// Waits until a shutdown is initiated, and carries it out.
     async fn drain_on_shutdown(&self, settings: &Hosted) {
         self.shutdown.wait_until_initiated().await;
         self.runner.drain();
@@ -350,7 +352,8 @@
         .map_err(|error| Error::Listen { address, error })
 }
 
-/// Tells from time to time what this instance has asked of the store, since each call is priced.
+/// Logs at each interval how many calls this instance has made to the object store, as each is charged
+/// for.
 async fn log_store_calls(client: objects::Client) {
     loop {
         sleep(SUMMARY_INTERVAL).await;
@@ -365,14 +368,15 @@
     }
 }
 
-/// Differs between starts of one instance's process; the wall clock is used for nothing else.
+/// A number that differs between runs of the process of an instance, from the wall clock. Nothing else
+/// here uses that clock.
 fn incarnation() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// The time since the machine's start, the time while it was suspended included: a lease runs out
-/// during it.
+/// The time since the boot of the machine, including the time in suspension, as leases expire during
+/// it.
 fn boot_time() -> Time {
     let time = clock_gettime(ClockId::Boottime);
     let micros = time.tv_sec * 1_000_000 + time.tv_nsec / 1_000;
--- a/crates/pinereel/src/hosted/shutdown.rs
+++ b/crates/pinereel/src/hosted/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful stop.
+//! Graceful shutdown: waits until no request is in flight and no other work is left.
 
 use std::{
     cell::{Cell, RefCell},
@@ -10,15 +10,15 @@
     time::{Instant, sleep},
 };
 
-/// Pause between two looks at what is in flight.
+/// Interval between checks whether work is left.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Nothing must be in flight for so long before the process ends: a caller may be sending on a
-/// connection that it keeps.
+/// Minimum time without a request in flight before the process exits, as a caller may be sending one on
+/// a kept-alive connection.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(300);
-/// The process ends so long before it would be killed.
+/// Time before the kill at which the process exits at the latest.
 const KILL_MARGIN: Duration = Duration::from_millis(900);
 
-/// Whether a stop was asked for, and what is in flight.
+/// Whether a shutdown was initiated, and the number of requests in flight.
 #[derive(Default)]
 pub struct Shutdown {
     is_initiated: Cell<bool>,
@@ -40,17 +40,17 @@
     }
 }
 
-/// Times of a stop.
+/// Delays that the platform's shutdown procedure prescribes.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long the balancer may still send connections.
+    /// Time for which the load balancer may still send new connections.
     pub balancer_lag: Duration,
-    /// After so long the process is killed.
+    /// Time after which the platform kills the process.
     pub killed_after: Duration,
 }
 
 impl Shutdown {
-    /// Asks for a stop. Asking again changes nothing.
+    /// Initiates the shutdown. Further calls have no effect.
     pub fn initiate(&self) {
         if !self.is_initiated.replace(true) {
             log::info!(in_flight = self.in_flight.get(); "stopping: asked to");
@@ -58,19 +58,19 @@
         self.initiated_notify.notify_waiters();
     }
 
-    /// Whether a stop was asked for.
+    /// Whether the shutdown was initiated.
     pub fn is_initiated(&self) -> bool {
         self.is_initiated.get()
     }
 
-    /// Waits until a stop is asked for.
+    /// Waits until the shutdown is initiated.
     pub async fn wait_until_initiated(&self) {
         while !self.is_initiated() {
             self.initiated_notify.notified().await;
         }
     }
 
-    /// Counts a request as in flight.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard {
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Waits until nothing is left to do, at most until shortly before the process is killed.
-    /// `others` counts what is in flight beside callers' requests.
+    /// Waits until no work is left, or until shortly before the process is killed. `other_work` returns
+    /// the number of tasks in flight besides callers' requests.
     pub async fn wait_until_idle(&self, timing: Timing, other_work: impl Fn() -> usize) {
         let started_at = Instant::now();
         let deadline = started_at + timing.killed_after.saturating_sub(KILL_MARGIN);
