--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -1,4 +1,4 @@
-//! Orders for endpoints, as a whole path of real processes.
+//! Autoscaling of endpoints, end to end with real processes.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -15,8 +15,8 @@
     engines: 1,
     services: 1,
 };
-/// Items that one engine cannot begin within the time that most texts take.
-const CROWD: usize = 120;
+/// Number of items that is too large for one engine to start all within the time of most texts.
+const ITEMS_BEYOND_SLOTS: usize = 120;
 
 async fn submit(site: &Site, lot: &str, items: usize) {
     let item = |number: usize| {
@@ -33,26 +33,26 @@
         ("x-request-id", lot.to_owned()),
         ("x-deadline-ms", "2000".to_owned()),
     ];
-    let (address, wait) = (site.instances[0].callers.address, Duration::from_secs(3));
+    let (address, timeout) = (site.instances[0].callers.address, Duration::from_secs(3));
     let body = Bytes::from(body.to_string());
-    let answer = call(address, Method::POST, "/lots/1", &headers, body, wait).await;
+    let answer = call(address, Method::POST, "/lots/1", &headers, body, timeout).await;
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
 }
 
-/// Load pattern: a trainer's items come at once, and most wait for a slot. Endpoints of the cheap kind are asked for, within the
-/// operator's bounds, and none while items find slots in time.
+/// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested, within
+/// the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
 async fn items_that_wait_for_slots_bring_endpoints() {
     let site = Site::start(SIZE, 200).await.expect("it starts");
-    // A new holder of the orders waits for the engines' gap.
+    // A new lease holder waits for the minimum gap between the orders of two holders.
     sleep(Duration::from_secs(3)).await;
     submit(&site, "small", 3).await;
     sleep(Duration::from_secs(4)).await;
     assert_eq!(site.platform.asked(), BTreeMap::new());
-    submit(&site, "large", CROWD).await;
+    submit(&site, "large", ITEMS_BEYOND_SLOTS).await;
     sleep(Duration::from_secs(5)).await;
     let asked = site.platform.asked();
-    let lines = site
+    let log_lines = site
         .instances
         .iter()
         .flat_map(|i| i.lines())
@@ -61,7 +61,7 @@
         asked.get("here"),
         Some(&3),
         "{asked:?}\n{}",
-        lines.join("\n")
+        log_lines.join("\n")
     );
     assert_eq!(asked.get("there"), Some(&4), "{asked:?}");
     assert_eq!(site.book.faults(), Vec::<String>::new());
