--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -74,7 +74,7 @@
     /// Minimum gap between the orders of two holders, and the number of loads at a time.
     pub settings: settings::Orders,
     /// Address at which the platform takes requests for endpoints; `None` if autoscaling is off.
-    pub platform: Option<SocketAddr>,
+    pub platform_address: Option<SocketAddr>,
     /// Counts orders and requests.
     pub metrics: Metrics,
     /// Longest duration of one watch call to the object store.
@@ -163,6 +163,8 @@
         duties.run_while_held(&duty, control, || true).await;
     }
 
+    /// Runs the work of the lease holder of a service, until dropped: the rollouts of its models, the
+    /// requests for endpoints, and the answers to retirement requests.
     async fn control_service(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
         self.parts.endpoints.subscribe_engines();
         let store = self.parts.store.clone();
@@ -196,7 +198,7 @@
         });
         // One instance suffices to answer retirement requests, so the lease holder does it.
         let retirements = retirement::answer_requests(&store, self.parts.adapter, watch_time);
-        let scaler = self.parts.platform.map(|address| {
+        let scaler = self.parts.platform_address.map(|address| {
             let scaler = ServiceScaler {
                 orders: Rc::clone(self),
                 service: service.clone(),
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -125,9 +125,9 @@
         }
         let mut listed = ListedEngines::new();
         for name in assigned {
-            let before = snapshot.listed.get(name).copied();
+            let previous = snapshot.listed.get(name).copied();
             if let Some(entry) = self.entry(name)
-                && let Some(now) = self.update_engine(entry, before)
+                && let Some(now) = self.update_engine(entry, previous)
             {
                 listed.insert(name.clone(), now);
             }
@@ -165,7 +165,7 @@
             leaving: entry.draining,
         });
         // The list shows a new version as soon as the engine serves it; its status report is later.
-        if previous.is_some_and(|(_, before)| before != version) {
+        if previous.is_some_and(|(_, previous)| previous != version) {
             let status = Status {
                 incarnation: entry.incarnation,
                 version: Some(Version(version)),
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -201,8 +201,8 @@
             tree_node = Some(Node::start(parts, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
-        let lease_counter = Rc::clone(&duties);
-        let holds_leases = move || lease_counter.held_count() > 0;
+        let lease_duties = Rc::clone(&duties);
+        let holds_leases = move || lease_duties.held_count() > 0;
         let parts = endpoints::Parts {
             adapter,
             store: store.clone(),
@@ -260,20 +260,18 @@
             pool: Rc::clone(&pool),
             metrics: metrics.clone(),
             settings: settings.orders.clone(),
-            platform: autoscaling,
+            platform_address: autoscaling,
             max_watch_time: watch,
         });
         if let Some(readiness) = settings.instance.readiness {
-            let readiness = listen(readiness).await?;
-            let readiness_server = Readiness {
+            let listener = listen(readiness).await?;
+            let probe = Readiness {
                 store: store.clone(),
                 config: Rc::clone(&config),
                 endpoints: Rc::clone(&endpoints),
                 shutdown: Rc::clone(shutdown),
             };
-            readiness_server
-                .serve(readiness, adapter.readiness_path)
-                .await?;
+            probe.serve(listener, adapter.readiness_path).await?;
         }
         if let Some(address) = instance.metrics {
             let (pool, config) = (Rc::clone(&pool), Rc::clone(&config));
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Meter`] keeps the counts of this instance and the reports received from others, with the types
 //! of [`pinereel_core::usage`]. Changed reports go up the broadcast tree. The instance at its root
-//! sums them up, stores the sum of each time window, and sends it to the platform ([`report`]).
+//! sums them up, stores the sum of each time window, and sends it to the platform ([`report()`]).
 //! Nothing is counted or sent if the settings ask for no usage reports.
 
 mod report;
@@ -58,7 +58,7 @@
 impl Meter {
     /// Starts to count and to close windows; `id` identifies this run of the instance in its reports.
     pub fn start(settings: Option<&settings::Usage>, id: &str, clock: fn() -> Time) -> Rc<Self> {
-        let usage = Rc::new(Self {
+        let meter = Rc::new(Self {
             window_length: settings.map(|settings| settings.window),
             ledger: RefCell::new(Ledger::new(id)),
             wall_clock: RefCell::new(WallClock::new(clock(), system_time_millis())),
@@ -66,11 +66,11 @@
             change_count: watch::channel(0).0,
             instance_count: RefCell::default(),
         });
-        if let Some(window_length) = usage.window_length {
-            let state = Rc::clone(&usage);
+        if let Some(window_length) = meter.window_length {
+            let state = Rc::clone(&meter);
             actix_rt::spawn(async move { state.close_windows(window_length).await });
         }
-        usage
+        meter
     }
 
     /// The wall-clock time, without jumps of the system clock.
