--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -231,7 +231,7 @@
 
     fn notify_changed(&self) {
         let (known, refused) = self.register.borrow().len();
-        self.metrics.note_suspects(known, refused);
+        self.metrics.set_crash_suspects(known, refused);
         self.change_count.send_modify(|changes| *changes += 1);
     }
 
@@ -254,7 +254,7 @@
 
     /// Counts an event in the metrics; `event` is the label.
     pub fn count_event(&self, event: &str) {
-        self.metrics.count(&self.metrics.crashes, &[event]);
+        self.metrics.count(&self.metrics.crash_events, &[event]);
     }
 
     /// Removes expired records at an interval; idle while there are none.
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -117,7 +117,7 @@
         if !known {
             log::error!(endpoint = id.as_str(), revision = object.revision; "list entry refused: {fault}");
             let metrics = &self.parts.metrics;
-            metrics.count(&metrics.entries, &["refused"]);
+            metrics.count(&metrics.endpoint_entries, &["refused"]);
             let rejected = (id.clone(), object.revision);
             self.rejected.borrow_mut().extend([rejected]);
         }
--- a/crates/pinereel/src/hosted/lots/cleanup.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -57,7 +57,7 @@
                 Ok(count) => {
                     log::info!(id = lot.as_str(), objects = count; "expired lot deleted");
                     let metrics = &runner.parts.metrics;
-                    metrics.count(&metrics.lots, &["removed"]);
+                    metrics.count(&metrics.lot_events, &["removed"]);
                     runner.with_first_seen(|first_seen| first_seen.remove(&lot));
                 }
                 // The next pass retries.
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -109,7 +109,7 @@
             let count = segment.samples.len();
             log::info!(id = lot, from, count, revision = object.revision; "results committed");
             let metrics = &runner.parts.metrics;
-            metrics.count(&metrics.committed, &["own"]);
+            metrics.count(&metrics.committed_results, &["own"]);
             runner.segment_committed(lot, from, segment.samples);
         }
         Err(Error::Conflict) => load_segment(runner, lot, from).await,
@@ -139,7 +139,7 @@
                     "existing segment applied"
                 );
                 let metrics = &runner.parts.metrics;
-                metrics.count(&metrics.committed, &["found"]);
+                metrics.count(&metrics.committed_results, &["found"]);
                 runner.segment_committed(lot, from, segment.samples);
             }
             Err(fault) => {
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -71,7 +71,7 @@
     };
     drop(running);
     let metrics = &runner.parts.metrics;
-    metrics.count(&metrics.runs, &[end.as_str()]);
+    metrics.count(&metrics.item_runs, &[end.as_str()]);
     log_run(task, placement, end, started, runner.resume_point(task).0);
     record_crash_evidence(runner, task, item, placement, end, started);
     let failure = match end {
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -157,7 +157,7 @@
             "lot opened"
         );
         let metrics = &self.parts.metrics;
-        metrics.count(&metrics.lots, &["opened"]);
+        metrics.count(&metrics.lot_events, &["opened"]);
         let commit_wakeup = Rc::new(Notify::new());
         let commits =
             commit::commit_results(Rc::clone(&self), id.clone(), Rc::clone(&commit_wakeup));
@@ -268,7 +268,7 @@
         }
         drop(state);
         let metrics = &self.parts.metrics;
-        metrics.count(&metrics.lots, &[reason]);
+        metrics.count(&metrics.lot_events, &[reason]);
         metrics.observe(&metrics.lot_seconds, reason, open.opened_at.elapsed());
         log::info!(
             id = id.as_str(),
--- a/crates/pinereel/src/hosted/orders/call.rs
+++ b/crates/pinereel/src/hosted/orders/engine_call.rs
@@ -1,4 +1,4 @@
-//! Calls at engines.
+//! HTTP calls to engines: status reports and load orders.
 
 use super::Orders;
 use crate::upstream::pool::{Error, Exchange};
@@ -17,21 +17,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for an engine's answer. An order without an answer may be carried out later; the
-/// count of orders in the next one makes it void.
-pub(super) const ANSWER: Duration = Duration::from_millis(1_000);
+/// Timeout for an engine's answer. An order without an answer may still be executed later; the number
+/// of accepted loads that the next order carries makes it invalid.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a call at an engine brought nothing.
+/// Why a call to an engine has no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoAnswer {
     /// No connection could be opened.
     NotOpened,
-    /// It may have been taken, or the answer says nothing.
+    /// The engine may have received the call, or its answer does not tell the result.
     Lost,
 }
 
 impl NoAnswer {
-    pub(super) const fn event(self, name: CompactString) -> Event {
+    pub(super) const fn into_event(self, name: CompactString) -> Event {
         match self {
             Self::NotOpened => Event::Unreachable { name },
             Self::Lost => Event::NoAnswer { name },
@@ -40,8 +40,8 @@
 }
 
 impl Orders {
-    /// One call at an engine.
-    pub(super) async fn call(
+    /// Sends one request to an engine, and returns the status and the body of the answer.
+    pub(super) async fn call_engine(
         &self,
         entry: &Entry,
         method: Method,
@@ -81,14 +81,14 @@
             let body = response.body.whole().await;
             Ok((status, body.map_err(|_| NoAnswer::Lost)?))
         };
-        timeout(ANSWER, exchange)
+        timeout(ANSWER_TIMEOUT, exchange)
             .await
             .unwrap_or(Err(NoAnswer::Lost))
     }
 
-    pub(super) async fn report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
+    pub(super) async fn read_status_report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
         let engine = self.parts.adapter.engine;
-        let answer = self.call(entry, Method::GET, engine.status_report_path, Bytes::new());
+        let answer = self.call_engine(entry, Method::GET, engine.status_report_path, Bytes::new());
         let (status, body) = answer.await?;
         if status != StatusCode::OK {
             return Err(NoAnswer::Lost);
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -18,7 +18,7 @@
     endpoints::{Endpoints, SelectedEndpoint},
     metrics::Metrics,
     stall::StallDetector,
-    usage::{Begun, Usage},
+    usage::{CountedRequest, Meter},
 };
 use crate::upstream::pool::Pool;
 use attempt::AttemptResult;
@@ -57,7 +57,7 @@
     /// Tracks requests under which endpoints crash.
     pub crashes: Rc<CrashTracker>,
     /// Counts the requests that were sent, by workspace.
-    pub usage: Rc<Usage>,
+    pub usage: Rc<Meter>,
     /// Metrics.
     pub metrics: Metrics,
 }
@@ -81,7 +81,7 @@
     used_endpoints: Vec<Key>,
     in_flight: AttemptsInFlight,
     /// Its usage count for the workspace, made at the first attempt.
-    usage_record: Option<Begun>,
+    usage_record: Option<CountedRequest>,
 }
 
 type AttemptsInFlight = FuturesUnordered<LocalBoxFuture<'static, AttemptResult>>;
@@ -184,7 +184,7 @@
         if matches!(outcome, Outcome::NotRun { .. })
             && let Some(usage_record) = state.usage_record
         {
-            self.parts.usage.undo(usage_record);
+            self.parts.usage.retract(usage_record);
         }
         let in_flight = state.in_flight;
         if !in_flight.is_empty() && matches!(outcome, Outcome::Answer(_)) {
@@ -192,8 +192,8 @@
         }
         self.count_outcome(service, &outcome, started);
         let metrics = &self.parts.metrics;
-        metrics.observe(&metrics.ages, "config", request.config_age);
-        metrics.observe(&metrics.ages, "endpoints", list_age);
+        metrics.observe(&metrics.input_ages, "config", request.config_age);
+        metrics.observe(&metrics.input_ages, "endpoints", list_age);
         log_request(&request, &outcome, started, list_age, &attempt_log);
         outcome
     }
@@ -215,7 +215,7 @@
                 let suspected = matches!(status, RequestStatus::Suspected { .. });
                 let occupancy = suspected.then(|| self.parts.crashes.occupy(&selected.start));
                 if state.used_endpoints.is_empty() {
-                    state.usage_record = self.parts.usage.begin(&state.request.caller);
+                    state.usage_record = self.parts.usage.count(&state.request.caller);
                 }
                 state.used_endpoints.push(selected.key);
                 state.attempts.record_send(state.started.elapsed());
@@ -292,7 +292,7 @@
         };
         let metrics = &self.parts.metrics;
         metrics.count(&metrics.requests, &[service, label]);
-        metrics.observe(&metrics.latency, service, started.elapsed());
+        metrics.observe(&metrics.request_seconds, service, started.elapsed());
     }
 
     fn next_seed(&self, request: &ProxyRequest) -> u64 {
@@ -315,7 +315,7 @@
         let list_age = self.parts.endpoints.age().unwrap_or_default();
         self.parts
             .metrics
-            .count(&self.parts.metrics.refused, &[reason]);
+            .count(&self.parts.metrics.refusals, &[reason]);
         self.count_outcome(service, &outcome, started);
         log_request(request, &outcome, started, list_age, &[]);
         outcome
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -1,4 +1,5 @@
-//! The running process.
+//! Startup and shutdown of the process: creates the parts of an instance, connects them, and stops them
+//! in order.
 
 use super::{
     config::Config,
@@ -9,14 +10,14 @@
     metrics::{Metrics, Sources},
     orders::{self, Orders},
     proxy::{self, Proxy},
-    ready::Ready,
-    reload::look_at_settings,
+    readiness::Readiness,
+    reload::watch_settings_file,
     serve::{Frontend, serve},
+    shutdown::{Shutdown, Timing},
     stall::StallDetector,
-    stop::{Stop, Times},
     store::Store,
     tree::{self, Feed, Node},
-    usage::{self, Usage},
+    usage::{self, Meter},
 };
 use crate::{
     http::{self, Server},
@@ -43,15 +44,16 @@
     time::sleep,
 };
 
-/// Calls to the object store at once, watches not counted.
-const STORE_CALLS: usize = 32;
-/// Longest idle time of a caller's connection. The operator's own bound may change while it is
-/// open; this one is above any of them, so that a caller's next request never crosses a close.
-const CALLER_IDLE: Duration = Duration::from_secs(120);
-/// Pause between two summaries of calls to the store.
-const SUMMARY: Duration = Duration::from_secs(20);
+/// Maximum number of concurrent calls to the object store, watches excluded.
+const MAX_STORE_CALLS: usize = 32;
+/// Idle timeout of a caller's connection. The operator's own limit may change while the connection is
+/// open. This one is longer than any of them, so that a caller never sends a request while the
+/// connection is being closed.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval between log lines with the number of calls to the object store.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Why an instance did not run.
+/// Error at the start of an instance.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener could not be opened.
@@ -59,29 +61,29 @@
     Listen {
         /// The address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The log could not be opened.
     #[error(transparent)]
     Log(#[from] logging::Error),
-    /// The system refused something else.
+    /// Another call to the operating system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Runs an instance as this process until it is told to stop.
+/// Runs an instance as this process, until SIGTERM or SIGINT has stopped it gracefully.
 ///
 /// # Errors
-/// See [`Error`].
+/// If the log or a listener cannot be opened, or the signals cannot be handled.
 pub fn run(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
     let handle = logging::init(&settings.log)?;
-    let result = actix_rt::System::new().block_on(serve_until_told(settings, path, adapter));
+    let result = actix_rt::System::new().block_on(run_until_stopped(settings, path, adapter));
     handle.flush(Duration::from_secs(1));
     result
 }
 
-async fn serve_until_told(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
+async fn run_until_stopped(settings: Hosted, path: PathBuf, adapter: Adapter) -> Result<(), Error> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let incarnation = incarnation();
@@ -93,27 +95,27 @@
         settings:? = settings;
         "started"
     );
-    actix_rt::spawn(look_at_settings(settings.clone(), path));
-    let stop = Rc::new(Stop::default());
-    let signalled = Rc::clone(&stop);
+    actix_rt::spawn(watch_settings_file(settings.clone(), path));
+    let shutdown = Rc::new(Shutdown::default());
+    let signalled = Rc::clone(&shutdown);
     actix_rt::spawn(async move {
         loop {
-            // A second signal asks for what is under way already.
+            // A further signal has no effect, as the shutdown is in progress.
             tokio::select! {
-                _ = terminate.recv() => signalled.ask(),
-                _ = interrupt.recv() => signalled.ask(),
+                _ = terminate.recv() => signalled.initiate(),
+                _ = interrupt.recv() => signalled.initiate(),
             }
         }
     });
     match settings.instance.callers {
         Some(callers) => {
-            Instance::start(&settings, adapter, callers, incarnation, &stop)
+            Instance::start(&settings, adapter, callers, incarnation, &shutdown)
                 .await?
-                .finished(&settings)
+                .drain_on_shutdown(&settings)
                 .await;
         }
-        // Nothing lies on an instance without callers: it stands by, and stops at once.
-        None => stop.wait().await,
+        // An instance without a listener for callers is a standby. It has no work and stops at once.
+        None => shutdown.wait_until_initiated().await,
     }
     log::info!(instance = settings.instance.name.as_str(); "stopped");
     Ok(())
@@ -122,10 +124,10 @@
 /// An instance that serves callers.
 struct Instance {
     callers: Server,
-    stop: Rc<Stop>,
+    shutdown: Rc<Shutdown>,
     duties: Rc<Duties>,
-    /// None without an address for other instances.
-    bulletin: Option<Rc<Node>>,
+    /// `None` without an address for other instances.
+    tree_node: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
 
@@ -135,46 +137,50 @@
         adapter: Adapter,
         callers: SocketAddr,
         incarnation: u64,
-        stop: &Rc<Stop>,
+        shutdown: &Rc<Shutdown>,
     ) -> Result<Self, Error> {
         let clock = Clock::new();
         let callers = listen(callers).await?;
         let store = Store::new(
-            objects::Client::new(options(settings), clock),
+            objects::Client::new(store_options(settings), clock),
             adapter.store,
         );
-        actix_rt::spawn(summarise(store.client().clone()));
+        actix_rt::spawn(log_store_calls(store.client().clone()));
         let watch = settings.store.watch;
         let feed = Rc::new(Feed::default());
-        let (looking, told) = (store.clone(), Rc::clone(&feed));
+        let (probed, probe_feed) = (store.clone(), Rc::clone(&feed));
         actix_rt::spawn(async move {
-            let (places, is_told) = (adapter.object_kinds, || told.has_parent());
-            let look_out =
-                looking.probe_in_outages(places.config, places.config_object_name, is_told);
-            look_out.await;
+            let (object_kinds, has_tree_parent) =
+                (adapter.object_kinds, || probe_feed.has_parent());
+            let probe = probed.probe_in_outages(
+                object_kinds.config,
+                object_kinds.config_object_name,
+                has_tree_parent,
+            );
+            probe.await;
         });
         let config = Config::start(&store, adapter, watch, &feed);
         let instance = &settings.instance;
         let metrics = Metrics::new();
-        let links = instance.peers.map(|peers| peers.to_string().into());
+        let peer_address = instance.peers.map(|peers| peers.to_string().into());
         let crashes = CrashTracker::new(clock, &metrics);
         let duties = Duties::new(duty::Dependencies {
             store: store.clone(),
             instance: instance.name.clone(),
             incarnation,
             cores: instance.cores,
-            address: links.unwrap_or_default(),
+            address: peer_address.unwrap_or_default(),
             metrics: metrics.clone(),
             feed: Rc::clone(&feed),
             crashes: Rc::clone(&crashes),
             clock: boot_time,
         });
         let platform = settings.platform.as_ref();
-        let reported = platform.and_then(|platform| platform.usage.clone());
-        let ordered = platform.filter(|platform| platform.autoscale);
-        let ordered = ordered.map(|platform| platform.address);
-        let usage = Usage::start(reported.as_ref(), duties.id(), boot_time);
-        let mut bulletin = None;
+        let usage_settings = platform.and_then(|platform| platform.usage.clone());
+        let autoscaling = platform.filter(|platform| platform.autoscale);
+        let autoscaling = autoscaling.map(|platform| platform.address);
+        let usage = Meter::start(usage_settings.as_ref(), duties.id(), boot_time);
+        let mut tree_node = None;
         if let Some(peers) = instance.peers {
             let parts = tree::Parts {
                 store: store.clone(),
@@ -192,11 +198,11 @@
                     preferred: duties.is_preferred(),
                 },
             };
-            bulletin = Some(Node::start(parts, listen(peers).await?));
+            tree_node = Some(Node::start(parts, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
-        let held = Rc::clone(&duties);
-        let needs_prompt_updates = move || held.held_count() > 0;
+        let lease_duties = Rc::clone(&duties);
+        let holds_leases = move || lease_duties.held_count() > 0;
         let parts = endpoints::Parts {
             adapter,
             store: store.clone(),
@@ -205,7 +211,7 @@
             metrics: metrics.clone(),
             clock,
         };
-        let endpoints = Endpoints::start(parts, instance, &settings.store, needs_prompt_updates);
+        let endpoints = Endpoints::start(parts, instance, &settings.store, holds_leases);
         let stall = StallDetector::start(boot_time);
         let proxy = Proxy::new(proxy::Parts {
             adapter,
@@ -216,7 +222,7 @@
             usage: Rc::clone(&usage),
             metrics: metrics.clone(),
         });
-        if let (Some(platform), Some(reported)) = (platform, reported) {
+        if let (Some(platform), Some(usage_settings)) = (platform, usage_settings) {
             let parts = usage::Parts {
                 adapter,
                 store: store.clone(),
@@ -224,7 +230,7 @@
                 pool: Rc::clone(&pool),
                 metrics: metrics.clone(),
                 address: platform.address,
-                settings: reported,
+                settings: usage_settings,
                 gap: settings.orders.gap,
                 usage,
             };
@@ -254,26 +260,26 @@
             pool: Rc::clone(&pool),
             metrics: metrics.clone(),
             settings: settings.orders.clone(),
-            platform: ordered,
-            watch,
+            platform_address: autoscaling,
+            max_watch_time: watch,
         });
         if let Some(readiness) = settings.instance.readiness {
-            let readiness = listen(readiness).await?;
-            let ready = Ready {
+            let listener = listen(readiness).await?;
+            let probe = Readiness {
                 store: store.clone(),
                 config: Rc::clone(&config),
                 endpoints: Rc::clone(&endpoints),
-                stop: Rc::clone(stop),
+                shutdown: Rc::clone(shutdown),
             };
-            ready.serve(readiness, adapter.readiness_path).await?;
+            probe.serve(listener, adapter.readiness_path).await?;
         }
         if let Some(address) = instance.metrics {
             let (pool, config) = (Rc::clone(&pool), Rc::clone(&config));
             let sources = Sources {
                 crashes: Rc::clone(&crashes),
                 store: store.client().clone(),
-                connections: Box::new(move || pool.opened()),
-                config: Box::new(move || config.table().map_or(0, |table| table.number())),
+                connections_opened: Box::new(move || pool.opened()),
+                config_number: Box::new(move || config.table().map_or(0, |table| table.number())),
             };
             metrics.serve(listen(address).await?, sources).await?;
         }
@@ -285,12 +291,12 @@
             endpoints,
             proxy,
             desk: TrainerApi::new(adapter, &store),
-            stop: Rc::clone(stop),
+            stop: Rc::clone(shutdown),
             metrics,
         });
         let options = http::Options {
             connections: settings.instance.connections,
-            keep_alive: CALLER_IDLE,
+            keep_alive: CALLER_IDLE_TIMEOUT,
             half_closed: false,
             ..http::Options::default()
         };
@@ -301,37 +307,37 @@
         server.observe(|code| log::info!(code:serde = code; "refused by the listener"));
         Ok(Self {
             callers: server,
-            stop: Rc::clone(stop),
+            shutdown: Rc::clone(shutdown),
             duties,
-            bulletin,
+            tree_node,
             runner,
         })
     }
 
-    /// Waits until a stop was asked for, and carries it out.
-    async fn finished(&self, settings: &Hosted) {
-        self.stop.wait().await;
+    /// Waits until a shutdown is initiated, and carries it out.
+    async fn drain_on_shutdown(&self, settings: &Hosted) {
+        self.shutdown.wait_until_initiated().await;
         self.runner.drain();
-        if let Some(bulletin) = &self.bulletin {
-            bulletin.shut_down();
+        if let Some(tree_node) = &self.tree_node {
+            tree_node.shut_down();
         }
         self.runner.checkpoint_and_stop().await;
         self.duties.drain();
-        let times = Times {
+        let timing = Timing {
             balancer_lag: settings.stop.balancer_lag,
             killed_after: settings.stop.killed_after,
         };
-        let others = || self.runner.in_flight() + usize::from(!self.duties.all_released());
-        self.stop.finish(times, others).await;
+        let other_work = || self.runner.in_flight() + usize::from(!self.duties.all_released());
+        self.shutdown.wait_until_idle(timing, other_work).await;
         self.callers.close();
     }
 }
 
-fn options(settings: &Hosted) -> objects::Options {
+fn store_options(settings: &Hosted) -> objects::Options {
     objects::Options {
         address: settings.store.address.to_string(),
         agent: settings.instance.name.clone(),
-        concurrency: STORE_CALLS,
+        concurrency: MAX_STORE_CALLS,
         timeout: settings.store.timeout,
         reads: f64::from(settings.store.reads_per_second),
         writes: f64::from(settings.store.writes_per_second),
@@ -344,10 +350,11 @@
         .map_err(|error| Error::Listen { address, error })
 }
 
-/// Tells from time to time what this instance has asked of the store, since each call is priced.
-async fn summarise(client: objects::Client) {
+/// Logs at each interval how many calls this instance has made to the object store, as each is charged
+/// for.
+async fn log_store_calls(client: objects::Client) {
     loop {
-        sleep(SUMMARY).await;
+        sleep(SUMMARY_INTERVAL).await;
         let calls: BTreeMap<_, _> = client
             .calls()
             .into_iter()
@@ -359,14 +366,15 @@
     }
 }
 
-/// Differs between starts of one instance's process; the wall clock is used for nothing else.
+/// A number that differs between runs of the process of an instance, from the wall clock. Nothing else
+/// here uses that clock.
 fn incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// The time since the machine's start, the time while it was suspended included: a lease runs out
-/// during it.
+/// The time since the boot of the machine, including the time in suspension, as leases expire during
+/// it.
 fn boot_time() -> Time {
     let time = clock_gettime(ClockId::Boottime);
     let micros = time.tv_sec * 1_000_000 + time.tv_nsec / 1_000;
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -7,8 +7,8 @@
     lots::{Reply, TrainerApi},
     metrics::Metrics,
     proxy::{Outcome, Proxy, ProxyRequest},
+    shutdown::Shutdown,
     stall::StallDetector,
-    stop::Stop,
     store::Store,
 };
 use crate::http::{self, Request, Response};
@@ -64,16 +64,16 @@
     /// Handles trainers' calls.
     pub desk: TrainerApi,
     /// Graceful shutdown.
-    pub stop: Rc<Stop>,
+    pub stop: Rc<Shutdown>,
     /// Metrics.
     pub metrics: Metrics,
 }
 
 /// Answers one request. It counts as in flight until the last byte of its answer has been sent.
 pub async fn serve(frontend: Rc<Frontend>, request: Request) -> Response {
-    let guard = frontend.stop.enter();
+    let guard = frontend.stop.track_request();
     let mut answer = frontend.answer(request).await;
-    if frontend.stop.asked() {
+    if frontend.stop.is_initiated() {
         // Makes the caller open its next connection to another instance.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
@@ -92,7 +92,7 @@
         self.stall.wait_for_catch_up().await;
         let Some(table) = self.wait_for_table().await else {
             self.metrics
-                .count(&self.metrics.refused, &["no configuration"]);
+                .count(&self.metrics.refusals, &["no configuration"]);
             log::warn!(id = metadata.id.as_str(); "refused: no configuration is known yet");
             return not_run(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER);
         };
@@ -106,7 +106,7 @@
             }
         }
         let Some(route) = table.route_for(&host, &path).cloned() else {
-            self.metrics.count(&self.metrics.refused, &["no route"]);
+            self.metrics.count(&self.metrics.refusals, &["no route"]);
             log::info!(
                 id = metadata.id.as_str(),
                 host = host.as_str(),
@@ -124,7 +124,7 @@
         let body = match http::read(&mut request, max, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(error) => {
-                self.metrics.count(&self.metrics.refused, &["body"]);
+                self.metrics.count(&self.metrics.refusals, &["body"]);
                 return refuse_body(&metadata, &error);
             }
         };
@@ -163,7 +163,7 @@
         };
         let is_current = self.config.is_current();
         let is_certain = is_current || error == AccessError::MissingKey;
-        self.metrics.count(&self.metrics.refused, &["no access"]);
+        self.metrics.count(&self.metrics.refusals, &["no access"]);
         log::info!(
             id = metadata.id.as_str(),
             why:% = error,
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -2,7 +2,7 @@
 
 use super::{Feed, Frame, HEARTBEAT_INTERVAL, Topic, topic_cache::TopicCache, topics::ChildLink};
 use crate::hosted::{
-    crashes::CrashTracker, duty::Duties, metrics::Metrics, store::Store, usage::Usage,
+    crashes::CrashTracker, duty::Duties, metrics::Metrics, store::Store, usage::Meter,
 };
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -39,7 +39,7 @@
     /// Requests under which endpoints crash, exchanged with the parent and the children.
     pub crashes: Rc<CrashTracker>,
     /// Counts of requests that began to run, sent up the tree.
-    pub usage: Rc<Usage>,
+    pub usage: Rc<Meter>,
     /// The age of the data is recorded here.
     pub metrics: Metrics,
     /// Longest duration of one watch at the store.
@@ -291,7 +291,7 @@
         let ranks = self.ranks()?;
         self.parts
             .usage
-            .note_instances(ranks.total.count() as usize);
+            .observe_instance_count(ranks.total.count() as usize);
         Some(ranks)
     }
 
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -331,7 +331,7 @@
             Some(Frame::Heartbeat(heartbeat)) => {
                 let metrics = &self.parts.metrics;
                 if let Some(age) = heartbeat.age {
-                    metrics.observe(&metrics.ages, "news", age);
+                    metrics.observe(&metrics.input_ages, "news", age);
                 }
                 self.parts.feed.set_store_uptime(heartbeat.store_uptime);
                 if !self.uplink.borrow_mut().on_heartbeat(self.now(), heartbeat) {
@@ -340,7 +340,7 @@
                 self.send_heartbeat();
             }
             Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
-            Some(Frame::Usage(reports)) => self.parts.usage.heard(reports),
+            Some(Frame::Usage(reports)) => self.parts.usage.merge(reports),
             Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
             Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
         }
