--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' listener: live requests, trainers' calls, liveness and readiness.
 
 use crate::{
-    controllers::{config::Pin, lots::front},
+    controllers::{config::Pin, lots::trainer_api},
     filters::{admit, completion, pin, refuse, respond, service, unknown},
     http::{self, Request, Response},
     state::Shared,
@@ -129,7 +129,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let lot: trainer::Lot = http::read_json(request, MAX_LOT, timeout).await?;
     let owner = Rc::clone(shared);
-    let work = async move { front::submit(&owner, &pin, lot).await };
+    let work = async move { trainer_api::submit(&owner, &pin, lot).await };
     answer(keep(shared, work).await)
 }
 
@@ -142,7 +142,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let collect: trainer::Collect = http::read_json(request, MAX_SMALL, timeout).await?;
     let (owner, id) = (Rc::clone(shared), id.to_owned());
-    let work = async move { front::collect(&owner, &pin, &id, collect).await };
+    let work = async move { trainer_api::collect(&owner, &pin, &id, collect).await };
     answer(keep(shared, work).await)
 }
 
@@ -155,7 +155,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let publish: trainer::Publish = http::read_json(request, MAX_SMALL, timeout).await?;
     let (owner, name) = (Rc::clone(shared), name.to_owned());
-    let work = async move { front::publish(&owner, &pin, &name, publish).await };
+    let work = async move { trainer_api::publish(&owner, &pin, &name, publish).await };
     answer(keep(shared, work).await)
 }
 
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of one sample at one engine.
 
-use super::{Running, step};
+use super::{RunningAttempt, step};
 use crate::{
     controllers::{
         crashes,
@@ -22,11 +22,11 @@
 use tokio::time::timeout;
 
 /// Longest wait for a stream's head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest silence within a stream.
-const CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Tokens of one chunk: bulk work costs a chunk by the sample, not by the token.
-const CHUNK_TOKENS: u32 = 32;
+const TOKENS_PER_CHUNK: u32 = 32;
 
 /// Starts the attempt in a task of its own.
 pub(super) fn start(shared: &Rc<Shared>, start: Start) {
@@ -39,7 +39,7 @@
     let Some((key, address)) = found else {
         let shared = Rc::clone(shared);
         // Not at once: the runner is still handing out actions.
-        actix_rt::spawn(async move { failed(&shared, attempt, Failure::NotRun) });
+        actix_rt::spawn(async move { report_failure(&shared, attempt, Failure::NotRun) });
         return;
     };
     let id = shared.request_id();
@@ -50,31 +50,35 @@
         "start"
     };
     shared.decide(What::Route, &subject, Some(&start.endpoint), reason);
-    let task = actix_rt::spawn(run(
+    let task = actix_rt::spawn(run_attempt(
         Rc::clone(shared),
         start,
         key,
         address.clone(),
         id.clone(),
     ));
-    let running = Running {
+    let running = RunningAttempt {
         abort: task.abort_handle(),
         address,
         id,
     };
-    shared.lots.running.borrow_mut().insert(attempt, running);
+    shared
+        .lots
+        .running_attempts
+        .borrow_mut()
+        .insert(attempt, running);
 }
 
 /// Ends an attempt here and at its engine.
 pub(super) fn cancel(shared: &Rc<Shared>, attempt: AttemptKey) {
-    let Some(running) = shared.lots.running.borrow_mut().remove(&attempt) else {
+    let Some(running) = shared.lots.running_attempts.borrow_mut().remove(&attempt) else {
         return;
     };
     running.abort.abort();
     engines::abandon(&shared.http, running.address, running.id);
 }
 
-async fn run(
+async fn run_attempt(
     shared: Rc<Shared>,
     start: Start,
     key: Key,
@@ -84,7 +88,7 @@
     let attempt = start.attempt;
     let sent = start.clone();
     let identity = || {
-        let request = request(&shared, sent.clone(), &CompactString::default());
+        let request = build_request(&shared, sent.clone(), &CompactString::default());
         // It names the version that the engine has now.
         engines::identity(Request {
             cache_salt: CompactString::default(),
@@ -92,24 +96,24 @@
         })
     };
     if crashes::holds_back(&shared, identity).await {
-        shared.lots.running.borrow_mut().remove(&attempt);
-        failed(&shared, attempt, Failure::NotRun);
+        shared.lots.running_attempts.borrow_mut().remove(&attempt);
+        report_failure(&shared, attempt, Failure::NotRun);
         return;
     }
     let sent_at = shared.now();
     let ticket = endpoints::begin_sample(&shared, key, start.max_tokens);
-    let result = stream(&shared, start, &address, &id).await;
+    let result = run_stream(&shared, start, &address, &id).await;
     match &result {
         Ok(()) => crashes::answered(&shared, key, identity, sent_at),
         Err(Error::Lost(_)) => crashes::broke(&shared, key, identity()).await,
         Err(_) => {}
     }
-    shared.lots.running.borrow_mut().remove(&attempt);
-    close(&shared, attempt, ticket, result);
+    shared.lots.running_attempts.borrow_mut().remove(&attempt);
+    report_end(&shared, attempt, ticket, result);
 }
 
 /// Reports the attempt's end to the endpoint's record and to the runner.
-fn close(shared: &Rc<Shared>, attempt: AttemptKey, ticket: Ticket, result: Result<(), Error>) {
+fn report_end(shared: &Rc<Shared>, attempt: AttemptKey, ticket: Ticket, result: Result<(), Error>) {
     let Err(error) = result else {
         ticket.finish(AttemptEnd::Completed);
         return;
@@ -121,26 +125,26 @@
         _ => Failure::Lost,
     };
     ticket.finish(end);
-    failed(shared, attempt, failure);
+    report_failure(shared, attempt, failure);
 }
 
-fn failed(shared: &Rc<Shared>, attempt: AttemptKey, failure: Failure) {
+fn report_failure(shared: &Rc<Shared>, attempt: AttemptKey, failure: Failure) {
     step(shared, Event::Failed { attempt, failure });
 }
 
 /// Runs the stream; `Ok` if the engine ended it.
-async fn stream(
+async fn run_stream(
     shared: &Rc<Shared>,
     start: Start,
     address: &str,
     id: &CompactString,
 ) -> Result<(), Error> {
     let attempt = start.attempt;
-    let request = request(shared, start, id);
-    let chunks = engines::complete(&shared.http, address, &request, HEAD_TIMEOUT).await?;
+    let request = build_request(shared, start, id);
+    let chunks = engines::complete(&shared.http, address, &request, RESPONSE_HEAD_TIMEOUT).await?;
     let mut chunks = pin!(chunks);
     loop {
-        let next = timeout(CHUNK_TIMEOUT, chunks.next()).await;
+        let next = timeout(STREAM_IDLE_TIMEOUT, chunks.next()).await;
         let Some(chunk) = next.map_err(|_| Error::Lost("silent stream".into()))? else {
             return Err(Error::Lost("stream ended without a last chunk".into()));
         };
@@ -157,7 +161,7 @@
     }
 }
 
-fn request(shared: &Shared, start: Start, id: &CompactString) -> Request {
+fn build_request(shared: &Shared, start: Start, id: &CompactString) -> Request {
     let set = shared.endpoints.set();
     let endpoint = set.find(&start.endpoint).map(|(_, e)| e);
     let version = endpoint.and_then(|e| e.version).unwrap_or_default();
@@ -172,7 +176,7 @@
         seed: start.seed,
         priority: start.class.number(),
         request_id: id.clone(),
-        chunk_tokens: CHUNK_TOKENS,
+        chunk_tokens: TOKENS_PER_CHUNK,
         resume: start.resume,
         resume_tokens: start.resume_tokens,
     }
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -15,72 +15,78 @@
 };
 
 /// Longest wait for another entry to take samples.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Most bytes of text in one call; far below the largest frame, which also holds the prompts.
-const MAX_BYTES: usize = 1 << 20;
+const MAX_TEXT_BYTES_PER_CALL: usize = 1 << 20;
 /// Entries that are tried, best first.
-const MAX_TRIES: usize = 3;
+const MAX_OFFER_ROUNDS: usize = 3;
 
 /// Starts handing over; the lots count it as under way until it is done.
 pub(super) fn start(shared: &Rc<Shared>, spec: Spec, samples: Vec<Sample>) {
     let shared = Rc::clone(shared);
-    shared.lots.handing.set(shared.lots.handing.get() + 1);
+    shared
+        .lots
+        .handovers_in_flight
+        .set(shared.lots.handovers_in_flight.get() + 1);
     actix_rt::spawn(async move {
-        run(&shared, spec, samples).await;
-        shared.lots.handing.set(shared.lots.handing.get() - 1);
+        hand_over(&shared, spec, samples).await;
+        shared
+            .lots
+            .handovers_in_flight
+            .set(shared.lots.handovers_in_flight.get() - 1);
     });
 }
 
-async fn run(shared: &Rc<Shared>, spec: Spec, samples: Vec<Sample>) {
-    let mut away = BTreeSet::from([shared.name().clone()]);
-    let mut left = samples;
-    for _ in 0..MAX_TRIES {
-        if left.is_empty() {
+async fn hand_over(shared: &Rc<Shared>, spec: Spec, samples: Vec<Sample>) {
+    let mut excluded = BTreeSet::from([shared.name().clone()]);
+    let mut remaining = samples;
+    for _ in 0..MAX_OFFER_ROUNDS {
+        if remaining.is_empty() {
             return;
         }
-        left = once(shared, &spec, left, &mut away).await;
+        remaining = offer_all(shared, &spec, remaining, &mut excluded).await;
     }
-    if !left.is_empty() {
-        let count = left.len();
+    if !remaining.is_empty() {
+        let count = remaining.len();
         log::warn!(entry = shared.name().as_str(), lot = spec.lot.as_str(), count; "samples lost");
     }
 }
 
 /// Offers each sample to the next runner of its group; gives back those that were not taken.
-async fn once(
+async fn offer_all(
     shared: &Rc<Shared>,
     spec: &Spec,
     samples: Vec<Sample>,
-    away: &mut BTreeSet<CompactString>,
+    excluded: &mut BTreeSet<CompactString>,
 ) -> Vec<Sample> {
     let mut by_group: BTreeMap<u32, Vec<Sample>> = BTreeMap::new();
     for sample in samples {
         by_group.entry(sample.group).or_default().push(sample);
     }
     let groups: Vec<_> = by_group.keys().copied().collect();
-    let mut left = Vec::new();
-    for (name, groups) in placement::place(shared, &spec.lot, groups, away) {
+    let mut remaining = Vec::new();
+    for (name, groups) in placement::place_groups(shared, &spec.lot, groups, excluded) {
         let samples = groups.iter().filter_map(|group| by_group.remove(group));
-        for part in parts(samples.flatten().collect()) {
-            let taken = offer(shared, &name, spec, &part).await;
+        for part in split_by_size(samples.flatten().collect()) {
+            let accepted = offer_to(shared, &name, spec, &part).await;
             shared.decide(
                 What::Place,
                 &spec.lot,
                 Some(&name),
-                if taken { "handover" } else { "lost" },
+                if accepted { "handover" } else { "lost" },
             );
-            if !taken {
-                away.insert(name.clone());
-                left.extend(part);
+            if !accepted {
+                excluded.insert(name.clone());
+                remaining.extend(part);
             }
         }
     }
     // Without any entry left, nothing was placed.
-    left.extend(by_group.into_values().flatten());
-    left
+    remaining.extend(by_group.into_values().flatten());
+    remaining
 }
 
-async fn offer(shared: &Shared, name: &CompactString, spec: &Spec, samples: &[Sample]) -> bool {
+async fn offer_to(shared: &Shared, name: &CompactString, spec: &Spec, samples: &[Sample]) -> bool {
     let wanted: BTreeSet<_> = samples.iter().map(|sample| sample.group).collect();
     let groups = spec
         .groups
@@ -97,7 +103,10 @@
     };
     let samples = samples.to_vec();
     let call = Call::Handover { lot, samples };
-    matches!(shared.mesh.call(name, call, TIMEOUT).await, Ok(Reply::Done))
+    matches!(
+        shared.mesh.call(name, call, HANDOVER_TIMEOUT).await,
+        Ok(Reply::Done)
+    )
 }
 
 fn to_wire(group: &Group) -> (u32, u32, trainer::Group) {
@@ -109,14 +118,14 @@
     (group.index, group.first, content)
 }
 
-/// Splits samples so that each part's text is at most [`MAX_BYTES`], or one sample.
-fn parts(samples: Vec<Sample>) -> Vec<Vec<Sample>> {
+/// Splits samples so that each part's text is at most [`MAX_TEXT_BYTES_PER_CALL`], or one sample.
+fn split_by_size(samples: Vec<Sample>) -> Vec<Vec<Sample>> {
     let mut parts: Vec<Vec<Sample>> = Vec::new();
-    let mut bytes = MAX_BYTES;
+    let mut bytes = MAX_TEXT_BYTES_PER_CALL;
     for sample in samples {
         bytes += sample.text.len();
         match parts.last_mut() {
-            Some(part) if bytes <= MAX_BYTES => part.push(sample),
+            Some(part) if bytes <= MAX_TEXT_BYTES_PER_CALL => part.push(sample),
             _ => {
                 bytes = sample.text.len();
                 parts.push(vec![sample]);
--- a/crates/pinereel/src/controllers/lots/mod.rs
+++ b/crates/pinereel/src/controllers/lots/mod.rs
@@ -1,17 +1,17 @@
 //! Lots of samples: the ones submitted here, and the groups that run here.
 //!
-//! - [`front`]: trainers' calls: submit, collect.
+//! - [`trainer_api`]: trainers' calls: submit, collect.
 //! - [`runner`]: what other entries ask of this one's runner.
 //! - `attempt`: one attempt of one sample at one engine.
 //! - `score`: scoring of finished samples.
 //! - `placement`, `handover`: which entry runs which groups, and what a stopping one passes on.
 
 mod attempt;
-pub mod front;
 mod handover;
 mod placement;
 pub mod runner;
 mod score;
+pub mod trainer_api;
 
 use crate::{
     logging::What,
@@ -35,13 +35,13 @@
 };
 
 /// Pause between ticks of the runner.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a runner answers to a collect.
-type Answer = Result<(Vec<Sample>, Vec<u32>), cursor::Error>;
+type CollectResult = Result<(Vec<Sample>, Vec<u32>), cursor::Error>;
 
 /// An attempt under way.
-struct Running {
+struct RunningAttempt {
     /// Ends its task.
     abort: AbortHandle,
     /// `IP:PORT` of its engine.
@@ -53,13 +53,13 @@
 /// The controller's state.
 pub struct Lots {
     runner: RefCell<Runner>,
-    running: RefCell<BTreeMap<AttemptKey, Running>>,
-    fronts: RefCell<BTreeMap<CompactString, front::Front>>,
+    running_attempts: RefCell<BTreeMap<AttemptKey, RunningAttempt>>,
+    submitted: RefCell<BTreeMap<CompactString, trainer_api::SubmittedLot>>,
     versions: RefCell<BTreeMap<CompactString, Version>>,
-    calls: RefCell<BTreeMap<u64, oneshot::Sender<Answer>>>,
-    next_call: Cell<u64>,
-    handing: Cell<usize>,
-    ready: Notify,
+    pending_collects: RefCell<BTreeMap<u64, oneshot::Sender<CollectResult>>>,
+    next_collect: Cell<u64>,
+    handovers_in_flight: Cell<usize>,
+    samples_ready: Notify,
 }
 
 impl Lots {
@@ -67,13 +67,13 @@
     pub fn new(runner: Runner) -> Self {
         Self {
             runner: RefCell::new(runner),
-            running: RefCell::default(),
-            fronts: RefCell::default(),
+            running_attempts: RefCell::default(),
+            submitted: RefCell::default(),
             versions: RefCell::default(),
-            calls: RefCell::default(),
-            next_call: Cell::new(0),
-            handing: Cell::new(0),
-            ready: Notify::new(),
+            pending_collects: RefCell::default(),
+            next_collect: Cell::new(0),
+            handovers_in_flight: Cell::new(0),
+            samples_ready: Notify::new(),
         }
     }
 
@@ -89,7 +89,7 @@
 
     /// Attempts, scorings and handovers under way; a draining entry may leave at 0.
     pub fn in_flight(&self) -> usize {
-        self.runner.borrow().in_flight() + self.handing.get()
+        self.runner.borrow().in_flight() + self.handovers_in_flight.get()
     }
 }
 
@@ -98,13 +98,13 @@
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
             step(&shared, Event::Tick);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     });
 }
 
 /// Notes a published version; an old one changes nothing.
-pub fn published(shared: &Rc<Shared>, model: &CompactString, version: Version) {
+pub fn record_published(shared: &Rc<Shared>, model: &CompactString, version: Version) {
     {
         let mut versions = shared.lots.versions.borrow_mut();
         let newest = versions.entry(model.clone()).or_default();
@@ -120,16 +120,16 @@
 /// Tells the runner an event and carries out what it wants.
 pub fn step(shared: &Rc<Shared>, event: Event) {
     let actions = shared.lots.runner.borrow_mut().step(shared.now(), event);
-    carry_out(shared, actions);
+    execute_all(shared, actions);
 }
 
-fn carry_out(shared: &Rc<Shared>, actions: Vec<Action>) {
+fn execute_all(shared: &Rc<Shared>, actions: Vec<Action>) {
     for action in actions {
-        act(shared, action);
+        execute(shared, action);
     }
 }
 
-fn act(shared: &Rc<Shared>, action: Action) {
+fn execute(shared: &Rc<Shared>, action: Action) {
     match action {
         Action::Start(start) => attempt::start(shared, start),
         Action::Cancel { attempt, .. } => attempt::cancel(shared, attempt),
@@ -143,9 +143,9 @@
             call,
             samples,
             missing,
-        } => answer(shared, call, Ok((samples, missing))),
-        Action::Rejected { call, error } => answer(shared, call, Err(error)),
-        Action::Ready { .. } => shared.lots.ready.notify_waiters(),
+        } => reply_to_collect(shared, call, Ok((samples, missing))),
+        Action::Rejected { call, error } => reply_to_collect(shared, call, Err(error)),
+        Action::Ready { .. } => shared.lots.samples_ready.notify_waiters(),
         Action::Assigned { lot } => {
             shared
                 .metrics
@@ -174,9 +174,9 @@
     }
 }
 
-fn answer(shared: &Shared, call: u64, answer: Answer) {
-    if let Some(waiting) = shared.lots.calls.borrow_mut().remove(&call) {
+fn reply_to_collect(shared: &Shared, call: u64, result: CollectResult) {
+    if let Some(sender) = shared.lots.pending_collects.borrow_mut().remove(&call) {
         // The asker may have given up.
-        let _ = waiting.send(answer);
+        let _ = sender.send(result);
     }
 }
--- a/crates/pinereel/src/controllers/lots/placement.rs
+++ b/crates/pinereel/src/controllers/lots/placement.rs
@@ -10,19 +10,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most entries that run groups of one lot.
-const MAX_RUNNERS: usize = 16;
+const MAX_RUNNERS_PER_LOT: usize = 16;
 
 /// The groups by runner; `away` are entries that cannot run any.
-pub(super) fn place(
+pub(super) fn place_groups(
     shared: &Shared,
     lot: &str,
     groups: impl IntoIterator<Item = u32>,
-    away: &BTreeSet<CompactString>,
+    excluded: &BTreeSet<CompactString>,
 ) -> BTreeMap<CompactString, Vec<u32>> {
     let key = hash::stable(lot.as_bytes());
-    let mut runners = shared.members.ranked(key, MAX_RUNNERS);
-    runners.retain(|name| !away.contains(name));
-    if runners.is_empty() && !away.contains(shared.name()) {
+    let mut runners = shared.members.ranked(key, MAX_RUNNERS_PER_LOT);
+    runners.retain(|name| !excluded.contains(name));
+    if runners.is_empty() && !excluded.contains(shared.name()) {
         // Alone, this entry runs everything.
         runners.push(shared.name().clone());
     }
--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -1,6 +1,6 @@
 //! What other entries ask of this one's runner.
 
-use super::carry_out;
+use super::execute_all;
 use crate::state::Shared;
 use pinereel_api::wire::{Ask, Assignment, Reply};
 use pinereel_core::{
@@ -12,75 +12,83 @@
 
 /// Runs the groups of an assignment.
 pub fn assign(shared: &Rc<Shared>, assignment: Assignment) -> Result<(), String> {
-    let spec = spec(shared, assignment)?;
+    let spec = build_spec(shared, assignment)?;
     let actions = shared
         .lots
         .runner
         .borrow_mut()
         .step(shared.now(), Event::Assign(spec));
-    let refusal = refusal(&actions);
-    carry_out(shared, actions);
+    let refusal = find_refusal(&actions);
+    execute_all(shared, actions);
     refusal.map_or(Ok(()), |reason| Err(reason.to_string()))
 }
 
 /// Takes over finished samples from an entry that stops.
-pub fn take_over(
+pub fn accept_handover(
     shared: &Rc<Shared>,
     assignment: Assignment,
     samples: Vec<Sample>,
 ) -> Result<(), String> {
-    let spec = spec(shared, assignment)?;
+    let spec = build_spec(shared, assignment)?;
     let event = Event::Handover { spec, samples };
     let actions = shared.lots.runner.borrow_mut().step(shared.now(), event);
-    let refusal = refusal(&actions);
-    carry_out(shared, actions);
+    let refusal = find_refusal(&actions);
+    execute_all(shared, actions);
     refusal.map_or(Ok(()), |reason| Err(reason.to_string()))
 }
 
 /// Finished samples for a collect; waits for the first one as long as the asker says.
-pub async fn collect(shared: &Rc<Shared>, ask: Ask) -> Reply {
-    let token = match cursor::Token::parse(&ask.token) {
+pub async fn collect(shared: &Rc<Shared>, request: Ask) -> Reply {
+    let token = match cursor::Token::parse(&request.token) {
         Ok(token) => token,
         Err(e) => return Reply::Refused(e.to_string().into()),
     };
-    let wait = Duration::from_millis(ask.wait_ms);
-    let until = shared.now() + wait;
+    let wait = Duration::from_millis(request.wait_ms);
+    let deadline = shared.now() + wait;
     loop {
         // Listening begins before asking, so that nothing between the two is missed.
-        let ready = shared.lots.ready.notified();
-        let answer = ask_once(shared, &ask, token.clone()).await;
+        let ready = shared.lots.samples_ready.notified();
+        let answer = collect_once(shared, &request, token.clone()).await;
         let (samples, missing) = match answer {
             Some(Ok(answer)) => answer,
             Some(Err(e)) => return Reply::Refused(e.to_string().into()),
             None => return Reply::Refused("no answer".into()),
         };
-        let left = until.since(shared.now());
-        if !samples.is_empty() || !missing.is_empty() || left.is_zero() {
+        let remaining = deadline.since(shared.now());
+        if !samples.is_empty() || !missing.is_empty() || remaining.is_zero() {
             return Reply::Samples { samples, missing };
         }
-        let _ = timeout(left, ready).await;
+        let _ = timeout(remaining, ready).await;
     }
 }
 
-async fn ask_once(shared: &Rc<Shared>, ask: &Ask, token: cursor::Token) -> Option<super::Answer> {
-    let call = shared.lots.next_call.get();
-    shared.lots.next_call.set(call + 1);
+async fn collect_once(
+    shared: &Rc<Shared>,
+    request: &Ask,
+    token: cursor::Token,
+) -> Option<super::CollectResult> {
+    let call = shared.lots.next_collect.get();
+    shared.lots.next_collect.set(call + 1);
     let (sender, answer) = oneshot::channel();
-    shared.lots.calls.borrow_mut().insert(call, sender);
-    let ask = lot::CollectRequest {
+    shared
+        .lots
+        .pending_collects
+        .borrow_mut()
+        .insert(call, sender);
+    let request = lot::CollectRequest {
         call,
-        lot: ask.lot.clone(),
-        groups: ask.groups.clone(),
+        lot: request.lot.clone(),
+        groups: request.groups.clone(),
         token,
-        version: ask.version,
-        bound: ask.bound,
-        max: ask.max as usize,
+        version: request.version,
+        bound: request.bound,
+        max: request.max as usize,
     };
-    super::step(shared, Event::Collect(ask));
+    super::step(shared, Event::Collect(request));
     answer.await.ok()
 }
 
-fn refusal(actions: &[Action]) -> Option<Refusal> {
+fn find_refusal(actions: &[Action]) -> Option<Refusal> {
     actions.iter().find_map(|action| match action {
         Action::Refused { reason, .. } => Some(*reason),
         _ => None,
@@ -88,7 +96,7 @@
 }
 
 /// Completes an assignment with what this entry's configuration says of the trainer.
-fn spec(shared: &Shared, assignment: Assignment) -> Result<Spec, String> {
+fn build_spec(shared: &Shared, assignment: Assignment) -> Result<Spec, String> {
     let pin = shared.config.pin().ok_or("starting")?;
     let trainer = pin.document.trainers.get(&assignment.trainer);
     let trainer = trainer.ok_or("unknown trainer")?;
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -25,20 +25,20 @@
 use tokio::time::timeout;
 
 /// Longest wait for a score.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const SCORE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Path at the scoring service.
-const PATH: &str = "/score";
+const SCORE_PATH: &str = "/score";
 /// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 #[derive(Serialize)]
-struct Question<'a> {
+struct ScoreRequest<'a> {
     prompt: &'a str,
     text: &'a str,
 }
 
 #[derive(Deserialize)]
-struct Answer {
+struct ScoreResponse {
     score: f64,
 }
 
@@ -52,7 +52,7 @@
 ) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
-        let event = match score(&shared, &trainer, &prompt, &text).await {
+        let event = match request_score(&shared, &trainer, &prompt, &text).await {
             Some(score) => Event::Scored { ticket, score },
             None => Event::ScoreFailed { ticket },
         };
@@ -60,7 +60,12 @@
     });
 }
 
-async fn score(shared: &Rc<Shared>, trainer: &str, prompt: &str, text: &str) -> Option<f64> {
+async fn request_score(
+    shared: &Rc<Shared>,
+    trainer: &str,
+    prompt: &str,
+    text: &str,
+) -> Option<f64> {
     let pin = shared.config.pin()?;
     let pool = pin.document.trainers.get(trainer)?.scorer.clone()?;
     let id = shared.request_id();
@@ -77,29 +82,29 @@
     let choice = shared.endpoints.choose(shared, &request).ok()?;
     endpoints::log_choice(shared, &id, What::Route, &choice, pin.number);
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
-    let question = serde_json::to_vec(&Question { prompt, text }).ok()?;
+    let score_request = serde_json::to_vec(&ScoreRequest { prompt, text }).ok()?;
     let identity = || {
         Identity::of(RequestParts {
             caller: &[],
             method: "POST",
             host: &pool,
-            target: PATH,
-            content: Content::Body(&question),
+            target: SCORE_PATH,
+            content: Content::Body(&score_request),
         })
     };
     if crashes::holds_back(shared, identity).await {
         return None;
     }
     let sent_at = shared.now();
-    let counted = endpoints::begin(shared, choice.key, 0);
-    let answer = ask(shared, &address, question.clone().into()).await;
+    let ticket = endpoints::begin(shared, choice.key, 0);
+    let answer = send_request(shared, &address, score_request.clone().into()).await;
     match &answer {
         Ok(_) => crashes::answered(shared, choice.key, identity, sent_at),
-        Err(Unscored::Lost) => crashes::broke(shared, choice.key, identity()).await,
-        Err(Unscored::Other) => {}
+        Err(ScoreError::Lost) => crashes::broke(shared, choice.key, identity()).await,
+        Err(ScoreError::Other) => {}
     }
     let answer = answer.ok();
-    counted.finish(if answer.is_some() {
+    ticket.finish(if answer.is_some() {
         AttemptEnd::Completed
     } else {
         AttemptEnd::Failed
@@ -109,34 +114,38 @@
 
 /// Why there is no score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unscored {
+enum ScoreError {
     /// No whole answer came.
     Lost,
     /// The service was not reached, or answered otherwise.
     Other,
 }
 
-async fn ask(shared: &Shared, address: &str, question: Bytes) -> Result<Answer, Unscored> {
+async fn send_request(
+    shared: &Shared,
+    address: &str,
+    score_request: Bytes,
+) -> Result<ScoreResponse, ScoreError> {
     let attempt = Attempt {
         method: Method::POST,
         address: address.into(),
-        path: PATH.into(),
+        path: SCORE_PATH.into(),
         headers: vec![(CONTENT_TYPE, HeaderValue::from_static("application/json"))],
-        body: question,
-        timeout: TIMEOUT,
+        body: score_request,
+        timeout: SCORE_TIMEOUT,
         reuse: Reuse::Allowed,
     };
     let sent = shared.http.send(attempt).await;
     let mut response = sent.map_err(|error| match error {
-        Error::Lost(_) => Unscored::Lost,
-        Error::NotOpened(_) | Error::Invalid(_) => Unscored::Other,
+        Error::Lost(_) => ScoreError::Lost,
+        Error::NotOpened(_) | Error::Invalid(_) => ScoreError::Other,
     })?;
     if !response.status().is_success() {
-        return Err(Unscored::Other);
+        return Err(ScoreError::Other);
     }
-    let body = timeout(TIMEOUT, response.body().limit(MAX_ANSWER)).await;
+    let body = timeout(SCORE_TIMEOUT, response.body().limit(MAX_RESPONSE_BYTES)).await;
     let Ok(Ok(body)) = body else {
-        return Err(Unscored::Lost);
+        return Err(ScoreError::Lost);
     };
-    serde_json::from_slice(&body).map_err(|_| Unscored::Other)
+    serde_json::from_slice(&body).map_err(|_| ScoreError::Other)
 }
--- a/crates/pinereel/src/controllers/lots/front/assign.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
@@ -1,6 +1,6 @@
 //! Spreads the groups of a lot over the runners.
 
-use super::super::{placement as rank, runner};
+use super::super::{placement, runner};
 use crate::{logging::What, state::Shared};
 use compact_str::CompactString;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
@@ -16,57 +16,57 @@
 const ASSIGN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Which runner has which groups, of those with samples that `token` lacks.
-pub(super) fn placement(
+pub(super) fn place_missing_groups(
     shared: &Shared,
     id: &str,
     token: &Token,
-    away: &BTreeSet<CompactString>,
+    excluded: &BTreeSet<CompactString>,
 ) -> BTreeMap<CompactString, Vec<u32>> {
-    let fronts = shared.lots.fronts.borrow();
-    let Some(front) = fronts.get(id) else {
+    let submitted = shared.lots.submitted.borrow();
+    let Some(submitted_lot) = submitted.get(id) else {
         return BTreeMap::new();
     };
-    let mut wanted = Vec::new();
-    for (index, group) in front.lot.groups.iter().enumerate() {
-        let first = front.firsts[index];
+    let mut missing = Vec::new();
+    for (index, group) in submitted_lot.lot.groups.iter().enumerate() {
+        let first = submitted_lot.first_samples[index];
         let mut samples = first..first + group.samples;
         if samples.any(|sample| !token.contains(sample)) {
-            wanted.push(index as u32);
+            missing.push(index as u32);
         }
     }
-    rank::place(shared, id, wanted, away)
+    placement::place_groups(shared, id, missing, excluded)
 }
 
 /// Assigns groups to runners; those that do not take them are added to `away`.
-pub(super) async fn assign_all(
+pub(super) async fn assign_groups(
     shared: &Rc<Shared>,
     id: &str,
     placed: BTreeMap<CompactString, Vec<u32>>,
-    away: &mut BTreeSet<CompactString>,
+    excluded: &mut BTreeSet<CompactString>,
 ) {
-    let assigns: FuturesUnordered<_> = placed
+    let calls: FuturesUnordered<_> = placed
         .into_iter()
         .map(|(name, groups)| async move {
-            let taken = assign(shared, id, &name, &groups).await;
-            (name, taken)
+            let accepted = assign_to(shared, id, &name, &groups).await;
+            (name, accepted)
         })
         .collect();
-    let results: Vec<_> = assigns.collect().await;
-    for (name, taken) in results {
-        if let Err(reason) = taken {
+    let results: Vec<_> = calls.collect().await;
+    for (name, accepted) in results {
+        if let Err(reason) = accepted {
             shared.decide(What::Place, id, Some(&name), &reason);
-            away.insert(name);
+            excluded.insert(name);
         }
     }
 }
 
-async fn assign(
+async fn assign_to(
     shared: &Rc<Shared>,
     id: &str,
     name: &CompactString,
     groups: &[u32],
 ) -> Result<(), String> {
-    let assignment = assignment(shared, id, groups).ok_or("lot unknown")?;
+    let assignment = build_assignment(shared, id, groups).ok_or("lot unknown")?;
     shared.decide(What::Place, id, Some(name), "rendezvous");
     if name == shared.name() {
         return runner::assign(shared, assignment);
@@ -80,20 +80,24 @@
     }
 }
 
-fn assignment(shared: &Shared, id: &str, groups: &[u32]) -> Option<Assignment> {
-    let fronts = shared.lots.fronts.borrow();
-    let front = fronts.get(id)?;
-    let left = front.deadline.since(shared.now());
+fn build_assignment(shared: &Shared, id: &str, groups: &[u32]) -> Option<Assignment> {
+    let submitted = shared.lots.submitted.borrow();
+    let submitted_lot = submitted.get(id)?;
+    let left = submitted_lot.deadline.since(shared.now());
     let groups = groups.iter().filter_map(|index| {
-        let group = front.lot.groups.get(*index as usize)?;
-        Some((*index, front.firsts[*index as usize], group.clone()))
+        let group = submitted_lot.lot.groups.get(*index as usize)?;
+        Some((
+            *index,
+            submitted_lot.first_samples[*index as usize],
+            group.clone(),
+        ))
     });
     Some(Assignment {
-        lot: front.lot.id.clone(),
-        digest: front.digest,
-        trainer: front.lot.trainer.clone(),
-        step: front.lot.step,
-        version: front.lot.version,
+        lot: submitted_lot.lot.id.clone(),
+        digest: submitted_lot.digest,
+        trainer: submitted_lot.lot.trainer.clone(),
+        step: submitted_lot.lot.step,
+        version: submitted_lot.lot.version,
         deadline_ms: left.as_millis() as u64,
         groups: groups.collect(),
     })
--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -2,7 +2,7 @@
 
 use super::{
     super::runner,
-    assign::{assign_all, placement},
+    assign::{assign_groups, place_missing_groups},
     refuse,
 };
 use crate::{controllers::config::Pin, logging::What, state::Shared};
@@ -28,15 +28,15 @@
 use tokio::time::{sleep, timeout};
 
 /// What a collect's answer may take beyond the wait that was asked for.
-const COLLECT_SLACK: Duration = Duration::from_secs(1);
+const RPC_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Longest wait of a collect.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_COLLECT_WAIT: Duration = Duration::from_secs(60);
 /// After the first samples came, how long the other runners may still answer.
-const GRACE: Duration = Duration::from_millis(10);
+const OTHER_RUNNERS_GRACE: Duration = Duration::from_millis(10);
 /// Longest wait of one round, so that a collect notices a drain and a lost runner.
-const MAX_ROUND: Duration = Duration::from_secs(2);
+const MAX_ROUND_WAIT: Duration = Duration::from_secs(2);
 /// Pause between rounds of one collect that found nothing.
-const ROUND_PAUSE: Duration = Duration::from_millis(20);
+const EMPTY_ROUND_PAUSE: Duration = Duration::from_millis(20);
 
 /// Answers a collect: asks the runners, merges, and checks the bound at the moment of delivery.
 pub async fn collect(
@@ -48,26 +48,35 @@
     let token =
         Token::parse(&collect.token).map_err(|e| refuse(Code::BadToken, format_compact!("{e}")))?;
     check_token(shared, id, &token)?;
-    let wait = Duration::from_millis(collect.wait_ms).min(MAX_WAIT);
-    let until = shared.now() + wait;
-    let mut away = BTreeSet::new();
+    let wait = Duration::from_millis(collect.wait_ms).min(MAX_COLLECT_WAIT);
+    let deadline = shared.now() + wait;
+    let mut excluded = BTreeSet::new();
     loop {
-        let bound = bound(shared, pin, id)?;
-        let left = until.since(shared.now()).min(MAX_ROUND);
-        let found = ask_all(shared, id, &token, &collect, bound, left, &mut away).await;
+        let bound = current_bound(shared, pin, id)?;
+        let remaining_wait = deadline.since(shared.now()).min(MAX_ROUND_WAIT);
+        let collected = collect_from_runners(
+            shared,
+            id,
+            &token,
+            &collect,
+            bound,
+            remaining_wait,
+            &mut excluded,
+        )
+        .await;
         // The bound may have been tightened while the runners worked.
-        let bound = self::bound(shared, pin, id)?.min(bound);
+        let bound = self::current_bound(shared, pin, id)?.min(bound);
         let merge = Merge {
             token: token.clone(),
             version: collect.version,
             bound,
             max: collect.max as usize,
         };
-        let delivery = merge.deliver(found);
-        count(shared, id, &delivery, collect.version);
+        let delivery = merge.deliver(collected);
+        record_delivery(shared, id, &delivery, collect.version);
         // An entry that stops answers at once; the trainer goes on elsewhere with the same token.
-        let over = until.since(shared.now()).is_zero() || shared.drain.refuses();
-        if !delivery.samples.is_empty() || delivery.remaining == 0 || over {
+        let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses();
+        if !delivery.samples.is_empty() || delivery.remaining == 0 || stop {
             return Ok(Collected {
                 basis: collect.token,
                 token: delivery.token.to_string(),
@@ -76,35 +85,37 @@
             });
         }
         // Groups were assigned again; give them a moment before asking again.
-        sleep(ROUND_PAUSE.min(until.since(shared.now()))).await;
+        sleep(EMPTY_ROUND_PAUSE.min(deadline.since(shared.now()))).await;
     }
 }
 
 fn check_token(shared: &Shared, id: &str, token: &Token) -> Result<(), Problem> {
-    let fronts = shared.lots.fronts.borrow();
-    let Some(front) = fronts.get(id) else {
+    let submitted = shared.lots.submitted.borrow();
+    let Some(submitted_lot) = submitted.get(id) else {
         return Err(refuse(Code::LotUnknown, "submit the lot again"));
     };
-    token.check_lot(front.digest, front.lot.step).map_err(|e| {
-        let code = match e {
-            Error::Malformed => Code::BadToken,
-            Error::OtherLot => Code::ForeignToken,
-            Error::EarlierStep => Code::BehindToken,
-        };
-        refuse(code, format_compact!("{e}"))
-    })
+    token
+        .check_lot(submitted_lot.digest, submitted_lot.lot.step)
+        .map_err(|e| {
+            let code = match e {
+                Error::Malformed => Code::BadToken,
+                Error::OtherLot => Code::ForeignToken,
+                Error::EarlierStep => Code::BehindToken,
+            };
+            refuse(code, format_compact!("{e}"))
+        })
 }
 
 /// The bound now in force for the lot's trainer, never wider than the pinned one.
-fn bound(shared: &Shared, pin: &Pin, id: &str) -> Result<u64, Problem> {
-    let fronts = shared.lots.fronts.borrow();
-    let front = fronts
+fn current_bound(shared: &Shared, pin: &Pin, id: &str) -> Result<u64, Problem> {
+    let submitted = shared.lots.submitted.borrow();
+    let submitted_lot = submitted
         .get(id)
         .ok_or_else(|| refuse(Code::LotUnknown, "submit the lot again"))?;
     let of = |pin: &Pin| {
         pin.document
             .trainers
-            .get(&front.lot.trainer)
+            .get(&submitted_lot.lot.trainer)
             .map(|t| t.bound)
     };
     let unknown = || refuse(Code::NotFound, "unknown trainer");
@@ -119,20 +130,20 @@
 }
 
 /// Asks all runners of the lot once; assigns again what they lack.
-async fn ask_all(
+async fn collect_from_runners(
     shared: &Rc<Shared>,
     id: &str,
     token: &Token,
     collect: &Collect,
     bound: u64,
     wait: Duration,
-    away: &mut BTreeSet<CompactString>,
+    excluded: &mut BTreeSet<CompactString>,
 ) -> Vec<Sample> {
-    let placed = placement(shared, id, token, away);
-    let mut asks: FuturesUnordered<_> = placed
+    let placed = place_missing_groups(shared, id, token, excluded);
+    let mut calls: FuturesUnordered<_> = placed
         .into_iter()
         .map(|(name, groups)| {
-            let ask = Ask {
+            let request = Ask {
                 lot: id.into(),
                 groups: groups.clone(),
                 token: collect.token.clone(),
@@ -142,63 +153,67 @@
                 wait_ms: wait.as_millis() as u64,
             };
             async move {
-                let reply = ask_one(shared, &name, ask, wait).await;
+                let reply = collect_from_runner(shared, &name, request, wait).await;
                 (name, groups, reply)
             }
         })
         .collect();
-    let mut found = Vec::new();
-    let mut again = BTreeMap::new();
+    let mut collected = Vec::new();
+    let mut reassigned = BTreeMap::new();
     loop {
         // Without samples there is nothing to hurry for.
-        let patience = if found.is_empty() { MAX_WAIT } else { GRACE };
-        let next = timeout(patience, asks.next()).await;
+        let call_wait = if collected.is_empty() {
+            MAX_COLLECT_WAIT
+        } else {
+            OTHER_RUNNERS_GRACE
+        };
+        let next = timeout(call_wait, calls.next()).await;
         let Ok(Some((name, groups, reply))) = next else {
             break;
         };
         match reply {
             Some((samples, missing)) => {
-                found.extend(samples);
+                collected.extend(samples);
                 if !missing.is_empty() {
-                    again.insert(name, missing);
+                    reassigned.insert(name, missing);
                     break;
                 }
             }
             None => {
                 shared.decide(What::Place, id, Some(&name), "unreachable");
-                away.insert(name);
+                excluded.insert(name);
                 // Its groups go to the next in rank.
                 let lost: BTreeSet<_> = groups.into_iter().collect();
-                for (name, groups) in placement(shared, id, token, away) {
+                for (name, groups) in place_missing_groups(shared, id, token, excluded) {
                     let moved: Vec<_> = groups.into_iter().filter(|g| lost.contains(g)).collect();
                     if !moved.is_empty() {
-                        again.insert(name, moved);
+                        reassigned.insert(name, moved);
                     }
                 }
                 break;
             }
         }
     }
-    drop(asks);
-    assign_all(shared, id, again, away).await;
-    found
+    drop(calls);
+    assign_groups(shared, id, reassigned, excluded).await;
+    collected
 }
 
-type Found = (Vec<pinereel_api::trainer::Sample>, Vec<u32>);
+type RunnerSamples = (Vec<pinereel_api::trainer::Sample>, Vec<u32>);
 
-async fn ask_one(
+async fn collect_from_runner(
     shared: &Rc<Shared>,
     name: &CompactString,
-    ask: Ask,
+    request: Ask,
     wait: Duration,
-) -> Option<Found> {
+) -> Option<RunnerSamples> {
     let reply = if name == shared.name() {
-        runner::collect(shared, ask).await
+        runner::collect(shared, request).await
     } else {
-        let call = Call::Collect(ask);
+        let call = Call::Collect(request);
         shared
             .mesh
-            .call(name, call, wait + COLLECT_SLACK)
+            .call(name, call, wait + RPC_TIMEOUT_MARGIN)
             .await
             .ok()?
     };
@@ -208,10 +223,12 @@
     }
 }
 
-fn count(shared: &Shared, id: &str, delivery: &Delivery, at: Version) {
-    let fronts = shared.lots.fronts.borrow();
-    let Some(front) = fronts.get(id) else { return };
-    let trainer = front.lot.trainer.as_str();
+fn record_delivery(shared: &Shared, id: &str, delivery: &Delivery, at: Version) {
+    let submitted = shared.lots.submitted.borrow();
+    let Some(submitted_lot) = submitted.get(id) else {
+        return;
+    };
+    let trainer = submitted_lot.lot.trainer.as_str();
     let counter = |event| shared.metrics.samples.with_label_values(&[trainer, event]);
     counter("delivered").inc_by(delivery.samples.len() as u64);
     counter("stale").inc_by(u64::from(delivery.stale));
--- a/crates/pinereel/src/controllers/lots/front/mod.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/mod.rs
@@ -11,7 +11,7 @@
 mod submit;
 
 pub use collect::collect;
-pub use publish::{Weights, publish};
+pub use publish::{LatestWeights, publish};
 pub use submit::submit;
 
 use compact_str::CompactString;
@@ -26,13 +26,13 @@
 const RETRY_AFTER_MS: u64 = 500;
 
 /// A lot that was submitted to this entry.
-pub(super) struct Front {
+pub(super) struct SubmittedLot {
     lot: Lot,
     digest: Digest,
     samples: u32,
     deadline: Time,
     /// Index of each group's first sample.
-    firsts: Vec<u32>,
+    first_samples: Vec<u32>,
 }
 
 fn refuse(code: Code, message: impl Into<CompactString>) -> Problem {
--- a/crates/pinereel/src/controllers/lots/front/publish.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
@@ -1,6 +1,6 @@
 //! Announces new weights.
 
-use super::{super::published, RETRY_AFTER_MS, refuse};
+use super::{super::record_published, RETRY_AFTER_MS, refuse};
 use crate::{
     controllers::config::Pin,
     objects::{Error as ObjectError, Purpose},
@@ -19,7 +19,7 @@
 
 /// Object of a model's newest weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Weights {
+pub struct LatestWeights {
     /// The newest version.
     pub version: Version,
 }
@@ -36,7 +36,7 @@
     let Some(model) = pool.and_then(|p| p.model.clone()) else {
         return Err(refuse(Code::NotFound, "unknown trainer"));
     };
-    let version = raise(shared, &model, publish.version)
+    let version = raise_version(shared, &model, publish.version)
         .await
         .map_err(|e| Problem {
             code: Code::ObjectApi,
@@ -48,22 +48,26 @@
             },
             retry_after_ms: Some(RETRY_AFTER_MS),
         })?;
-    published(shared, &model, version);
+    record_published(shared, &model, version);
     Ok(Published { version })
 }
 
 /// Raises the model's version by conditional update; gives the version that stands.
-async fn raise(shared: &Shared, model: &str, version: Version) -> Result<Version, ObjectError> {
+async fn raise_version(
+    shared: &Shared,
+    model: &str,
+    version: Version,
+) -> Result<Version, ObjectError> {
     let objects = &shared.objects;
     loop {
         let present = objects.read(Purpose::Weights, WEIGHTS, model).await?;
-        let weights = Weights { version };
+        let weights = LatestWeights { version };
         let written = match present {
             Some(object) => {
-                let stands: Weights = serde_json::from_value(object.value)
+                let stored: LatestWeights = serde_json::from_value(object.value)
                     .map_err(|e| ObjectError::Malformed(e.to_string()))?;
-                if stands.version >= version {
-                    return Ok(stands.version);
+                if stored.version >= version {
+                    return Ok(stored.version);
                 }
                 let version = object.version;
                 objects
--- a/crates/pinereel/src/controllers/lots/front/submit.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
@@ -1,6 +1,6 @@
 //! Takes a lot.
 
-use super::{Front, assign, refuse};
+use super::{SubmittedLot, assign, refuse};
 use crate::{controllers::config::Pin, state::Shared};
 use compact_str::format_compact;
 use pinereel_api::{
@@ -13,28 +13,32 @@
 
 /// Takes a lot and spreads its groups over the runners.
 pub async fn submit(shared: &Rc<Shared>, pin: &Pin, lot: Lot) -> Result<Submitted, Problem> {
-    let front = check(shared, pin, lot)?;
-    let id = front.lot.id.clone();
-    let token = Token::empty(front.digest, front.lot.step, front.samples);
+    let submitted_lot = validate(shared, pin, lot)?;
+    let id = submitted_lot.lot.id.clone();
+    let token = Token::empty(
+        submitted_lot.digest,
+        submitted_lot.lot.step,
+        submitted_lot.samples,
+    );
     let answer = Submitted {
-        samples: front.samples,
+        samples: submitted_lot.samples,
         token: token.to_string(),
     };
-    keep(shared, front)?;
-    let mut away = BTreeSet::new();
-    let all = assign::placement(shared, &id, &token, &away);
-    assign::assign_all(shared, &id, all, &mut away).await;
+    insert_lot(shared, submitted_lot)?;
+    let mut excluded = BTreeSet::new();
+    let placed = assign::place_missing_groups(shared, &id, &token, &excluded);
+    assign::assign_groups(shared, &id, placed, &mut excluded).await;
     Ok(answer)
 }
 
-fn check(shared: &Shared, pin: &Pin, lot: Lot) -> Result<Front, Problem> {
+fn validate(shared: &Shared, pin: &Pin, lot: Lot) -> Result<SubmittedLot, Problem> {
     if !pin.document.trainers.contains_key(&lot.trainer) {
         return Err(refuse(Code::NotFound, "unknown trainer"));
     }
-    let mut firsts = Vec::with_capacity(lot.groups.len());
+    let mut first_samples = Vec::with_capacity(lot.groups.len());
     let mut samples: u32 = 0;
     for group in &lot.groups {
-        firsts.push(samples);
+        first_samples.push(samples);
         samples = samples.saturating_add(group.samples);
         if group.samples == 0 || group.max_tokens == 0 {
             return Err(refuse(
@@ -56,20 +60,20 @@
     let content = (&lot.id, &lot.trainer, lot.step, &lot.groups);
     let content = serde_json::to_vec(&content)
         .map_err(|e| refuse(Code::BadRequest, format_compact!("{e}")))?;
-    Ok(Front {
+    Ok(SubmittedLot {
         digest: Digest::of(&content),
         samples,
         deadline: shared.now() + Duration::from_millis(lot.deadline_ms),
-        firsts,
+        first_samples,
         lot,
     })
 }
 
 /// Keeps the lot; older steps of the same trainer make room.
-fn keep(shared: &Shared, front: Front) -> Result<(), Problem> {
-    let mut fronts = shared.lots.fronts.borrow_mut();
-    if let Some(present) = fronts.get(&front.lot.id) {
-        return if present.digest == front.digest {
+fn insert_lot(shared: &Shared, submitted_lot: SubmittedLot) -> Result<(), Problem> {
+    let mut submitted = shared.lots.submitted.borrow_mut();
+    if let Some(present) = submitted.get(&submitted_lot.lot.id) {
+        return if present.digest == submitted_lot.digest {
             Ok(())
         } else {
             Err(refuse(
@@ -78,11 +82,11 @@
             ))
         };
     }
-    let (trainer, step) = (front.lot.trainer.clone(), front.lot.step);
-    fronts.retain(|_, old| old.lot.trainer != trainer || old.lot.step + 1 >= step);
-    if fronts.len() >= shared.settings.limits.lots {
+    let (trainer, step) = (submitted_lot.lot.trainer.clone(), submitted_lot.lot.step);
+    submitted.retain(|_, old| old.lot.trainer != trainer || old.lot.step + 1 >= step);
+    if submitted.len() >= shared.settings.limits.lots {
         return Err(refuse(Code::Overloaded, "too many lots here"));
     }
-    fronts.insert(front.lot.id.clone(), front);
+    submitted.insert(submitted_lot.lot.id.clone(), submitted_lot);
     Ok(())
 }
--- a/crates/pinereel/src/controllers/weights.rs
+++ b/crates/pinereel/src/controllers/weights.rs
@@ -2,7 +2,7 @@
 
 use super::{
     follow::{Update, follow},
-    lots::{self, front::Weights},
+    lots::{self, trainer_api::LatestWeights},
 };
 use crate::{
     objects::Purpose,
@@ -39,8 +39,8 @@
 }
 
 fn published(shared: &Rc<Shared>, model: &CompactString, value: Value) {
-    match serde_json::from_value::<Weights>(value) {
-        Ok(weights) => lots::published(shared, model, weights.version),
+    match serde_json::from_value::<LatestWeights>(value) {
+        Ok(weights) => lots::record_published(shared, model, weights.version),
         Err(e) => log::error!("weights of {model} unreadable: {e}"),
     }
 }
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -18,7 +18,7 @@
     match call {
         Call::Assign(assignment) => done(runner::assign(&shared, assignment)),
         Call::Collect(ask) => runner::collect(&shared, ask).await,
-        Call::Handover { lot, samples } => done(runner::take_over(&shared, lot, samples)),
+        Call::Handover { lot, samples } => done(runner::accept_handover(&shared, lot, samples)),
         Call::Claim {
             key,
             digest,
@@ -81,7 +81,7 @@
     members::met(shared, from, summary.draining);
     config::hear(shared, from, &summary);
     for (model, version) in summary.versions {
-        lots::published(shared, &model, version);
+        lots::record_published(shared, &model, version);
     }
     if !summary.crashes.is_empty() {
         crashes::hear(shared, summary.crashes);
