--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of one sample at one engine.
+//! Runs one attempt of one sample on one engine and streams its chunks to the runner.
 
 use super::{RunningAttempt, step};
 use crate::{
@@ -21,14 +21,15 @@
 use std::{pin::pin, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Longest wait for a stream's head.
+/// Longest wait for the response head of an engine's stream.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest silence within a stream.
+/// Longest time between two chunks of a stream; an attempt whose stream is idle longer is lost.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Tokens of one chunk: bulk work costs a chunk by the sample, not by the token.
+/// Tokens per chunk requested from the engine: large chunks, so that the per-chunk overhead of
+/// bulk work scales with samples rather than tokens.
 const TOKENS_PER_CHUNK: u32 = 32;
 
-/// Starts the attempt in a task of its own.
+/// Spawns a task that runs the attempt.
 pub(super) fn start(shared: &Rc<Shared>, start: Start) {
     let found = {
         let set = shared.endpoints.set();
@@ -38,7 +39,7 @@
     let attempt = start.attempt;
     let Some((key, address)) = found else {
         let shared = Rc::clone(shared);
-        // Not at once: the runner is still handing out actions.
+        // Not synchronously: the runner's actions are still being carried out.
         actix_rt::spawn(async move { report_failure(&shared, attempt, Failure::NotRun) });
         return;
     };
@@ -69,7 +70,7 @@
         .insert(attempt, running);
 }
 
-/// Ends an attempt here and at its engine.
+/// Aborts an attempt's task and cancels it on its engine.
 pub(super) fn cancel(shared: &Rc<Shared>, attempt: AttemptKey) {
     let Some(running) = shared.lots.running_attempts.borrow_mut().remove(&attempt) else {
         return;
@@ -89,7 +90,7 @@
     let sent = start.clone();
     let identity = || {
         let request = build_request(&shared, sent.clone(), &CompactString::default());
-        // It names the version that the engine has now.
+        // The salt holds the engine's current version, which is no part of the identity.
         engines::identity(Request {
             cache_salt: CompactString::default(),
             ..request
@@ -112,7 +113,7 @@
     report_end(&shared, attempt, ticket, result);
 }
 
-/// Reports the attempt's end to the endpoint's record and to the runner.
+/// Reports the attempt's end to the endpoint's statistics and, if it failed, to the runner.
 fn report_end(shared: &Rc<Shared>, attempt: AttemptKey, ticket: Ticket, result: Result<(), Error>) {
     let Err(error) = result else {
         ticket.finish(AttemptEnd::Completed);
@@ -132,7 +133,7 @@
     step(shared, Event::Failed { attempt, failure });
 }
 
-/// Runs the stream; `Ok` if the engine ended it.
+/// Reads the engine's stream to its end; `Ok` if the last chunk arrived.
 async fn run_stream(
     shared: &Rc<Shared>,
     start: Start,
@@ -167,8 +168,8 @@
     let version = endpoint.and_then(|e| e.version).unwrap_or_default();
     Request {
         model: endpoint.map(|e| e.pool.clone()).unwrap_or_default(),
-        // Prefixes of older weights would make the sample older than its engine. Reused again and
-        // again, they would void it each time.
+        // Salting with the version keeps cached prefixes of older weights from being reused: they
+        // would make the sample staler than its engine, and void it on every retry.
         cache_salt: format_compact!("{version}"),
         prompt: start.prompt,
         max_tokens: start.max_tokens,
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -1,4 +1,4 @@
-//! Hands finished samples of a stopping runner to the entries that run their groups next.
+//! Transfers the finished samples of a draining entry to the entries that take over their groups.
 
 use super::placement;
 use crate::{logging::What, state::Shared};
@@ -14,14 +14,15 @@
     time::Duration,
 };
 
-/// Longest wait for another entry to take samples.
+/// Timeout of one handover call to another entry.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most bytes of text in one call; far below the largest frame, which also holds the prompts.
+/// Most bytes of sample text in one call; far below the largest frame, which also holds the
+/// prompts.
 const MAX_TEXT_BYTES_PER_CALL: usize = 1 << 20;
-/// Entries that are tried, best first.
+/// Most rounds of offers; each round offers to the highest-ranked entries that have not refused.
 const MAX_OFFER_ROUNDS: usize = 3;
 
-/// Starts handing over; the lots count it as under way until it is done.
+/// Spawns a handover; it counts in [`super::Lots::in_flight`] until it is done.
 pub(super) fn start(shared: &Rc<Shared>, spec: Spec, samples: Vec<Sample>) {
     let shared = Rc::clone(shared);
     shared
@@ -48,11 +49,11 @@
     }
     if !remaining.is_empty() {
         let count = remaining.len();
-        log::warn!(entry = shared.name().as_str(), lot = spec.lot.as_str(), count; "samples lost");
+        log::warn!(entry = shared.name().as_str(), lot = spec.lot.as_str(), count; "handover: samples lost: no entry accepted them");
     }
 }
 
-/// Offers each sample to the next runner of its group; gives back those that were not taken.
+/// Offers each sample to the next runner of its group; returns those that were not accepted.
 async fn offer_all(
     shared: &Rc<Shared>,
     spec: &Spec,
@@ -81,7 +82,7 @@
             }
         }
     }
-    // Without any entry left, nothing was placed.
+    // If all entries are excluded, no group was placed.
     remaining.extend(by_group.into_values().flatten());
     remaining
 }
--- a/crates/pinereel/src/controllers/lots/mod.rs
+++ b/crates/pinereel/src/controllers/lots/mod.rs
@@ -1,10 +1,14 @@
-//! Lots of samples: the ones submitted here, and the groups that run here.
+//! Batch scheduling of lots: the I/O side of [`pinereel_core::lot`].
 //!
-//! - [`trainer_api`]: trainers' calls: submit, collect.
-//! - [`runner`]: what other entries ask of this one's runner.
-//! - `attempt`: one attempt of one sample at one engine.
-//! - `score`: scoring of finished samples.
-//! - `placement`, `handover`: which entry runs which groups, and what a stopping one passes on.
+//! Every entry both accepts lots from trainers and runs the groups that other entries assign to
+//! it. [`step`] feeds an event to this entry's [`Runner`] and carries out its actions.
+//!
+//! - [`trainer_api`]: handles the trainers' calls: submit, collect and publish.
+//! - [`runner`]: handles the calls of other entries to this entry's runner.
+//! - `attempt`: runs one attempt of one sample on one engine.
+//! - `score`: has a trainer's scoring service score finished samples.
+//! - `placement`: maps groups to entries by rendezvous hashing.
+//! - `handover`: transfers finished samples from a draining entry to others.
 
 mod attempt;
 mod handover;
@@ -34,23 +38,23 @@
     time::sleep,
 };
 
-/// Pause between ticks of the runner.
+/// Interval between two [`Event::Tick`]s of the runner.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a runner answers to a collect.
+/// A runner's result for one collect: finished samples, and the groups that it does not have.
 type CollectResult = Result<(Vec<Sample>, Vec<u32>), cursor::Error>;
 
-/// An attempt under way.
+/// An attempt that is running on an engine.
 struct RunningAttempt {
-    /// Ends its task.
+    /// Aborts the task that reads the attempt's stream.
     abort: AbortHandle,
-    /// `IP:PORT` of its engine.
+    /// `IP:PORT` of the engine.
     address: CompactString,
-    /// Its id at the engine.
+    /// Request id, by which the engine can cancel the attempt.
     id: CompactString,
 }
 
-/// The controller's state.
+/// State of the lots controller.
 pub struct Lots {
     runner: RefCell<Runner>,
     running_attempts: RefCell<BTreeMap<AttemptKey, RunningAttempt>>,
@@ -63,7 +67,7 @@
 }
 
 impl Lots {
-    /// No lots.
+    /// Starts without any lot; `runner` schedules the groups that will be assigned to this entry.
     pub fn new(runner: Runner) -> Self {
         Self {
             runner: RefCell::new(runner),
@@ -82,18 +86,18 @@
         self.versions.borrow().clone()
     }
 
-    /// What this entry's runner has done.
+    /// Counters of this entry's runner.
     pub fn stats(&self) -> Stats {
         self.runner.borrow().stats()
     }
 
-    /// Attempts, scorings and handovers under way; a draining entry may leave at 0.
+    /// Number of running attempts, scorings and handovers; a draining entry may exit at 0.
     pub fn in_flight(&self) -> usize {
         self.runner.borrow().in_flight() + self.handovers_in_flight.get()
     }
 }
 
-/// Starts the controller.
+/// Starts the task that ticks the runner.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
@@ -103,7 +107,7 @@
     });
 }
 
-/// Notes a published version; an old one changes nothing.
+/// Records a published version of a model and tells the runner; older versions are ignored.
 pub fn record_published(shared: &Rc<Shared>, model: &CompactString, version: Version) {
     {
         let mut versions = shared.lots.versions.borrow_mut();
@@ -117,7 +121,7 @@
     step(shared, Event::Published { model, version });
 }
 
-/// Tells the runner an event and carries out what it wants.
+/// Feeds an event to the runner and carries out the resulting actions.
 pub fn step(shared: &Rc<Shared>, event: Event) {
     let actions = shared.lots.runner.borrow_mut().step(shared.now(), event);
     execute_all(shared, actions);
@@ -176,7 +180,7 @@
 
 fn reply_to_collect(shared: &Shared, call: u64, result: CollectResult) {
     if let Some(sender) = shared.lots.pending_collects.borrow_mut().remove(&call) {
-        // The asker may have given up.
+        // The caller may have timed out.
         let _ = sender.send(result);
     }
 }
--- a/crates/pinereel/src/controllers/lots/placement.rs
+++ b/crates/pinereel/src/controllers/lots/placement.rs
@@ -1,8 +1,8 @@
-//! Which entry runs which groups of a lot.
+//! Placement of a lot's groups on entries by rendezvous hashing.
 //!
-//! A lot has a bounded set of runners, the first in rank for its id; among them rendezvous hashing
-//! by group decides. Entries whose views agree place alike without a word, and a lost runner moves
-//! only its own groups.
+//! The runners of a lot are a bounded set of entries, the highest-ranked for its id; each group is
+//! hashed onto one of them. Entries with the same membership view compute the same placement
+//! without coordination, and the loss of a runner moves only its own groups.
 
 use crate::state::Shared;
 use compact_str::CompactString;
@@ -12,7 +12,8 @@
 /// Most entries that run groups of one lot.
 const MAX_RUNNERS_PER_LOT: usize = 16;
 
-/// The groups by runner; `away` are entries that cannot run any.
+/// Maps each runner to its groups. `excluded` are entries that cannot run any; the result is empty
+/// if no entry remains.
 pub(super) fn place_groups(
     shared: &Shared,
     lot: &str,
@@ -23,7 +24,7 @@
     let mut runners = shared.members.ranked(key, MAX_RUNNERS_PER_LOT);
     runners.retain(|name| !excluded.contains(name));
     if runners.is_empty() && !excluded.contains(shared.name()) {
-        // Alone, this entry runs everything.
+        // Without other members, this entry runs all groups.
         runners.push(shared.name().clone());
     }
     let mut placed: BTreeMap<CompactString, Vec<u32>> = BTreeMap::new();
--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -1,4 +1,4 @@
-//! What other entries ask of this one's runner.
+//! Handlers of other entries' calls to this entry's runner: assign, hand over, collect.
 
 use super::execute_all;
 use crate::state::Shared;
@@ -10,7 +10,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{sync::oneshot, time::timeout};
 
-/// Runs the groups of an assignment.
+/// Assigns groups to this entry's runner; the error is the reason of a refusal.
 pub fn assign(shared: &Rc<Shared>, assignment: Assignment) -> Result<(), String> {
     let spec = build_spec(shared, assignment)?;
     let actions = shared
@@ -23,7 +23,7 @@
     refusal.map_or(Ok(()), |reason| Err(reason.to_string()))
 }
 
-/// Takes over finished samples from an entry that stops.
+/// Accepts finished samples from a draining entry; the error is the reason of a refusal.
 pub fn accept_handover(
     shared: &Rc<Shared>,
     assignment: Assignment,
@@ -37,7 +37,7 @@
     refusal.map_or(Ok(()), |reason| Err(reason.to_string()))
 }
 
-/// Finished samples for a collect; waits for the first one as long as the asker says.
+/// Returns finished samples, waiting up to the request's `wait_ms` for the first one.
 pub async fn collect(shared: &Rc<Shared>, request: Ask) -> Reply {
     let token = match cursor::Token::parse(&request.token) {
         Ok(token) => token,
@@ -46,7 +46,7 @@
     let wait = Duration::from_millis(request.wait_ms);
     let deadline = shared.now() + wait;
     loop {
-        // Listening begins before asking, so that nothing between the two is missed.
+        // Register for the notification before querying, so that no sample in between is missed.
         let ready = shared.lots.samples_ready.notified();
         let answer = collect_once(shared, &request, token.clone()).await;
         let (samples, missing) = match answer {
@@ -95,7 +95,7 @@
     })
 }
 
-/// Completes an assignment with what this entry's configuration says of the trainer.
+/// Builds the runner's spec from an assignment and this entry's configuration of the trainer.
 fn build_spec(shared: &Shared, assignment: Assignment) -> Result<Spec, String> {
     let pin = shared.config.pin().ok_or("starting")?;
     let trainer = pin.document.trainers.get(&assignment.trainer);
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -24,11 +24,11 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Longest wait for a score.
+/// Longest wait for the scoring service's response head, and again for its body.
 const SCORE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Path at the scoring service.
+/// Request path of the scoring service.
 const SCORE_PATH: &str = "/score";
-/// Largest answer, in bytes.
+/// Largest response body of the scoring service, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 #[derive(Serialize)]
@@ -42,7 +42,7 @@
     score: f64,
 }
 
-/// Scores one sample in a task of its own.
+/// Spawns a task that has one sample scored and reports the result to the runner.
 pub(super) fn start(
     shared: &Rc<Shared>,
     ticket: u64,
@@ -115,9 +115,9 @@
 /// Why there is no score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ScoreError {
-    /// No whole answer came.
+    /// The connection broke, or the body did not arrive whole in time.
     Lost,
-    /// The service was not reached, or answered otherwise.
+    /// The service was not reached, or its response was an error or unreadable.
     Other,
 }
 
--- a/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
@@ -1,4 +1,4 @@
-//! Spreads the groups of a lot over the runners.
+//! Distributes the groups of a lot over the runners.
 
 use super::super::{placement, runner};
 use crate::{logging::What, state::Shared};
@@ -12,10 +12,10 @@
     time::Duration,
 };
 
-/// Longest wait for another entry to take groups.
+/// Timeout of one assignment call to another entry.
 const ASSIGN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which runner has which groups, of those with samples that `token` lacks.
+/// Maps runners to those groups of the lot that have samples missing from `token`.
 pub(super) fn place_missing_groups(
     shared: &Shared,
     id: &str,
@@ -37,7 +37,7 @@
     placement::place_groups(shared, id, missing, excluded)
 }
 
-/// Assigns groups to runners; those that do not take them are added to `away`.
+/// Assigns groups to runners in parallel; runners that do not accept are added to `excluded`.
 pub(super) async fn assign_groups(
     shared: &Rc<Shared>,
     id: &str,
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -1,4 +1,4 @@
-//! Answers collects.
+//! Answers collects: a scatter-gather query of a lot's runners, in rounds until there are samples.
 
 use super::{
     super::runner,
@@ -27,18 +27,18 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// What a collect's answer may take beyond the wait that was asked for.
+/// Added to the wait of a collect to get the timeout of a call to a runner.
 const RPC_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
-/// Longest wait of a collect.
+/// Upper limit of the wait that a trainer may ask for.
 const MAX_COLLECT_WAIT: Duration = Duration::from_secs(60);
-/// After the first samples came, how long the other runners may still answer.
+/// How long to wait for answers of other runners once the first samples have arrived.
 const OTHER_RUNNERS_GRACE: Duration = Duration::from_millis(10);
-/// Longest wait of one round, so that a collect notices a drain and a lost runner.
+/// Longest wait of one round of queries, so that a collect notices a drain and a lost runner.
 const MAX_ROUND_WAIT: Duration = Duration::from_secs(2);
-/// Pause between rounds of one collect that found nothing.
+/// Pause after a round of queries that returned no samples.
 const EMPTY_ROUND_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers a collect: asks the runners, merges, and checks the bound at the moment of delivery.
+/// Queries the runners, merges their samples, and checks the staleness bound at delivery.
 pub async fn collect(
     shared: &Rc<Shared>,
     pin: &Pin,
@@ -64,7 +64,7 @@
             &mut excluded,
         )
         .await;
-        // The bound may have been tightened while the runners worked.
+        // The configuration may have tightened the bound during the queries.
         let bound = self::current_bound(shared, pin, id)?.min(bound);
         let merge = Merge {
             token: token.clone(),
@@ -74,7 +74,7 @@
         };
         let delivery = merge.deliver(collected);
         record_delivery(shared, id, &delivery, collect.version);
-        // An entry that stops answers at once; the trainer goes on elsewhere with the same token.
+        // A draining entry answers at once; the trainer continues at another with the same token.
         let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses();
         if !delivery.samples.is_empty() || delivery.remaining == 0 || stop {
             return Ok(Collected {
@@ -84,7 +84,7 @@
                 remaining: delivery.remaining,
             });
         }
-        // Groups were assigned again; give them a moment before asking again.
+        // Groups may have been reassigned; their new runners need time to start.
         sleep(EMPTY_ROUND_PAUSE.min(deadline.since(shared.now()))).await;
     }
 }
@@ -106,7 +106,7 @@
         })
 }
 
-/// The bound now in force for the lot's trainer, never wider than the pinned one.
+/// The staleness bound now in force for the lot's trainer, in versions, never above the pinned one.
 fn current_bound(shared: &Shared, pin: &Pin, id: &str) -> Result<u64, Problem> {
     let submitted = shared.lots.submitted.borrow();
     let submitted_lot = submitted
@@ -129,7 +129,8 @@
     Ok(pinned.min(current))
 }
 
-/// Asks all runners of the lot once; assigns again what they lack.
+/// Queries all runners of the lot once, and reassigns groups that a runner lacks or that a lost
+/// runner had.
 async fn collect_from_runners(
     shared: &Rc<Shared>,
     id: &str,
@@ -161,7 +162,7 @@
     let mut collected = Vec::new();
     let mut reassigned = BTreeMap::new();
     loop {
-        // Without samples there is nothing to hurry for.
+        // Until samples have arrived, each call's own timeout ends the wait.
         let call_wait = if collected.is_empty() {
             MAX_COLLECT_WAIT
         } else {
@@ -182,7 +183,7 @@
             None => {
                 shared.decide(What::Place, id, Some(&name), "unreachable");
                 excluded.insert(name);
-                // Its groups go to the next in rank.
+                // Its groups move to the next runner in rank.
                 let lost: BTreeSet<_> = groups.into_iter().collect();
                 for (name, groups) in place_missing_groups(shared, id, token, excluded) {
                     let moved: Vec<_> = groups.into_iter().filter(|g| lost.contains(g)).collect();
@@ -199,6 +200,7 @@
     collected
 }
 
+/// Samples that a runner returned, and the groups that it does not have.
 type RunnerSamples = (Vec<pinereel_api::trainer::Sample>, Vec<u32>);
 
 async fn collect_from_runner(
--- a/crates/pinereel/src/controllers/lots/trainer_api/mod.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/mod.rs
@@ -1,8 +1,8 @@
-//! Trainers' calls.
+//! Handlers of the trainers' calls.
 //!
-//! - `submit`: takes a lot and keeps it until newer steps make room.
-//! - `assign`: spreads its groups over the runners.
-//! - `collect`: asks the runners, merges, and checks the bound at delivery.
+//! - `submit`: accepts a lot and keeps it until newer steps of its trainer evict it.
+//! - `assign`: distributes a lot's groups over the runners.
+//! - `collect`: queries the runners, merges their answers and checks the staleness bound.
 //! - `publish`: raises the newest version of a model.
 
 mod assign;
@@ -22,16 +22,17 @@
 };
 use pinereel_core::{Time, hash::Digest};
 
-/// When a trainer that was refused shall come back.
+/// Retry delay that an answer gives a trainer whose call was refused for overload or failed at the
+/// object API.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// A lot that was submitted to this entry.
+/// A lot that a trainer submitted to this entry.
 pub(super) struct SubmittedLot {
     lot: Lot,
     digest: Digest,
     samples: u32,
     deadline: Time,
-    /// Index of each group's first sample.
+    /// Index of the first sample of each group.
     first_samples: Vec<u32>,
 }
 
--- a/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
@@ -1,4 +1,4 @@
-//! Announces new weights.
+//! Publishes new weight versions: stores a model's newest version in the object API.
 
 use super::{super::record_published, RETRY_AFTER_MS, refuse};
 use crate::{
@@ -17,14 +17,15 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Object of a model's newest weights.
+/// Value of the object that holds a model's newest weight version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatestWeights {
     /// The newest version.
     pub version: Version,
 }
 
-/// Announces new weights of a trainer's model. A repeat or an older version changes nothing.
+/// Publishes new weights of a trainer's model; returns the newest version. A repeat or an older
+/// version changes nothing.
 pub async fn publish(
     shared: &Rc<Shared>,
     pin: &Pin,
@@ -52,7 +53,7 @@
     Ok(Published { version })
 }
 
-/// Raises the model's version by conditional update; gives the version that stands.
+/// Raises the model's version by a conditional update; returns the newest version.
 async fn raise_version(
     shared: &Shared,
     model: &str,
@@ -82,7 +83,7 @@
         };
         match written {
             Ok(_) => return Ok(version),
-            // Someone else was first, or the answer was lost: read back.
+            // A concurrent write came first, or the result is unknown: read again.
             Err(ObjectError::Conflict | ObjectError::NotFound | ObjectError::Unknown(_)) => {}
             Err(e) => return Err(e),
         }
--- a/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
@@ -1,4 +1,4 @@
-//! Takes a lot.
+//! Accepts lots from trainers.
 
 use super::{SubmittedLot, assign, refuse};
 use crate::{controllers::config::Pin, state::Shared};
@@ -11,7 +11,8 @@
 use pinereel_core::{cursor::Token, hash::Digest};
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
-/// Takes a lot and spreads its groups over the runners.
+/// Accepts a lot and distributes its groups over the runners. A repeat with the same content is
+/// accepted again.
 pub async fn submit(shared: &Rc<Shared>, pin: &Pin, lot: Lot) -> Result<Submitted, Problem> {
     let submitted_lot = validate(shared, pin, lot)?;
     let id = submitted_lot.lot.id.clone();
@@ -69,7 +70,7 @@
     })
 }
 
-/// Keeps the lot; older steps of the same trainer make room.
+/// Stores the lot; lots of the same trainer that are two or more steps older are evicted.
 fn insert_lot(shared: &Shared, submitted_lot: SubmittedLot) -> Result<(), Problem> {
     let mut submitted = shared.lots.submitted.borrow_mut();
     if let Some(present) = submitted.get(&submitted_lot.lot.id) {
