--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' listener: live requests, trainers' calls, liveness and readiness.
 
 use crate::{
-    controllers::{config::Pin, lots::trainer_api},
+    controllers::{config::Snapshot, lots::trainer_api},
     filters::{admit, completion, pin, refuse, respond, service, unknown},
     http::{self, Request, Response},
     state::Shared,
@@ -62,14 +62,14 @@
 }
 
 /// The smaller bound of this instance and of the pinned configuration, in bytes.
-fn largest_body(shared: &Shared, pin: &Pin) -> usize {
+fn largest_body(shared: &Shared, pin: &Snapshot) -> usize {
     let asked = pin.document.limits.max_body as usize;
     asked.min(shared.settings.limits.body)
 }
 
 async fn body<T: serde::de::DeserializeOwned>(
     shared: &Shared,
-    pin: &Pin,
+    pin: &Snapshot,
     request: &mut Request,
 ) -> Result<T, Problem> {
     let max = largest_body(shared, pin);
--- a/crates/pinereel/src/controllers/config/apply.rs
+++ b/crates/pinereel/src/controllers/config/apply.rs
@@ -1,6 +1,6 @@
 //! What changes here when a new number comes into force.
 
-use super::Pin;
+use super::Snapshot;
 use crate::{
     controllers::{endpoints, lots},
     state::Shared,
@@ -14,28 +14,28 @@
 use std::rc::Rc;
 
 /// Tells the runner of lots and the endpoints what differs from the old configuration.
-pub fn changed(shared: &Rc<Shared>, old: Option<&Pin>) {
-    let Some(pin) = shared.config.pin() else {
+pub fn apply_snapshot(shared: &Rc<Shared>, old: Option<&Snapshot>) {
+    let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
     let entry = shared.name().as_str();
-    log::info!(entry, number = pin.number; "config: in force");
+    log::info!(entry, number = snapshot.number; "config: in force");
     shared
         .metrics
         .config_number
-        .set(i64::try_from(pin.number).unwrap_or(i64::MAX));
+        .set(i64::try_from(snapshot.number).unwrap_or(i64::MAX));
     let empty = Document::default();
-    let old = old.map_or(&empty, |pin| &pin.document);
-    for (trainer, bound) in bounds(old, &pin.document) {
+    let old = old.map_or(&empty, |snapshot| &snapshot.document);
+    for (trainer, bound) in changed_bounds(old, &snapshot.document) {
         lots::step(shared, lot::Event::BoundChanged { trainer, bound });
     }
-    for instance in slots(shared, old, &pin.document) {
+    for instance in changed_slots(shared, old, &snapshot.document) {
         endpoints::step(shared, Event::Listed(instance));
     }
 }
 
 /// Trainers whose staleness bound differs, with the new one.
-fn bounds(old: &Document, new: &Document) -> Vec<(CompactString, u64)> {
+fn changed_bounds(old: &Document, new: &Document) -> Vec<(CompactString, u64)> {
     let bound = |name| old.trainers.get(name).map(|trainer| trainer.bound);
     new.trainers
         .iter()
@@ -45,15 +45,15 @@
 }
 
 /// Endpoints whose pool has another number of slots now.
-fn slots(shared: &Shared, old: &Document, new: &Document) -> Vec<endpoint::Listing> {
+fn changed_slots(shared: &Shared, old: &Document, new: &Document) -> Vec<endpoint::Listing> {
     let set = shared.endpoints.set();
     let mut changed = Vec::new();
     for (_, known) in set.iter() {
         let Some(pool) = new.pools.get(&known.pool) else {
             continue;
         };
-        let before = old.pools.get(&known.pool).map(|pool| pool.slots);
-        if before == Some(pool.slots) || known.state == endpoint::State::Gone {
+        let old_slots = old.pools.get(&known.pool).map(|pool| pool.slots);
+        if old_slots == Some(pool.slots) || known.state == endpoint::State::Gone {
             continue;
         }
         changed.push(endpoint::Listing {
--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -36,15 +36,15 @@
 use tokio::time::sleep;
 
 /// Pause between ticks of the register, which wants one at least every 250 ms.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Most reads under way: a hanging one must not keep a fresh one from being sent.
-const MAX_READS: u32 = 2;
+const MAX_READS_IN_FLIGHT: u32 = 2;
 /// Longest wait for a peer's configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The number and the document that a request is pinned to.
 #[derive(Clone, Debug)]
-pub struct Pin {
+pub struct Snapshot {
     /// The number.
     pub number: u64,
     /// The document.
@@ -53,11 +53,11 @@
 
 /// What a peer last told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct PeerState {
     /// The peer's incarnation.
     pub incarnation: u64,
     /// When it was heard.
-    pub at: Time,
+    pub received_at: Time,
     /// The number in force there.
     pub number: u64,
     /// The peer's own stamp of it.
@@ -66,72 +66,72 @@
 
 /// The controller's state.
 pub struct Config {
-    register: RefCell<Participant>,
-    pin: RefCell<Option<Pin>>,
-    heard: RefCell<BTreeMap<CompactString, Heard>>,
-    reading: Cell<u32>,
-    fetching: Cell<bool>,
-    rounds: Cell<u64>,
+    participant: RefCell<Participant>,
+    snapshot: RefCell<Option<Snapshot>>,
+    peer_states: RefCell<BTreeMap<CompactString, PeerState>>,
+    reads_in_flight: Cell<u32>,
+    fetch_in_flight: Cell<bool>,
+    next_round: Cell<u64>,
     /// Rounds under way.
-    open: Cell<u32>,
+    rounds_in_flight: Cell<u32>,
 }
 
 impl Config {
     /// The state of a starting entry.
     pub fn new(now: Time, name: CompactString) -> Self {
         Self {
-            register: RefCell::new(Participant::new(now, name)),
-            pin: RefCell::default(),
-            heard: RefCell::default(),
-            reading: Cell::default(),
-            fetching: Cell::default(),
-            rounds: Cell::default(),
-            open: Cell::default(),
+            participant: RefCell::new(Participant::new(now, name)),
+            snapshot: RefCell::default(),
+            peer_states: RefCell::default(),
+            reads_in_flight: Cell::default(),
+            fetch_in_flight: Cell::default(),
+            next_round: Cell::default(),
+            rounds_in_flight: Cell::default(),
         }
     }
 
     /// The number in force; 0 before the first read.
     pub fn number(&self) -> u64 {
-        self.register.borrow().number()
+        self.participant.borrow().number()
     }
 
     /// What is in force here, whether or not a request may be admitted under it; `None` before
     /// the first read.
-    pub fn pin(&self) -> Option<Pin> {
-        self.pin.borrow().clone()
+    pub fn snapshot(&self) -> Option<Snapshot> {
+        self.snapshot.borrow().clone()
     }
 
     /// What a request that is admitted now is pinned to.
     ///
     /// # Errors
     /// Why the entry admits none.
-    pub fn admits(&self, now: Time) -> Result<Pin, Refusal> {
-        self.register.borrow().admits(now)?;
-        self.pin().ok_or(Refusal::Starting)
+    pub fn admits(&self, now: Time) -> Result<Snapshot, Refusal> {
+        self.participant.borrow().admits(now)?;
+        self.snapshot().ok_or(Refusal::Starting)
     }
 
     /// Whether peers may take this entry's number as a sign that nothing newer is in force.
-    pub fn vouches(&self, now: Time) -> bool {
-        self.register.borrow().is_up_to_date(now)
+    pub fn is_up_to_date(&self, now: Time) -> bool {
+        self.participant.borrow().is_up_to_date(now)
     }
 
     /// What was last heard of each peer.
-    pub fn heard(&self) -> BTreeMap<CompactString, Heard> {
-        self.heard.borrow().clone()
+    pub fn peer_states(&self) -> BTreeMap<CompactString, PeerState> {
+        self.peer_states.borrow().clone()
     }
 
     /// Forgets what was heard of others than `names`.
-    pub(super) fn keep(&self, names: &BTreeSet<CompactString>) {
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|name, _| names.contains(name));
+    pub(super) fn retain_peers(&self, names: &BTreeSet<CompactString>) {
+        let mut states = self.peer_states.borrow_mut();
+        states.retain(|name, _| names.contains(name));
     }
 
     /// Names the latest summary of the peer `to`, if one was heard.
-    pub fn echo(&self, to: &Hello) -> Option<Echo> {
-        let heard = self.heard.borrow().get(&to.name).copied()?;
-        (heard.incarnation == to.incarnation).then_some(Echo {
-            incarnation: heard.incarnation,
-            sent_us: heard.sent_us,
+    pub fn echo_for(&self, to: &Hello) -> Option<Echo> {
+        let state = self.peer_states.borrow().get(&to.name).copied()?;
+        (state.incarnation == to.incarnation).then_some(Echo {
+            incarnation: state.incarnation,
+            sent_us: state.sent_us,
         })
     }
 }
@@ -141,43 +141,43 @@
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
             step(&shared, ParticipantEvent::Tick);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     });
     spawn(shared, async |shared: Rc<Shared>| watch::run(&shared).await);
 }
 
 /// Takes in what a peer tells of its configuration.
-pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: &Summary) {
+pub fn receive_summary(shared: &Rc<Shared>, from: &Hello, summary: &Summary) {
     let now = shared.now();
-    let heard = Heard {
+    let state = PeerState {
         incarnation: from.incarnation,
-        at: now,
+        received_at: now,
         number: summary.number,
         sent_us: summary.sent_us,
     };
     let name = from.name.clone();
-    shared.config.heard.borrow_mut().insert(name, heard);
+    shared.config.peer_states.borrow_mut().insert(name, state);
     let own = summary
         .echo
         .filter(|echo| echo.incarnation == shared.incarnation && echo.sent_us <= now.0);
-    let input = ParticipantEvent::PeerState {
+    let event = ParticipantEvent::PeerState {
         echoed_at: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
         number: summary.number,
         up_to_date: summary.vouches && own.is_some(),
         from: from.name.clone(),
     };
-    step(shared, input);
+    step(shared, event);
 }
 
 /// The answer to a peer's [`Call::Fetch`].
-pub fn fetched(shared: &Shared) -> Reply {
-    let Some(pin) = shared.config.pin() else {
+pub fn serve_fetch(shared: &Shared) -> Reply {
+    let Some(snapshot) = shared.config.snapshot() else {
         return Reply::Refused("starting".into());
     };
-    match serde_json::to_value(&*pin.document) {
+    match serde_json::to_value(&*snapshot.document) {
         Ok(document) => Reply::Config {
-            number: pin.number,
+            number: snapshot.number,
             document,
         },
         Err(e) => Reply::Refused(e.to_string().into()),
@@ -185,67 +185,70 @@
 }
 
 /// Reads the object now, whatever the register orders.
-pub(super) fn read(shared: &Rc<Shared>) {
-    let reading = shared.config.reading.get();
-    if reading >= MAX_READS {
+pub(super) fn start_read(shared: &Rc<Shared>) {
+    let in_flight = shared.config.reads_in_flight.get();
+    if in_flight >= MAX_READS_IN_FLIGHT {
         return;
     }
-    shared.config.reading.set(reading + 1);
+    shared.config.reads_in_flight.set(in_flight + 1);
     spawn(shared, async |shared: Rc<Shared>| {
         let sent_at = shared.now();
-        let read = read_stored(&shared).await;
-        shared.config.reading.set(shared.config.reading.get() - 1);
-        if let Some((version, stored)) = read {
-            let input = ParticipantEvent::Read {
+        let stored = read_stored(&shared).await;
+        shared
+            .config
+            .reads_in_flight
+            .set(shared.config.reads_in_flight.get() - 1);
+        if let Some((version, stored)) = stored {
+            let event = ParticipantEvent::Read {
                 sent_at,
                 version,
                 stored,
             };
-            step(&shared, input);
+            step(&shared, event);
         }
     });
 }
 
 /// Feeds the register and carries out its orders.
-fn step(shared: &Rc<Shared>, input: ParticipantEvent) {
-    let orders = feed(shared, input);
-    carry_out(shared, orders);
+fn step(shared: &Rc<Shared>, event: ParticipantEvent) {
+    let actions = step_participant(shared, event);
+    execute_all(shared, actions);
 }
 
 /// Stores a configuration that may come into force; whether it is confirmed.
 fn prepare(shared: &Rc<Shared>, prepare: Prepare) -> bool {
-    let orders = feed(shared, ParticipantEvent::Prepare(prepare));
-    let confirmed = orders
+    let actions = step_participant(shared, ParticipantEvent::Prepare(prepare));
+    let confirmed = actions
         .iter()
-        .any(|order| matches!(order, ParticipantAction::Confirm { .. }));
-    carry_out(shared, orders);
+        .any(|action| matches!(action, ParticipantAction::Confirm { .. }));
+    execute_all(shared, actions);
     confirmed
 }
 
-fn feed(shared: &Rc<Shared>, input: ParticipantEvent) -> Vec<ParticipantAction> {
+fn step_participant(shared: &Rc<Shared>, event: ParticipantEvent) -> Vec<ParticipantAction> {
     let now = shared.now();
-    let mut register = shared.config.register.borrow_mut();
-    let orders = register.step(now, input);
-    let started = register.admits(now) != Err(Refusal::Starting);
-    let mut pin = shared.config.pin.borrow_mut();
-    if started && pin.as_ref().map(|pin| pin.number) != Some(register.number()) {
-        let old = pin.replace(Pin {
-            number: register.number(),
-            document: Rc::new(register.document().clone()),
+    let mut participant = shared.config.participant.borrow_mut();
+    let actions = participant.step(now, event);
+    let started = participant.admits(now) != Err(Refusal::Starting);
+    let mut snapshot = shared.config.snapshot.borrow_mut();
+    if started && snapshot.as_ref().map(|snapshot| snapshot.number) != Some(participant.number()) {
+        let old = snapshot.replace(Snapshot {
+            number: participant.number(),
+            document: Rc::new(participant.document().clone()),
         });
-        drop((pin, register));
+        drop((snapshot, participant));
         // The pin is in place: whoever is told of the change already finds the new number.
-        apply::changed(shared, old.as_ref());
+        apply::apply_snapshot(shared, old.as_ref());
     }
-    orders
+    actions
 }
 
-fn carry_out(shared: &Rc<Shared>, orders: Vec<ParticipantAction>) {
-    for order in orders {
-        match order {
-            ParticipantAction::Read => read(shared),
+fn execute_all(shared: &Rc<Shared>, actions: Vec<ParticipantAction>) {
+    for action in actions {
+        match action {
+            ParticipantAction::Read => start_read(shared),
             ParticipantAction::AbortPending { version, stored } => {
-                take_back(shared, version, stored);
+                abort_pending(shared, version, stored);
             }
             ParticipantAction::Fetch { from } => fetch(shared, from),
             // The pin has followed the register, and the answer to a prepare confirms it.
@@ -254,21 +257,21 @@
     }
 }
 
-fn take_back(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
+fn abort_pending(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
     log::warn!(entry = shared.name().as_str(); "config: pending patch taken back");
     spawn(shared, async move |shared| {
         write_stored(&shared, version, &stored).await;
-        read(&shared);
+        start_read(&shared);
     });
 }
 
 fn fetch(shared: &Rc<Shared>, from: CompactString) {
-    if shared.config.fetching.replace(true) {
+    if shared.config.fetch_in_flight.replace(true) {
         return;
     }
     spawn(shared, async move |shared| {
         let reply = members::call(&shared, &from, Call::Fetch, FETCH_TIMEOUT).await;
-        shared.config.fetching.set(false);
+        shared.config.fetch_in_flight.set(false);
         let Some(Reply::Config { number, document }) = reply else {
             return;
         };
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -22,19 +22,19 @@
 };
 
 /// Pause between ticks of a round, which wants one at least every 250 ms.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait of an operator for an answer: a foreign patch's take-over and an own round.
-const DEADLINE: Duration = Duration::from_secs(8);
+const PATCH_DEADLINE: Duration = Duration::from_secs(8);
 /// Failed reads in a row, before anything was written, that end a round.
 const MAX_FAILED_READS: u32 = 3;
 /// A round that has read nothing for so long ends.
-const READ_PATIENCE: Duration = Duration::from_secs(2);
+const FIRST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Most rounds under way at one entry.
-const MAX_OPEN: u32 = 32;
+const MAX_ROUNDS_IN_FLIGHT: u32 = 32;
 /// Longest id of a patch, in bytes: the object keeps the last ones.
-const MAX_ID: usize = 128;
+const MAX_PATCH_ID_BYTES: usize = 128;
 /// Largest document, in bytes of JSON: the object holds two, and the accepted ids.
-const MAX_DOCUMENT: usize = 400_000;
+const MAX_DOCUMENT_BYTES: usize = 400_000;
 /// When an operator shall come back.
 const RETRY_AFTER_MS: u64 = 1_000;
 
@@ -42,14 +42,14 @@
 ///
 /// # Errors
 /// `Conflict`, `InvalidPatch`, or `Unavailable` before the first read.
-pub fn check(shared: &Shared, patch: &Patch) -> Result<Document, Problem> {
-    let pin = crate::filters::pin::known(shared)?;
-    if patch.base != pin.number {
-        return Err(conflict(pin.number));
+pub fn check_patch(shared: &Shared, patch: &Patch) -> Result<Document, Problem> {
+    let snapshot = crate::filters::pin::known(shared)?;
+    if patch.base != snapshot.number {
+        return Err(conflict(snapshot.number));
     }
-    let document = validate(&merge(&pin.document, &patch.merge)).map_err(|f| invalid(&f))?;
-    let mut faults = check_change(&pin.document, &document);
-    faults.extend(too_large(&document));
+    let document = validate(&merge(&snapshot.document, &patch.merge)).map_err(|f| invalid(&f))?;
+    let mut faults = check_change(&snapshot.document, &document);
+    faults.extend(size_fault(&document));
     if faults.is_empty() {
         Ok(document)
     } else {
@@ -62,39 +62,48 @@
 /// # Errors
 /// A refusal if it will certainly not be in force, `Unknown` if that is not known.
 pub async fn propose(shared: &Rc<Shared>, patch: Patch) -> Result<u64, Problem> {
-    if patch.id.is_empty() || patch.id.len() > MAX_ID {
-        let message = format_compact!("the patch's id is empty or longer than {MAX_ID} bytes");
+    if patch.id.is_empty() || patch.id.len() > MAX_PATCH_ID_BYTES {
+        let message =
+            format_compact!("the patch's id is empty or longer than {MAX_PATCH_ID_BYTES} bytes");
         return Err(refuse(Code::BadRequest, message));
     }
     // What is not tried is "unknown": an earlier sending of the patch may have been accepted.
     if shared.drain.refuses() {
-        return Err(later(unknown(
+        return Err(with_retry_after(unknown(
             Code::Unavailable,
             "this instance is draining",
         )));
     }
-    let open = shared.config.open.get();
-    if open >= MAX_OPEN {
-        return Err(later(unknown(Code::Overloaded, "too many patches at once")));
+    let in_flight = shared.config.rounds_in_flight.get();
+    if in_flight >= MAX_ROUNDS_IN_FLIGHT {
+        return Err(with_retry_after(unknown(
+            Code::Overloaded,
+            "too many patches at once",
+        )));
     }
-    shared.config.open.set(open + 1);
-    let (sender, answer) = oneshot::channel();
+    shared.config.rounds_in_flight.set(in_flight + 1);
+    let (outcome_sender, outcome) = oneshot::channel();
     let id = patch.id.clone();
     spawn(shared, async move |shared| {
         // A graceful stop waits for it.
         let _guard = shared.drain.enter();
-        let driver = Driver::new(Rc::clone(&shared), patch, sender);
+        let driver = RoundDriver::new(Rc::clone(&shared), patch, outcome_sender);
         driver.run().await;
-        shared.config.open.set(shared.config.open.get() - 1);
+        shared
+            .config
+            .rounds_in_flight
+            .set(shared.config.rounds_in_flight.get() - 1);
     });
-    let answer = answer.await.unwrap_or(Ending::Round(Answer::Unknown));
-    log::info!(entry = shared.name().as_str(), patch = id.as_str(); "config: patch: {answer:?}");
-    answer.into_result()
+    let outcome = outcome
+        .await
+        .unwrap_or(PatchOutcome::Round(Answer::Unknown));
+    log::info!(entry = shared.name().as_str(), patch = id.as_str(); "config: patch: {outcome:?}");
+    outcome.into_result()
 }
 
 /// How a round ended for the operator.
 #[derive(Debug)]
-enum Ending {
+enum PatchOutcome {
     /// By its own decision.
     Round(Answer),
     /// The object API could not be read and nothing had been written.
@@ -102,83 +111,87 @@
 }
 
 /// Carries out what a round wants until it is over.
-struct Driver {
+struct RoundDriver {
     shared: Rc<Shared>,
-    round: Coordinator,
-    write: CompactString,
-    answer: Option<oneshot::Sender<Ending>>,
+    coordinator: Coordinator,
+    write_id: CompactString,
+    outcome_sender: Option<oneshot::Sender<PatchOutcome>>,
     events: mpsc::UnboundedReceiver<CoordinatorEvent>,
-    sender: mpsc::UnboundedSender<CoordinatorEvent>,
+    event_sender: mpsc::UnboundedSender<CoordinatorEvent>,
     attempt: u64,
-    started: Time,
+    started_at: Time,
     was_read: bool,
     failed_reads: u32,
-    wrote: bool,
-    ended: bool,
+    has_written: bool,
+    is_aborted: bool,
 }
 
-impl Driver {
-    fn new(shared: Rc<Shared>, patch: Patch, answer: oneshot::Sender<Ending>) -> Self {
+impl RoundDriver {
+    fn new(
+        shared: Rc<Shared>,
+        patch: Patch,
+        outcome_sender: oneshot::Sender<PatchOutcome>,
+    ) -> Self {
         let now = shared.now();
-        let count = shared.config.rounds.get();
-        shared.config.rounds.set(count + 1);
-        let write = format_compact!("{}-{:x}-{count}", shared.name(), shared.incarnation);
+        let round_number = shared.config.next_round.get();
+        shared.config.next_round.set(round_number + 1);
+        let write_id = format_compact!("{}-{:x}-{round_number}", shared.name(), shared.incarnation);
         let proposal = Proposal {
             patch: patch.id,
             base: patch.base,
             content: patch.merge,
             proposer: shared.name().clone(),
-            write_id: write.clone(),
-            deadline: now + DEADLINE,
+            write_id: write_id.clone(),
+            deadline: now + PATCH_DEADLINE,
         };
         // Bounded by the calls under way: each sends one event.
-        let (sender, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         Self {
-            round: Coordinator::new(now, proposal),
+            coordinator: Coordinator::new(now, proposal),
             shared,
-            write,
-            answer: Some(answer),
+            write_id,
+            outcome_sender: Some(outcome_sender),
             events,
-            sender,
+            event_sender,
             attempt: 0,
-            started: now,
+            started_at: now,
             was_read: false,
             failed_reads: 0,
-            wrote: false,
-            ended: false,
+            has_written: false,
+            is_aborted: false,
         }
     }
 
     async fn run(mut self) {
         let mut event = CoordinatorEvent::Tick;
         loop {
-            self.note(&event);
+            self.track_reads(&event);
             if self.is_stuck() {
-                self.tell(Ending::NotReached);
+                self.report_outcome(PatchOutcome::NotReached);
                 return;
             }
             let now = self.shared.now();
-            for action in self.round.step(now, event) {
-                self.act(action);
+            for action in self.coordinator.step(now, event) {
+                self.execute(action);
             }
-            if self.ended || self.round.is_done() {
+            if self.is_aborted || self.coordinator.is_done() {
                 return;
             }
             event = tokio::select! {
                 Some(event) = self.events.recv() => event,
-                () = sleep(TICK) => CoordinatorEvent::Tick,
+                () = sleep(TICK_INTERVAL) => CoordinatorEvent::Tick,
             };
         }
     }
 
     /// Whether the object API cannot be read, and nothing was written that could take effect.
     fn is_stuck(&self) -> bool {
-        let waited = self.shared.now().since(self.started);
-        let silent = !self.was_read && waited >= READ_PATIENCE;
-        !self.wrote && (silent || self.failed_reads >= MAX_FAILED_READS)
+        let waited = self.shared.now().since(self.started_at);
+        let silent = !self.was_read && waited >= FIRST_READ_TIMEOUT;
+        !self.has_written && (silent || self.failed_reads >= MAX_FAILED_READS)
     }
 
-    fn note(&mut self, event: &CoordinatorEvent) {
+    fn track_reads(&mut self, event: &CoordinatorEvent) {
         match event {
             CoordinatorEvent::Read(None) => self.failed_reads += 1,
             CoordinatorEvent::Read(Some(_)) => {
@@ -189,32 +202,36 @@
         }
     }
 
-    fn act(&mut self, action: CoordinatorAction) {
+    fn execute(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Read => {
-                self.call(async |shared| CoordinatorEvent::Read(read_stored(&shared).await));
+                self.spawn_call(async |shared| CoordinatorEvent::Read(read_stored(&shared).await));
             }
             CoordinatorAction::Write { version, stored } => {
                 let pending = stored.pending.as_ref();
-                if let Some(fault) = pending.and_then(|p| too_large(&p.document)) {
-                    self.tell(Ending::Round(Answer::Invalid(vec![fault])));
-                    self.ended = true;
+                if let Some(fault) = pending.and_then(|p| size_fault(&p.document)) {
+                    self.report_outcome(PatchOutcome::Round(Answer::Invalid(vec![fault])));
+                    self.is_aborted = true;
                     return;
                 }
-                self.wrote = true;
-                self.call(async move |shared| {
+                self.has_written = true;
+                self.spawn_call(async move |shared| {
                     let result = write_stored(&shared, version, &stored).await;
                     CoordinatorEvent::Written { version, result }
                 });
             }
             CoordinatorAction::List => {
-                self.call(async |shared| CoordinatorEvent::Listed(members::list(&shared).await));
+                self.spawn_call(async |shared| {
+                    CoordinatorEvent::Listed(members::list(&shared).await)
+                });
             }
             CoordinatorAction::Prepare { to, prepare } => {
-                let (sender, write) = (self.sender.clone(), self.write.clone());
-                let heard = move |names: relay::Names| confirm(&sender, &write, names);
+                let (event_sender, write_id) = (self.event_sender.clone(), self.write_id.clone());
+                let on_confirmed = move |names: relay::EntryNames| {
+                    send_confirmations(&event_sender, &write_id, names)
+                };
                 self.attempt += 1;
-                relay::prepare_all(&self.shared, to, self.attempt, &prepare, heard);
+                relay::prepare_all(&self.shared, to, self.attempt, &prepare, on_confirmed);
             }
             CoordinatorAction::Commit {
                 to,
@@ -226,47 +243,47 @@
             CoordinatorAction::Abort { to, write_id } => {
                 relay::abort_all(&self.shared, to, &write_id);
             }
-            CoordinatorAction::Answer(answer) => self.tell(Ending::Round(answer)),
+            CoordinatorAction::Answer(answer) => self.report_outcome(PatchOutcome::Round(answer)),
         }
     }
 
-    fn tell(&mut self, ending: Ending) {
-        if let Some(answer) = self.answer.take() {
+    fn report_outcome(&mut self, outcome: PatchOutcome) {
+        if let Some(sender) = self.outcome_sender.take() {
             // The operator may have gone; the patch goes on.
-            let _ = answer.send(ending);
+            let _ = sender.send(outcome);
         }
     }
 
     /// Runs a call of the object API and feeds its event.
-    fn call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
-        let sender = self.sender.clone();
+    fn spawn_call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
+        let event_sender = self.event_sender.clone();
         spawn(&self.shared, async move |shared| {
-            // A round that is over has no use for it.
-            let _ = sender.send(call(shared).await);
+            // The round may have ended.
+            let _ = event_sender.send(call(shared).await);
         });
     }
 }
 
-fn confirm(
-    sender: &mpsc::UnboundedSender<CoordinatorEvent>,
-    write: &CompactString,
-    names: relay::Names,
+fn send_confirmations(
+    event_sender: &mpsc::UnboundedSender<CoordinatorEvent>,
+    write_id: &CompactString,
+    names: relay::EntryNames,
 ) {
     for from in names {
-        let write_id = write.clone();
-        // A round that is over has no use for it.
-        let _ = sender.send(CoordinatorEvent::Confirmed { from, write_id });
+        let write_id = write_id.clone();
+        // The round may have ended.
+        let _ = event_sender.send(CoordinatorEvent::Confirmed { from, write_id });
     }
 }
 
-impl Ending {
+impl PatchOutcome {
     fn into_result(self) -> Result<u64, Problem> {
         let answer = match self {
             Self::Round(answer) => answer,
             Self::NotReached => {
                 // This call wrote nothing, but an earlier one of the same patch may have done.
                 let message = "the object API cannot be read; send the patch again";
-                return Err(later(unknown(Code::ObjectApi, message)));
+                return Err(with_retry_after(unknown(Code::ObjectApi, message)));
             }
         };
         let text = answer.to_string();
@@ -277,25 +294,27 @@
             Answer::Invalid(faults) => invalid(&faults),
             Answer::NotConfirmed(names) => {
                 let message = format!("refused: not confirmed by {}", names.join(", "));
-                later(refuse(Code::NotConfirmed, message))
+                with_retry_after(refuse(Code::NotConfirmed, message))
+            }
+            Answer::TakenBack => {
+                with_retry_after(refuse(Code::NotConfirmed, format!("refused: {text}")))
             }
-            Answer::TakenBack => later(refuse(Code::NotConfirmed, format!("refused: {text}"))),
-            Answer::Late => later(refuse(Code::Deadline, format!("refused: {text}"))),
-            Answer::Unknown => later(unknown(Code::Unknown, text)),
+            Answer::Late => with_retry_after(refuse(Code::Deadline, format!("refused: {text}"))),
+            Answer::Unknown => with_retry_after(unknown(Code::Unknown, text)),
         })
     }
 }
 
 /// The fault of a document that does not fit the object.
-fn too_large(document: &Document) -> Option<Fault> {
+fn size_fault(document: &Document) -> Option<Fault> {
     let size = serde_json::to_vec(document).map_or(usize::MAX, |bytes| bytes.len());
-    (size > MAX_DOCUMENT).then(|| Fault {
+    (size > MAX_DOCUMENT_BYTES).then(|| Fault {
         path: "".into(),
-        reason: format_compact!("{size} bytes of JSON are more than {MAX_DOCUMENT}"),
+        reason: format_compact!("{size} bytes of JSON are more than {MAX_DOCUMENT_BYTES}"),
     })
 }
 
-fn later(problem: Problem) -> Problem {
+fn with_retry_after(problem: Problem) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
         ..problem
--- a/crates/pinereel/src/controllers/config/watch.rs
+++ b/crates/pinereel/src/controllers/config/watch.rs
@@ -3,7 +3,7 @@
 //! A change only prompts a read. What a watch answers was asked for long ago, and the register
 //! counts doubts from the time at which the object was asked for.
 
-use super::read;
+use super::start_read;
 use crate::{
     controllers::members,
     objects::{Error, Purpose},
@@ -14,9 +14,9 @@
 use tokio::time::sleep;
 
 /// Longest wait of one watch.
-const WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause before a failed watch is begun again, and between looks at whether to watch.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Watches as long as this entry is one of those that do.
 pub async fn run(shared: &Rc<Shared>) {
@@ -24,14 +24,14 @@
     loop {
         if !members::watches(shared) {
             after = None;
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         }
-        after = match once(shared, after).await {
+        after = match watch_once(shared, after).await {
             Ok(revision) => Some(revision),
             Err(e) => {
                 log::debug!(entry = shared.name().as_str(); "config: watch ended: {e}");
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
                 None
             }
         };
@@ -39,18 +39,18 @@
 }
 
 /// Waits for one change; gives the revision to go on from.
-async fn once(shared: &Rc<Shared>, after: Option<u64>) -> Result<u64, Error> {
+async fn watch_once(shared: &Rc<Shared>, after: Option<u64>) -> Result<u64, Error> {
     let Some(after) = after else {
         let list = shared.objects.list(Purpose::Config, CONFIG, "").await?;
-        read(shared);
+        start_read(shared);
         return Ok(list.revision);
     };
     let changes = shared
         .objects
-        .watch(Purpose::Config, CONFIG, after, WAIT)
+        .watch(Purpose::Config, CONFIG, after, WATCH_TIMEOUT)
         .await?;
     if !changes.changes.is_empty() {
-        read(shared);
+        start_read(shared);
     }
     Ok(changes.revision)
 }
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::instances;
 use crate::{
-    controllers::config::Pin,
+    controllers::config::Snapshot,
     engines,
     logging::{Decision, RunnerUp, What},
     settings::Routing,
@@ -227,12 +227,12 @@
     loop {
         let entries = instances::Entries::of(shared);
         let revision = shared.endpoints.list.revision();
-        if let Some(pin) = shared.config.pin()
+        if let Some(snapshot) = shared.config.snapshot()
             && revision > 0
         {
-            let basis = (revision, pin.number, entries);
+            let basis = (revision, snapshot.number, entries);
             if last.as_ref() != Some(&basis) {
-                apply(shared, &pin, &basis.2);
+                apply(shared, &snapshot, &basis.2);
                 shared.endpoints.applied.set(revision);
                 last = Some(basis);
             }
@@ -256,7 +256,7 @@
     }
 }
 
-fn apply(shared: &Rc<Shared>, pin: &Pin, entries: &instances::Entries) {
+fn apply(shared: &Rc<Shared>, snapshot: &Snapshot, entries: &instances::Entries) {
     let held: BTreeMap<_, _> = {
         let names = instances::held(shared, entries);
         let listed = shared.endpoints.list.endpoints();
@@ -275,7 +275,7 @@
         step(shared, Event::Unlisted { name });
     }
     for (name, instance) in held {
-        let pool = pin.document.pools.get(&instance.pool);
+        let pool = snapshot.document.pools.get(&instance.pool);
         let slots = pool.map_or(1, |pool| pool.slots);
         let engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
         step(shared, Event::Listed(listing(&name, instance, slots)));
@@ -363,7 +363,7 @@
 
 /// Tells the lots' runner what an engine has to offer.
 fn offer(shared: &Rc<Shared>, name: &CompactString) {
-    let Some(pin) = shared.config.pin() else {
+    let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
     let offer = {
@@ -371,7 +371,7 @@
         let Some((_, endpoint)) = set.find(name) else {
             return;
         };
-        let Some(pool) = pin.document.pools.get(&endpoint.pool) else {
+        let Some(pool) = snapshot.document.pools.get(&endpoint.pool) else {
             return;
         };
         let (Some(model), Some(version)) = (pool.model.clone(), endpoint.version) else {
--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -97,10 +97,10 @@
 
 /// Builds the runner's spec from an assignment and this entry's configuration of the trainer.
 fn build_spec(shared: &Shared, assignment: Assignment) -> Result<Spec, String> {
-    let pin = shared.config.pin().ok_or("starting")?;
-    let trainer = pin.document.trainers.get(&assignment.trainer);
+    let snapshot = shared.config.snapshot().ok_or("starting")?;
+    let trainer = snapshot.document.trainers.get(&assignment.trainer);
     let trainer = trainer.ok_or("unknown trainer")?;
-    let pool = pin
+    let pool = snapshot
         .document
         .pools
         .get(&trainer.pool)
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -66,8 +66,8 @@
     prompt: &str,
     text: &str,
 ) -> Option<f64> {
-    let pin = shared.config.pin()?;
-    let pool = pin.document.trainers.get(trainer)?.scorer.clone()?;
+    let snapshot = shared.config.snapshot()?;
+    let pool = snapshot.document.trainers.get(trainer)?.scorer.clone()?;
     let id = shared.request_id();
     let request = Request {
         pool: &pool,
@@ -80,7 +80,7 @@
         seed: hash::stable(id.as_bytes()),
     };
     let choice = shared.endpoints.choose(shared, &request).ok()?;
-    endpoints::log_choice(shared, &id, What::Route, &choice, pin.number);
+    endpoints::log_choice(shared, &id, What::Route, &choice, snapshot.number);
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
     let score_request = serde_json::to_vec(&ScoreRequest { prompt, text }).ok()?;
     let identity = || {
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -5,7 +5,7 @@
     assign::{assign_groups, place_missing_groups},
     refuse,
 };
-use crate::{controllers::config::Pin, logging::What, state::Shared};
+use crate::{controllers::config::Snapshot, logging::What, state::Shared};
 use compact_str::{CompactString, format_compact};
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::{
@@ -41,7 +41,7 @@
 /// Queries the runners, merges their samples, and checks the staleness bound at delivery.
 pub async fn collect(
     shared: &Rc<Shared>,
-    pin: &Pin,
+    snapshot: &Snapshot,
     id: &str,
     collect: Collect,
 ) -> Result<Collected, Problem> {
@@ -52,7 +52,7 @@
     let deadline = shared.now() + wait;
     let mut excluded = BTreeSet::new();
     loop {
-        let bound = current_bound(shared, pin, id)?;
+        let bound = current_bound(shared, snapshot, id)?;
         let remaining_wait = deadline.since(shared.now()).min(MAX_ROUND_WAIT);
         let collected = collect_from_runners(
             shared,
@@ -65,7 +65,7 @@
         )
         .await;
         // The configuration may have tightened the bound during the queries.
-        let bound = self::current_bound(shared, pin, id)?.min(bound);
+        let bound = self::current_bound(shared, snapshot, id)?.min(bound);
         let merge = Merge {
             token: token.clone(),
             version: collect.version,
@@ -107,22 +107,23 @@
 }
 
 /// The staleness bound now in force for the lot's trainer, in versions, never above the pinned one.
-fn current_bound(shared: &Shared, pin: &Pin, id: &str) -> Result<u64, Problem> {
+fn current_bound(shared: &Shared, snapshot: &Snapshot, id: &str) -> Result<u64, Problem> {
     let submitted = shared.lots.submitted.borrow();
     let submitted_lot = submitted
         .get(id)
         .ok_or_else(|| refuse(Code::LotUnknown, "submit the lot again"))?;
-    let of = |pin: &Pin| {
-        pin.document
+    let of = |snapshot: &Snapshot| {
+        snapshot
+            .document
             .trainers
             .get(&submitted_lot.lot.trainer)
             .map(|t| t.bound)
     };
     let unknown = || refuse(Code::NotFound, "unknown trainer");
-    let pinned = of(pin).ok_or_else(unknown)?;
+    let pinned = of(snapshot).ok_or_else(unknown)?;
     let current = shared
         .config
-        .pin()
+        .snapshot()
         .as_ref()
         .and_then(of)
         .ok_or_else(unknown)?;
--- a/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
@@ -2,7 +2,7 @@
 
 use super::{super::record_published, RETRY_AFTER_MS, refuse};
 use crate::{
-    controllers::config::Pin,
+    controllers::config::Snapshot,
     objects::{Error as ObjectError, Purpose},
     state::Shared,
 };
@@ -28,12 +28,12 @@
 /// version changes nothing.
 pub async fn publish(
     shared: &Rc<Shared>,
-    pin: &Pin,
+    snapshot: &Snapshot,
     trainer: &str,
     publish: Publish,
 ) -> Result<Published, Problem> {
-    let trainer = pin.document.trainers.get(trainer);
-    let pool = trainer.and_then(|t| pin.document.pools.get(&t.pool));
+    let trainer = snapshot.document.trainers.get(trainer);
+    let pool = trainer.and_then(|t| snapshot.document.pools.get(&t.pool));
     let Some(model) = pool.and_then(|p| p.model.clone()) else {
         return Err(refuse(Code::NotFound, "unknown trainer"));
     };
--- a/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
@@ -1,7 +1,7 @@
 //! Accepts lots from trainers.
 
 use super::{SubmittedLot, assign, refuse};
-use crate::{controllers::config::Pin, state::Shared};
+use crate::{controllers::config::Snapshot, state::Shared};
 use compact_str::format_compact;
 use pinereel_api::{
     Problem,
@@ -13,8 +13,12 @@
 
 /// Accepts a lot and distributes its groups over the runners. A repeat with the same content is
 /// accepted again.
-pub async fn submit(shared: &Rc<Shared>, pin: &Pin, lot: Lot) -> Result<Submitted, Problem> {
-    let submitted_lot = validate(shared, pin, lot)?;
+pub async fn submit(
+    shared: &Rc<Shared>,
+    snapshot: &Snapshot,
+    lot: Lot,
+) -> Result<Submitted, Problem> {
+    let submitted_lot = validate(shared, snapshot, lot)?;
     let id = submitted_lot.lot.id.clone();
     let token = Token::empty(
         submitted_lot.digest,
@@ -32,8 +36,8 @@
     Ok(answer)
 }
 
-fn validate(shared: &Shared, pin: &Pin, lot: Lot) -> Result<SubmittedLot, Problem> {
-    if !pin.document.trainers.contains_key(&lot.trainer) {
+fn validate(shared: &Shared, snapshot: &Snapshot, lot: Lot) -> Result<SubmittedLot, Problem> {
+    if !snapshot.document.trainers.contains_key(&lot.trainer) {
         return Err(refuse(Code::NotFound, "unknown trainer"));
     }
     let mut first_samples = Vec::with_capacity(lot.groups.len());
@@ -51,8 +55,8 @@
     if samples == 0 {
         return Err(refuse(Code::BadRequest, "a lot without samples"));
     }
-    if samples > pin.document.limits.max_samples {
-        let most = pin.document.limits.max_samples;
+    if samples > snapshot.document.limits.max_samples {
+        let most = snapshot.document.limits.max_samples;
         return Err(refuse(
             Code::TooLarge,
             format_compact!("{samples} samples, at most {most}"),
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -159,7 +159,7 @@
     let before = starts(&shared.members.view());
     shared.members.view.borrow_mut().replace_all(objects);
     if starts(&shared.members.view()) != before {
-        shared.config.keep(&names);
+        shared.config.retain_peers(&names);
         link(shared);
     }
     Some(names)
@@ -192,7 +192,7 @@
     }
     log::warn!(entry = shared.name().as_str(); "members: own object is missing, written again");
     if write_own(shared).await.is_ok() {
-        config::read(shared);
+        config::start_read(shared);
     }
 }
 
@@ -317,7 +317,11 @@
 }
 
 /// How to bring a message to many.
-pub fn branches(shared: &Shared, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
+pub fn relay_groups(
+    shared: &Shared,
+    to: &BTreeSet<CompactString>,
+    attempt: u64,
+) -> Vec<RelayGroup> {
     shared.members.view().relay_groups(to, attempt)
 }
 
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -49,10 +49,10 @@
 
 /// Takes part in the rollout of each pool of engines.
 fn look(shared: &Rc<Shared>) {
-    let Some(pin) = shared.config.pin() else {
+    let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
-    for (name, pool) in &pin.document.pools {
+    for (name, pool) in &snapshot.document.pools {
         let known = shared.rollout.pools.borrow().contains_key(name);
         if known || pool.kind != PoolKind::Engine {
             continue;
@@ -98,10 +98,10 @@
 
 /// Tells the controller what is known of the pool.
 fn inform(shared: &Rc<Shared>, pool: &CompactString, listed: &mut BTreeSet<CompactString>) {
-    let Some(pin) = shared.config.pin() else {
+    let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
-    let model = pin
+    let model = snapshot
         .document
         .pools
         .get(pool)
@@ -228,8 +228,8 @@
     let name = name.clone();
     let model = shared
         .config
-        .pin()
-        .and_then(|pin| pin.document.pools.get(pool)?.model.clone());
+        .snapshot()
+        .and_then(|snapshot| snapshot.document.pools.get(pool)?.model.clone());
     // Asked again right before acting: the process may have been paused since the decision.
     let held = shared.leases.held(&duty(pool), shared.now());
     let (Some(model), Some(address), true) = (
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -61,7 +61,7 @@
             config::relay::abort(&shared, write, leaves);
             Reply::Done
         }
-        Call::Fetch => config::fetched(&shared),
+        Call::Fetch => config::serve_fetch(&shared),
         Call::Report => Reply::Report {
             incarnation: shared.incarnation,
             number: shared.config.number(),
@@ -79,7 +79,7 @@
 /// Takes in a peer's periodic summary.
 pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
     members::met(shared, from, summary.draining);
-    config::hear(shared, from, &summary);
+    config::receive_summary(shared, from, &summary);
     for (model, version) in summary.versions {
         lots::record_published(shared, &model, version);
     }
@@ -165,9 +165,9 @@
     let now = shared.now();
     Summary {
         number: shared.config.number(),
-        vouches: shared.config.vouches(now),
+        vouches: shared.config.is_up_to_date(now),
         sent_us: now.0,
-        echo: shared.config.echo(to),
+        echo: shared.config.echo_for(to),
         versions,
         leaving,
         crashes,
--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -3,7 +3,7 @@
 use super::{Exchange, refuse};
 use crate::{
     controllers::{
-        config::Pin,
+        config::Snapshot,
         queues::{self, Arrival, Refused, Turn},
     },
     http::Request,
@@ -22,7 +22,7 @@
 pub fn enter(
     shared: &Shared,
     request: &Request,
-    pin: Pin,
+    pin: Snapshot,
     pool: CompactString,
 ) -> Result<Exchange, Problem> {
     if !pin.document.pools.contains_key(&pool) {
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -14,7 +14,7 @@
 pub mod service;
 pub mod shape;
 
-use crate::controllers::config::Pin;
+use crate::controllers::config::Snapshot;
 use compact_str::CompactString;
 use pinereel_api::{
     Problem,
@@ -32,7 +32,7 @@
     /// When its answer is of no more use.
     pub deadline: Time,
     /// The configuration that it is served under.
-    pub pin: Pin,
+    pub pin: Snapshot,
     /// The pool that it goes to.
     pub pool: CompactString,
     /// Its priority.
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -1,7 +1,7 @@
 //! Pins a request to the configuration in force here.
 
 use super::refuse;
-use crate::{controllers::config::Pin, state::Shared};
+use crate::{controllers::config::Snapshot, state::Shared};
 use compact_str::CompactString;
 use pinereel_api::{Problem, problem::Code};
 use pinereel_core::config::Refusal;
@@ -14,7 +14,7 @@
 /// # Errors
 /// `Unavailable` while the entry may not admit requests: it drains, starts, was paused, is behind,
 /// does not know a patch's result, or is cut off. Asked for each request.
-pub fn pin(shared: &Shared) -> Result<Pin, Problem> {
+pub fn pin(shared: &Shared) -> Result<Snapshot, Problem> {
     if shared.drain.refuses() {
         return Err(later("this instance is draining"));
     }
@@ -28,8 +28,8 @@
 ///
 /// # Errors
 /// `Unavailable` before the first read.
-pub fn known(shared: &Shared) -> Result<Pin, Problem> {
-    let pin = shared.config.pin();
+pub fn known(shared: &Shared) -> Result<Snapshot, Problem> {
+    let pin = shared.config.snapshot();
     pin.ok_or_else(|| later(Refusal::Starting.to_string()))
 }
 
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -70,7 +70,7 @@
 
 async fn check(shared: &Shared, request: &mut Request) -> Result<Response, Problem> {
     let patch = read(shared, request).await?;
-    let document = propose::check(shared, &patch)?;
+    let document = propose::check_patch(shared, &patch)?;
     let document = serde_json::to_value(document).unwrap_or_default();
     Ok(json(&Checked { document }))
 }
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -1,7 +1,7 @@
 //! What this entry knows of the system.
 
 use crate::{
-    controllers::{config::Heard, members},
+    controllers::{config::PeerState, members},
     state::Shared,
 };
 use compact_str::{CompactString, format_compact};
@@ -76,7 +76,7 @@
 /// The known entries. Those that were not heard of lately, or only with a lower number, are asked.
 async fn entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
-    let heard = shared.config.heard();
+    let heard = shared.config.peer_states();
     let known = shared.members.view().members().clone();
     let others = known.iter().filter(|(name, _)| *name != shared.name());
     let doubtful = others.filter(|(_, entry)| {
@@ -93,7 +93,7 @@
             other(shared, &entry, *number, Duration::ZERO)
         } else {
             let last = heard.get(&name);
-            let silence = now.since(last.map_or(Time::ZERO, |last| last.at));
+            let silence = now.since(last.map_or(Time::ZERO, |last| last.received_at));
             other(shared, &entry, last.map_or(0, |last| last.number), silence)
         };
         (name, described)
@@ -105,11 +105,11 @@
 fn fresh<'a>(
     now: Time,
     entry: &member::Member,
-    heard: &'a BTreeMap<CompactString, Heard>,
-) -> Option<&'a Heard> {
+    heard: &'a BTreeMap<CompactString, PeerState>,
+) -> Option<&'a PeerState> {
     let last = heard.get(&entry.object.name)?;
     let same = last.incarnation == entry.object.incarnation;
-    (same && now.since(last.at) < SILENT).then_some(last)
+    (same && now.since(last.received_at) < SILENT).then_some(last)
 }
 
 fn own(shared: &Shared, entry: &member::Member) -> Entry {
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -309,7 +309,7 @@
     until(|| alive.iter().all(|e| admits(e) == Ok(2)))
         .await
         .unwrap();
-    let pin = alive[0].shared.config.pin().unwrap();
+    let pin = alive[0].shared.config.snapshot().unwrap();
     assert_eq!(pin.document.trainers["dispatch"].bound, 3);
     let (code, problem) = lost.await.unwrap();
     assert_ne!(code, 200, "{problem}");
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -65,7 +65,7 @@
             assert!(message.contains(&(base + 1).to_string()), "{message}");
         }
         for entry in &site.entries {
-            let pin = entry.shared.config.pin().unwrap();
+            let pin = entry.shared.config.snapshot().unwrap();
             assert_eq!(pin.document.trainers["dispatch"].bound, won[0].0);
         }
         answered.push(won[0].1);
@@ -288,7 +288,7 @@
         let now = branch[0].shared.now();
         branch
             .iter()
-            .filter(|e| e.shared.config.vouches(now))
+            .filter(|e| e.shared.config.is_up_to_date(now))
             .count()
     };
     assert_eq!(vouch(), 0, "a prepared patch may come into force");
