--- a/crates/pinereel/src/controllers/config/apply.rs
+++ b/crates/pinereel/src/controllers/config/apply.rs
@@ -1,4 +1,4 @@
-//! What changes here when a new number comes into force.
+//! Notifies the other controllers when a new configuration comes into force.
 
 use super::Snapshot;
 use crate::{
@@ -13,7 +13,7 @@
 };
 use std::rc::Rc;
 
-/// Tells the runner of lots and the endpoints what differs from the old configuration.
+/// Passes the differences from the `old` configuration to the lots' runner and the endpoints.
 pub fn apply_snapshot(shared: &Rc<Shared>, old: Option<&Snapshot>) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Trainers whose staleness bound differs, with the new one.
+/// Trainers whose staleness bound has changed, with the new bound.
 fn changed_bounds(old: &Document, new: &Document) -> Vec<(CompactString, u64)> {
     let bound = |name| old.trainers.get(name).map(|trainer| trainer.bound);
     new.trainers
@@ -44,7 +44,7 @@
         .collect()
 }
 
-/// Endpoints whose pool has another number of slots now.
+/// Listings of the endpoints whose pool's number of slots has changed.
 fn changed_slots(shared: &Shared, old: &Document, new: &Document) -> Vec<endpoint::Listing> {
     let set = shared.endpoints.set();
     let mut changed = Vec::new();
--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -1,9 +1,12 @@
-//! The configuration in force at this entry, and the patches that arrive here.
+//! The configuration in force at this entry: the I/O side of [`pinereel_core::config`].
 //!
-//! - [`propose`]: one patch on its way, from this entry as its proposer.
-//! - [`relay`]: messages of a patch, carried out here and passed on.
-//! - `apply`: what changes here when a new number comes into force.
-//! - `watch`: the sparse watch on the configuration's object.
+//! Requests are served under a [`Snapshot`]. This module feeds the [`Participant`] of the two-phase
+//! commit with reads of the object API and the summaries of peers, and carries out its actions.
+//!
+//! - [`propose`]: runs the [`pinereel_core::config::Coordinator`] of a patch that arrives here.
+//! - [`relay`]: handles and forwards the commit protocol's messages.
+//! - `apply`: notifies the other controllers of a new configuration.
+//! - `watch`: watches the configuration's object for changes.
 
 mod apply;
 pub mod propose;
@@ -35,36 +38,37 @@
 };
 use tokio::time::sleep;
 
-/// Pause between ticks of the register, which wants one at least every 250 ms.
+/// Interval between two ticks of the participant, which needs one at least every 250 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Most reads under way: a hanging one must not keep a fresh one from being sent.
+/// Most concurrent reads of the object: more than one, as a read that hangs must not prevent the
+/// next.
 const MAX_READS_IN_FLIGHT: u32 = 2;
-/// Longest wait for a peer's configuration.
+/// Timeout of a call that fetches a peer's configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The number and the document that a request is pinned to.
+/// A configuration as a request sees it, from its admission to its end.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// The number.
+    /// Number of the configuration; each accepted patch raises it by one.
     pub number: u64,
-    /// The document.
+    /// Content of the configuration.
     pub document: Rc<Document>,
 }
 
-/// What a peer last told.
+/// Content of a peer's last summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerState {
-    /// The peer's incarnation.
+    /// Incarnation of the peer that sent it.
     pub incarnation: u64,
-    /// When it was heard.
+    /// When it arrived, by this entry's clock.
     pub received_at: Time,
-    /// The number in force there.
+    /// Number of the configuration in force at the peer.
     pub number: u64,
-    /// The peer's own stamp of it.
+    /// Time of sending in microseconds, by the peer's clock; echoed back to it.
     sent_us: u64,
 }
 
-/// The controller's state.
+/// State of the configuration controller.
 pub struct Config {
     participant: RefCell<Participant>,
     snapshot: RefCell<Option<Snapshot>>,
@@ -72,12 +76,12 @@
     reads_in_flight: Cell<u32>,
     fetch_in_flight: Cell<bool>,
     next_round: Cell<u64>,
-    /// Rounds under way.
+    /// Patches whose commit rounds are running at this entry.
     rounds_in_flight: Cell<u32>,
 }
 
 impl Config {
-    /// The state of a starting entry.
+    /// State of a starting entry, which has no configuration before its first read.
     pub fn new(now: Time, name: CompactString) -> Self {
         Self {
             participant: RefCell::new(Participant::new(now, name)),
@@ -95,38 +99,38 @@
         self.participant.borrow().number()
     }
 
-    /// What is in force here, whether or not a request may be admitted under it; `None` before
-    /// the first read.
+    /// The configuration in force here, whether or not requests may be admitted under it; `None`
+    /// before the first read.
     pub fn snapshot(&self) -> Option<Snapshot> {
         self.snapshot.borrow().clone()
     }
 
-    /// What a request that is admitted now is pinned to.
+    /// The configuration under which a request is admitted now.
     ///
     /// # Errors
-    /// Why the entry admits none.
+    /// The reason why the entry does not admit requests.
     pub fn admits(&self, now: Time) -> Result<Snapshot, Refusal> {
         self.participant.borrow().admits(now)?;
         self.snapshot().ok_or(Refusal::Starting)
     }
 
-    /// Whether peers may take this entry's number as a sign that nothing newer is in force.
+    /// Whether peers may take this entry's number as proof that no higher one is in force.
     pub fn is_up_to_date(&self, now: Time) -> bool {
         self.participant.borrow().is_up_to_date(now)
     }
 
-    /// What was last heard of each peer.
+    /// The last summary of each peer.
     pub fn peer_states(&self) -> BTreeMap<CompactString, PeerState> {
         self.peer_states.borrow().clone()
     }
 
-    /// Forgets what was heard of others than `names`.
+    /// Drops the state of all peers but `names`.
     pub(super) fn retain_peers(&self, names: &BTreeSet<CompactString>) {
         let mut states = self.peer_states.borrow_mut();
         states.retain(|name, _| names.contains(name));
     }
 
-    /// Names the latest summary of the peer `to`, if one was heard.
+    /// Echo of the last summary of the peer `to`; `None` if this incarnation sent none.
     pub fn echo_for(&self, to: &Hello) -> Option<Echo> {
         let state = self.peer_states.borrow().get(&to.name).copied()?;
         (state.incarnation == to.incarnation).then_some(Echo {
@@ -136,7 +140,7 @@
     }
 }
 
-/// Starts the controller. The member object must have been written before.
+/// Starts the controller's tasks. The member object must have been written before.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
@@ -147,7 +151,7 @@
     spawn(shared, async |shared: Rc<Shared>| watch::run(&shared).await);
 }
 
-/// Takes in what a peer tells of its configuration.
+/// Handles a peer's periodic summary.
 pub fn receive_summary(shared: &Rc<Shared>, from: &Hello, summary: &Summary) {
     let now = shared.now();
     let state = PeerState {
@@ -170,7 +174,7 @@
     step(shared, event);
 }
 
-/// The answer to a peer's [`Call::Fetch`].
+/// Answers a peer's [`Call::Fetch`] with the configuration in force here.
 pub fn serve_fetch(shared: &Shared) -> Reply {
     let Some(snapshot) = shared.config.snapshot() else {
         return Reply::Refused("starting".into());
@@ -184,7 +188,7 @@
     }
 }
 
-/// Reads the object now, whatever the register orders.
+/// Starts a read of the object, without waiting for the participant to ask for one.
 pub(super) fn start_read(shared: &Rc<Shared>) {
     let in_flight = shared.config.reads_in_flight.get();
     if in_flight >= MAX_READS_IN_FLIGHT {
@@ -209,13 +213,13 @@
     });
 }
 
-/// Feeds the register and carries out its orders.
+/// Feeds an event to the participant and carries out its actions.
 fn step(shared: &Rc<Shared>, event: ParticipantEvent) {
     let actions = step_participant(shared, event);
     execute_all(shared, actions);
 }
 
-/// Stores a configuration that may come into force; whether it is confirmed.
+/// Prepares a configuration at this entry; returns whether the participant confirmed it.
 fn prepare(shared: &Rc<Shared>, prepare: Prepare) -> bool {
     let actions = step_participant(shared, ParticipantEvent::Prepare(prepare));
     let confirmed = actions
@@ -237,7 +241,7 @@
             document: Rc::new(participant.document().clone()),
         });
         drop((snapshot, participant));
-        // The pin is in place: whoever is told of the change already finds the new number.
+        // The snapshot is replaced first, so that those notified already see the new number.
         apply::apply_snapshot(shared, old.as_ref());
     }
     actions
@@ -251,14 +255,14 @@
                 abort_pending(shared, version, stored);
             }
             ParticipantAction::Fetch { from } => fetch(shared, from),
-            // The pin has followed the register, and the answer to a prepare confirms it.
+            // `step_participant` has replaced the snapshot, and `prepare` returns the confirmation.
             ParticipantAction::Apply { .. } | ParticipantAction::Confirm { .. } => {}
         }
     }
 }
 
 fn abort_pending(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
-    log::warn!(entry = shared.name().as_str(); "config: pending patch taken back");
+    log::warn!(entry = shared.name().as_str(); "config: aborting the pending patch of another proposer");
     spawn(shared, async move |shared| {
         write_stored(&shared, version, &stored).await;
         start_read(&shared);
@@ -277,19 +281,22 @@
         };
         match serde_json::from_value(document) {
             Ok(document) => step(&shared, ParticipantEvent::Fetched { number, document }),
-            Err(e) => log::error!("config: configuration {number} of {from} unreadable: {e}"),
+            Err(e) => log::error!(
+                "config: configuration {number} fetched from {from} cannot be parsed: {e}"
+            ),
         }
     });
 }
 
-/// Reads the object's version and content; an absent object is version 0 and empty.
+/// Reads the object's version and content; a missing object is version 0 and empty. `None` if it
+/// cannot be read.
 async fn read_stored(shared: &Shared) -> Option<(u64, StoredConfig)> {
     let objects = &shared.objects;
     match objects.read(Purpose::Config, CONFIG, CONFIG_NAME).await {
         Ok(None) => Some((0, StoredConfig::default())),
         Ok(Some(object)) => parse(object),
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(); "config: not read: {e}");
+            log::warn!(entry = shared.name().as_str(); "config: reading the object failed: {e}");
             None
         }
     }
@@ -299,7 +306,7 @@
     match serde_json::from_value(object.value) {
         Ok(stored) => Some((object.version, stored)),
         Err(e) => {
-            log::error!("config: object unreadable: {e}");
+            log::error!("config: object cannot be parsed: {e}");
             None
         }
     }
@@ -317,7 +324,7 @@
         Ok(version) => WriteResult::Written(version),
         Err(Error::Conflict | Error::NotFound) => WriteResult::Conflict,
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(); "config: write without a result: {e}");
+            log::warn!(entry = shared.name().as_str(); "config: result of a write is unknown: {e}");
             WriteResult::Unknown
         }
     }
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -1,4 +1,4 @@
-//! One patch on its way, with this entry as its proposer.
+//! Commits a patch with this entry as its proposer: drives the two-phase commit's [`Coordinator`].
 
 use super::{read_stored, relay, write_stored};
 use crate::{
@@ -21,24 +21,24 @@
     time::sleep,
 };
 
-/// Pause between ticks of a round, which wants one at least every 250 ms.
+/// Interval between two ticks of the coordinator, which needs one at least every 250 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait of an operator for an answer: a foreign patch's take-over and an own round.
+/// Deadline of a patch: enough to resolve another proposer's pending patch and run an own round.
 const PATCH_DEADLINE: Duration = Duration::from_secs(8);
-/// Failed reads in a row, before anything was written, that end a round.
+/// Consecutive failed reads that end a round in which nothing was written.
 const MAX_FAILED_READS: u32 = 3;
-/// A round that has read nothing for so long ends.
+/// A round that has neither read nor written the object within this time ends.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most rounds under way at one entry.
+/// Most rounds that run at one entry at a time.
 const MAX_ROUNDS_IN_FLIGHT: u32 = 32;
-/// Longest id of a patch, in bytes: the object keeps the last ones.
+/// Longest id of a patch, in bytes; bounded because the object keeps the ids of the last patches.
 const MAX_PATCH_ID_BYTES: usize = 128;
-/// Largest document, in bytes of JSON: the object holds two, and the accepted ids.
+/// Largest document, in bytes of JSON; the object holds two documents and the accepted ids.
 const MAX_DOCUMENT_BYTES: usize = 400_000;
-/// When an operator shall come back.
+/// Retry delay that an answer gives an operator whose patch was not accepted for now.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Checks a patch against what is in force here, and gives the document that it would make.
+/// Checks a patch against the configuration in force here; returns the document that results.
 ///
 /// # Errors
 /// `Conflict`, `InvalidPatch`, or `Unavailable` before the first read.
@@ -57,17 +57,17 @@
     }
 }
 
-/// Brings a patch into force everywhere; gives its number.
+/// Commits a patch at all entries; returns the number of the new configuration.
 ///
 /// # Errors
-/// A refusal if it will certainly not be in force, `Unknown` if that is not known.
+/// A refusal if the patch will certainly not come into force, `Unknown` if that is not known.
 pub async fn propose(shared: &Rc<Shared>, patch: Patch) -> Result<u64, Problem> {
     if patch.id.is_empty() || patch.id.len() > MAX_PATCH_ID_BYTES {
         let message =
             format_compact!("the patch's id is empty or longer than {MAX_PATCH_ID_BYTES} bytes");
         return Err(refuse(Code::BadRequest, message));
     }
-    // What is not tried is "unknown": an earlier sending of the patch may have been accepted.
+    // Not tried is still "unknown": an earlier submission of the same patch may have been accepted.
     if shared.drain.refuses() {
         return Err(with_retry_after(unknown(
             Code::Unavailable,
@@ -85,7 +85,7 @@
     let (outcome_sender, outcome) = oneshot::channel();
     let id = patch.id.clone();
     spawn(shared, async move |shared| {
-        // A graceful stop waits for it.
+        // Keeps a graceful shutdown waiting until the round has ended.
         let _guard = shared.drain.enter();
         let driver = RoundDriver::new(Rc::clone(&shared), patch, outcome_sender);
         driver.run().await;
@@ -101,16 +101,16 @@
     outcome.into_result()
 }
 
-/// How a round ended for the operator.
+/// Outcome of a patch, as reported to the operator.
 #[derive(Debug)]
 enum PatchOutcome {
-    /// By its own decision.
+    /// The coordinator's answer.
     Round(Answer),
     /// The object API could not be read and nothing had been written.
     NotReached,
 }
 
-/// Carries out what a round wants until it is over.
+/// Carries out the actions of one patch's [`Coordinator`] until it is done.
 struct RoundDriver {
     shared: Rc<Shared>,
     coordinator: Coordinator,
@@ -144,7 +144,7 @@
             write_id: write_id.clone(),
             deadline: now + PATCH_DEADLINE,
         };
-        // Bounded by the calls under way: each sends one event.
+        // Unbounded channel, but bounded use: each call in flight sends one event.
         let (event_sender, events) = mpsc::unbounded_channel();
         Self {
             coordinator: Coordinator::new(now, proposal),
@@ -249,12 +249,12 @@
 
     fn report_outcome(&mut self, outcome: PatchOutcome) {
         if let Some(sender) = self.outcome_sender.take() {
-            // The operator may have gone; the patch goes on.
+            // The operator may have disconnected; the round continues.
             let _ = sender.send(outcome);
         }
     }
 
-    /// Runs a call of the object API and feeds its event.
+    /// Spawns a call of the object API that sends its result as an event.
     fn spawn_call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
         let event_sender = self.event_sender.clone();
         spawn(&self.shared, async move |shared| {
@@ -281,7 +281,7 @@
         let answer = match self {
             Self::Round(answer) => answer,
             Self::NotReached => {
-                // This call wrote nothing, but an earlier one of the same patch may have done.
+                // This round wrote nothing, but an earlier one of the same patch may have.
                 let message = "the object API cannot be read; send the patch again";
                 return Err(with_retry_after(unknown(Code::ObjectApi, message)));
             }
@@ -305,7 +305,7 @@
     }
 }
 
-/// The fault of a document that does not fit the object.
+/// Returns a fault if the document is larger than [`MAX_DOCUMENT_BYTES`].
 fn size_fault(document: &Document) -> Option<Fault> {
     let size = serde_json::to_vec(document).map_or(usize::MAX, |bytes| bytes.len());
     (size > MAX_DOCUMENT_BYTES).then(|| Fault {
--- a/crates/pinereel/src/controllers/config/relay.rs
+++ b/crates/pinereel/src/controllers/config/relay.rs
@@ -1,4 +1,4 @@
-//! Messages of a patch: carried out here, and passed on to the entries of a branch.
+//! Messages of the two-phase commit: handled here, and forwarded to the leaves of a relay group.
 //!
 //! Up to [`pinereel_core::member::MAX_FULL_MESH_SIZE`] receivers each get their own message. Beyond that a
 //! message takes two levels: relays in each availability zone pass it on.
@@ -14,15 +14,15 @@
 use pinereel_core::config::{ParticipantEvent, Prepare};
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
-/// Longest wait of a relay for one of its leaves.
+/// Timeout of a relay's call to one of its leaves.
 const LEAF_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest wait of a proposer for a branch: a leaf's, and the way to the relay and back.
+/// Timeout of a proposer's call to a relay: [`LEAF_TIMEOUT`] and the round trip to the relay.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Names of entries.
+/// Names of entries that send, receive or confirm a message.
 pub type EntryNames = BTreeSet<CompactString>;
 
-/// Carries out a prepare, passes it on, and tells who confirmed it.
+/// Prepares a configuration here and at the leaves; returns the names of those that confirmed.
 pub async fn prepare(shared: &Rc<Shared>, prepare: Prepare, leaves: EntryNames) -> EntryNames {
     let mut confirmed = EntryNames::new();
     if prepare_here(shared, prepare.clone()) {
@@ -43,7 +43,7 @@
     confirmed
 }
 
-/// Puts a prepared configuration in force and passes the word on.
+/// Commits a prepared configuration here and forwards the commit to the leaves.
 pub fn commit(shared: &Rc<Shared>, number: u64, write_id: CompactString, leaves: EntryNames) {
     let event = ParticipantEvent::Commit {
         number,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Forgets a prepared configuration and passes the word on.
+/// Aborts a prepared configuration here and forwards the abort to the leaves.
 pub fn abort(shared: &Rc<Shared>, write_id: CompactString, leaves: EntryNames) {
     let event = ParticipantEvent::Abort {
         write_id: write_id.clone(),
@@ -75,8 +75,8 @@
     }
 }
 
-/// Asks all of `to` to prepare; `heard` gets the names that confirm, as they come in. Another
-/// `attempt` takes other relays.
+/// Sends a prepare to all of `to`; `on_confirmed` gets the names that confirm, as they arrive. A
+/// different `attempt` chooses different relays.
 pub fn prepare_all(
     shared: &Rc<Shared>,
     mut to: EntryNames,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Tells all of `to` that a prepared configuration is in force.
+/// Sends a commit to all of `to`.
 pub fn commit_all(shared: &Rc<Shared>, mut to: EntryNames, number: u64, write_id: &CompactString) {
     if to.remove(shared.name()) {
         commit(shared, number, write_id.clone(), EntryNames::new());
@@ -114,7 +114,7 @@
     }
 }
 
-/// Tells all of `to` that a prepared configuration is taken back.
+/// Sends an abort to all of `to`.
 pub fn abort_all(shared: &Rc<Shared>, mut to: EntryNames, write_id: &CompactString) {
     if to.remove(shared.name()) {
         abort(shared, write_id.clone(), EntryNames::new());
@@ -135,7 +135,7 @@
     }
 }
 
-/// Sends without regard to the answer: who misses it reads the object.
+/// Sends without waiting for the answer: an entry that misses the message reads the object.
 fn send_best_effort(shared: &Rc<Shared>, to: CompactString, call: Call, timeout: Duration) {
     spawn(shared, async move |shared| {
         members::call(&shared, &to, call, timeout).await;
--- a/crates/pinereel/src/controllers/config/watch.rs
+++ b/crates/pinereel/src/controllers/config/watch.rs
@@ -1,7 +1,7 @@
-//! The sparse watch: a few entries of each availability zone wait for changes of the object.
+//! Watches the configuration's object, at a few entries of each availability zone.
 //!
-//! A change only prompts a read. What a watch answers was asked for long ago, and the register
-//! counts doubts from the time at which the object was asked for.
+//! A change only triggers a read: a watch was sent long before its answer, and the participant
+//! measures the age of its information from the time at which a read was sent.
 
 use super::start_read;
 use crate::{
@@ -13,12 +13,12 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Longest wait of one watch.
+/// How long the object API holds one watch open without a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause before a failed watch is begun again, and between looks at whether to watch.
+/// Pause after a failed watch, and between checks of whether this entry is to watch.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches as long as this entry is one of those that do.
+/// Watches whenever this entry is one of its zone's watchers; never returns.
 pub async fn run(shared: &Rc<Shared>) {
     let mut after = None;
     loop {
@@ -30,7 +30,7 @@
         after = match watch_once(shared, after).await {
             Ok(revision) => Some(revision),
             Err(e) => {
-                log::debug!(entry = shared.name().as_str(); "config: watch ended: {e}");
+                log::debug!(entry = shared.name().as_str(); "config: watch failed: {e}");
                 sleep(RETRY_INTERVAL).await;
                 None
             }
@@ -38,7 +38,8 @@
     }
 }
 
-/// Waits for one change; gives the revision to go on from.
+/// Waits for one change; returns the revision from which to continue. Without `after`, reads the
+/// current revision.
 async fn watch_once(shared: &Rc<Shared>, after: Option<u64>) -> Result<u64, Error> {
     let Some(after) = after else {
         let list = shared.objects.list(Purpose::Config, CONFIG, "").await?;
