--- /dev/null
+++ b/crates/pinereel/src/controllers/claims/client.rs
@@ -0,0 +1,140 @@
+//! How an entry claims a key for a request of its own, and settles it.
+
+use super::{ClaimRequest, claim_locally, settle_locally, shard_hash};
+use crate::{peer::Error, state::Shared};
+use pinereel_api::wire::{Call, Reply};
+use pinereel_core::claim::{StoredResponse, Verdict};
+use std::{rc::Rc, time::Duration};
+use tokio::time::{sleep, timeout};
+
+/// Longest wait for a verdict. After it the request is refused and its claim given up.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest wait for one try to settle.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Tries to settle.
+const MAX_SETTLE_ATTEMPTS: u32 = 8;
+/// Pause after the first failed try to settle; it doubles with each.
+const SETTLE_RETRY_MIN_DELAY: Duration = Duration::from_millis(50);
+/// Longest pause between tries to settle.
+const SETTLE_RETRY_MAX_DELAY: Duration = Duration::from_secs(2);
+/// Entries to ask, best first, before this one writes the log itself.
+const MAX_REMOTE_CANDIDATES: usize = 3;
+
+/// What came of asking.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ClaimResult {
+    /// The log's verdict.
+    Verdict(Verdict),
+    /// The link to the owner closed: the claim may be in the log and must be settled as not run.
+    Closed,
+    /// No verdict came in time: as [`ClaimResult::Closed`].
+    TimedOut,
+}
+
+/// Asks the owner of the key's shard for a verdict. Only an ask that certainly was not carried out
+/// goes on to the next entry.
+pub async fn claim(shared: &Rc<Shared>, claim: &ClaimRequest, time_left: Duration) -> ClaimResult {
+    let wait = time_left.min(CLAIM_TIMEOUT);
+    match timeout(wait, claim_at_owner(shared, claim, time_left)).await {
+        Ok(result) => result,
+        Err(_) => ClaimResult::TimedOut,
+    }
+}
+
+async fn claim_at_owner(
+    shared: &Rc<Shared>,
+    claim: &ClaimRequest,
+    time_left: Duration,
+) -> ClaimResult {
+    let call = Call::Claim {
+        key: claim.key.clone(),
+        digest: claim.digest,
+        request: claim.request.clone(),
+        left_ms: u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX),
+    };
+    for name in shared
+        .members
+        .ranked(shard_hash(claim.shard()), MAX_REMOTE_CANDIDATES)
+    {
+        if name == *shared.name() {
+            break;
+        }
+        let reply = shared.mesh.call(&name, call.clone(), CLAIM_TIMEOUT).await;
+        let verdict = match reply {
+            Ok(Reply::Granted) => Verdict::Granted,
+            Ok(Reply::Repeat(record)) => Verdict::Repeat(record),
+            Ok(Reply::InProgress) => Verdict::InProgress,
+            Ok(Reply::ClaimUnknown) => Verdict::ClaimUnknown,
+            Ok(Reply::KeyConflict) => Verdict::KeyConflict,
+            Ok(Reply::NotClaimed) => Verdict::NotClaimed,
+            Ok(_) | Err(Error::NoLink | Error::QueueFull | Error::TooLarge) => continue,
+            Err(Error::Closed) => return ClaimResult::Closed,
+            Err(Error::Timeout) => return ClaimResult::TimedOut,
+        };
+        return ClaimResult::Verdict(verdict);
+    }
+    ClaimResult::Verdict(claim_locally(shared, claim, time_left).await)
+}
+
+/// Stores what became of a claimed request; `None` if it did not run and never will. Tries the
+/// shard's owner and the next ones in turn, and this entry's own log. Whether it is stored: if not,
+/// the key reads as in progress and then as unknown.
+pub async fn settle(
+    shared: &Rc<Shared>,
+    claim: &ClaimRequest,
+    outcome: Option<StoredResponse>,
+) -> bool {
+    let mut delay = SETTLE_RETRY_MIN_DELAY;
+    for _ in 0..MAX_SETTLE_ATTEMPTS {
+        if settle_within_timeout(shared, claim, outcome.clone()).await {
+            return true;
+        }
+        sleep(delay).await;
+        delay = (delay * 2).min(SETTLE_RETRY_MAX_DELAY);
+    }
+    log::warn!(
+        entry = shared.name().as_str(), request = claim.request.as_str();
+        "claim not settled: its key will read as unknown"
+    );
+    false
+}
+
+/// Settles an ask as not run, with one try; whether it is stored.
+pub async fn settle_not_run(shared: &Rc<Shared>, claim: &ClaimRequest) -> bool {
+    settle_within_timeout(shared, claim, None).await
+}
+
+async fn settle_within_timeout(
+    shared: &Rc<Shared>,
+    claim: &ClaimRequest,
+    outcome: Option<StoredResponse>,
+) -> bool {
+    let settled = settle_at_owner(shared, claim, outcome);
+    timeout(SETTLE_TIMEOUT, settled).await.unwrap_or(false)
+}
+
+async fn settle_at_owner(
+    shared: &Rc<Shared>,
+    claim: &ClaimRequest,
+    outcome: Option<StoredResponse>,
+) -> bool {
+    let call = Call::Settle {
+        key: claim.key.clone(),
+        request: claim.request.clone(),
+        digest: claim.digest,
+        outcome: outcome.clone(),
+    };
+    for name in shared
+        .members
+        .ranked(shard_hash(claim.shard()), MAX_REMOTE_CANDIDATES)
+    {
+        if name == *shared.name() {
+            break;
+        }
+        let reply = shared.mesh.call(&name, call.clone(), SETTLE_TIMEOUT).await;
+        if reply == Ok(Reply::Done) {
+            return true;
+        }
+    }
+    settle_locally(shared, claim, outcome).await
+}
--- a/crates/pinereel/src/controllers/claims/store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -1,6 +1,6 @@
 //! Carries out a log's calls on the object API.
 
-use super::owns;
+use super::is_owner;
 use crate::{
     objects::{Error, Purpose},
     state::{Shared, spawn},
@@ -10,32 +10,32 @@
 use std::rc::Rc;
 
 /// Segments that one list may give: the last digit of the number varies.
-const BLOCK: u64 = 10;
+const LIST_BLOCK_SIZE: u64 = 10;
 
 /// Makes one call and gives its answer.
-pub(super) async fn call(shared: &Rc<Shared>, shard: u64, action: Action) -> Event {
-    let done = match action {
+pub(super) async fn execute(shared: &Rc<Shared>, shard: u64, action: Action) -> Event {
+    let result = match action {
         Action::Create { number, segment } => return create(shared, shard, number, &segment).await,
         Action::Read { from } => read(shared, shard, from).await,
-        Action::ReadBase => read_base(shared, shard).await,
+        Action::ReadBase => check_base(shared, shard).await,
         Action::Trim { from, to } => trim(shared, shard, from, to).await,
         Action::Reply { .. } | Action::Settled { .. } => return Event::Tick,
     };
-    done.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         log::warn!(entry = shared.name().as_str(), shard = shard; "claims not read: {e}");
         Event::CallFailed
     })
 }
 
-async fn create(shared: &Shared, shard: u64, n: u64, segment: &Segment) -> Event {
-    let name = segment_name(shard, n);
+async fn create(shared: &Shared, shard: u64, number: u64, segment: &Segment) -> Event {
+    let name = segment_name(shard, number);
     let created = shared
         .objects
         .create(Purpose::Claims, CLAIMS, &name, segment);
     match created.await {
         Ok(version) => {
-            if let Some(open) = shared.claims.open.borrow_mut().get_mut(&shard) {
-                open.created = Some((n, version));
+            if let Some(open_log) = shared.claims.open_logs.borrow_mut().get_mut(&shard) {
+                open_log.last_created = Some((number, version));
             }
             Event::Created
         }
@@ -57,48 +57,48 @@
     let mut segments = Vec::new();
     let name = segment_name(shard, from);
     if let Some(object) = shared.objects.read(Purpose::Claims, CLAIMS, &name).await? {
-        segments.push((from, parse(object)?));
-        read_blocks(shared, shard, &mut segments).await?;
+        segments.push((from, parse_segment(object)?));
+        read_next_blocks(shared, shard, &mut segments).await?;
     }
-    let base = base(shared, shard).await?;
+    let base = read_base_object(shared, shard).await?;
     let base = base.map_or(0, |(base, _)| base);
     Ok(Event::Read { segments, base })
 }
 
-async fn read_blocks(
+async fn read_next_blocks(
     shared: &Shared,
     shard: u64,
     segments: &mut Vec<(u64, Segment)>,
 ) -> Result<(), Error> {
     loop {
-        let next = segments.last().map_or(0, |(n, _)| n + 1);
-        for object in list(shared, shard, next).await? {
-            let n = segments.last().map_or(0, |(n, _)| n + 1);
-            if object.name == segment_name(shard, n) {
-                segments.push((n, parse(object)?));
+        let next = segments.last().map_or(0, |(number, _)| number + 1);
+        for object in list_block(shared, shard, next).await? {
+            let number = segments.last().map_or(0, |(number, _)| number + 1);
+            if object.name == segment_name(shard, number) {
+                segments.push((number, parse_segment(object)?));
             }
         }
-        let now = segments.last().map_or(0, |(n, _)| n + 1);
-        if now == next || !now.is_multiple_of(BLOCK) {
+        let end = segments.last().map_or(0, |(number, _)| number + 1);
+        if end == next || !end.is_multiple_of(LIST_BLOCK_SIZE) {
             return Ok(());
         }
     }
 }
 
 /// The objects of the block that holds segment `n`.
-async fn list(shared: &Shared, shard: u64, n: u64) -> Result<Vec<Object>, Error> {
-    let mut prefix = segment_name(shard, n);
+async fn list_block(shared: &Shared, shard: u64, number: u64) -> Result<Vec<Object>, Error> {
+    let mut prefix = segment_name(shard, number);
     prefix.pop();
     let list = shared.objects.list(Purpose::Claims, CLAIMS, &prefix);
     list.await.map(|list| list.items)
 }
 
-fn parse(object: Object) -> Result<Segment, Error> {
+fn parse_segment(object: Object) -> Result<Segment, Error> {
     serde_json::from_value(object.value).map_err(|e| Error::Malformed(e.to_string()))
 }
 
 /// The base and its object's version.
-async fn base(shared: &Shared, shard: u64) -> Result<Option<(u64, u64)>, Error> {
+async fn read_base_object(shared: &Shared, shard: u64) -> Result<Option<(u64, u64)>, Error> {
     let name = base_name(shard);
     let Some(object) = shared.objects.read(Purpose::Claims, CLAIMS, &name).await? else {
         return Ok(None);
@@ -110,17 +110,19 @@
 }
 
 /// Reads the base after a create. A segment that turns out to lie below it counts for nobody.
-async fn read_base(shared: &Rc<Shared>, shard: u64) -> Result<Event, Error> {
-    let base = base(shared, shard).await?.map_or(0, |(base, _)| base);
-    let created = match shared.claims.open.borrow_mut().get_mut(&shard) {
-        Some(open) => open.created.take(),
+async fn check_base(shared: &Rc<Shared>, shard: u64) -> Result<Event, Error> {
+    let base = read_base_object(shared, shard)
+        .await?
+        .map_or(0, |(base, _)| base);
+    let created = match shared.claims.open_logs.borrow_mut().get_mut(&shard) {
+        Some(open_log) => open_log.last_created.take(),
         None => None,
     };
-    if let Some((n, version)) = created
-        && n < base
+    if let Some((number, version)) = created
+        && number < base
     {
         spawn(shared, async move |shared: Rc<Shared>| {
-            delete(&shared, &segment_name(shard, n), version).await;
+            delete_segment(&shared, &segment_name(shard, number), version).await;
         });
     }
     Ok(Event::Base(base))
@@ -128,10 +130,10 @@
 
 /// Raises the base, then deletes what lies below it. Only the shard's owner trims.
 async fn trim(shared: &Shared, shard: u64, from: u64, to: u64) -> Result<Event, Error> {
-    let present = base(shared, shard).await?;
-    let now = present.map_or(0, |(base, _)| base);
-    if now != from || !owns(shared, shard) {
-        return Ok(Event::Base(now));
+    let present = read_base_object(shared, shard).await?;
+    let current = present.map_or(0, |(base, _)| base);
+    if current != from || !is_owner(shared, shard) {
+        return Ok(Event::Base(current));
     }
     let name = base_name(shard);
     let objects = &shared.objects;
@@ -149,8 +151,10 @@
             Ok(Event::Base(to))
         }
         Err(Error::Conflict) => {
-            let now = base(shared, shard).await?.map_or(0, |(base, _)| base);
-            Ok(Event::Base(now))
+            let current = read_base_object(shared, shard)
+                .await?
+                .map_or(0, |(base, _)| base);
+            Ok(Event::Base(current))
         }
         // Whether it took effect shows at the next read; then the trim is tried again.
         Err(e) => Err(e),
@@ -159,20 +163,20 @@
 
 async fn delete_below(shared: &Shared, shard: u64, from: u64, to: u64) -> Result<(), Error> {
     let end = segment_name(shard, to);
-    let mut block = from - from % BLOCK;
+    let mut block = from - from % LIST_BLOCK_SIZE;
     while block < to {
-        for object in list(shared, shard, block).await? {
+        for object in list_block(shared, shard, block).await? {
             if object.name.as_str() < end.as_str() {
-                delete(shared, &object.name, object.version).await;
+                delete_segment(shared, &object.name, object.version).await;
             }
         }
-        block += BLOCK;
+        block += LIST_BLOCK_SIZE;
     }
     Ok(())
 }
 
 /// A segment that stays behind takes room and is otherwise harmless.
-async fn delete(shared: &Shared, name: &str, version: u64) {
+async fn delete_segment(shared: &Shared, name: &str, version: u64) {
     let deleted = shared
         .objects
         .delete(Purpose::Claims, CLAIMS, name, version);
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -25,7 +25,7 @@
             request,
             left_ms,
         } => {
-            let ask = claims::Ask {
+            let ask = claims::ClaimRequest {
                 key,
                 digest,
                 request,
@@ -38,7 +38,7 @@
             digest,
             outcome,
         } => {
-            let ask = claims::Ask {
+            let ask = claims::ClaimRequest {
                 key,
                 digest,
                 request,
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -9,7 +9,7 @@
     unknown,
 };
 use crate::{
-    controllers::claims::{self, Ask, Asked},
+    controllers::claims::{self, ClaimRequest, ClaimResult},
     http::Response,
     logging::What,
     state::Shared,
@@ -79,7 +79,7 @@
     call: Call,
     key: &str,
 ) -> Result<Response, Problem> {
-    let ask = Ask {
+    let ask = ClaimRequest {
         // No pool's name has a slash in it, so two pools' keys are never the same.
         key: format_compact!("{}/{key}", exchange.pool),
         digest: digest(&call),
@@ -106,23 +106,25 @@
     shared: &Rc<Shared>,
     exchange: &Exchange,
     call: &Call,
-    ask: Ask,
+    ask: ClaimRequest,
 ) -> Result<Response, Problem> {
     let (ask, asked) = verdict(shared, exchange, ask).await;
     match asked {
-        Asked::Verdict(Verdict::Granted) => granted(shared, exchange, call, ask).await,
-        Asked::Verdict(Verdict::Repeat(record)) => replay(record),
-        Asked::Verdict(Verdict::InProgress) => Err(Problem {
+        ClaimResult::Verdict(Verdict::Granted) => granted(shared, exchange, call, ask).await,
+        ClaimResult::Verdict(Verdict::Repeat(record)) => replay(record),
+        ClaimResult::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
             ..unknown(Code::InProgress, "a request with this key is running")
         }),
-        Asked::Verdict(Verdict::ClaimUnknown) => Err(lost_outcome()),
-        Asked::Verdict(Verdict::KeyConflict) => Err(refuse(
+        ClaimResult::Verdict(Verdict::ClaimUnknown) => Err(lost_outcome()),
+        ClaimResult::Verdict(Verdict::KeyConflict) => Err(refuse(
             Code::KeyConflict,
             "the key was used with another request",
         )),
-        Asked::Verdict(Verdict::NotClaimed) => Err(not_claimed("the key could not be claimed")),
-        Asked::Closed | Asked::Late => {
+        ClaimResult::Verdict(Verdict::NotClaimed) => {
+            Err(not_claimed("the key could not be claimed"))
+        }
+        ClaimResult::Closed | ClaimResult::TimedOut => {
             settle(shared, ask, None);
             Err(not_claimed("no verdict on the key came"))
         }
@@ -131,17 +133,21 @@
 
 /// Asks for a verdict. An owner that went away is no reason to refuse: what it may have claimed is
 /// given up, and the next one asked, under another id since the first ask must never be granted.
-async fn verdict(shared: &Rc<Shared>, exchange: &Exchange, ask: Ask) -> (Ask, Asked) {
+async fn verdict(
+    shared: &Rc<Shared>,
+    exchange: &Exchange,
+    ask: ClaimRequest,
+) -> (ClaimRequest, ClaimResult) {
     let asked = claims::claim(shared, &ask, exchange.left(shared.now())).await;
     note(shared, exchange, &asked);
-    if asked != Asked::Closed {
+    if asked != ClaimResult::Closed {
         return (ask, asked);
     }
-    let again = Ask {
+    let again = ClaimRequest {
         request: format_compact!("{}.2", ask.request),
         ..ask.clone()
     };
-    if !claims::give_up(shared, &ask).await {
+    if !claims::settle_not_run(shared, &ask).await {
         return (ask, asked);
     }
     let asked = claims::claim(shared, &again, exchange.left(shared.now())).await;
@@ -153,7 +159,7 @@
     shared: &Rc<Shared>,
     exchange: &Exchange,
     call: &Call,
-    ask: Ask,
+    ask: ClaimRequest,
 ) -> Result<Response, Problem> {
     if exchange.left(shared.now()).is_zero() {
         settle(shared, ask, None);
@@ -180,7 +186,7 @@
 }
 
 /// Settles in the background: the caller has its answer already.
-fn settle(shared: &Rc<Shared>, ask: Ask, outcome: Option<StoredResponse>) {
+fn settle(shared: &Rc<Shared>, ask: ClaimRequest, outcome: Option<StoredResponse>) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
         let _guard = shared.drain.enter();
@@ -188,16 +194,16 @@
     });
 }
 
-fn note(shared: &Shared, exchange: &Exchange, asked: &Asked) {
+fn note(shared: &Shared, exchange: &Exchange, asked: &ClaimResult) {
     let verdict = match asked {
-        Asked::Verdict(Verdict::Granted) => "granted",
-        Asked::Verdict(Verdict::Repeat(_)) => "repeat",
-        Asked::Verdict(Verdict::InProgress) => "in_progress",
-        Asked::Verdict(Verdict::ClaimUnknown) => "unknown",
-        Asked::Verdict(Verdict::KeyConflict) => "key_conflict",
-        Asked::Verdict(Verdict::NotClaimed) => "not_claimed",
-        Asked::Closed => "closed",
-        Asked::Late => "late",
+        ClaimResult::Verdict(Verdict::Granted) => "granted",
+        ClaimResult::Verdict(Verdict::Repeat(_)) => "repeat",
+        ClaimResult::Verdict(Verdict::InProgress) => "in_progress",
+        ClaimResult::Verdict(Verdict::ClaimUnknown) => "unknown",
+        ClaimResult::Verdict(Verdict::KeyConflict) => "key_conflict",
+        ClaimResult::Verdict(Verdict::NotClaimed) => "not_claimed",
+        ClaimResult::Closed => "closed",
+        ClaimResult::TimedOut => "late",
     };
     shared.metrics.claims.with_label_values(&[verdict]).inc();
     let reason = format_compact!("claim: {verdict}");
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -281,7 +281,7 @@
         );
         assert_eq!(ran(&site, key), 1, "{key}");
     }
-    assert!(site.entries[2].shared.claims.logs() > 0);
+    assert!(site.entries[2].shared.claims.open_log_count() > 0);
 }
 
 #[actix_rt::test]
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -123,7 +123,7 @@
     let site = site(2).await;
     joined(&site).await;
     for entry in &site.entries {
-        entry.shared.claims.limit(Limits {
+        entry.shared.claims.set_limits(Limits {
             retention: Duration::from_millis(1_500),
             ..Limits::default()
         });
