--- a/crates/pinereel/src/controllers/claims/client.rs
+++ b/crates/pinereel/src/controllers/claims/client.rs
@@ -1,4 +1,4 @@
-//! How an entry claims a key for a request of its own, and settles it.
+//! Claims and settles idempotency keys for requests that arrived at this entry.
 
 use super::{ClaimRequest, claim_locally, settle_locally, shard_hash};
 use crate::{peer::Error, state::Shared};
@@ -7,32 +7,32 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a verdict. After it the request is refused and its claim given up.
+/// Longest wait for a verdict; after it the request is refused and its claim settled as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for one try to settle.
+/// Timeout of one attempt to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tries to settle.
+/// Most attempts to settle a claim.
 const MAX_SETTLE_ATTEMPTS: u32 = 8;
-/// Pause after the first failed try to settle; it doubles with each.
+/// Delay after the first failed attempt to settle; it doubles with each further one.
 const SETTLE_RETRY_MIN_DELAY: Duration = Duration::from_millis(50);
-/// Longest pause between tries to settle.
+/// Longest delay between attempts to settle.
 const SETTLE_RETRY_MAX_DELAY: Duration = Duration::from_secs(2);
-/// Entries to ask, best first, before this one writes the log itself.
+/// Most entries to try, in rank order, before this one writes the log itself.
 const MAX_REMOTE_CANDIDATES: usize = 3;
 
-/// What came of asking.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// The log's verdict.
+    /// Verdict of the shard's log.
     Verdict(Verdict),
-    /// The link to the owner closed: the claim may be in the log and must be settled as not run.
+    /// The link to the owner closed: the claim may be stored and must be settled as not run.
     Closed,
-    /// No verdict came in time: as [`ClaimResult::Closed`].
+    /// No verdict arrived in time; to be settled as after [`ClaimResult::Closed`].
     TimedOut,
 }
 
-/// Asks the owner of the key's shard for a verdict. Only an ask that certainly was not carried out
-/// goes on to the next entry.
+/// Claims a key at the owner of its shard. The next entry in rank is tried only if the claim
+/// certainly was not carried out.
 pub async fn claim(shared: &Rc<Shared>, claim: &ClaimRequest, time_left: Duration) -> ClaimResult {
     let wait = time_left.min(CLAIM_TIMEOUT);
     match timeout(wait, claim_at_owner(shared, claim, time_left)).await {
@@ -76,9 +76,9 @@
     ClaimResult::Verdict(claim_locally(shared, claim, time_left).await)
 }
 
-/// Stores what became of a claimed request; `None` if it did not run and never will. Tries the
-/// shard's owner and the next ones in turn, and this entry's own log. Whether it is stored: if not,
-/// the key reads as in progress and then as unknown.
+/// Settles a claim with the request's outcome; `None` if it did not run and never will. Tries the
+/// shard's owner, the next entries in rank, and this entry's own log. Returns whether the outcome
+/// is stored; if not, the key reads as in progress and later as unknown.
 pub async fn settle(
     shared: &Rc<Shared>,
     claim: &ClaimRequest,
@@ -94,12 +94,12 @@
     }
     log::warn!(
         entry = shared.name().as_str(), request = claim.request.as_str();
-        "claim not settled: its key will read as unknown"
+        "claims: settlement failed; the outcome of the key will be unknown"
     );
     false
 }
 
-/// Settles an ask as not run, with one try; whether it is stored.
+/// Settles a claim as not run, with a single attempt; returns whether that is stored.
 pub async fn settle_not_run(shared: &Rc<Shared>, claim: &ClaimRequest) -> bool {
     settle_within_timeout(shared, claim, None).await
 }
--- a/crates/pinereel/src/controllers/claims/log_store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -1,4 +1,4 @@
-//! Carries out a log's calls on the object API.
+//! Storage of the shards' logs in the object API: creates, reads and trims segments.
 
 use super::is_owner;
 use crate::{
@@ -9,10 +9,10 @@
 use pinereel_core::claim::{Action, Event, Segment, base_name, segment_name};
 use std::rc::Rc;
 
-/// Segments that one list may give: the last digit of the number varies.
+/// Segments that one list call covers: a name prefix that leaves out the last digit of the number.
 const LIST_BLOCK_SIZE: u64 = 10;
 
-/// Makes one call and gives its answer.
+/// Carries out one action of a log; returns the event with its result.
 pub(super) async fn execute(shared: &Rc<Shared>, shard: u64, action: Action) -> Event {
     let result = match action {
         Action::Create { number, segment } => return create(shared, shard, number, &segment).await,
@@ -22,7 +22,7 @@
         Action::Reply { .. } | Action::Settled { .. } => return Event::Tick,
     };
     result.unwrap_or_else(|e| {
-        log::warn!(entry = shared.name().as_str(), shard = shard; "claims not read: {e}");
+        log::warn!(entry = shared.name().as_str(), shard = shard; "claims: reading the log failed: {e}");
         Event::CallFailed
     })
 }
@@ -41,7 +41,7 @@
         }
         Err(Error::Conflict) => Event::Conflict,
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(), shard = shard; "claims not written: {e}");
+            log::warn!(entry = shared.name().as_str(), shard = shard; "claims: writing a segment failed: {e}");
             if e.had_no_effect() {
                 Event::NotCreated
             } else {
@@ -51,8 +51,8 @@
     }
 }
 
-/// The segments from `from` on without a gap, then the base. Mostly there is nothing new, so the
-/// first look is at one segment alone.
+/// Reads the segments from `from` up to the first gap, then the base. There is rarely a new
+/// segment, so only the first one is read before listing any block.
 async fn read(shared: &Shared, shard: u64, from: u64) -> Result<Event, Error> {
     let mut segments = Vec::new();
     let name = segment_name(shard, from);
@@ -85,7 +85,7 @@
     }
 }
 
-/// The objects of the block that holds segment `n`.
+/// Lists the objects of the block that holds segment `number`.
 async fn list_block(shared: &Shared, shard: u64, number: u64) -> Result<Vec<Object>, Error> {
     let mut prefix = segment_name(shard, number);
     prefix.pop();
@@ -97,7 +97,7 @@
     serde_json::from_value(object.value).map_err(|e| Error::Malformed(e.to_string()))
 }
 
-/// The base and its object's version.
+/// The shard's base number and the version of its object; `None` before the first trim.
 async fn read_base_object(shared: &Shared, shard: u64) -> Result<Option<(u64, u64)>, Error> {
     let name = base_name(shard);
     let Some(object) = shared.objects.read(Purpose::Claims, CLAIMS, &name).await? else {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads the base after a create. A segment that turns out to lie below it counts for nobody.
+/// Reads the base after a create. A created segment below the base is void, and deleted.
 async fn check_base(shared: &Rc<Shared>, shard: u64) -> Result<Event, Error> {
     let base = read_base_object(shared, shard)
         .await?
@@ -128,7 +128,7 @@
     Ok(Event::Base(base))
 }
 
-/// Raises the base, then deletes what lies below it. Only the shard's owner trims.
+/// Raises the base, then deletes the segments below it. Only the shard's owner trims.
 async fn trim(shared: &Shared, shard: u64, from: u64, to: u64) -> Result<Event, Error> {
     let present = read_base_object(shared, shard).await?;
     let current = present.map_or(0, |(base, _)| base);
@@ -156,7 +156,7 @@
                 .map_or(0, |(base, _)| base);
             Ok(Event::Base(current))
         }
-        // Whether it took effect shows at the next read; then the trim is tried again.
+        // The next read shows whether it took effect, and the trim is retried.
         Err(e) => Err(e),
     }
 }
@@ -175,12 +175,12 @@
     Ok(())
 }
 
-/// A segment that stays behind takes room and is otherwise harmless.
+/// Deletes a segment; a failure is only logged, as a leftover segment merely takes space.
 async fn delete_segment(shared: &Shared, name: &str, version: u64) {
     let deleted = shared
         .objects
         .delete(Purpose::Claims, CLAIMS, name, version);
     if let Err(e) = deleted.await {
-        log::warn!(entry = shared.name().as_str(); "claims segment {name} not deleted: {e}");
+        log::warn!(entry = shared.name().as_str(); "claims: deleting segment {name} failed: {e}");
     }
 }
--- a/crates/pinereel/src/controllers/claims/mod.rs
+++ b/crates/pinereel/src/controllers/claims/mod.rs
@@ -27,43 +27,43 @@
 };
 use tokio::{sync::oneshot, time::sleep};
 
-/// Pause between ticks of the logs.
+/// Interval between two ticks of each open log.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Outcomes wait for so long for claims to be written with.
+/// How long settlements are held back, so as to be written in one segment with later claims.
 const SETTLEMENT_LINGER: Duration = Duration::from_millis(100);
-/// A log that was not asked for so long, and is another entry's, is dropped from memory.
+/// A log that another entry owns is closed after this time without a claim or settlement.
 const IDLE_LOG_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A request that asks for its key.
+/// A request's claim of its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The pool and the idempotency key.
+    /// Pool and idempotency key, joined.
     pub key: CompactString,
-    /// Digest of the request's content.
+    /// Digest of the request's content, which must be the same for each use of the key.
     pub digest: Digest,
-    /// Id of the request, unique to this ask.
+    /// Id of the request, unique to this claim.
     pub request: CompactString,
 }
 
 impl ClaimRequest {
-    /// The shard of the key.
+    /// Number of the shard that the key belongs to.
     pub fn shard(&self) -> u64 {
         shard_of(&self.key, SHARD_COUNT)
     }
 }
 
-/// One open log.
+/// A shard's log that is open at this entry, and the calls that wait for it.
 struct OpenLog {
     log: Log,
-    /// When a claim or settlement last came.
+    /// When the last claim or settlement arrived.
     last_used: Time,
     pending_claims: BTreeMap<CompactString, oneshot::Sender<Verdict>>,
     pending_settlements: BTreeMap<CompactString, Vec<oneshot::Sender<bool>>>,
-    /// The segment that the last create wrote: its number and version.
+    /// Number and object version of the segment created last.
     last_created: Option<(u64, u64)>,
 }
 
-/// The controller's state.
+/// State of the claims controller.
 pub struct Claims {
     limits: Cell<Limits>,
     open_logs: RefCell<BTreeMap<u64, OpenLog>>,
@@ -83,18 +83,18 @@
 }
 
 impl Claims {
-    /// Sets the bounds of logs that are opened from now on.
+    /// Sets the limits of logs that are opened from now on.
     pub fn set_limits(&self, limits: Limits) {
         self.limits.set(limits);
     }
 
-    /// Number of logs in memory.
+    /// Number of logs that are open at this entry.
     pub fn open_log_count(&self) -> usize {
         self.open_logs.borrow().len()
     }
 }
 
-/// Starts the controller.
+/// Starts the task that ticks the open logs and closes idle ones.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
@@ -108,7 +108,7 @@
     });
 }
 
-/// The owner keeps its logs, as only an open log is trimmed.
+/// Closes idle logs, except those that this entry owns, since only an open log is trimmed.
 fn close_idle_logs(shared: &Shared) {
     let now = shared.now();
     shared
@@ -122,23 +122,23 @@
         });
 }
 
-/// Whether this entry is the shard's owner in its own view.
+/// Whether this entry is the shard's owner by its own membership view.
 fn is_owner(shared: &Shared, shard: u64) -> bool {
     shared.members.ranked(shard_hash(shard), 1).first() == Some(shared.name())
 }
 
-/// Where a shard lies for the rendezvous.
+/// Key of a shard for rendezvous hashing.
 fn shard_hash(shard: u64) -> u64 {
     hash::stable(&shard.to_le_bytes())
 }
 
-/// Answers a peer's claim.
+/// Handles a peer's claim.
 pub async fn serve_claim(
     shared: &Rc<Shared>,
     claim: ClaimRequest,
     time_left: Duration,
 ) -> wire::Reply {
-    // An entry about to stop sends the asker elsewhere rather than leave it without an answer.
+    // A draining entry refuses, so that the caller tries the next entry instead of timing out.
     if shared.drain.refuses() {
         return wire::Reply::Refused("draining".into());
     }
@@ -153,7 +153,8 @@
     }
 }
 
-/// Stores a peer's settlement, also during a drain: what ran must not be forgotten.
+/// Handles a peer's settlement; also while draining, as the outcome of a request that ran must not
+/// be lost.
 pub async fn serve_settle(
     shared: &Rc<Shared>,
     claim: ClaimRequest,
@@ -167,7 +168,7 @@
     }
 }
 
-/// Claims in the log that is open here.
+/// Claims a key in this entry's own log of the shard.
 async fn claim_locally(shared: &Rc<Shared>, claim: &ClaimRequest, time_left: Duration) -> Verdict {
     let (sender, verdict) = oneshot::channel();
     let shard = claim.shard();
@@ -186,7 +187,7 @@
     verdict.await.unwrap_or(Verdict::NotClaimed)
 }
 
-/// Settles in the log that is open here; whether it is stored.
+/// Settles a claim in this entry's own log of the shard; returns whether that is stored.
 async fn settle_locally(
     shared: &Rc<Shared>,
     claim: &ClaimRequest,
@@ -211,14 +212,14 @@
     stored.await.unwrap_or(false)
 }
 
-/// Opens the shard's log if need be, and notes that it is in use.
+/// Applies `update` to the shard's log, which is opened if necessary and marked as used.
 fn with_open_log(shared: &Rc<Shared>, shard: u64, update: impl FnOnce(&mut OpenLog)) {
     let now = shared.now();
     let mut initial_actions = Vec::new();
     {
         let mut logs = shared.claims.open_logs.borrow_mut();
         let open_log = logs.entry(shard).or_insert_with(|| {
-            // A writer's name is never used again, or a lost write could be taken for another.
+            // The writer id is never reused: a lost write could be taken for one of another writer.
             let limits = shared.claims.limits.get();
             let (log, actions) = Log::new(now, shared.request_id(), limits);
             initial_actions = actions;
@@ -236,7 +237,7 @@
     execute_all(shared, shard, initial_actions);
 }
 
-/// Tells a log an event and carries out what it wants.
+/// Feeds an event to a log and carries out the resulting actions.
 fn step(shared: &Rc<Shared>, shard: u64, event: Event) {
     let actions = {
         let mut logs = shared.claims.open_logs.borrow_mut();
@@ -267,7 +268,7 @@
         .get_mut(&shard)
         .and_then(|o| o.pending_claims.remove(request));
     if let Some(sender) = sender {
-        // Whoever asked and gave up settles by itself.
+        // A caller that has timed out settles its claim itself.
         let _ = sender.send(verdict);
     }
 }
