--- a/crates/pinereel/src/controllers/claims/log_store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -22,7 +22,7 @@
         Action::Reply { .. } | Action::Settled { .. } => return Event::Tick,
     };
     result.unwrap_or_else(|e| {
-        log::warn!(entry = shared.name().as_str(), shard = shard; "claims: reading the log failed: {e}");
+        log::warn!(entry = shared.name().as_str(), shard = shard; "claims: reading or trimming the log failed: {e}");
         Event::CallFailed
     })
 }
--- a/crates/pinereel/src/controllers/claims/mod.rs
+++ b/crates/pinereel/src/controllers/claims/mod.rs
@@ -1,10 +1,12 @@
-//! Idempotency claims: the logs of the shards that are open here, and whom to ask for a claim.
+//! Idempotency keys: claims a key before its request runs, and settles the claim with the outcome.
 //!
-//! - [`claim`]: how an entry gets a claim for a request of its own, and settles it.
-//! - `store`: how a log's calls are carried out on the object API.
+//! Each key belongs to a shard, whose log ([`pinereel_core::claim::Log`]) is kept in the object API.
+//! Any entry may write any shard's log; sending all claims of a shard to its owner, chosen by
+//! rendezvous hashing, only avoids write conflicts. An entry that cannot reach the owner uses the
+//! next in rank, or writes the log itself.
 //!
-//! Any entry may write any shard's log; the owner by rendezvous only saves conflicts. So an entry
-//! that cannot reach the owner goes to the next one, or writes the log itself.
+//! - `client`: claims and settles keys for requests that arrived at this entry.
+//! - `log_store`: reads, writes and trims a log's segments in the object API.
 
 mod client;
 mod log_store;
