--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -19,7 +19,7 @@
 
 /// Answers one request, which is in flight until the last byte of its answer has been sent.
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
-    let guard = shared.drain.enter();
+    let guard = shared.drain.track_request();
     let answer = answer_to(shared, request).await;
     http::hold(answer, guard)
 }
@@ -115,7 +115,7 @@
     shared: &Shared,
     work: impl Future<Output = Result<T, Problem>> + 'static,
 ) -> Result<T, Problem> {
-    let guard = shared.drain.enter();
+    let guard = shared.drain.track_request();
     let task = actix_rt::spawn(async move {
         let _guard = guard;
         work.await
--- a/crates/pinereel/src/controllers/claims/mod.rs
+++ b/crates/pinereel/src/controllers/claims/mod.rs
@@ -141,10 +141,10 @@
     time_left: Duration,
 ) -> wire::Reply {
     // A draining entry refuses, so that the caller tries the next entry instead of timing out.
-    if shared.drain.refuses() {
+    if shared.drain.refuses_requests() {
         return wire::Reply::Refused("draining".into());
     }
-    let _guard = shared.drain.enter();
+    let _guard = shared.drain.track_request();
     match claim_locally(shared, &claim, time_left).await {
         Verdict::Granted => wire::Reply::Granted,
         Verdict::Repeat(record) => wire::Reply::Repeat(record),
@@ -162,7 +162,7 @@
     claim: ClaimRequest,
     outcome: Option<StoredResponse>,
 ) -> wire::Reply {
-    let _guard = shared.drain.enter();
+    let _guard = shared.drain.track_request();
     if settle_locally(shared, &claim, outcome).await {
         wire::Reply::Done
     } else {
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -68,7 +68,7 @@
         return Err(refuse(Code::BadRequest, message));
     }
     // Not tried is still "unknown": an earlier submission of the same patch may have been accepted.
-    if shared.drain.refuses() {
+    if shared.drain.refuses_requests() {
         return Err(with_retry_after(unknown(
             Code::Unavailable,
             "this instance is draining",
@@ -86,7 +86,7 @@
     let id = patch.id.clone();
     spawn(shared, async move |shared| {
         // Keeps a graceful shutdown waiting until the round has ended.
-        let _guard = shared.drain.enter();
+        let _guard = shared.drain.track_request();
         let driver = RoundDriver::new(Rc::clone(&shared), patch, outcome_sender);
         driver.run().await;
         shared
--- a/crates/pinereel/src/controllers/config/watch.rs
+++ b/crates/pinereel/src/controllers/config/watch.rs
@@ -22,7 +22,7 @@
 pub async fn run(shared: &Rc<Shared>) {
     let mut after = None;
     loop {
-        if !members::watches(shared) {
+        if !members::is_config_watcher(shared) {
             after = None;
             sleep(RETRY_INTERVAL).await;
             continue;
--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -13,28 +13,28 @@
 use tokio::time::sleep;
 
 /// Pause between looks at what is in flight.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time for the last answers to leave their buffers before connections are closed.
-const LINGER: Duration = Duration::from_millis(100);
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 /// Longest wait for the hand-over of samples and leases.
-const HAND_OVER: Duration = Duration::from_secs(5);
+const MAX_HAND_OVER_TIME: Duration = Duration::from_secs(5);
 
 /// The controller's state.
 #[derive(Debug, Default)]
 pub struct Drain {
     /// Whether a stop was asked for.
-    asked: Cell<bool>,
+    stop_requested: Cell<bool>,
     /// Whether new requests are refused.
-    refuses: Cell<bool>,
+    refuses_requests: Cell<bool>,
     /// Requests in flight.
     in_flight: Rc<Cell<u64>>,
 }
 
 /// Counts a request as in flight until dropped.
-pub struct Guard(Rc<Cell<u64>>);
+pub struct InFlightGuard(Rc<Cell<u64>>);
 
-impl Drop for Guard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -42,23 +42,23 @@
 
 impl Drain {
     /// Asks for a stop. Asking again changes nothing.
-    pub fn ask(&self) {
-        self.asked.set(true);
+    pub fn request_stop(&self) {
+        self.stop_requested.set(true);
     }
 
     /// Refuses new requests from now on.
-    pub fn refuse(&self) {
-        self.refuses.set(true);
+    pub fn refuse_requests(&self) {
+        self.refuses_requests.set(true);
     }
 
     /// Whether new requests are refused.
-    pub fn refuses(&self) -> bool {
-        self.refuses.get()
+    pub fn refuses_requests(&self) -> bool {
+        self.refuses_requests.get()
     }
 
     /// Whether a stop was asked for.
-    pub fn asked(&self) -> bool {
-        self.asked.get()
+    pub fn is_stop_requested(&self) -> bool {
+        self.stop_requested.get()
     }
 
     /// Requests in flight.
@@ -67,9 +67,9 @@
     }
 
     /// Counts a request as in flight.
-    pub fn enter(&self) -> Guard {
+    pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
-        Guard(Rc::clone(&self.in_flight))
+        InFlightGuard(Rc::clone(&self.in_flight))
     }
 }
 
@@ -81,31 +81,31 @@
     let mut machine = StateMachine::new(drain::Settings {
         balancer_lag: settings.balancer_lag,
         max_finish: settings.longest,
-        max_hand_over: HAND_OVER,
+        max_hand_over: MAX_HAND_OVER_TIME,
     });
     while machine.phase() != Phase::Done {
-        for event in events(shared, machine.phase()) {
+        for event in pending_events(shared, machine.phase()) {
             for action in machine.step(shared.now(), event) {
-                act(shared, callers, action);
+                execute(shared, callers, action);
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    sleep(LINGER).await;
-    if let Err(e) = members::leave(shared).await {
+    sleep(FLUSH_DELAY).await;
+    if let Err(e) = members::deregister(shared).await {
         log::warn!(entry = shared.name().as_str(); "drain: member object not removed: {e}");
     }
     log::info!(entry = shared.name().as_str(); "drain: done");
 }
 
 /// What there is to tell in a phase.
-fn events(shared: &Shared, phase: Phase) -> Vec<Event> {
+fn pending_events(shared: &Shared, phase: Phase) -> Vec<Event> {
     let mut events = Vec::new();
-    if phase == Phase::Serving && shared.drain.asked() {
+    if phase == Phase::Serving && shared.drain.is_stop_requested() {
         events.push(Event::StopRequested);
     }
-    events.push(Event::InFlight(left(shared)));
-    if phase == Phase::HandingOver && shared.leases.released() && shared.lots.in_flight() == 0 {
+    events.push(Event::InFlight(remaining(shared)));
+    if phase == Phase::HandingOver && shared.leases.all_released() && shared.lots.in_flight() == 0 {
         events.push(Event::HandedOver);
     }
     events.push(Event::Tick);
@@ -113,23 +113,23 @@
 }
 
 /// Callers' requests, attempts of samples and handovers that have not ended.
-fn left(shared: &Shared) -> u32 {
+fn remaining(shared: &Shared) -> u32 {
     let requests = u32::try_from(shared.drain.in_flight()).unwrap_or(u32::MAX);
     let samples = u32::try_from(shared.lots.in_flight()).unwrap_or(u32::MAX);
     requests.saturating_add(samples)
 }
 
-fn act(shared: &Rc<Shared>, callers: &Server, action: Action) {
+fn execute(shared: &Rc<Shared>, callers: &Server, action: Action) {
     let entry = shared.name().as_str();
     match action {
         Action::ReadinessOff => log::info!(entry; "drain: readiness is off"),
         Action::StopAccepting => {
             callers.stop();
-            shared.drain.refuse();
+            shared.drain.refuse_requests();
             lots::step(shared, lot::Event::Drain);
-            log::info!(entry, left = left(shared); "drain: no new requests");
+            log::info!(entry, left = remaining(shared); "drain: no new requests");
         }
-        Action::HandOver => leases::drain(shared),
+        Action::HandOver => leases::release_all(shared),
         Action::Report { phase, left } => {
             let phase = format!("{phase:?}");
             log::warn!(entry, phase = phase.as_str(), left; "drain: the longest wait is over");
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -26,46 +26,46 @@
 use tokio::{sync::Notify, time::sleep};
 
 /// Pause between looks whether the configuration or the entries have changed.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest pause between load reports of one engine.
-const REPORT_PAUSE: Duration = Duration::from_millis(250);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Load reports a second of all engines together; more engines report less often.
-const REPORTS_PER_SECOND: u32 = 64;
+const MAX_TOTAL_REPORTS_PER_SECOND: u32 = 64;
 /// Longest wait for a load report.
-const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+const LOAD_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The controller's state.
 #[derive(Default)]
 pub struct Endpoints {
     set: RefCell<Set>,
     policy: RefCell<Policy>,
-    polled: RefCell<BTreeSet<CompactString>>,
+    polled_engines: RefCell<BTreeSet<CompactString>>,
     /// The platform's list.
-    pub list: instances::List,
+    pub list: instances::InstanceList,
     /// Revision of the list that the set is in line with.
-    applied: Cell<u64>,
+    applied_revision: Cell<u64>,
     /// Told whenever an endpoint may have room that had none.
-    pub room: Notify,
+    pub capacity_freed: Notify,
 }
 
 /// An attempt counted at its endpoint until it is finished or dropped.
-pub struct Ticket {
+pub struct AttemptGuard {
     shared: Rc<Shared>,
     key: Key,
     tokens: u32,
     started: Time,
     /// Whether it is a sample's, behind which no live request waits.
-    yields: bool,
-    done: bool,
+    is_sample: bool,
+    is_finished: bool,
 }
 
-impl Ticket {
+impl AttemptGuard {
     /// Notes how the attempt ended.
     pub fn finish(mut self, end: AttemptEnd) {
         self.end(end);
     }
 
-    fn count(&self, end: AttemptEnd) {
+    fn count_attempt(&self, end: AttemptEnd) {
         let result = match end {
             AttemptEnd::Completed => "whole",
             AttemptEnd::Cancelled => "cancelled",
@@ -86,15 +86,15 @@
     }
 
     fn end(&mut self, end: AttemptEnd) {
-        if std::mem::replace(&mut self.done, true) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
-        if self.yields {
+        if self.is_sample {
             let key = self.key;
             step(&self.shared, Event::Yielding { key, change: -1 });
         }
         let took = self.shared.now().since(self.started);
-        self.count(end);
+        self.count_attempt(end);
         let event = Event::Finished {
             key: self.key,
             tokens: self.tokens,
@@ -102,11 +102,11 @@
             end,
         };
         step(&self.shared, event);
-        self.shared.endpoints.room.notify_waiters();
+        self.shared.endpoints.capacity_freed.notify_waiters();
     }
 }
 
-impl Drop for Ticket {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         self.end(AttemptEnd::Cancelled);
     }
@@ -114,8 +114,8 @@
 
 impl Endpoints {
     /// Whether the platform's list was read since the start.
-    pub fn are_listed(&self) -> bool {
-        self.applied.get() > 0
+    pub fn is_list_read(&self) -> bool {
+        self.applied_revision.get() > 0
     }
 
     /// The endpoints, to look at.
@@ -124,8 +124,8 @@
     }
 
     /// Whether the set is in line with all that the platform's list says.
-    pub fn settled(&self) -> bool {
-        self.applied.get() > 0 && self.applied.get() == self.list.revision()
+    pub fn is_synced(&self) -> bool {
+        self.applied_revision.get() > 0 && self.applied_revision.get() == self.list.revision()
     }
 
     /// Chooses an endpoint; changes nothing.
@@ -140,24 +140,24 @@
 }
 
 /// Counts an attempt at an endpoint from now on.
-pub fn begin(shared: &Rc<Shared>, key: Key, tokens: u32) -> Ticket {
+pub fn start_attempt(shared: &Rc<Shared>, key: Key, tokens: u32) -> AttemptGuard {
     step(shared, Event::Started { key, tokens });
-    Ticket {
+    AttemptGuard {
         shared: Rc::clone(shared),
         key,
         tokens,
         started: shared.now(),
-        yields: false,
-        done: false,
+        is_sample: false,
+        is_finished: false,
     }
 }
 
 /// Counts an attempt of a sample, which takes no room from live requests.
-pub fn begin_sample(shared: &Rc<Shared>, key: Key, tokens: u32) -> Ticket {
-    let mut ticket = begin(shared, key, tokens);
+pub fn start_sample_attempt(shared: &Rc<Shared>, key: Key, tokens: u32) -> AttemptGuard {
+    let mut guard = start_attempt(shared, key, tokens);
     step(shared, Event::Yielding { key, change: 1 });
-    ticket.yields = true;
-    ticket
+    guard.is_sample = true;
+    guard
 }
 
 /// Logs a routing decision with its runners-up.
@@ -202,49 +202,49 @@
     let now = shared.now();
     let changes = shared.endpoints.set.borrow_mut().step(now, event);
     for change in changes {
-        note(shared, &change);
+        log_change(shared, &change);
     }
 }
 
-fn note(shared: &Shared, change: &Change) {
+fn log_change(shared: &Shared, change: &Change) {
     let what = serde_json::to_string(&change.kind).unwrap_or_default();
     shared.decide(What::Eject, &change.name, Some(&change.name), &what);
-    shared.endpoints.room.notify_waiters();
+    shared.endpoints.capacity_freed.notify_waiters();
 }
 
 /// Starts the controller.
 pub fn start(shared: &Rc<Shared>) {
-    shared.endpoints.policy.replace(policy(shared));
+    shared.endpoints.policy.replace(routing_policy(shared));
     spawn(shared, async |shared: Rc<Shared>| {
-        instances::run(&shared).await;
+        instances::follow_list(&shared).await;
     });
-    spawn(shared, async |shared: Rc<Shared>| keep(&shared).await);
+    spawn(shared, async |shared: Rc<Shared>| sync_set(&shared).await);
 }
 
 /// Brings the set in line whenever the platform's list, the configuration or the entries change.
-async fn keep(shared: &Rc<Shared>) {
+async fn sync_set(shared: &Rc<Shared>) {
     let mut last = None;
     loop {
-        let entries = instances::Entries::of(shared);
+        let entries = instances::LiveEntries::of(shared);
         let revision = shared.endpoints.list.revision();
         if let Some(snapshot) = shared.config.snapshot()
             && revision > 0
         {
-            let basis = (revision, snapshot.number, entries);
-            if last.as_ref() != Some(&basis) {
-                apply(shared, &snapshot, &basis.2);
-                shared.endpoints.applied.set(revision);
-                last = Some(basis);
+            let inputs = (revision, snapshot.number, entries);
+            if last.as_ref() != Some(&inputs) {
+                apply_list(shared, &snapshot, &inputs.2);
+                shared.endpoints.applied_revision.set(revision);
+                last = Some(inputs);
             }
         }
         tokio::select! {
             () = shared.endpoints.list.changed.notified() => {}
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
     }
 }
 
-fn policy(shared: &Shared) -> Policy {
+fn routing_policy(shared: &Shared) -> Policy {
     let settings = &shared.settings.policy;
     if settings.routing == Routing::Baseline {
         return Policy::BASELINE;
@@ -256,9 +256,9 @@
     }
 }
 
-fn apply(shared: &Rc<Shared>, snapshot: &Snapshot, entries: &instances::Entries) {
-    let held: BTreeMap<_, _> = {
-        let names = instances::held(shared, entries);
+fn apply_list(shared: &Rc<Shared>, snapshot: &Snapshot, entries: &instances::LiveEntries) {
+    let subset: BTreeMap<_, _> = {
+        let names = instances::subset_names(shared, entries);
         let listed = shared.endpoints.list.endpoints();
         let found = names.into_iter().map(|name| {
             let instance = listed[&name].clone();
@@ -269,18 +269,24 @@
     let gone: Vec<_> = {
         let set = shared.endpoints.set();
         let names = set.iter().map(|(_, e)| e.name.clone());
-        names.filter(|name| !held.contains_key(name)).collect()
+        names.filter(|name| !subset.contains_key(name)).collect()
     };
     for name in gone {
         step(shared, Event::Unlisted { name });
     }
-    for (name, instance) in held {
+    for (name, instance) in subset {
         let pool = snapshot.document.pools.get(&instance.pool);
         let slots = pool.map_or(1, |pool| pool.slots);
         let engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
         step(shared, Event::Listed(listing(&name, instance, slots)));
-        if engine && shared.endpoints.polled.borrow_mut().insert(name.clone()) {
-            spawn(shared, async move |shared| poll(&shared, name).await);
+        if engine
+            && shared
+                .endpoints
+                .polled_engines
+                .borrow_mut()
+                .insert(name.clone())
+        {
+            spawn(shared, async move |shared| poll_engine(&shared, name).await);
         }
     }
 }
@@ -298,9 +304,9 @@
 }
 
 /// Reads one engine's state until it is no more listed.
-async fn poll(shared: &Rc<Shared>, name: CompactString) {
+async fn poll_engine(shared: &Rc<Shared>, name: CompactString) {
     // Engines that were listed together are asked one after the other from the second time on.
-    let mut spread = f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
+    let mut phase = f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
     loop {
         let found = shared
             .endpoints
@@ -308,7 +314,7 @@
             .find(&name)
             .map(|(key, e)| (key, e.address.clone()));
         let Some((key, address)) = found else { break };
-        let read = engines::state(&shared.http, &address, REPORT_TIMEOUT).await;
+        let read = engines::state(&shared.http, &address, LOAD_REPORT_TIMEOUT).await;
         if let Ok(state) = read {
             let report = LoadReport {
                 at: Time(shared.now().0.saturating_sub(state.lag_ms * 1_000)),
@@ -328,25 +334,25 @@
                 },
             );
         }
-        offer(shared, &name);
-        sleep(report_pause(shared).mul_f64(spread)).await;
-        spread = 1.0;
+        send_offer(shared, &name);
+        sleep(report_interval(shared).mul_f64(phase)).await;
+        phase = 1.0;
     }
-    shared.endpoints.polled.borrow_mut().remove(&name);
-    withdraw(shared, name);
+    shared.endpoints.polled_engines.borrow_mut().remove(&name);
+    withdraw_offer(shared, name);
 }
 
 /// Pause between load reports of one engine, so that all together keep their rate.
-fn report_pause(shared: &Shared) -> Duration {
-    let engines = shared.endpoints.polled.borrow().len();
+fn report_interval(shared: &Shared) -> Duration {
+    let engines = shared.endpoints.polled_engines.borrow().len();
     let engines = u32::try_from(engines).unwrap_or(u32::MAX);
-    let pause = Duration::from_secs(1) / REPORTS_PER_SECOND * engines;
-    pause.max(REPORT_PAUSE)
+    let pause = Duration::from_secs(1) / MAX_TOTAL_REPORTS_PER_SECOND * engines;
+    pause.max(MIN_REPORT_INTERVAL)
 }
 
 /// Tells the lots' runner that an engine is no more in the set. What runs on one that is still
 /// listed, but went to another entry's subset, may end there.
-fn withdraw(shared: &Rc<Shared>, name: CompactString) {
+fn withdraw_offer(shared: &Rc<Shared>, name: CompactString) {
     let listed = shared.endpoints.list.endpoints().contains_key(&name);
     let event = if listed {
         lot::Event::Offer(lot::Offer {
@@ -362,7 +368,7 @@
 }
 
 /// Tells the lots' runner what an engine has to offer.
-fn offer(shared: &Rc<Shared>, name: &CompactString) {
+fn send_offer(shared: &Rc<Shared>, name: &CompactString) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
--- a/crates/pinereel/src/controllers/follow.rs
+++ b/crates/pinereel/src/controllers/follow.rs
@@ -12,15 +12,15 @@
 use tokio::time::sleep;
 
 /// Watches that all entries together begin in a second, for one kind; more entries wait longer.
-const WATCHES_PER_SECOND: u32 = 100;
+const MAX_TOTAL_WATCHES_PER_SECOND: u32 = 100;
 /// Shortest wait of one watch.
-const SHORTEST: Duration = Duration::from_secs(1);
+const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Longest wait of one watch.
-const LONGEST: Duration = Duration::from_secs(20);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 /// Pause between watches: changes that come together are taken together.
-const PAUSE: Duration = Duration::from_millis(100);
+const COALESCE_DELAY: Duration = Duration::from_millis(100);
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What the object API told.
 #[derive(Debug)]
@@ -36,28 +36,28 @@
     shared: &Rc<Shared>,
     purpose: Purpose,
     kind: &str,
-    mut take: impl FnMut(&Rc<Shared>, Update),
+    mut on_update: impl FnMut(&Rc<Shared>, Update),
 ) {
     let mut after = None;
     loop {
-        match once(shared, purpose, kind, after).await {
+        match next_update(shared, purpose, kind, after).await {
             Ok((revision, update)) => {
                 after = Some(revision);
-                take(shared, update);
-                sleep(PAUSE).await;
+                on_update(shared, update);
+                sleep(COALESCE_DELAY).await;
             }
             Err(e) => {
                 log::debug!(entry = shared.name().as_str(); "{kind}: not followed: {e}");
                 if e == Error::Gone {
                     after = None;
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn once(
+async fn next_update(
     shared: &Shared,
     purpose: Purpose,
     kind: &str,
@@ -68,14 +68,16 @@
         let list = objects.list(purpose, kind, "").await?;
         return Ok((list.revision, Update::All(list.items)));
     };
-    let changes = objects.watch(purpose, kind, after, wait(shared)).await?;
+    let changes = objects
+        .watch(purpose, kind, after, watch_wait(shared))
+        .await?;
     Ok((changes.revision, Update::Changes(changes.changes)))
 }
 
 /// How long a watch waits, so that all entries together keep their rate.
-fn wait(shared: &Shared) -> Duration {
+fn watch_wait(shared: &Shared) -> Duration {
     let entries = shared.members.view().members().len();
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-    let wait = Duration::from_secs(1) / WATCHES_PER_SECOND * entries;
-    wait.clamp(SHORTEST, LONGEST)
+    let wait = Duration::from_secs(1) / MAX_TOTAL_WATCHES_PER_SECOND * entries;
+    wait.clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT)
 }
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -27,7 +27,7 @@
 
 /// The list as last told.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct InstanceList {
     endpoints: RefCell<BTreeMap<CompactString, Instance>>,
     entries: RefCell<BTreeMap<CompactString, Instance>>,
     /// Counts what was told; 0 before the list was read.
@@ -36,7 +36,7 @@
     pub(super) changed: Notify,
 }
 
-impl List {
+impl InstanceList {
     /// Listed endpoints by name, whether this entry works with them or not.
     pub fn endpoints(&self) -> Ref<'_, BTreeMap<CompactString, Instance>> {
         self.endpoints.borrow()
@@ -47,7 +47,7 @@
         self.revision.get()
     }
 
-    fn put(&self, name: CompactString, value: Option<Value>) {
+    fn set(&self, name: CompactString, value: Option<Value>) {
         self.endpoints.borrow_mut().remove(&name);
         self.entries.borrow_mut().remove(&name);
         let Some(value) = value else { return };
@@ -66,29 +66,29 @@
         self.endpoints.borrow_mut().clear();
         self.entries.borrow_mut().clear();
         for object in objects {
-            self.put(object.name, Some(object.value));
+            self.set(object.name, Some(object.value));
         }
     }
 }
 
 /// Follows the platform's list.
-pub(super) async fn run(shared: &Rc<Shared>) {
-    follow(shared, Purpose::Instances, INSTANCES, take).await;
+pub(super) async fn follow_list(shared: &Rc<Shared>) {
+    follow(shared, Purpose::Instances, INSTANCES, apply_update).await;
 }
 
-fn take(shared: &Rc<Shared>, update: Update) {
+fn apply_update(shared: &Rc<Shared>, update: Update) {
     let list = &shared.endpoints.list;
     let changed = !matches!(&update, Update::Changes(changes) if changes.is_empty());
     match update {
         Update::All(objects) => list.replace(objects),
         Update::Changes(changes) => {
             for change in changes {
-                list.put(change.name, change.value);
+                list.set(change.name, change.value);
             }
         }
     }
     // Also without a change: the list has just been confirmed.
-    members::platform(shared, &list.entries.borrow());
+    members::apply_platform_list(shared, &list.entries.borrow());
     if changed {
         list.revision.set(list.revision.get() + 1);
         list.changed.notify_one();
@@ -97,9 +97,9 @@
 
 /// The live entries, with their availability zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Entries(BTreeMap<CompactString, CompactString>);
+pub(super) struct LiveEntries(BTreeMap<CompactString, CompactString>);
 
-impl Entries {
+impl LiveEntries {
     /// Those that this entry knows of, itself included.
     pub(super) fn of(shared: &Shared) -> Self {
         let view = shared.members.view();
@@ -116,7 +116,7 @@
 }
 
 /// Names of the endpoints that this entry works with.
-pub(super) fn held(shared: &Shared, entries: &Entries) -> Vec<CompactString> {
+pub(super) fn subset_names(shared: &Shared, entries: &LiveEntries) -> Vec<CompactString> {
     let listed = shared.endpoints.list.endpoints();
     let size = shared.settings.policy.subset;
     let all: Vec<_> = entries
@@ -136,8 +136,8 @@
         name: shared.name(),
         zone: shared.zone(),
     };
-    let held = listed.iter().filter(|(name, instance)| {
+    let subset = listed.iter().filter(|(name, instance)| {
         subset::contains(me, &all, name, &instance.zone, covers[&instance.pool])
     });
-    held.map(|(name, _)| name.clone()).collect()
+    subset.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -23,11 +23,11 @@
 use tokio::time::sleep;
 
 /// Candidates for one duty.
-const CANDIDATES: usize = 3;
+const CANDIDATES_PER_DUTY: usize = 3;
 /// Pause between ticks of a candidate.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Times of all leases: a dead holder is replaced after 5.5 s to 6.5 s.
-const LIMITS: Timing = Timing {
+const LEASE_TIMING: Timing = Timing {
     duration: Duration::from_secs(5),
     clock_margin: Duration::from_millis(500),
     retry_interval: Duration::from_secs(1),
@@ -36,7 +36,7 @@
 /// The controller's state.
 #[derive(Debug, Default)]
 pub struct Leases {
-    holders: RefCell<BTreeMap<CompactString, Candidate>>,
+    candidates: RefCell<BTreeMap<CompactString, Candidate>>,
     /// Whether all leases are to be given up.
     draining: Cell<bool>,
 }
@@ -44,52 +44,55 @@
 impl Leases {
     /// The fencing token of a duty and until when it may be acted on, if this entry may act now.
     pub fn held(&self, duty: &str, now: Time) -> Option<(u64, Time)> {
-        let holders = self.holders.borrow();
-        let holder = holders.get(duty)?;
-        Some((holder.fencing_token(now)?, holder.valid_until()))
+        let candidates = self.candidates.borrow();
+        let candidate = candidates.get(duty)?;
+        Some((candidate.fencing_token(now)?, candidate.valid_until()))
     }
 
     /// The duties that this entry may act on now, with their fencing tokens.
-    pub fn all(&self, now: Time) -> BTreeMap<CompactString, u64> {
-        let holders = self.holders.borrow();
-        let held = holders
+    pub fn held_fencing_tokens(&self, now: Time) -> BTreeMap<CompactString, u64> {
+        let candidates = self.candidates.borrow();
+        let held = candidates
             .iter()
-            .filter_map(|(duty, holder)| Some((duty, holder.fencing_token(now)?)));
+            .filter_map(|(duty, candidate)| Some((duty, candidate.fencing_token(now)?)));
         held.map(|(duty, fence)| (duty.clone(), fence)).collect()
     }
 
     /// Whether a draining entry is rid of all leases.
-    pub fn released(&self) -> bool {
-        self.holders.borrow().values().all(Candidate::is_released)
+    pub fn all_released(&self) -> bool {
+        self.candidates
+            .borrow()
+            .values()
+            .all(Candidate::is_released)
     }
 }
 
 /// Takes part in a duty from now on. Asking again changes nothing.
 pub fn join(shared: &Rc<Shared>, duty: &CompactString) {
     let id = format_compact!("{}-{:x}", shared.name(), shared.incarnation);
-    let mut holders = shared.leases.holders.borrow_mut();
-    if holders.contains_key(duty) {
+    let mut candidates = shared.leases.candidates.borrow_mut();
+    if candidates.contains_key(duty) {
         return;
     }
-    holders.insert(duty.clone(), Candidate::new(shared.now(), id, LIMITS));
+    candidates.insert(duty.clone(), Candidate::new(shared.now(), id, LEASE_TIMING));
     let duty = duty.clone();
     spawn(shared, async move |shared| run(&shared, &duty).await);
 }
 
 /// Gives up all leases; [`Leases::released`] tells when it is done.
-pub fn drain(shared: &Shared) {
+pub fn release_all(shared: &Shared) {
     shared.leases.draining.set(true);
 }
 
 async fn run(shared: &Shared, duty: &CompactString) {
     let mut held = None;
-    let mut told = false;
+    let mut drain_sent = false;
     loop {
-        if shared.leases.draining.get() && !told {
-            told = true;
-            tick(shared, duty, Event::Drain).await;
-        } else if told || candidate(shared, duty) {
-            tick(shared, duty, Event::Tick).await;
+        if shared.leases.draining.get() && !drain_sent {
+            drain_sent = true;
+            run_event(shared, duty, Event::Drain).await;
+        } else if drain_sent || is_candidate(shared, duty) {
+            run_event(shared, duty, Event::Tick).await;
         }
         let now = shared
             .leases
@@ -101,41 +104,41 @@
             shared.decide(What::Lease, duty, chosen, &reason);
             held = now;
         }
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
     }
 }
 
 /// Whether this entry is to look after the duty: one of the first in rank, or its holder.
-fn candidate(shared: &Shared, duty: &str) -> bool {
+fn is_candidate(shared: &Shared, duty: &str) -> bool {
     let holds = shared.leases.held(duty, shared.now()).is_some();
     let key = hash::stable(duty.as_bytes());
-    let ranked = shared.members.ranked(key, CANDIDATES);
+    let ranked = shared.members.ranked(key, CANDIDATES_PER_DUTY);
     holds || ranked.is_empty() || ranked.contains(shared.name())
 }
 
 /// One event, and the calls that it leads to. Each action is carried out and answered.
-async fn tick(shared: &Shared, duty: &CompactString, event: Event) {
+async fn run_event(shared: &Shared, duty: &CompactString, event: Event) {
     let mut actions = step(shared, duty, event);
     while let Some(action) = actions.pop() {
-        let event = call(shared, duty, action).await;
+        let event = execute(shared, duty, action).await;
         actions.extend(step(shared, duty, event));
     }
 }
 
 fn step(shared: &Shared, duty: &str, event: Event) -> Vec<Action> {
-    let mut holders = shared.leases.holders.borrow_mut();
-    let holder = holders.get_mut(duty);
-    holder.map_or_else(Vec::new, |holder| holder.step(shared.now(), event))
+    let mut candidates = shared.leases.candidates.borrow_mut();
+    let candidate = candidates.get_mut(duty);
+    candidate.map_or_else(Vec::new, |candidate| candidate.step(shared.now(), event))
 }
 
-async fn call(shared: &Shared, duty: &str, action: Action) -> Event {
+async fn execute(shared: &Shared, duty: &str, action: Action) -> Event {
     match action {
-        Action::Read => read(shared, duty).await,
-        Action::Write { expected, lease } => write(shared, duty, expected, &lease).await,
+        Action::Read => read_lease(shared, duty).await,
+        Action::Write { expected, lease } => write_lease(shared, duty, expected, &lease).await,
     }
 }
 
-async fn read(shared: &Shared, duty: &str) -> Event {
+async fn read_lease(shared: &Shared, duty: &str) -> Event {
     match shared.objects.read(Purpose::Leases, LEASES, duty).await {
         Ok(None) => Event::Read(None),
         Ok(Some(object)) => match serde_json::from_value::<Lease>(object.value) {
@@ -149,7 +152,7 @@
     }
 }
 
-async fn write(shared: &Shared, duty: &str, expected: Option<u64>, lease: &Lease) -> Event {
+async fn write_lease(shared: &Shared, duty: &str, expected: Option<u64>, lease: &Lease) -> Event {
     let objects = &shared.objects;
     let written = match expected {
         Some(version) => {
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -4,7 +4,7 @@
 use crate::{
     controllers::{
         crashes,
-        endpoints::{self, Ticket},
+        endpoints::{self, AttemptGuard},
     },
     engines::{self, Error},
     filters::attempt::end_of,
@@ -96,27 +96,32 @@
             ..request
         })
     };
-    if crashes::holds_back(&shared, identity).await {
+    if crashes::delay_if_blocked(&shared, identity).await {
         shared.lots.running_attempts.borrow_mut().remove(&attempt);
         report_failure(&shared, attempt, Failure::NotRun);
         return;
     }
     let sent_at = shared.now();
-    let ticket = endpoints::begin_sample(&shared, key, start.max_tokens);
+    let guard = endpoints::start_sample_attempt(&shared, key, start.max_tokens);
     let result = run_stream(&shared, start, &address, &id).await;
     match &result {
-        Ok(()) => crashes::answered(&shared, key, identity, sent_at),
-        Err(Error::Lost(_)) => crashes::broke(&shared, key, identity()).await,
+        Ok(()) => crashes::record_answer(&shared, key, identity, sent_at),
+        Err(Error::Lost(_)) => crashes::connection_lost(&shared, key, identity()).await,
         Err(_) => {}
     }
     shared.lots.running_attempts.borrow_mut().remove(&attempt);
-    report_end(&shared, attempt, ticket, result);
+    report_end(&shared, attempt, guard, result);
 }
 
 /// Reports the attempt's end to the endpoint's statistics and, if it failed, to the runner.
-fn report_end(shared: &Rc<Shared>, attempt: AttemptKey, ticket: Ticket, result: Result<(), Error>) {
+fn report_end(
+    shared: &Rc<Shared>,
+    attempt: AttemptKey,
+    guard: AttemptGuard,
+    result: Result<(), Error>,
+) {
     let Err(error) = result else {
-        ticket.finish(AttemptEnd::Completed);
+        guard.finish(AttemptEnd::Completed);
         return;
     };
     log::info!(entry = shared.name().as_str(); "attempt failed: {error}");
@@ -125,7 +130,7 @@
         Error::NotOpened(_) | Error::Refused(_) => Failure::NotRun,
         _ => Failure::Lost,
     };
-    ticket.finish(end);
+    guard.finish(end);
     report_failure(shared, attempt, failure);
 }
 
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -92,19 +92,19 @@
             content: Content::Body(&score_request),
         })
     };
-    if crashes::holds_back(shared, identity).await {
+    if crashes::delay_if_blocked(shared, identity).await {
         return None;
     }
     let sent_at = shared.now();
-    let ticket = endpoints::begin(shared, choice.key, 0);
+    let guard = endpoints::start_attempt(shared, choice.key, 0);
     let answer = send_request(shared, &address, score_request.clone().into()).await;
     match &answer {
-        Ok(_) => crashes::answered(shared, choice.key, identity, sent_at),
-        Err(ScoreError::Lost) => crashes::broke(shared, choice.key, identity()).await,
+        Ok(_) => crashes::record_answer(shared, choice.key, identity, sent_at),
+        Err(ScoreError::Lost) => crashes::connection_lost(shared, choice.key, identity()).await,
         Err(ScoreError::Other) => {}
     }
     let answer = answer.ok();
-    ticket.finish(if answer.is_some() {
+    guard.finish(if answer.is_some() {
         AttemptEnd::Completed
     } else {
         AttemptEnd::Failed
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -75,7 +75,7 @@
         let delivery = merge.deliver(collected);
         record_delivery(shared, id, &delivery, collect.version);
         // A draining entry answers at once; the trainer continues at another with the same token.
-        let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses();
+        let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses_requests();
         if !delivery.samples.is_empty() || delivery.remaining == 0 || stop {
             return Ok(Collected {
                 basis: collect.token,
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -25,35 +25,35 @@
 use tokio::{sync::Notify, time::sleep};
 
 /// Shortest pause between lists.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Lists a second of all entries together; more entries list less often.
-const LISTS_PER_SECOND: u32 = 20;
+const MAX_TOTAL_LISTS_PER_SECOND: u32 = 20;
 /// A list of the platform's that is older counts for nothing.
-const FRESH: Duration = Duration::from_secs(2);
+const MAX_PLATFORM_LIST_AGE: Duration = Duration::from_secs(2);
 /// Longest wait for an entry to tell that it is there.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Entries that are asked at once.
-const MAX_ASKED: usize = 64;
+const MAX_CONCURRENT_REPORTS: usize = 64;
 /// Entries of each availability zone that watch.
-const WATCHERS: usize = 2;
+const CONFIG_WATCHERS_PER_ZONE: usize = 2;
 /// Entries that remove member objects of instances that are gone.
-const REMOVERS: usize = 3;
+const MAX_REMOVERS: usize = 3;
 /// Links that an entry opens within its availability zone, when entries are many.
 const LINKS_IN_ZONE: usize = 3;
 /// Links that an entry opens out of its availability zone, when entries are many.
-const LINKS_OUT: usize = 3;
+const LINKS_OUT_OF_ZONE: usize = 3;
 
 /// The controller's state.
 #[derive(Default)]
 pub struct Members {
     view: RefCell<View>,
-    own: RefCell<Option<Object>>,
+    own_object: RefCell<Option<Object>>,
     /// Whether this entry has left for good.
-    left: Cell<bool>,
+    has_left: Cell<bool>,
     /// Asks for a list before its time.
-    wanted: Notify,
+    list_requested: Notify,
     /// When the platform's list was last read.
-    listed: Cell<Time>,
+    platform_listed_at: Cell<Time>,
 }
 
 impl Members {
@@ -77,16 +77,16 @@
         address,
         zone: shared.zone().clone(),
     };
-    shared.members.own.replace(Some(object));
-    while let Err(e) = write_own(shared).await {
+    shared.members.own_object.replace(Some(object));
+    while let Err(e) = write_own_object(shared).await {
         log::warn!(entry = shared.name().as_str(); "members: own object not written: {e}");
-        sleep(PAUSE).await;
+        sleep(MIN_LIST_INTERVAL).await;
     }
 }
 
 /// Writes the own member object, whatever stands there.
-async fn write_own(shared: &Shared) -> Result<(), Error> {
-    let Some(own) = shared.members.own.borrow().clone() else {
+async fn write_own_object(shared: &Shared) -> Result<(), Error> {
+    let Some(own) = shared.members.own_object.borrow().clone() else {
         return Ok(());
     };
     let name = shared.name();
@@ -106,8 +106,8 @@
 }
 
 /// Removes the own member object, at the end of a graceful stop.
-pub async fn leave(shared: &Shared) -> Result<(), Error> {
-    shared.members.left.set(true);
+pub async fn deregister(shared: &Shared) -> Result<(), Error> {
+    shared.members.has_left.set(true);
     remove(shared, shared.name(), shared.incarnation).await
 }
 
@@ -117,7 +117,7 @@
     let Some(object) = objects.read(Purpose::Members, MEMBERS, name).await? else {
         return Ok(());
     };
-    if read(&object.value).is_some_and(|present| present.incarnation != incarnation) {
+    if parse_member(&object.value).is_some_and(|present| present.incarnation != incarnation) {
         return Ok(());
     }
     objects
@@ -128,26 +128,26 @@
 /// Starts the controller.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
-        while !shared.members.left.get() {
+        while !shared.members.has_left.get() {
             if list(&shared).await.is_some() {
-                stay(&shared).await;
+                restore_own_object(&shared).await;
             }
-            clean(&shared).await;
-            sleep(PAUSE).await;
+            remove_gone_members(&shared).await;
+            sleep(MIN_LIST_INTERVAL).await;
             tokio::select! {
-                () = shared.members.wanted.notified() => {}
-                () = sleep(longer(&shared)) => {}
+                () = shared.members.list_requested.notified() => {}
+                () = sleep(extra_list_delay(&shared)) => {}
             }
         }
     });
 }
 
 /// What a pause between lists is longer than the shortest, so that all together keep their rate.
-fn longer(shared: &Shared) -> Duration {
+fn extra_list_delay(shared: &Shared) -> Duration {
     let count = shared.members.view().members().len();
     let count = u32::try_from(count).unwrap_or(u32::MAX);
-    let pause = Duration::from_secs(1) / LISTS_PER_SECOND * count;
-    pause.saturating_sub(PAUSE)
+    let interval = Duration::from_secs(1) / MAX_TOTAL_LISTS_PER_SECOND * count;
+    interval.saturating_sub(MIN_LIST_INTERVAL)
 }
 
 /// Lists the member objects; gives the names of all.
@@ -155,25 +155,27 @@
     let list = shared.objects.list(Purpose::Members, MEMBERS, "").await;
     let items = list.ok()?.items;
     let names: BTreeSet<_> = items.iter().map(|object| object.name.clone()).collect();
-    let objects = items.iter().filter_map(|object| read(&object.value));
-    let before = starts(&shared.members.view());
+    let objects = items
+        .iter()
+        .filter_map(|object| parse_member(&object.value));
+    let previous = incarnations(&shared.members.view());
     shared.members.view.borrow_mut().replace_all(objects);
-    if starts(&shared.members.view()) != before {
+    if incarnations(&shared.members.view()) != previous {
         shared.config.retain_peers(&names);
-        link(shared);
+        update_links(shared);
     }
     Some(names)
 }
 
 /// The known entries and their incarnations.
-fn starts(view: &View) -> BTreeMap<CompactString, u64> {
+fn incarnations(view: &View) -> BTreeMap<CompactString, u64> {
     let entries = view.members().iter();
     entries
         .map(|(name, entry)| (name.clone(), entry.object.incarnation))
         .collect()
 }
 
-fn read(value: &serde_json::Value) -> Option<Object> {
+fn parse_member(value: &serde_json::Value) -> Option<Object> {
     match serde::Deserialize::deserialize(value) {
         Ok(object) => Some(object),
         Err(e) => {
@@ -185,36 +187,39 @@
 
 /// Writes the own member object again if it was removed. Patches may have been accepted without
 /// this entry meanwhile, so the configuration is read after that.
-async fn stay(shared: &Rc<Shared>) {
+async fn restore_own_object(shared: &Rc<Shared>) {
     let there = shared.members.view().members().contains_key(shared.name());
-    if there || shared.members.left.get() {
+    if there || shared.members.has_left.get() {
         return;
     }
     log::warn!(entry = shared.name().as_str(); "members: own object is missing, written again");
-    if write_own(shared).await.is_ok() {
+    if write_own_object(shared).await.is_ok() {
         config::start_read(shared);
     }
 }
 
 /// Keeps the links that the view says, in both directions.
-fn link(shared: &Shared) {
+fn update_links(shared: &Shared) {
     let view = shared.members.view();
     let own = shared.name();
-    let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT);
+    let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE);
     if view.members().len() > MAX_FULL_MESH_SIZE {
         // Only the smaller name dials, so each must also know which links the others want.
         let others = view.members().keys().filter(|name| *name != own);
         let wanting = others.filter(|name| {
-            view.links(name, LINKS_IN_ZONE, LINKS_OUT)
+            view.links(name, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
                 .contains(own.as_str())
         });
         names.extend(wanting.cloned());
     }
-    let peers: Vec<_> = names.iter().filter_map(|name| peer(&view, name)).collect();
+    let peers: Vec<_> = names
+        .iter()
+        .filter_map(|name| find_peer(&view, name))
+        .collect();
     shared.mesh.want(peers);
 }
 
-fn peer(view: &View, name: &str) -> Option<Peer> {
+fn find_peer(view: &View, name: &str) -> Option<Peer> {
     let entry = view.members().get(name)?;
     Some(Peer {
         name: entry.object.name.clone(),
@@ -223,7 +228,7 @@
 }
 
 /// Takes the entries of the platform's list of instances.
-pub fn platform(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
+pub fn apply_platform_list(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
     let listed = entries.iter().map(|(name, instance)| {
         let state = match instance.state {
             Presence::Live => PlatformStatus::Live,
@@ -233,7 +238,7 @@
     });
     let listed = listed.collect();
     let now = shared.now();
-    shared.members.listed.set(now);
+    shared.members.platform_listed_at.set(now);
     shared
         .members
         .view
@@ -242,11 +247,11 @@
 }
 
 /// Notes a peer that spoke.
-pub fn met(shared: &Shared, from: &Hello, draining: bool) {
+pub fn observe_peer(shared: &Shared, from: &Hello, draining: bool) {
     let mut view = shared.members.view.borrow_mut();
     let known = view.members().get(&from.name);
     if known.is_none_or(|entry| entry.object.incarnation < from.incarnation) {
-        shared.members.wanted.notify_one();
+        shared.members.list_requested.notify_one();
     }
     if draining {
         view.mark_leaving(&from.name, from.incarnation);
@@ -255,19 +260,19 @@
 
 /// Removes the member objects of instances that are gone, if this entry is one that does. The
 /// platform's list lags, so one that still answers stays.
-async fn clean(shared: &Shared) {
+async fn remove_gone_members(shared: &Shared) {
     // After an outage the list's word must be a fresh one.
-    if shared.now().since(shared.members.listed.get()) > FRESH {
+    if shared.now().since(shared.members.platform_listed_at.get()) > MAX_PLATFORM_LIST_AGE {
         return;
     }
     let key = hash::stable(b"members");
-    let removers = shared.members.ranked(key, REMOVERS);
+    let removers = shared.members.ranked(key, MAX_REMOVERS);
     if !removers.contains(shared.name()) {
         return;
     }
     let gone = shared.members.view().removable(shared.now());
     for (name, incarnation) in gone {
-        if name == *shared.name() || answers(shared, &name, incarnation).await {
+        if name == *shared.name() || is_alive(shared, &name, incarnation).await {
             continue;
         }
         let entry = shared.name().as_str();
@@ -279,26 +284,26 @@
 }
 
 /// Whether this incarnation of an entry still answers.
-async fn answers(shared: &Shared, name: &str, incarnation: u64) -> bool {
+async fn is_alive(shared: &Shared, name: &str, incarnation: u64) -> bool {
     let reply = call(shared, name, Call::Report, REPORT_TIMEOUT).await;
     matches!(reply, Some(Reply::Report { incarnation: found, .. }) if found == incarnation)
 }
 
 /// Whether this entry is one of the few of its availability zone that watch.
-pub fn watches(shared: &Shared) -> bool {
+pub fn is_config_watcher(shared: &Shared) -> bool {
     let view = shared.members.view();
     let key = hash::stable(b"config");
     let own = hash::rendezvous(key, shared.name());
-    let before = view.members().values().filter(|entry| {
+    let ahead = view.members().values().filter(|entry| {
         let better = hash::rendezvous(key, &entry.object.name) > own;
         better && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
     });
-    before.count() < WATCHERS
+    ahead.count() < CONFIG_WATCHERS_PER_ZONE
 }
 
 /// Asks those of `names` that were not heard of lately; gives incarnation and number of each that
 /// answers.
-pub async fn reports(
+pub async fn fetch_reports(
     shared: &Shared,
     names: Vec<CompactString>,
 ) -> BTreeMap<CompactString, (u64, u64)> {
@@ -312,7 +317,7 @@
             _ => None,
         }
     });
-    let answers = stream::iter(asked).buffer_unordered(MAX_ASKED);
+    let answers = stream::iter(asked).buffer_unordered(MAX_CONCURRENT_REPORTS);
     answers.filter_map(future::ready).collect().await
 }
 
@@ -330,6 +335,6 @@
     if shared.mesh.has(name) {
         return shared.mesh.call(name, call, wait).await.ok();
     }
-    let peer = peer(&shared.members.view(), name)?;
+    let peer = find_peer(&shared.members.view(), name)?;
     shared.mesh.call_once(&peer, call, wait).await.ok()
 }
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -1,6 +1,6 @@
 //! Live requests that wait for an endpoint, one queue a pool, and the budget of their retries.
 //!
-//! A [`Turn`] is a request's place in its pool's queue, from its arrival to its end. Dropping it,
+//! A [`Permit`] is a request's place in its pool's queue, from its arrival to its end. Dropping it,
 //! at the end or because the caller is gone, frees the place exactly once.
 
 use crate::{
@@ -30,32 +30,32 @@
 /// The controller's state.
 #[derive(Debug)]
 pub struct Queues {
-    pools: RefCell<BTreeMap<CompactString, Pool>>,
-    next: Cell<u64>,
+    pools: RefCell<BTreeMap<CompactString, PoolQueue>>,
+    next_key: Cell<u64>,
     seed: u64,
 }
 
 /// One pool's queue, those in it, and its budget.
 #[derive(Debug)]
-struct Pool {
+struct PoolQueue {
     queue: Queue,
     slots: u32,
-    places: BTreeMap<RequestKey, Place>,
+    requests: BTreeMap<RequestKey, RequestState>,
     budget: Bucket,
 }
 
 /// Where a request stands.
 #[derive(Debug)]
-enum Place {
+enum RequestState {
     /// It waits to be told.
-    Waiting(oneshot::Sender<Result<(), Refused>>),
+    Waiting(oneshot::Sender<Result<(), Refusal>>),
     /// It was started.
     Started,
 }
 
 /// Why a request was given up, and when it would be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Why.
     pub reason: Reason,
     /// When to come back.
@@ -74,16 +74,16 @@
     /// When its answer is of no more use.
     pub deadline: Time,
     /// Most requests of its pool and priority that may wait.
-    pub most: usize,
+    pub max_waiting: usize,
 }
 
 /// A request's place in its pool's queue until it is dropped.
-pub struct Turn {
+pub struct Permit {
     shared: Rc<Shared>,
     arrival: Arrival,
     key: RequestKey,
     /// Whether it got its whole answer.
-    whole: Cell<bool>,
+    is_successful: Cell<bool>,
 }
 
 impl Queues {
@@ -91,7 +91,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             pools: RefCell::default(),
-            next: Cell::new(0),
+            next_key: Cell::new(0),
             seed,
         }
     }
@@ -99,7 +99,7 @@
     /// Requests of a pool that wait.
     pub fn waiting(&self, pool: &str) -> usize {
         let pools = self.pools.borrow();
-        pools.get(pool).map_or(0, Pool::waiting)
+        pools.get(pool).map_or(0, PoolQueue::waiting)
     }
 
     /// Whether a request that must be answered within `budget` would be admitted now.
@@ -116,12 +116,12 @@
     }
 }
 
-impl Pool {
+impl PoolQueue {
     fn new(now: Time, seed: u64) -> Self {
         Self {
             queue: Queue::new(Limits::default(), seed),
             slots: 0,
-            places: BTreeMap::new(),
+            requests: BTreeMap::new(),
             budget: Bucket::new(budget::Settings::RETRY, now),
         }
     }
@@ -133,16 +133,16 @@
     /// Takes in an event and tells those whom it concerns.
     fn step(&mut self, now: Time, event: Event) {
         for action in self.queue.step(now, event) {
-            self.tell(action);
+            self.notify(action);
         }
     }
 
-    fn tell(&mut self, action: Action) {
+    fn notify(&mut self, action: Action) {
         // One that is gone by now frees its place when its turn is dropped.
         match action {
             Action::Start { key } => {
-                let place = self.places.insert(key, Place::Started);
-                if let Some(Place::Waiting(sender)) = place {
+                let state = self.requests.insert(key, RequestState::Started);
+                if let Some(RequestState::Waiting(sender)) = state {
                     let _ = sender.send(Ok(()));
                 }
             }
@@ -151,8 +151,8 @@
                 reason,
                 retry_after,
             } => {
-                if let Some(Place::Waiting(sender)) = self.places.remove(&key) {
-                    let _ = sender.send(Err(Refused {
+                if let Some(RequestState::Waiting(sender)) = self.requests.remove(&key) {
+                    let _ = sender.send(Err(Refusal {
                         reason,
                         retry_after,
                     }));
@@ -166,44 +166,45 @@
 ///
 /// # Errors
 /// It is given up, at its arrival or at its deadline; it did not run.
-pub async fn enter(shared: &Rc<Shared>, arrival: Arrival) -> Result<Turn, Refused> {
-    let number = shared.queues.next.get();
-    shared.queues.next.set(number + 1);
-    let turn = Turn {
+pub async fn admit(shared: &Rc<Shared>, arrival: Arrival) -> Result<Permit, Refusal> {
+    let number = shared.queues.next_key.get();
+    shared.queues.next_key.set(number + 1);
+    let permit = Permit {
         shared: Rc::clone(shared),
-        whole: Cell::new(false),
+        is_successful: Cell::new(false),
         key: RequestKey(number),
         arrival,
     };
-    turn.queue(Event::Arrived {
-        key: turn.key,
-        priority: turn.arrival.priority,
-        deadline: turn.arrival.deadline,
-    })
-    .await?;
-    Ok(turn)
+    permit
+        .wait_in_queue(Event::Arrived {
+            key: permit.key,
+            priority: permit.arrival.priority,
+            deadline: permit.arrival.deadline,
+        })
+        .await?;
+    Ok(permit)
 }
 
-impl Turn {
+impl Permit {
     /// What the entry's parts share.
     pub fn shared(&self) -> &Shared {
         &self.shared
     }
 
     /// The request got its whole answer: that earns a part of a retry.
-    pub fn succeeded(&self) {
-        self.whole.set(true);
-        self.with(|pool, now| pool.budget.note_success(now));
+    pub fn record_success(&self) {
+        self.is_successful.set(true);
+        self.update_pool(|pool, now| pool.budget.note_success(now));
     }
 
     /// What is told to a request whose deadline passed before it was sent.
-    pub fn expired(&self) -> Refused {
+    pub fn expired_refusal(&self) -> Refusal {
         let mut retry_after = Duration::ZERO;
-        self.with(|pool, _| {
+        self.update_pool(|pool, _| {
             let estimate = pool.queue.estimate(self.arrival.priority);
             retry_after = estimate.wait.max(estimate.service);
         });
-        Refused {
+        Refusal {
             reason: Reason::Expired,
             retry_after,
         }
@@ -213,69 +214,72 @@
     ///
     /// # Errors
     /// The deadline passed.
-    pub async fn again(&self) -> Result<(), Refused> {
+    pub async fn requeue(&self) -> Result<(), Refusal> {
         let key = self.key;
-        self.queue(Event::Requeued { key }).await
+        self.wait_in_queue(Event::Requeued { key }).await
     }
 
     /// Sends the event and waits for what comes of it, until the deadline at most.
-    async fn queue(&self, event: Event) -> Result<(), Refused> {
+    async fn wait_in_queue(&self, event: Event) -> Result<(), Refusal> {
         let (sender, verdict) = oneshot::channel();
-        let place = Place::Waiting(sender);
-        self.with(|pool, now| {
+        let state = RequestState::Waiting(sender);
+        self.update_pool(|pool, now| {
             pool.queue.set_limits(Limits {
-                max_waiting: self.arrival.most,
+                max_waiting: self.arrival.max_waiting,
                 ..Limits::default()
             });
-            pool.places.insert(self.key, place);
+            pool.requests.insert(self.key, state);
             pool.step(now, event);
         });
-        let told = self.told(verdict).await;
-        if let Err(refused) = told {
+        let result = self.wait_for_verdict(verdict).await;
+        if let Err(refused) = result {
             let reason = format_compact!("{:?}", refused.reason);
             self.shared
                 .decide(What::Admit, &self.arrival.id, None, &reason);
         }
-        told
+        result
     }
 
-    async fn told(&self, verdict: oneshot::Receiver<Result<(), Refused>>) -> Result<(), Refused> {
+    async fn wait_for_verdict(
+        &self,
+        verdict: oneshot::Receiver<Result<(), Refusal>>,
+    ) -> Result<(), Refusal> {
         let mut verdict = pin!(verdict);
         loop {
             let left = self.arrival.deadline.since(self.shared.now());
             tokio::select! {
                 biased;
-                told = &mut verdict => {
-                    return told.expect("whoever waits is told before its place is removed");
+                result = &mut verdict => {
+                    return result.expect("whoever waits is told before its place is removed");
                 }
                 // The queue refuses whatever has waited until its deadline.
-                () = sleep(left) => self.with(|pool, now| pool.step(now, Event::Tick)),
+                () = sleep(left) => self.update_pool(|pool, now| pool.step(now, Event::Tick)),
             }
         }
     }
 
-    fn with(&self, change: impl FnOnce(&mut Pool, Time)) {
-        with(&self.shared, &self.arrival.pool, change);
+    fn update_pool(&self, update: impl FnOnce(&mut PoolQueue, Time)) {
+        update_pool(&self.shared, &self.arrival.pool, update);
     }
 }
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
         let key = self.key;
-        let whole = self.whole.get();
-        self.with(|pool, now| match pool.places.remove(&key) {
-            Some(Place::Started) if whole => pool.step(now, Event::Finished { key }),
-            Some(Place::Started) => pool.step(now, Event::Aborted { key }),
-            Some(Place::Waiting(_)) => pool.step(now, Event::Cancelled { key }),
+        let succeeded = self.is_successful.get();
+        self.update_pool(|pool, now| match pool.requests.remove(&key) {
+            Some(RequestState::Started) if succeeded => pool.step(now, Event::Finished { key }),
+            Some(RequestState::Started) => pool.step(now, Event::Aborted { key }),
+            Some(RequestState::Waiting(_)) => pool.step(now, Event::Cancelled { key }),
             None => {}
         });
     }
 }
 
 /// Takes a retry from the pool's budget and counts it; false if the budget is used up.
-pub fn retry(shared: &Shared, pool: &CompactString) -> bool {
+pub fn take_retry(shared: &Shared, pool: &CompactString) -> bool {
     let mut granted = false;
-    with(shared, pool, |pool, now| granted = pool.budget.take(now));
+    update_pool(shared, pool, |pool, now| granted = pool.budget.take(now));
     if granted {
         shared.metrics.retries.with_label_values(&[pool]).inc();
     }
@@ -286,40 +290,40 @@
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
-            let mut room = pin!(shared.endpoints.room.notified());
+            let mut freed = pin!(shared.endpoints.capacity_freed.notified());
             // Listening begins before looking, so that no room is missed between the two.
-            room.as_mut().enable();
-            look(&shared);
-            room.await;
+            freed.as_mut().enable();
+            tick_waiting_pools(&shared);
+            freed.await;
         }
     });
 }
 
-fn look(shared: &Shared) {
+fn tick_waiting_pools(shared: &Shared) {
     let waiting: Vec<_> = {
         let pools = shared.queues.pools.borrow();
         let waiting = pools.iter().filter(|(_, pool)| pool.waiting() > 0);
         waiting.map(|(name, _)| name.clone()).collect()
     };
     for name in waiting {
-        with(shared, &name, |pool, now| pool.step(now, Event::Tick));
+        update_pool(shared, &name, |pool, now| pool.step(now, Event::Tick));
     }
 }
 
 /// Changes a pool's queue, whose capacity is brought up to date first.
-fn with(shared: &Shared, name: &CompactString, change: impl FnOnce(&mut Pool, Time)) {
+fn update_pool(shared: &Shared, name: &CompactString, update: impl FnOnce(&mut PoolQueue, Time)) {
     let now = shared.now();
     let slots = capacity(shared, name);
     let mut pools = shared.queues.pools.borrow_mut();
     if !pools.contains_key(name) {
-        pools.insert(name.clone(), Pool::new(now, shared.queues.seed));
+        pools.insert(name.clone(), PoolQueue::new(now, shared.queues.seed));
     }
     let pool = pools.get_mut(name).expect("it was put there just now");
     if pool.slots != slots {
         pool.slots = slots;
         pool.step(now, Event::Capacity { slots });
     }
-    change(pool, now);
+    update(pool, now);
     let labels = [name.as_str()];
     let metrics = &shared.metrics;
     let waiting = metrics.queue.with_label_values(&labels);
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -25,35 +25,35 @@
 use tokio::time::sleep;
 
 /// Pause between ticks.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between looks for pools that are new in the configuration.
-const LOOK: Duration = Duration::from_millis(500);
+const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for an engine's answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const ENGINE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The controller's state.
 #[derive(Default)]
 pub struct Rollout {
-    pools: RefCell<BTreeMap<CompactString, Controller>>,
+    controllers: RefCell<BTreeMap<CompactString, Controller>>,
 }
 
 /// Starts the controller.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
-            look(&shared);
-            sleep(LOOK).await;
+            join_new_pools(&shared);
+            sleep(POOL_CHECK_INTERVAL).await;
         }
     });
 }
 
 /// Takes part in the rollout of each pool of engines.
-fn look(shared: &Rc<Shared>) {
+fn join_new_pools(shared: &Rc<Shared>) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
     for (name, pool) in &snapshot.document.pools {
-        let known = shared.rollout.pools.borrow().contains_key(name);
+        let known = shared.rollout.controllers.borrow().contains_key(name);
         if known || pool.kind != PoolKind::Engine {
             continue;
         }
@@ -65,39 +65,43 @@
         let controller = Controller::new(settings);
         shared
             .rollout
-            .pools
+            .controllers
             .borrow_mut()
             .insert(name.clone(), controller);
-        leases::join(shared, &duty(name));
+        leases::join(shared, &duty_of(name));
         let name = name.clone();
         spawn(shared, async move |shared| run(&shared, &name).await);
     }
 }
 
-fn duty(pool: &str) -> CompactString {
+fn duty_of(pool: &str) -> CompactString {
     format_compact!("rollout-{pool}")
 }
 
 async fn run(shared: &Rc<Shared>, pool: &CompactString) {
-    let duty = duty(pool);
+    let duty = duty_of(pool);
     let mut listed = BTreeSet::new();
-    let mut held = false;
+    let mut was_held = false;
     loop {
         let lease = shared.leases.held(&duty, shared.now());
         let lease = lease.map(|(fence, expires_at)| Lease { fence, expires_at });
-        if lease.is_some() || held {
+        if lease.is_some() || was_held {
             // Also once without a lease, so that the controller stops.
             step(shared, pool, Event::Lease(lease));
-            inform(shared, pool, &mut listed);
+            feed_pool_state(shared, pool, &mut listed);
             step(shared, pool, Event::Tick);
         }
-        held = lease.is_some();
-        sleep(TICK).await;
+        was_held = lease.is_some();
+        sleep(TICK_INTERVAL).await;
     }
 }
 
 /// Tells the controller what is known of the pool.
-fn inform(shared: &Rc<Shared>, pool: &CompactString, listed: &mut BTreeSet<CompactString>) {
+fn feed_pool_state(
+    shared: &Rc<Shared>,
+    pool: &CompactString,
+    listed: &mut BTreeSet<CompactString>,
+) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
     };
@@ -112,7 +116,9 @@
     }
     let present: Vec<_> = {
         let set = shared.endpoints.set();
-        set.pool(pool).map(|(_, engine)| told(engine)).collect()
+        set.pool(pool)
+            .map(|(_, engine)| engine_events(engine))
+            .collect()
     };
     let mut names = BTreeSet::new();
     for [is_listed, report] in present {
@@ -122,7 +128,7 @@
         step(shared, pool, is_listed);
         step(shared, pool, report);
     }
-    for event in beyond(shared, pool, &names) {
+    for event in events_outside_subset(shared, pool, &names) {
         if let Event::Listed { name, .. } = &event {
             names.insert(name.clone());
         }
@@ -135,7 +141,7 @@
 }
 
 /// What the platform's list and its load reports say of an engine.
-fn told(engine: &Endpoint) -> [Event; 2] {
+fn engine_events(engine: &Endpoint) -> [Event; 2] {
     let listed = Event::Listed {
         name: engine.name.clone(),
         zone: engine.zone.clone(),
@@ -151,11 +157,15 @@
 }
 
 /// Engines of the pool that are listed, but belong to the subsets of other entries alone.
-fn beyond(shared: &Shared, pool: &str, held: &BTreeSet<CompactString>) -> Vec<Event> {
+fn events_outside_subset(
+    shared: &Shared,
+    pool: &str,
+    in_subset: &BTreeSet<CompactString>,
+) -> Vec<Event> {
     let listed = shared.endpoints.list.endpoints();
     let others = listed
         .iter()
-        .filter(|(name, instance)| instance.pool == pool && !held.contains(*name));
+        .filter(|(name, instance)| instance.pool == pool && !in_subset.contains(*name));
     let events = others.map(|(name, instance)| Event::Listed {
         name: name.clone(),
         zone: instance.zone.clone(),
@@ -167,18 +177,18 @@
 
 fn step(shared: &Rc<Shared>, pool: &CompactString, event: Event) {
     let actions = {
-        let mut pools = shared.rollout.pools.borrow_mut();
-        let Some(controller) = pools.get_mut(pool) else {
+        let mut controllers = shared.rollout.controllers.borrow_mut();
+        let Some(controller) = controllers.get_mut(pool) else {
             return;
         };
         controller.step(shared.now(), event)
     };
     for action in actions {
-        act(shared, pool, action);
+        execute(shared, pool, action);
     }
 }
 
-fn act(shared: &Rc<Shared>, pool: &CompactString, action: Action) {
+fn execute(shared: &Rc<Shared>, pool: &CompactString, action: Action) {
     match action {
         Action::Read { name } => {
             let pool = pool.clone();
@@ -193,7 +203,7 @@
             shared.decide(What::Load, pool, Some(&name), &reason);
             let pool = pool.clone();
             spawn(shared, async move |shared| {
-                let event = order(&shared, &pool, &name, version, fence).await;
+                let event = send_order(&shared, &pool, &name, version, fence).await;
                 step(&shared, &pool, event);
             });
         }
@@ -205,20 +215,20 @@
 }
 
 async fn read(shared: &Rc<Shared>, pool: &CompactString, name: CompactString) {
-    let event = match address(shared, &name) {
-        Some(address) => match engines::state(&shared.http, &address, TIMEOUT).await {
+    let event = match engine_address(shared, &name) {
+        Some(address) => match engines::state(&shared.http, &address, ENGINE_CALL_TIMEOUT).await {
             Ok(state) => Event::Observed {
-                status: status(&state),
+                status: engine_status(&state),
                 name,
             },
-            Err(error) => failed(name, &error),
+            Err(error) => failure_event(name, &error),
         },
         None => Event::NoAnswer { name },
     };
     step(shared, pool, event);
 }
 
-async fn order(
+async fn send_order(
     shared: &Shared,
     pool: &str,
     name: &CompactString,
@@ -231,10 +241,10 @@
         .snapshot()
         .and_then(|snapshot| snapshot.document.pools.get(pool)?.model.clone());
     // Asked again right before acting: the process may have been paused since the decision.
-    let held = shared.leases.held(&duty(pool), shared.now());
+    let held = shared.leases.held(&duty_of(pool), shared.now());
     let (Some(model), Some(address), true) = (
         model,
-        address(shared, &name),
+        engine_address(shared, &name),
         held.map(|(f, _)| f) == Some(fence),
     ) else {
         return Event::NoAnswer { name };
@@ -244,35 +254,35 @@
         model,
         version,
     };
-    match engines::order(&shared.http, &address, &order, TIMEOUT).await {
+    match engines::order(&shared.http, &address, &order, ENGINE_CALL_TIMEOUT).await {
         Ok(state) => Event::Accepted {
-            status: status(&state),
+            status: engine_status(&state),
             name,
             fence,
         },
         Err(Error::Fenced) => Event::Fenced { name, fence },
-        Err(error) => failed(name, &error),
+        Err(error) => failure_event(name, &error),
     }
 }
 
 /// What a call without an answer says of its engine.
-fn failed(name: CompactString, error: &Error) -> Event {
+fn failure_event(name: CompactString, error: &Error) -> Event {
     match error {
         Error::NotOpened(_) => Event::Unreachable { name },
         _ => Event::NoAnswer { name },
     }
 }
 
-fn address(shared: &Shared, name: &str) -> Option<CompactString> {
-    let held = shared.endpoints.set();
-    if let Some((_, engine)) = held.find(name) {
+fn engine_address(shared: &Shared, name: &str) -> Option<CompactString> {
+    let set = shared.endpoints.set();
+    if let Some((_, engine)) = set.find(name) {
         return Some(engine.address.clone());
     }
     let listed = shared.endpoints.list.endpoints();
     listed.get(name).map(|instance| instance.address.clone())
 }
 
-fn status(state: &engine::State) -> Status {
+fn engine_status(state: &engine::State) -> Status {
     Status {
         incarnation: state.incarnation,
         version: state.version,
--- a/crates/pinereel/src/controllers/weights.rs
+++ b/crates/pinereel/src/controllers/weights.rs
@@ -16,29 +16,29 @@
 /// Starts the controller.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
-        follow(&shared, Purpose::Weights, WEIGHTS, take).await;
+        follow(&shared, Purpose::Weights, WEIGHTS, apply_update).await;
     });
 }
 
-fn take(shared: &Rc<Shared>, update: Update) {
+fn apply_update(shared: &Rc<Shared>, update: Update) {
     match update {
         Update::All(objects) => {
             for object in objects {
-                published(shared, &object.name, object.value);
+                record_weights(shared, &object.name, object.value);
             }
         }
         Update::Changes(changes) => {
             for change in changes {
                 // A version that was published stays so, also without its object.
                 if let Some(value) = change.value {
-                    published(shared, &change.name, value);
+                    record_weights(shared, &change.name, value);
                 }
             }
         }
     }
 }
 
-fn published(shared: &Rc<Shared>, model: &CompactString, value: Value) {
+fn record_weights(shared: &Rc<Shared>, model: &CompactString, value: Value) {
     match serde_json::from_value::<LatestWeights>(value) {
         Ok(weights) => lots::record_published(shared, model, weights.version),
         Err(e) => log::error!("weights of {model} unreadable: {e}"),
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -78,13 +78,13 @@
 
 /// Takes in a peer's periodic summary.
 pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
-    members::met(shared, from, summary.draining);
+    members::observe_peer(shared, from, summary.draining);
     config::receive_summary(shared, from, &summary);
     for (model, version) in summary.versions {
         lots::record_published(shared, &model, version);
     }
     if !summary.crashes.is_empty() {
-        crashes::hear(shared, summary.crashes);
+        crashes::merge_reports(shared, summary.crashes);
     }
     for (name, incarnation) in summary.leaving {
         crate::controllers::endpoints::step(shared, Event::Hinted { name, incarnation });
@@ -113,12 +113,12 @@
 impl News {
     /// Looks at what there is to tell in the next summary.
     pub fn refresh(&mut self, shared: &Shared) {
-        let untold = crashes::untold(shared);
+        let untold = crashes::take_pending_reports(shared);
         let is_news = !untold.is_empty();
         let now = Self {
             crashes: match is_news {
                 true => untold,
-                false => crashes::all(shared),
+                false => crashes::known_reports(shared),
             },
             versions: shared.lots.versions(),
             leaving: shared.endpoints.set().hints(),
@@ -171,6 +171,6 @@
         versions,
         leaving,
         crashes,
-        draining: shared.drain.asked(),
+        draining: shared.drain.is_stop_requested(),
     }
 }
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -78,8 +78,8 @@
             loop {
                 // A second signal asks for what is under way already.
                 tokio::select! {
-                    _ = terminate.recv() => shared.drain.ask(),
-                    _ = interrupt.recv() => shared.drain.ask(),
+                    _ = terminate.recv() => shared.drain.request_stop(),
+                    _ = interrupt.recv() => shared.drain.request_stop(),
                 }
             }
         });
@@ -197,7 +197,7 @@
             news.refresh(&shared);
             shared.mesh.tell(|to| dispatch::summary(&shared, &news, to));
             // News of crashes do not wait.
-            let news_of_crashes = shared.crashes.news.notified();
+            let news_of_crashes = shared.crashes.reports_pending.notified();
             let _ = timeout(SUMMARY_PAUSE, news_of_crashes).await;
         }
     });
--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -4,7 +4,7 @@
 use crate::{
     controllers::{
         config::Snapshot,
-        queues::{self, Arrival, Refused, Turn},
+        queues::{self, Arrival, Permit, Refusal},
     },
     http::Request,
     state::Shared,
@@ -46,19 +46,20 @@
 ///
 /// # Errors
 /// `Overloaded` or `NoEndpoint`, at once or at the deadline; not run.
-pub async fn wait(shared: &Rc<Shared>, exchange: &Exchange) -> Result<Turn, Problem> {
+pub async fn wait(shared: &Rc<Shared>, exchange: &Exchange) -> Result<Permit, Problem> {
     let arrival = Arrival {
         pool: exchange.pool.clone(),
         id: exchange.id.clone(),
         priority: exchange.priority,
         deadline: exchange.deadline,
-        most: (exchange.pin.document.limits.max_queue as usize).min(shared.settings.limits.waiting),
+        max_waiting: (exchange.pin.document.limits.max_queue as usize)
+            .min(shared.settings.limits.waiting),
     };
-    queues::enter(shared, arrival).await.map_err(refused)
+    queues::admit(shared, arrival).await.map_err(refused)
 }
 
 /// The answer to a request that was given up while it waited.
-pub fn refused(refused: Refused) -> Problem {
+pub fn refused(refused: Refusal) -> Problem {
     let (code, message) = match refused.reason {
         Reason::QueueFull => (Code::Overloaded, "the queue is at its bound"),
         Reason::TooLate => (Code::Overloaded, "it would be answered after its deadline"),
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -88,7 +88,7 @@
     let shared = Rc::clone(shared);
     let exchange = exchange.clone();
     let task = actix_rt::spawn(async move {
-        let _guard = shared.drain.enter();
+        let _guard = shared.drain.track_request();
         claimed(&shared, &exchange, &call, ask).await
     });
     task.await
@@ -189,7 +189,7 @@
 fn settle(shared: &Rc<Shared>, ask: ClaimRequest, outcome: Option<StoredResponse>) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
-        let _guard = shared.drain.enter();
+        let _guard = shared.drain.track_request();
         claims::settle(&shared, &ask, outcome).await;
     });
 }
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -9,7 +9,7 @@
     unknown,
 };
 use crate::{
-    controllers::{crashes, queues::Turn},
+    controllers::{crashes, queues::Permit},
     engines::{self, Error},
     http::{self, Response},
     state::Shared,
@@ -190,16 +190,16 @@
         let result = timeout(left, self.attempts(&turn)).await;
         match result {
             Ok(Ok(())) => {
-                turn.succeeded();
+                turn.record_success();
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
             Err(_) if self.ran.get() => Err(unknown(Code::Deadline, "the deadline passed")),
-            Err(_) => Err(admit::refused(turn.expired())),
+            Err(_) => Err(admit::refused(turn.expired_refusal())),
         }
     }
 
-    async fn attempts(&self, turn: &Turn) -> Result<(), Problem> {
+    async fn attempts(&self, turn: &Permit) -> Result<(), Problem> {
         let mut progress = Progress::default();
         let mut excluded: Vec<Key> = Vec::new();
         let mut last = None;
@@ -217,14 +217,14 @@
             let sent_at = self.shared.now();
             let error = match self.attempt(&seat.address, &mut progress).await {
                 Ok(()) => {
-                    crashes::answered(self.shared, seat.key, identity, sent_at);
+                    crashes::record_answer(self.shared, seat.key, identity, sent_at);
                     seat.ticket.finish(AttemptEnd::Completed);
                     return Ok(());
                 }
                 Err(error) => error,
             };
             if matches!(error, Error::Lost(_)) {
-                crashes::broke(self.shared, seat.key, identity()).await;
+                crashes::connection_lost(self.shared, seat.key, identity()).await;
             }
             seat.ticket.finish(attempt::end_of(&error));
             let wish = wish(self.request, &excluded);
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -15,7 +15,7 @@
 /// `Unavailable` while the entry may not admit requests: it drains, starts, was paused, is behind,
 /// does not know a patch's result, or is cut off. Asked for each request.
 pub fn pin(shared: &Shared) -> Result<Snapshot, Problem> {
-    if shared.drain.refuses() {
+    if shared.drain.refuses_requests() {
         return Err(later("this instance is draining"));
     }
     match shared.config.admits(shared.now()) {
@@ -39,10 +39,10 @@
 /// `Unavailable` from the start of a drain on, earlier than requests are refused, and before the
 /// endpoints are known.
 pub fn ready(shared: &Shared) -> Result<u64, Problem> {
-    if shared.drain.asked() {
+    if shared.drain.is_stop_requested() {
         return Err(later("this instance is draining"));
     }
-    if !shared.endpoints.are_listed() {
+    if !shared.endpoints.is_list_read() {
         return Err(later("the endpoints are not known yet"));
     }
     pin(shared).map(|pin| pin.number)
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -3,9 +3,9 @@
 use super::{Exchange, admit, refuse};
 use crate::{
     controllers::{
-        crashes::{self, Next},
-        endpoints::{self, Ticket},
-        queues::{self, Turn},
+        crashes::{self, AttemptPlacement},
+        endpoints::{self, AttemptGuard},
+        queues::{self, Permit},
     },
     logging::What,
     state::Shared,
@@ -33,7 +33,7 @@
     /// `IP:PORT`.
     pub address: CompactString,
     /// Counts the attempt.
-    pub ticket: Ticket,
+    pub ticket: AttemptGuard,
 }
 
 /// What the chain asks of the router.
@@ -57,12 +57,12 @@
 async fn take(
     shared: &Rc<Shared>,
     exchange: &Exchange,
-    turn: &Turn,
+    turn: &Permit,
     wish: Wish<'_>,
 ) -> Result<Seat, Problem> {
     loop {
         // Listening begins before choosing, so that no room is missed between the two.
-        let mut room = pin!(shared.endpoints.room.notified());
+        let mut room = pin!(shared.endpoints.capacity_freed.notified());
         room.as_mut().enable();
         let request = request(shared, exchange, wish);
         match shared.endpoints.choose(shared, &request) {
@@ -73,13 +73,13 @@
                     What::Retry
                 };
                 endpoints::log_choice(shared, &exchange.id, what, &choice, exchange.pin.number);
-                let ticket = endpoints::begin(shared, choice.key, wish.tokens);
+                let ticket = endpoints::start_attempt(shared, choice.key, wish.tokens);
                 if let Some(seat) = seat(shared, choice.key, ticket) {
                     return Ok(seat);
                 }
             }
             Err(Refusal::Full) if wish.excluded.is_empty() => {
-                turn.again().await.map_err(admit::refused)?;
+                turn.requeue().await.map_err(admit::refused)?;
             }
             Err(Refusal::Full) => {
                 let left = exchange.left(shared.now());
@@ -103,18 +103,18 @@
 pub async fn take_next(
     shared: &Rc<Shared>,
     exchange: &Exchange,
-    turn: &Turn,
+    turn: &Permit,
     wish: Wish<'_>,
     identity: impl Fn() -> Identity,
 ) -> Result<Seat, Problem> {
-    let key = match crashes::next(shared, &exchange.pool, identity).await? {
-        Next::Any => return take(shared, exchange, turn, wish).await,
-        Next::At(key) => key,
+    let key = match crashes::place_attempt(shared, &exchange.pool, identity).await? {
+        AttemptPlacement::Any => return take(shared, exchange, turn, wish).await,
+        AttemptPlacement::Only(key) => key,
     };
     if wish.excluded.contains(&key) {
         return Err(later(Code::NoEndpoint, "it was tried there"));
     }
-    let ticket = endpoints::begin(shared, key, wish.tokens);
+    let ticket = endpoints::start_attempt(shared, key, wish.tokens);
     let seat = seat(shared, key, ticket).ok_or_else(|| later(Code::NoEndpoint, "it has gone"))?;
     shared.decide(What::Route, &exchange.id, Some(&seat.name), "in doubt");
     Ok(seat)
@@ -126,7 +126,7 @@
     let request = request(shared, exchange, wish);
     let choice = shared.endpoints.choose(shared, &request);
     let left = matches!(choice, Ok(_) | Err(Refusal::Full));
-    left && queues::retry(shared, &exchange.pool)
+    left && queues::take_retry(shared, &exchange.pool)
 }
 
 fn request<'a>(shared: &'a Shared, exchange: &'a Exchange, wish: Wish<'a>) -> Request<'a> {
@@ -142,7 +142,7 @@
     }
 }
 
-fn seat(shared: &Shared, key: Key, ticket: Ticket) -> Option<Seat> {
+fn seat(shared: &Shared, key: Key, ticket: AttemptGuard) -> Option<Seat> {
     let set = shared.endpoints.set();
     let endpoint = set.get(key)?;
     Some(Seat {
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -8,7 +8,7 @@
     unknown,
 };
 use crate::{
-    controllers::{crashes, endpoints::Ticket, queues::Turn},
+    controllers::{crashes, endpoints::AttemptGuard, queues::Permit},
     http::Response,
     state::Shared,
     upstream::{Attempt, Error, Reuse, direct},
@@ -158,7 +158,7 @@
             Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, later(&e), true),
             Err(Error::Invalid(e)) => return Err(refuse(Code::BadRequest, e)),
             Err(Error::Lost(e)) => {
-                crashes::broke(shared, seat.key, identity()).await;
+                crashes::connection_lost(shared, seat.key, identity()).await;
                 let problem = unknown(Code::Unknown, format_compact!("{e}"));
                 (AttemptEnd::Failed, problem, call.repeatable)
             }
@@ -232,7 +232,7 @@
     exchange: &Exchange,
     response: direct::Response,
     seat: route::Seat,
-    turn: Turn,
+    turn: Permit,
     sent: Sent,
 ) -> Response {
     let headers = Call::headers_of(&response.headers);
@@ -283,9 +283,9 @@
 struct Passing {
     body: direct::Body,
     /// Counts the attempt until the body has ended.
-    ticket: Option<Ticket>,
+    ticket: Option<AttemptGuard>,
     /// Holds the request's place in its queue.
-    turn: Turn,
+    turn: Permit,
     /// What was sent, and when.
     sent: Sent,
     /// The deadline: a silent endpoint holds nothing longer.
@@ -302,14 +302,14 @@
             Ok(Some(part)) => Some(Ok(part)),
             Ok(None) => {
                 let sent = &self.sent;
-                crashes::answered(self.turn.shared(), sent.key, || sent.identity(), sent.at);
+                crashes::record_answer(self.turn.shared(), sent.key, || sent.identity(), sent.at);
                 self.end(AttemptEnd::Completed);
-                self.turn.succeeded();
+                self.turn.record_success();
                 None
             }
             Err(e) => {
                 let sent = &self.sent;
-                crashes::broke(self.turn.shared(), sent.key, sent.identity()).await;
+                crashes::connection_lost(self.turn.shared(), sent.key, sent.identity()).await;
                 self.end(AttemptEnd::Failed);
                 Some(Err(e))
             }
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -43,7 +43,7 @@
             return http::text(StatusCode::OK, shared.metrics.render());
         }
         (&Method::POST, "/v1/drain") => {
-            shared.drain.ask();
+            shared.drain.request_stop();
             return http::empty(StatusCode::ACCEPTED);
         }
         (&Method::GET, "/v1/status") => Ok(json(&status::status(&shared).await)),
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -24,7 +24,7 @@
         entries: entries(shared).await,
         endpoints: endpoints(shared),
         versions: shared.lots.versions(),
-        leases: shared.leases.all(shared.now()),
+        leases: shared.leases.held_fencing_tokens(shared.now()),
         object_calls,
     }
 }
@@ -84,7 +84,7 @@
         number < Some(shared.config.number())
     });
     let names = doubtful.map(|(name, _)| name.clone()).collect();
-    let reports = members::reports(shared, names).await;
+    let reports = members::fetch_reports(shared, names).await;
     let describe = |(name, entry): (CompactString, member::Member)| {
         let report = reports.get(&name);
         let described = if name == *shared.name() {
--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -60,7 +60,7 @@
             entries.all.iter().all(|entry| {
                 let known = &entry.shared.endpoints;
                 let all = known.list.endpoints().len() >= endpoints;
-                all && known.settled() && pinereel::filters::pin::ready(&entry.shared).is_ok()
+                all && known.is_synced() && pinereel::filters::pin::ready(&entry.shared).is_ok()
             })
         })
         .await?;
@@ -109,7 +109,7 @@
     /// Lets all entries leave.
     async fn stop(self) {
         for entry in &self.all {
-            entry.shared.drain.ask();
+            entry.shared.drain.request_stop();
         }
         for entry in &self.all {
             entry.finished().await;
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -206,7 +206,7 @@
                 let met = shared.members.view().members().len() >= count;
                 let endpoints = shared.endpoints.list.endpoints().len();
                 let all = endpoints >= self.engines.len() + self.services.len();
-                let known = all && shared.endpoints.settled();
+                let known = all && shared.endpoints.is_synced();
                 linked && met && known && pinereel::filters::pin::ready(shared).is_ok()
             })
         };
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -291,7 +291,7 @@
     let entry = site.entries.remove(0);
     let done = Rc::new(Cell::new(false));
     let finished = Rc::clone(&done);
-    entry.shared.drain.ask();
+    entry.shared.drain.request_stop();
     actix_rt::spawn(async move {
         entry.finished().await;
         finished.set(true);
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -249,8 +249,8 @@
     let mut site = Site::start(options.clone()).await.unwrap();
     let old = site.entries.remove(2);
     // A graceful end takes its member object away, so that the others can go on.
-    old.shared.drain.ask();
-    pinereel::controllers::members::leave(&old.shared)
+    old.shared.drain.request_stop();
+    pinereel::controllers::members::deregister(&old.shared)
         .await
         .unwrap();
     cut(&site, &old);
@@ -279,8 +279,10 @@
     delay(&site, 100);
     let stop = async {
         until(|| pending(&site)).await.unwrap();
-        leaving.shared.drain.ask();
-        until(|| leaving.shared.drain.refuses()).await.unwrap();
+        leaving.shared.drain.request_stop();
+        until(|| leaving.shared.drain.refuses_requests())
+            .await
+            .unwrap();
         patch(&leaving, 1, "late", bound(4)).await
     };
     let sent = patch(&leaving, 1, "a", bound(3));
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -140,11 +140,11 @@
             ends: 0,
             age: Duration::ZERO,
         };
-        crashes::hear(here, vec![report]);
+        crashes::merge_reports(here, vec![report]);
         // Longer than the summaries that repeat the last change.
         sleep(Duration::from_secs(4)).await;
-        let known = crashes::all(there);
+        let known = crashes::known_reports(there);
         assert_eq!(known[0].starts.len(), number);
     }
-    assert!(crashes::is_refused(there, || identity));
+    assert!(crashes::is_blocked(there, || identity));
 }
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -96,7 +96,7 @@
     let mut client = client(&site);
     let mut collection = submit(&site, &mut client).await;
     let leaving = site.entries.remove(0);
-    leaving.shared.drain.ask();
+    leaving.shared.drain.request_stop();
     leaving.finished().await;
     let taken = collect(&mut client, &mut collection).await;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
--- a/crates/pinereel_fakes/tests/input_requests.rs
+++ b/crates/pinereel_fakes/tests/input_requests.rs
@@ -203,7 +203,7 @@
     pinereel_refused_total{code="not_found"} 1
     pinereel_refused_total{code="unauthorized"} 4
     "#);
-    assert!(!site.entries[0].shared.drain.asked());
+    assert!(!site.entries[0].shared.drain.is_stop_requested());
     let metrics = request("GET /metrics HTTP/1.1", &[&bearer], "");
     let metrics = answer(site.entries[0].operators.address, &metrics).await;
     assert!(metrics.contains("pinereel_refused_total{code=\"unauthorized\"} 4"));
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -173,7 +173,7 @@
     let entry = site.entries[0].clone();
     let stop = async {
         queued(&site, POOL, 1, 0).await;
-        entry.shared.drain.ask();
+        entry.shared.drain.request_stop();
         entry.finished().await;
     };
     let ((text, problem, done), ()) = join(stream(&address, "stream"), stop).await;
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -119,7 +119,7 @@
 async fn drained_entry_leaves_and_finishes() {
     let mut site = site().await;
     let entry = site.entries.remove(0);
-    entry.shared.drain.ask();
+    entry.shared.drain.request_stop();
     entry.finished().await;
     let members = site.api.objects("members").items;
     assert_eq!(members.len(), 1);
@@ -142,10 +142,10 @@
     pinereel_fakes::site::until(|| entry.shared.drain.in_flight() == 2)
         .await
         .unwrap();
-    entry.shared.drain.ask();
+    entry.shared.drain.request_stop();
     let shared = std::rc::Rc::clone(&entry.shared);
     let finished = actix_rt::spawn(async move { entry.finished().await });
-    pinereel_fakes::site::until(|| shared.drain.refuses())
+    pinereel_fakes::site::until(|| shared.drain.refuses_requests())
         .await
         .unwrap();
     upload.write_all(b"second").await.unwrap();
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -57,7 +57,7 @@
     until(|| even(&site)).await.unwrap();
     // A leaving entry's engines go to others.
     let leaving = site.entries.remove(0);
-    leaving.shared.drain.ask();
+    leaving.shared.drain.request_stop();
     leaving.finished().await;
     until(|| even(&site)).await.unwrap();
 }
