--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -69,14 +69,14 @@
     }
     // Not tried is still "unknown": an earlier submission of the same patch may have been accepted.
     if shared.drain.refuses_requests() {
-        return Err(with_retry_after(unknown(
+        return Err(retryable(unknown(
             Code::Unavailable,
             "this instance is draining",
         )));
     }
     let in_flight = shared.config.rounds_in_flight.get();
     if in_flight >= MAX_ROUNDS_IN_FLIGHT {
-        return Err(with_retry_after(unknown(
+        return Err(retryable(unknown(
             Code::Overloaded,
             "too many patches at once",
         )));
@@ -205,7 +205,7 @@
     fn execute(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Read => {
-                self.spawn_call(async |shared| CoordinatorEvent::Read(read_stored(&shared).await));
+                self.call(async |shared| CoordinatorEvent::Read(read_stored(&shared).await));
             }
             CoordinatorAction::Write { version, stored } => {
                 let pending = stored.pending.as_ref();
@@ -215,21 +215,18 @@
                     return;
                 }
                 self.has_written = true;
-                self.spawn_call(async move |shared| {
+                self.call(async move |shared| {
                     let result = write_stored(&shared, version, &stored).await;
                     CoordinatorEvent::Written { version, result }
                 });
             }
             CoordinatorAction::List => {
-                self.spawn_call(async |shared| {
-                    CoordinatorEvent::Listed(members::list(&shared).await)
-                });
+                self.call(async |shared| CoordinatorEvent::Listed(members::list(&shared).await));
             }
             CoordinatorAction::Prepare { to, prepare } => {
-                let (event_sender, write_id) = (self.event_sender.clone(), self.write_id.clone());
-                let on_confirmed = move |names: relay::EntryNames| {
-                    send_confirmations(&event_sender, &write_id, names)
-                };
+                let (sender, write_id) = (self.event_sender.clone(), self.write_id.clone());
+                let on_confirmed =
+                    move |names: relay::EntryNames| confirm(&sender, &write_id, names);
                 self.attempt += 1;
                 relay::prepare_all(&self.shared, to, self.attempt, &prepare, on_confirmed);
             }
@@ -255,7 +252,7 @@
     }
 
     /// Spawns a call of the object API that sends its result as an event.
-    fn spawn_call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
+    fn call(&self, call: impl AsyncFnOnce(Rc<Shared>) -> CoordinatorEvent + 'static) {
         let event_sender = self.event_sender.clone();
         spawn(&self.shared, async move |shared| {
             // The round may have ended.
@@ -264,7 +261,7 @@
     }
 }
 
-fn send_confirmations(
+fn confirm(
     event_sender: &mpsc::UnboundedSender<CoordinatorEvent>,
     write_id: &CompactString,
     names: relay::EntryNames,
@@ -283,7 +280,7 @@
             Self::NotReached => {
                 // This round wrote nothing, but an earlier one of the same patch may have.
                 let message = "the object API cannot be read; send the patch again";
-                return Err(with_retry_after(unknown(Code::ObjectApi, message)));
+                return Err(retryable(unknown(Code::ObjectApi, message)));
             }
         };
         let text = answer.to_string();
@@ -294,13 +291,11 @@
             Answer::Invalid(faults) => invalid(&faults),
             Answer::NotConfirmed(names) => {
                 let message = format!("refused: not confirmed by {}", names.join(", "));
-                with_retry_after(refuse(Code::NotConfirmed, message))
-            }
-            Answer::TakenBack => {
-                with_retry_after(refuse(Code::NotConfirmed, format!("refused: {text}")))
+                retryable(refuse(Code::NotConfirmed, message))
             }
-            Answer::Late => with_retry_after(refuse(Code::Deadline, format!("refused: {text}"))),
-            Answer::Unknown => with_retry_after(unknown(Code::Unknown, text)),
+            Answer::TakenBack => retryable(refuse(Code::NotConfirmed, format!("refused: {text}"))),
+            Answer::Late => retryable(refuse(Code::Deadline, format!("refused: {text}"))),
+            Answer::Unknown => retryable(unknown(Code::Unknown, text)),
         })
     }
 }
@@ -314,7 +309,7 @@
     })
 }
 
-fn with_retry_after(problem: Problem) -> Problem {
+fn retryable(problem: Problem) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
         ..problem
--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints crash, as this entry knows them.
+//! Detection of requests that crash endpoints: the I/O side of [`pinereel_core::crash`].
 //!
-//! The decisions are `pinereel_core::crash`'s. News go to the linked entries with the periodic summary, which is
-//! sent at once when there are some, and each entry passes on what is news to it.
+//! Feeds the [`Register`] with crashes and answers, and decides by it where a suspected request may
+//! run. Reports spread by gossip: they go to the linked entries with the periodic summary, which is
+//! sent at once when there are any, and each entry forwards those that are new to it.
 
 use crate::{filters::refuse, state::Shared, upstream::probe};
 use pinereel_api::{Problem, problem::Code};
@@ -13,36 +14,38 @@
 use std::{cell::RefCell, collections::BTreeSet, time::Duration};
 use tokio::{sync::Notify, time::sleep};
 
-/// Requests that one summary tells of.
+/// Most reports in one summary.
 const MAX_REPORTS_PER_SUMMARY: usize = 64;
-/// Longest wait of a request in doubt for its turn; longer ones are refused with when it comes.
+/// Longest wait of a suspected request for an endpoint; with a longer one it is refused, and the
+/// wait returned as its retry delay.
 const MAX_PLACEMENT_WAIT: Duration = Duration::from_millis(500);
-/// Pause before a sample or scoring that endpoints crash under is looked at again.
+/// Delay before a blocked sample or scoring is reported as not run, and may be tried again.
 const BLOCKED_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// When a request in doubt may come back that no endpoint is open to.
+/// Retry delay of a suspected request that no endpoint may run.
 const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The controller's state.
+/// State of the crashes controller.
 #[derive(Default)]
 pub struct Crashes {
     register: RefCell<Register>,
-    /// Told whenever others are to be told something.
+    /// Notified whenever there are reports to send.
     pub reports_pending: Notify,
 }
 
-/// How the next attempt of a request is to be made.
+/// Endpoints at which the next attempt of a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptPlacement {
-    /// At any endpoint.
+    /// Any endpoint.
     Any,
-    /// At this one alone: endpoints have crashed under the request.
+    /// Only this endpoint, since the request is suspected of crashing endpoints.
     Only(Key),
 }
 
-/// Where the next attempt of a request may go; waits for its turn for a moment.
+/// Decides where the next attempt of a request may run; a suspected one may have to wait for up to
+/// [`MAX_PLACEMENT_WAIT`].
 ///
 /// # Errors
-/// A refusal, not run, if endpoints crash under it or its turn is not near.
+/// A refusal, not run, if the request is blocked or would have to wait longer.
 pub async fn place_attempt(
     shared: &Shared,
     pool: &str,
@@ -61,7 +64,7 @@
         match status {
             RequestStatus::Unrestricted => return Ok(AttemptPlacement::Any),
             RequestStatus::Blocked { forgotten_in, .. } => {
-                log::warn!(identity:% = identity; "refused: endpoints crash under it");
+                log::warn!(identity:% = identity; "request refused: blocked for crashing endpoints");
                 return Err(no_endpoint("endpoints crash under it", forgotten_in));
             }
             RequestStatus::Suspected { .. } => {}
@@ -84,7 +87,7 @@
     }
 }
 
-/// Whether a sample or scoring must not run any more; then it is looked at again after a pause.
+/// Whether a sample or scoring is blocked; if so, returns only after [`BLOCKED_RETRY_DELAY`].
 pub async fn delay_if_blocked(shared: &Shared, identity: impl Fn() -> Identity) -> bool {
     let blocked = is_blocked(shared, identity);
     if blocked {
@@ -93,7 +96,7 @@
     blocked
 }
 
-/// Whether a request must not run any more.
+/// Whether a request is blocked, as too many endpoints have crashed under it.
 pub fn is_blocked(shared: &Shared, identity: impl Fn() -> Identity) -> bool {
     let register = shared.crashes.register.borrow();
     if register.is_empty() {
@@ -103,7 +106,7 @@
     matches!(status, RequestStatus::Blocked { .. })
 }
 
-/// The endpoint for a request in doubt, or when to look again.
+/// The endpoint at which a suspected request may run, or the delay until the next try.
 fn place_suspected(shared: &Shared, pool: &str, identity: &Identity) -> Result<Key, Duration> {
     let set = shared.endpoints.set();
     let live = set
@@ -131,8 +134,8 @@
     }
 }
 
-/// A connection to an endpoint broke under a request: it counts against the request if nobody listens there any
-/// more, and the endpoint was not leaving.
+/// Handles a connection that broke during a request. It counts as a crash under that request if
+/// the endpoint no longer accepts connections and was not leaving.
 pub async fn connection_lost(shared: &Shared, key: Key, identity: Identity) {
     let found = {
         let set = shared.endpoints.set();
@@ -148,13 +151,13 @@
         return;
     }
     let endpoint = start.endpoint.as_str();
-    log::warn!(identity:% = identity, endpoint; "endpoint crashed under a request");
+    log::warn!(identity:% = identity, endpoint; "endpoint crashed while it ran a request");
     update_register(shared, |register, now| {
         register.crashed(now, identity, start)
     });
 }
 
-/// An endpoint answered a request that was sent at a moment.
+/// Handles an endpoint's answer to a request that was sent at `sent_at`.
 pub fn record_answer(
     shared: &Shared,
     key: Key,
@@ -175,12 +178,13 @@
     });
 }
 
-/// Another entry tells of requests.
+/// Merges reports of another entry.
 pub fn merge_reports(shared: &Shared, reports: Vec<Report>) {
     update_register(shared, |register, now| register.merge(now, reports));
 }
 
-/// What is to be told with the next summaries.
+/// Takes the reports that are new, to be sent with the next summaries; at most
+/// [`MAX_REPORTS_PER_SUMMARY`].
 pub fn take_pending_reports(shared: &Shared) -> Vec<Report> {
     let mut register = shared.crashes.register.borrow_mut();
     let now = shared.now();
@@ -188,7 +192,7 @@
     register.take_pending(now, MAX_REPORTS_PER_SUMMARY)
 }
 
-/// All that is known, for summaries that are told now and then.
+/// All known reports, for the periodic full summary; at most [`MAX_REPORTS_PER_SUMMARY`].
 pub fn known_reports(shared: &Shared) -> Vec<Report> {
     let mut all = shared.crashes.register.borrow().reports(shared.now());
     all.truncate(MAX_REPORTS_PER_SUMMARY);
@@ -202,7 +206,7 @@
             identity:% = change.identity,
             what:serde = change.kind,
             endpoints = change.endpoints;
-            "request that crashes endpoints"
+            "crash status of a request changed"
         );
     }
     if shared.crashes.register.borrow().has_pending() {
--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -1,4 +1,7 @@
-//! The graceful stop of this entry.
+//! Graceful shutdown of this entry: the I/O side of [`pinereel_core::drain`].
+//!
+//! [`Drain`] holds the flags and the count of requests in flight that the request path uses; [`run`]
+//! drives the shutdown.
 
 use crate::{
     controllers::{leases, lots, members},
@@ -12,22 +15,22 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Pause between looks at what is in flight.
+/// Interval between two checks of what is in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for the last answers to leave their buffers before connections are closed.
+/// Time for the last answers to leave the send buffers before connections are closed.
 const FLUSH_DELAY: Duration = Duration::from_millis(100);
-/// Longest wait for the hand-over of samples and leases.
+/// Longest wait for the handover of samples and leases.
 const MAX_HAND_OVER_TIME: Duration = Duration::from_secs(5);
 
-/// The controller's state.
+/// State of the drain controller.
 #[derive(Debug, Default)]
 pub struct Drain {
-    /// Whether a stop was asked for.
+    /// Whether a shutdown was requested.
     stop_requested: Cell<bool>,
     /// Whether new requests are refused.
     refuses_requests: Cell<bool>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     in_flight: Rc<Cell<u64>>,
 }
 
@@ -41,12 +44,12 @@
 }
 
 impl Drain {
-    /// Asks for a stop. Asking again changes nothing.
+    /// Requests a shutdown; a repeated call has no effect.
     pub fn request_stop(&self) {
         self.stop_requested.set(true);
     }
 
-    /// Refuses new requests from now on.
+    /// Has new requests refused from now on.
     pub fn refuse_requests(&self) {
         self.refuses_requests.set(true);
     }
@@ -56,26 +59,26 @@
         self.refuses_requests.get()
     }
 
-    /// Whether a stop was asked for.
+    /// Whether a shutdown was requested.
     pub fn is_stop_requested(&self) -> bool {
         self.stop_requested.get()
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.get()
     }
 
-    /// Counts a request as in flight.
+    /// Counts a request, or other work that a shutdown waits for, as in flight.
     pub fn track_request(&self) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard(Rc::clone(&self.in_flight))
     }
 }
 
-/// Waits until a stop is asked for, and carries it out: readiness goes off, new requests are served
-/// for the balancer's lag, then refused; what is in flight ends; samples and leases are handed over;
-/// the entry leaves.
+/// Waits for a shutdown request and carries it out: readiness turns off; new requests are served
+/// until the load balancer has noticed, then refused; requests in flight finish; samples and leases
+/// are handed over; the entry's member object is removed.
 pub async fn run(shared: &Rc<Shared>, callers: &Server) {
     let settings = &shared.settings.drain;
     let mut machine = StateMachine::new(drain::Settings {
@@ -93,12 +96,12 @@
     }
     sleep(FLUSH_DELAY).await;
     if let Err(e) = members::deregister(shared).await {
-        log::warn!(entry = shared.name().as_str(); "drain: member object not removed: {e}");
+        log::warn!(entry = shared.name().as_str(); "drain: removing the member object failed: {e}");
     }
     log::info!(entry = shared.name().as_str(); "drain: done");
 }
 
-/// What there is to tell in a phase.
+/// The events for the state machine in a phase.
 fn pending_events(shared: &Shared, phase: Phase) -> Vec<Event> {
     let mut events = Vec::new();
     if phase == Phase::Serving && shared.drain.is_stop_requested() {
@@ -112,7 +115,7 @@
     events
 }
 
-/// Callers' requests, attempts of samples and handovers that have not ended.
+/// Number of requests, attempts of samples, scorings and handovers in flight.
 fn remaining(shared: &Shared) -> u32 {
     let requests = u32::try_from(shared.drain.in_flight()).unwrap_or(u32::MAX);
     let samples = u32::try_from(shared.lots.in_flight()).unwrap_or(u32::MAX);
@@ -132,8 +135,8 @@
         Action::HandOver => leases::release_all(shared),
         Action::Report { phase, left } => {
             let phase = format!("{phase:?}");
-            log::warn!(entry, phase = phase.as_str(), left; "drain: the longest wait is over");
+            log::warn!(entry, phase = phase.as_str(), left; "drain: phase timed out");
         }
-        Action::Exit => log::info!(entry; "drain: nothing is left to wait for"),
+        Action::Exit => log::info!(entry; "drain: exiting"),
     }
 }
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -1,4 +1,8 @@
-//! The endpoints that this entry routes to: the platform's list, load reports, what attempts show.
+//! State of the endpoints that this entry routes to.
+//!
+//! Feeds the endpoint [`Set`] with the platform's list of instances, the engines' load reports and
+//! the results of attempts. Routing reads the set ([`Endpoints::choose`]); each attempt is counted
+//! by an [`AttemptGuard`].
 
 use super::instances;
 use crate::{
@@ -25,42 +29,43 @@
 };
 use tokio::{sync::Notify, time::sleep};
 
-/// Pause between looks whether the configuration or the entries have changed.
+/// Interval between two checks for a changed configuration or membership.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest pause between load reports of one engine.
+/// Shortest interval between two load reports of one engine.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Load reports a second of all engines together; more engines report less often.
+/// Load reports per second of all polled engines together; with more engines, each is polled less
+/// often.
 const MAX_TOTAL_REPORTS_PER_SECOND: u32 = 64;
-/// Longest wait for a load report.
+/// Timeout of a call for a load report.
 const LOAD_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The controller's state.
+/// State of the endpoints controller.
 #[derive(Default)]
 pub struct Endpoints {
     set: RefCell<Set>,
     policy: RefCell<Policy>,
     polled_engines: RefCell<BTreeSet<CompactString>>,
-    /// The platform's list.
+    /// The platform's list of instances.
     pub list: instances::InstanceList,
-    /// Revision of the list that the set is in line with.
+    /// Revision of the list that was last applied to the set.
     applied_revision: Cell<u64>,
-    /// Told whenever an endpoint may have room that had none.
+    /// Notified whenever an endpoint without a free slot may have one.
     pub capacity_freed: Notify,
 }
 
-/// An attempt counted at its endpoint until it is finished or dropped.
+/// Counts an attempt as in flight at its endpoint until finished; dropped, it counts as cancelled.
 pub struct AttemptGuard {
     shared: Rc<Shared>,
     key: Key,
     tokens: u32,
     started: Time,
-    /// Whether it is a sample's, behind which no live request waits.
+    /// Whether the attempt runs a sample, which takes no slot from live requests.
     is_sample: bool,
     is_finished: bool,
 }
 
 impl AttemptGuard {
-    /// Notes how the attempt ended.
+    /// Records how the attempt ended.
     pub fn finish(mut self, end: AttemptEnd) {
         self.end(end);
     }
@@ -113,22 +118,22 @@
 }
 
 impl Endpoints {
-    /// Whether the platform's list was read since the start.
+    /// Whether the platform's list has been read and applied since the start.
     pub fn is_list_read(&self) -> bool {
         self.applied_revision.get() > 0
     }
 
-    /// The endpoints, to look at.
+    /// Borrows the endpoints; the borrow must end before the next event is fed.
     pub fn set(&self) -> std::cell::Ref<'_, Set> {
         self.set.borrow()
     }
 
-    /// Whether the set is in line with all that the platform's list says.
+    /// Whether the newest revision of the platform's list has been applied to the set.
     pub fn is_synced(&self) -> bool {
         self.applied_revision.get() > 0 && self.applied_revision.get() == self.list.revision()
     }
 
-    /// Chooses an endpoint; changes nothing.
+    /// Chooses an endpoint for a request, without counting an attempt there.
     pub fn choose(&self, shared: &Shared, request: &Request<'_>) -> Result<Choice, Refusal> {
         route::choose(
             &self.set.borrow(),
@@ -139,7 +144,7 @@
     }
 }
 
-/// Counts an attempt at an endpoint from now on.
+/// Starts to count an attempt at an endpoint.
 pub fn start_attempt(shared: &Rc<Shared>, key: Key, tokens: u32) -> AttemptGuard {
     step(shared, Event::Started { key, tokens });
     AttemptGuard {
@@ -152,7 +157,7 @@
     }
 }
 
-/// Counts an attempt of a sample, which takes no room from live requests.
+/// Starts to count an attempt of a sample, which takes no slot from live requests.
 pub fn start_sample_attempt(shared: &Rc<Shared>, key: Key, tokens: u32) -> AttemptGuard {
     let mut guard = start_attempt(shared, key, tokens);
     step(shared, Event::Yielding { key, change: 1 });
@@ -197,7 +202,7 @@
     .emit();
 }
 
-/// Takes in an event and logs what changed.
+/// Feeds an event to the set and logs the resulting changes.
 pub fn step(shared: &Shared, event: Event) {
     let now = shared.now();
     let changes = shared.endpoints.set.borrow_mut().step(now, event);
@@ -212,7 +217,7 @@
     shared.endpoints.capacity_freed.notify_waiters();
 }
 
-/// Starts the controller.
+/// Starts the controller's tasks: one follows the platform's list, one applies it to the set.
 pub fn start(shared: &Rc<Shared>) {
     shared.endpoints.policy.replace(routing_policy(shared));
     spawn(shared, async |shared: Rc<Shared>| {
@@ -221,7 +226,7 @@
     spawn(shared, async |shared: Rc<Shared>| sync_set(&shared).await);
 }
 
-/// Brings the set in line whenever the platform's list, the configuration or the entries change.
+/// Updates the set whenever the platform's list, the configuration or the membership changes.
 async fn sync_set(shared: &Rc<Shared>) {
     let mut last = None;
     loop {
@@ -303,9 +308,9 @@
     }
 }
 
-/// Reads one engine's state until it is no more listed.
+/// Polls one engine for load reports until it leaves the set.
 async fn poll_engine(shared: &Rc<Shared>, name: CompactString) {
-    // Engines that were listed together are asked one after the other from the second time on.
+    // Only part of the first interval, so that engines listed together are polled at different times.
     let mut phase = f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
     loop {
         let found = shared
@@ -342,7 +347,8 @@
     withdraw_offer(shared, name);
 }
 
-/// Pause between load reports of one engine, so that all together keep their rate.
+/// Interval between two load reports of one engine, so that all together keep within
+/// [`MAX_TOTAL_REPORTS_PER_SECOND`].
 fn report_interval(shared: &Shared) -> Duration {
     let engines = shared.endpoints.polled_engines.borrow().len();
     let engines = u32::try_from(engines).unwrap_or(u32::MAX);
@@ -350,8 +356,8 @@
     pause.max(MIN_REPORT_INTERVAL)
 }
 
-/// Tells the lots' runner that an engine is no more in the set. What runs on one that is still
-/// listed, but went to another entry's subset, may end there.
+/// Tells the lots' runner that an engine has left the set. Attempts may finish on one that is still
+/// listed, but now in another entry's subset.
 fn withdraw_offer(shared: &Rc<Shared>, name: CompactString) {
     let listed = shared.endpoints.list.endpoints().contains_key(&name);
     let event = if listed {
@@ -367,7 +373,7 @@
     crate::controllers::lots::step(shared, event);
 }
 
-/// Tells the lots' runner what an engine has to offer.
+/// Tells the lots' runner an engine's model, version and concurrency limit.
 fn send_offer(shared: &Rc<Shared>, name: &CompactString) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
--- a/crates/pinereel/src/controllers/follow.rs
+++ b/crates/pinereel/src/controllers/follow.rs
@@ -1,7 +1,7 @@
-//! Following all objects of a kind: one list, then watches.
+//! Follows all objects of a kind in the object API: one list, then watches.
 //!
-//! An entry that lists again and again costs the object API calls, and itself the whole list each
-//! time, in which almost nothing has changed. A watch brings the changes alone.
+//! Polling by list would transfer and parse all objects each time, although almost nothing has
+//! changed; a watch returns the changes alone.
 
 use crate::{
     objects::{Error, Purpose},
@@ -11,27 +11,28 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Watches that all entries together begin in a second, for one kind; more entries wait longer.
+/// Watches per second of all entries together, for one kind; with more entries, each watch waits
+/// longer.
 const MAX_TOTAL_WATCHES_PER_SECOND: u32 = 100;
-/// Shortest wait of one watch.
+/// Shortest time for which a watch is held open without a change.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// Longest wait of one watch.
+/// Longest time for which a watch is held open without a change.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pause between watches: changes that come together are taken together.
+/// Delay before the next watch, so that changes that come together are returned together.
 const COALESCE_DELAY: Duration = Duration::from_millis(100);
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What the object API told.
+/// An answer of the object API.
 #[derive(Debug)]
 pub enum Update {
-    /// All objects of the kind as they stand.
+    /// All objects of the kind.
     All(Vec<Object>),
-    /// What changed since, oldest first; empty if nothing did.
+    /// Changes since the last update, oldest first; empty if a watch ended without any.
     Changes(Vec<Change>),
 }
 
-/// Follows the objects of `kind` as long as the entry runs, and tells `take` of each answer.
+/// Follows the objects of `kind` and calls `on_update` with each answer; never returns.
 pub async fn follow(
     shared: &Rc<Shared>,
     purpose: Purpose,
@@ -47,7 +48,7 @@
                 sleep(COALESCE_DELAY).await;
             }
             Err(e) => {
-                log::debug!(entry = shared.name().as_str(); "{kind}: not followed: {e}");
+                log::debug!(entry = shared.name().as_str(); "{kind}: list or watch failed: {e}");
                 if e == Error::Gone {
                     after = None;
                 }
@@ -74,7 +75,8 @@
     Ok((changes.revision, Update::Changes(changes.changes)))
 }
 
-/// How long a watch waits, so that all entries together keep their rate.
+/// How long a watch is held open, so that all entries together keep within
+/// [`MAX_TOTAL_WATCHES_PER_SECOND`].
 fn watch_wait(shared: &Shared) -> Duration {
     let entries = shared.members.view().members().len();
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -1,6 +1,6 @@
-//! The platform's list of instances, and which of its endpoints this entry works with.
+//! The platform's list of instances, and this entry's subset of the listed endpoints.
 //!
-//! An entry knows all that are listed, since the holder of a rollout's lease needs them, but keeps
+//! An entry knows all listed instances, since the holder of a rollout's lease needs them, but keeps
 //! state, connections and load reports only for its subset of each pool.
 
 use super::{
@@ -25,24 +25,24 @@
 /// Pool name of the entries themselves in the platform's list.
 const ENTRY_POOL: &str = "entry";
 
-/// The list as last told.
+/// The platform's list as last received.
 #[derive(Debug, Default)]
 pub struct InstanceList {
     endpoints: RefCell<BTreeMap<CompactString, Instance>>,
     entries: RefCell<BTreeMap<CompactString, Instance>>,
-    /// Counts what was told; 0 before the list was read.
+    /// Number of updates with changes; 0 before the list was read.
     revision: Cell<u64>,
-    /// Told whenever something changed.
+    /// Notified whenever the list changes.
     pub(super) changed: Notify,
 }
 
 impl InstanceList {
-    /// Listed endpoints by name, whether this entry works with them or not.
+    /// All listed endpoints by name, in this entry's subset or not.
     pub fn endpoints(&self) -> Ref<'_, BTreeMap<CompactString, Instance>> {
         self.endpoints.borrow()
     }
 
-    /// Counts changes; 0 before the list was read.
+    /// Revision of the list, which rises with each change; 0 before the list was read.
     pub const fn revision(&self) -> u64 {
         self.revision.get()
     }
@@ -58,7 +58,7 @@
             Ok(instance) => {
                 self.endpoints.borrow_mut().insert(name, instance);
             }
-            Err(e) => log::error!("instance {name} unreadable: {e}"),
+            Err(e) => log::error!("instances: {name} cannot be parsed: {e}"),
         }
     }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Follows the platform's list.
+/// Follows the platform's list; never returns.
 pub(super) async fn follow_list(shared: &Rc<Shared>) {
     follow(shared, Purpose::Instances, INSTANCES, apply_update).await;
 }
@@ -87,7 +87,7 @@
             }
         }
     }
-    // Also without a change: the list has just been confirmed.
+    // Also without a change: this confirms that the list is current.
     members::apply_platform_list(shared, &list.entries.borrow());
     if changed {
         list.revision.set(list.revision.get() + 1);
@@ -95,12 +95,12 @@
     }
 }
 
-/// The live entries, with their availability zones.
+/// Live entries by name, with their availability zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct LiveEntries(BTreeMap<CompactString, CompactString>);
 
 impl LiveEntries {
-    /// Those that this entry knows of, itself included.
+    /// The live entries of this entry's membership view, itself included.
     pub(super) fn of(shared: &Shared) -> Self {
         let view = shared.members.view();
         let live = view
@@ -115,7 +115,7 @@
     }
 }
 
-/// Names of the endpoints that this entry works with.
+/// Names of the endpoints in this entry's subset.
 pub(super) fn subset_names(shared: &Shared, entries: &LiveEntries) -> Vec<CompactString> {
     let listed = shared.endpoints.list.endpoints();
     let size = shared.settings.policy.subset;
--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -1,7 +1,7 @@
-//! Leases for control duties, in the object API.
+//! Leases in the object API: elect one entry at a time for each control duty.
 //!
-//! Only a few entries are candidates for a duty, chosen by rendezvous hashing, so that the calls to
-//! the object API grow with the duties and not with the entries.
+//! Only a few entries, chosen by rendezvous hashing, are candidates for a duty, so that the rate of
+//! calls to the object API grows with the number of duties and not with the number of entries.
 
 use crate::{
     logging::What,
@@ -22,35 +22,35 @@
 };
 use tokio::time::sleep;
 
-/// Candidates for one duty.
+/// Number of entries that are candidates for one duty.
 const CANDIDATES_PER_DUTY: usize = 3;
-/// Pause between ticks of a candidate.
+/// Interval between two ticks of a candidate.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Times of all leases: a dead holder is replaced after 5.5 s to 6.5 s.
+/// Timing of all leases: a dead holder is replaced after 5.5 s to 6.5 s.
 const LEASE_TIMING: Timing = Timing {
     duration: Duration::from_secs(5),
     clock_margin: Duration::from_millis(500),
     retry_interval: Duration::from_secs(1),
 };
 
-/// The controller's state.
+/// State of the leases controller.
 #[derive(Debug, Default)]
 pub struct Leases {
     candidates: RefCell<BTreeMap<CompactString, Candidate>>,
-    /// Whether all leases are to be given up.
+    /// Whether all leases are to be released.
     draining: Cell<bool>,
 }
 
 impl Leases {
-    /// The fencing token of a duty and until when it may be acted on, if this entry may act now.
+    /// Fencing token and expiry of the lease of `duty`, if this entry holds it now.
     pub fn held(&self, duty: &str, now: Time) -> Option<(u64, Time)> {
         let candidates = self.candidates.borrow();
         let candidate = candidates.get(duty)?;
         Some((candidate.fencing_token(now)?, candidate.valid_until()))
     }
 
-    /// The duties that this entry may act on now, with their fencing tokens.
-    pub fn held_fencing_tokens(&self, now: Time) -> BTreeMap<CompactString, u64> {
+    /// Fencing tokens of the duties whose lease this entry holds now.
+    pub fn held_tokens(&self, now: Time) -> BTreeMap<CompactString, u64> {
         let candidates = self.candidates.borrow();
         let held = candidates
             .iter()
@@ -58,7 +58,7 @@
         held.map(|(duty, fence)| (duty.clone(), fence)).collect()
     }
 
-    /// Whether a draining entry is rid of all leases.
+    /// Whether a draining entry has released all leases.
     pub fn all_released(&self) -> bool {
         self.candidates
             .borrow()
@@ -67,7 +67,7 @@
     }
 }
 
-/// Takes part in a duty from now on. Asking again changes nothing.
+/// Makes this entry a candidate for a duty; a repeated call has no effect.
 pub fn join(shared: &Rc<Shared>, duty: &CompactString) {
     let id = format_compact!("{}-{:x}", shared.name(), shared.incarnation);
     let mut candidates = shared.leases.candidates.borrow_mut();
@@ -79,7 +79,7 @@
     spawn(shared, async move |shared| run(&shared, &duty).await);
 }
 
-/// Gives up all leases; [`Leases::released`] tells when it is done.
+/// Starts to release all leases; [`Leases::all_released`] tells when that is done.
 pub fn release_all(shared: &Shared) {
     shared.leases.draining.set(true);
 }
@@ -108,7 +108,8 @@
     }
 }
 
-/// Whether this entry is to look after the duty: one of the first in rank, or its holder.
+/// Whether this entry is to tick the duty's candidate: it is among the first in rank for the duty,
+/// holds its lease, or knows no ranked entry.
 fn is_candidate(shared: &Shared, duty: &str) -> bool {
     let holds = shared.leases.held(duty, shared.now()).is_some();
     let key = hash::stable(duty.as_bytes());
@@ -116,7 +117,7 @@
     holds || ranked.is_empty() || ranked.contains(shared.name())
 }
 
-/// One event, and the calls that it leads to. Each action is carried out and answered.
+/// Feeds an event to the candidate, and carries out the actions until no more follow.
 async fn run_event(shared: &Shared, duty: &CompactString, event: Event) {
     let mut actions = step(shared, duty, event);
     while let Some(action) = actions.pop() {
@@ -144,7 +145,7 @@
         Ok(Some(object)) => match serde_json::from_value::<Lease>(object.value) {
             Ok(lease) => Event::Read(Some((object.version, lease))),
             Err(e) => {
-                log::error!("lease {duty} unreadable: {e}");
+                log::error!("lease {duty} cannot be parsed: {e}");
                 Event::Failed
             }
         },
@@ -165,7 +166,7 @@
     match written {
         Ok(version) => Event::Written(version),
         Err(Error::Conflict | Error::NotFound) => Event::Conflict,
-        // Also when it certainly had no effect: the holder reads back in any case.
+        // Also when the write certainly had no effect: the candidate reads the lease again anyway.
         Err(_) => Event::Unknown,
     }
 }
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -228,10 +228,8 @@
 
 fn record_delivery(shared: &Shared, id: &str, delivery: &Delivery, at: Version) {
     let submitted = shared.lots.submitted.borrow();
-    let Some(submitted_lot) = submitted.get(id) else {
-        return;
-    };
-    let trainer = submitted_lot.lot.trainer.as_str();
+    let Some(lot) = submitted.get(id) else { return };
+    let trainer = lot.lot.trainer.as_str();
     let counter = |event| shared.metrics.samples.with_label_values(&[trainer, event]);
     counter("delivered").inc_by(delivery.samples.len() as u64);
     counter("stale").inc_by(u64::from(delivery.stale));
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -1,4 +1,5 @@
-//! The entries: this one's member object, the others', and the links to them.
+//! Membership of the entries: maintains this entry's member object, the view of the others, and the
+//! links between them.
 
 use super::config;
 use crate::{
@@ -24,52 +25,52 @@
 };
 use tokio::{sync::Notify, time::sleep};
 
-/// Shortest pause between lists.
+/// Shortest interval between two lists of the member objects.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Lists a second of all entries together; more entries list less often.
+/// Lists per second of all entries together; with more entries, each lists less often.
 const MAX_TOTAL_LISTS_PER_SECOND: u32 = 20;
-/// A list of the platform's that is older counts for nothing.
+/// A platform list older than this is not used to remove member objects.
 const MAX_PLATFORM_LIST_AGE: Duration = Duration::from_secs(2);
-/// Longest wait for an entry to tell that it is there.
+/// Timeout of a [`Call::Report`], by which an entry shows that it is alive.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Entries that are asked at once.
+/// Most concurrent calls for reports.
 const MAX_CONCURRENT_REPORTS: usize = 64;
-/// Entries of each availability zone that watch.
+/// Number of entries of each availability zone that watch the configuration's object.
 const CONFIG_WATCHERS_PER_ZONE: usize = 2;
-/// Entries that remove member objects of instances that are gone.
+/// Number of entries that remove the member objects of instances that are gone.
 const MAX_REMOVERS: usize = 3;
-/// Links that an entry opens within its availability zone, when entries are many.
+/// Links that an entry opens within its availability zone, if there are too many for a full mesh.
 const LINKS_IN_ZONE: usize = 3;
-/// Links that an entry opens out of its availability zone, when entries are many.
+/// Links that an entry opens to other availability zones, if there are too many for a full mesh.
 const LINKS_OUT_OF_ZONE: usize = 3;
 
-/// The controller's state.
+/// State of the members controller.
 #[derive(Default)]
 pub struct Members {
     view: RefCell<View>,
     own_object: RefCell<Option<Object>>,
-    /// Whether this entry has left for good.
+    /// Whether this entry has removed its member object and must not write it again.
     has_left: Cell<bool>,
-    /// Asks for a list before its time.
+    /// Notified to request a list before the next one is due.
     list_requested: Notify,
-    /// When the platform's list was last read.
+    /// When the platform's list was last received.
     platform_listed_at: Cell<Time>,
 }
 
 impl Members {
-    /// The known entries, to look at.
+    /// Borrows the membership view; the borrow must end before the next update.
     pub fn view(&self) -> std::cell::Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// Entries that may run work, best first for `key`, at most `count`.
+    /// Entries that may run work, in rank order for `key`, at most `count`.
     pub fn ranked(&self, key: u64, count: usize) -> Vec<CompactString> {
         let view = self.view.borrow();
         view.subset(key, count).into_iter().cloned().collect()
     }
 }
 
-/// Writes this entry's member object; tries until it is written.
+/// Writes this entry's member object, with retries until it is written.
 pub async fn register(shared: &Shared, address: CompactString) {
     let object = Object {
         name: shared.name().clone(),
@@ -79,12 +80,12 @@
     };
     shared.members.own_object.replace(Some(object));
     while let Err(e) = write_own_object(shared).await {
-        log::warn!(entry = shared.name().as_str(); "members: own object not written: {e}");
+        log::warn!(entry = shared.name().as_str(); "members: writing the own object failed: {e}");
         sleep(MIN_LIST_INTERVAL).await;
     }
 }
 
-/// Writes the own member object, whatever stands there.
+/// Writes the own member object, and replaces any other under the same name.
 async fn write_own_object(shared: &Shared) -> Result<(), Error> {
     let Some(own) = shared.members.own_object.borrow().clone() else {
         return Ok(());
@@ -105,13 +106,13 @@
     written.map(drop)
 }
 
-/// Removes the own member object, at the end of a graceful stop.
+/// Removes the own member object, at the end of a graceful shutdown.
 pub async fn deregister(shared: &Shared) -> Result<(), Error> {
     shared.members.has_left.set(true);
     remove(shared, shared.name(), shared.incarnation).await
 }
 
-/// Removes the member object of one incarnation.
+/// Removes an entry's member object, unless it is of another incarnation.
 async fn remove(shared: &Shared, name: &str, incarnation: u64) -> Result<(), Error> {
     let objects = &shared.objects;
     let Some(object) = objects.read(Purpose::Members, MEMBERS, name).await? else {
@@ -125,7 +126,7 @@
         .await
 }
 
-/// Starts the controller.
+/// Starts the task that lists the members and maintains their objects.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         while !shared.members.has_left.get() {
@@ -142,7 +143,8 @@
     });
 }
 
-/// What a pause between lists is longer than the shortest, so that all together keep their rate.
+/// Delay beyond [`MIN_LIST_INTERVAL`], so that all entries together keep within
+/// [`MAX_TOTAL_LISTS_PER_SECOND`].
 fn extra_list_delay(shared: &Shared) -> Duration {
     let count = shared.members.view().members().len();
     let count = u32::try_from(count).unwrap_or(u32::MAX);
@@ -150,7 +152,8 @@
     interval.saturating_sub(MIN_LIST_INTERVAL)
 }
 
-/// Lists the member objects; gives the names of all.
+/// Lists the member objects and updates the view and the links; returns the names of all members,
+/// or `None` if the list failed.
 pub async fn list(shared: &Shared) -> Option<BTreeSet<CompactString>> {
     let list = shared.objects.list(Purpose::Members, MEMBERS, "").await;
     let items = list.ok()?.items;
@@ -167,7 +170,7 @@
     Some(names)
 }
 
-/// The known entries and their incarnations.
+/// Incarnations of the known entries by name.
 fn incarnations(view: &View) -> BTreeMap<CompactString, u64> {
     let entries = view.members().iter();
     entries
@@ -179,32 +182,32 @@
     match serde::Deserialize::deserialize(value) {
         Ok(object) => Some(object),
         Err(e) => {
-            log::error!("members: object unreadable: {e}");
+            log::error!("members: object cannot be parsed: {e}");
             None
         }
     }
 }
 
 /// Writes the own member object again if it was removed. Patches may have been accepted without
-/// this entry meanwhile, so the configuration is read after that.
+/// this entry in the meantime, so the configuration is read afterwards.
 async fn restore_own_object(shared: &Rc<Shared>) {
     let there = shared.members.view().members().contains_key(shared.name());
     if there || shared.members.has_left.get() {
         return;
     }
-    log::warn!(entry = shared.name().as_str(); "members: own object is missing, written again");
+    log::warn!(entry = shared.name().as_str(); "members: own object is missing; writing it again");
     if write_own_object(shared).await.is_ok() {
         config::start_read(shared);
     }
 }
 
-/// Keeps the links that the view says, in both directions.
+/// Sets the links of this entry according to the view, those that others open included.
 fn update_links(shared: &Shared) {
     let view = shared.members.view();
     let own = shared.name();
     let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE);
     if view.members().len() > MAX_FULL_MESH_SIZE {
-        // Only the smaller name dials, so each must also know which links the others want.
+        // Only the entry with the smaller name dials, so each must also know which links others want.
         let others = view.members().keys().filter(|name| *name != own);
         let wanting = others.filter(|name| {
             view.links(name, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
@@ -227,7 +230,7 @@
     })
 }
 
-/// Takes the entries of the platform's list of instances.
+/// Applies the entries of the platform's list of instances to the view.
 pub fn apply_platform_list(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
     let listed = entries.iter().map(|(name, instance)| {
         let state = match instance.state {
@@ -246,7 +249,8 @@
         .apply_platform_list(now, &listed);
 }
 
-/// Notes a peer that spoke.
+/// Handles the identity that a peer sent: requests a list if it is unknown or restarted, and marks
+/// it as leaving if it drains.
 pub fn observe_peer(shared: &Shared, from: &Hello, draining: bool) {
     let mut view = shared.members.view.borrow_mut();
     let known = view.members().get(&from.name);
@@ -258,10 +262,10 @@
     }
 }
 
-/// Removes the member objects of instances that are gone, if this entry is one that does. The
-/// platform's list lags, so one that still answers stays.
+/// Removes the member objects of instances that are gone, if this entry is one of the removers. The
+/// platform's list lags, so the object of an entry that still answers stays.
 async fn remove_gone_members(shared: &Shared) {
-    // After an outage the list's word must be a fresh one.
+    // After an outage, wait for a current platform list.
     if shared.now().since(shared.members.platform_listed_at.get()) > MAX_PLATFORM_LIST_AGE {
         return;
     }
@@ -277,19 +281,19 @@
         }
         let entry = shared.name().as_str();
         match remove(shared, &name, incarnation).await {
-            Ok(()) => log::info!(entry; "members: {name} is gone, removed"),
-            Err(e) => log::warn!(entry; "members: {name} is gone, not removed: {e}"),
+            Ok(()) => log::info!(entry; "members: {name} is gone; its object was removed"),
+            Err(e) => log::warn!(entry; "members: {name} is gone; removing its object failed: {e}"),
         }
     }
 }
 
-/// Whether this incarnation of an entry still answers.
+/// Whether this incarnation of an entry answers a call.
 async fn is_alive(shared: &Shared, name: &str, incarnation: u64) -> bool {
     let reply = call(shared, name, Call::Report, REPORT_TIMEOUT).await;
     matches!(reply, Some(Reply::Report { incarnation: found, .. }) if found == incarnation)
 }
 
-/// Whether this entry is one of the few of its availability zone that watch.
+/// Whether this entry is one of the few of its availability zone that watch the configuration.
 pub fn is_config_watcher(shared: &Shared) -> bool {
     let view = shared.members.view();
     let key = hash::stable(b"config");
@@ -301,8 +305,7 @@
     ahead.count() < CONFIG_WATCHERS_PER_ZONE
 }
 
-/// Asks those of `names` that were not heard of lately; gives incarnation and number of each that
-/// answers.
+/// Calls the entries `names`; returns the incarnation and configuration number of each that answers.
 pub async fn fetch_reports(
     shared: &Shared,
     names: Vec<CompactString>,
@@ -321,7 +324,7 @@
     answers.filter_map(future::ready).collect().await
 }
 
-/// How to bring a message to many.
+/// Relay groups that forward a message to all of `to`; a different `attempt` chooses other relays.
 pub fn relay_groups(
     shared: &Shared,
     to: &BTreeSet<CompactString>,
@@ -330,7 +333,8 @@
     shared.members.view().relay_groups(to, attempt)
 }
 
-/// Calls an entry, over its link or a connection for this call alone.
+/// Calls an entry, over its link or else over a connection for this call alone; `None` if there is
+/// no answer within `wait`.
 pub async fn call(shared: &Shared, name: &str, call: Call, wait: Duration) -> Option<Reply> {
     if shared.mesh.has(name) {
         return shared.mesh.call(name, call, wait).await.ok();
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -1,7 +1,7 @@
-//! Live requests that wait for an endpoint, one queue a pool, and the budget of their retries.
+//! Admission queues: one per pool, for live requests that wait for an endpoint, and retry budgets.
 //!
-//! A [`Permit`] is a request's place in its pool's queue, from its arrival to its end. Dropping it,
-//! at the end or because the caller is gone, frees the place exactly once.
+//! [`admit`] returns a [`Permit`] once a request may start. Dropping the permit, at the request's
+//! end or because its caller disconnected, frees the request's slot exactly once.
 
 use crate::{
     logging::What,
@@ -24,10 +24,10 @@
 };
 use tokio::{sync::oneshot, time::sleep};
 
-/// Priorities of which requests may wait.
+/// All priorities; a pool's number of waiting requests is the sum over them.
 const PRIORITIES: [Priority; 3] = [Priority::Live, Priority::Straggler, Priority::Bulk];
 
-/// The controller's state.
+/// State of the queues controller.
 #[derive(Debug)]
 pub struct Queues {
     pools: RefCell<BTreeMap<CompactString, PoolQueue>>,
@@ -35,7 +35,7 @@
     seed: u64,
 }
 
-/// One pool's queue, those in it, and its budget.
+/// One pool's queue, the requests in it, and its retry budget.
 #[derive(Debug)]
 struct PoolQueue {
     queue: Queue,
@@ -44,50 +44,50 @@
     budget: Bucket,
 }
 
-/// Where a request stands.
+/// State of a request in its pool's queue.
 #[derive(Debug)]
 enum RequestState {
-    /// It waits to be told.
+    /// It waits; the channel gets the decision.
     Waiting(oneshot::Sender<Result<(), Refusal>>),
-    /// It was started.
+    /// It was started and occupies a slot.
     Started,
 }
 
-/// Why a request was given up, and when it would be admitted.
+/// Refusal of a request, which did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why it was refused.
     pub reason: Reason,
-    /// When to come back.
+    /// Delay after which the request would be admitted.
     pub retry_after: Duration,
 }
 
-/// What the queue has to know of a request.
+/// A request that arrives at its pool's queue.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its pool.
+    /// Pool of endpoints that it is for.
     pub pool: CompactString,
-    /// Its id, for the log.
+    /// Id of the request, for the log.
     pub id: CompactString,
-    /// Its priority.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// When its answer is of no more use.
+    /// Time after which an answer is useless; a request that waits until then is refused.
     pub deadline: Time,
-    /// Most requests of its pool and priority that may wait.
+    /// Most requests that may wait in its pool's queue, for each priority.
     pub max_waiting: usize,
 }
 
-/// A request's place in its pool's queue until it is dropped.
+/// A request's place in its pool's queue, freed when dropped.
 pub struct Permit {
     shared: Rc<Shared>,
     arrival: Arrival,
     key: RequestKey,
-    /// Whether it got its whole answer.
+    /// Whether the request got its complete answer.
     is_successful: Cell<bool>,
 }
 
 impl Queues {
-    /// No queues yet; the seed decides the jitter of Retry-After.
+    /// Starts without queues; `seed` is that of the jitter of Retry-After.
     pub fn new(seed: u64) -> Self {
         Self {
             pools: RefCell::default(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Requests of a pool that wait.
+    /// Number of waiting requests of a pool.
     pub fn waiting(&self, pool: &str) -> usize {
         let pools = self.pools.borrow();
         pools.get(pool).map_or(0, PoolQueue::waiting)
@@ -109,7 +109,7 @@
         pool.is_none_or(|pool| pool.queue.admits(priority, budget))
     }
 
-    /// Requests of a pool that were started and haven't ended.
+    /// Number of requests of a pool that were started and have not ended.
     pub fn running(&self, pool: &str) -> usize {
         let pools = self.pools.borrow();
         pools.get(pool).map_or(0, |pool| pool.queue.running())
@@ -130,7 +130,7 @@
         PRIORITIES.iter().map(|p| self.queue.waiting(*p)).sum()
     }
 
-    /// Takes in an event and tells those whom it concerns.
+    /// Feeds an event to the queue and notifies the requests that it decides on.
     fn step(&mut self, now: Time, event: Event) {
         for action in self.queue.step(now, event) {
             self.notify(action);
@@ -138,7 +138,7 @@
     }
 
     fn notify(&mut self, action: Action) {
-        // One that is gone by now frees its place when its turn is dropped.
+        // A caller that has disconnected frees its place when its permit is dropped.
         match action {
             Action::Start { key } => {
                 let state = self.requests.insert(key, RequestState::Started);
@@ -162,10 +162,10 @@
     }
 }
 
-/// Waits for the request's turn.
+/// Waits until the request may start.
 ///
 /// # Errors
-/// It is given up, at its arrival or at its deadline; it did not run.
+/// The request is refused, on arrival or at its deadline, and did not run.
 pub async fn admit(shared: &Rc<Shared>, arrival: Arrival) -> Result<Permit, Refusal> {
     let number = shared.queues.next_key.get();
     shared.queues.next_key.set(number + 1);
@@ -186,18 +186,18 @@
 }
 
 impl Permit {
-    /// What the entry's parts share.
+    /// State shared by the parts of the entry that the request is served at.
     pub fn shared(&self) -> &Shared {
         &self.shared
     }
 
-    /// The request got its whole answer: that earns a part of a retry.
+    /// Records that the request got its complete answer, which adds to the pool's retry budget.
     pub fn record_success(&self) {
         self.is_successful.set(true);
         self.update_pool(|pool, now| pool.budget.note_success(now));
     }
 
-    /// What is told to a request whose deadline passed before it was sent.
+    /// Refusal of a request whose deadline passed after its start, but before it was sent.
     pub fn expired_refusal(&self) -> Refusal {
         let mut retry_after = Duration::ZERO;
         self.update_pool(|pool, _| {
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Goes back to the front of the queue, since no endpoint had room, and waits again.
+    /// Puts the request back at the front of the queue, as no endpoint had a free slot, and waits
+    /// again.
     ///
     /// # Errors
     /// The deadline passed.
@@ -219,7 +220,7 @@
         self.wait_in_queue(Event::Requeued { key }).await
     }
 
-    /// Sends the event and waits for what comes of it, until the deadline at most.
+    /// Feeds the event to the queue and waits for its decision, at most until the deadline.
     async fn wait_in_queue(&self, event: Event) -> Result<(), Refusal> {
         let (sender, verdict) = oneshot::channel();
         let state = RequestState::Waiting(sender);
@@ -276,7 +277,7 @@
     }
 }
 
-/// Takes a retry from the pool's budget and counts it; false if the budget is used up.
+/// Takes a retry from the pool's budget and counts it; false if the budget is exhausted.
 pub fn take_retry(shared: &Shared, pool: &CompactString) -> bool {
     let mut granted = false;
     update_pool(shared, pool, |pool, now| granted = pool.budget.take(now));
@@ -286,12 +287,12 @@
     granted
 }
 
-/// Starts the controller: what waits is looked at again whenever there may be room.
+/// Starts the task that ticks pools with waiting requests whenever a slot may have become free.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
             let mut freed = pin!(shared.endpoints.capacity_freed.notified());
-            // Listening begins before looking, so that no room is missed between the two.
+            // Register for the notification before ticking, so that no free slot is missed.
             freed.as_mut().enable();
             tick_waiting_pools(&shared);
             freed.await;
@@ -310,7 +311,7 @@
     }
 }
 
-/// Changes a pool's queue, whose capacity is brought up to date first.
+/// Applies `update` to a pool's queue after updating its capacity, then sets its metrics.
 fn update_pool(shared: &Shared, name: &CompactString, update: impl FnOnce(&mut PoolQueue, Time)) {
     let now = shared.now();
     let slots = capacity(shared, name);
@@ -332,8 +333,8 @@
     running.set(pool.queue.running() as i64);
 }
 
-/// Requests that the pool's endpoints take at once from this entry. Ejected ones count only if
-/// there are no others, as in routing.
+/// Number of requests that the pool's endpoints accept at a time from this entry. Ejected endpoints
+/// count only if there are no others, as in routing.
 fn capacity(shared: &Shared, pool: &str) -> u32 {
     let set = shared.endpoints.set();
     let (mut live, mut ejected) = (0, 0);
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -1,4 +1,7 @@
-//! Weight rollout of each pool of engines, by the holder of the pool's lease.
+//! Rollout of new weight versions to the engines of each pool.
+//!
+//! Every entry runs a [`Controller`] for each pool of engines, but only the holder of the pool's
+//! lease feeds it with events and sends its orders, which carry the lease's fencing token.
 
 use super::leases;
 use crate::{
@@ -24,20 +27,20 @@
 };
 use tokio::time::sleep;
 
-/// Pause between ticks.
+/// Interval between two updates and ticks of a pool's controller.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause between looks for pools that are new in the configuration.
+/// Interval between two checks for new pools in the configuration.
 const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for an engine's answer.
+/// Timeout of a call to an engine.
 const ENGINE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The controller's state.
+/// State of the rollout controller.
 #[derive(Default)]
 pub struct Rollout {
     controllers: RefCell<BTreeMap<CompactString, Controller>>,
 }
 
-/// Starts the controller.
+/// Starts the task that joins the rollout of new pools.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
@@ -47,7 +50,7 @@
     });
 }
 
-/// Takes part in the rollout of each pool of engines.
+/// Becomes a candidate for the rollout lease of each pool of engines that is new.
 fn join_new_pools(shared: &Rc<Shared>) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
@@ -86,7 +89,7 @@
         let lease = shared.leases.held(&duty, shared.now());
         let lease = lease.map(|(fence, expires_at)| Lease { fence, expires_at });
         if lease.is_some() || was_held {
-            // Also once without a lease, so that the controller stops.
+            // Once more after the lease is lost, so that the controller stops.
             step(shared, pool, Event::Lease(lease));
             feed_pool_state(shared, pool, &mut listed);
             step(shared, pool, Event::Tick);
@@ -96,7 +99,7 @@
     }
 }
 
-/// Tells the controller what is known of the pool.
+/// Feeds the pool's published version and engines to its controller.
 fn feed_pool_state(
     shared: &Rc<Shared>,
     pool: &CompactString,
@@ -140,7 +143,7 @@
     *listed = names;
 }
 
-/// What the platform's list and its load reports say of an engine.
+/// Events with an engine's listing and its last load report.
 fn engine_events(engine: &Endpoint) -> [Event; 2] {
     let listed = Event::Listed {
         name: engine.name.clone(),
@@ -156,7 +159,7 @@
     [listed, report]
 }
 
-/// Engines of the pool that are listed, but belong to the subsets of other entries alone.
+/// Events for the engines of the pool that are listed, but outside this entry's subset.
 fn events_outside_subset(
     shared: &Shared,
     pool: &str,
@@ -240,7 +243,7 @@
         .config
         .snapshot()
         .and_then(|snapshot| snapshot.document.pools.get(pool)?.model.clone());
-    // Asked again right before acting: the process may have been paused since the decision.
+    // Check the lease again right before acting: the process may have been paused since the decision.
     let held = shared.leases.held(&duty_of(pool), shared.now());
     let (Some(model), Some(address), true) = (
         model,
@@ -265,7 +268,7 @@
     }
 }
 
-/// What a call without an answer says of its engine.
+/// Event for a call that failed: the engine is unreachable, or whether it acted is unknown.
 fn failure_event(name: CompactString, error: &Error) -> Event {
     match error {
         Error::NotOpened(_) => Event::Unreachable { name },
--- a/crates/pinereel/src/controllers/weights.rs
+++ b/crates/pinereel/src/controllers/weights.rs
@@ -1,4 +1,4 @@
-//! The newest published version of each model, as the object API tells.
+//! Follows the newest published weight version of each model in the object API.
 
 use super::{
     follow::{Update, follow},
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// Starts the controller.
+/// Starts the task that passes published versions to the lots controller.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         follow(&shared, Purpose::Weights, WEIGHTS, apply_update).await;
@@ -29,7 +29,7 @@
         }
         Update::Changes(changes) => {
             for change in changes {
-                // A version that was published stays so, also without its object.
+                // A deleted object does not withdraw the published version.
                 if let Some(value) = change.value {
                     record_weights(shared, &change.name, value);
                 }
@@ -41,6 +41,6 @@
 fn record_weights(shared: &Rc<Shared>, model: &CompactString, value: Value) {
     match serde_json::from_value::<LatestWeights>(value) {
         Ok(weights) => lots::record_published(shared, model, weights.version),
-        Err(e) => log::error!("weights of {model} unreadable: {e}"),
+        Err(e) => log::error!("weights of {model} cannot be parsed: {e}"),
     }
 }
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -24,7 +24,7 @@
         entries: entries(shared).await,
         endpoints: endpoints(shared),
         versions: shared.lots.versions(),
-        leases: shared.leases.held_fencing_tokens(shared.now()),
+        leases: shared.leases.held_tokens(shared.now()),
         object_calls,
     }
 }
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -83,12 +83,9 @@
     publish(&site, 2).await;
     served(&site, 2).await;
     let holds = |site: &Site| {
-        site.entries.iter().position(|e| {
-            !e.shared
-                .leases
-                .held_fencing_tokens(e.shared.now())
-                .is_empty()
-        })
+        site.entries
+            .iter()
+            .position(|e| !e.shared.leases.held_tokens(e.shared.now()).is_empty())
     };
     let holder = holds(&site).unwrap();
     let leaving = site.entries.remove(holder);
