--- a/crates/pinereel/src/controllers/claims/log_store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -22,7 +22,7 @@
         Action::Reply { .. } | Action::Settled { .. } => return Event::Tick,
     };
     result.unwrap_or_else(|e| {
-        log::warn!(entry = shared.name().as_str(), shard = shard; "claims: reading or trimming the log failed: {e}");
+        log::warn!(entry = shared.name().as_str(), shard = shard; "claims: read or trim failed: {e}");
         Event::CallFailed
     })
 }
@@ -41,7 +41,7 @@
         }
         Err(Error::Conflict) => Event::Conflict,
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(), shard = shard; "claims: writing a segment failed: {e}");
+            log::warn!(entry = shared.name().as_str(), shard = shard; "claims: write failed: {e}");
             if e.had_no_effect() {
                 Event::NotCreated
             } else {
--- a/crates/pinereel/src/controllers/claims/mod.rs
+++ b/crates/pinereel/src/controllers/claims/mod.rs
@@ -1,9 +1,9 @@
 //! Idempotency keys: claims a key before its request runs, and settles the claim with the outcome.
 //!
-//! Each key belongs to a shard, whose log ([`pinereel_core::claim::Log`]) is kept in the object API.
-//! Any entry may write any shard's log; sending all claims of a shard to its owner, chosen by
-//! rendezvous hashing, only avoids write conflicts. An entry that cannot reach the owner uses the
-//! next in rank, or writes the log itself.
+//! Each key belongs to a shard, whose [`Log`] is kept in the object API. Any entry may write any
+//! shard's log; sending all claims of a shard to its owner, chosen by rendezvous hashing, only
+//! avoids write conflicts. An entry that cannot reach the owner uses the next in rank, or writes
+//! the log itself.
 //!
 //! - `client`: claims and settles keys for requests that arrived at this entry.
 //! - `log_store`: reads, writes and trims a log's segments in the object API.
--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -162,13 +162,13 @@
     };
     let name = from.name.clone();
     shared.config.peer_states.borrow_mut().insert(name, state);
-    let own = summary
+    let own_echo = summary
         .echo
         .filter(|echo| echo.incarnation == shared.incarnation && echo.sent_us <= now.0);
     let event = ParticipantEvent::PeerState {
-        echoed_at: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
+        echoed_at: own_echo.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
         number: summary.number,
-        up_to_date: summary.vouches && own.is_some(),
+        up_to_date: summary.vouches && own_echo.is_some(),
         from: from.name.clone(),
     };
     step(shared, event);
@@ -262,7 +262,7 @@
 }
 
 fn abort_pending(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
-    log::warn!(entry = shared.name().as_str(); "config: aborting the pending patch of another proposer");
+    log::warn!(entry = shared.name().as_str(); "config: aborting a pending patch");
     spawn(shared, async move |shared| {
         write_stored(&shared, version, &stored).await;
         start_read(&shared);
--- a/crates/pinereel/src/controllers/config/relay.rs
+++ b/crates/pinereel/src/controllers/config/relay.rs
@@ -1,7 +1,7 @@
 //! Messages of the two-phase commit: handled here, and forwarded to the leaves of a relay group.
 //!
-//! Up to [`pinereel_core::member::MAX_FULL_MESH_SIZE`] receivers each get their own message. Beyond that a
-//! message takes two levels: relays in each availability zone pass it on.
+//! Up to [`pinereel_core::member::MAX_FULL_MESH_SIZE`] receivers are each sent a message directly.
+//! More are reached over two levels: relays in each availability zone forward it to their leaves.
 
 use super::{prepare as prepare_here, step};
 use crate::{
--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -41,8 +41,8 @@
     Only(Key),
 }
 
-/// Decides where the next attempt of a request may run; a suspected one may have to wait for up to
-/// [`MAX_PLACEMENT_WAIT`].
+/// Decides where the next attempt of a request may run. A suspected request may wait here for up to
+/// 500 ms (`MAX_PLACEMENT_WAIT`).
 ///
 /// # Errors
 /// A refusal, not run, if the request is blocked or would have to wait longer.
@@ -87,7 +87,8 @@
     }
 }
 
-/// Whether a sample or scoring is blocked; if so, returns only after [`BLOCKED_RETRY_DELAY`].
+/// Whether a sample or scoring is blocked; if so, returns only after `BLOCKED_RETRY_DELAY`, to pace
+/// the retries.
 pub async fn delay_if_blocked(shared: &Shared, identity: impl Fn() -> Identity) -> bool {
     let blocked = is_blocked(shared, identity);
     if blocked {
@@ -184,7 +185,7 @@
 }
 
 /// Takes the reports that are new, to be sent with the next summaries; at most
-/// [`MAX_REPORTS_PER_SUMMARY`].
+/// `MAX_REPORTS_PER_SUMMARY`.
 pub fn take_pending_reports(shared: &Shared) -> Vec<Report> {
     let mut register = shared.crashes.register.borrow_mut();
     let now = shared.now();
@@ -192,7 +193,7 @@
     register.take_pending(now, MAX_REPORTS_PER_SUMMARY)
 }
 
-/// All known reports, for the periodic full summary; at most [`MAX_REPORTS_PER_SUMMARY`].
+/// All known reports, for the periodic full summary; at most `MAX_REPORTS_PER_SUMMARY`.
 pub fn known_reports(shared: &Shared) -> Vec<Report> {
     let mut all = shared.crashes.register.borrow().reports(shared.now());
     all.truncate(MAX_REPORTS_PER_SUMMARY);
--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown of this entry: the I/O side of [`pinereel_core::drain`].
 //!
-//! [`Drain`] holds the flags and the count of requests in flight that the request path uses; [`run`]
-//! drives the shutdown.
+//! [`Drain`] holds what the request path needs: the flags and the count of requests in flight.
+//! [`run`] drives the shutdown.
 
 use crate::{
     controllers::{leases, lots, members},
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -282,9 +282,9 @@
     for (name, instance) in subset {
         let pool = snapshot.document.pools.get(&instance.pool);
         let slots = pool.map_or(1, |pool| pool.slots);
-        let engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
+        let is_engine = pool.is_some_and(|pool| pool.kind == PoolKind::Engine);
         step(shared, Event::Listed(listing(&name, instance, slots)));
-        if engine
+        if is_engine
             && shared
                 .endpoints
                 .polled_engines
@@ -310,7 +310,8 @@
 
 /// Polls one engine for load reports until it leaves the set.
 async fn poll_engine(shared: &Rc<Shared>, name: CompactString) {
-    // Only part of the first interval, so that engines listed together are polled at different times.
+    // The first interval is shortened by name, so that engines listed together are then polled at
+    // different times.
     let mut phase = f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
     loop {
         let found = shared
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -132,12 +132,12 @@
         .into_iter()
         .map(|(pool, count)| (pool, subset::cover(all.len(), count, size)))
         .collect();
-    let me = Entry {
+    let own = Entry {
         name: shared.name(),
         zone: shared.zone(),
     };
     let subset = listed.iter().filter(|(name, instance)| {
-        subset::contains(me, &all, name, &instance.zone, covers[&instance.pool])
+        subset::contains(own, &all, name, &instance.zone, covers[&instance.pool])
     });
     subset.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -49,7 +49,7 @@
     }
     if !remaining.is_empty() {
         let count = remaining.len();
-        log::warn!(entry = shared.name().as_str(), lot = spec.lot.as_str(), count; "handover: samples lost: no entry accepted them");
+        log::warn!(entry = shared.name().as_str(), lot = spec.lot.as_str(), count; "handover: no entry accepted the samples");
     }
 }
 
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -191,8 +191,8 @@
 /// Writes the own member object again if it was removed. Patches may have been accepted without
 /// this entry in the meantime, so the configuration is read afterwards.
 async fn restore_own_object(shared: &Rc<Shared>) {
-    let there = shared.members.view().members().contains_key(shared.name());
-    if there || shared.members.has_left.get() {
+    let is_listed = shared.members.view().members().contains_key(shared.name());
+    if is_listed || shared.members.has_left.get() {
         return;
     }
     log::warn!(entry = shared.name().as_str(); "members: own object is missing; writing it again");
@@ -207,7 +207,8 @@
     let own = shared.name();
     let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE);
     if view.members().len() > MAX_FULL_MESH_SIZE {
-        // Only the entry with the smaller name dials, so each must also know which links others want.
+        // Of two entries only the one with the smaller name dials, so each must also know which
+        // links the others want.
         let others = view.members().keys().filter(|name| *name != own);
         let wanting = others.filter(|name| {
             view.links(name, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
@@ -305,7 +306,7 @@
     ahead.count() < CONFIG_WATCHERS_PER_ZONE
 }
 
-/// Calls the entries `names`; returns the incarnation and configuration number of each that answers.
+/// Calls the entries `names`; returns incarnation and configuration number of each that answers.
 pub async fn fetch_reports(
     shared: &Shared,
     names: Vec<CompactString>,
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -251,7 +251,7 @@
             tokio::select! {
                 biased;
                 result = &mut verdict => {
-                    return result.expect("whoever waits is told before its place is removed");
+                    return result.expect("a waiting request is notified before it is removed");
                 }
                 // The queue refuses whatever has waited until its deadline.
                 () = sleep(left) => self.update_pool(|pool, now| pool.step(now, Event::Tick)),
@@ -319,7 +319,9 @@
     if !pools.contains_key(name) {
         pools.insert(name.clone(), PoolQueue::new(now, shared.queues.seed));
     }
-    let pool = pools.get_mut(name).expect("it was put there just now");
+    let pool = pools
+        .get_mut(name)
+        .expect("inserted above if it was missing");
     if pool.slots != slots {
         pool.slots = slots;
         pool.step(now, Event::Capacity { slots });
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -243,7 +243,7 @@
         .config
         .snapshot()
         .and_then(|snapshot| snapshot.document.pools.get(pool)?.model.clone());
-    // Check the lease again right before acting: the process may have been paused since the decision.
+    // Check the lease again right before acting: the process may have been paused in between.
     let held = shared.leases.held(&duty_of(pool), shared.now());
     let (Some(model), Some(address), true) = (
         model,
