--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -1,7 +1,7 @@
 //! The callers' listener: live requests, trainers' calls, liveness and readiness.
 
 use crate::{
-    controllers::{config::Pin, lots::front},
+    controllers::{config::Snapshot, lots::trainer_api},
     filters::{admit, completion, pin, refuse, respond, service, unknown},
     http::{self, Request, Response},
     state::Shared,
@@ -19,7 +19,7 @@
 
 /// Answers one request, which is in flight until the last byte of its answer has been sent.
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
-    let guard = shared.drain.enter();
+    let guard = shared.drain.track_request();
     let answer = answer_to(shared, request).await;
     http::hold(answer, guard)
 }
@@ -62,14 +62,14 @@
 }
 
 /// The smaller bound of this instance and of the pinned configuration, in bytes.
-fn largest_body(shared: &Shared, pin: &Pin) -> usize {
+fn largest_body(shared: &Shared, pin: &Snapshot) -> usize {
     let asked = pin.document.limits.max_body as usize;
     asked.min(shared.settings.limits.body)
 }
 
 async fn body<T: serde::de::DeserializeOwned>(
     shared: &Shared,
-    pin: &Pin,
+    pin: &Snapshot,
     request: &mut Request,
 ) -> Result<T, Problem> {
     let max = largest_body(shared, pin);
@@ -115,7 +115,7 @@
     shared: &Shared,
     work: impl Future<Output = Result<T, Problem>> + 'static,
 ) -> Result<T, Problem> {
-    let guard = shared.drain.enter();
+    let guard = shared.drain.track_request();
     let task = actix_rt::spawn(async move {
         let _guard = guard;
         work.await
@@ -129,7 +129,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let lot: trainer::Lot = http::read_json(request, MAX_LOT, timeout).await?;
     let owner = Rc::clone(shared);
-    let work = async move { front::submit(&owner, &pin, lot).await };
+    let work = async move { trainer_api::submit(&owner, &pin, lot).await };
     answer(keep(shared, work).await)
 }
 
@@ -142,7 +142,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let collect: trainer::Collect = http::read_json(request, MAX_SMALL, timeout).await?;
     let (owner, id) = (Rc::clone(shared), id.to_owned());
-    let work = async move { front::collect(&owner, &pin, &id, collect).await };
+    let work = async move { trainer_api::collect(&owner, &pin, &id, collect).await };
     answer(keep(shared, work).await)
 }
 
@@ -155,7 +155,7 @@
     let timeout = shared.settings.limits.read_timeout;
     let publish: trainer::Publish = http::read_json(request, MAX_SMALL, timeout).await?;
     let (owner, name) = (Rc::clone(shared), name.to_owned());
-    let work = async move { front::publish(&owner, &pin, &name, publish).await };
+    let work = async move { trainer_api::publish(&owner, &pin, &name, publish).await };
     answer(keep(shared, work).await)
 }
 
--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -1,9 +1,12 @@
-//! The configuration in force at this entry, and the patches that arrive here.
+//! The configuration in force at this entry: the I/O side of [`pinereel_core::config`].
 //!
-//! - [`propose`]: one patch on its way, from this entry as its proposer.
-//! - [`relay`]: messages of a patch, carried out here and passed on.
-//! - `apply`: what changes here when a new number comes into force.
-//! - `watch`: the sparse watch on the configuration's object.
+//! Requests are served under a [`Snapshot`]. This module feeds the [`Participant`] of the two-phase
+//! commit with reads of the object API and the summaries of peers, and carries out its actions.
+//!
+//! - [`propose`]: runs the [`pinereel_core::config::Coordinator`] of a patch that arrives here.
+//! - [`relay`]: handles and forwards the commit protocol's messages.
+//! - `apply`: notifies the other controllers of a new configuration.
+//! - `watch`: watches the configuration's object for changes.
 
 mod apply;
 pub mod propose;
@@ -35,258 +38,265 @@
 };
 use tokio::time::sleep;
 
-/// Pause between ticks of the register, which wants one at least every 250 ms.
-const TICK: Duration = Duration::from_millis(100);
-/// Most reads under way: a hanging one must not keep a fresh one from being sent.
-const MAX_READS: u32 = 2;
-/// Longest wait for a peer's configuration.
+/// Interval between two ticks of the participant, which needs one at least every 250 ms.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Most concurrent reads of the object: more than one, as a read that hangs must not prevent the
+/// next.
+const MAX_READS_IN_FLIGHT: u32 = 2;
+/// Timeout of a call that fetches a peer's configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The number and the document that a request is pinned to.
+/// A configuration as a request sees it, from its admission to its end.
 #[derive(Clone, Debug)]
-pub struct Pin {
-    /// The number.
+pub struct Snapshot {
+    /// Number of the configuration; each accepted patch raises it by one.
     pub number: u64,
-    /// The document.
+    /// Content of the configuration.
     pub document: Rc<Document>,
 }
 
-/// What a peer last told.
+/// Content of a peer's last summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
-    /// The peer's incarnation.
+pub struct PeerState {
+    /// Incarnation of the peer that sent it.
     pub incarnation: u64,
-    /// When it was heard.
-    pub at: Time,
-    /// The number in force there.
+    /// When it arrived, by this entry's clock.
+    pub received_at: Time,
+    /// Number of the configuration in force at the peer.
     pub number: u64,
-    /// The peer's own stamp of it.
+    /// Time of sending in microseconds, by the peer's clock; echoed back to it.
     sent_us: u64,
 }
 
-/// The controller's state.
+/// State of the configuration controller.
 pub struct Config {
-    register: RefCell<Participant>,
-    pin: RefCell<Option<Pin>>,
-    heard: RefCell<BTreeMap<CompactString, Heard>>,
-    reading: Cell<u32>,
-    fetching: Cell<bool>,
-    rounds: Cell<u64>,
-    /// Rounds under way.
-    open: Cell<u32>,
+    participant: RefCell<Participant>,
+    snapshot: RefCell<Option<Snapshot>>,
+    peer_states: RefCell<BTreeMap<CompactString, PeerState>>,
+    reads_in_flight: Cell<u32>,
+    fetch_in_flight: Cell<bool>,
+    next_round: Cell<u64>,
+    /// Patches whose commit rounds are running at this entry.
+    rounds_in_flight: Cell<u32>,
 }
 
 impl Config {
-    /// The state of a starting entry.
+    /// State of a starting entry, which has no configuration before its first read.
     pub fn new(now: Time, name: CompactString) -> Self {
         Self {
-            register: RefCell::new(Participant::new(now, name)),
-            pin: RefCell::default(),
-            heard: RefCell::default(),
-            reading: Cell::default(),
-            fetching: Cell::default(),
-            rounds: Cell::default(),
-            open: Cell::default(),
+            participant: RefCell::new(Participant::new(now, name)),
+            snapshot: RefCell::default(),
+            peer_states: RefCell::default(),
+            reads_in_flight: Cell::default(),
+            fetch_in_flight: Cell::default(),
+            next_round: Cell::default(),
+            rounds_in_flight: Cell::default(),
         }
     }
 
     /// The number in force; 0 before the first read.
     pub fn number(&self) -> u64 {
-        self.register.borrow().number()
+        self.participant.borrow().number()
     }
 
-    /// What is in force here, whether or not a request may be admitted under it; `None` before
-    /// the first read.
-    pub fn pin(&self) -> Option<Pin> {
-        self.pin.borrow().clone()
+    /// The configuration in force here, whether or not requests may be admitted under it; `None`
+    /// before the first read.
+    pub fn snapshot(&self) -> Option<Snapshot> {
+        self.snapshot.borrow().clone()
     }
 
-    /// What a request that is admitted now is pinned to.
+    /// The configuration under which a request is admitted now.
     ///
     /// # Errors
-    /// Why the entry admits none.
-    pub fn admits(&self, now: Time) -> Result<Pin, Refusal> {
-        self.register.borrow().admits(now)?;
-        self.pin().ok_or(Refusal::Starting)
+    /// The reason why the entry does not admit requests.
+    pub fn admits(&self, now: Time) -> Result<Snapshot, Refusal> {
+        self.participant.borrow().admits(now)?;
+        self.snapshot().ok_or(Refusal::Starting)
     }
 
-    /// Whether peers may take this entry's number as a sign that nothing newer is in force.
-    pub fn vouches(&self, now: Time) -> bool {
-        self.register.borrow().is_up_to_date(now)
+    /// Whether peers may take this entry's number as proof that no higher one is in force.
+    pub fn is_up_to_date(&self, now: Time) -> bool {
+        self.participant.borrow().is_up_to_date(now)
     }
 
-    /// What was last heard of each peer.
-    pub fn heard(&self) -> BTreeMap<CompactString, Heard> {
-        self.heard.borrow().clone()
+    /// The last summary of each peer.
+    pub fn peer_states(&self) -> BTreeMap<CompactString, PeerState> {
+        self.peer_states.borrow().clone()
     }
 
-    /// Forgets what was heard of others than `names`.
-    pub(super) fn keep(&self, names: &BTreeSet<CompactString>) {
-        let mut heard = self.heard.borrow_mut();
-        heard.retain(|name, _| names.contains(name));
+    /// Drops the state of all peers but `names`.
+    pub(super) fn retain_peers(&self, names: &BTreeSet<CompactString>) {
+        let mut states = self.peer_states.borrow_mut();
+        states.retain(|name, _| names.contains(name));
     }
 
-    /// Names the latest summary of the peer `to`, if one was heard.
-    pub fn echo(&self, to: &Hello) -> Option<Echo> {
-        let heard = self.heard.borrow().get(&to.name).copied()?;
-        (heard.incarnation == to.incarnation).then_some(Echo {
-            incarnation: heard.incarnation,
-            sent_us: heard.sent_us,
+    /// Echo of the last summary of the peer `to`; `None` if this incarnation sent none.
+    pub fn echo_for(&self, to: &Hello) -> Option<Echo> {
+        let state = self.peer_states.borrow().get(&to.name).copied()?;
+        (state.incarnation == to.incarnation).then_some(Echo {
+            incarnation: state.incarnation,
+            sent_us: state.sent_us,
         })
     }
 }
 
-/// Starts the controller. The member object must have been written before.
+/// Starts the controller's tasks. The member object must have been written before.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
             step(&shared, ParticipantEvent::Tick);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     });
     spawn(shared, async |shared: Rc<Shared>| watch::run(&shared).await);
 }
 
-/// Takes in what a peer tells of its configuration.
-pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: &Summary) {
+/// Handles a peer's periodic summary.
+pub fn receive_summary(shared: &Rc<Shared>, from: &Hello, summary: &Summary) {
     let now = shared.now();
-    let heard = Heard {
+    let state = PeerState {
         incarnation: from.incarnation,
-        at: now,
+        received_at: now,
         number: summary.number,
         sent_us: summary.sent_us,
     };
     let name = from.name.clone();
-    shared.config.heard.borrow_mut().insert(name, heard);
-    let own = summary
+    shared.config.peer_states.borrow_mut().insert(name, state);
+    let own_echo = summary
         .echo
         .filter(|echo| echo.incarnation == shared.incarnation && echo.sent_us <= now.0);
-    let input = ParticipantEvent::PeerState {
-        echoed_at: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
+    let event = ParticipantEvent::PeerState {
+        echoed_at: own_echo.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
         number: summary.number,
-        up_to_date: summary.vouches && own.is_some(),
+        up_to_date: summary.vouches && own_echo.is_some(),
         from: from.name.clone(),
     };
-    step(shared, input);
+    step(shared, event);
 }
 
-/// The answer to a peer's [`Call::Fetch`].
-pub fn fetched(shared: &Shared) -> Reply {
-    let Some(pin) = shared.config.pin() else {
+/// Answers a peer's [`Call::Fetch`] with the configuration in force here.
+pub fn serve_fetch(shared: &Shared) -> Reply {
+    let Some(snapshot) = shared.config.snapshot() else {
         return Reply::Refused("starting".into());
     };
-    match serde_json::to_value(&*pin.document) {
+    match serde_json::to_value(&*snapshot.document) {
         Ok(document) => Reply::Config {
-            number: pin.number,
+            number: snapshot.number,
             document,
         },
         Err(e) => Reply::Refused(e.to_string().into()),
     }
 }
 
-/// Reads the object now, whatever the register orders.
-pub(super) fn read(shared: &Rc<Shared>) {
-    let reading = shared.config.reading.get();
-    if reading >= MAX_READS {
+/// Starts a read of the object, without waiting for the participant to ask for one.
+pub(super) fn start_read(shared: &Rc<Shared>) {
+    let in_flight = shared.config.reads_in_flight.get();
+    if in_flight >= MAX_READS_IN_FLIGHT {
         return;
     }
-    shared.config.reading.set(reading + 1);
+    shared.config.reads_in_flight.set(in_flight + 1);
     spawn(shared, async |shared: Rc<Shared>| {
         let sent_at = shared.now();
-        let read = read_stored(&shared).await;
-        shared.config.reading.set(shared.config.reading.get() - 1);
-        if let Some((version, stored)) = read {
-            let input = ParticipantEvent::Read {
+        let stored = read_stored(&shared).await;
+        shared
+            .config
+            .reads_in_flight
+            .set(shared.config.reads_in_flight.get() - 1);
+        if let Some((version, stored)) = stored {
+            let event = ParticipantEvent::Read {
                 sent_at,
                 version,
                 stored,
             };
-            step(&shared, input);
+            step(&shared, event);
         }
     });
 }
 
-/// Feeds the register and carries out its orders.
-fn step(shared: &Rc<Shared>, input: ParticipantEvent) {
-    let orders = feed(shared, input);
-    carry_out(shared, orders);
+/// Feeds an event to the participant and carries out its actions.
+fn step(shared: &Rc<Shared>, event: ParticipantEvent) {
+    let actions = step_participant(shared, event);
+    execute_all(shared, actions);
 }
 
-/// Stores a configuration that may come into force; whether it is confirmed.
+/// Prepares a configuration at this entry; returns whether the participant confirmed it.
 fn prepare(shared: &Rc<Shared>, prepare: Prepare) -> bool {
-    let orders = feed(shared, ParticipantEvent::Prepare(prepare));
-    let confirmed = orders
+    let actions = step_participant(shared, ParticipantEvent::Prepare(prepare));
+    let confirmed = actions
         .iter()
-        .any(|order| matches!(order, ParticipantAction::Confirm { .. }));
-    carry_out(shared, orders);
+        .any(|action| matches!(action, ParticipantAction::Confirm { .. }));
+    execute_all(shared, actions);
     confirmed
 }
 
-fn feed(shared: &Rc<Shared>, input: ParticipantEvent) -> Vec<ParticipantAction> {
+fn step_participant(shared: &Rc<Shared>, event: ParticipantEvent) -> Vec<ParticipantAction> {
     let now = shared.now();
-    let mut register = shared.config.register.borrow_mut();
-    let orders = register.step(now, input);
-    let started = register.admits(now) != Err(Refusal::Starting);
-    let mut pin = shared.config.pin.borrow_mut();
-    if started && pin.as_ref().map(|pin| pin.number) != Some(register.number()) {
-        let old = pin.replace(Pin {
-            number: register.number(),
-            document: Rc::new(register.document().clone()),
+    let mut participant = shared.config.participant.borrow_mut();
+    let actions = participant.step(now, event);
+    let started = participant.admits(now) != Err(Refusal::Starting);
+    let mut snapshot = shared.config.snapshot.borrow_mut();
+    if started && snapshot.as_ref().map(|snapshot| snapshot.number) != Some(participant.number()) {
+        let old = snapshot.replace(Snapshot {
+            number: participant.number(),
+            document: Rc::new(participant.document().clone()),
         });
-        drop((pin, register));
-        // The pin is in place: whoever is told of the change already finds the new number.
-        apply::changed(shared, old.as_ref());
+        drop((snapshot, participant));
+        // The snapshot is replaced first, so that those notified already see the new number.
+        apply::apply_snapshot(shared, old.as_ref());
     }
-    orders
+    actions
 }
 
-fn carry_out(shared: &Rc<Shared>, orders: Vec<ParticipantAction>) {
-    for order in orders {
-        match order {
-            ParticipantAction::Read => read(shared),
+fn execute_all(shared: &Rc<Shared>, actions: Vec<ParticipantAction>) {
+    for action in actions {
+        match action {
+            ParticipantAction::Read => start_read(shared),
             ParticipantAction::AbortPending { version, stored } => {
-                take_back(shared, version, stored);
+                abort_pending(shared, version, stored);
             }
             ParticipantAction::Fetch { from } => fetch(shared, from),
-            // The pin has followed the register, and the answer to a prepare confirms it.
+            // `step_participant` has replaced the snapshot, and `prepare` returns the confirmation.
             ParticipantAction::Apply { .. } | ParticipantAction::Confirm { .. } => {}
         }
     }
 }
 
-fn take_back(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
-    log::warn!(entry = shared.name().as_str(); "config: pending patch taken back");
+fn abort_pending(shared: &Rc<Shared>, version: u64, stored: StoredConfig) {
+    log::warn!(entry = shared.name().as_str(); "config: aborting a pending patch");
     spawn(shared, async move |shared| {
         write_stored(&shared, version, &stored).await;
-        read(&shared);
+        start_read(&shared);
     });
 }
 
 fn fetch(shared: &Rc<Shared>, from: CompactString) {
-    if shared.config.fetching.replace(true) {
+    if shared.config.fetch_in_flight.replace(true) {
         return;
     }
     spawn(shared, async move |shared| {
         let reply = members::call(&shared, &from, Call::Fetch, FETCH_TIMEOUT).await;
-        shared.config.fetching.set(false);
+        shared.config.fetch_in_flight.set(false);
         let Some(Reply::Config { number, document }) = reply else {
             return;
         };
         match serde_json::from_value(document) {
             Ok(document) => step(&shared, ParticipantEvent::Fetched { number, document }),
-            Err(e) => log::error!("config: configuration {number} of {from} unreadable: {e}"),
+            Err(e) => log::error!(
+                "config: configuration {number} fetched from {from} cannot be parsed: {e}"
+            ),
         }
     });
 }
 
-/// Reads the object's version and content; an absent object is version 0 and empty.
+/// Reads the object's version and content; a missing object is version 0 and empty. `None` if it
+/// cannot be read.
 async fn read_stored(shared: &Shared) -> Option<(u64, StoredConfig)> {
     let objects = &shared.objects;
     match objects.read(Purpose::Config, CONFIG, CONFIG_NAME).await {
         Ok(None) => Some((0, StoredConfig::default())),
         Ok(Some(object)) => parse(object),
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(); "config: not read: {e}");
+            log::warn!(entry = shared.name().as_str(); "config: reading the object failed: {e}");
             None
         }
     }
@@ -296,7 +306,7 @@
     match serde_json::from_value(object.value) {
         Ok(stored) => Some((object.version, stored)),
         Err(e) => {
-            log::error!("config: object unreadable: {e}");
+            log::error!("config: object cannot be parsed: {e}");
             None
         }
     }
@@ -314,7 +324,7 @@
         Ok(version) => WriteResult::Written(version),
         Err(Error::Conflict | Error::NotFound) => WriteResult::Conflict,
         Err(e) => {
-            log::warn!(entry = shared.name().as_str(); "config: write without a result: {e}");
+            log::warn!(entry = shared.name().as_str(); "config: result of a write is unknown: {e}");
             WriteResult::Unknown
         }
     }
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -1,6 +1,6 @@
-//! The platform's list of instances, and which of its endpoints this entry works with.
+//! The platform's list of instances, and this entry's subset of the listed endpoints.
 //!
-//! An entry knows all that are listed, since the holder of a rollout's lease needs them, but keeps
+//! An entry knows all listed instances, since the holder of a rollout's lease needs them, but keeps
 //! state, connections and load reports only for its subset of each pool.
 
 use super::{
@@ -25,29 +25,29 @@
 /// Pool name of the entries themselves in the platform's list.
 const ENTRY_POOL: &str = "entry";
 
-/// The list as last told.
+/// The platform's list as last received.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct InstanceList {
     endpoints: RefCell<BTreeMap<CompactString, Instance>>,
     entries: RefCell<BTreeMap<CompactString, Instance>>,
-    /// Counts what was told; 0 before the list was read.
+    /// Number of updates with changes; 0 before the list was read.
     revision: Cell<u64>,
-    /// Told whenever something changed.
+    /// Notified whenever the list changes.
     pub(super) changed: Notify,
 }
 
-impl List {
-    /// Listed endpoints by name, whether this entry works with them or not.
+impl InstanceList {
+    /// All listed endpoints by name, in this entry's subset or not.
     pub fn endpoints(&self) -> Ref<'_, BTreeMap<CompactString, Instance>> {
         self.endpoints.borrow()
     }
 
-    /// Counts changes; 0 before the list was read.
+    /// Revision of the list, which rises with each change; 0 before the list was read.
     pub const fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    fn put(&self, name: CompactString, value: Option<Value>) {
+    fn set(&self, name: CompactString, value: Option<Value>) {
         self.endpoints.borrow_mut().remove(&name);
         self.entries.borrow_mut().remove(&name);
         let Some(value) = value else { return };
@@ -58,7 +58,7 @@
             Ok(instance) => {
                 self.endpoints.borrow_mut().insert(name, instance);
             }
-            Err(e) => log::error!("instance {name} unreadable: {e}"),
+            Err(e) => log::error!("instances: {name} cannot be parsed: {e}"),
         }
     }
 
@@ -66,41 +66,41 @@
         self.endpoints.borrow_mut().clear();
         self.entries.borrow_mut().clear();
         for object in objects {
-            self.put(object.name, Some(object.value));
+            self.set(object.name, Some(object.value));
         }
     }
 }
 
-/// Follows the platform's list.
-pub(super) async fn run(shared: &Rc<Shared>) {
-    follow(shared, Purpose::Instances, INSTANCES, take).await;
+/// Follows the platform's list; never returns.
+pub(super) async fn follow_list(shared: &Rc<Shared>) {
+    follow(shared, Purpose::Instances, INSTANCES, apply_update).await;
 }
 
-fn take(shared: &Rc<Shared>, update: Update) {
+fn apply_update(shared: &Rc<Shared>, update: Update) {
     let list = &shared.endpoints.list;
     let changed = !matches!(&update, Update::Changes(changes) if changes.is_empty());
     match update {
         Update::All(objects) => list.replace(objects),
         Update::Changes(changes) => {
             for change in changes {
-                list.put(change.name, change.value);
+                list.set(change.name, change.value);
             }
         }
     }
-    // Also without a change: the list has just been confirmed.
-    members::platform(shared, &list.entries.borrow());
+    // Also without a change: this confirms that the list is current.
+    members::apply_platform_list(shared, &list.entries.borrow());
     if changed {
         list.revision.set(list.revision.get() + 1);
         list.changed.notify_one();
     }
 }
 
-/// The live entries, with their availability zones.
+/// Live entries by name, with their availability zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Entries(BTreeMap<CompactString, CompactString>);
+pub(super) struct LiveEntries(BTreeMap<CompactString, CompactString>);
 
-impl Entries {
-    /// Those that this entry knows of, itself included.
+impl LiveEntries {
+    /// The live entries of this entry's membership view, itself included.
     pub(super) fn of(shared: &Shared) -> Self {
         let view = shared.members.view();
         let live = view
@@ -115,8 +115,8 @@
     }
 }
 
-/// Names of the endpoints that this entry works with.
-pub(super) fn held(shared: &Shared, entries: &Entries) -> Vec<CompactString> {
+/// Names of the endpoints in this entry's subset.
+pub(super) fn subset_names(shared: &Shared, entries: &LiveEntries) -> Vec<CompactString> {
     let listed = shared.endpoints.list.endpoints();
     let size = shared.settings.policy.subset;
     let all: Vec<_> = entries
@@ -132,12 +132,12 @@
         .into_iter()
         .map(|(pool, count)| (pool, subset::cover(all.len(), count, size)))
         .collect();
-    let me = Entry {
+    let own = Entry {
         name: shared.name(),
         zone: shared.zone(),
     };
-    let held = listed.iter().filter(|(name, instance)| {
-        subset::contains(me, &all, name, &instance.zone, covers[&instance.pool])
+    let subset = listed.iter().filter(|(name, instance)| {
+        subset::contains(own, &all, name, &instance.zone, covers[&instance.pool])
     });
-    held.map(|(name, _)| name.clone()).collect()
+    subset.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/pinereel/src/controllers/lots/mod.rs
+++ b/crates/pinereel/src/controllers/lots/mod.rs
@@ -1,17 +1,21 @@
-//! Lots of samples: the ones submitted here, and the groups that run here.
+//! Batch scheduling of lots: the I/O side of [`pinereel_core::lot`].
 //!
-//! - [`front`]: trainers' calls: submit, collect.
-//! - [`runner`]: what other entries ask of this one's runner.
-//! - `attempt`: one attempt of one sample at one engine.
-//! - `score`: scoring of finished samples.
-//! - `placement`, `handover`: which entry runs which groups, and what a stopping one passes on.
+//! Every entry both accepts lots from trainers and runs the groups that other entries assign to
+//! it. [`step`] feeds an event to this entry's [`Runner`] and carries out its actions.
+//!
+//! - [`trainer_api`]: handles the trainers' calls: submit, collect and publish.
+//! - [`runner`]: handles the calls of other entries to this entry's runner.
+//! - `attempt`: runs one attempt of one sample on one engine.
+//! - `score`: has a trainer's scoring service score finished samples.
+//! - `placement`: maps groups to entries by rendezvous hashing.
+//! - `handover`: transfers finished samples from a draining entry to others.
 
 mod attempt;
-pub mod front;
 mod handover;
 mod placement;
 pub mod runner;
 mod score;
+pub mod trainer_api;
 
 use crate::{
     logging::What,
@@ -34,46 +38,46 @@
     time::sleep,
 };
 
-/// Pause between ticks of the runner.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between two [`Event::Tick`]s of the runner.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a runner answers to a collect.
-type Answer = Result<(Vec<Sample>, Vec<u32>), cursor::Error>;
+/// A runner's result for one collect: finished samples, and the groups that it does not have.
+type CollectResult = Result<(Vec<Sample>, Vec<u32>), cursor::Error>;
 
-/// An attempt under way.
-struct Running {
-    /// Ends its task.
+/// An attempt that is running on an engine.
+struct RunningAttempt {
+    /// Aborts the task that reads the attempt's stream.
     abort: AbortHandle,
-    /// `IP:PORT` of its engine.
+    /// `IP:PORT` of the engine.
     address: CompactString,
-    /// Its id at the engine.
+    /// Request id, by which the engine can cancel the attempt.
     id: CompactString,
 }
 
-/// The controller's state.
+/// State of the lots controller.
 pub struct Lots {
     runner: RefCell<Runner>,
-    running: RefCell<BTreeMap<AttemptKey, Running>>,
-    fronts: RefCell<BTreeMap<CompactString, front::Front>>,
+    running_attempts: RefCell<BTreeMap<AttemptKey, RunningAttempt>>,
+    submitted: RefCell<BTreeMap<CompactString, trainer_api::SubmittedLot>>,
     versions: RefCell<BTreeMap<CompactString, Version>>,
-    calls: RefCell<BTreeMap<u64, oneshot::Sender<Answer>>>,
-    next_call: Cell<u64>,
-    handing: Cell<usize>,
-    ready: Notify,
+    pending_collects: RefCell<BTreeMap<u64, oneshot::Sender<CollectResult>>>,
+    next_collect: Cell<u64>,
+    handovers_in_flight: Cell<usize>,
+    samples_ready: Notify,
 }
 
 impl Lots {
-    /// No lots.
+    /// Starts without any lot; `runner` schedules the groups that will be assigned to this entry.
     pub fn new(runner: Runner) -> Self {
         Self {
             runner: RefCell::new(runner),
-            running: RefCell::default(),
-            fronts: RefCell::default(),
+            running_attempts: RefCell::default(),
+            submitted: RefCell::default(),
             versions: RefCell::default(),
-            calls: RefCell::default(),
-            next_call: Cell::new(0),
-            handing: Cell::new(0),
-            ready: Notify::new(),
+            pending_collects: RefCell::default(),
+            next_collect: Cell::new(0),
+            handovers_in_flight: Cell::new(0),
+            samples_ready: Notify::new(),
         }
     }
 
@@ -82,29 +86,29 @@
         self.versions.borrow().clone()
     }
 
-    /// What this entry's runner has done.
+    /// Counters of this entry's runner.
     pub fn stats(&self) -> Stats {
         self.runner.borrow().stats()
     }
 
-    /// Attempts, scorings and handovers under way; a draining entry may leave at 0.
+    /// Number of running attempts, scorings and handovers; a draining entry may exit at 0.
     pub fn in_flight(&self) -> usize {
-        self.runner.borrow().in_flight() + self.handing.get()
+        self.runner.borrow().in_flight() + self.handovers_in_flight.get()
     }
 }
 
-/// Starts the controller.
+/// Starts the task that ticks the runner.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
         loop {
             step(&shared, Event::Tick);
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         }
     });
 }
 
-/// Notes a published version; an old one changes nothing.
-pub fn published(shared: &Rc<Shared>, model: &CompactString, version: Version) {
+/// Records a published version of a model and tells the runner; older versions are ignored.
+pub fn record_published(shared: &Rc<Shared>, model: &CompactString, version: Version) {
     {
         let mut versions = shared.lots.versions.borrow_mut();
         let newest = versions.entry(model.clone()).or_default();
@@ -117,19 +121,19 @@
     step(shared, Event::Published { model, version });
 }
 
-/// Tells the runner an event and carries out what it wants.
+/// Feeds an event to the runner and carries out the resulting actions.
 pub fn step(shared: &Rc<Shared>, event: Event) {
     let actions = shared.lots.runner.borrow_mut().step(shared.now(), event);
-    carry_out(shared, actions);
+    execute_all(shared, actions);
 }
 
-fn carry_out(shared: &Rc<Shared>, actions: Vec<Action>) {
+fn execute_all(shared: &Rc<Shared>, actions: Vec<Action>) {
     for action in actions {
-        act(shared, action);
+        execute(shared, action);
     }
 }
 
-fn act(shared: &Rc<Shared>, action: Action) {
+fn execute(shared: &Rc<Shared>, action: Action) {
     match action {
         Action::Start(start) => attempt::start(shared, start),
         Action::Cancel { attempt, .. } => attempt::cancel(shared, attempt),
@@ -143,9 +147,9 @@
             call,
             samples,
             missing,
-        } => answer(shared, call, Ok((samples, missing))),
-        Action::Rejected { call, error } => answer(shared, call, Err(error)),
-        Action::Ready { .. } => shared.lots.ready.notify_waiters(),
+        } => reply_to_collect(shared, call, Ok((samples, missing))),
+        Action::Rejected { call, error } => reply_to_collect(shared, call, Err(error)),
+        Action::Ready { .. } => shared.lots.samples_ready.notify_waiters(),
         Action::Assigned { lot } => {
             shared
                 .metrics
@@ -174,9 +178,9 @@
     }
 }
 
-fn answer(shared: &Shared, call: u64, answer: Answer) {
-    if let Some(waiting) = shared.lots.calls.borrow_mut().remove(&call) {
-        // The asker may have given up.
-        let _ = waiting.send(answer);
+fn reply_to_collect(shared: &Shared, call: u64, result: CollectResult) {
+    if let Some(sender) = shared.lots.pending_collects.borrow_mut().remove(&call) {
+        // The caller may have timed out.
+        let _ = sender.send(result);
     }
 }
--- a/crates/pinereel/src/controllers/lots/front/publish.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
@@ -1,8 +1,8 @@
-//! Announces new weights.
+//! Publishes new weight versions: stores a model's newest version in the object API.
 
-use super::{super::published, RETRY_AFTER_MS, refuse};
+use super::{super::record_published, RETRY_AFTER_MS, refuse};
 use crate::{
-    controllers::config::Pin,
+    controllers::config::Snapshot,
     objects::{Error as ObjectError, Purpose},
     state::Shared,
 };
@@ -17,26 +17,27 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Object of a model's newest weights.
+/// Value of the object that holds a model's newest weight version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Weights {
+pub struct LatestWeights {
     /// The newest version.
     pub version: Version,
 }
 
-/// Announces new weights of a trainer's model. A repeat or an older version changes nothing.
+/// Publishes new weights of a trainer's model; returns the newest version. A repeat or an older
+/// version changes nothing.
 pub async fn publish(
     shared: &Rc<Shared>,
-    pin: &Pin,
+    snapshot: &Snapshot,
     trainer: &str,
     publish: Publish,
 ) -> Result<Published, Problem> {
-    let trainer = pin.document.trainers.get(trainer);
-    let pool = trainer.and_then(|t| pin.document.pools.get(&t.pool));
+    let trainer = snapshot.document.trainers.get(trainer);
+    let pool = trainer.and_then(|t| snapshot.document.pools.get(&t.pool));
     let Some(model) = pool.and_then(|p| p.model.clone()) else {
         return Err(refuse(Code::NotFound, "unknown trainer"));
     };
-    let version = raise(shared, &model, publish.version)
+    let version = raise_version(shared, &model, publish.version)
         .await
         .map_err(|e| Problem {
             code: Code::ObjectApi,
@@ -48,22 +49,26 @@
             },
             retry_after_ms: Some(RETRY_AFTER_MS),
         })?;
-    published(shared, &model, version);
+    record_published(shared, &model, version);
     Ok(Published { version })
 }
 
-/// Raises the model's version by conditional update; gives the version that stands.
-async fn raise(shared: &Shared, model: &str, version: Version) -> Result<Version, ObjectError> {
+/// Raises the model's version by a conditional update; returns the newest version.
+async fn raise_version(
+    shared: &Shared,
+    model: &str,
+    version: Version,
+) -> Result<Version, ObjectError> {
     let objects = &shared.objects;
     loop {
         let present = objects.read(Purpose::Weights, WEIGHTS, model).await?;
-        let weights = Weights { version };
+        let weights = LatestWeights { version };
         let written = match present {
             Some(object) => {
-                let stands: Weights = serde_json::from_value(object.value)
+                let stored: LatestWeights = serde_json::from_value(object.value)
                     .map_err(|e| ObjectError::Malformed(e.to_string()))?;
-                if stands.version >= version {
-                    return Ok(stands.version);
+                if stored.version >= version {
+                    return Ok(stored.version);
                 }
                 let version = object.version;
                 objects
@@ -78,7 +83,7 @@
         };
         match written {
             Ok(_) => return Ok(version),
-            // Someone else was first, or the answer was lost: read back.
+            // A concurrent write came first, or the result is unknown: read again.
             Err(ObjectError::Conflict | ObjectError::NotFound | ObjectError::Unknown(_)) => {}
             Err(e) => return Err(e),
         }
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -1,4 +1,5 @@
-//! The entries: this one's member object, the others', and the links to them.
+//! Membership of the entries: maintains this entry's member object, the view of the others, and the
+//! links between them.
 
 use super::config;
 use crate::{
@@ -24,52 +25,52 @@
 };
 use tokio::{sync::Notify, time::sleep};
 
-/// Shortest pause between lists.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Lists a second of all entries together; more entries list less often.
-const LISTS_PER_SECOND: u32 = 20;
-/// A list of the platform's that is older counts for nothing.
-const FRESH: Duration = Duration::from_secs(2);
-/// Longest wait for an entry to tell that it is there.
+/// Shortest interval between two lists of the member objects.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Lists per second of all entries together; with more entries, each lists less often.
+const MAX_TOTAL_LISTS_PER_SECOND: u32 = 20;
+/// A platform list older than this is not used to remove member objects.
+const MAX_PLATFORM_LIST_AGE: Duration = Duration::from_secs(2);
+/// Timeout of a [`Call::Report`], by which an entry shows that it is alive.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Entries that are asked at once.
-const MAX_ASKED: usize = 64;
-/// Entries of each availability zone that watch.
-const WATCHERS: usize = 2;
-/// Entries that remove member objects of instances that are gone.
-const REMOVERS: usize = 3;
-/// Links that an entry opens within its availability zone, when entries are many.
+/// Most concurrent calls for reports.
+const MAX_CONCURRENT_REPORTS: usize = 64;
+/// Number of entries of each availability zone that watch the configuration's object.
+const CONFIG_WATCHERS_PER_ZONE: usize = 2;
+/// Number of entries that remove the member objects of instances that are gone.
+const MAX_REMOVERS: usize = 3;
+/// Links that an entry opens within its availability zone, if there are too many for a full mesh.
 const LINKS_IN_ZONE: usize = 3;
-/// Links that an entry opens out of its availability zone, when entries are many.
-const LINKS_OUT: usize = 3;
+/// Links that an entry opens to other availability zones, if there are too many for a full mesh.
+const LINKS_OUT_OF_ZONE: usize = 3;
 
-/// The controller's state.
+/// State of the members controller.
 #[derive(Default)]
 pub struct Members {
     view: RefCell<View>,
-    own: RefCell<Option<Object>>,
-    /// Whether this entry has left for good.
-    left: Cell<bool>,
-    /// Asks for a list before its time.
-    wanted: Notify,
-    /// When the platform's list was last read.
-    listed: Cell<Time>,
+    own_object: RefCell<Option<Object>>,
+    /// Whether this entry has removed its member object and must not write it again.
+    has_left: Cell<bool>,
+    /// Notified to request a list before the next one is due.
+    list_requested: Notify,
+    /// When the platform's list was last received.
+    platform_listed_at: Cell<Time>,
 }
 
 impl Members {
-    /// The known entries, to look at.
+    /// Borrows the membership view; the borrow must end before the next update.
     pub fn view(&self) -> std::cell::Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// Entries that may run work, best first for `key`, at most `count`.
+    /// Entries that may run work, in rank order for `key`, at most `count`.
     pub fn ranked(&self, key: u64, count: usize) -> Vec<CompactString> {
         let view = self.view.borrow();
         view.subset(key, count).into_iter().cloned().collect()
     }
 }
 
-/// Writes this entry's member object; tries until it is written.
+/// Writes this entry's member object, with retries until it is written.
 pub async fn register(shared: &Shared, address: CompactString) {
     let object = Object {
         name: shared.name().clone(),
@@ -77,16 +78,16 @@
         address,
         zone: shared.zone().clone(),
     };
-    shared.members.own.replace(Some(object));
-    while let Err(e) = write_own(shared).await {
-        log::warn!(entry = shared.name().as_str(); "members: own object not written: {e}");
-        sleep(PAUSE).await;
+    shared.members.own_object.replace(Some(object));
+    while let Err(e) = write_own_object(shared).await {
+        log::warn!(entry = shared.name().as_str(); "members: writing the own object failed: {e}");
+        sleep(MIN_LIST_INTERVAL).await;
     }
 }
 
-/// Writes the own member object, whatever stands there.
-async fn write_own(shared: &Shared) -> Result<(), Error> {
-    let Some(own) = shared.members.own.borrow().clone() else {
+/// Writes the own member object, and replaces any other under the same name.
+async fn write_own_object(shared: &Shared) -> Result<(), Error> {
+    let Some(own) = shared.members.own_object.borrow().clone() else {
         return Ok(());
     };
     let name = shared.name();
@@ -105,19 +106,19 @@
     written.map(drop)
 }
 
-/// Removes the own member object, at the end of a graceful stop.
-pub async fn leave(shared: &Shared) -> Result<(), Error> {
-    shared.members.left.set(true);
+/// Removes the own member object, at the end of a graceful shutdown.
+pub async fn deregister(shared: &Shared) -> Result<(), Error> {
+    shared.members.has_left.set(true);
     remove(shared, shared.name(), shared.incarnation).await
 }
 
-/// Removes the member object of one incarnation.
+/// Removes an entry's member object, unless it is of another incarnation.
 async fn remove(shared: &Shared, name: &str, incarnation: u64) -> Result<(), Error> {
     let objects = &shared.objects;
     let Some(object) = objects.read(Purpose::Members, MEMBERS, name).await? else {
         return Ok(());
     };
-    if read(&object.value).is_some_and(|present| present.incarnation != incarnation) {
+    if parse_member(&object.value).is_some_and(|present| present.incarnation != incarnation) {
         return Ok(());
     }
     objects
@@ -125,96 +126,104 @@
         .await
 }
 
-/// Starts the controller.
+/// Starts the task that lists the members and maintains their objects.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
-        while !shared.members.left.get() {
+        while !shared.members.has_left.get() {
             if list(&shared).await.is_some() {
-                stay(&shared).await;
+                restore_own_object(&shared).await;
             }
-            clean(&shared).await;
-            sleep(PAUSE).await;
+            remove_gone_members(&shared).await;
+            sleep(MIN_LIST_INTERVAL).await;
             tokio::select! {
-                () = shared.members.wanted.notified() => {}
-                () = sleep(longer(&shared)) => {}
+                () = shared.members.list_requested.notified() => {}
+                () = sleep(extra_list_delay(&shared)) => {}
             }
         }
     });
 }
 
-/// What a pause between lists is longer than the shortest, so that all together keep their rate.
-fn longer(shared: &Shared) -> Duration {
+/// Delay beyond [`MIN_LIST_INTERVAL`], so that all entries together keep within
+/// [`MAX_TOTAL_LISTS_PER_SECOND`].
+fn extra_list_delay(shared: &Shared) -> Duration {
     let count = shared.members.view().members().len();
     let count = u32::try_from(count).unwrap_or(u32::MAX);
-    let pause = Duration::from_secs(1) / LISTS_PER_SECOND * count;
-    pause.saturating_sub(PAUSE)
+    let interval = Duration::from_secs(1) / MAX_TOTAL_LISTS_PER_SECOND * count;
+    interval.saturating_sub(MIN_LIST_INTERVAL)
 }
 
-/// Lists the member objects; gives the names of all.
+/// Lists the member objects and updates the view and the links; returns the names of all members,
+/// or `None` if the list failed.
 pub async fn list(shared: &Shared) -> Option<BTreeSet<CompactString>> {
     let list = shared.objects.list(Purpose::Members, MEMBERS, "").await;
     let items = list.ok()?.items;
     let names: BTreeSet<_> = items.iter().map(|object| object.name.clone()).collect();
-    let objects = items.iter().filter_map(|object| read(&object.value));
-    let before = starts(&shared.members.view());
+    let objects = items
+        .iter()
+        .filter_map(|object| parse_member(&object.value));
+    let previous = incarnations(&shared.members.view());
     shared.members.view.borrow_mut().replace_all(objects);
-    if starts(&shared.members.view()) != before {
-        shared.config.keep(&names);
-        link(shared);
+    if incarnations(&shared.members.view()) != previous {
+        shared.config.retain_peers(&names);
+        update_links(shared);
     }
     Some(names)
 }
 
-/// The known entries and their incarnations.
-fn starts(view: &View) -> BTreeMap<CompactString, u64> {
+/// Incarnations of the known entries by name.
+fn incarnations(view: &View) -> BTreeMap<CompactString, u64> {
     let entries = view.members().iter();
     entries
         .map(|(name, entry)| (name.clone(), entry.object.incarnation))
         .collect()
 }
 
-fn read(value: &serde_json::Value) -> Option<Object> {
+fn parse_member(value: &serde_json::Value) -> Option<Object> {
     match serde::Deserialize::deserialize(value) {
         Ok(object) => Some(object),
         Err(e) => {
-            log::error!("members: object unreadable: {e}");
+            log::error!("members: object cannot be parsed: {e}");
             None
         }
     }
 }
 
 /// Writes the own member object again if it was removed. Patches may have been accepted without
-/// this entry meanwhile, so the configuration is read after that.
-async fn stay(shared: &Rc<Shared>) {
-    let there = shared.members.view().members().contains_key(shared.name());
-    if there || shared.members.left.get() {
+/// this entry in the meantime, so the configuration is read afterwards.
+async fn restore_own_object(shared: &Rc<Shared>) {
+    let is_listed = shared.members.view().members().contains_key(shared.name());
+    if is_listed || shared.members.has_left.get() {
         return;
     }
-    log::warn!(entry = shared.name().as_str(); "members: own object is missing, written again");
-    if write_own(shared).await.is_ok() {
-        config::read(shared);
+    log::warn!(entry = shared.name().as_str(); "members: own object is missing; writing it again");
+    if write_own_object(shared).await.is_ok() {
+        config::start_read(shared);
     }
 }
 
-/// Keeps the links that the view says, in both directions.
-fn link(shared: &Shared) {
+/// Sets the links of this entry according to the view, those that others open included.
+fn update_links(shared: &Shared) {
     let view = shared.members.view();
     let own = shared.name();
-    let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT);
+    let mut names = view.links(own, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE);
     if view.members().len() > MAX_FULL_MESH_SIZE {
-        // Only the smaller name dials, so each must also know which links the others want.
+        // Of two entries only the one with the smaller name dials, so each must also know which
+        // links the others want.
         let others = view.members().keys().filter(|name| *name != own);
         let wanting = others.filter(|name| {
-            view.links(name, LINKS_IN_ZONE, LINKS_OUT)
+            view.links(name, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
                 .contains(own.as_str())
         });
         names.extend(wanting.cloned());
     }
-    let peers: Vec<_> = names.iter().filter_map(|name| peer(&view, name)).collect();
+    let peers: Vec<_> = names
+        .iter()
+        .filter_map(|name| find_peer(&view, name))
+        .collect();
     shared.mesh.want(peers);
 }
 
-fn peer(view: &View, name: &str) -> Option<Peer> {
+fn find_peer(view: &View, name: &str) -> Option<Peer> {
     let entry = view.members().get(name)?;
     Some(Peer {
         name: entry.object.name.clone(),
@@ -222,8 +231,8 @@
     })
 }
 
-/// Takes the entries of the platform's list of instances.
-pub fn platform(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
+/// Applies the entries of the platform's list of instances to the view.
+pub fn apply_platform_list(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
     let listed = entries.iter().map(|(name, instance)| {
         let state = match instance.state {
             Presence::Live => PlatformStatus::Live,
@@ -233,7 +242,7 @@
     });
     let listed = listed.collect();
     let now = shared.now();
-    shared.members.listed.set(now);
+    shared.members.platform_listed_at.set(now);
     shared
         .members
         .view
@@ -241,64 +250,64 @@
         .apply_platform_list(now, &listed);
 }
 
-/// Notes a peer that spoke.
-pub fn met(shared: &Shared, from: &Hello, draining: bool) {
+/// Handles the identity that a peer sent: requests a list if it is unknown or restarted, and marks
+/// it as leaving if it drains.
+pub fn observe_peer(shared: &Shared, from: &Hello, draining: bool) {
     let mut view = shared.members.view.borrow_mut();
     let known = view.members().get(&from.name);
     if known.is_none_or(|entry| entry.object.incarnation < from.incarnation) {
-        shared.members.wanted.notify_one();
+        shared.members.list_requested.notify_one();
     }
     if draining {
         view.mark_leaving(&from.name, from.incarnation);
     }
 }
 
-/// Removes the member objects of instances that are gone, if this entry is one that does. The
-/// platform's list lags, so one that still answers stays.
-async fn clean(shared: &Shared) {
-    // After an outage the list's word must be a fresh one.
-    if shared.now().since(shared.members.listed.get()) > FRESH {
+/// Removes the member objects of instances that are gone, if this entry is one of the removers. The
+/// platform's list lags, so the object of an entry that still answers stays.
+async fn remove_gone_members(shared: &Shared) {
+    // After an outage, wait for a current platform list.
+    if shared.now().since(shared.members.platform_listed_at.get()) > MAX_PLATFORM_LIST_AGE {
         return;
     }
     let key = hash::stable(b"members");
-    let removers = shared.members.ranked(key, REMOVERS);
+    let removers = shared.members.ranked(key, MAX_REMOVERS);
     if !removers.contains(shared.name()) {
         return;
     }
     let gone = shared.members.view().removable(shared.now());
     for (name, incarnation) in gone {
-        if name == *shared.name() || answers(shared, &name, incarnation).await {
+        if name == *shared.name() || is_alive(shared, &name, incarnation).await {
             continue;
         }
         let entry = shared.name().as_str();
         match remove(shared, &name, incarnation).await {
-            Ok(()) => log::info!(entry; "members: {name} is gone, removed"),
-            Err(e) => log::warn!(entry; "members: {name} is gone, not removed: {e}"),
+            Ok(()) => log::info!(entry; "members: {name} is gone; its object was removed"),
+            Err(e) => log::warn!(entry; "members: {name} is gone; removing its object failed: {e}"),
         }
     }
 }
 
-/// Whether this incarnation of an entry still answers.
-async fn answers(shared: &Shared, name: &str, incarnation: u64) -> bool {
+/// Whether this incarnation of an entry answers a call.
+async fn is_alive(shared: &Shared, name: &str, incarnation: u64) -> bool {
     let reply = call(shared, name, Call::Report, REPORT_TIMEOUT).await;
     matches!(reply, Some(Reply::Report { incarnation: found, .. }) if found == incarnation)
 }
 
-/// Whether this entry is one of the few of its availability zone that watch.
-pub fn watches(shared: &Shared) -> bool {
+/// Whether this entry is one of the few of its availability zone that watch the configuration.
+pub fn is_config_watcher(shared: &Shared) -> bool {
     let view = shared.members.view();
     let key = hash::stable(b"config");
     let own = hash::rendezvous(key, shared.name());
-    let before = view.members().values().filter(|entry| {
+    let ahead = view.members().values().filter(|entry| {
         let better = hash::rendezvous(key, &entry.object.name) > own;
         better && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
     });
-    before.count() < WATCHERS
+    ahead.count() < CONFIG_WATCHERS_PER_ZONE
 }
 
-/// Asks those of `names` that were not heard of lately; gives incarnation and number of each that
-/// answers.
-pub async fn reports(
+/// Calls the entries `names`; returns incarnation and configuration number of each that answers.
+pub async fn fetch_reports(
     shared: &Shared,
     names: Vec<CompactString>,
 ) -> BTreeMap<CompactString, (u64, u64)> {
@@ -312,20 +321,25 @@
             _ => None,
         }
     });
-    let answers = stream::iter(asked).buffer_unordered(MAX_ASKED);
+    let answers = stream::iter(asked).buffer_unordered(MAX_CONCURRENT_REPORTS);
     answers.filter_map(future::ready).collect().await
 }
 
-/// How to bring a message to many.
-pub fn branches(shared: &Shared, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
+/// Relay groups that forward a message to all of `to`; a different `attempt` chooses other relays.
+pub fn relay_groups(
+    shared: &Shared,
+    to: &BTreeSet<CompactString>,
+    attempt: u64,
+) -> Vec<RelayGroup> {
     shared.members.view().relay_groups(to, attempt)
 }
 
-/// Calls an entry, over its link or a connection for this call alone.
+/// Calls an entry, over its link or else over a connection for this call alone; `None` if there is
+/// no answer within `wait`.
 pub async fn call(shared: &Shared, name: &str, call: Call, wait: Duration) -> Option<Reply> {
     if shared.mesh.has(name) {
         return shared.mesh.call(name, call, wait).await.ok();
     }
-    let peer = peer(&shared.members.view(), name)?;
+    let peer = find_peer(&shared.members.view(), name)?;
     shared.mesh.call_once(&peer, call, wait).await.ok()
 }
--- a/crates/pinereel/src/controllers/weights.rs
+++ b/crates/pinereel/src/controllers/weights.rs
@@ -1,8 +1,8 @@
-//! The newest published version of each model, as the object API tells.
+//! Follows the newest published weight version of each model in the object API.
 
 use super::{
     follow::{Update, follow},
-    lots::{self, front::Weights},
+    lots::{self, trainer_api::LatestWeights},
 };
 use crate::{
     objects::Purpose,
@@ -13,34 +13,34 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// Starts the controller.
+/// Starts the task that passes published versions to the lots controller.
 pub fn start(shared: &Rc<Shared>) {
     spawn(shared, async |shared: Rc<Shared>| {
-        follow(&shared, Purpose::Weights, WEIGHTS, take).await;
+        follow(&shared, Purpose::Weights, WEIGHTS, apply_update).await;
     });
 }
 
-fn take(shared: &Rc<Shared>, update: Update) {
+fn apply_update(shared: &Rc<Shared>, update: Update) {
     match update {
         Update::All(objects) => {
             for object in objects {
-                published(shared, &object.name, object.value);
+                record_weights(shared, &object.name, object.value);
             }
         }
         Update::Changes(changes) => {
             for change in changes {
-                // A version that was published stays so, also without its object.
+                // A deleted object does not withdraw the published version.
                 if let Some(value) = change.value {
-                    published(shared, &change.name, value);
+                    record_weights(shared, &change.name, value);
                 }
             }
         }
     }
 }
 
-fn published(shared: &Rc<Shared>, model: &CompactString, value: Value) {
-    match serde_json::from_value::<Weights>(value) {
-        Ok(weights) => lots::published(shared, model, weights.version),
-        Err(e) => log::error!("weights of {model} unreadable: {e}"),
+fn record_weights(shared: &Rc<Shared>, model: &CompactString, value: Value) {
+    match serde_json::from_value::<LatestWeights>(value) {
+        Ok(weights) => lots::record_published(shared, model, weights.version),
+        Err(e) => log::error!("weights of {model} cannot be parsed: {e}"),
     }
 }
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -18,14 +18,14 @@
     match call {
         Call::Assign(assignment) => done(runner::assign(&shared, assignment)),
         Call::Collect(ask) => runner::collect(&shared, ask).await,
-        Call::Handover { lot, samples } => done(runner::take_over(&shared, lot, samples)),
+        Call::Handover { lot, samples } => done(runner::accept_handover(&shared, lot, samples)),
         Call::Claim {
             key,
             digest,
             request,
             left_ms,
         } => {
-            let ask = claims::Ask {
+            let ask = claims::ClaimRequest {
                 key,
                 digest,
                 request,
@@ -38,7 +38,7 @@
             digest,
             outcome,
         } => {
-            let ask = claims::Ask {
+            let ask = claims::ClaimRequest {
                 key,
                 digest,
                 request,
@@ -61,7 +61,7 @@
             config::relay::abort(&shared, write, leaves);
             Reply::Done
         }
-        Call::Fetch => config::fetched(&shared),
+        Call::Fetch => config::serve_fetch(&shared),
         Call::Report => Reply::Report {
             incarnation: shared.incarnation,
             number: shared.config.number(),
@@ -78,13 +78,13 @@
 
 /// Takes in a peer's periodic summary.
 pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
-    members::met(shared, from, summary.draining);
-    config::hear(shared, from, &summary);
+    members::observe_peer(shared, from, summary.draining);
+    config::receive_summary(shared, from, &summary);
     for (model, version) in summary.versions {
-        lots::published(shared, &model, version);
+        lots::record_published(shared, &model, version);
     }
     if !summary.crashes.is_empty() {
-        crashes::hear(shared, summary.crashes);
+        crashes::merge_reports(shared, summary.crashes);
     }
     for (name, incarnation) in summary.leaving {
         crate::controllers::endpoints::step(shared, Event::Hinted { name, incarnation });
@@ -113,12 +113,12 @@
 impl News {
     /// Looks at what there is to tell in the next summary.
     pub fn refresh(&mut self, shared: &Shared) {
-        let untold = crashes::untold(shared);
+        let untold = crashes::take_pending_reports(shared);
         let is_news = !untold.is_empty();
         let now = Self {
             crashes: match is_news {
                 true => untold,
-                false => crashes::all(shared),
+                false => crashes::known_reports(shared),
             },
             versions: shared.lots.versions(),
             leaving: shared.endpoints.set().hints(),
@@ -165,12 +165,12 @@
     let now = shared.now();
     Summary {
         number: shared.config.number(),
-        vouches: shared.config.vouches(now),
+        vouches: shared.config.is_up_to_date(now),
         sent_us: now.0,
-        echo: shared.config.echo(to),
+        echo: shared.config.echo_for(to),
         versions,
         leaving,
         crashes,
-        draining: shared.drain.asked(),
+        draining: shared.drain.is_stop_requested(),
     }
 }
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -43,7 +43,7 @@
             return http::text(StatusCode::OK, shared.metrics.render());
         }
         (&Method::POST, "/v1/drain") => {
-            shared.drain.ask();
+            shared.drain.request_stop();
             return http::empty(StatusCode::ACCEPTED);
         }
         (&Method::GET, "/v1/status") => Ok(json(&status::status(&shared).await)),
@@ -70,7 +70,7 @@
 
 async fn check(shared: &Shared, request: &mut Request) -> Result<Response, Problem> {
     let patch = read(shared, request).await?;
-    let document = propose::check(shared, &patch)?;
+    let document = propose::check_patch(shared, &patch)?;
     let document = serde_json::to_value(document).unwrap_or_default();
     Ok(json(&Checked { document }))
 }
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -281,7 +281,7 @@
         );
         assert_eq!(ran(&site, key), 1, "{key}");
     }
-    assert!(site.entries[2].shared.claims.logs() > 0);
+    assert!(site.entries[2].shared.claims.open_log_count() > 0);
 }
 
 #[actix_rt::test]
@@ -291,7 +291,7 @@
     let entry = site.entries.remove(0);
     let done = Rc::new(Cell::new(false));
     let finished = Rc::clone(&done);
-    entry.shared.drain.ask();
+    entry.shared.drain.request_stop();
     actix_rt::spawn(async move {
         entry.finished().await;
         finished.set(true);
