--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -57,8 +57,8 @@
     if call.max_tokens == 0 {
         return Err(refuse(Code::BadRequest, "max_tokens is 0"));
     }
-    let exchange = admit::enter(shared, request, pin, call.model.clone())?;
-    Ok(completion::serve(shared, exchange, call).await)
+    let context = admit::read_context(shared, request, pin, call.model.clone())?;
+    Ok(completion::serve(shared, context, call).await)
 }
 
 /// The smaller bound of this instance and of the pinned configuration, in bytes.
@@ -84,7 +84,7 @@
     let pin = pin::pin(shared)?;
     let max = largest_body(shared, &pin);
     let timeout = shared.settings.limits.read_timeout;
-    let exchange = admit::enter(shared, request, pin, CompactString::from(pool))?;
+    let context = admit::read_context(shared, request, pin, CompactString::from(pool))?;
     let uri = request.uri().clone();
     let whole = uri.path_and_query().map_or("/", |p| p.as_str());
     let prefix = "/services/".len() + pool.len();
@@ -97,14 +97,14 @@
         path: path.to_owned(),
         headers: service::Call::headers_of(request.headers()),
         body: http::read(request, max, timeout).await?,
-        repeatable: service::repeatable(&exchange, request.method(), path),
+        repeatable: service::repeatable(&context, request.method(), path),
     };
     if call.repeatable {
-        return Ok(service::serve(shared, exchange, call).await);
+        return Ok(service::serve(shared, context, call).await);
     }
     let owner = Rc::clone(shared);
     keep(shared, async move {
-        Ok(service::serve(&owner, exchange, call).await)
+        Ok(service::serve(&owner, context, call).await)
     })
     .await
 }
--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -1,6 +1,6 @@
-//! Turns a caller's headers into an exchange with a deadline, and has it wait for its turn.
+//! Turns a caller's headers into an context with a deadline, and has it wait for its turn.
 
-use super::{Exchange, refuse};
+use super::{RequestContext, refuse};
 use crate::{
     controllers::{
         config::Pin,
@@ -19,26 +19,26 @@
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// Reads deadline and priority, and checks that the pool exists.
-pub fn enter(
+pub fn read_context(
     shared: &Shared,
     request: &Request,
     pin: Pin,
     pool: CompactString,
-) -> Result<Exchange, Problem> {
+) -> Result<RequestContext, Problem> {
     if !pin.document.pools.contains_key(&pool) {
         return Err(refuse(Code::NotFound, "unknown pool"));
     }
     let started = shared.now();
     let default = pin.document.limits.default_deadline_ms;
-    let millis = number(request, header::DEADLINE_MS)?.unwrap_or(default);
+    let millis = header_number(request, header::DEADLINE_MS)?.unwrap_or(default);
     let deadline = Duration::from_millis(millis).min(MAX_DEADLINE);
-    Ok(Exchange {
+    Ok(RequestContext {
         id: shared.request_id(),
         started,
         deadline: started + deadline,
         pin,
         pool,
-        priority: priority(request)?,
+        priority: header_priority(request)?,
     })
 }
 
@@ -46,19 +46,19 @@
 ///
 /// # Errors
 /// `Overloaded` or `NoEndpoint`, at once or at the deadline; not run.
-pub async fn wait(shared: &Rc<Shared>, exchange: &Exchange) -> Result<Turn, Problem> {
+pub async fn wait_for_turn(shared: &Rc<Shared>, context: &RequestContext) -> Result<Turn, Problem> {
     let arrival = Arrival {
-        pool: exchange.pool.clone(),
-        id: exchange.id.clone(),
-        priority: exchange.priority,
-        deadline: exchange.deadline,
-        most: (exchange.pin.document.limits.max_queue as usize).min(shared.settings.limits.waiting),
+        pool: context.pool.clone(),
+        id: context.id.clone(),
+        priority: context.priority,
+        deadline: context.deadline,
+        most: (context.pin.document.limits.max_queue as usize).min(shared.settings.limits.waiting),
     };
-    queues::enter(shared, arrival).await.map_err(refused)
+    queues::enter(shared, arrival).await.map_err(rejection)
 }
 
 /// The answer to a request that was given up while it waited.
-pub fn refused(refused: Refused) -> Problem {
+pub fn rejection(refused: Refused) -> Problem {
     let (code, message) = match refused.reason {
         Reason::QueueFull => (Code::Overloaded, "the queue is at its bound"),
         Reason::TooLate => (Code::Overloaded, "it would be answered after its deadline"),
@@ -73,7 +73,7 @@
     }
 }
 
-fn number(request: &Request, name: &'static str) -> Result<Option<u64>, Problem> {
+fn header_number(request: &Request, name: &'static str) -> Result<Option<u64>, Problem> {
     let Some(value) = request.headers().get(name) else {
         return Ok(None);
     };
@@ -87,7 +87,7 @@
     }
 }
 
-fn priority(request: &Request) -> Result<Priority, Problem> {
+fn header_priority(request: &Request) -> Result<Priority, Problem> {
     match request
         .headers()
         .get(header::PRIORITY)
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -4,7 +4,7 @@
 //! a task of their own, so that a caller who goes away leaves no claim without an outcome.
 
 use super::{
-    Exchange, refuse,
+    RequestContext, refuse,
     service::{Call, attempts},
     unknown,
 };
@@ -75,21 +75,21 @@
 /// The verdicts other than a grant and a repeat, and what the call itself ends with.
 pub async fn run(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     call: Call,
     key: &str,
 ) -> Result<Response, Problem> {
     let ask = Ask {
         // No pool's name has a slash in it, so two pools' keys are never the same.
-        key: format_compact!("{}/{key}", exchange.pool),
+        key: format_compact!("{}/{key}", context.pool),
         digest: digest(&call),
-        request: exchange.id.clone(),
+        request: context.id.clone(),
     };
     let shared = Rc::clone(shared);
-    let exchange = exchange.clone();
+    let context = context.clone();
     let task = actix_rt::spawn(async move {
         let _guard = shared.drain.enter();
-        claimed(&shared, &exchange, &call, ask).await
+        claimed(&shared, &context, &call, ask).await
     });
     task.await
         .unwrap_or_else(|e| Err(unknown(Code::Unknown, format_compact!("{e}"))))
@@ -104,13 +104,13 @@
 
 async fn claimed(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     call: &Call,
     ask: Ask,
 ) -> Result<Response, Problem> {
-    let (ask, asked) = verdict(shared, exchange, ask).await;
+    let (ask, asked) = verdict(shared, context, ask).await;
     match asked {
-        Asked::Verdict(Verdict::Granted) => granted(shared, exchange, call, ask).await,
+        Asked::Verdict(Verdict::Granted) => granted(shared, context, call, ask).await,
         Asked::Verdict(Verdict::Repeat(record)) => replay(record),
         Asked::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
@@ -131,9 +131,9 @@
 
 /// Asks for a verdict. An owner that went away is no reason to refuse: what it may have claimed is
 /// given up, and the next one asked, under another id since the first ask must never be granted.
-async fn verdict(shared: &Rc<Shared>, exchange: &Exchange, ask: Ask) -> (Ask, Asked) {
-    let asked = claims::claim(shared, &ask, exchange.left(shared.now())).await;
-    note(shared, exchange, &asked);
+async fn verdict(shared: &Rc<Shared>, context: &RequestContext, ask: Ask) -> (Ask, Asked) {
+    let asked = claims::claim(shared, &ask, context.remaining(shared.now())).await;
+    note(shared, context, &asked);
     if asked != Asked::Closed {
         return (ask, asked);
     }
@@ -144,22 +144,22 @@
     if !claims::give_up(shared, &ask).await {
         return (ask, asked);
     }
-    let asked = claims::claim(shared, &again, exchange.left(shared.now())).await;
-    note(shared, exchange, &asked);
+    let asked = claims::claim(shared, &again, context.remaining(shared.now())).await;
+    note(shared, context, &asked);
     (again, asked)
 }
 
 async fn granted(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     call: &Call,
     ask: Ask,
 ) -> Result<Response, Problem> {
-    if exchange.left(shared.now()).is_zero() {
+    if context.remaining(shared.now()).is_zero() {
         settle(shared, ask, None);
         return Err(refuse(Code::Deadline, "the deadline passed"));
     }
-    let result = match attempts(shared, exchange, call).await {
+    let result = match attempts(shared, context, call).await {
         Ok(response) => record(response).await,
         Err(problem) => Err(problem),
     };
@@ -188,7 +188,7 @@
     });
 }
 
-fn note(shared: &Shared, exchange: &Exchange, asked: &Asked) {
+fn note(shared: &Shared, context: &RequestContext, asked: &Asked) {
     let verdict = match asked {
         Asked::Verdict(Verdict::Granted) => "granted",
         Asked::Verdict(Verdict::Repeat(_)) => "repeat",
@@ -201,7 +201,7 @@
     };
     shared.metrics.claims.with_label_values(&[verdict]).inc();
     let reason = format_compact!("claim: {verdict}");
-    shared.decide(What::Admit, &exchange.id, None, &reason);
+    shared.decide(What::Admit, &context.id, None, &reason);
 }
 
 fn not_claimed(message: &str) -> Problem {
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -1,7 +1,7 @@
 //! Live completions: attempts with retry and resume, whole answers or event streams.
 
 use super::{
-    Exchange, admit,
+    RequestContext, admit,
     attempt::{self, Running},
     refuse, respond,
     route::{self, Wish},
@@ -56,7 +56,7 @@
 /// One request on its way through its attempts.
 struct Work<'a> {
     shared: &'a Rc<Shared>,
-    exchange: &'a Exchange,
+    context: &'a RequestContext,
     request: &'a Request,
     sender: &'a mpsc::Sender<Chunk>,
     /// Whether an attempt may have run.
@@ -64,37 +64,37 @@
 }
 
 /// Answers one completion. Dropped when the caller is gone, it ends the work.
-pub async fn serve(shared: &Rc<Shared>, exchange: Exchange, request: Request) -> Response {
+pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: Request) -> Response {
     let (sender, chunks) = mpsc::channel(BUFFER);
     if request.stream {
         let (done, end) = oneshot::channel();
-        let work = run(Rc::clone(shared), exchange.clone(), request, sender);
+        let work = run(Rc::clone(shared), context.clone(), request, sender);
         actix_rt::spawn(async move {
             // A caller that is gone hears of no end.
             let _ = done.send(work.await);
         });
-        return streamed(shared, exchange, chunks, end).await;
+        return streamed(shared, context, chunks, end).await;
     }
-    let work = run(Rc::clone(shared), exchange.clone(), request, sender);
-    let (answer, end) = future::join(gather(&exchange, chunks), work).await;
+    let work = run(Rc::clone(shared), context.clone(), request, sender);
+    let (answer, end) = future::join(gather(&context, chunks), work).await;
     match end.and(answer) {
         Ok(whole) => {
             let mut response = http::json(StatusCode::OK, &whole);
-            respond::stamp(&exchange, &mut response);
+            respond::stamp(&context, &mut response);
             response
         }
         Err(problem) => respond::problem(shared, &problem),
     }
 }
 
-async fn gather(exchange: &Exchange, mut chunks: mpsc::Receiver<Chunk>) -> Result<Whole, Problem> {
+async fn gather(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<Whole, Problem> {
     let mut text = String::new();
     let mut record = Record::default();
     while let Some(chunk) = chunks.recv().await {
         text.push_str(&chunk.text);
         record = push(record, &chunk);
         if chunk.finish.is_some() {
-            return Ok(Whole::new(exchange, text, &record, chunk.finish));
+            return Ok(Whole::new(context, text, &record, chunk.finish));
         }
     }
     Err(unknown(Code::Unknown, "the answer ended early"))
@@ -114,7 +114,7 @@
 /// A stream whose first chunk decides the status: nothing is promised before there is something.
 async fn streamed(
     shared: &Rc<Shared>,
-    exchange: Exchange,
+    context: RequestContext,
     mut chunks: mpsc::Receiver<Chunk>,
     end: oneshot::Receiver<Result<(), Problem>>,
 ) -> Response {
@@ -123,21 +123,21 @@
         let problem = problem.unwrap_or_else(|| unknown(Code::Unknown, "no answer"));
         return respond::problem(shared, &problem);
     };
-    let events = events(&exchange, first, chunks, end);
+    let events = events(&context, first, chunks, end);
     let mut response = http::event_stream(events);
-    respond::stamp(&exchange, &mut response);
+    respond::stamp(&context, &mut response);
     response
 }
 
 /// The chunks as events, then the problem if there is one.
 fn events(
-    exchange: &Exchange,
+    context: &RequestContext,
     first: Chunk,
     chunks: mpsc::Receiver<Chunk>,
     end: oneshot::Receiver<Result<(), Problem>>,
 ) -> impl Stream<Item = Result<Bytes, Infallible>> + use<> {
-    let id = exchange.id.clone();
-    let model = exchange.pool.clone();
+    let id = context.id.clone();
+    let model = context.pool.clone();
     let rest = stream::unfold(chunks, |mut chunks| async move {
         chunks.recv().await.map(|chunk| (chunk, chunks))
     });
@@ -160,13 +160,13 @@
 /// Runs the request until its last chunk is handed on, or gives the final problem at once.
 async fn run(
     shared: Rc<Shared>,
-    exchange: Exchange,
+    context: RequestContext,
     request: Request,
     sender: mpsc::Sender<Chunk>,
 ) -> Result<(), Problem> {
     let work = Work {
         shared: &shared,
-        exchange: &exchange,
+        context: &context,
         request: &request,
         sender: &sender,
         ran: Cell::new(false),
@@ -177,16 +177,16 @@
         () = sender.closed() => Err(unknown(Code::Unknown, "the caller is gone")),
     };
     match &result {
-        Ok(()) => respond::count(&shared, &exchange, "answer"),
-        Err(problem) => respond::count_problem(&shared, &exchange, problem),
+        Ok(()) => respond::count(&shared, &context, "answer"),
+        Err(problem) => respond::count_problem(&shared, &context, problem),
     }
     result
 }
 
 impl Work<'_> {
     async fn run(&self) -> Result<(), Problem> {
-        let turn = admit::wait(self.shared, self.exchange).await?;
-        let left = self.exchange.left(self.shared.now());
+        let turn = admit::wait_for_turn(self.shared, self.context).await?;
+        let left = self.context.remaining(self.shared.now());
         let result = timeout(left, self.attempts(&turn)).await;
         match result {
             Ok(Ok(())) => {
@@ -195,7 +195,7 @@
             }
             Ok(Err(problem)) => Err(problem),
             Err(_) if self.ran.get() => Err(unknown(Code::Deadline, "the deadline passed")),
-            Err(_) => Err(admit::refused(turn.expired())),
+            Err(_) => Err(admit::rejection(turn.expired())),
         }
     }
 
@@ -206,7 +206,7 @@
         for _ in 0..MAX_ATTEMPTS {
             let wish_now = wish(self.request, &excluded);
             let identity = || self.identity();
-            let seat = route::take_next(self.shared, self.exchange, turn, wish_now, identity).await;
+            let seat = route::take_next(self.shared, self.context, turn, wish_now, identity).await;
             let seat = match (seat, last) {
                 (Ok(seat), _) => seat,
                 // Other endpoints were tried before; their error says more.
@@ -229,7 +229,7 @@
             seat.ticket.finish(attempt::end_of(&error));
             let wish = wish(self.request, &excluded);
             let over = excluded.len() == MAX_ATTEMPTS;
-            if over || !route::may_retry(self.shared, self.exchange, wish) {
+            if over || !route::may_retry(self.shared, self.context, wish) {
                 return Err(self.failed(error));
             }
             last = Some(error);
@@ -249,7 +249,7 @@
     fn failed(&self, error: Error) -> Problem {
         let message = format_compact!("{error}");
         if self.ran.get() {
-            let late = self.exchange.left(self.shared.now()).is_zero();
+            let late = self.context.remaining(self.shared.now()).is_zero();
             let code = if late { Code::Deadline } else { Code::Unknown };
             return unknown(code, message);
         }
@@ -291,7 +291,7 @@
         request: &Request,
         progress: &mut Progress,
     ) -> Result<(), Error> {
-        let patience = || attempt::patience(self.exchange.left(self.shared.now()));
+        let patience = || attempt::patience(self.context.remaining(self.shared.now()));
         let mut record = progress.record.resume();
         let start = record.tokens();
         let chunks = engines::complete(&self.shared.http, address, request, patience()).await?;
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -24,7 +24,7 @@
 
 /// A request on its way through the chain.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct RequestContext {
     /// Its id, unique among all entries.
     pub id: CompactString,
     /// When its head was here.
@@ -57,9 +57,9 @@
     }
 }
 
-impl Exchange {
+impl RequestContext {
     /// Time left until the deadline.
-    pub fn left(&self, now: Time) -> std::time::Duration {
+    pub fn remaining(&self, now: Time) -> std::time::Duration {
         self.deadline.since(now)
     }
 }
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -1,6 +1,6 @@
 //! Turns the chain's end into an answer, and counts it.
 
-use super::Exchange;
+use super::RequestContext;
 use crate::{
     http::{self, Response},
     state::Shared,
@@ -24,34 +24,34 @@
 }
 
 /// Adds the request's id and configuration number to an answer.
-pub fn stamp(exchange: &Exchange, response: &mut Response) {
+pub fn stamp(context: &RequestContext, response: &mut Response) {
     let headers = response.headers_mut();
-    if let Ok(id) = HeaderValue::from_str(&exchange.id) {
+    if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.insert(HeaderName::from_static(header::REQUEST_ID), id);
     }
-    let number = HeaderValue::from(exchange.pin.number);
+    let number = HeaderValue::from(context.pin.number);
     headers.insert(HeaderName::from_static(header::CONFIG_NUMBER), number);
 }
 
-/// Counts an exchange that ended with a problem.
-pub fn count_problem(shared: &Shared, exchange: &Exchange, problem: &Problem) {
+/// Counts an context that ended with a problem.
+pub fn count_problem(shared: &Shared, context: &RequestContext, problem: &Problem) {
     let outcome = match problem.ran {
         Ran::NotRun => "not_run",
         Ran::Unknown => "unknown",
     };
-    count(shared, exchange, outcome);
+    count(shared, context, outcome);
 }
 
-/// Counts an ended exchange and its time.
-pub fn count(shared: &Shared, exchange: &Exchange, outcome: &str) {
-    let took = shared.now().since(exchange.started).as_secs_f64();
+/// Counts an ended context and its time.
+pub fn count(shared: &Shared, context: &RequestContext, outcome: &str) {
+    let took = shared.now().since(context.started).as_secs_f64();
     let metrics = &shared.metrics;
     metrics
         .requests
-        .with_label_values(&[&exchange.pool, outcome])
+        .with_label_values(&[&context.pool, outcome])
         .inc();
     metrics
         .latency
-        .with_label_values(&[exchange.pool.as_str()])
+        .with_label_values(&[context.pool.as_str()])
         .observe(took);
 }
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -1,6 +1,6 @@
 //! Chooses the endpoint of an attempt; waits for room until the deadline.
 
-use super::{Exchange, admit, refuse};
+use super::{RequestContext, admit, refuse};
 use crate::{
     controllers::{
         crashes::{self, Next},
@@ -56,7 +56,7 @@
 /// `NoEndpoint` or `Overloaded`, both not run.
 async fn take(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     turn: &Turn,
     wish: Wish<'_>,
 ) -> Result<Seat, Problem> {
@@ -64,7 +64,7 @@
         // Listening begins before choosing, so that no room is missed between the two.
         let mut room = pin!(shared.endpoints.room.notified());
         room.as_mut().enable();
-        let request = request(shared, exchange, wish);
+        let request = request(shared, context, wish);
         match shared.endpoints.choose(shared, &request) {
             Ok(choice) => {
                 let what = if wish.excluded.is_empty() {
@@ -72,23 +72,23 @@
                 } else {
                     What::Retry
                 };
-                endpoints::log_choice(shared, &exchange.id, what, &choice, exchange.pin.number);
+                endpoints::log_choice(shared, &context.id, what, &choice, context.pin.number);
                 let ticket = endpoints::begin(shared, choice.key, wish.tokens);
                 if let Some(seat) = seat(shared, choice.key, ticket) {
                     return Ok(seat);
                 }
             }
             Err(Refusal::Full) if wish.excluded.is_empty() => {
-                turn.again().await.map_err(admit::refused)?;
+                turn.again().await.map_err(admit::rejection)?;
             }
             Err(Refusal::Full) => {
-                let left = exchange.left(shared.now());
+                let left = context.remaining(shared.now());
                 if left.is_zero() || timeout(left, room).await.is_err() {
                     return Err(later(Code::Overloaded, "every endpoint is at its limit"));
                 }
             }
             Err(e) => {
-                shared.decide(What::Route, &exchange.id, None, &e.to_string());
+                shared.decide(What::Route, &context.id, None, &e.to_string());
                 return Err(later(Code::NoEndpoint, e.to_string()));
             }
         }
@@ -102,13 +102,13 @@
 /// As [`take`]; `NoEndpoint`, not run, also if endpoints crash under the request.
 pub async fn take_next(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     turn: &Turn,
     wish: Wish<'_>,
     identity: impl Fn() -> Identity,
 ) -> Result<Seat, Problem> {
-    let key = match crashes::next(shared, &exchange.pool, identity).await? {
-        Next::Any => return take(shared, exchange, turn, wish).await,
+    let key = match crashes::next(shared, &context.pool, identity).await? {
+        Next::Any => return take(shared, context, turn, wish).await,
         Next::At(key) => key,
     };
     if wish.excluded.contains(&key) {
@@ -116,29 +116,29 @@
     }
     let ticket = endpoints::begin(shared, key, wish.tokens);
     let seat = seat(shared, key, ticket).ok_or_else(|| later(Code::NoEndpoint, "it has gone"))?;
-    shared.decide(What::Route, &exchange.id, Some(&seat.name), "in doubt");
+    shared.decide(What::Route, &context.id, Some(&seat.name), "in doubt");
     Ok(seat)
 }
 
 /// Whether one more attempt may be made: an endpoint is left that was not tried, and the retry
 /// budget, of which this takes a part, is not used up.
-pub fn may_retry(shared: &Shared, exchange: &Exchange, wish: Wish<'_>) -> bool {
-    let request = request(shared, exchange, wish);
+pub fn may_retry(shared: &Shared, context: &RequestContext, wish: Wish<'_>) -> bool {
+    let request = request(shared, context, wish);
     let choice = shared.endpoints.choose(shared, &request);
     let left = matches!(choice, Ok(_) | Err(Refusal::Full));
-    left && queues::retry(shared, &exchange.pool)
+    left && queues::retry(shared, &context.pool)
 }
 
-fn request<'a>(shared: &'a Shared, exchange: &'a Exchange, wish: Wish<'a>) -> Request<'a> {
+fn request<'a>(shared: &'a Shared, context: &'a RequestContext, wish: Wish<'a>) -> Request<'a> {
     Request {
-        pool: &exchange.pool,
+        pool: &context.pool,
         prefix: wish.prefix,
-        priority: exchange.priority,
+        priority: context.priority,
         zone: shared.zone(),
         versions: None,
         excluded: wish.excluded,
         repeatable: wish.repeatable,
-        seed: hash::stable(exchange.id.as_bytes()),
+        seed: hash::stable(context.id.as_bytes()),
     }
 }
 
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -1,7 +1,7 @@
 //! Plain services: a request is routed by pool and path, and its answer streamed through.
 
 use super::{
-    Exchange, admit,
+    RequestContext, admit,
     attempt::LEAVING,
     claim, refuse, respond,
     route::{self, Wish},
@@ -86,8 +86,8 @@
 }
 
 /// Whether a call may run twice, by the pinned configuration.
-pub fn repeatable(exchange: &Exchange, method: &Method, path: &str) -> bool {
-    let Some(pool) = exchange.pin.document.pools.get(&exchange.pool) else {
+pub fn repeatable(context: &RequestContext, method: &Method, path: &str) -> bool {
+    let Some(pool) = context.pin.document.pools.get(&context.pool) else {
         return false;
     };
     !pool.non_idempotent.iter().any(|rule| {
@@ -97,26 +97,26 @@
 }
 
 /// Answers one call.
-pub async fn serve(shared: &Rc<Shared>, exchange: Exchange, call: Call) -> Response {
-    match run(shared, &exchange, call).await {
+pub async fn serve(shared: &Rc<Shared>, context: RequestContext, call: Call) -> Response {
+    match run(shared, &context, call).await {
         Ok(mut response) => {
-            respond::count(shared, &exchange, "answer");
-            respond::stamp(&exchange, &mut response);
+            respond::count(shared, &context, "answer");
+            respond::stamp(&context, &mut response);
             response
         }
         Err(problem) => {
-            respond::count_problem(shared, &exchange, &problem);
+            respond::count_problem(shared, &context, &problem);
             let mut response = respond::problem(shared, &problem);
-            respond::stamp(&exchange, &mut response);
+            respond::stamp(&context, &mut response);
             response
         }
     }
 }
 
-async fn run(shared: &Rc<Shared>, exchange: &Exchange, call: Call) -> Result<Response, Problem> {
+async fn run(shared: &Rc<Shared>, context: &RequestContext, call: Call) -> Result<Response, Problem> {
     match claim::key(&call)? {
-        Some(key) => claim::run(shared, exchange, call, &key).await,
-        None => attempts(shared, exchange, &call).await,
+        Some(key) => claim::run(shared, context, call, &key).await,
+        None => attempts(shared, context, &call).await,
     }
 }
 
@@ -126,22 +126,22 @@
 /// What the last attempt ended with. Not run only if no attempt may have run.
 pub(super) async fn attempts(
     shared: &Rc<Shared>,
-    exchange: &Exchange,
+    context: &RequestContext,
     call: &Call,
 ) -> Result<Response, Problem> {
-    let turn = admit::wait(shared, exchange).await?;
+    let turn = admit::wait_for_turn(shared, context).await?;
     let mut excluded: Vec<Key> = Vec::new();
     let mut last: Option<Problem> = None;
     for _ in 0..MAX_ATTEMPTS {
-        let identity = || call.identity(&exchange.pool);
+        let identity = || call.identity(&context.pool);
         let wish_now = wish(call, &excluded);
-        let seat = match route::take_next(shared, exchange, &turn, wish_now, identity).await {
+        let seat = match route::take_next(shared, context, &turn, wish_now, identity).await {
             Ok(seat) => seat,
             Err(problem) => return Err(last.unwrap_or(problem)),
         };
         excluded.push(seat.key);
         let sent_at = shared.now();
-        let sent = direct::send(attempt(shared, exchange, call, &seat.address)).await;
+        let sent = direct::send(attempt(shared, context, call, &seat.address)).await;
         let (end, problem, retry) = match sent {
             Ok(response) => match refused(&response) {
                 Some(end) => (end, later("the endpoint refused before running it"), true),
@@ -149,10 +149,10 @@
                     let sent = Sent {
                         key: seat.key,
                         call: call.clone(),
-                        pool: exchange.pool.clone(),
+                        pool: context.pool.clone(),
                         at: sent_at,
                     };
-                    return Ok(pass_on(exchange, response, seat, turn, sent));
+                    return Ok(pass_on(context, response, seat, turn, sent));
                 }
             },
             Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, later(&e), true),
@@ -169,8 +169,8 @@
             Some(earlier) if earlier.ran == Ran::Unknown => earlier,
             _ => problem,
         };
-        let over = excluded.len() == MAX_ATTEMPTS || exchange.left(shared.now()).is_zero();
-        if !retry || over || !route::may_retry(shared, exchange, wish(call, &excluded)) {
+        let over = excluded.len() == MAX_ATTEMPTS || context.remaining(shared.now()).is_zero();
+        if !retry || over || !route::may_retry(shared, context, wish(call, &excluded)) {
             return Err(problem);
         }
         last = Some(problem);
@@ -194,9 +194,9 @@
     }
 }
 
-fn attempt(shared: &Shared, exchange: &Exchange, call: &Call, address: &str) -> Attempt {
+fn attempt(shared: &Shared, context: &RequestContext, call: &Call, address: &str) -> Attempt {
     let mut headers = call.headers.clone();
-    if let Ok(id) = HeaderValue::from_str(&exchange.id) {
+    if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.push((HeaderName::from_static(header::REQUEST_ID), id));
     }
     Attempt {
@@ -205,7 +205,7 @@
         path: call.path.clone(),
         headers,
         body: call.body.clone(),
-        timeout: exchange.left(shared.now()),
+        timeout: context.remaining(shared.now()),
         reuse: if call.repeatable {
             Reuse::Allowed
         } else {
@@ -229,14 +229,14 @@
 
 /// Streams the answer through. A body that breaks off breaks off at the caller, too.
 fn pass_on(
-    exchange: &Exchange,
+    context: &RequestContext,
     response: direct::Response,
     seat: route::Seat,
     turn: Turn,
     sent: Sent,
 ) -> Response {
     let headers = Call::headers_of(&response.headers);
-    let left = exchange.left(turn.shared().now());
+    let left = context.remaining(turn.shared().now());
     let state = Passing {
         body: response.body,
         ticket: Some(seat.ticket),
--- a/crates/pinereel/src/filters/shape.rs
+++ b/crates/pinereel/src/filters/shape.rs
@@ -1,6 +1,6 @@
 //! Completions in the shape that clients of model engines know: whole answers and event streams.
 
-use super::Exchange;
+use super::RequestContext;
 use crate::engines;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -54,12 +54,12 @@
 }
 
 impl Whole {
-    /// The whole completion of `exchange`.
-    pub fn new(exchange: &Exchange, text: String, record: &Record, finish: Option<Finish>) -> Self {
+    /// The whole completion of `context`.
+    pub fn new(context: &RequestContext, text: String, record: &Record, finish: Option<Finish>) -> Self {
         Self {
-            id: exchange.id.clone(),
+            id: context.id.clone(),
             object: OBJECT,
-            model: exchange.pool.clone(),
+            model: context.pool.clone(),
             choices: [choice(text, finish)],
             usage: Usage {
                 completion_tokens: record.tokens(),
