--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     controllers::{config::Pin, lots::front},
-    filters::{admit, completion, pin, refuse, respond, service, unknown},
+    filters::{admit, completion, pin, not_run, respond, service, may_have_run},
     http::{self, Request, Response},
     state::Shared,
 };
@@ -38,7 +38,7 @@
             publish(&shared, &mut request, name).await
         }
         (_, ["services", pool, ..]) => relay(&shared, &mut request, pool).await,
-        _ => Err(refuse(Code::NotFound, "no such path")),
+        _ => Err(not_run(Code::NotFound, "no such path")),
     };
     result.unwrap_or_else(|problem| respond::problem(&shared, &problem))
 }
@@ -55,7 +55,7 @@
     let pin = pin::pin(shared)?;
     let call: engine::Request = body(shared, &pin, request).await?;
     if call.max_tokens == 0 {
-        return Err(refuse(Code::BadRequest, "max_tokens is 0"));
+        return Err(not_run(Code::BadRequest, "max_tokens is 0"));
     }
     let context = admit::read_context(shared, request, pin, call.model.clone())?;
     Ok(completion::serve(shared, context, call).await)
@@ -121,7 +121,7 @@
         work.await
     });
     task.await
-        .unwrap_or_else(|_| Err(unknown(Code::Unknown, "the work ended early")))
+        .unwrap_or_else(|_| Err(may_have_run(Code::Unknown, "the work ended early")))
 }
 
 async fn submit(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -3,7 +3,7 @@
 use super::{read_stored, relay, write_stored};
 use crate::{
     controllers::members,
-    filters::{refuse, unknown},
+    filters::{may_have_run, not_run},
     state::{Shared, spawn},
 };
 use compact_str::{CompactString, format_compact};
@@ -64,18 +64,18 @@
 pub async fn propose(shared: &Rc<Shared>, patch: Patch) -> Result<u64, Problem> {
     if patch.id.is_empty() || patch.id.len() > MAX_ID {
         let message = format_compact!("the patch's id is empty or longer than {MAX_ID} bytes");
-        return Err(refuse(Code::BadRequest, message));
+        return Err(not_run(Code::BadRequest, message));
     }
     // What is not tried is "unknown": an earlier sending of the patch may have been accepted.
     if shared.drain.refuses() {
-        return Err(later(unknown(
+        return Err(later(may_have_run(
             Code::Unavailable,
             "this instance is draining",
         )));
     }
     let open = shared.config.open.get();
     if open >= MAX_OPEN {
-        return Err(later(unknown(Code::Overloaded, "too many patches at once")));
+        return Err(later(may_have_run(Code::Overloaded, "too many patches at once")));
     }
     shared.config.open.set(open + 1);
     let (sender, answer) = oneshot::channel();
@@ -266,22 +266,22 @@
             Self::NotReached => {
                 // This call wrote nothing, but an earlier one of the same patch may have done.
                 let message = "the object API cannot be read; send the patch again";
-                return Err(later(unknown(Code::ObjectApi, message)));
+                return Err(later(may_have_run(Code::ObjectApi, message)));
             }
         };
         let text = answer.to_string();
         Err(match answer {
             Answer::Accepted(number) => return Ok(number),
             Answer::Conflict(number) => conflict(number),
-            Answer::Reused(_) => refuse(Code::KeyConflict, text),
+            Answer::Reused(_) => not_run(Code::KeyConflict, text),
             Answer::Invalid(faults) => invalid(&faults),
             Answer::NotConfirmed(names) => {
                 let message = format!("refused: not confirmed by {}", names.join(", "));
-                later(refuse(Code::NotConfirmed, message))
+                later(not_run(Code::NotConfirmed, message))
             }
-            Answer::TakenBack => later(refuse(Code::NotConfirmed, format!("refused: {text}"))),
-            Answer::Late => later(refuse(Code::Deadline, format!("refused: {text}"))),
-            Answer::Unknown => later(unknown(Code::Unknown, text)),
+            Answer::TakenBack => later(not_run(Code::NotConfirmed, format!("refused: {text}"))),
+            Answer::Late => later(not_run(Code::Deadline, format!("refused: {text}"))),
+            Answer::Unknown => later(may_have_run(Code::Unknown, text)),
         })
     }
 }
@@ -304,10 +304,10 @@
 
 fn conflict(number: u64) -> Problem {
     let message = format!("refused: configuration {number} is in force");
-    refuse(Code::Conflict, message)
+    not_run(Code::Conflict, message)
 }
 
 fn invalid(faults: &[Fault]) -> Problem {
     let texts: Vec<_> = faults.iter().map(Fault::to_string).collect();
-    refuse(Code::InvalidPatch, texts.join("; "))
+    not_run(Code::InvalidPatch, texts.join("; "))
 }
--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -3,7 +3,7 @@
 //! The decisions are `pinereel_core::crash`'s. News go to the linked entries with the periodic summary, which is
 //! sent at once when there are some, and each entry passes on what is news to it.
 
-use crate::{filters::refuse, state::Shared, upstream::probe};
+use crate::{filters::not_run, state::Shared, upstream::probe};
 use pinereel_api::{Problem, problem::Code};
 use pinereel_core::{
     Time,
@@ -127,7 +127,7 @@
 fn later(message: &str, wait: Duration) -> Problem {
     Problem {
         retry_after_ms: Some(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)),
-        ..refuse(Code::NoEndpoint, message)
+        ..not_run(Code::NoEndpoint, message)
     }
 }
 
--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -1,6 +1,6 @@
 //! Turns a caller's headers into an context with a deadline, and has it wait for its turn.
 
-use super::{RequestContext, refuse};
+use super::{RequestContext, not_run};
 use crate::{
     controllers::{
         config::Pin,
@@ -26,7 +26,7 @@
     pool: CompactString,
 ) -> Result<RequestContext, Problem> {
     if !pin.document.pools.contains_key(&pool) {
-        return Err(refuse(Code::NotFound, "unknown pool"));
+        return Err(not_run(Code::NotFound, "unknown pool"));
     }
     let started = shared.now();
     let default = pin.document.limits.default_deadline_ms;
@@ -69,7 +69,7 @@
     let millis = refused.retry_after.as_micros().div_ceil(1_000);
     Problem {
         retry_after_ms: Some(u64::try_from(millis).unwrap_or(u64::MAX)),
-        ..refuse(code, message)
+        ..not_run(code, message)
     }
 }
 
@@ -80,7 +80,7 @@
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
     match number {
         Some(number) => Ok(Some(number)),
-        None => Err(refuse(
+        None => Err(not_run(
             Code::BadRequest,
             "deadline is not a number of milliseconds",
         )),
@@ -95,7 +95,7 @@
     {
         None | Some(b"live") => Ok(Priority::Live),
         Some(b"bulk") => Ok(Priority::Bulk),
-        Some(_) => Err(refuse(
+        Some(_) => Err(not_run(
             Code::BadRequest,
             "priority is neither live nor bulk",
         )),
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -30,7 +30,7 @@
 }
 
 /// Whether the attempt may have run in spite of the error.
-pub fn may_have_run(error: &engines::Error) -> bool {
+pub fn error_may_have_run(error: &engines::Error) -> bool {
     match error {
         engines::Error::NotOpened(_) | engines::Error::Refused(_) => false,
         engines::Error::Fenced | engines::Error::Lost(_) | engines::Error::Malformed(_) => true,
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -4,9 +4,9 @@
 //! a task of their own, so that a caller who goes away leaves no claim without an outcome.
 
 use super::{
-    RequestContext, refuse,
+    RequestContext, not_run,
     service::{Call, attempts},
-    unknown,
+    may_have_run,
 };
 use crate::{
     controllers::claims::{self, Ask, Asked},
@@ -53,12 +53,12 @@
         return Ok(None);
     };
     if keys.next().is_some() {
-        return Err(refuse(Code::BadRequest, "more than one idempotency key"));
+        return Err(not_run(Code::BadRequest, "more than one idempotency key"));
     }
     let text = value.to_str().ok().filter(|text| is_valid(text));
     match text {
         Some(text) => Ok(Some(text.into())),
-        None => Err(refuse(
+        None => Err(not_run(
             Code::BadRequest,
             "the idempotency key is not 1 to 256 bytes of plain text",
         )),
@@ -92,7 +92,7 @@
         claimed(&shared, &context, &call, ask).await
     });
     task.await
-        .unwrap_or_else(|e| Err(unknown(Code::Unknown, format_compact!("{e}"))))
+        .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
 }
 
 /// The digest of what makes two calls the same. Neither method nor path has a line break in it.
@@ -114,10 +114,10 @@
         Asked::Verdict(Verdict::Repeat(record)) => replay(record),
         Asked::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
-            ..unknown(Code::InProgress, "a request with this key is running")
+            ..may_have_run(Code::InProgress, "a request with this key is running")
         }),
         Asked::Verdict(Verdict::ClaimUnknown) => Err(lost_outcome()),
-        Asked::Verdict(Verdict::KeyConflict) => Err(refuse(
+        Asked::Verdict(Verdict::KeyConflict) => Err(not_run(
             Code::KeyConflict,
             "the key was used with another request",
         )),
@@ -157,7 +157,7 @@
 ) -> Result<Response, Problem> {
     if context.remaining(shared.now()).is_zero() {
         settle(shared, ask, None);
-        return Err(refuse(Code::Deadline, "the deadline passed"));
+        return Err(not_run(Code::Deadline, "the deadline passed"));
     }
     let result = match attempts(shared, context, call).await {
         Ok(response) => record(response).await,
@@ -207,12 +207,12 @@
 fn not_claimed(message: &str) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
-        ..refuse(Code::ObjectApi, message)
+        ..not_run(Code::ObjectApi, message)
     }
 }
 
 fn lost_outcome() -> Problem {
-    unknown(
+    may_have_run(
         Code::Unknown,
         "a request with this key may have run; its outcome is not known",
     )
@@ -261,7 +261,7 @@
     while first.len() <= MAX_BODY_BYTES {
         match next(body.as_mut()).await {
             Some(Ok(part)) => first.extend_from_slice(&part),
-            Some(Err(e)) => return Err(unknown(Code::Unknown, format_compact!("{e}"))),
+            Some(Err(e)) => return Err(may_have_run(Code::Unknown, format_compact!("{e}"))),
             None => {
                 whole = true;
                 break;
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -3,10 +3,10 @@
 use super::{
     RequestContext, admit,
     attempt::{self, Running},
-    refuse, respond,
+    not_run, respond,
     route::{self, Wish},
     shape::{self, Whole},
-    unknown,
+    may_have_run,
 };
 use crate::{
     controllers::{crashes, queues::Turn},
@@ -97,7 +97,7 @@
             return Ok(Whole::new(context, text, &record, chunk.finish));
         }
     }
-    Err(unknown(Code::Unknown, "the answer ended early"))
+    Err(may_have_run(Code::Unknown, "the answer ended early"))
 }
 
 /// The record with a chunk of any attempt. Checked where it arrived, so it has no error here.
@@ -120,7 +120,7 @@
 ) -> Response {
     let Some(first) = chunks.recv().await else {
         let problem = problem_of(end.await);
-        let problem = problem.unwrap_or_else(|| unknown(Code::Unknown, "no answer"));
+        let problem = problem.unwrap_or_else(|| may_have_run(Code::Unknown, "no answer"));
         return respond::problem(shared, &problem);
     };
     let events = events(&context, first, chunks, end);
@@ -153,7 +153,7 @@
 fn problem_of(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
     match end {
         Ok(result) => result.err(),
-        Err(_) => Some(unknown(Code::Unknown, "the answer ended early")),
+        Err(_) => Some(may_have_run(Code::Unknown, "the answer ended early")),
     }
 }
 
@@ -174,7 +174,7 @@
     let result = tokio::select! {
         result = work.run() => result,
         // The turn and the attempt's ticket are dropped, and the engine is told.
-        () = sender.closed() => Err(unknown(Code::Unknown, "the caller is gone")),
+        () = sender.closed() => Err(may_have_run(Code::Unknown, "the caller is gone")),
     };
     match &result {
         Ok(()) => respond::count(&shared, &context, "answer"),
@@ -194,7 +194,7 @@
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
-            Err(_) if self.ran.get() => Err(unknown(Code::Deadline, "the deadline passed")),
+            Err(_) if self.ran.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
             Err(_) => Err(admit::rejection(turn.expired())),
         }
     }
@@ -235,7 +235,7 @@
             last = Some(error);
         }
         Err(last.map_or_else(
-            || refuse(Code::NoEndpoint, "no attempt"),
+            || not_run(Code::NoEndpoint, "no attempt"),
             |e| self.failed(e),
         ))
     }
@@ -251,11 +251,11 @@
         if self.ran.get() {
             let late = self.context.remaining(self.shared.now()).is_zero();
             let code = if late { Code::Deadline } else { Code::Unknown };
-            return unknown(code, message);
+            return may_have_run(code, message);
         }
         Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
-            ..refuse(Code::NoEndpoint, message)
+            ..not_run(Code::NoEndpoint, message)
         }
     }
 
@@ -275,7 +275,7 @@
         let result = self.stream(address, &request, progress).await;
         match &result {
             Ok(()) => running.ended(),
-            Err(error) if !attempt::may_have_run(error) => {
+            Err(error) if !attempt::error_may_have_run(error) => {
                 self.ran.set(before);
                 running.ended();
             }
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// A problem of a request that certainly did not run.
-pub fn refuse(code: Code, message: impl Into<CompactString>) -> Problem {
+pub fn not_run(code: Code, message: impl Into<CompactString>) -> Problem {
     Problem {
         code,
         message: message.into(),
@@ -50,10 +50,10 @@
 }
 
 /// A problem of a request that may have run.
-pub fn unknown(code: Code, message: impl Into<CompactString>) -> Problem {
+pub fn may_have_run(code: Code, message: impl Into<CompactString>) -> Problem {
     Problem {
         ran: Ran::Unknown,
-        ..refuse(code, message)
+        ..not_run(code, message)
     }
 }
 
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -1,6 +1,6 @@
 //! Pins a request to the configuration in force here.
 
-use super::refuse;
+use super::not_run;
 use crate::{controllers::config::Pin, state::Shared};
 use compact_str::CompactString;
 use pinereel_api::{Problem, problem::Code};
@@ -16,11 +16,11 @@
 /// does not know a patch's result, or is cut off. Asked for each request.
 pub fn pin(shared: &Shared) -> Result<Pin, Problem> {
     if shared.drain.refuses() {
-        return Err(later("this instance is draining"));
+        return Err(unavailable("this instance is draining"));
     }
     match shared.config.admits(shared.now()) {
         Ok(pin) => Ok(pin),
-        Err(refusal) => Err(later(refusal.to_string())),
+        Err(refusal) => Err(unavailable(refusal.to_string())),
     }
 }
 
@@ -30,7 +30,7 @@
 /// `Unavailable` before the first read.
 pub fn known(shared: &Shared) -> Result<Pin, Problem> {
     let pin = shared.config.pin();
-    pin.ok_or_else(|| later(Refusal::Starting.to_string()))
+    pin.ok_or_else(|| unavailable(Refusal::Starting.to_string()))
 }
 
 /// The configuration number, if the balancer may send connections here.
@@ -40,17 +40,17 @@
 /// endpoints are known.
 pub fn ready(shared: &Shared) -> Result<u64, Problem> {
     if shared.drain.asked() {
-        return Err(later("this instance is draining"));
+        return Err(unavailable("this instance is draining"));
     }
     if !shared.endpoints.are_listed() {
-        return Err(later("the endpoints are not known yet"));
+        return Err(unavailable("the endpoints are not known yet"));
     }
     pin(shared).map(|pin| pin.number)
 }
 
-fn later(message: impl Into<CompactString>) -> Problem {
+fn unavailable(message: impl Into<CompactString>) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
-        ..refuse(Code::Unavailable, message)
+        ..not_run(Code::Unavailable, message)
     }
 }
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -1,6 +1,6 @@
 //! Chooses the endpoint of an attempt; waits for room until the deadline.
 
-use super::{RequestContext, admit, refuse};
+use super::{RequestContext, admit, not_run};
 use crate::{
     controllers::{
         crashes::{self, Next},
@@ -84,12 +84,12 @@
             Err(Refusal::Full) => {
                 let left = context.remaining(shared.now());
                 if left.is_zero() || timeout(left, room).await.is_err() {
-                    return Err(later(Code::Overloaded, "every endpoint is at its limit"));
+                    return Err(retryable(Code::Overloaded, "every endpoint is at its limit"));
                 }
             }
             Err(e) => {
                 shared.decide(What::Route, &context.id, None, &e.to_string());
-                return Err(later(Code::NoEndpoint, e.to_string()));
+                return Err(retryable(Code::NoEndpoint, e.to_string()));
             }
         }
     }
@@ -112,10 +112,10 @@
         Next::At(key) => key,
     };
     if wish.excluded.contains(&key) {
-        return Err(later(Code::NoEndpoint, "it was tried there"));
+        return Err(retryable(Code::NoEndpoint, "it was tried there"));
     }
     let ticket = endpoints::begin(shared, key, wish.tokens);
-    let seat = seat(shared, key, ticket).ok_or_else(|| later(Code::NoEndpoint, "it has gone"))?;
+    let seat = seat(shared, key, ticket).ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
     shared.decide(What::Route, &context.id, Some(&seat.name), "in doubt");
     Ok(seat)
 }
@@ -153,9 +153,9 @@
     })
 }
 
-fn later(code: Code, message: impl Into<CompactString>) -> Problem {
+fn retryable(code: Code, message: impl Into<CompactString>) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
-        ..refuse(code, message)
+        ..not_run(code, message)
     }
 }
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -3,9 +3,9 @@
 use super::{
     RequestContext, admit,
     attempt::LEAVING,
-    claim, refuse, respond,
+    claim, not_run, respond,
     route::{self, Wish},
-    unknown,
+    may_have_run,
 };
 use crate::{
     controllers::{crashes, endpoints::Ticket, queues::Turn},
@@ -144,7 +144,7 @@
         let sent = direct::send(attempt(shared, context, call, &seat.address)).await;
         let (end, problem, retry) = match sent {
             Ok(response) => match refused(&response) {
-                Some(end) => (end, later("the endpoint refused before running it"), true),
+                Some(end) => (end, retryable("the endpoint refused before running it"), true),
                 None => {
                     let sent = Sent {
                         key: seat.key,
@@ -155,11 +155,11 @@
                     return Ok(pass_on(context, response, seat, turn, sent));
                 }
             },
-            Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, later(&e), true),
-            Err(Error::Invalid(e)) => return Err(refuse(Code::BadRequest, e)),
+            Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, retryable(&e), true),
+            Err(Error::Invalid(e)) => return Err(not_run(Code::BadRequest, e)),
             Err(Error::Lost(e)) => {
                 crashes::broke(shared, seat.key, identity()).await;
-                let problem = unknown(Code::Unknown, format_compact!("{e}"));
+                let problem = may_have_run(Code::Unknown, format_compact!("{e}"));
                 (AttemptEnd::Failed, problem, call.repeatable)
             }
         };
@@ -175,7 +175,7 @@
         }
         last = Some(problem);
     }
-    Err(last.unwrap_or_else(|| refuse(Code::NoEndpoint, "no attempt")))
+    Err(last.unwrap_or_else(|| not_run(Code::NoEndpoint, "no attempt")))
 }
 
 const fn wish<'a>(call: &Call, excluded: &'a [Key]) -> Wish<'a> {
@@ -187,10 +187,10 @@
     }
 }
 
-fn later(message: &str) -> Problem {
+fn retryable(message: &str) -> Problem {
     Problem {
         retry_after_ms: Some(1_000),
-        ..refuse(Code::NoEndpoint, message)
+        ..not_run(Code::NoEndpoint, message)
     }
 }
 
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -5,7 +5,7 @@
 use crate::{
     callers,
     controllers::config::propose,
-    filters::{pin, refuse, respond},
+    filters::{pin, not_run, respond},
     http::{self, Request, Response},
     state::Shared,
 };
@@ -31,7 +31,7 @@
         _ => {}
     }
     if !authorized(&shared, &request) {
-        let problem = refuse(
+        let problem = not_run(
             Code::Unauthorized,
             "the operators' token is missing or wrong",
         );
@@ -50,7 +50,7 @@
         (&Method::GET, "/v1/config") => show(&shared),
         (&Method::POST, "/v1/config/check") => check(&shared, &mut request).await,
         (&Method::POST, "/v1/config") => patch(&shared, &mut request).await,
-        _ => Err(refuse(Code::NotFound, "no such path")),
+        _ => Err(not_run(Code::NotFound, "no such path")),
     };
     result.unwrap_or_else(|problem| respond::problem(&shared, &problem))
 }
