--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -7,7 +7,7 @@
         endpoints::{self, Ticket},
     },
     engines::{self, Error},
-    filters::attempt::end_of,
+    filters::attempt::attempt_end,
     logging::What,
     state::Shared,
 };
@@ -115,7 +115,7 @@
         return;
     };
     log::info!(entry = shared.name().as_str(); "attempt failed: {error}");
-    let end = end_of(&error);
+    let end = attempt_end(&error);
     let failure = match error {
         Error::NotOpened(_) | Error::Refused(_) => Failure::NotRun,
         _ => Failure::Lost,
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -6,23 +6,23 @@
 use std::{rc::Rc, time::Duration};
 
 /// Reason that an endpoint gives when it refuses because it is leaving.
-pub const LEAVING: &str = "leaving";
+pub const LEAVING_REASON: &str = "leaving";
 /// Share of the time left that one silent endpoint may use up.
-const SHARE: u32 = 3;
+const SILENCE_DIVISOR: u32 = 3;
 /// Least time that a silent endpoint gets.
-const LEAST: Duration = Duration::from_millis(500);
+const MIN_SILENCE: Duration = Duration::from_millis(500);
 
 /// Longest silence of an endpoint when `left` is left until the deadline, so that another endpoint
 /// can still answer.
-pub fn patience(left: Duration) -> Duration {
-    (left / SHARE).max(LEAST).min(left)
+pub fn silence_timeout(left: Duration) -> Duration {
+    (left / SILENCE_DIVISOR).max(MIN_SILENCE).min(left)
 }
 
 /// What an engine's error says about the engine.
-pub fn end_of(error: &engines::Error) -> AttemptEnd {
+pub fn attempt_end(error: &engines::Error) -> AttemptEnd {
     match error {
         engines::Error::NotOpened(_) => AttemptEnd::ConnectionRefused,
-        engines::Error::Refused(reason) if reason == LEAVING => AttemptEnd::Leaving,
+        engines::Error::Refused(reason) if reason == LEAVING_REASON => AttemptEnd::Leaving,
         engines::Error::Refused(_) => AttemptEnd::Overloaded,
         engines::Error::Fenced => AttemptEnd::Completed,
         engines::Error::Lost(_) | engines::Error::Malformed(_) => AttemptEnd::Failed,
@@ -38,14 +38,14 @@
 }
 
 /// An attempt at an engine. Dropped before its end, it is cancelled there.
-pub struct Running {
+pub struct AttemptGuard {
     shared: Rc<Shared>,
     address: CompactString,
     id: CompactString,
     ended: bool,
 }
 
-impl Running {
+impl AttemptGuard {
     /// An attempt that is about to be sent.
     pub fn new(shared: &Rc<Shared>, address: &str, id: CompactString) -> Self {
         Self {
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if self.ended {
             return;
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -2,7 +2,7 @@
 
 use super::{
     RequestContext, admit,
-    attempt::{self, Running},
+    attempt::{self, AttemptGuard},
     not_run, respond,
     route::{self, Wish},
     shape::{self, Whole},
@@ -226,7 +226,7 @@
             if matches!(error, Error::Lost(_)) {
                 crashes::broke(self.shared, seat.key, identity()).await;
             }
-            seat.ticket.finish(attempt::end_of(&error));
+            seat.ticket.finish(attempt::attempt_end(&error));
             let wish = wish(self.request, &excluded);
             let over = excluded.len() == MAX_ATTEMPTS;
             if over || !route::may_retry(self.shared, self.context, wish) {
@@ -263,7 +263,7 @@
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
         let before = self.ran.replace(true);
-        let running = Running::new(self.shared, address, id.clone());
+        let guard = AttemptGuard::new(self.shared, address, id.clone());
         let request = Request {
             stream: true,
             priority: LIVE,
@@ -274,10 +274,10 @@
         };
         let result = self.stream(address, &request, progress).await;
         match &result {
-            Ok(()) => running.ended(),
+            Ok(()) => guard.ended(),
             Err(error) if !attempt::error_may_have_run(error) => {
                 self.ran.set(before);
-                running.ended();
+                guard.ended();
             }
             // Dropped here, it is cancelled at the engine.
             Err(_) => {}
@@ -291,13 +291,13 @@
         request: &Request,
         progress: &mut Progress,
     ) -> Result<(), Error> {
-        let patience = || attempt::patience(self.context.remaining(self.shared.now()));
+        let silence_timeout = || attempt::silence_timeout(self.context.remaining(self.shared.now()));
         let mut record = progress.record.resume();
         let start = record.tokens();
-        let chunks = engines::complete(&self.shared.http, address, request, patience()).await?;
+        let chunks = engines::complete(&self.shared.http, address, request, silence_timeout()).await?;
         let mut chunks = pin!(chunks);
         loop {
-            let next = timeout(patience(), chunks.next()).await;
+            let next = timeout(silence_timeout(), chunks.next()).await;
             let next = next.map_err(|_| Error::Lost("silent stream".into()))?;
             let chunk = next.ok_or_else(|| Error::Lost("stream ended early".into()))??;
             if chunk.id != request.request_id || seen(&chunk, start, &record) {
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -2,7 +2,7 @@
 
 use super::{
     RequestContext, admit,
-    attempt::LEAVING,
+    attempt::LEAVING_REASON,
     claim, not_run, respond,
     route::{self, Wish},
     may_have_run,
@@ -220,7 +220,7 @@
         return None;
     }
     let reason = response.headers.get(header::REFUSED)?;
-    Some(if reason.as_bytes() == LEAVING.as_bytes() {
+    Some(if reason.as_bytes() == LEAVING_REASON.as_bytes() {
         AttemptEnd::Leaving
     } else {
         AttemptEnd::Overloaded
