--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -4,7 +4,7 @@
     RequestContext, admit,
     attempt::{self, AttemptGuard},
     not_run, respond,
-    route::{self, Wish},
+    route::{self, Criteria},
     shape::{self, Whole},
     may_have_run,
 };
@@ -204,32 +204,32 @@
         let mut excluded: Vec<Key> = Vec::new();
         let mut last = None;
         for _ in 0..MAX_ATTEMPTS {
-            let wish_now = wish(self.request, &excluded);
+            let current_criteria = criteria(self.request, &excluded);
             let identity = || self.identity();
-            let seat = route::take_next(self.shared, self.context, turn, wish_now, identity).await;
-            let seat = match (seat, last) {
-                (Ok(seat), _) => seat,
+            let assignment = route::assign_next(self.shared, self.context, turn, current_criteria, identity).await;
+            let assignment = match (assignment, last) {
+                (Ok(assignment), _) => assignment,
                 // Other endpoints were tried before; their error says more.
                 (Err(_), Some(error)) => return Err(self.failed(error)),
                 (Err(problem), None) => return Err(problem),
             };
-            excluded.push(seat.key);
+            excluded.push(assignment.key);
             let sent_at = self.shared.now();
-            let error = match self.attempt(&seat.address, &mut progress).await {
+            let error = match self.attempt(&assignment.address, &mut progress).await {
                 Ok(()) => {
-                    crashes::answered(self.shared, seat.key, identity, sent_at);
-                    seat.ticket.finish(AttemptEnd::Completed);
+                    crashes::answered(self.shared, assignment.key, identity, sent_at);
+                    assignment.ticket.finish(AttemptEnd::Completed);
                     return Ok(());
                 }
                 Err(error) => error,
             };
             if matches!(error, Error::Lost(_)) {
-                crashes::broke(self.shared, seat.key, identity()).await;
+                crashes::broke(self.shared, assignment.key, identity()).await;
             }
-            seat.ticket.finish(attempt::attempt_end(&error));
-            let wish = wish(self.request, &excluded);
+            assignment.ticket.finish(attempt::attempt_end(&error));
+            let criteria = criteria(self.request, &excluded);
             let over = excluded.len() == MAX_ATTEMPTS;
-            if over || !route::may_retry(self.shared, self.context, wish) {
+            if over || !route::may_retry(self.shared, self.context, criteria) {
                 return Err(self.failed(error));
             }
             last = Some(error);
@@ -331,10 +331,10 @@
     chunk.tokens > 0 && chunk.finish.is_none() && repeat
 }
 
-fn wish<'a>(request: &Request, excluded: &'a [Key]) -> Wish<'a> {
+fn criteria<'a>(request: &Request, excluded: &'a [Key]) -> Criteria<'a> {
     let prompt = request.prompt.as_bytes();
     let prefix = &prompt[..prompt.len().min(PREFIX)];
-    Wish {
+    Criteria {
         prefix: Some(hash::stable(prefix)),
         excluded,
         repeatable: true,
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -25,7 +25,7 @@
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// An endpoint, counted as having one more attempt.
-pub struct Seat {
+pub struct Assignment {
     /// The endpoint.
     pub key: Key,
     /// Its name.
@@ -38,7 +38,7 @@
 
 /// What the chain asks of the router.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// Hash of the prompt's prefix.
     pub prefix: Option<u64>,
     /// Endpoints that earlier attempts used up.
@@ -49,36 +49,36 @@
     pub tokens: u32,
 }
 
-/// Takes a seat at an endpoint. If none has room, a first attempt goes back into its queue; a later
+/// Takes a assignment at an endpoint. If none has room, a first attempt goes back into its queue; a later
 /// one, which leaves out the endpoints that were tried, waits here.
 ///
 /// # Errors
 /// `NoEndpoint` or `Overloaded`, both not run.
-async fn take(
+async fn assign(
     shared: &Rc<Shared>,
     context: &RequestContext,
     turn: &Turn,
-    wish: Wish<'_>,
-) -> Result<Seat, Problem> {
+    criteria: Criteria<'_>,
+) -> Result<Assignment, Problem> {
     loop {
         // Listening begins before choosing, so that no room is missed between the two.
         let mut room = pin!(shared.endpoints.room.notified());
         room.as_mut().enable();
-        let request = request(shared, context, wish);
+        let request = request(shared, context, criteria);
         match shared.endpoints.choose(shared, &request) {
             Ok(choice) => {
-                let what = if wish.excluded.is_empty() {
+                let what = if criteria.excluded.is_empty() {
                     What::Route
                 } else {
                     What::Retry
                 };
                 endpoints::log_choice(shared, &context.id, what, &choice, context.pin.number);
-                let ticket = endpoints::begin(shared, choice.key, wish.tokens);
-                if let Some(seat) = seat(shared, choice.key, ticket) {
-                    return Ok(seat);
+                let ticket = endpoints::begin(shared, choice.key, criteria.tokens);
+                if let Some(assignment) = assignment(shared, choice.key, ticket) {
+                    return Ok(assignment);
                 }
             }
-            Err(Refusal::Full) if wish.excluded.is_empty() => {
+            Err(Refusal::Full) if criteria.excluded.is_empty() => {
                 turn.again().await.map_err(admit::rejection)?;
             }
             Err(Refusal::Full) => {
@@ -95,57 +95,57 @@
     }
 }
 
-/// Takes a seat for the next attempt of a request: at any endpoint, or at the one where it runs alone, however busy,
+/// Takes a assignment for the next attempt of a request: at any endpoint, or at the one where it runs alone, however busy,
 /// if it is in doubt.
 ///
 /// # Errors
-/// As [`take`]; `NoEndpoint`, not run, also if endpoints crash under the request.
-pub async fn take_next(
+/// As [`assign`]; `NoEndpoint`, not run, also if endpoints crash under the request.
+pub async fn assign_next(
     shared: &Rc<Shared>,
     context: &RequestContext,
     turn: &Turn,
-    wish: Wish<'_>,
+    criteria: Criteria<'_>,
     identity: impl Fn() -> Identity,
-) -> Result<Seat, Problem> {
+) -> Result<Assignment, Problem> {
     let key = match crashes::next(shared, &context.pool, identity).await? {
-        Next::Any => return take(shared, context, turn, wish).await,
+        Next::Any => return assign(shared, context, turn, criteria).await,
         Next::At(key) => key,
     };
-    if wish.excluded.contains(&key) {
+    if criteria.excluded.contains(&key) {
         return Err(retryable(Code::NoEndpoint, "it was tried there"));
     }
-    let ticket = endpoints::begin(shared, key, wish.tokens);
-    let seat = seat(shared, key, ticket).ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
-    shared.decide(What::Route, &context.id, Some(&seat.name), "in doubt");
-    Ok(seat)
+    let ticket = endpoints::begin(shared, key, criteria.tokens);
+    let assignment = assignment(shared, key, ticket).ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
+    shared.decide(What::Route, &context.id, Some(&assignment.name), "in doubt");
+    Ok(assignment)
 }
 
 /// Whether one more attempt may be made: an endpoint is left that was not tried, and the retry
 /// budget, of which this takes a part, is not used up.
-pub fn may_retry(shared: &Shared, context: &RequestContext, wish: Wish<'_>) -> bool {
-    let request = request(shared, context, wish);
+pub fn may_retry(shared: &Shared, context: &RequestContext, criteria: Criteria<'_>) -> bool {
+    let request = request(shared, context, criteria);
     let choice = shared.endpoints.choose(shared, &request);
     let left = matches!(choice, Ok(_) | Err(Refusal::Full));
     left && queues::retry(shared, &context.pool)
 }
 
-fn request<'a>(shared: &'a Shared, context: &'a RequestContext, wish: Wish<'a>) -> Request<'a> {
+fn request<'a>(shared: &'a Shared, context: &'a RequestContext, criteria: Criteria<'a>) -> Request<'a> {
     Request {
         pool: &context.pool,
-        prefix: wish.prefix,
+        prefix: criteria.prefix,
         priority: context.priority,
         zone: shared.zone(),
         versions: None,
-        excluded: wish.excluded,
-        repeatable: wish.repeatable,
+        excluded: criteria.excluded,
+        repeatable: criteria.repeatable,
         seed: hash::stable(context.id.as_bytes()),
     }
 }
 
-fn seat(shared: &Shared, key: Key, ticket: Ticket) -> Option<Seat> {
+fn assignment(shared: &Shared, key: Key, ticket: Ticket) -> Option<Assignment> {
     let set = shared.endpoints.set();
     let endpoint = set.get(key)?;
-    Some(Seat {
+    Some(Assignment {
         key,
         name: endpoint.name.clone(),
         address: endpoint.address.clone(),
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -4,7 +4,7 @@
     RequestContext, admit,
     attempt::LEAVING_REASON,
     claim, not_run, respond,
-    route::{self, Wish},
+    route::{self, Criteria},
     may_have_run,
 };
 use crate::{
@@ -134,43 +134,43 @@
     let mut last: Option<Problem> = None;
     for _ in 0..MAX_ATTEMPTS {
         let identity = || call.identity(&context.pool);
-        let wish_now = wish(call, &excluded);
-        let seat = match route::take_next(shared, context, &turn, wish_now, identity).await {
-            Ok(seat) => seat,
+        let current_criteria = criteria(call, &excluded);
+        let assignment = match route::assign_next(shared, context, &turn, current_criteria, identity).await {
+            Ok(assignment) => assignment,
             Err(problem) => return Err(last.unwrap_or(problem)),
         };
-        excluded.push(seat.key);
+        excluded.push(assignment.key);
         let sent_at = shared.now();
-        let sent = direct::send(attempt(shared, context, call, &seat.address)).await;
+        let sent = direct::send(attempt(shared, context, call, &assignment.address)).await;
         let (end, problem, retry) = match sent {
             Ok(response) => match refused(&response) {
                 Some(end) => (end, retryable("the endpoint refused before running it"), true),
                 None => {
                     let sent = Sent {
-                        key: seat.key,
+                        key: assignment.key,
                         call: call.clone(),
                         pool: context.pool.clone(),
                         at: sent_at,
                     };
-                    return Ok(pass_on(context, response, seat, turn, sent));
+                    return Ok(pass_on(context, response, assignment, turn, sent));
                 }
             },
             Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, retryable(&e), true),
             Err(Error::Invalid(e)) => return Err(not_run(Code::BadRequest, e)),
             Err(Error::Lost(e)) => {
-                crashes::broke(shared, seat.key, identity()).await;
+                crashes::broke(shared, assignment.key, identity()).await;
                 let problem = may_have_run(Code::Unknown, format_compact!("{e}"));
                 (AttemptEnd::Failed, problem, call.repeatable)
             }
         };
-        seat.ticket.finish(end);
+        assignment.ticket.finish(end);
         // An attempt that did not run says nothing about an earlier one that may have.
         let problem = match last.take() {
             Some(earlier) if earlier.ran == Ran::Unknown => earlier,
             _ => problem,
         };
         let over = excluded.len() == MAX_ATTEMPTS || context.remaining(shared.now()).is_zero();
-        if !retry || over || !route::may_retry(shared, context, wish(call, &excluded)) {
+        if !retry || over || !route::may_retry(shared, context, criteria(call, &excluded)) {
             return Err(problem);
         }
         last = Some(problem);
@@ -178,8 +178,8 @@
     Err(last.unwrap_or_else(|| not_run(Code::NoEndpoint, "no attempt")))
 }
 
-const fn wish<'a>(call: &Call, excluded: &'a [Key]) -> Wish<'a> {
-    Wish {
+const fn criteria<'a>(call: &Call, excluded: &'a [Key]) -> Criteria<'a> {
+    Criteria {
         prefix: None,
         excluded,
         repeatable: call.repeatable,
@@ -231,7 +231,7 @@
 fn pass_on(
     context: &RequestContext,
     response: direct::Response,
-    seat: route::Seat,
+    assignment: route::Assignment,
     turn: Turn,
     sent: Sent,
 ) -> Response {
@@ -239,7 +239,7 @@
     let left = context.remaining(turn.shared().now());
     let state = Passing {
         body: response.body,
-        ticket: Some(seat.ticket),
+        ticket: Some(assignment.ticket),
         turn,
         sent,
         over: Instant::now() + left,
@@ -257,7 +257,7 @@
     for (key, value) in headers {
         answer.headers_mut().append(key, value);
     }
-    if let Ok(name) = HeaderValue::from_str(&seat.name) {
+    if let Ok(name) = HeaderValue::from_str(&assignment.name) {
         answer
             .headers_mut()
             .insert(HeaderName::from_static(header::ENDPOINT), name);
