--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -33,7 +33,7 @@
 use std::{future::poll_fn, pin::Pin, rc::Rc};
 
 /// Longest key, in bytes.
-const MAX_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// When to come back to a key that could not be claimed or whose request still runs.
 const RETRY_AFTER_MS: u64 = 1_000;
 
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// `BadRequest` for a key that is empty, too long, not plain text, or given twice.
-pub fn key(call: &Call) -> Result<Option<CompactString>, Problem> {
+pub fn idempotency_key(call: &Call) -> Result<Option<CompactString>, Problem> {
     if call.repeatable {
         return Ok(None);
     }
@@ -66,7 +66,7 @@
 }
 
 fn is_valid(key: &str) -> bool {
-    !key.is_empty() && key.len() <= MAX_KEY && !key.chars().any(char::is_control)
+    !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.chars().any(char::is_control)
 }
 
 /// Runs a call under its key, or answers what became of the one that ran.
@@ -89,7 +89,7 @@
     let context = context.clone();
     let task = actix_rt::spawn(async move {
         let _guard = shared.drain.enter();
-        claimed(&shared, &context, &call, ask).await
+        run_with_claim(&shared, &context, &call, ask).await
     });
     task.await
         .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
@@ -102,38 +102,38 @@
     Digest::of(&content)
 }
 
-async fn claimed(
+async fn run_with_claim(
     shared: &Rc<Shared>,
     context: &RequestContext,
     call: &Call,
     ask: Ask,
 ) -> Result<Response, Problem> {
-    let (ask, asked) = verdict(shared, context, ask).await;
+    let (ask, asked) = request_verdict(shared, context, ask).await;
     match asked {
-        Asked::Verdict(Verdict::Granted) => granted(shared, context, call, ask).await,
+        Asked::Verdict(Verdict::Granted) => run_granted(shared, context, call, ask).await,
         Asked::Verdict(Verdict::Repeat(record)) => replay(record),
         Asked::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
             ..may_have_run(Code::InProgress, "a request with this key is running")
         }),
-        Asked::Verdict(Verdict::ClaimUnknown) => Err(lost_outcome()),
+        Asked::Verdict(Verdict::ClaimUnknown) => Err(outcome_unknown()),
         Asked::Verdict(Verdict::KeyConflict) => Err(not_run(
             Code::KeyConflict,
             "the key was used with another request",
         )),
-        Asked::Verdict(Verdict::NotClaimed) => Err(not_claimed("the key could not be claimed")),
+        Asked::Verdict(Verdict::NotClaimed) => Err(claim_failed("the key could not be claimed")),
         Asked::Closed | Asked::Late => {
             settle(shared, ask, None);
-            Err(not_claimed("no verdict on the key came"))
+            Err(claim_failed("no verdict on the key came"))
         }
     }
 }
 
 /// Asks for a verdict. An owner that went away is no reason to refuse: what it may have claimed is
 /// given up, and the next one asked, under another id since the first ask must never be granted.
-async fn verdict(shared: &Rc<Shared>, context: &RequestContext, ask: Ask) -> (Ask, Asked) {
+async fn request_verdict(shared: &Rc<Shared>, context: &RequestContext, ask: Ask) -> (Ask, Asked) {
     let asked = claims::claim(shared, &ask, context.remaining(shared.now())).await;
-    note(shared, context, &asked);
+    log_verdict(shared, context, &asked);
     if asked != Asked::Closed {
         return (ask, asked);
     }
@@ -145,11 +145,11 @@
         return (ask, asked);
     }
     let asked = claims::claim(shared, &again, context.remaining(shared.now())).await;
-    note(shared, context, &asked);
+    log_verdict(shared, context, &asked);
     (again, asked)
 }
 
-async fn granted(
+async fn run_granted(
     shared: &Rc<Shared>,
     context: &RequestContext,
     call: &Call,
@@ -160,7 +160,7 @@
         return Err(not_run(Code::Deadline, "the deadline passed"));
     }
     let result = match attempts(shared, context, call).await {
-        Ok(response) => record(response).await,
+        Ok(response) => buffer_response(response).await,
         Err(problem) => Err(problem),
     };
     match result {
@@ -171,7 +171,7 @@
         Err(problem) => {
             let outcome = match problem.ran {
                 Ran::NotRun => None,
-                Ran::Unknown => Some(no_outcome()),
+                Ran::Unknown => Some(empty_response()),
             };
             settle(shared, ask, outcome);
             Err(problem)
@@ -188,7 +188,7 @@
     });
 }
 
-fn note(shared: &Shared, context: &RequestContext, asked: &Asked) {
+fn log_verdict(shared: &Shared, context: &RequestContext, asked: &Asked) {
     let verdict = match asked {
         Asked::Verdict(Verdict::Granted) => "granted",
         Asked::Verdict(Verdict::Repeat(_)) => "repeat",
@@ -204,14 +204,14 @@
     shared.decide(What::Admit, &context.id, None, &reason);
 }
 
-fn not_claimed(message: &str) -> Problem {
+fn claim_failed(message: &str) -> Problem {
     Problem {
         retry_after_ms: Some(RETRY_AFTER_MS),
         ..not_run(Code::ObjectApi, message)
     }
 }
 
-fn lost_outcome() -> Problem {
+fn outcome_unknown() -> Problem {
     may_have_run(
         Code::Unknown,
         "a request with this key may have run; its outcome is not known",
@@ -219,7 +219,7 @@
 }
 
 /// The record of a request that may have run and left no answer.
-fn no_outcome() -> StoredResponse {
+fn empty_response() -> StoredResponse {
     StoredResponse {
         status: 0,
         content_type: CompactString::default(),
@@ -230,7 +230,7 @@
 /// The recorded answer again. A body that was too large to keep is absent.
 fn replay(record: StoredResponse) -> Result<Response, Problem> {
     let Ok(status) = StatusCode::from_u16(record.status) else {
-        return Err(lost_outcome());
+        return Err(outcome_unknown());
     };
     let body = record.body.unwrap_or_default();
     let mut response = Response::new(status).set_body(BoxBody::new(body));
@@ -249,7 +249,7 @@
 
 /// Reads an answer up to the size that is kept, so that its record is true to what came. An answer
 /// that breaks off before that is no answer.
-async fn record(response: Response) -> Result<(Response, StoredResponse), Problem> {
+async fn buffer_response(response: Response) -> Result<(Response, StoredResponse), Problem> {
     let (head, body) = response.into_parts();
     let length = match body.size() {
         BodySize::Sized(length) => Some(length),
@@ -259,7 +259,7 @@
     let mut first = BytesMut::new();
     let mut whole = false;
     while first.len() <= MAX_BODY_BYTES {
-        match next(body.as_mut()).await {
+        match next_chunk(body.as_mut()).await {
             Some(Ok(part)) => first.extend_from_slice(&part),
             Some(Err(e)) => return Err(may_have_run(Code::Unknown, format_compact!("{e}"))),
             None => {
@@ -281,21 +281,21 @@
         content_type: content_type.unwrap_or_default().into(),
         body: kept,
     };
-    let response = head.set_body(rejoin(first, whole, body, length));
+    let response = head.set_body(restore_body(first, whole, body, length));
     Ok((response, outcome.bounded()))
 }
 
-async fn next(mut body: Pin<&mut BoxBody>) -> Option<Result<Bytes, Box<dyn std::error::Error>>> {
+async fn next_chunk(mut body: Pin<&mut BoxBody>) -> Option<Result<Bytes, Box<dyn std::error::Error>>> {
     poll_fn(|cx| body.as_mut().poll_next(cx)).await
 }
 
 /// The body as it came: what was read already, then the rest.
-fn rejoin(first: Bytes, whole: bool, body: Pin<Box<BoxBody>>, length: Option<u64>) -> BoxBody {
+fn restore_body(first: Bytes, whole: bool, body: Pin<Box<BoxBody>>, length: Option<u64>) -> BoxBody {
     if whole {
         return BoxBody::new(first);
     }
     let rest = stream::unfold(body, |mut body| async move {
-        let item = next(body.as_mut()).await?;
+        let item = next_chunk(body.as_mut()).await?;
         Some((item.map_err(|e| std::io::Error::other(e.to_string())), body))
     });
     let stream = stream::once(async move { Ok(first) }).chain(rest);
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -114,7 +114,7 @@
 }
 
 async fn run(shared: &Rc<Shared>, context: &RequestContext, call: Call) -> Result<Response, Problem> {
-    match claim::key(&call)? {
+    match claim::idempotency_key(&call)? {
         Some(key) => claim::run(shared, context, call, &key).await,
         None => attempts(shared, context, &call).await,
     }
