--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -36,13 +36,13 @@
 };
 
 /// Chunks that wait for a caller that reads slowly; then the stream waits.
-const BUFFER: usize = 64;
+const MAX_BUFFERED_CHUNKS: usize = 64;
 /// Bytes of a prompt that make its prefix for routing.
-const PREFIX: usize = 64;
+const ROUTING_PREFIX_BYTES: usize = 64;
 /// Most attempts of one request.
 const MAX_ATTEMPTS: usize = 4;
 /// Priority at the engine.
-const LIVE: u8 = 2;
+const ENGINE_PRIORITY: u8 = 2;
 /// When to come back after every endpoint that was tried refused.
 const RETRY_AFTER_MS: u64 = 1_000;
 
@@ -54,18 +54,18 @@
 }
 
 /// One request on its way through its attempts.
-struct Work<'a> {
+struct CompletionRun<'a> {
     shared: &'a Rc<Shared>,
     context: &'a RequestContext,
     request: &'a Request,
     sender: &'a mpsc::Sender<Chunk>,
     /// Whether an attempt may have run.
-    ran: Cell<bool>,
+    may_have_run: Cell<bool>,
 }
 
 /// Answers one completion. Dropped when the caller is gone, it ends the work.
 pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: Request) -> Response {
-    let (sender, chunks) = mpsc::channel(BUFFER);
+    let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     if request.stream {
         let (done, end) = oneshot::channel();
         let work = run(Rc::clone(shared), context.clone(), request, sender);
@@ -73,10 +73,10 @@
             // A caller that is gone hears of no end.
             let _ = done.send(work.await);
         });
-        return streamed(shared, context, chunks, end).await;
+        return stream_response(shared, context, chunks, end).await;
     }
     let work = run(Rc::clone(shared), context.clone(), request, sender);
-    let (answer, end) = future::join(gather(&context, chunks), work).await;
+    let (answer, end) = future::join(collect_response(&context, chunks), work).await;
     match end.and(answer) {
         Ok(whole) => {
             let mut response = http::json(StatusCode::OK, &whole);
@@ -87,12 +87,12 @@
     }
 }
 
-async fn gather(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<Whole, Problem> {
+async fn collect_response(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<Whole, Problem> {
     let mut text = String::new();
     let mut record = Record::default();
     while let Some(chunk) = chunks.recv().await {
         text.push_str(&chunk.text);
-        record = push(record, &chunk);
+        record = push_chunk(record, &chunk);
         if chunk.finish.is_some() {
             return Ok(Whole::new(context, text, &record, chunk.finish));
         }
@@ -101,7 +101,7 @@
 }
 
 /// The record with a chunk of any attempt. Checked where it arrived, so it has no error here.
-fn push(record: Record, chunk: &Chunk) -> Record {
+fn push_chunk(record: Record, chunk: &Chunk) -> Record {
     let mut next = if chunk.reused.is_empty() {
         record
     } else {
@@ -112,25 +112,25 @@
 }
 
 /// A stream whose first chunk decides the status: nothing is promised before there is something.
-async fn streamed(
+async fn stream_response(
     shared: &Rc<Shared>,
     context: RequestContext,
     mut chunks: mpsc::Receiver<Chunk>,
     end: oneshot::Receiver<Result<(), Problem>>,
 ) -> Response {
     let Some(first) = chunks.recv().await else {
-        let problem = problem_of(end.await);
+        let problem = final_problem(end.await);
         let problem = problem.unwrap_or_else(|| may_have_run(Code::Unknown, "no answer"));
         return respond::problem(shared, &problem);
     };
-    let events = events(&context, first, chunks, end);
+    let events = event_stream(&context, first, chunks, end);
     let mut response = http::event_stream(events);
     respond::stamp(&context, &mut response);
     response
 }
 
 /// The chunks as events, then the problem if there is one.
-fn events(
+fn event_stream(
     context: &RequestContext,
     first: Chunk,
     chunks: mpsc::Receiver<Chunk>,
@@ -146,11 +146,11 @@
         .map(move |chunk| shape::event(&id, &model, chunk));
     // The end has a way of its own: it is never stuck behind chunks that nobody reads.
     let last = stream::once(end)
-        .filter_map(|end| future::ready(problem_of(end).map(|problem| shape::error(&problem))));
+        .filter_map(|end| future::ready(final_problem(end).map(|problem| shape::error(&problem))));
     events.chain(last).map(Ok)
 }
 
-fn problem_of(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
+fn final_problem(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
     match end {
         Ok(result) => result.err(),
         Err(_) => Some(may_have_run(Code::Unknown, "the answer ended early")),
@@ -164,12 +164,12 @@
     request: Request,
     sender: mpsc::Sender<Chunk>,
 ) -> Result<(), Problem> {
-    let work = Work {
+    let work = CompletionRun {
         shared: &shared,
         context: &context,
         request: &request,
         sender: &sender,
-        ran: Cell::new(false),
+        may_have_run: Cell::new(false),
     };
     let result = tokio::select! {
         result = work.run() => result,
@@ -183,7 +183,7 @@
     result
 }
 
-impl Work<'_> {
+impl CompletionRun<'_> {
     async fn run(&self) -> Result<(), Problem> {
         let turn = admit::wait_for_turn(self.shared, self.context).await?;
         let left = self.context.remaining(self.shared.now());
@@ -194,7 +194,7 @@
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
-            Err(_) if self.ran.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
+            Err(_) if self.may_have_run.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
             Err(_) => Err(admit::rejection(turn.expired())),
         }
     }
@@ -210,7 +210,7 @@
             let assignment = match (assignment, last) {
                 (Ok(assignment), _) => assignment,
                 // Other endpoints were tried before; their error says more.
-                (Err(_), Some(error)) => return Err(self.failed(error)),
+                (Err(_), Some(error)) => return Err(self.problem_for(error)),
                 (Err(problem), None) => return Err(problem),
             };
             excluded.push(assignment.key);
@@ -230,13 +230,13 @@
             let criteria = criteria(self.request, &excluded);
             let over = excluded.len() == MAX_ATTEMPTS;
             if over || !route::may_retry(self.shared, self.context, criteria) {
-                return Err(self.failed(error));
+                return Err(self.problem_for(error));
             }
             last = Some(error);
         }
         Err(last.map_or_else(
             || not_run(Code::NoEndpoint, "no attempt"),
-            |e| self.failed(e),
+            |e| self.problem_for(e),
         ))
     }
 
@@ -246,9 +246,9 @@
     }
 
     /// The problem for the last attempt's error; not run only if no attempt may have run.
-    fn failed(&self, error: Error) -> Problem {
+    fn problem_for(&self, error: Error) -> Problem {
         let message = format_compact!("{error}");
-        if self.ran.get() {
+        if self.may_have_run.get() {
             let late = self.context.remaining(self.shared.now()).is_zero();
             let code = if late { Code::Deadline } else { Code::Unknown };
             return may_have_run(code, message);
@@ -262,11 +262,11 @@
     /// One attempt. It goes on where the last one ended, so the caller sees no gap and no repeat.
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
-        let before = self.ran.replace(true);
+        let before = self.may_have_run.replace(true);
         let guard = AttemptGuard::new(self.shared, address, id.clone());
         let request = Request {
             stream: true,
-            priority: LIVE,
+            priority: ENGINE_PRIORITY,
             request_id: id,
             resume: progress.text.clone(),
             resume_tokens: progress.record.tokens(),
@@ -276,7 +276,7 @@
         match &result {
             Ok(()) => guard.ended(),
             Err(error) if !attempt::error_may_have_run(error) => {
-                self.ran.set(before);
+                self.may_have_run.set(before);
                 guard.ended();
             }
             // Dropped here, it is cancelled at the engine.
@@ -300,7 +300,7 @@
             let next = timeout(silence_timeout(), chunks.next()).await;
             let next = next.map_err(|_| Error::Lost("silent stream".into()))?;
             let chunk = next.ok_or_else(|| Error::Lost("stream ended early".into()))??;
-            if chunk.id != request.request_id || seen(&chunk, start, &record) {
+            if chunk.id != request.request_id || is_duplicate(&chunk, start, &record) {
                 self.shared.metrics.late_chunks.inc();
                 continue;
             }
@@ -325,7 +325,7 @@
 
 /// Whether all of a chunk came before in the same attempt, which began at `start`: a repeat that
 /// changes nothing. One from before `start` is none: the engine did not go on where it was told to.
-fn seen(chunk: &Chunk, start: u32, record: &Record) -> bool {
+fn is_duplicate(chunk: &Chunk, start: u32, record: &Record) -> bool {
     let end = chunk.offset.saturating_add(chunk.tokens);
     let repeat = chunk.offset >= start && end <= record.tokens();
     chunk.tokens > 0 && chunk.finish.is_none() && repeat
@@ -333,7 +333,7 @@
 
 fn criteria<'a>(request: &Request, excluded: &'a [Key]) -> Criteria<'a> {
     let prompt = request.prompt.as_bytes();
-    let prefix = &prompt[..prompt.len().min(PREFIX)];
+    let prefix = &prompt[..prompt.len().min(ROUTING_PREFIX_BYTES)];
     Criteria {
         prefix: Some(hash::stable(prefix)),
         excluded,
