--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -92,10 +92,10 @@
         .get(prefix..)
         .filter(|rest| rest.starts_with('/'))
         .unwrap_or("/");
-    let call = service::Call {
+    let call = service::ServiceRequest {
         method: request.method().clone(),
         path: path.to_owned(),
-        headers: service::Call::headers_of(request.headers()),
+        headers: service::ServiceRequest::end_to_end_headers(request.headers()),
         body: http::read(request, max, timeout).await?,
         repeatable: service::repeatable(&context, request.method(), path),
     };
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -1,11 +1,11 @@
-//! Idempotency keys: a call that may not be repeated runs at most once under its key.
+//! Idempotency keys: a request that may not be repeated runs at most once under its key.
 //!
-//! The key is claimed before the call is sent, and the outcome is recorded after it. Both go on in
+//! The key is claimed before the request is sent, and the outcome is recorded after it. Both go on in
 //! a task of their own, so that a caller who goes away leaves no claim without an outcome.
 
 use super::{
     RequestContext, not_run,
-    service::{Call, attempts},
+    service::{ServiceRequest, run_attempts},
     may_have_run,
 };
 use crate::{
@@ -37,15 +37,15 @@
 /// When to come back to a key that could not be claimed or whose request still runs.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The key of a call that may not be repeated; `None` if it has none or needs none.
+/// The key of a request that may not be repeated; `None` if it has none or needs none.
 ///
 /// # Errors
 /// `BadRequest` for a key that is empty, too long, not plain text, or given twice.
-pub fn idempotency_key(call: &Call) -> Result<Option<CompactString>, Problem> {
-    if call.repeatable {
+pub fn idempotency_key(request: &ServiceRequest) -> Result<Option<CompactString>, Problem> {
+    if request.repeatable {
         return Ok(None);
     }
-    let mut keys = call
+    let mut keys = request
         .headers
         .iter()
         .filter(|(name, _)| name == header::IDEMPOTENCY_KEY);
@@ -69,48 +69,48 @@
     !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.chars().any(char::is_control)
 }
 
-/// Runs a call under its key, or answers what became of the one that ran.
+/// Runs a request under its key, or answers what became of the one that ran.
 ///
 /// # Errors
-/// The verdicts other than a grant and a repeat, and what the call itself ends with.
+/// The verdicts other than a grant and a repeat, and what the request itself ends with.
 pub async fn run(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    call: Call,
+    request: ServiceRequest,
     key: &str,
 ) -> Result<Response, Problem> {
     let ask = Ask {
         // No pool's name has a slash in it, so two pools' keys are never the same.
         key: format_compact!("{}/{key}", context.pool),
-        digest: digest(&call),
+        digest: digest(&request),
         request: context.id.clone(),
     };
     let shared = Rc::clone(shared);
     let context = context.clone();
     let task = actix_rt::spawn(async move {
         let _guard = shared.drain.enter();
-        run_with_claim(&shared, &context, &call, ask).await
+        run_with_claim(&shared, &context, &request, ask).await
     });
     task.await
         .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
 }
 
 /// The digest of what makes two calls the same. Neither method nor path has a line break in it.
-fn digest(call: &Call) -> Digest {
-    let mut content = format!("{} {}\n", call.method, call.path).into_bytes();
-    content.extend_from_slice(&call.body);
+fn digest(request: &ServiceRequest) -> Digest {
+    let mut content = format!("{} {}\n", request.method, request.path).into_bytes();
+    content.extend_from_slice(&request.body);
     Digest::of(&content)
 }
 
 async fn run_with_claim(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    call: &Call,
+    request: &ServiceRequest,
     ask: Ask,
 ) -> Result<Response, Problem> {
     let (ask, asked) = request_verdict(shared, context, ask).await;
     match asked {
-        Asked::Verdict(Verdict::Granted) => run_granted(shared, context, call, ask).await,
+        Asked::Verdict(Verdict::Granted) => run_granted(shared, context, request, ask).await,
         Asked::Verdict(Verdict::Repeat(record)) => replay(record),
         Asked::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
@@ -152,14 +152,14 @@
 async fn run_granted(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    call: &Call,
+    request: &ServiceRequest,
     ask: Ask,
 ) -> Result<Response, Problem> {
     if context.remaining(shared.now()).is_zero() {
         settle(shared, ask, None);
         return Err(not_run(Code::Deadline, "the deadline passed"));
     }
-    let result = match attempts(shared, context, call).await {
+    let result = match run_attempts(shared, context, request).await {
         Ok(response) => buffer_response(response).await,
         Err(problem) => Err(problem),
     };
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -39,11 +39,11 @@
 /// Most attempts of a request that may be repeated.
 const MAX_ATTEMPTS: usize = 3;
 /// Headers that belong to one connection and are not passed on.
-const HOP: [HeaderName; 4] = [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING];
+const HOP_BY_HOP_HEADERS: [HeaderName; 4] = [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING];
 
 /// A request for a plain service.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ServiceRequest {
     /// HTTP method.
     pub method: Method,
     /// Path with query at the service, starting with `/`.
@@ -56,18 +56,18 @@
     pub repeatable: bool,
 }
 
-impl Call {
+impl ServiceRequest {
     /// Copies the headers that are passed on.
-    pub fn headers_of(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
+    pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
         headers
             .iter()
-            .filter(|(name, _)| !HOP.contains(name))
+            .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(name))
             .map(|(name, value)| (name.clone(), value.clone()))
             .collect()
     }
 }
 
-impl Call {
+impl ServiceRequest {
     /// What makes it the same request when it comes again. The way by which requests come here names a pool, and no
     /// host.
     fn identity(&self, pool: &str) -> Identity {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether a call may run twice, by the pinned configuration.
+/// Whether a request may run twice, by the pinned configuration.
 pub fn repeatable(context: &RequestContext, method: &Method, path: &str) -> bool {
     let Some(pool) = context.pin.document.pools.get(&context.pool) else {
         return false;
@@ -96,9 +96,9 @@
     })
 }
 
-/// Answers one call.
-pub async fn serve(shared: &Rc<Shared>, context: RequestContext, call: Call) -> Response {
-    match run(shared, &context, call).await {
+/// Answers one request.
+pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: ServiceRequest) -> Response {
+    match run(shared, &context, request).await {
         Ok(mut response) => {
             respond::count(shared, &context, "answer");
             respond::stamp(&context, &mut response);
@@ -113,46 +113,46 @@
     }
 }
 
-async fn run(shared: &Rc<Shared>, context: &RequestContext, call: Call) -> Result<Response, Problem> {
-    match claim::idempotency_key(&call)? {
-        Some(key) => claim::run(shared, context, call, &key).await,
-        None => attempts(shared, context, &call).await,
+async fn run(shared: &Rc<Shared>, context: &RequestContext, request: ServiceRequest) -> Result<Response, Problem> {
+    match claim::idempotency_key(&request)? {
+        Some(key) => claim::run(shared, context, request, &key).await,
+        None => run_attempts(shared, context, &request).await,
     }
 }
 
-/// Sends a call until it is answered or may not be sent again.
+/// Sends a request until it is answered or may not be sent again.
 ///
 /// # Errors
 /// What the last attempt ended with. Not run only if no attempt may have run.
-pub(super) async fn attempts(
+pub(super) async fn run_attempts(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    call: &Call,
+    request: &ServiceRequest,
 ) -> Result<Response, Problem> {
     let turn = admit::wait_for_turn(shared, context).await?;
     let mut excluded: Vec<Key> = Vec::new();
     let mut last: Option<Problem> = None;
     for _ in 0..MAX_ATTEMPTS {
-        let identity = || call.identity(&context.pool);
-        let current_criteria = criteria(call, &excluded);
+        let identity = || request.identity(&context.pool);
+        let current_criteria = criteria(request, &excluded);
         let assignment = match route::assign_next(shared, context, &turn, current_criteria, identity).await {
             Ok(assignment) => assignment,
             Err(problem) => return Err(last.unwrap_or(problem)),
         };
         excluded.push(assignment.key);
         let sent_at = shared.now();
-        let sent = direct::send(attempt(shared, context, call, &assignment.address)).await;
+        let sent = direct::send(build_attempt(shared, context, request, &assignment.address)).await;
         let (end, problem, retry) = match sent {
-            Ok(response) => match refused(&response) {
+            Ok(response) => match refusal_end(&response) {
                 Some(end) => (end, retryable("the endpoint refused before running it"), true),
                 None => {
-                    let sent = Sent {
+                    let sent = SentRequest {
                         key: assignment.key,
-                        call: call.clone(),
+                        request: request.clone(),
                         pool: context.pool.clone(),
                         at: sent_at,
                     };
-                    return Ok(pass_on(context, response, assignment, turn, sent));
+                    return Ok(proxy_response(context, response, assignment, turn, sent));
                 }
             },
             Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, retryable(&e), true),
@@ -160,7 +160,7 @@
             Err(Error::Lost(e)) => {
                 crashes::broke(shared, assignment.key, identity()).await;
                 let problem = may_have_run(Code::Unknown, format_compact!("{e}"));
-                (AttemptEnd::Failed, problem, call.repeatable)
+                (AttemptEnd::Failed, problem, request.repeatable)
             }
         };
         assignment.ticket.finish(end);
@@ -170,7 +170,7 @@
             _ => problem,
         };
         let over = excluded.len() == MAX_ATTEMPTS || context.remaining(shared.now()).is_zero();
-        if !retry || over || !route::may_retry(shared, context, criteria(call, &excluded)) {
+        if !retry || over || !route::may_retry(shared, context, criteria(request, &excluded)) {
             return Err(problem);
         }
         last = Some(problem);
@@ -178,11 +178,11 @@
     Err(last.unwrap_or_else(|| not_run(Code::NoEndpoint, "no attempt")))
 }
 
-const fn criteria<'a>(call: &Call, excluded: &'a [Key]) -> Criteria<'a> {
+const fn criteria<'a>(request: &ServiceRequest, excluded: &'a [Key]) -> Criteria<'a> {
     Criteria {
         prefix: None,
         excluded,
-        repeatable: call.repeatable,
+        repeatable: request.repeatable,
         tokens: 0,
     }
 }
@@ -194,19 +194,19 @@
     }
 }
 
-fn attempt(shared: &Shared, context: &RequestContext, call: &Call, address: &str) -> Attempt {
-    let mut headers = call.headers.clone();
+fn build_attempt(shared: &Shared, context: &RequestContext, request: &ServiceRequest, address: &str) -> Attempt {
+    let mut headers = request.headers.clone();
     if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.push((HeaderName::from_static(header::REQUEST_ID), id));
     }
     Attempt {
-        method: call.method.clone(),
+        method: request.method.clone(),
         address: address.into(),
-        path: call.path.clone(),
+        path: request.path.clone(),
         headers,
-        body: call.body.clone(),
+        body: request.body.clone(),
         timeout: context.remaining(shared.now()),
-        reuse: if call.repeatable {
+        reuse: if request.repeatable {
             Reuse::Allowed
         } else {
             Reuse::Fresh
@@ -215,7 +215,7 @@
 }
 
 /// How the attempt ended, if the endpoint said before running it that it will not.
-fn refused(response: &direct::Response) -> Option<AttemptEnd> {
+fn refusal_end(response: &direct::Response) -> Option<AttemptEnd> {
     if response.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
@@ -228,21 +228,21 @@
 }
 
 /// Streams the answer through. A body that breaks off breaks off at the caller, too.
-fn pass_on(
+fn proxy_response(
     context: &RequestContext,
     response: direct::Response,
     assignment: route::Assignment,
     turn: Turn,
-    sent: Sent,
+    sent: SentRequest,
 ) -> Response {
-    let headers = Call::headers_of(&response.headers);
+    let headers = ServiceRequest::end_to_end_headers(&response.headers);
     let left = context.remaining(turn.shared().now());
-    let state = Passing {
+    let state = ProxiedBody {
         body: response.body,
         ticket: Some(assignment.ticket),
         turn,
         sent,
-        over: Instant::now() + left,
+        deadline: Instant::now() + left,
     };
     let body = stream::unfold(state, |mut state| async move {
         let item = state.next().await?;
@@ -266,37 +266,37 @@
 }
 
 /// An attempt that is being answered. What makes it the same request is seldom asked for, and costs a hash of its body.
-struct Sent {
+struct SentRequest {
     key: Key,
-    call: Call,
+    request: ServiceRequest,
     pool: CompactString,
     at: Time,
 }
 
-impl Sent {
+impl SentRequest {
     fn identity(&self) -> Identity {
-        self.call.identity(&self.pool)
+        self.request.identity(&self.pool)
     }
 }
 
 /// An answer's body on its way to the caller.
-struct Passing {
+struct ProxiedBody {
     body: direct::Body,
     /// Counts the attempt until the body has ended.
     ticket: Option<Ticket>,
     /// Holds the request's place in its queue.
     turn: Turn,
     /// What was sent, and when.
-    sent: Sent,
+    sent: SentRequest,
     /// The deadline: a silent endpoint holds nothing longer.
-    over: Instant,
+    deadline: Instant,
 }
 
-impl Passing {
+impl ProxiedBody {
     /// The next part; `None` after the end and after an error.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         self.ticket.as_ref()?;
-        let part = timeout_at(self.over, self.body.part()).await;
+        let part = timeout_at(self.deadline, self.body.part()).await;
         let part = part.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut)));
         match part {
             Ok(Some(part)) => Some(Ok(part)),
