--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -5,7 +5,7 @@
     attempt::{self, AttemptGuard},
     not_run, respond,
     route::{self, Criteria},
-    shape::{self, Whole},
+    format::{self, CompletionResponse},
     may_have_run,
 };
 use crate::{
@@ -87,14 +87,14 @@
     }
 }
 
-async fn collect_response(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<Whole, Problem> {
+async fn collect_response(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<CompletionResponse, Problem> {
     let mut text = String::new();
     let mut record = Record::default();
     while let Some(chunk) = chunks.recv().await {
         text.push_str(&chunk.text);
         record = push_chunk(record, &chunk);
         if chunk.finish.is_some() {
-            return Ok(Whole::new(context, text, &record, chunk.finish));
+            return Ok(CompletionResponse::new(context, text, &record, chunk.finish));
         }
     }
     Err(may_have_run(Code::Unknown, "the answer ended early"))
@@ -143,10 +143,10 @@
     });
     let events = stream::iter([first])
         .chain(rest)
-        .map(move |chunk| shape::event(&id, &model, chunk));
+        .map(move |chunk| format::chunk_event(&id, &model, chunk));
     // The end has a way of its own: it is never stuck behind chunks that nobody reads.
     let last = stream::once(end)
-        .filter_map(|end| future::ready(final_problem(end).map(|problem| shape::error(&problem))));
+        .filter_map(|end| future::ready(final_problem(end).map(|problem| format::error_event(&problem))));
     events.chain(last).map(Ok)
 }
 
--- a/crates/pinereel/src/filters/shape.rs
+++ b/crates/pinereel/src/filters/format.rs
@@ -15,13 +15,13 @@
 use serde::Serialize;
 
 /// What both shapes call themselves.
-const OBJECT: &str = "text_completion";
+const OBJECT_TYPE: &str = "text_completion";
 /// Last event of a whole stream.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
 /// A whole completion.
 #[derive(Debug, Serialize)]
-pub struct Whole {
+pub struct CompletionResponse {
     id: CompactString,
     object: &'static str,
     model: CompactString,
@@ -45,7 +45,7 @@
 
 /// One event of a streamed completion.
 #[derive(Debug, Serialize)]
-struct Event {
+struct ChunkEvent {
     id: CompactString,
     object: &'static str,
     model: CompactString,
@@ -53,14 +53,14 @@
     versions: Vec<Span>,
 }
 
-impl Whole {
+impl CompletionResponse {
     /// The whole completion of `context`.
     pub fn new(context: &RequestContext, text: String, record: &Record, finish: Option<Finish>) -> Self {
         Self {
             id: context.id.clone(),
-            object: OBJECT,
+            object: OBJECT_TYPE,
             model: context.pool.clone(),
-            choices: [choice(text, finish)],
+            choices: [completion_choice(text, finish)],
             usage: Usage {
                 completion_tokens: record.tokens(),
             },
@@ -70,7 +70,7 @@
 }
 
 /// One chunk as an event; the last one is followed by `[DONE]`.
-pub fn event(id: &CompactString, model: &CompactString, chunk: Chunk) -> Bytes {
+pub fn chunk_event(id: &CompactString, model: &CompactString, chunk: Chunk) -> Bytes {
     let mut record = Record::default();
     // Checked where it arrived; an error there never gets here.
     let _ = record.push(&Stamp {
@@ -78,26 +78,26 @@
         ..engines::stamp(&chunk)
     });
     let last = chunk.finish.is_some();
-    let event = Event {
+    let event = ChunkEvent {
         id: id.clone(),
-        object: OBJECT,
+        object: OBJECT_TYPE,
         model: model.clone(),
-        choices: [choice(chunk.text, chunk.finish)],
+        choices: [completion_choice(chunk.text, chunk.finish)],
         versions: record.spans(),
     };
-    let mut bytes = line(&event);
+    let mut bytes = sse_event(&event);
     if last {
-        bytes.extend_from_slice(DONE);
+        bytes.extend_from_slice(DONE_EVENT);
     }
     bytes.into()
 }
 
 /// A problem as the last event. No `[DONE]` follows, so the answer is not taken for a whole one.
-pub fn error(problem: &Problem) -> Bytes {
-    line(&serde_json::json!({ "error": problem })).into()
+pub fn error_event(problem: &Problem) -> Bytes {
+    sse_event(&serde_json::json!({ "error": problem })).into()
 }
 
-fn choice(text: String, finish_reason: Option<Finish>) -> Choice {
+fn completion_choice(text: String, finish_reason: Option<Finish>) -> Choice {
     Choice {
         index: 0,
         text,
@@ -105,7 +105,7 @@
     }
 }
 
-fn line(message: &impl Serialize) -> Vec<u8> {
+fn sse_event(message: &impl Serialize) -> Vec<u8> {
     let json = serde_json::to_string(message).unwrap_or_default();
     format!("data: {json}\n\n").into_bytes()
 }
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -12,7 +12,7 @@
 pub mod respond;
 pub mod route;
 pub mod service;
-pub mod shape;
+pub mod format;
 
 use crate::controllers::config::Pin;
 use compact_str::CompactString;
