--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -40,7 +40,7 @@
         (_, ["services", pool, ..]) => relay(&shared, &mut request, pool).await,
         _ => Err(not_run(Code::NotFound, "no such path")),
     };
-    result.unwrap_or_else(|problem| respond::problem(&shared, &problem))
+    result.unwrap_or_else(|problem| respond::problem_response(&shared, &problem))
 }
 
 /// Whether the balancer may send connections here.
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// `Conflict`, `InvalidPatch`, or `Unavailable` before the first read.
 pub fn check(shared: &Shared, patch: &Patch) -> Result<Document, Problem> {
-    let pin = crate::filters::pin::known(shared)?;
+    let pin = crate::filters::pin::last_known(shared)?;
     if patch.base != pin.number {
         return Err(conflict(pin.number));
     }
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -176,7 +176,7 @@
     })
     .await?;
     let state = Rc::clone(shared);
-    server.observe(move |code| respond::refused(&state, code, "by the listener"));
+    server.observe(move |code| respond::count_refusal(&state, code, "by the listener"));
     Ok(server)
 }
 
@@ -189,7 +189,7 @@
     let observer = move |from: &_, summary| dispatch::hear(&summaries, from, summary);
     shared.mesh.serve(Rc::new(handler), Rc::new(observer));
     let state = Rc::clone(shared);
-    let refusal = move |code| respond::refused(&state, code, "by the peers' listener");
+    let refusal = move |code| respond::count_refusal(&state, code, "by the peers' listener");
     shared.mesh.observe(refusal);
     spawn(shared, async |shared: Rc<Shared>| {
         let mut news = dispatch::News::default();
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -80,10 +80,10 @@
     match end.and(answer) {
         Ok(whole) => {
             let mut response = http::json(StatusCode::OK, &whole);
-            respond::stamp(&context, &mut response);
+            respond::add_headers(&context, &mut response);
             response
         }
-        Err(problem) => respond::problem(shared, &problem),
+        Err(problem) => respond::problem_response(shared, &problem),
     }
 }
 
@@ -121,11 +121,11 @@
     let Some(first) = chunks.recv().await else {
         let problem = final_problem(end.await);
         let problem = problem.unwrap_or_else(|| may_have_run(Code::Unknown, "no answer"));
-        return respond::problem(shared, &problem);
+        return respond::problem_response(shared, &problem);
     };
     let events = event_stream(&context, first, chunks, end);
     let mut response = http::event_stream(events);
-    respond::stamp(&context, &mut response);
+    respond::add_headers(&context, &mut response);
     response
 }
 
@@ -177,7 +177,7 @@
         () = sender.closed() => Err(may_have_run(Code::Unknown, "the caller is gone")),
     };
     match &result {
-        Ok(()) => respond::count(&shared, &context, "answer"),
+        Ok(()) => respond::count_request(&shared, &context, "answer"),
         Err(problem) => respond::count_problem(&shared, &context, problem),
     }
     result
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// `Unavailable` before the first read.
-pub fn known(shared: &Shared) -> Result<Pin, Problem> {
+pub fn last_known(shared: &Shared) -> Result<Pin, Problem> {
     let pin = shared.config.pin();
     pin.ok_or_else(|| unavailable(Refusal::Starting.to_string()))
 }
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -12,19 +12,19 @@
 };
 
 /// The answer for a problem, counted by its code and logged.
-pub fn problem(shared: &Shared, problem: &Problem) -> Response {
-    refused(shared, problem.code, &problem.message);
+pub fn problem_response(shared: &Shared, problem: &Problem) -> Response {
+    count_refusal(shared, problem.code, &problem.message);
     http::problem(problem)
 }
 
 /// Counts and logs a refusal.
-pub fn refused(shared: &Shared, code: Code, why: &str) {
+pub fn count_refusal(shared: &Shared, code: Code, why: &str) {
     shared.metrics.refuse(code);
     log::info!(entry = shared.name().as_str(), code:serde; "refused: {why}");
 }
 
 /// Adds the request's id and configuration number to an answer.
-pub fn stamp(context: &RequestContext, response: &mut Response) {
+pub fn add_headers(context: &RequestContext, response: &mut Response) {
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.insert(HeaderName::from_static(header::REQUEST_ID), id);
@@ -39,11 +39,11 @@
         Ran::NotRun => "not_run",
         Ran::Unknown => "unknown",
     };
-    count(shared, context, outcome);
+    count_request(shared, context, outcome);
 }
 
 /// Counts an ended context and its time.
-pub fn count(shared: &Shared, context: &RequestContext, outcome: &str) {
+pub fn count_request(shared: &Shared, context: &RequestContext, outcome: &str) {
     let took = shared.now().since(context.started).as_secs_f64();
     let metrics = &shared.metrics;
     metrics
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -100,14 +100,14 @@
 pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: ServiceRequest) -> Response {
     match run(shared, &context, request).await {
         Ok(mut response) => {
-            respond::count(shared, &context, "answer");
-            respond::stamp(&context, &mut response);
+            respond::count_request(shared, &context, "answer");
+            respond::add_headers(&context, &mut response);
             response
         }
         Err(problem) => {
             respond::count_problem(shared, &context, &problem);
-            let mut response = respond::problem(shared, &problem);
-            respond::stamp(&context, &mut response);
+            let mut response = respond::problem_response(shared, &problem);
+            respond::add_headers(&context, &mut response);
             response
         }
     }
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -35,7 +35,7 @@
             Code::Unauthorized,
             "the operators' token is missing or wrong",
         );
-        return respond::problem(&shared, &problem);
+        return respond::problem_response(&shared, &problem);
     }
     let result = match (&method, path.as_str()) {
         (&Method::GET, "/metrics") => {
@@ -52,7 +52,7 @@
         (&Method::POST, "/v1/config") => patch(&shared, &mut request).await,
         _ => Err(not_run(Code::NotFound, "no such path")),
     };
-    result.unwrap_or_else(|problem| respond::problem(&shared, &problem))
+    result.unwrap_or_else(|problem| respond::problem_response(&shared, &problem))
 }
 
 fn json(body: &impl Serialize) -> Response {
@@ -60,7 +60,7 @@
 }
 
 fn show(shared: &Shared) -> Result<Response, Problem> {
-    let pin = pin::known(shared)?;
+    let pin = pin::last_known(shared)?;
     let document = serde_json::to_value(&*pin.document).unwrap_or_default();
     Ok(json(&Config {
         number: pin.number,
