--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     controllers::{config::Pin, lots::front},
-    filters::{admit, completion, pin, not_run, respond, service, may_have_run},
+    filters::{admit, completion, may_have_run, not_run, pin, respond, service},
     http::{self, Request, Response},
     state::Shared,
 };
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -75,7 +75,10 @@
     }
     let open = shared.config.open.get();
     if open >= MAX_OPEN {
-        return Err(later(may_have_run(Code::Overloaded, "too many patches at once")));
+        return Err(later(may_have_run(
+            Code::Overloaded,
+            "too many patches at once",
+        )));
     }
     shared.config.open.set(open + 1);
     let (sender, answer) = oneshot::channel();
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -4,9 +4,8 @@
 //! a task of their own, so that a caller who goes away leaves no claim without an outcome.
 
 use super::{
-    RequestContext, not_run,
+    RequestContext, may_have_run, not_run,
     service::{ServiceRequest, run_attempts},
-    may_have_run,
 };
 use crate::{
     controllers::claims::{self, Ask, Asked},
@@ -285,12 +284,19 @@
     Ok((response, outcome.bounded()))
 }
 
-async fn next_chunk(mut body: Pin<&mut BoxBody>) -> Option<Result<Bytes, Box<dyn std::error::Error>>> {
+async fn next_chunk(
+    mut body: Pin<&mut BoxBody>,
+) -> Option<Result<Bytes, Box<dyn std::error::Error>>> {
     poll_fn(|cx| body.as_mut().poll_next(cx)).await
 }
 
 /// The body as it came: what was read already, then the rest.
-fn restore_body(first: Bytes, whole: bool, body: Pin<Box<BoxBody>>, length: Option<u64>) -> BoxBody {
+fn restore_body(
+    first: Bytes,
+    whole: bool,
+    body: Pin<Box<BoxBody>>,
+    length: Option<u64>,
+) -> BoxBody {
     if whole {
         return BoxBody::new(first);
     }
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -3,10 +3,9 @@
 use super::{
     RequestContext, admit,
     attempt::{self, AttemptGuard},
-    not_run, respond,
-    route::{self, Criteria},
     format::{self, CompletionResponse},
-    may_have_run,
+    may_have_run, not_run, respond,
+    route::{self, Criteria},
 };
 use crate::{
     controllers::{crashes, queues::Turn},
@@ -87,14 +86,22 @@
     }
 }
 
-async fn collect_response(context: &RequestContext, mut chunks: mpsc::Receiver<Chunk>) -> Result<CompletionResponse, Problem> {
+async fn collect_response(
+    context: &RequestContext,
+    mut chunks: mpsc::Receiver<Chunk>,
+) -> Result<CompletionResponse, Problem> {
     let mut text = String::new();
     let mut record = Record::default();
     while let Some(chunk) = chunks.recv().await {
         text.push_str(&chunk.text);
         record = push_chunk(record, &chunk);
         if chunk.finish.is_some() {
-            return Ok(CompletionResponse::new(context, text, &record, chunk.finish));
+            return Ok(CompletionResponse::new(
+                context,
+                text,
+                &record,
+                chunk.finish,
+            ));
         }
     }
     Err(may_have_run(Code::Unknown, "the answer ended early"))
@@ -145,8 +152,9 @@
         .chain(rest)
         .map(move |chunk| format::chunk_event(&id, &model, chunk));
     // The end has a way of its own: it is never stuck behind chunks that nobody reads.
-    let last = stream::once(end)
-        .filter_map(|end| future::ready(final_problem(end).map(|problem| format::error_event(&problem))));
+    let last = stream::once(end).filter_map(|end| {
+        future::ready(final_problem(end).map(|problem| format::error_event(&problem)))
+    });
     events.chain(last).map(Ok)
 }
 
@@ -194,7 +202,9 @@
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
-            Err(_) if self.may_have_run.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
+            Err(_) if self.may_have_run.get() => {
+                Err(may_have_run(Code::Deadline, "the deadline passed"))
+            }
             Err(_) => Err(admit::rejection(turn.expired())),
         }
     }
@@ -206,7 +216,9 @@
         for _ in 0..MAX_ATTEMPTS {
             let current_criteria = criteria(self.request, &excluded);
             let identity = || self.identity();
-            let assignment = route::assign_next(self.shared, self.context, turn, current_criteria, identity).await;
+            let assignment =
+                route::assign_next(self.shared, self.context, turn, current_criteria, identity)
+                    .await;
             let assignment = match (assignment, last) {
                 (Ok(assignment), _) => assignment,
                 // Other endpoints were tried before; their error says more.
@@ -291,10 +303,12 @@
         request: &Request,
         progress: &mut Progress,
     ) -> Result<(), Error> {
-        let silence_timeout = || attempt::silence_timeout(self.context.remaining(self.shared.now()));
+        let silence_timeout =
+            || attempt::silence_timeout(self.context.remaining(self.shared.now()));
         let mut record = progress.record.resume();
         let start = record.tokens();
-        let chunks = engines::complete(&self.shared.http, address, request, silence_timeout()).await?;
+        let chunks =
+            engines::complete(&self.shared.http, address, request, silence_timeout()).await?;
         let mut chunks = pin!(chunks);
         loop {
             let next = timeout(silence_timeout(), chunks.next()).await;
--- a/crates/pinereel/src/filters/format.rs
+++ b/crates/pinereel/src/filters/format.rs
@@ -55,7 +55,12 @@
 
 impl CompletionResponse {
     /// The whole completion of `context`.
-    pub fn new(context: &RequestContext, text: String, record: &Record, finish: Option<Finish>) -> Self {
+    pub fn new(
+        context: &RequestContext,
+        text: String,
+        record: &Record,
+        finish: Option<Finish>,
+    ) -> Self {
         Self {
             id: context.id.clone(),
             object: OBJECT_TYPE,
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -8,11 +8,11 @@
 pub mod attempt;
 pub mod claim;
 pub mod completion;
+pub mod format;
 pub mod pin;
 pub mod respond;
 pub mod route;
 pub mod service;
-pub mod format;
 
 use crate::controllers::config::Pin;
 use compact_str::CompactString;
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -84,7 +84,10 @@
             Err(Refusal::Full) => {
                 let left = context.remaining(shared.now());
                 if left.is_zero() || timeout(left, room).await.is_err() {
-                    return Err(retryable(Code::Overloaded, "every endpoint is at its limit"));
+                    return Err(retryable(
+                        Code::Overloaded,
+                        "every endpoint is at its limit",
+                    ));
                 }
             }
             Err(e) => {
@@ -115,7 +118,8 @@
         return Err(retryable(Code::NoEndpoint, "it was tried there"));
     }
     let ticket = endpoints::begin(shared, key, criteria.tokens);
-    let assignment = assignment(shared, key, ticket).ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
+    let assignment = assignment(shared, key, ticket)
+        .ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
     shared.decide(What::Route, &context.id, Some(&assignment.name), "in doubt");
     Ok(assignment)
 }
@@ -129,7 +133,11 @@
     left && queues::retry(shared, &context.pool)
 }
 
-fn request<'a>(shared: &'a Shared, context: &'a RequestContext, criteria: Criteria<'a>) -> Request<'a> {
+fn request<'a>(
+    shared: &'a Shared,
+    context: &'a RequestContext,
+    criteria: Criteria<'a>,
+) -> Request<'a> {
     Request {
         pool: &context.pool,
         prefix: criteria.prefix,
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -3,9 +3,8 @@
 use super::{
     RequestContext, admit,
     attempt::LEAVING_REASON,
-    claim, not_run, respond,
+    claim, may_have_run, not_run, respond,
     route::{self, Criteria},
-    may_have_run,
 };
 use crate::{
     controllers::{crashes, endpoints::Ticket, queues::Turn},
@@ -97,7 +96,11 @@
 }
 
 /// Answers one request.
-pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: ServiceRequest) -> Response {
+pub async fn serve(
+    shared: &Rc<Shared>,
+    context: RequestContext,
+    request: ServiceRequest,
+) -> Response {
     match run(shared, &context, request).await {
         Ok(mut response) => {
             respond::count_request(shared, &context, "answer");
@@ -113,7 +116,11 @@
     }
 }
 
-async fn run(shared: &Rc<Shared>, context: &RequestContext, request: ServiceRequest) -> Result<Response, Problem> {
+async fn run(
+    shared: &Rc<Shared>,
+    context: &RequestContext,
+    request: ServiceRequest,
+) -> Result<Response, Problem> {
     match claim::idempotency_key(&request)? {
         Some(key) => claim::run(shared, context, request, &key).await,
         None => run_attempts(shared, context, &request).await,
@@ -135,16 +142,21 @@
     for _ in 0..MAX_ATTEMPTS {
         let identity = || request.identity(&context.pool);
         let current_criteria = criteria(request, &excluded);
-        let assignment = match route::assign_next(shared, context, &turn, current_criteria, identity).await {
-            Ok(assignment) => assignment,
-            Err(problem) => return Err(last.unwrap_or(problem)),
-        };
+        let assignment =
+            match route::assign_next(shared, context, &turn, current_criteria, identity).await {
+                Ok(assignment) => assignment,
+                Err(problem) => return Err(last.unwrap_or(problem)),
+            };
         excluded.push(assignment.key);
         let sent_at = shared.now();
         let sent = direct::send(build_attempt(shared, context, request, &assignment.address)).await;
         let (end, problem, retry) = match sent {
             Ok(response) => match refusal_end(&response) {
-                Some(end) => (end, retryable("the endpoint refused before running it"), true),
+                Some(end) => (
+                    end,
+                    retryable("the endpoint refused before running it"),
+                    true,
+                ),
                 None => {
                     let sent = SentRequest {
                         key: assignment.key,
@@ -194,7 +206,12 @@
     }
 }
 
-fn build_attempt(shared: &Shared, context: &RequestContext, request: &ServiceRequest, address: &str) -> Attempt {
+fn build_attempt(
+    shared: &Shared,
+    context: &RequestContext,
+    request: &ServiceRequest,
+    address: &str,
+) -> Attempt {
     let mut headers = request.headers.clone();
     if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.push((HeaderName::from_static(header::REQUEST_ID), id));
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -5,7 +5,7 @@
 use crate::{
     callers,
     controllers::config::propose,
-    filters::{pin, not_run, respond},
+    filters::{not_run, pin, respond},
     http::{self, Request, Response},
     state::Shared,
 };
