--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -1,4 +1,5 @@
-//! Turns a caller's headers into an context with a deadline, and has it wait for its turn.
+//! Admission control: reads deadline and priority from the request's headers, then waits in the
+//! pool's queue until the request is admitted or rejected.
 
 use super::{RequestContext, not_run};
 use crate::{
@@ -15,10 +16,13 @@
 use pinereel_core::{admit::Reason, route::Priority};
 use std::{rc::Rc, time::Duration};
 
-/// Longest deadline that a caller may ask for.
+/// Maximum deadline, relative to the request's arrival; a later one is reduced to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Reads deadline and priority, and checks that the pool exists.
+/// Creates the request's context from its headers.
+///
+/// # Errors
+/// `NotFound` for an unknown pool, `BadRequest` for a malformed deadline or priority; not run.
 pub fn read_context(
     shared: &Shared,
     request: &Request,
@@ -42,10 +46,10 @@
     })
 }
 
-/// Waits for the request's turn in its pool's queue.
+/// Waits in the pool's queue until the request is admitted.
 ///
 /// # Errors
-/// `Overloaded` or `NoEndpoint`, at once or at the deadline; not run.
+/// `Overloaded` or `NoEndpoint`, immediately or at the deadline; not run.
 pub async fn wait_for_turn(shared: &Rc<Shared>, context: &RequestContext) -> Result<Turn, Problem> {
     let arrival = Arrival {
         pool: context.pool.clone(),
@@ -57,7 +61,7 @@
     queues::enter(shared, arrival).await.map_err(rejection)
 }
 
-/// The answer to a request that was given up while it waited.
+/// Builds the problem for a request that the queue rejected.
 pub fn rejection(refused: Refused) -> Problem {
     let (code, message) = match refused.reason {
         Reason::QueueFull => (Code::Overloaded, "the queue is at its bound"),
@@ -65,7 +69,7 @@
         Reason::Expired => (Code::Overloaded, "the deadline passed while it waited"),
         Reason::NoCapacity => (Code::NoEndpoint, "no endpoint of the pool takes requests"),
     };
-    // Rounded up, so that nobody comes back too early.
+    // Rounded up, so that no caller retries too early.
     let millis = refused.retry_after.as_micros().div_ceil(1_000);
     Problem {
         retry_after_ms: Some(u64::try_from(millis).unwrap_or(u64::MAX)),
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -1,24 +1,25 @@
-//! Attempts: how long one waits, how it ends, and that the engine hears of one that is given up.
+//! Attempts at an engine: timeout while it sends nothing, classification of errors, and cancelling
+//! an attempt that is abandoned.
 
 use crate::{engines, state::Shared};
 use compact_str::CompactString;
 use pinereel_core::endpoint::AttemptEnd;
 use std::{rc::Rc, time::Duration};
 
-/// Reason that an endpoint gives when it refuses because it is leaving.
+/// Value of the `x-refused` header of an endpoint that refuses a request because it is leaving.
 pub const LEAVING_REASON: &str = "leaving";
-/// Share of the time left that one silent endpoint may use up.
+/// One endpoint that sends nothing may use up 1/`SILENCE_DIVISOR` of the time to the deadline.
 const SILENCE_DIVISOR: u32 = 3;
-/// Least time that a silent endpoint gets.
+/// Minimum timeout for an endpoint that sends nothing, unless the deadline is nearer.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
 
-/// Longest silence of an endpoint when `left` is left until the deadline, so that another endpoint
-/// can still answer.
+/// Maximum time without data from an endpoint when `left` remains until the deadline. Bounded so
+/// that another endpoint can still answer.
 pub fn silence_timeout(left: Duration) -> Duration {
     (left / SILENCE_DIVISOR).max(MIN_SILENCE).min(left)
 }
 
-/// What an engine's error says about the engine.
+/// Maps an engine's error to the attempt's end that load balancing records for the endpoint.
 pub fn attempt_end(error: &engines::Error) -> AttemptEnd {
     match error {
         engines::Error::NotOpened(_) => AttemptEnd::ConnectionRefused,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Whether the attempt may have run in spite of the error.
+/// Whether the engine may have run the attempt although it ended with this error.
 pub fn error_may_have_run(error: &engines::Error) -> bool {
     match error {
         engines::Error::NotOpened(_) | engines::Error::Refused(_) => false,
@@ -37,7 +38,8 @@
     }
 }
 
-/// An attempt at an engine. Dropped before its end, it is cancelled there.
+/// Guard of an attempt at an engine: cancels the attempt there if it is dropped before
+/// [`ended`](Self::ended) was called.
 pub struct AttemptGuard {
     shared: Rc<Shared>,
     address: CompactString,
@@ -46,7 +48,7 @@
 }
 
 impl AttemptGuard {
-    /// An attempt that is about to be sent.
+    /// Creates the guard; call it before the attempt is sent.
     pub fn new(shared: &Rc<Shared>, address: &str, id: CompactString) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The engine has ended it or never got it.
+    /// Drops the guard without a cancel: the engine ended the attempt or never received it.
     pub fn ended(mut self) {
         self.ended = true;
     }
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -1,7 +1,7 @@
-//! Idempotency keys: a request that may not be repeated runs at most once under its key.
+//! Idempotency keys: a non-idempotent request runs at most once under its key.
 //!
-//! The key is claimed before the request is sent, and the outcome is recorded after it. Both go on in
-//! a task of their own, so that a caller who goes away leaves no claim without an outcome.
+//! The key is claimed before the request is sent, and the outcome is recorded afterwards. Both run
+//! in a task of their own, so that a caller that disconnects leaves no claim without an outcome.
 
 use super::{
     RequestContext, may_have_run, not_run,
@@ -31,12 +31,13 @@
 };
 use std::{future::poll_fn, pin::Pin, rc::Rc};
 
-/// Longest key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// When to come back to a key that could not be claimed or whose request still runs.
+/// `retry_after_ms` for a key that could not be claimed or whose request is still running.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The key of a request that may not be repeated; `None` if it has none or needs none.
+/// Reads the idempotency key of a non-idempotent request; `None` if it has no key or may be
+/// repeated anyway.
 ///
 /// # Errors
 /// `BadRequest` for a key that is empty, too long, not plain text, or given twice.
@@ -68,10 +69,10 @@
     !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.chars().any(char::is_control)
 }
 
-/// Runs a request under its key, or answers what became of the one that ran.
+/// Runs a request under its key, or replays the stored response of an earlier one.
 ///
 /// # Errors
-/// The verdicts other than a grant and a repeat, and what the request itself ends with.
+/// All verdicts other than a granted claim and a replay, and the problem of the request itself.
 pub async fn run(
     shared: &Rc<Shared>,
     context: &RequestContext,
@@ -94,7 +95,8 @@
         .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
 }
 
-/// The digest of what makes two calls the same. Neither method nor path has a line break in it.
+/// Digest of method, path and body, by which a repeated request is recognised. The line break
+/// separates them unambiguously: neither method nor path contains one.
 fn digest(request: &ServiceRequest) -> Digest {
     let mut content = format!("{} {}\n", request.method, request.path).into_bytes();
     content.extend_from_slice(&request.body);
@@ -128,8 +130,9 @@
     }
 }
 
-/// Asks for a verdict. An owner that went away is no reason to refuse: what it may have claimed is
-/// given up, and the next one asked, under another id since the first ask must never be granted.
+/// Asks the key's owner for a verdict. If the link to the owner closes, gives up what it may have
+/// claimed and asks the next owner, under another request id since the first ask must never be
+/// granted.
 async fn request_verdict(shared: &Rc<Shared>, context: &RequestContext, ask: Ask) -> (Ask, Asked) {
     let asked = claims::claim(shared, &ask, context.remaining(shared.now())).await;
     log_verdict(shared, context, &asked);
@@ -178,7 +181,7 @@
     }
 }
 
-/// Settles in the background: the caller has its answer already.
+/// Settles the claim in the background, since the caller's response does not depend on it.
 fn settle(shared: &Rc<Shared>, ask: Ask, outcome: Option<StoredResponse>) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
@@ -217,7 +220,7 @@
     )
 }
 
-/// The record of a request that may have run and left no answer.
+/// Stored outcome of a request that may have run without a response.
 fn empty_response() -> StoredResponse {
     StoredResponse {
         status: 0,
@@ -226,7 +229,7 @@
     }
 }
 
-/// The recorded answer again. A body that was too large to keep is absent.
+/// Builds the response from a stored one. A body that was too large to store is left out.
 fn replay(record: StoredResponse) -> Result<Response, Problem> {
     let Ok(status) = StatusCode::from_u16(record.status) else {
         return Err(outcome_unknown());
@@ -246,8 +249,8 @@
     Ok(response)
 }
 
-/// Reads an answer up to the size that is kept, so that its record is true to what came. An answer
-/// that breaks off before that is no answer.
+/// Buffers a response up to the size that is stored, so that the stored outcome matches what was
+/// received. A body that breaks off before that counts as no response.
 async fn buffer_response(response: Response) -> Result<(Response, StoredResponse), Problem> {
     let (head, body) = response.into_parts();
     let length = match body.size() {
@@ -290,7 +293,7 @@
     poll_fn(|cx| body.as_mut().poll_next(cx)).await
 }
 
-/// The body as it came: what was read already, then the rest.
+/// Restores the original body: the buffered part followed by the rest.
 fn restore_body(
     first: Bytes,
     whole: bool,
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -1,4 +1,5 @@
-//! Live completions: attempts with retry and resume, whole answers or event streams.
+//! Live completions: attempts with retry and resume, answered as one JSON body or as an event
+//! stream.
 
 use super::{
     RequestContext, admit,
@@ -34,25 +35,26 @@
     time::timeout,
 };
 
-/// Chunks that wait for a caller that reads slowly; then the stream waits.
+/// Maximum number of chunks buffered for a caller that reads slowly; beyond it, reading from the
+/// engine pauses.
 const MAX_BUFFERED_CHUNKS: usize = 64;
-/// Bytes of a prompt that make its prefix for routing.
+/// Number of leading bytes of a prompt that are hashed for prefix affinity.
 const ROUTING_PREFIX_BYTES: usize = 64;
-/// Most attempts of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 4;
-/// Priority at the engine.
+/// Priority of live requests in the engine's queue; see `engine::Request::priority`.
 const ENGINE_PRIORITY: u8 = 2;
-/// When to come back after every endpoint that was tried refused.
+/// `retry_after_ms` for a request that no tried endpoint has run.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What has been made so far.
+/// Output of all attempts so far; the next attempt resumes after it.
 #[derive(Clone, Debug, Default)]
 struct Progress {
     text: String,
     record: Record,
 }
 
-/// One request on its way through its attempts.
+/// A request with its attempts.
 struct CompletionRun<'a> {
     shared: &'a Rc<Shared>,
     context: &'a RequestContext,
@@ -62,14 +64,14 @@
     may_have_run: Cell<bool>,
 }
 
-/// Answers one completion. Dropped when the caller is gone, it ends the work.
+/// Serves one completion. Cancels its attempt when the caller disconnects.
 pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: Request) -> Response {
     let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     if request.stream {
         let (done, end) = oneshot::channel();
         let work = run(Rc::clone(shared), context.clone(), request, sender);
         actix_rt::spawn(async move {
-            // A caller that is gone hears of no end.
+            // The receiver is dropped when the caller has disconnected.
             let _ = done.send(work.await);
         });
         return stream_response(shared, context, chunks, end).await;
@@ -107,7 +109,8 @@
     Err(may_have_run(Code::Unknown, "the answer ended early"))
 }
 
-/// The record with a chunk of any attempt. Checked where it arrived, so it has no error here.
+/// Adds a chunk of any attempt to the record. The chunk was checked on arrival, so no error can
+/// occur here.
 fn push_chunk(record: Record, chunk: &Chunk) -> Record {
     let mut next = if chunk.reused.is_empty() {
         record
@@ -118,7 +121,8 @@
     next
 }
 
-/// A stream whose first chunk decides the status: nothing is promised before there is something.
+/// Streams the chunks as events. Waits for the first chunk, so that a request that fails before it
+/// gets an error status.
 async fn stream_response(
     shared: &Rc<Shared>,
     context: RequestContext,
@@ -136,7 +140,7 @@
     response
 }
 
-/// The chunks as events, then the problem if there is one.
+/// Converts the chunks to events, followed by the problem if there is one.
 fn event_stream(
     context: &RequestContext,
     first: Chunk,
@@ -151,7 +155,7 @@
     let events = stream::iter([first])
         .chain(rest)
         .map(move |chunk| format::chunk_event(&id, &model, chunk));
-    // The end has a way of its own: it is never stuck behind chunks that nobody reads.
+    // The result has a channel of its own, so that unread chunks do not block it.
     let last = stream::once(end).filter_map(|end| {
         future::ready(final_problem(end).map(|problem| format::error_event(&problem)))
     });
@@ -165,7 +169,7 @@
     }
 }
 
-/// Runs the request until its last chunk is handed on, or gives the final problem at once.
+/// Runs the request until its last chunk has been sent to `sender`. Its metrics are counted here.
 async fn run(
     shared: Rc<Shared>,
     context: RequestContext,
@@ -181,7 +185,7 @@
     };
     let result = tokio::select! {
         result = work.run() => result,
-        // The turn and the attempt's ticket are dropped, and the engine is told.
+        // Drops the turn and the attempt's ticket, and cancels the attempt at the engine.
         () = sender.closed() => Err(may_have_run(Code::Unknown, "the caller is gone")),
     };
     match &result {
@@ -221,7 +225,7 @@
                     .await;
             let assignment = match (assignment, last) {
                 (Ok(assignment), _) => assignment,
-                // Other endpoints were tried before; their error says more.
+                // The error of an endpoint that was tried is more specific than the routing error.
                 (Err(_), Some(error)) => return Err(self.problem_for(error)),
                 (Err(problem), None) => return Err(problem),
             };
@@ -252,12 +256,12 @@
         ))
     }
 
-    /// What makes it the same request when it comes again.
+    /// Identity by which crash reports recognise a repeat of the same request.
     fn identity(&self) -> Identity {
         engines::identity(self.request.clone())
     }
 
-    /// The problem for the last attempt's error; not run only if no attempt may have run.
+    /// Builds the problem for the last attempt's error; not run only if no attempt may have run.
     fn problem_for(&self, error: Error) -> Problem {
         let message = format_compact!("{error}");
         if self.may_have_run.get() {
@@ -271,7 +275,8 @@
         }
     }
 
-    /// One attempt. It goes on where the last one ended, so the caller sees no gap and no repeat.
+    /// Makes one attempt. It resumes where the previous one ended, so that the caller's stream has
+    /// neither gaps nor repeated text.
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
         let before = self.may_have_run.replace(true);
@@ -291,7 +296,7 @@
                 self.may_have_run.set(before);
                 guard.ended();
             }
-            // Dropped here, it is cancelled at the engine.
+            // Dropping the guard cancels the attempt at the engine.
             Err(_) => {}
         }
         result
@@ -337,8 +342,9 @@
     }
 }
 
-/// Whether all of a chunk came before in the same attempt, which began at `start`: a repeat that
-/// changes nothing. One from before `start` is none: the engine did not go on where it was told to.
+/// Whether a chunk is a duplicate: all of it was received before in the same attempt, which began
+/// at token `start`. A chunk from before `start` is not a duplicate but an error: the engine did
+/// not resume where it was told to.
 fn is_duplicate(chunk: &Chunk, start: u32, record: &Record) -> bool {
     let end = chunk.offset.saturating_add(chunk.tokens);
     let repeat = chunk.offset >= start && end <= record.tokens();
--- a/crates/pinereel/src/filters/format.rs
+++ b/crates/pinereel/src/filters/format.rs
@@ -1,4 +1,5 @@
-//! Completions in the shape that clients of model engines know: whole answers and event streams.
+//! Response bodies of completions, in the format that clients of model engines expect: one JSON
+//! object, or server-sent events.
 
 use super::RequestContext;
 use crate::engines;
@@ -14,12 +15,12 @@
 };
 use serde::Serialize;
 
-/// What both shapes call themselves.
+/// Value of the `object` field in both formats.
 const OBJECT_TYPE: &str = "text_completion";
-/// Last event of a whole stream.
+/// Last event of a stream that ended without a problem.
 const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// A whole completion.
+/// Response body of a completion that is not streamed.
 #[derive(Debug, Serialize)]
 pub struct CompletionResponse {
     id: CompactString,
@@ -27,7 +28,7 @@
     model: CompactString,
     choices: [Choice; 1],
     usage: Usage,
-    /// The versions that made the answer: reused prefix first, then output.
+    /// Model versions that computed the text: reused prefix first, then output.
     versions: Vec<Span>,
 }
 
@@ -43,7 +44,7 @@
     completion_tokens: u32,
 }
 
-/// One event of a streamed completion.
+/// Body of one event of a streamed completion.
 #[derive(Debug, Serialize)]
 struct ChunkEvent {
     id: CompactString,
@@ -54,7 +55,7 @@
 }
 
 impl CompletionResponse {
-    /// The whole completion of `context`.
+    /// Builds the body from the joined text of all chunks and their provenance record.
     pub fn new(
         context: &RequestContext,
         text: String,
@@ -74,10 +75,10 @@
     }
 }
 
-/// One chunk as an event; the last one is followed by `[DONE]`.
+/// Encodes one chunk as an event; the last chunk is followed by `[DONE]`.
 pub fn chunk_event(id: &CompactString, model: &CompactString, chunk: Chunk) -> Bytes {
     let mut record = Record::default();
-    // Checked where it arrived; an error there never gets here.
+    // The chunk was checked on arrival, so no error can occur here.
     let _ = record.push(&Stamp {
         offset: 0,
         ..engines::stamp(&chunk)
@@ -97,7 +98,8 @@
     bytes.into()
 }
 
-/// A problem as the last event. No `[DONE]` follows, so the answer is not taken for a whole one.
+/// Encodes a problem as the last event. No `[DONE]` follows, so that clients do not take the
+/// response for a complete one.
 pub fn error_event(problem: &Problem) -> Bytes {
     sse_event(&serde_json::json!({ "error": problem })).into()
 }
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -1,8 +1,9 @@
-//! The filter chain that a request passes, one job a module.
+//! The filter chain of a live request, one filter per module.
 //!
 //! [`pin`] (configuration) → [`admit`] (deadline, queue) → [`claim`] (idempotency key) → [`route`]
-//! (endpoint) → [`attempt`] (send, retry, resume, provenance) → [`respond`] (answer or problem). A
-//! filter that ends a request returns a [`Problem`], whose `ran` is true to the evidence.
+//! (endpoint) → [`attempt`] (send, retry, resume, provenance) → [`respond`] (response). A filter
+//! that ends a request returns a [`Problem`]; its `ran` says `NotRun` only if no attempt can have
+//! run.
 
 pub mod admit;
 pub mod attempt;
@@ -22,24 +23,24 @@
 };
 use pinereel_core::{Time, route::Priority};
 
-/// A request on its way through the chain.
+/// State of one request while it passes the filter chain.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// Its id, unique among all entries.
+    /// Request id, unique among all entries.
     pub id: CompactString,
-    /// When its head was here.
+    /// When its headers had been read.
     pub started: Time,
-    /// When its answer is of no more use.
+    /// Time after which the caller no longer wants a response.
     pub deadline: Time,
-    /// The configuration that it is served under.
+    /// Configuration under which the request is served.
     pub pin: Pin,
-    /// The pool that it goes to.
+    /// Pool to which the request is routed.
     pub pool: CompactString,
-    /// Its priority.
+    /// Priority class in the pool's queue.
     pub priority: Priority,
 }
 
-/// A problem of a request that certainly did not run.
+/// Builds the problem for a request that certainly did not run.
 pub fn not_run(code: Code, message: impl Into<CompactString>) -> Problem {
     Problem {
         code,
@@ -49,7 +50,7 @@
     }
 }
 
-/// A problem of a request that may have run.
+/// Builds the problem for a request that may have run.
 pub fn may_have_run(code: Code, message: impl Into<CompactString>) -> Problem {
     Problem {
         ran: Ran::Unknown,
@@ -58,7 +59,7 @@
 }
 
 impl RequestContext {
-    /// Time left until the deadline.
+    /// Time until the deadline; zero once it has passed.
     pub fn remaining(&self, now: Time) -> std::time::Duration {
         self.deadline.since(now)
     }
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -1,4 +1,4 @@
-//! Pins a request to the configuration in force here.
+//! Pins each request to the configuration in force on this entry, and checks readiness.
 
 use super::not_run;
 use crate::{controllers::config::Pin, state::Shared};
@@ -6,14 +6,14 @@
 use pinereel_api::{Problem, problem::Code};
 use pinereel_core::config::Refusal;
 
-/// When a caller shall come back to an entry that cannot confirm its configuration.
+/// `retry_after_ms` of an entry that does not admit requests.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The configuration that a request is served under.
+/// Returns the configuration under which a new request is served; called for each request.
 ///
 /// # Errors
-/// `Unavailable` while the entry may not admit requests: it drains, starts, was paused, is behind,
-/// does not know a patch's result, or is cut off. Asked for each request.
+/// `Unavailable` while the entry may not admit requests: it is draining, is starting, was paused,
+/// has an old configuration, does not know a patch's result, or is disconnected.
 pub fn pin(shared: &Shared) -> Result<Pin, Problem> {
     if shared.drain.refuses() {
         return Err(unavailable("this instance is draining"));
@@ -24,7 +24,7 @@
     }
 }
 
-/// The configuration in force here, also while no request is admitted under it.
+/// Returns the last known configuration, also while no request is admitted under it.
 ///
 /// # Errors
 /// `Unavailable` before the first read.
@@ -33,11 +33,11 @@
     pin.ok_or_else(|| unavailable(Refusal::Starting.to_string()))
 }
 
-/// The configuration number, if the balancer may send connections here.
+/// Readiness: returns the configuration number if the load balancer may send connections here.
 ///
 /// # Errors
-/// `Unavailable` from the start of a drain on, earlier than requests are refused, and before the
-/// endpoints are known.
+/// As [`pin`]; also `Unavailable` from the start of a drain on, which is earlier than requests are
+/// refused, and before the endpoints are known.
 pub fn ready(shared: &Shared) -> Result<u64, Problem> {
     if shared.drain.asked() {
         return Err(unavailable("this instance is draining"));
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -1,4 +1,4 @@
-//! Turns the chain's end into an answer, and counts it.
+//! Last filter: builds the response for a request's result and updates the request metrics.
 
 use super::RequestContext;
 use crate::{
@@ -11,19 +11,19 @@
     problem::{Code, Ran},
 };
 
-/// The answer for a problem, counted by its code and logged.
+/// Builds the response for a problem, counts it by its code and logs it.
 pub fn problem_response(shared: &Shared, problem: &Problem) -> Response {
     count_refusal(shared, problem.code, &problem.message);
     http::problem(problem)
 }
 
-/// Counts and logs a refusal.
+/// Counts a refused request by its code and logs it.
 pub fn count_refusal(shared: &Shared, code: Code, why: &str) {
     shared.metrics.refuse(code);
     log::info!(entry = shared.name().as_str(), code:serde; "refused: {why}");
 }
 
-/// Adds the request's id and configuration number to an answer.
+/// Adds the request's id and configuration number to the response's headers.
 pub fn add_headers(context: &RequestContext, response: &mut Response) {
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&context.id) {
@@ -33,7 +33,7 @@
     headers.insert(HeaderName::from_static(header::CONFIG_NUMBER), number);
 }
 
-/// Counts an context that ended with a problem.
+/// Counts a request that ended with a problem, with its latency.
 pub fn count_problem(shared: &Shared, context: &RequestContext, problem: &Problem) {
     let outcome = match problem.ran {
         Ran::NotRun => "not_run",
@@ -42,7 +42,7 @@
     count_request(shared, context, outcome);
 }
 
-/// Counts an ended context and its time.
+/// Counts a request that ended, with its latency. `outcome` is a metric label.
 pub fn count_request(shared: &Shared, context: &RequestContext, outcome: &str) {
     let took = shared.now().since(context.started).as_secs_f64();
     let metrics = &shared.metrics;
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -1,4 +1,4 @@
-//! Chooses the endpoint of an attempt; waits for room until the deadline.
+//! Routing: chooses the endpoint for an attempt and waits for a free slot until the deadline.
 
 use super::{RequestContext, admit, not_run};
 use crate::{
@@ -21,36 +21,36 @@
 use std::{pin::pin, rc::Rc};
 use tokio::time::timeout;
 
-/// When a caller shall come back to a pool without a usable endpoint.
+/// `retry_after_ms` for a pool without a usable endpoint.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// An endpoint, counted as having one more attempt.
+/// Endpoint assigned to an attempt, which counts towards the endpoint's load.
 pub struct Assignment {
-    /// The endpoint.
+    /// Key of the endpoint in the endpoint set.
     pub key: Key,
-    /// Its name.
+    /// Name of the endpoint.
     pub name: CompactString,
     /// `IP:PORT`.
     pub address: CompactString,
-    /// Counts the attempt.
+    /// Counts the attempt as running until it is finished or dropped.
     pub ticket: Ticket,
 }
 
-/// What the chain asks of the router.
+/// Criteria for the choice of an attempt's endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// Hash of the prompt's prefix.
+    /// Hash of the prompt's prefix, for prefix affinity.
     pub prefix: Option<u64>,
-    /// Endpoints that earlier attempts used up.
+    /// Endpoints that earlier attempts of the request have used.
     pub excluded: &'a [Key],
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeatable: bool,
-    /// Tokens expected.
+    /// Maximum number of tokens to generate; 0 for plain services.
     pub tokens: u32,
 }
 
-/// Takes a assignment at an endpoint. If none has room, a first attempt goes back into its queue; a later
-/// one, which leaves out the endpoints that were tried, waits here.
+/// Assigns an endpoint. If all are full, the first attempt re-enters its queue; a later one, which
+/// excludes the endpoints that were tried, waits here.
 ///
 /// # Errors
 /// `NoEndpoint` or `Overloaded`, both not run.
@@ -61,7 +61,8 @@
     criteria: Criteria<'_>,
 ) -> Result<Assignment, Problem> {
     loop {
-        // Listening begins before choosing, so that no room is missed between the two.
+        // Registered before the choice, so that a slot that becomes free between the two is not
+        // missed.
         let mut room = pin!(shared.endpoints.room.notified());
         room.as_mut().enable();
         let request = request(shared, context, criteria);
@@ -98,11 +99,11 @@
     }
 }
 
-/// Takes a assignment for the next attempt of a request: at any endpoint, or at the one where it runs alone, however busy,
-/// if it is in doubt.
+/// Assigns an endpoint to a request's next attempt. A request suspected of crashing endpoints gets
+/// the one endpoint where it runs alone, however busy that is.
 ///
 /// # Errors
-/// As [`assign`]; `NoEndpoint`, not run, also if endpoints crash under the request.
+/// As [`assign`]; also `NoEndpoint`, not run, if the request crashes endpoints.
 pub async fn assign_next(
     shared: &Rc<Shared>,
     context: &RequestContext,
@@ -124,8 +125,8 @@
     Ok(assignment)
 }
 
-/// Whether one more attempt may be made: an endpoint is left that was not tried, and the retry
-/// budget, of which this takes a part, is not used up.
+/// Whether one more attempt may be made: there is an endpoint that was not tried, and the retry
+/// budget allows it. Withdraws the retry from the budget.
 pub fn may_retry(shared: &Shared, context: &RequestContext, criteria: Criteria<'_>) -> bool {
     let request = request(shared, context, criteria);
     let choice = shared.endpoints.choose(shared, &request);
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: a request is routed by pool and path, and its answer streamed through.
+//! Reverse proxy for plain services: routes a request by pool and path and streams the response.
 
 use super::{
     RequestContext, admit,
@@ -35,28 +35,28 @@
 use std::{io, rc::Rc};
 use tokio::time::{Instant, timeout_at};
 
-/// Most attempts of a request that may be repeated.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 3;
-/// Headers that belong to one connection and are not passed on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 4] = [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING];
 
 /// A request for a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// HTTP method.
+    /// Method, unchanged from the caller's request.
     pub method: Method,
-    /// Path with query at the service, starting with `/`.
+    /// Path and query at the service, starting with `/`.
     pub path: String,
-    /// Headers of the caller.
+    /// End-to-end headers of the caller's request.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// The body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeatable: bool,
 }
 
 impl ServiceRequest {
-    /// Copies the headers that are passed on.
+    /// Copies all headers except the hop-by-hop ones.
     pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
         headers
             .iter()
@@ -67,8 +67,8 @@
 }
 
 impl ServiceRequest {
-    /// What makes it the same request when it comes again. The way by which requests come here names a pool, and no
-    /// host.
+    /// Identity by which crash reports recognise a repeat of the same request. The pool stands in
+    /// for the host, since the request's path names a pool and no host.
     fn identity(&self, pool: &str) -> Identity {
         let mut caller = self
             .headers
@@ -84,7 +84,8 @@
     }
 }
 
-/// Whether a request may run twice, by the pinned configuration.
+/// Whether the pinned configuration lets a request run twice: no `non_idempotent` rule of the pool
+/// (`METHOD PREFIX`) matches it.
 pub fn repeatable(context: &RequestContext, method: &Method, path: &str) -> bool {
     let Some(pool) = context.pin.document.pools.get(&context.pool) else {
         return false;
@@ -95,7 +96,7 @@
     })
 }
 
-/// Answers one request.
+/// Serves one request, counts it and adds the response's headers.
 pub async fn serve(
     shared: &Rc<Shared>,
     context: RequestContext,
@@ -127,10 +128,10 @@
     }
 }
 
-/// Sends a request until it is answered or may not be sent again.
+/// Sends a request until it is answered or may not be retried.
 ///
 /// # Errors
-/// What the last attempt ended with. Not run only if no attempt may have run.
+/// The problem of the last attempt; not run only if no attempt may have run.
 pub(super) async fn run_attempts(
     shared: &Rc<Shared>,
     context: &RequestContext,
@@ -176,7 +177,7 @@
             }
         };
         assignment.ticket.finish(end);
-        // An attempt that did not run says nothing about an earlier one that may have.
+        // An attempt that did not run proves nothing about an earlier one that may have run.
         let problem = match last.take() {
             Some(earlier) if earlier.ran == Ran::Unknown => earlier,
             _ => problem,
@@ -231,7 +232,7 @@
     }
 }
 
-/// How the attempt ended, if the endpoint said before running it that it will not.
+/// How the attempt ended if the endpoint refused it before running it; otherwise `None`.
 fn refusal_end(response: &direct::Response) -> Option<AttemptEnd> {
     if response.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
@@ -244,7 +245,8 @@
     })
 }
 
-/// Streams the answer through. A body that breaks off breaks off at the caller, too.
+/// Streams the endpoint's response to the caller. If the endpoint's body breaks off, so does the
+/// caller's.
 fn proxy_response(
     context: &RequestContext,
     response: direct::Response,
@@ -282,7 +284,8 @@
     answer
 }
 
-/// An attempt that is being answered. What makes it the same request is seldom asked for, and costs a hash of its body.
+/// An attempt whose response is being streamed. Keeps the request instead of its identity, which is
+/// seldom needed and costs a hash of the body.
 struct SentRequest {
     key: Key,
     request: ServiceRequest,
@@ -296,21 +299,21 @@
     }
 }
 
-/// An answer's body on its way to the caller.
+/// Response body that is streamed from the endpoint to the caller.
 struct ProxiedBody {
     body: direct::Body,
     /// Counts the attempt until the body has ended.
     ticket: Option<Ticket>,
-    /// Holds the request's place in its queue.
+    /// Keeps the request admitted until the body has ended.
     turn: Turn,
-    /// What was sent, and when.
+    /// The request, with its endpoint and the time of sending.
     sent: SentRequest,
-    /// The deadline: a silent endpoint holds nothing longer.
+    /// Deadline of the request. Bounds how long an endpoint that sends nothing occupies resources.
     deadline: Instant,
 }
 
 impl ProxiedBody {
-    /// The next part; `None` after the end and after an error.
+    /// Returns the next part; `None` after the end and after an error.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         self.ticket.as_ref()?;
         let part = timeout_at(self.deadline, self.body.part()).await;
