--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -7,7 +7,7 @@
     filters::respond,
     http::{self, Server},
     logging, objects, operators,
-    peer::{Identity, Mesh},
+    peer::{LocalEntry, Mesh},
     settings::Settings,
     state::{Clock, Shared, spawn},
     upstream,
@@ -214,12 +214,12 @@
         reads: f64::from(settings.object_api.reads_per_second),
         writes: f64::from(settings.object_api.writes_per_second),
     };
-    let identity = Identity {
+    let local = LocalEntry {
         name: settings.entry.name.clone(),
         incarnation,
         zone: settings.entry.zone.clone(),
         secret: settings.secrets.peer_secret.clone(),
-        queue: settings.limits.peer_queue,
+        queue_capacity: settings.limits.peer_queue,
     };
     let limits = Limits {
         max_lots: settings.limits.lots,
@@ -233,7 +233,7 @@
         metrics: Default::default(),
         objects: objects::Client::new(options, clock),
         http: upstream::Client::new(),
-        mesh: Mesh::new(identity),
+        mesh: Mesh::new(local),
         config,
         members: Default::default(),
         crashes: Default::default(),
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -51,7 +51,7 @@
 
 /// Who this entry is towards its peers.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub struct LocalEntry {
     /// Its name.
     pub name: CompactString,
     /// Changes with each start.
@@ -61,7 +61,7 @@
     /// The secret shared by all entries.
     pub secret: Secret,
     /// Most frames that wait for one peer.
-    pub queue: usize,
+    pub queue_capacity: usize,
 }
 
 /// An entry to keep a link to.
@@ -100,7 +100,7 @@
 /// The links. Clones share them.
 #[derive(Clone)]
 pub struct Mesh {
-    identity: Rc<Identity>,
+    local: Rc<LocalEntry>,
     links: Rc<RefCell<BTreeMap<CompactString, Link>>>,
     wanted: Rc<RefCell<BTreeMap<CompactString, CompactString>>>,
     dialing: Rc<RefCell<BTreeSet<CompactString>>>,
@@ -114,9 +114,9 @@
 
 impl Mesh {
     /// A mesh without links.
-    pub fn new(identity: Identity) -> Self {
+    pub fn new(local: LocalEntry) -> Self {
         Self {
-            identity: Rc::new(identity),
+            local: Rc::new(local),
             links: Rc::default(),
             wanted: Rc::default(),
             dialing: Rc::default(),
@@ -177,7 +177,7 @@
 
     /// Says which peers to keep links to. Links to others are left to end by themselves.
     pub fn want(&self, peers: impl IntoIterator<Item = Peer>) {
-        let own = &self.identity.name;
+        let own = &self.local.name;
         let wanted: BTreeMap<_, _> = peers
             .into_iter()
             .filter(|peer| peer.name != *own)
@@ -283,7 +283,7 @@
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let mut request = format!("ws://{address}{path}").into_client_request().ok()?;
-        let secret = HeaderValue::from_str(self.identity.secret.reveal()).ok()?;
+        let secret = HeaderValue::from_str(self.local.secret.reveal()).ok()?;
         request.headers_mut().insert(AUTHORIZATION, secret);
         let config = Some(link::socket_config());
         let (mut socket, _) = client_async_with_config(request, stream, config)
@@ -304,7 +304,7 @@
         let unknown = Rc::clone(&stranger);
         let once = Rc::new(Cell::new(false));
         let seen = Rc::clone(&once);
-        let secret = self.identity.secret.clone();
+        let secret = self.local.secret.clone();
         let config = Some(link::socket_config());
         // The error's size is the library's choice.
         #[allow(clippy::result_large_err)]
@@ -343,7 +343,7 @@
             return;
         }
         let name = hello.name.clone();
-        let (link, frames) = Link::new(hello, self.identity.queue);
+        let (link, frames) = Link::new(hello, self.local.queue_capacity);
         if !once && let Some(old) = self.links.borrow_mut().insert(name.clone(), link.clone()) {
             old.close();
         }
@@ -422,9 +422,9 @@
     fn hello(&self) -> Hello {
         Hello {
             protocol: PROTOCOL,
-            name: self.identity.name.clone(),
-            incarnation: self.identity.incarnation,
-            zone: self.identity.zone.clone(),
+            name: self.local.name.clone(),
+            incarnation: self.local.incarnation,
+            zone: self.local.zone.clone(),
         }
     }
 }
--- a/crates/pinereel/src/peer/mod.rs
+++ b/crates/pinereel/src/peer/mod.rs
@@ -9,4 +9,4 @@
 mod mesh;
 
 pub use link::{Call, Error, SILENCE};
-pub use mesh::{Handler, Identity, Mesh, Observer, Peer};
+pub use mesh::{Handler, LocalEntry, Mesh, Observer, Peer};
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 use pinereel::{
-    peer::{Call, Error, Identity, Mesh, Peer},
+    peer::{Call, Error, LocalEntry, Mesh, Peer},
     settings::Secret,
 };
 use pinereel_api::wire::{MAX_FRAME, Reply};
@@ -19,14 +19,14 @@
 
 /// One entry's mesh and its listener's address.
 async fn mesh(name: &str, secret: &str, reply: Option<Reply>) -> (Mesh, CompactString) {
-    let identity = Identity {
+    let local = LocalEntry {
         name: name.into(),
         incarnation: 1,
         zone: "erie-hall".into(),
         secret: Secret::new(secret),
-        queue: 4,
+        queue_capacity: 4,
     };
-    let mesh = Mesh::new(identity);
+    let mesh = Mesh::new(local);
     let handler =
         move |_: CompactString, _: Call| -> futures_util::future::LocalBoxFuture<'static, Reply> {
             let reply = reply.clone();
