--- a/crates/pinereel/src/peer/link.rs
+++ b/crates/pinereel/src/peer/link.rs
@@ -19,7 +19,7 @@
 };
 
 /// A link without a frame for so long is closed.
-pub const SILENCE: Duration = Duration::from_secs(3);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Longest wait for one frame to leave; a peer that does not read loses its link.
 const SEND_TIMEOUT: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
     /// There is no link to that entry: nothing was sent.
     #[error("no link")]
     NoLink,
-    /// The link's queue is at its bound: nothing was sent.
+    /// The link's send_queue is at its capacity: nothing was sent.
     #[error("queue full")]
     QueueFull,
     /// The call does not fit a frame: nothing was sent.
@@ -56,22 +56,22 @@
     /// Who is at the other end.
     pub hello: Hello,
     /// Encoded frames to send.
-    queue: mpsc::Sender<Vec<u8>>,
+    send_queue: mpsc::Sender<Vec<u8>>,
     /// Calls that wait for a reply.
-    waiting: Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>,
+    pending: Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>,
     /// Id of the next call.
-    next: Rc<Cell<u64>>,
+    next_call_id: Rc<Cell<u64>>,
 }
 
 impl Link {
     /// A link to `hello`'s sender, and the frames that it queues.
-    pub fn new(hello: Hello, bound: usize) -> (Self, mpsc::Receiver<Vec<u8>>) {
-        let (queue, frames) = mpsc::channel(bound);
+    pub fn new(hello: Hello, capacity: usize) -> (Self, mpsc::Receiver<Vec<u8>>) {
+        let (send_queue, frames) = mpsc::channel(capacity);
         let link = Self {
             hello,
-            queue,
-            waiting: Rc::default(),
-            next: Rc::default(),
+            send_queue,
+            pending: Rc::default(),
+            next_call_id: Rc::default(),
         };
         (link, frames)
     }
@@ -82,17 +82,19 @@
             log::error!("frame to {} not sent: {e}", self.hello.name);
             Error::TooLarge
         })?;
-        self.queue.try_send(bytes).map_err(|_| Error::QueueFull)
+        self.send_queue
+            .try_send(bytes)
+            .map_err(|_| Error::QueueFull)
     }
 
     /// Sends a call and waits for its reply.
     pub async fn call(&self, body: Call, wait: Duration) -> Result<Reply, Error> {
-        let id = self.next.get();
-        self.next.set(id + 1);
+        let id = self.next_call_id.get();
+        self.next_call_id.set(id + 1);
         let (sender, reply) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, sender);
+        self.pending.borrow_mut().insert(id, sender);
         // Also removes the entry when the caller gives up and drops this future.
-        let _guard = Waiting { link: self, id };
+        let _guard = PendingGuard { link: self, id };
         self.send(&Frame::Call { id, body })?;
         match timeout(wait, reply).await {
             Ok(Ok(reply)) => Ok(reply),
@@ -102,32 +104,32 @@
     }
 
     /// Hands a reply to the call that waits for it; a late one is dropped.
-    pub fn settle(&self, id: u64, body: Reply) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&id) {
+    pub fn complete_call(&self, id: u64, body: Reply) {
+        if let Some(waiting) = self.pending.borrow_mut().remove(&id) {
             let _ = waiting.send(body);
         }
     }
 
     /// Fails all waiting calls.
-    pub fn close(&self) {
-        self.waiting.borrow_mut().clear();
+    pub fn fail_pending(&self) {
+        self.pending.borrow_mut().clear();
     }
 
     /// Whether both are the same link.
-    pub fn is(&self, other: &Self) -> bool {
-        Rc::ptr_eq(&self.waiting, &other.waiting)
+    pub fn is_same(&self, other: &Self) -> bool {
+        Rc::ptr_eq(&self.pending, &other.pending)
     }
 }
 
 /// Removes a call from the waiting ones when it ends.
-struct Waiting<'a> {
+struct PendingGuard<'a> {
     link: &'a Link,
     id: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.link.waiting.borrow_mut().remove(&self.id);
+        self.link.pending.borrow_mut().remove(&self.id);
     }
 }
 
@@ -139,14 +141,14 @@
 }
 
 /// Sends one encoded frame; false if the link is to be closed.
-pub(super) async fn write(socket: &mut (impl Sink<Message> + Unpin), bytes: Vec<u8>) -> bool {
+pub(super) async fn write_frame(socket: &mut (impl Sink<Message> + Unpin), bytes: Vec<u8>) -> bool {
     let sent = timeout(SEND_TIMEOUT, socket.send(Message::Binary(bytes.into()))).await;
     matches!(sent, Ok(Ok(())))
 }
 
 /// Why no further frame comes over a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ended {
+pub(super) enum LinkEnd {
     /// It is silent or closed.
     Gone,
     /// What came breaks the protocol.
@@ -157,25 +159,25 @@
 ///
 /// # Errors
 /// The link is to be closed.
-pub(super) async fn read(
+pub(super) async fn read_frame(
     socket: &mut (impl Stream<Item = Result<Message, SocketError>> + Unpin),
-) -> Result<(Frame, usize), Ended> {
+) -> Result<(Frame, usize), LinkEnd> {
     loop {
-        let next = timeout(SILENCE, socket.next()).await;
+        let next = timeout(HEARTBEAT_TIMEOUT, socket.next()).await;
         let message = match next {
             Ok(Some(Ok(message))) => message,
             Ok(Some(Err(SocketError::Capacity(_) | SocketError::Utf8(_)))) => {
-                return Err(Ended::Malformed);
+                return Err(LinkEnd::Malformed);
             }
-            _ => return Err(Ended::Gone),
+            _ => return Err(LinkEnd::Gone),
         };
         match message {
             Message::Binary(bytes) => {
-                let frame = Frame::decode(&bytes).map_err(|_| Ended::Malformed)?;
+                let frame = Frame::decode(&bytes).map_err(|_| LinkEnd::Malformed)?;
                 return Ok((frame, bytes.len()));
             }
-            Message::Text(_) => return Err(Ended::Malformed),
-            Message::Close(_) => return Err(Ended::Gone),
+            Message::Text(_) => return Err(LinkEnd::Malformed),
+            Message::Close(_) => return Err(LinkEnd::Gone),
             // Pings and pongs are the library's affair.
             _ => {}
         }
@@ -183,13 +185,13 @@
 }
 
 /// Exchanges `Hello`s on a new socket.
-pub(super) async fn greet(socket: &mut Socket, own: Hello) -> Result<Hello, Ended> {
-    let bytes = Frame::Hello(own).encode().map_err(|_| Ended::Gone)?;
-    if !write(socket, bytes).await {
-        return Err(Ended::Gone);
+pub(super) async fn exchange_hello(socket: &mut Socket, own: Hello) -> Result<Hello, LinkEnd> {
+    let bytes = Frame::Hello(own).encode().map_err(|_| LinkEnd::Gone)?;
+    if !write_frame(socket, bytes).await {
+        return Err(LinkEnd::Gone);
     }
-    match read(socket).await? {
+    match read_frame(socket).await? {
         (Frame::Hello(hello), _) if hello.protocol == PROTOCOL => Ok(hello),
-        _ => Err(Ended::Malformed),
+        _ => Err(LinkEnd::Malformed),
     }
 }
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -1,6 +1,6 @@
 //! All links of one entry.
 
-use super::link::{self, Call, Ended, Error, Link, Socket};
+use super::link::{self, Call, Error, Link, LinkEnd, Socket};
 use crate::settings::Secret;
 use compact_str::CompactString;
 use futures_util::{
@@ -221,10 +221,10 @@
             }
             let frame = Frame::Call { id: 0, body };
             let bytes = frame.encode().map_err(|_| Error::TooLarge)?;
-            if !link::write(&mut socket, bytes).await {
+            if !link::write_frame(&mut socket, bytes).await {
                 return Err(Error::Closed);
             }
-            match link::read(&mut socket).await {
+            match link::read_frame(&mut socket).await {
                 Ok((Frame::Reply { body, .. }, _)) => Ok(body),
                 _ => Err(Error::Closed),
             }
@@ -255,7 +255,7 @@
         self.closed.set(true);
         self.wanted.borrow_mut().clear();
         for link in self.links.borrow().values() {
-            link.close();
+            link.fail_pending();
         }
         self.links.borrow_mut().clear();
     }
@@ -289,7 +289,7 @@
         let (mut socket, _) = client_async_with_config(request, stream, config)
             .await
             .ok()?;
-        let hello = link::greet(&mut socket, self.hello()).await.ok()?;
+        let hello = link::exchange_hello(&mut socket, self.hello()).await.ok()?;
         Some((socket, hello))
     }
 
@@ -329,10 +329,10 @@
                 true => Code::Unauthorized,
                 false => Code::BadRequest,
             })?;
-        let hello = link::greet(&mut socket, self.hello()).await;
+        let hello = link::exchange_hello(&mut socket, self.hello()).await;
         let hello = hello.map_err(|ended| match ended {
-            Ended::Gone => Code::SlowSender,
-            Ended::Malformed => Code::BadRequest,
+            LinkEnd::Gone => Code::SlowSender,
+            LinkEnd::Malformed => Code::BadRequest,
         })?;
         Ok((socket, hello, once.get()))
     }
@@ -345,18 +345,21 @@
         let name = hello.name.clone();
         let (link, frames) = Link::new(hello, self.local.queue_capacity);
         if !once && let Some(old) = self.links.borrow_mut().insert(name.clone(), link.clone()) {
-            old.close();
+            old.fail_pending();
         }
         let (mut sink, mut stream) = socket.split();
         tokio::select! {
             () = self.write_all(&mut sink, frames) => {}
-            ended = self.read_all(&mut stream, &link) => if ended == Ended::Malformed {
+            ended = self.read_all(&mut stream, &link) => if ended == LinkEnd::Malformed {
                 self.refused(Code::BadRequest);
             },
         }
-        link.close();
+        link.fail_pending();
         let mut links = self.links.borrow_mut();
-        if links.get(&name).is_some_and(|current| current.is(&link)) {
+        if links
+            .get(&name)
+            .is_some_and(|current| current.is_same(&link))
+        {
             links.remove(&name);
         }
     }
@@ -368,33 +371,33 @@
     ) {
         while let Some(bytes) = frames.recv().await {
             let size = bytes.len();
-            if !link::write(sink, bytes).await {
+            if !link::write_frame(sink, bytes).await {
                 return;
             }
             count(&self.sent, size);
         }
     }
 
-    async fn read_all(&self, stream: &mut SplitStream<Socket>, link: &Link) -> Ended {
+    async fn read_all(&self, stream: &mut SplitStream<Socket>, link: &Link) -> LinkEnd {
         let serving = Arc::new(Semaphore::new(MAX_SERVING));
         loop {
-            let (frame, size) = match link::read(stream).await {
+            let (frame, size) = match link::read_frame(stream).await {
                 Ok(read) => read,
                 Err(ended) => return ended,
             };
             if self.closed.get() {
-                return Ended::Gone;
+                return LinkEnd::Gone;
             }
             count(&self.received, size);
             match frame {
-                Frame::Hello(_) => return Ended::Malformed,
+                Frame::Hello(_) => return LinkEnd::Malformed,
                 Frame::Digest(summary) => {
                     let observer = self.observer.borrow().clone();
                     if let Some(observer) = observer {
                         observer(&link.hello, summary);
                     }
                 }
-                Frame::Reply { id, body } => link.settle(id, body),
+                Frame::Reply { id, body } => link.complete_call(id, body),
                 Frame::Call { id, body } => self.answer(link, &serving, id, body),
             }
         }
