--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -211,7 +211,7 @@
         names.extend(wanting.cloned());
     }
     let peers: Vec<_> = names.iter().filter_map(|name| peer(&view, name)).collect();
-    shared.mesh.want(peers);
+    shared.mesh.set_peers(peers);
 }
 
 fn peer(view: &View, name: &str) -> Option<Peer> {
@@ -323,7 +323,7 @@
 
 /// Calls an entry, over its link or a connection for this call alone.
 pub async fn call(shared: &Shared, name: &str, call: Call, wait: Duration) -> Option<Reply> {
-    if shared.mesh.has(name) {
+    if shared.mesh.is_linked(name) {
         return shared.mesh.call(name, call, wait).await.ok();
     }
     let peer = peer(&shared.members.view(), name)?;
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -122,7 +122,7 @@
             },
             versions: shared.lots.versions(),
             leaving: shared.endpoints.set().hints(),
-            links: shared.mesh.linked(),
+            links: shared.mesh.linked_peers(),
             repeats: self.repeats.saturating_sub(1),
             since: self.since + 1,
         };
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -187,15 +187,19 @@
     };
     let summaries = Rc::clone(shared);
     let observer = move |from: &_, summary| dispatch::hear(&summaries, from, summary);
-    shared.mesh.serve(Rc::new(handler), Rc::new(observer));
+    shared
+        .mesh
+        .set_handlers(Rc::new(handler), Rc::new(observer));
     let state = Rc::clone(shared);
     let refusal = move |code| respond::count_refusal(&state, code, "by the peers' listener");
-    shared.mesh.observe(refusal);
+    shared.mesh.set_refusal_observer(refusal);
     spawn(shared, async |shared: Rc<Shared>| {
         let mut news = dispatch::News::default();
         loop {
             news.refresh(&shared);
-            shared.mesh.tell(|to| dispatch::summary(&shared, &news, to));
+            shared
+                .mesh
+                .send_summaries(|to| dispatch::summary(&shared, &news, to));
             // News of crashes do not wait.
             let news_of_crashes = shared.crashes.news.notified();
             let _ = timeout(SUMMARY_PAUSE, news_of_crashes).await;
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -38,7 +38,7 @@
             .with_label_values(&[purpose.as_str(), kind]);
         counter.inc_by(count.saturating_sub(counter.get()));
     }
-    let up = i64::try_from(shared.mesh.linked().len()).unwrap_or(i64::MAX);
+    let up = i64::try_from(shared.mesh.linked_peers().len()).unwrap_or(i64::MAX);
     metrics.links_up.set(up);
     let known = shared.endpoints.set().iter().count();
     metrics
@@ -61,12 +61,12 @@
         let counter = metrics.runner.with_label_values(&[event]);
         counter.inc_by(count.saturating_sub(counter.get()));
     }
-    let (sent, received) = shared.mesh.bytes();
+    let (sent, received) = shared.mesh.byte_counts();
     for (direction, bytes) in [("out", sent), ("in", received)] {
         let counter = metrics.peer_bytes.with_label_values(&[direction]);
         counter.inc_by(bytes.saturating_sub(counter.get()));
     }
-    let (sent, received) = shared.mesh.frames();
+    let (sent, received) = shared.mesh.frame_counts();
     for (direction, frames) in [("out", sent), ("in", received)] {
         let counter = metrics.peer_frames.with_label_values(&[direction]);
         counter.inc_by(frames.saturating_sub(counter.get()));
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -39,15 +39,15 @@
 /// Longest wait for a link to open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between attempts to open a link.
-const DIAL_PAUSE: Duration = Duration::from_millis(300);
+const DIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Path of a lasting link.
 const LINK_PATH: &str = "/peer";
 /// Path of a connection for one call.
-const ONCE_PATH: &str = "/call";
-/// Most connections that are accepted and not links yet; further ones are closed at once.
-const MAX_OPENING: usize = 256;
-/// Most calls from one peer that are carried out at once; further frames wait in the socket.
-const MAX_SERVING: usize = 256;
+const SINGLE_CALL_PATH: &str = "/call";
+/// Most connections that are accepted and not links yet; further ones are closed at single_call.
+const MAX_HANDSHAKES: usize = 256;
+/// Most calls from one peer that are carried out at single_call; further frames wait in the socket.
+const MAX_PEER_CALLS: usize = 256;
 
 /// Who this entry is towards its peers.
 #[derive(Clone, Debug)]
@@ -74,10 +74,10 @@
 }
 
 /// Carries out a peer's call.
-pub type Handler = Rc<dyn Fn(CompactString, Call) -> LocalBoxFuture<'static, Reply>>;
+pub type CallHandler = Rc<dyn Fn(CompactString, Call) -> LocalBoxFuture<'static, Reply>>;
 
 /// Hears a peer's summary.
-pub type Observer = Rc<dyn Fn(&Hello, Summary)>;
+pub type SummaryObserver = Rc<dyn Fn(&Hello, Summary)>;
 
 /// What went one way over all links.
 #[derive(Clone, Copy, Debug, Default)]
@@ -86,7 +86,7 @@
     frames: u64,
 }
 
-fn count(traffic: &Cell<Traffic>, size: usize) {
+fn count_frame(traffic: &Cell<Traffic>, size: usize) {
     let Traffic { bytes, frames } = traffic.get();
     traffic.set(Traffic {
         bytes: bytes + size as u64,
@@ -95,18 +95,18 @@
 }
 
 /// Hears why a link was refused or closed.
-type Refusal = Rc<dyn Fn(Code)>;
+type RefusalObserver = Rc<dyn Fn(Code)>;
 
 /// The links. Clones share them.
 #[derive(Clone)]
 pub struct Mesh {
     local: Rc<LocalEntry>,
     links: Rc<RefCell<BTreeMap<CompactString, Link>>>,
-    wanted: Rc<RefCell<BTreeMap<CompactString, CompactString>>>,
+    peers: Rc<RefCell<BTreeMap<CompactString, CompactString>>>,
     dialing: Rc<RefCell<BTreeSet<CompactString>>>,
-    handler: Rc<RefCell<Option<Handler>>>,
-    observer: Rc<RefCell<Option<Observer>>>,
-    refusal: Rc<RefCell<Option<Refusal>>>,
+    call_handler: Rc<RefCell<Option<CallHandler>>>,
+    summary_observer: Rc<RefCell<Option<SummaryObserver>>>,
+    refusal_observer: Rc<RefCell<Option<RefusalObserver>>>,
     sent: Rc<Cell<Traffic>>,
     received: Rc<Cell<Traffic>>,
     closed: Rc<Cell<bool>>,
@@ -118,11 +118,11 @@
         Self {
             local: Rc::new(local),
             links: Rc::default(),
-            wanted: Rc::default(),
+            peers: Rc::default(),
             dialing: Rc::default(),
-            handler: Rc::default(),
-            observer: Rc::default(),
-            refusal: Rc::default(),
+            call_handler: Rc::default(),
+            summary_observer: Rc::default(),
+            refusal_observer: Rc::default(),
             sent: Rc::default(),
             received: Rc::default(),
             closed: Rc::default(),
@@ -130,18 +130,18 @@
     }
 
     /// Sets who carries out calls and who hears summaries.
-    pub fn serve(&self, handler: Handler, observer: Observer) {
-        self.handler.replace(Some(handler));
-        self.observer.replace(Some(observer));
+    pub fn set_handlers(&self, handler: CallHandler, observer: SummaryObserver) {
+        self.call_handler.replace(Some(handler));
+        self.summary_observer.replace(Some(observer));
     }
 
     /// Sets who hears of links that are refused, or closed for what came over them.
-    pub fn observe(&self, refusal: impl Fn(Code) + 'static) {
-        self.refusal.replace(Some(Rc::new(refusal)));
+    pub fn set_refusal_observer(&self, refusal: impl Fn(Code) + 'static) {
+        self.refusal_observer.replace(Some(Rc::new(refusal)));
     }
 
-    fn refused(&self, code: Code) {
-        let refusal = self.refusal.borrow().clone();
+    fn report_refusal(&self, code: Code) {
+        let refusal = self.refusal_observer.borrow().clone();
         if let Some(refusal) = refusal {
             refusal(code);
         }
@@ -150,25 +150,27 @@
     /// Accepts links on `listener` until closed.
     pub fn listen(&self, listener: TcpListener) {
         let mesh = self.clone();
-        let opening = Arc::new(Semaphore::new(MAX_OPENING));
+        let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
         actix_rt::spawn(async move {
             while !mesh.closed.get() {
                 let Ok((stream, _)) = listener.accept().await else {
-                    sleep(DIAL_PAUSE).await;
+                    sleep(DIAL_RETRY_DELAY).await;
                     continue;
                 };
-                let Ok(turn) = Arc::clone(&opening).try_acquire_owned() else {
-                    mesh.refused(Code::Overloaded);
+                let Ok(permit) = Arc::clone(&handshakes).try_acquire_owned() else {
+                    mesh.report_refusal(Code::Overloaded);
                     continue;
                 };
                 let mesh = mesh.clone();
                 actix_rt::spawn(async move {
                     let opened = timeout(OPEN_TIMEOUT, mesh.accept(stream)).await;
-                    drop(turn);
+                    drop(permit);
                     match opened {
-                        Ok(Ok((socket, hello, once))) => mesh.run(socket, hello, once).await,
-                        Ok(Err(code)) => mesh.refused(code),
-                        Err(_) => mesh.refused(Code::SlowSender),
+                        Ok(Ok((socket, hello, single_call))) => {
+                            mesh.run_link(socket, hello, single_call).await
+                        }
+                        Ok(Err(code)) => mesh.report_refusal(code),
+                        Err(_) => mesh.report_refusal(Code::SlowSender),
                     }
                 });
             }
@@ -176,29 +178,29 @@
     }
 
     /// Says which peers to keep links to. Links to others are left to end by themselves.
-    pub fn want(&self, peers: impl IntoIterator<Item = Peer>) {
+    pub fn set_peers(&self, peers: impl IntoIterator<Item = Peer>) {
         let own = &self.local.name;
-        let wanted: BTreeMap<_, _> = peers
+        let peers: BTreeMap<_, _> = peers
             .into_iter()
             .filter(|peer| peer.name != *own)
             .map(|peer| (peer.name, peer.address))
             .collect();
-        let to_dial: Vec<_> = wanted.keys().filter(|name| own < *name).cloned().collect();
-        self.wanted.replace(wanted);
+        let to_dial: Vec<_> = peers.keys().filter(|name| own < *name).cloned().collect();
+        self.peers.replace(peers);
         for name in to_dial {
             if self.dialing.borrow_mut().insert(name.clone()) {
-                actix_rt::spawn(self.clone().dial(name));
+                actix_rt::spawn(self.clone().keep_linked(name));
             }
         }
     }
 
     /// Names of the peers with a link.
-    pub fn linked(&self) -> Vec<CompactString> {
+    pub fn linked_peers(&self) -> Vec<CompactString> {
         self.links.borrow().keys().cloned().collect()
     }
 
     /// Whether there is a link to `name`.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn is_linked(&self, name: &str) -> bool {
         self.links.borrow().contains_key(name)
     }
 
@@ -214,7 +216,7 @@
             return Err(Error::NoLink);
         }
         let call = async {
-            let opened = self.open(&peer.address, ONCE_PATH).await;
+            let opened = self.connect(&peer.address, SINGLE_CALL_PATH).await;
             let (mut socket, hello) = opened.ok_or(Error::NoLink)?;
             if hello.name != peer.name {
                 return Err(Error::NoLink);
@@ -233,7 +235,7 @@
     }
 
     /// Tells each linked peer its own summary.
-    pub fn tell(&self, summary: impl Fn(&Hello) -> Summary) {
+    pub fn send_summaries(&self, summary: impl Fn(&Hello) -> Summary) {
         for link in self.links.borrow().values() {
             // A full queue means the peer hears the next one.
             let _ = link.send(&Frame::Digest(summary(&link.hello)));
@@ -241,44 +243,44 @@
     }
 
     /// Bytes sent and received in frames since the start.
-    pub fn bytes(&self) -> (u64, u64) {
+    pub fn byte_counts(&self) -> (u64, u64) {
         (self.sent.get().bytes, self.received.get().bytes)
     }
 
     /// Frames sent and received since the start.
-    pub fn frames(&self) -> (u64, u64) {
+    pub fn frame_counts(&self) -> (u64, u64) {
         (self.sent.get().frames, self.received.get().frames)
     }
 
     /// Closes all links and opens no more.
     pub fn close(&self) {
         self.closed.set(true);
-        self.wanted.borrow_mut().clear();
+        self.peers.borrow_mut().clear();
         for link in self.links.borrow().values() {
             link.fail_pending();
         }
         self.links.borrow_mut().clear();
     }
 
-    /// Keeps a link to `name` as long as it is wanted.
-    async fn dial(self, name: CompactString) {
+    /// Keeps a link to `name` as long as it is peers.
+    async fn keep_linked(self, name: CompactString) {
         loop {
-            let Some(address) = self.wanted.borrow().get(&name).cloned() else {
+            let Some(address) = self.peers.borrow().get(&name).cloned() else {
                 break;
             };
-            if !self.has(&name)
+            if !self.is_linked(&name)
                 && let Ok(Some((socket, hello))) =
-                    timeout(OPEN_TIMEOUT, self.open(&address, LINK_PATH)).await
+                    timeout(OPEN_TIMEOUT, self.connect(&address, LINK_PATH)).await
                 && hello.name == name
             {
-                self.run(socket, hello, false).await;
+                self.run_link(socket, hello, false).await;
             }
-            sleep(DIAL_PAUSE).await;
+            sleep(DIAL_RETRY_DELAY).await;
         }
         self.dialing.borrow_mut().remove(&name);
     }
 
-    async fn open(&self, address: &str, path: &str) -> Option<(Socket, Hello)> {
+    async fn connect(&self, address: &str, path: &str) -> Option<(Socket, Hello)> {
         let address: SocketAddr = address.parse().ok()?;
         let stream = TcpStream::connect(address).await.ok()?;
         stream.set_nodelay(true).ok()?;
@@ -300,17 +302,17 @@
     async fn accept(&self, stream: TcpStream) -> Result<(Socket, Hello, bool), Code> {
         // Without it frames are only later.
         let _ = stream.set_nodelay(true);
-        let stranger = Rc::new(Cell::new(false));
-        let unknown = Rc::clone(&stranger);
-        let once = Rc::new(Cell::new(false));
-        let seen = Rc::clone(&once);
+        let unauthorized = Rc::new(Cell::new(false));
+        let rejected = Rc::clone(&unauthorized);
+        let single_call = Rc::new(Cell::new(false));
+        let seen_single_call = Rc::clone(&single_call);
         let secret = self.local.secret.clone();
         let config = Some(link::socket_config());
         // The error's size is the library's choice.
         #[allow(clippy::result_large_err)]
         let check =
             move |request: &Request, response: Response| -> Result<Response, ErrorResponse> {
-                seen.set(request.uri().path() == ONCE_PATH);
+                seen_single_call.set(request.uri().path() == SINGLE_CALL_PATH);
                 let given = request
                     .headers()
                     .get(AUTHORIZATION)
@@ -318,14 +320,14 @@
                 if given.is_some_and(|given| secret.matches("", given)) {
                     return Ok(response);
                 }
-                unknown.set(true);
+                rejected.set(true);
                 let mut refusal = ErrorResponse::new(None);
                 *refusal.status_mut() = StatusCode::UNAUTHORIZED;
                 Err(refusal)
             };
         let mut socket = accept_hdr_async_with_config(stream, check, config)
             .await
-            .map_err(|_| match stranger.get() {
+            .map_err(|_| match unauthorized.get() {
                 true => Code::Unauthorized,
                 false => Code::BadRequest,
             })?;
@@ -334,24 +336,26 @@
             LinkEnd::Gone => Code::SlowSender,
             LinkEnd::Malformed => Code::BadRequest,
         })?;
-        Ok((socket, hello, once.get()))
+        Ok((socket, hello, single_call.get()))
     }
 
     /// Runs a link until it ends. One for a single call is not used for calls from here.
-    async fn run(&self, socket: Socket, hello: Hello, once: bool) {
+    async fn run_link(&self, socket: Socket, hello: Hello, single_call: bool) {
         if self.closed.get() {
             return;
         }
         let name = hello.name.clone();
         let (link, frames) = Link::new(hello, self.local.queue_capacity);
-        if !once && let Some(old) = self.links.borrow_mut().insert(name.clone(), link.clone()) {
+        if !single_call
+            && let Some(old) = self.links.borrow_mut().insert(name.clone(), link.clone())
+        {
             old.fail_pending();
         }
         let (mut sink, mut stream) = socket.split();
         tokio::select! {
             () = self.write_all(&mut sink, frames) => {}
             ended = self.read_all(&mut stream, &link) => if ended == LinkEnd::Malformed {
-                self.refused(Code::BadRequest);
+                self.report_refusal(Code::BadRequest);
             },
         }
         link.fail_pending();
@@ -374,12 +378,12 @@
             if !link::write_frame(sink, bytes).await {
                 return;
             }
-            count(&self.sent, size);
+            count_frame(&self.sent, size);
         }
     }
 
     async fn read_all(&self, stream: &mut SplitStream<Socket>, link: &Link) -> LinkEnd {
-        let serving = Arc::new(Semaphore::new(MAX_SERVING));
+        let serving = Arc::new(Semaphore::new(MAX_PEER_CALLS));
         loop {
             let (frame, size) = match link::read_frame(stream).await {
                 Ok(read) => read,
@@ -388,37 +392,37 @@
             if self.closed.get() {
                 return LinkEnd::Gone;
             }
-            count(&self.received, size);
+            count_frame(&self.received, size);
             match frame {
                 Frame::Hello(_) => return LinkEnd::Malformed,
                 Frame::Digest(summary) => {
-                    let observer = self.observer.borrow().clone();
+                    let observer = self.summary_observer.borrow().clone();
                     if let Some(observer) = observer {
                         observer(&link.hello, summary);
                     }
                 }
                 Frame::Reply { id, body } => link.complete_call(id, body),
-                Frame::Call { id, body } => self.answer(link, &serving, id, body),
+                Frame::Call { id, body } => self.handle_call(link, &serving, id, body),
             }
         }
     }
 
-    /// Carries out a call in a task of its own; refuses it at once at the bound.
-    fn answer(&self, link: &Link, serving: &Arc<Semaphore>, id: u64, body: Call) {
-        let Ok(turn) = Arc::clone(serving).try_acquire_owned() else {
-            reply(link, id, Reply::Refused("busy".into()));
+    /// Carries out a call in a task of its own; refuses it at single_call at the bound.
+    fn handle_call(&self, link: &Link, serving: &Arc<Semaphore>, id: u64, body: Call) {
+        let Ok(permit) = Arc::clone(serving).try_acquire_owned() else {
+            send_reply(link, id, Reply::Refused("busy".into()));
             return;
         };
-        let handler = self.handler.borrow().clone();
+        let handler = self.call_handler.borrow().clone();
         let Some(handler) = handler else {
-            reply(link, id, Reply::Refused("starting".into()));
+            send_reply(link, id, Reply::Refused("starting".into()));
             return;
         };
         let answer = handler(link.hello.name.clone(), body);
         let link = link.clone();
         actix_rt::spawn(async move {
-            reply(&link, id, answer.await);
-            drop(turn);
+            send_reply(&link, id, answer.await);
+            drop(permit);
         });
     }
 
@@ -433,7 +437,7 @@
 }
 
 /// Sends a reply. One that does not fit is lost, and the caller's call times out.
-fn reply(link: &Link, id: u64, body: Reply) {
+fn send_reply(link: &Link, id: u64, body: Reply) {
     if let Err(e) = link.send(&Frame::Reply { id, body }) {
         log::warn!("reply to {} not sent: {e}", link.hello.name);
     }
--- a/crates/pinereel/src/peer/mod.rs
+++ b/crates/pinereel/src/peer/mod.rs
@@ -9,4 +9,4 @@
 mod mesh;
 
 pub use link::{Call, Error, HEARTBEAT_TIMEOUT};
-pub use mesh::{Handler, LocalEntry, Mesh, Observer, Peer};
+pub use mesh::{CallHandler, LocalEntry, Mesh, Peer, SummaryObserver};
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -37,7 +37,7 @@
                 }
             })
         };
-    mesh.serve(Rc::new(handler), Rc::new(|_, _| {}));
+    mesh.set_handlers(Rc::new(handler), Rc::new(|_, _| {}));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string().into();
     mesh.listen(listener);
@@ -46,7 +46,7 @@
 
 async fn linked(mesh: &Mesh, name: &str) -> bool {
     let wait = async {
-        while !mesh.has(name) {
+        while !mesh.is_linked(name) {
             sleep(STEP).await;
         }
     };
@@ -64,8 +64,8 @@
 async fn calls_are_answered_in_both_directions_over_one_link() {
     let (a, a_address) = mesh("a", "secret", Some(Reply::Done)).await;
     let (b, b_address) = mesh("b", "secret", Some(Reply::Granted)).await;
-    a.want([peer("b", &b_address)]);
-    b.want([peer("a", &a_address)]);
+    a.set_peers([peer("b", &b_address)]);
+    b.set_peers([peer("a", &a_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
     assert_eq!(a.call("b", Call::Fetch, WAIT).await, Ok(Reply::Granted));
     assert_eq!(b.call("a", Call::Fetch, WAIT).await, Ok(Reply::Done));
@@ -76,16 +76,16 @@
 async fn wrong_secret_gets_no_link() {
     let (a, _) = mesh("a", "secret", None).await;
     let (b, b_address) = mesh("b", "other", None).await;
-    a.want([peer("b", &b_address)]);
+    a.set_peers([peer("b", &b_address)]);
     sleep(Duration::from_millis(700)).await;
-    assert!(!a.has("b") && !b.has("a"));
+    assert!(!a.is_linked("b") && !b.is_linked("a"));
 }
 
 #[actix_rt::test]
 async fn call_without_a_reply_times_out_and_a_frame_too_large_is_not_sent() {
     let (a, _) = mesh("a", "secret", None).await;
     let (_b, b_address) = mesh("b", "secret", None).await;
-    a.want([peer("b", &b_address)]);
+    a.set_peers([peer("b", &b_address)]);
     assert!(linked(&a, "b").await);
     let short = Duration::from_millis(50);
     assert_eq!(a.call("b", Call::Fetch, short).await, Err(Error::Timeout));
@@ -94,14 +94,17 @@
         leaves: Default::default(),
     };
     assert_eq!(a.call("b", large, short).await, Err(Error::TooLarge));
-    assert!(a.has("b"), "an unsendable frame must not cost the link");
+    assert!(
+        a.is_linked("b"),
+        "an unsendable frame must not cost the link"
+    );
 }
 
 #[actix_rt::test]
 async fn closing_one_end_fails_waiting_calls_at_the_other() {
     let (a, _) = mesh("a", "secret", None).await;
     let (b, b_address) = mesh("b", "secret", None).await;
-    a.want([peer("b", &b_address)]);
+    a.set_peers([peer("b", &b_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
     let call = a.call("b", Call::Fetch, WAIT);
     let close = async {
@@ -120,7 +123,10 @@
         a.call_once(&at, Call::Fetch, WAIT).await,
         Ok(Reply::Granted)
     );
-    assert!(!a.has("b") && !b.has("a"), "it must not become a link");
+    assert!(
+        !a.is_linked("b") && !b.is_linked("a"),
+        "it must not become a link"
+    );
     let wrong = peer("c", &b_address);
     let result = a.call_once(&wrong, Call::Fetch, WAIT).await;
     assert_eq!(
--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -89,7 +89,7 @@
 
     /// Bytes of frames sent by all entries.
     fn sent(&self) -> u64 {
-        self.all.iter().map(|e| e.shared.mesh.bytes().0).sum()
+        self.all.iter().map(|e| e.shared.mesh.byte_counts().0).sum()
     }
 
     /// Calls by purpose and kind since the start.
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -201,7 +201,7 @@
         let ready = || {
             self.entries.iter().all(|entry| {
                 let shared = &entry.shared;
-                let links = shared.mesh.linked().len() + 1;
+                let links = shared.mesh.linked_peers().len() + 1;
                 let linked = links >= count || (count > MAX_FULL_MESH_SIZE && links > 1);
                 let met = shared.members.view().members().len() >= count;
                 let endpoints = shared.endpoints.list.endpoints().len();
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -222,7 +222,10 @@
             .collect();
         let bytes = spent.iter().map(|s| s.0).max().unwrap() / IDLE.as_secs();
         let calls: u64 = spent.iter().map(|s| s.1).sum();
-        let links = site.entries.iter().map(|e| e.shared.mesh.linked().len());
+        let links = site
+            .entries
+            .iter()
+            .map(|e| e.shared.mesh.linked_peers().len());
         println!(
             "{count} idle entries: at most {} links and {bytes} bytes a second sent and received; \
              config and members: {:.1} calls a second together",
@@ -236,7 +239,7 @@
 
 /// Bytes on links, and calls for configuration and membership.
 fn costs(entry: &pinereel::entry::Entry) -> (u64, u64) {
-    let (sent, received) = entry.shared.mesh.bytes();
+    let (sent, received) = entry.shared.mesh.byte_counts();
     let calls = entry.shared.objects.calls();
     let own = calls
         .iter()
@@ -249,7 +252,7 @@
 async fn patch_reaches_entries_without_a_link_by_relays() {
     let site = site(20).await;
     let proposer = &site.entries[0];
-    assert!(proposer.shared.mesh.linked().len() < 19);
+    assert!(proposer.shared.mesh.linked_peers().len() < 19);
     let answer = patch(proposer, 1, "far", bound(3)).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
     until(|| in_force(&site, 2)).await.unwrap();
--- a/crates/pinereel_fakes/tests/input_peers.rs
+++ b/crates/pinereel_fakes/tests/input_peers.rs
@@ -80,7 +80,7 @@
     401
     ");
     insta::assert_snapshot!(refusals(&site, 2).await, @r#"pinereel_refused_total{code="unauthorized"} 2"#);
-    assert!(site.entries[0].shared.mesh.linked().is_empty());
+    assert!(site.entries[0].shared.mesh.linked_peers().is_empty());
     undisturbed(&site).await;
 }
 
@@ -96,7 +96,7 @@
     closed_after(&site, vec![good(), Message::Text("slot".into())]).await;
     closed_after(&site, vec![good(), wrong(&vec![0; MAX_FRAME + 1])]).await;
     closed_after(&site, vec![good(), good()]).await;
-    assert!(site.entries[0].shared.mesh.linked().is_empty());
+    assert!(site.entries[0].shared.mesh.linked_peers().is_empty());
     insta::assert_snapshot!(refusals(&site, 6).await, @r#"pinereel_refused_total{code="bad_request"} 6"#);
     undisturbed(&site).await;
 }
