--- a/crates/pinereel/src/peer/link.rs
+++ b/crates/pinereel/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One link: a reader and a writer over a websocket, with calls matched to their replies.
+//! One link to a peer: sends and receives frames over a websocket and matches replies to calls.
 
 use futures_util::{Sink, SinkExt as _, Stream, StreamExt as _};
 use pinereel_api::wire::{self, Frame, Hello, MAX_FRAME, PROTOCOL, Reply};
@@ -18,53 +18,54 @@
     tungstenite::{Error as SocketError, Message, protocol::WebSocketConfig},
 };
 
-/// A link without a frame for so long is closed.
+/// Maximum time without a frame from the peer; then the link is closed.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest wait for one frame to leave; a peer that does not read loses its link.
+/// Maximum time to send one frame; the link to a peer that does not read is closed.
 const SEND_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What one entry asks of another.
+/// Call from one entry to another.
 pub type Call = wire::Call;
 
-/// A websocket between entries.
+/// Websocket between two entries.
 pub(super) type Socket = WebSocketStream<TcpStream>;
 
-/// Why a call got no reply.
+/// Why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// There is no link to that entry: nothing was sent.
     #[error("no link")]
     NoLink,
-    /// The link's send_queue is at its capacity: nothing was sent.
+    /// The link's send queue is full: nothing was sent.
     #[error("queue full")]
     QueueFull,
-    /// The call does not fit a frame: nothing was sent.
+    /// The call is larger than a frame may be: nothing was sent.
     #[error("call too large")]
     TooLarge,
-    /// No reply in time: it may have been carried out.
+    /// No reply in time: the call may have been executed.
     #[error("timeout")]
     Timeout,
-    /// The link closed before the reply: it may have been carried out.
+    /// The link closed before the reply: the call may have been executed.
     #[error("link closed")]
     Closed,
 }
 
-/// The sending half of a link.
+/// Sending half of a link. Clones share the send queue and the pending calls.
 #[derive(Clone)]
 pub(super) struct Link {
-    /// Who is at the other end.
+    /// The peer's `Hello`.
     pub hello: Hello,
-    /// Encoded frames to send.
+    /// Encoded frames to be sent.
     send_queue: mpsc::Sender<Vec<u8>>,
-    /// Calls that wait for a reply.
+    /// Calls without a reply, by call id.
     pending: Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>,
     /// Id of the next call.
     next_call_id: Rc<Cell<u64>>,
 }
 
 impl Link {
-    /// A link to `hello`'s sender, and the frames that it queues.
+    /// Creates a link to the sender of `hello`, and the receiver of its send queue, which holds at
+    /// most `capacity` frames.
     pub fn new(hello: Hello, capacity: usize) -> (Self, mpsc::Receiver<Vec<u8>>) {
         let (send_queue, frames) = mpsc::channel(capacity);
         let link = Self {
@@ -76,7 +77,7 @@
         (link, frames)
     }
 
-    /// Queues a frame.
+    /// Appends a frame to the send queue.
     pub fn send(&self, frame: &Frame) -> Result<(), Error> {
         let bytes = frame.encode().map_err(|e| {
             log::error!("frame to {} not sent: {e}", self.hello.name);
@@ -93,7 +94,7 @@
         self.next_call_id.set(id + 1);
         let (sender, reply) = oneshot::channel();
         self.pending.borrow_mut().insert(id, sender);
-        // Also removes the entry when the caller gives up and drops this future.
+        // Also removes the pending call if the caller drops this future.
         let _guard = PendingGuard { link: self, id };
         self.send(&Frame::Call { id, body })?;
         match timeout(wait, reply).await {
@@ -103,25 +104,25 @@
         }
     }
 
-    /// Hands a reply to the call that waits for it; a late one is dropped.
+    /// Delivers a reply to its pending call; a late reply is dropped.
     pub fn complete_call(&self, id: u64, body: Reply) {
         if let Some(waiting) = self.pending.borrow_mut().remove(&id) {
             let _ = waiting.send(body);
         }
     }
 
-    /// Fails all waiting calls.
+    /// Fails all pending calls with [`Error::Closed`].
     pub fn fail_pending(&self) {
         self.pending.borrow_mut().clear();
     }
 
-    /// Whether both are the same link.
+    /// Whether both are clones of the same link.
     pub fn is_same(&self, other: &Self) -> bool {
         Rc::ptr_eq(&self.pending, &other.pending)
     }
 }
 
-/// Removes a call from the waiting ones when it ends.
+/// Removes a call from the pending ones when it ends.
 struct PendingGuard<'a> {
     link: &'a Link,
     id: u64,
@@ -133,32 +134,32 @@
     }
 }
 
-/// Bounds of a websocket between entries.
+/// Size limits of a websocket between entries.
 pub(super) fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(MAX_FRAME))
         .max_frame_size(Some(MAX_FRAME))
 }
 
-/// Sends one encoded frame; false if the link is to be closed.
+/// Sends one encoded frame; returns false if the link must be closed.
 pub(super) async fn write_frame(socket: &mut (impl Sink<Message> + Unpin), bytes: Vec<u8>) -> bool {
     let sent = timeout(SEND_TIMEOUT, socket.send(Message::Binary(bytes.into()))).await;
     matches!(sent, Ok(Ok(())))
 }
 
-/// Why no further frame comes over a link.
+/// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkEnd {
-    /// It is silent or closed.
+    /// The peer closed it, or sent no frame within [`HEARTBEAT_TIMEOUT`].
     Gone,
-    /// What came breaks the protocol.
+    /// The peer violated the protocol.
     Malformed,
 }
 
 /// Reads one frame.
 ///
 /// # Errors
-/// The link is to be closed.
+/// The link must be closed.
 pub(super) async fn read_frame(
     socket: &mut (impl Stream<Item = Result<Message, SocketError>> + Unpin),
 ) -> Result<(Frame, usize), LinkEnd> {
@@ -178,13 +179,16 @@
             }
             Message::Text(_) => return Err(LinkEnd::Malformed),
             Message::Close(_) => return Err(LinkEnd::Gone),
-            // Pings and pongs are the library's affair.
+            // The library handles pings and pongs.
             _ => {}
         }
     }
 }
 
-/// Exchanges `Hello`s on a new socket.
+/// Sends the own `Hello` on a new socket and receives the peer's.
+///
+/// # Errors
+/// The link must be closed; also if the peer has another protocol version.
 pub(super) async fn exchange_hello(socket: &mut Socket, own: Hello) -> Result<Hello, LinkEnd> {
     let bytes = Frame::Hello(own).encode().map_err(|_| LinkEnd::Gone)?;
     if !write_frame(socket, bytes).await {
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -1,4 +1,4 @@
-//! All links of one entry.
+//! All links of one entry: opens and accepts them, and dispatches calls and summaries.
 
 use super::link::{self, Call, Error, Link, LinkEnd, Socket};
 use crate::settings::Secret;
@@ -36,50 +36,50 @@
     },
 };
 
-/// Longest wait for a link to open.
+/// Maximum time to open or accept a link, handshakes included.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between attempts to open a link.
+/// Delay before the next attempt to open a link, or to accept one after an error.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Path of a lasting link.
+/// Path of a persistent link.
 const LINK_PATH: &str = "/peer";
-/// Path of a connection for one call.
+/// Path of a connection for a single call.
 const SINGLE_CALL_PATH: &str = "/call";
-/// Most connections that are accepted and not links yet; further ones are closed at single_call.
+/// Maximum number of accepted connections in their handshakes; further ones are closed immediately.
 const MAX_HANDSHAKES: usize = 256;
-/// Most calls from one peer that are carried out at single_call; further frames wait in the socket.
+/// Maximum number of calls from one peer that are executed concurrently; further ones are refused.
 const MAX_PEER_CALLS: usize = 256;
 
-/// Who this entry is towards its peers.
+/// This entry, as it identifies itself to its peers.
 #[derive(Clone, Debug)]
 pub struct LocalEntry {
-    /// Its name.
+    /// Name of this entry.
     pub name: CompactString,
-    /// Changes with each start.
+    /// Changes with each start of the process.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of this entry.
     pub zone: CompactString,
     /// The secret shared by all entries.
     pub secret: Secret,
-    /// Most frames that wait for one peer.
+    /// Maximum number of queued frames per peer.
     pub queue_capacity: usize,
 }
 
-/// An entry to keep a link to.
+/// Another entry to which a link is kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the entry.
     pub name: CompactString,
     /// `IP:PORT` of its peer listener.
     pub address: CompactString,
 }
 
-/// Carries out a peer's call.
+/// Executes a call from the peer of the given name.
 pub type CallHandler = Rc<dyn Fn(CompactString, Call) -> LocalBoxFuture<'static, Reply>>;
 
-/// Hears a peer's summary.
+/// Receives the summaries of all peers.
 pub type SummaryObserver = Rc<dyn Fn(&Hello, Summary)>;
 
-/// What went one way over all links.
+/// Traffic over all links in one direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct Traffic {
     bytes: u64,
@@ -94,10 +94,10 @@
     });
 }
 
-/// Hears why a link was refused or closed.
+/// Receives the reason for which a link was refused or closed.
 type RefusalObserver = Rc<dyn Fn(Code)>;
 
-/// The links. Clones share them.
+/// Links of this entry, by the peer's name. Clones share them.
 #[derive(Clone)]
 pub struct Mesh {
     local: Rc<LocalEntry>,
@@ -113,7 +113,7 @@
 }
 
 impl Mesh {
-    /// A mesh without links.
+    /// Creates a mesh without links.
     pub fn new(local: LocalEntry) -> Self {
         Self {
             local: Rc::new(local),
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Sets who carries out calls and who hears summaries.
+    /// Sets the handler of calls and the observer of summaries. Calls are refused before.
     pub fn set_handlers(&self, handler: CallHandler, observer: SummaryObserver) {
         self.call_handler.replace(Some(handler));
         self.summary_observer.replace(Some(observer));
     }
 
-    /// Sets who hears of links that are refused, or closed for what came over them.
+    /// Sets the observer of links that are refused, or closed for a protocol violation.
     pub fn set_refusal_observer(&self, refusal: impl Fn(Code) + 'static) {
         self.refusal_observer.replace(Some(Rc::new(refusal)));
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Accepts links on `listener` until closed.
+    /// Accepts links on `listener` until the mesh is closed.
     pub fn listen(&self, listener: TcpListener) {
         let mesh = self.clone();
         let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
@@ -177,7 +177,7 @@
         });
     }
 
-    /// Says which peers to keep links to. Links to others are left to end by themselves.
+    /// Replaces the peers to which links are kept. Existing links to other entries are not closed.
     pub fn set_peers(&self, peers: impl IntoIterator<Item = Peer>) {
         let own = &self.local.name;
         let peers: BTreeMap<_, _> = peers
@@ -194,23 +194,23 @@
         }
     }
 
-    /// Names of the peers with a link.
+    /// Names of the peers with an open link.
     pub fn linked_peers(&self) -> Vec<CompactString> {
         self.links.borrow().keys().cloned().collect()
     }
 
-    /// Whether there is a link to `name`.
+    /// Whether there is an open link to the entry `name`.
     pub fn is_linked(&self, name: &str) -> bool {
         self.links.borrow().contains_key(name)
     }
 
-    /// Calls a peer.
+    /// Sends a call over the link to the entry `name` and waits for the reply.
     pub async fn call(&self, name: &str, body: Call, wait: Duration) -> Result<Reply, Error> {
         let link = self.links.borrow().get(name).cloned();
         link.ok_or(Error::NoLink)?.call(body, wait).await
     }
 
-    /// Calls an entry without a link, over a connection for this call alone.
+    /// Sends a call over a new connection that is used for this call only, without a link.
     pub async fn call_once(&self, peer: &Peer, body: Call, wait: Duration) -> Result<Reply, Error> {
         if self.closed.get() {
             return Err(Error::NoLink);
@@ -234,10 +234,10 @@
         timeout(wait, call).await.unwrap_or(Err(Error::Timeout))
     }
 
-    /// Tells each linked peer its own summary.
+    /// Sends each linked peer the summary that `summary` builds for it.
     pub fn send_summaries(&self, summary: impl Fn(&Hello) -> Summary) {
         for link in self.links.borrow().values() {
-            // A full queue means the peer hears the next one.
+            // If the send queue is full, the peer gets the next summary instead.
             let _ = link.send(&Frame::Digest(summary(&link.hello)));
         }
     }
@@ -262,7 +262,7 @@
         self.links.borrow_mut().clear();
     }
 
-    /// Keeps a link to `name` as long as it is peers.
+    /// Opens a link to `name`, again after each end, until `name` is no longer among the peers.
     async fn keep_linked(self, name: CompactString) {
         loop {
             let Some(address) = self.peers.borrow().get(&name).cloned() else {
@@ -295,12 +295,12 @@
         Some((socket, hello))
     }
 
-    /// Takes a connection; also tells whether it is for one call alone.
+    /// Accepts a connection; the last value says whether it is for a single call.
     ///
     /// # Errors
-    /// It is refused, with the code for the counter.
+    /// The connection is refused; the code is counted.
     async fn accept(&self, stream: TcpStream) -> Result<(Socket, Hello, bool), Code> {
-        // Without it frames are only later.
+        // An error here only delays frames.
         let _ = stream.set_nodelay(true);
         let unauthorized = Rc::new(Cell::new(false));
         let rejected = Rc::clone(&unauthorized);
@@ -308,7 +308,7 @@
         let seen_single_call = Rc::clone(&single_call);
         let secret = self.local.secret.clone();
         let config = Some(link::socket_config());
-        // The error's size is the library's choice.
+        // The library defines the error type, and thus its size.
         #[allow(clippy::result_large_err)]
         let check =
             move |request: &Request, response: Response| -> Result<Response, ErrorResponse> {
@@ -339,7 +339,7 @@
         Ok((socket, hello, single_call.get()))
     }
 
-    /// Runs a link until it ends. One for a single call is not used for calls from here.
+    /// Runs a link until it ends. A connection for a single call is not used for calls of this entry.
     async fn run_link(&self, socket: Socket, hello: Hello, single_call: bool) {
         if self.closed.get() {
             return;
@@ -407,7 +407,8 @@
         }
     }
 
-    /// Carries out a call in a task of its own; refuses it at single_call at the bound.
+    /// Executes a call in a task of its own; refuses it immediately if [`MAX_PEER_CALLS`] are
+    /// running.
     fn handle_call(&self, link: &Link, serving: &Arc<Semaphore>, id: u64, body: Call) {
         let Ok(permit) = Arc::clone(serving).try_acquire_owned() else {
             send_reply(link, id, Reply::Refused("busy".into()));
@@ -436,7 +437,7 @@
     }
 }
 
-/// Sends a reply. One that does not fit is lost, and the caller's call times out.
+/// Sends a reply. A reply that does not fit is dropped, and the peer's call times out.
 fn send_reply(link: &Link, id: u64, body: Reply) {
     if let Err(e) = link.send(&Frame::Reply { id, body }) {
         log::warn!("reply to {} not sent: {e}", link.hello.name);
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! Peer links: secret, calls, bounds, silence.
+//! Links between entries: shared secret, calls and their errors, single-call connections.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
 const WAIT: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(5);
 
-/// One entry's mesh and its listener's address.
+/// Starts the mesh of one entry that answers every call with `reply`, or never if it is `None`.
 async fn mesh(name: &str, secret: &str, reply: Option<Reply>) -> (Mesh, CompactString) {
     let local = LocalEntry {
         name: name.into(),
