--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -9,7 +9,7 @@
     state::{Shared, spawn},
 };
 use compact_str::CompactString;
-use pinereel_api::object::{Instance, Presence};
+use pinereel_api::object::{Instance, InstanceState};
 use pinereel_core::{
     Time, Version,
     config::PoolKind,
@@ -293,7 +293,7 @@
         zone: instance.zone,
         pool: instance.pool,
         slots,
-        leaving: instance.state == Presence::Leaving,
+        leaving: instance.state == InstanceState::Leaving,
     }
 }
 
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use futures_util::{StreamExt as _, future, stream};
 use pinereel_api::{
-    object::{Instance, MEMBERS, Presence},
+    object::{Instance, InstanceState, MEMBERS},
     wire::{Call, Hello, Reply},
 };
 use pinereel_core::{
@@ -226,8 +226,8 @@
 pub fn platform(shared: &Shared, entries: &BTreeMap<CompactString, Instance>) {
     let listed = entries.iter().map(|(name, instance)| {
         let state = match instance.state {
-            Presence::Live => PlatformStatus::Live,
-            Presence::Leaving => PlatformStatus::Leaving,
+            InstanceState::Live => PlatformStatus::Live,
+            InstanceState::Leaving => PlatformStatus::Leaving,
         };
         (name.clone(), state)
     });
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -9,7 +9,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_api::{
     engine::{self, Order},
-    object::Presence,
+    object::InstanceState,
 };
 use pinereel_core::{
     config::PoolKind,
@@ -160,7 +160,7 @@
         name: name.clone(),
         zone: instance.zone.clone(),
         outstanding: 0,
-        leaving: instance.state == Presence::Leaving,
+        leaving: instance.state == InstanceState::Leaving,
     });
     events.collect()
 }
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -10,7 +10,7 @@
 use compact_str::CompactString;
 use futures_util::{Stream, StreamExt as _, TryStreamExt as _};
 use pinereel_api::{
-    engine::{Cancel, Chunk, Finish, Order, Request, State},
+    engine::{Cancel, Chunk, FinishReason, Order, Request, State},
     header,
 };
 use pinereel_core::{
@@ -235,8 +235,8 @@
         stamp: stamp(&chunk),
         text: chunk.text,
         finish: chunk.finish.map(|finish| match finish {
-            Finish::Stop | Finish::Length => lot::Finish::Complete,
-            Finish::Cancelled => lot::Finish::Cancelled,
+            FinishReason::Stop | FinishReason::Length => lot::Finish::Complete,
+            FinishReason::Cancelled => lot::Finish::Cancelled,
         }),
     }
 }
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -20,7 +20,7 @@
 use futures_util::{Stream, StreamExt as _, future, stream};
 use pinereel_api::{
     Problem,
-    engine::{Chunk, Finish, Request},
+    engine::{Chunk, FinishReason, Request},
     problem::Code,
 };
 use pinereel_core::{
@@ -323,7 +323,7 @@
                 self.shared.metrics.late_chunks.inc();
                 continue;
             }
-            if chunk.finish == Some(Finish::Cancelled) {
+            if chunk.finish == Some(FinishReason::Cancelled) {
                 return Err(Error::Lost("cancelled by the engine".into()));
             }
             record
--- a/crates/pinereel/src/filters/format.rs
+++ b/crates/pinereel/src/filters/format.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use pinereel_api::{
     Problem,
-    engine::{Chunk, Finish},
+    engine::{Chunk, FinishReason},
 };
 use pinereel_core::{
     Span,
@@ -36,7 +36,7 @@
 struct Choice {
     index: u32,
     text: String,
-    finish_reason: Option<Finish>,
+    finish_reason: Option<FinishReason>,
 }
 
 #[derive(Debug, Serialize)]
@@ -60,7 +60,7 @@
         context: &RequestContext,
         text: String,
         record: &Record,
-        finish: Option<Finish>,
+        finish: Option<FinishReason>,
     ) -> Self {
         Self {
             id: context.id.clone(),
@@ -104,7 +104,7 @@
     sse_event(&serde_json::json!({ "error": problem })).into()
 }
 
-fn completion_choice(text: String, finish_reason: Option<Finish>) -> Choice {
+fn completion_choice(text: String, finish_reason: Option<FinishReason>) -> Choice {
     Choice {
         index: 0,
         text,
--- a/crates/pinereel_api/src/engine.rs
+++ b/crates/pinereel_api/src/engine.rs
@@ -77,13 +77,13 @@
     pub reused: Vec<Span>,
     /// On the last chunk: why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub finish: Option<Finish>,
+    pub finish: Option<FinishReason>,
 }
 
 /// Why a completion ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Finish {
+pub enum FinishReason {
     /// The model ended it.
     Stop,
     /// `max_tokens` was reached.
--- a/crates/pinereel_api/src/object.rs
+++ b/crates/pinereel_api/src/object.rs
@@ -99,13 +99,13 @@
     /// The pool it belongs to; `entry` for the system's own instances.
     pub pool: CompactString,
     /// Whether it is leaving.
-    pub state: Presence,
+    pub state: InstanceState,
 }
 
 /// Live or leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Presence {
+pub enum InstanceState {
     /// In service.
     Live,
     /// About to stop: no new work.
--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -7,7 +7,7 @@
 };
 use compact_str::{CompactString, format_compact};
 use pinereel_api::{
-    object::{Instance, Object, Presence},
+    object::{Instance, InstanceState, Object},
     wire::{Call, Echo, Frame, Summary},
 };
 use pinereel_core::{
@@ -304,7 +304,7 @@
             address: "10.20.30.40:8000".into(),
             zone: "toledo-hall".into(),
             pool: "draft-llm".into(),
-            state: Presence::Live,
+            state: InstanceState::Live,
         })
         .unwrap_or_default(),
     };
--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -8,7 +8,7 @@
 use crate::site::{self, until};
 use compact_str::format_compact;
 use pinereel::{entry::Entry, settings::Settings};
-use pinereel_api::object::{Instance, Presence};
+use pinereel_api::object::{Instance, InstanceState};
 use serde::{Deserialize, Serialize};
 use std::{
     fs, io,
@@ -124,7 +124,7 @@
         address: format_compact!("{}", entry.callers.address),
         zone: zone(i, ZONES),
         pool: "entry".into(),
-        state: Presence::Live,
+        state: InstanceState::Live,
     };
     let url = format!("http://{}/instances/{}", platform.api, entry.shared.name());
     let sent = awc::Client::default().post(url).send_json(&instance).await;
--- a/crates/pinereel_fakes/src/capacity/platform.rs
+++ b/crates/pinereel_fakes/src/capacity/platform.rs
@@ -6,7 +6,7 @@
     object_api, service, site,
 };
 use compact_str::{CompactString, format_compact};
-use pinereel_api::object::{Instance, Presence};
+use pinereel_api::object::{Instance, InstanceState};
 use pinereel_core::config::Document;
 use std::{
     io,
@@ -171,7 +171,7 @@
         address: format_compact!("{address}"),
         zone: zone(i, options.zones),
         pool: pool.into(),
-        state: Presence::Live,
+        state: InstanceState::Live,
     };
     api.put_instance(&format!("{pool}-{i}"), instance);
 }
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -9,7 +9,7 @@
 use compact_str::{CompactString, format_compact};
 use pinereel_api::{
     engine,
-    object::{Instance, Presence},
+    object::{Instance, InstanceState},
 };
 use pinereel_core::config::Document;
 use serde::{Serialize, de::DeserializeOwned};
@@ -156,7 +156,8 @@
     async fn start_endpoints(&mut self) -> io::Result<()> {
         for index in 0..self.options.engines.1 {
             let engine = self.start_engine(index)?;
-            self.list_engine(index, &engine, Presence::Live).await?;
+            self.list_engine(index, &engine, InstanceState::Live)
+                .await?;
             self.engines.push(engine);
         }
         for index in 0..self.options.services.1 {
@@ -164,7 +165,7 @@
             let flags = ["service", "--max-seconds", MAX_SECONDS];
             let service = process(&self.options.program, &name, &flags)?;
             let pool = self.options.services.0.clone();
-            let instance = self.instance(index, &pool, service.address, 1, Presence::Live);
+            let instance = self.instance(index, &pool, service.address, 1, InstanceState::Live);
             self.put_instance(&name, &instance).await?;
             self.services.push(service);
         }
@@ -190,7 +191,7 @@
         &self,
         index: usize,
         engine: &Process,
-        state: Presence,
+        state: InstanceState,
     ) -> io::Result<()> {
         let pool = self.options.engines.0.clone();
         // The platform and the engine name one incarnation alike.
@@ -210,7 +211,7 @@
         pool: &CompactString,
         address: SocketAddr,
         incarnation: u64,
-        state: Presence,
+        state: InstanceState,
     ) -> Instance {
         Instance {
             incarnation,
--- a/crates/pinereel_fakes/src/engine/batch.rs
+++ b/crates/pinereel_fakes/src/engine/batch.rs
@@ -12,7 +12,7 @@
     sequence::Sequence,
 };
 use compact_str::CompactString;
-use pinereel_api::engine::{Chunk, Finish, Request};
+use pinereel_api::engine::{Chunk, FinishReason, Request};
 use pinereel_core::{Span, Time, Version, hash::Digest};
 use std::{
     cmp::Reverse,
@@ -172,7 +172,7 @@
         let Some(mut sequence) = sequence.or_else(|| self.running.remove(&key)) else {
             return false;
         };
-        self.flush(&mut sequence, Some(Finish::Cancelled));
+        self.flush(&mut sequence, Some(FinishReason::Cancelled));
         true
     }
 
@@ -407,13 +407,13 @@
 
     /// Half-loaded weights compute nothing: what runs or waits is cancelled.
     fn lose_weights(&mut self) {
-        self.flush_all(Some(Finish::Cancelled));
+        self.flush_all(Some(FinishReason::Cancelled));
         self.running.clear();
         self.waiting.clear();
         self.version = None;
     }
 
-    fn flush_all(&mut self, finish: Option<Finish>) {
+    fn flush_all(&mut self, finish: Option<FinishReason>) {
         let mut running = std::mem::take(&mut self.running);
         let mut waiting = std::mem::take(&mut self.waiting);
         for sequence in running.values_mut().chain(waiting.values_mut()) {
@@ -424,7 +424,7 @@
     }
 
     /// Hands out what a sequence gathered, with its stamp.
-    fn flush(&mut self, sequence: &mut Sequence, finish: Option<Finish>) {
+    fn flush(&mut self, sequence: &mut Sequence, finish: Option<FinishReason>) {
         if sequence.pending_tokens == 0 && finish.is_none() {
             return;
         }
--- a/crates/pinereel_fakes/src/engine/model.rs
+++ b/crates/pinereel_fakes/src/engine/model.rs
@@ -1,6 +1,6 @@
 //! What goes into the batching model and what it keeps on record.
 
-use pinereel_api::engine::Finish;
+use pinereel_api::engine::FinishReason;
 use pinereel_core::{Span, Version};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -75,5 +75,5 @@
     /// Output tokens handed out.
     pub tokens: u32,
     /// How it ended, if it did.
-    pub finished: Option<Finish>,
+    pub finished: Option<FinishReason>,
 }
--- a/crates/pinereel_fakes/src/engine/sequence.rs
+++ b/crates/pinereel_fakes/src/engine/sequence.rs
@@ -1,7 +1,7 @@
 //! One request on its way through the batching model.
 
 use super::{cache, text};
-use pinereel_api::engine::{Finish, Request};
+use pinereel_api::engine::{FinishReason, Request};
 use pinereel_core::{Span, Version};
 
 /// One request on its way.
@@ -48,11 +48,11 @@
         self.done += 1;
     }
 
-    pub(super) fn finish(&self) -> Finish {
+    pub(super) fn finish(&self) -> FinishReason {
         if text::natural_length(&self.request.prompt, self.request.seed) > self.length {
-            Finish::Length
+            FinishReason::Length
         } else {
-            Finish::Stop
+            FinishReason::Stop
         }
     }
 
--- a/crates/pinereel_fakes/src/experiment/live.rs
+++ b/crates/pinereel_fakes/src/experiment/live.rs
@@ -187,7 +187,7 @@
     /// A chunk of a live request arrives at its entry.
     pub(super) fn live_chunk(&mut self, number: u64, attempt: u32, chunk: &engine::Chunk) {
         let Some(finish) = chunk.finish else { return };
-        if finish == engine::Finish::Cancelled {
+        if finish == engine::FinishReason::Cancelled {
             self.live_broken(number, attempt, AttemptEnd::Failed);
             return;
         }
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -6,7 +6,7 @@
 };
 use compact_str::{CompactString, format_compact};
 use pinereel::{entry::Entry, settings::Settings};
-use pinereel_api::object::{CONFIG, CONFIG_NAME, Instance, Presence};
+use pinereel_api::object::{CONFIG, CONFIG_NAME, Instance, InstanceState};
 use pinereel_core::{config::Document, member::MAX_FULL_MESH_SIZE};
 use std::{
     fs, io,
@@ -251,7 +251,7 @@
         address: address.into(),
         zone: zone(options, index),
         pool: pool.clone(),
-        state: Presence::Live,
+        state: InstanceState::Live,
     }
 }
 
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -173,7 +173,7 @@
         address: handle.address.to_string().into(),
         zone: "toledo-hall".into(),
         pool: "orders-app".into(),
-        state: object::Presence::Live,
+        state: object::InstanceState::Live,
     };
     site.api.put_instance("orders-app-0", instance);
     site.services[0].handle = handle;
--- a/crates/pinereel_fakes/tests/engine_batch.rs
+++ b/crates/pinereel_fakes/tests/engine_batch.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use compact_str::format_compact;
-use pinereel_api::engine::{Chunk, Finish, Request};
+use pinereel_api::engine::{Chunk, FinishReason, Request};
 use pinereel_core::{Span, Time, Version};
 use pinereel_fakes::engine::{
     batch::{Engine, Options, Refusal},
@@ -210,7 +210,7 @@
         .unwrap();
     engine.load(Time::from_millis(1_000), Version(2));
     let chunks = drain(&mut engine);
-    assert_eq!(chunks[0].finish, Some(Finish::Cancelled));
+    assert_eq!(chunks[0].finish, Some(FinishReason::Cancelled));
     assert_eq!(
         (engine.version(), engine.failed()),
         (None, Some("failed partway"))
--- a/crates/pinereel_fakes/tests/engine_server.rs
+++ b/crates/pinereel_fakes/tests/engine_server.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used)]
 
 use awc::{Client, http::StatusCode};
-use pinereel_api::engine::{Cancel, Chunk, Finish, Order, Request, State};
+use pinereel_api::engine::{Cancel, Chunk, FinishReason, Order, Request, State};
 use pinereel_core::Version;
 use pinereel_fakes::engine::{
     batch,
@@ -121,11 +121,14 @@
     let chunks = chunks(&body);
     let sizes: Vec<_> = chunks.iter().map(|c| (c.offset, c.tokens)).collect();
     assert_eq!(sizes, [(0, 8), (8, 8), (16, 4)]);
-    assert_eq!(chunks[2].finish, Some(Finish::Length));
+    assert_eq!(chunks[2].finish, Some(FinishReason::Length));
     let whole: String = chunks.iter().map(|c| c.text.as_str()).collect();
     assert_eq!(text::check(PROMPT, 20, &whole), Ok(()));
     let record = &engine.record()["a"];
-    assert_eq!((record.tokens, record.finished), (20, Some(Finish::Length)));
+    assert_eq!(
+        (record.tokens, record.finished),
+        (20, Some(FinishReason::Length))
+    );
     engine.stop();
 }
 
@@ -212,7 +215,7 @@
     );
     let body = answer.body().await.unwrap();
     let chunks = chunks(std::str::from_utf8(&body).unwrap());
-    assert_eq!(chunks.last().unwrap().finish, Some(Finish::Cancelled));
+    assert_eq!(chunks.last().unwrap().finish, Some(FinishReason::Cancelled));
     engine.stop();
 }
 
@@ -237,7 +240,7 @@
             break finished;
         }
     };
-    assert_eq!(finished, Finish::Cancelled);
+    assert_eq!(finished, FinishReason::Cancelled);
     engine.stop();
 }
 
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used)]
 
 use pinereel::controllers::crashes;
-use pinereel_api::object::{Instance, Presence};
+use pinereel_api::object::{Instance, InstanceState};
 use pinereel_core::{
     config::Document,
     crash::{Content, EndpointStart, Identity, Involvement, Report, RequestParts},
@@ -51,7 +51,7 @@
                     address: address.to_string().into(),
                     zone: "toledo-hall".into(),
                     pool: POOL.into(),
-                    state: Presence::Live,
+                    state: InstanceState::Live,
                 };
                 site.api.put_instance(&id, instance);
             }
--- a/crates/pinereel_fakes/tests/input_senders.rs
+++ b/crates/pinereel_fakes/tests/input_senders.rs
@@ -5,7 +5,7 @@
 mod input;
 
 use input::{callers, post, refusals, rest, send, site, site_with, summary, undisturbed};
-use pinereel_api::engine::Finish;
+use pinereel_api::engine::FinishReason;
 use pinereel_fakes::site::until;
 use std::time::Duration;
 use tokio::{
@@ -68,7 +68,7 @@
     until(|| record().len() == 1).await.unwrap();
     stream.shutdown().await.unwrap();
     assert_eq!(rest(&mut stream).await, "");
-    let cancelled = |finish| finish == Some(Finish::Cancelled);
+    let cancelled = |finish| finish == Some(FinishReason::Cancelled);
     until(|| record().values().all(|r| cancelled(r.finished)))
         .await
         .unwrap();
--- a/crates/pinereel_fakes/tests/object_api_client.rs
+++ b/crates/pinereel_fakes/tests/object_api_client.rs
@@ -5,7 +5,7 @@
     objects::{Client, Error, Options as Bounds, Purpose},
     state::Clock,
 };
-use pinereel_api::object::{Change, Faults, Instance, Presence};
+use pinereel_api::object::{Change, Faults, Instance, InstanceState};
 use pinereel_fakes::object_api::{Api, Handle, Options, Record};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -68,7 +68,7 @@
         address: "127.0.0.1:9".into(),
         zone: "a".into(),
         pool: "wording".into(),
-        state: Presence::Live,
+        state: InstanceState::Live,
     };
     let told = Http::default().post(url("/instances/w1"));
     assert_eq!(told.send_json(&instance).await.unwrap().status(), 204);
--- a/crates/pinereel_fakes/tests/object_api_faults.rs
+++ b/crates/pinereel_fakes/tests/object_api_faults.rs
@@ -2,7 +2,9 @@
 
 use actix_http::StatusCode;
 use awc::Client;
-use pinereel_api::object::{Changes, Faults, Instance, List, Object, Presence, Write, Written};
+use pinereel_api::object::{
+    Changes, Faults, Instance, InstanceState, List, Object, Write, Written,
+};
 use pinereel_fakes::object_api::{Api, Bucket, Handle, Options};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -240,9 +242,9 @@
                 pool: "p".into(),
                 state,
             };
-            api.put_instance("i", instance(Presence::Live));
+            api.put_instance("i", instance(InstanceState::Live));
             tokio::time::sleep(Duration::from_millis(500)).await;
-            api.put_instance("i", instance(Presence::Leaving));
+            api.put_instance("i", instance(InstanceState::Leaving));
             assert_eq!(api.objects("instances").items, []);
             tokio::time::sleep(Duration::from_millis(501)).await;
             let state = |api: &Handle| api.objects("instances").items[0].value["state"].clone();
--- a/crates/pinereel_fakes/tests/overload_admit.rs
+++ b/crates/pinereel_fakes/tests/overload_admit.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::{join, join_all};
 use overload::{ORDERS, POOL, STALL, Size, attempts, complete, completion, open, queued, site};
-use pinereel_api::engine::Finish;
+use pinereel_api::engine::FinishReason;
 use pinereel_core::route::Priority;
 use pinereel_fakes::{
     engine::{batch, fault::Faults, text},
@@ -95,7 +95,7 @@
     let cancelled = || {
         silent()
             .values()
-            .all(|r| r.finished == Some(Finish::Cancelled))
+            .all(|r| r.finished == Some(FinishReason::Cancelled))
     };
     until(cancelled).await.unwrap();
 }
@@ -218,7 +218,7 @@
         queued(&site, POOL, 0, 0).await;
         let cancelled = || {
             let records = attempts(&site, "gone");
-            let cancelled = |r: &_| matches!(r, Some(Finish::Cancelled));
+            let cancelled = |r: &_| matches!(r, Some(FinishReason::Cancelled));
             records.len() == 2 && records.iter().all(|r| cancelled(&r.finished))
         };
         until(cancelled).await.unwrap();
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -7,8 +7,8 @@
 use futures_util::future::{join, join_all};
 use overload::{POOL, Size, attempts, client, complete, completion, open, queued, site};
 use pinereel_api::{
-    engine::{Chunk, Finish},
-    object::{Instance, Presence},
+    engine::{Chunk, FinishReason},
+    object::{Instance, InstanceState},
 };
 use pinereel_core::Version;
 use pinereel_fakes::{
@@ -250,7 +250,7 @@
         address: endless.address.as_str().into(),
         zone: "toledo-hall".into(),
         pool: "orders-app".into(),
-        state: Presence::Live,
+        state: InstanceState::Live,
     };
     site.api.put_instance("endless", instance);
     until(|| {
@@ -303,7 +303,7 @@
         let records = attempts(&site, "slow");
         records
             .iter()
-            .all(|r| r.finished == Some(Finish::Cancelled))
+            .all(|r| r.finished == Some(FinishReason::Cancelled))
     };
     until(cancelled).await.unwrap();
 }
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -5,7 +5,7 @@
 mod process_support;
 
 use awc::http::StatusCode;
-use pinereel_api::object::Presence;
+use pinereel_api::object::InstanceState;
 use pinereel_core::hash::Digest;
 use pinereel_fakes::{
     cluster::{self, Cluster, until},
@@ -196,7 +196,7 @@
     let engine = &cluster.engines[0];
     let told = Instant::now();
     cluster
-        .list_engine(0, engine, Presence::Leaving)
+        .list_engine(0, engine, InstanceState::Leaving)
         .await
         .unwrap();
     let last = last_new(&cluster, 0, told, LIST_LAG + 2 * SLACK).await;
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -208,8 +208,11 @@
 }
 
 fn ended_whole(record: &batch::Record) -> bool {
-    use pinereel_api::engine::Finish;
-    matches!(record.finished, Some(Finish::Stop | Finish::Length))
+    use pinereel_api::engine::FinishReason;
+    matches!(
+        record.finished,
+        Some(FinishReason::Stop | FinishReason::Length)
+    )
 }
 
 /// Versions of all engines now; none for one that does not answer or has none.
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used)]
 
 use pinereel_api::{
-    object::{Faults, Instance, Presence},
+    object::{Faults, Instance, InstanceState},
     trainer::Publish,
 };
 use pinereel_core::{Version, config::Document};
@@ -96,7 +96,7 @@
             address: first.handle.address.to_string().into(),
             zone: "regina-hall".into(),
             pool: "winder-lm".into(),
-            state: Presence::Live,
+            state: InstanceState::Live,
         },
     );
     until(|| known() == 2).await.unwrap();
