--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -17,7 +17,7 @@
 use awc::ClientResponse;
 use bytes::Bytes;
 use compact_str::CompactString;
-use pinereel_api::object::{Changes, List, MAX_VALUE, Object, Write, Written};
+use pinereel_api::object::{Changes, List, MAX_VALUE_BYTES, Object, Write, Written};
 use pinereel_core::hash;
 use pinereel_port::store::Request;
 use serde::{Serialize, de::DeserializeOwned};
@@ -28,7 +28,7 @@
 };
 
 /// Largest answer that is read, in bytes: a list may hold many values.
-const MAX_ANSWER: usize = 16 * MAX_VALUE;
+const MAX_ANSWER: usize = 16 * MAX_VALUE_BYTES;
 
 /// Longest wait for a turn under the rate limits; longer counts as unavailable.
 const LONGEST_TURN: Duration = Duration::from_secs(2);
--- a/crates/pinereel/src/peer/link.rs
+++ b/crates/pinereel/src/peer/link.rs
@@ -1,7 +1,7 @@
 //! One link to a peer: sends and receives frames over a websocket and matches replies to calls.
 
 use futures_util::{Sink, SinkExt as _, Stream, StreamExt as _};
-use pinereel_api::wire::{self, Frame, Hello, MAX_FRAME, PROTOCOL, Reply};
+use pinereel_api::wire::{self, Frame, Hello, MAX_FRAME_BYTES, PROTOCOL, Reply};
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -137,8 +137,8 @@
 /// Size limits of a websocket between entries.
 pub(super) fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MAX_FRAME))
-        .max_frame_size(Some(MAX_FRAME))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
 /// Sends one encoded frame; returns false if the link must be closed.
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -7,7 +7,7 @@
     peer::{Call, Error, LocalEntry, Mesh, Peer},
     settings::Secret,
 };
-use pinereel_api::wire::{MAX_FRAME, Reply};
+use pinereel_api::wire::{MAX_FRAME_BYTES, Reply};
 use std::{rc::Rc, time::Duration};
 use tokio::{
     net::TcpListener,
@@ -90,7 +90,7 @@
     let short = Duration::from_millis(50);
     assert_eq!(a.call("b", Call::Fetch, short).await, Err(Error::Timeout));
     let large = Call::Abort {
-        write: "x".repeat(MAX_FRAME).into(),
+        write: "x".repeat(MAX_FRAME_BYTES).into(),
         leaves: Default::default(),
     };
     assert_eq!(a.call("b", large, short).await, Err(Error::TooLarge));
--- a/crates/pinereel_api/src/object.rs
+++ b/crates/pinereel_api/src/object.rs
@@ -10,13 +10,13 @@
 //! | delete | `DELETE /objects/{kind}/{name}` with `If-Match: V` | 204, 404, 409 |
 //!
 //! 429 means the rate is exceeded (`Retry-After` in seconds), 503 that the API is down. A value is
-//! any JSON of at most [`MAX_VALUE`] bytes. A waiting watch counts as one call.
+//! any JSON of at most [`MAX_VALUE_BYTES`] bytes. A waiting watch counts as one call.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
 /// Largest value the API stores, in bytes of JSON.
-pub const MAX_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Kind of the platform's own lagging list of instances (read only), values are [`Instance`].
 pub const INSTANCES: &str = "instances";
--- a/crates/pinereel_api/src/wire.rs
+++ b/crates/pinereel_api/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames between the system's own processes: CBOR in binary websocket messages.
 //!
-//! A link starts with a [`Hello`] in each direction. A frame is at most [`MAX_FRAME`] bytes; a
+//! A link starts with a [`Hello`] in each direction. A frame is at most [`MAX_FRAME_BYTES`] bytes; a
 //! larger or malformed one closes the link.
 
 use crate::trainer::{Group, Sample};
@@ -15,7 +15,7 @@
 pub const PROTOCOL: u16 = 1;
 
 /// Largest frame, in bytes of CBOR.
-pub const MAX_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// One message of a peer link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -234,8 +234,8 @@
 /// Why a frame could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Larger than [`MAX_FRAME`].
-    #[error("frame of {0} bytes is larger than {MAX_FRAME}")]
+    /// Larger than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes is larger than {MAX_FRAME_BYTES}")]
     TooLarge(usize),
     /// Not the CBOR of a frame.
     #[error("malformed frame: {0}")]
@@ -247,7 +247,7 @@
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).map_err(|e| Error::Malformed(e.to_string()))?;
-        if bytes.len() > MAX_FRAME {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(Error::TooLarge(bytes.len()));
         }
         Ok(bytes)
@@ -255,7 +255,7 @@
 
     /// Reads a frame from CBOR.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        if bytes.len() > MAX_FRAME {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(Error::TooLarge(bytes.len()));
         }
         ciborium::from_reader(bytes).map_err(|e| Error::Malformed(e.to_string()))
--- a/crates/pinereel_api/tests/wire_frame.rs
+++ b/crates/pinereel_api/tests/wire_frame.rs
@@ -1,6 +1,6 @@
 //! Frames between entries: what was sent is read again, and nothing else is taken for a frame.
 
-use pinereel_api::wire::{Call, Error, Frame, MAX_FRAME, Reply, StoredResponse};
+use pinereel_api::wire::{Call, Error, Frame, MAX_FRAME_BYTES, Reply, StoredResponse};
 use pinereel_core::hash::Digest;
 use proptest::{
     prelude::*,
@@ -67,9 +67,9 @@
 fn a_frame_over_the_bound_is_neither_sent_nor_read() {
     let large = Frame::Reply {
         id: 1,
-        body: Reply::Refused("x".repeat(MAX_FRAME).into()),
+        body: Reply::Refused("x".repeat(MAX_FRAME_BYTES).into()),
     };
     assert!(matches!(large.encode(), Err(Error::TooLarge(_))));
-    let bytes = vec![0; MAX_FRAME + 1];
+    let bytes = vec![0; MAX_FRAME_BYTES + 1];
     assert!(matches!(Frame::decode(&bytes), Err(Error::TooLarge(_))));
 }
--- a/crates/pinereel_fakes/src/object_api/serve.rs
+++ b/crates/pinereel_fakes/src/object_api/serve.rs
@@ -10,7 +10,7 @@
 use pinereel::http::{Request, Response, empty, json, problem, read_json, text};
 use pinereel_api::{
     Problem,
-    object::{Faults, INSTANCES, Instance, MAX_VALUE, Write, Written},
+    object::{Faults, INSTANCES, Instance, MAX_VALUE_BYTES, Write, Written},
     problem::{Code, Ran},
 };
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
@@ -22,8 +22,8 @@
 const MAX_WAIT: Duration = Duration::from_secs(60);
 /// What a client that exceeds the rate is told to wait, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
-/// Bodies are read somewhat beyond [`MAX_VALUE`], so that too large a value gets a whole answer.
-const MAX_BODY: usize = 2 * MAX_VALUE;
+/// Bodies are read somewhat beyond [`MAX_VALUE_BYTES`], so that too large a value gets a whole answer.
+const MAX_BODY: usize = 2 * MAX_VALUE_BYTES;
 
 /// Answers one request.
 pub(super) async fn answer(state: Rc<State>, mut request: Request) -> Response {
@@ -195,7 +195,7 @@
     };
     if value
         .as_ref()
-        .is_some_and(|v| v.to_string().len() > MAX_VALUE)
+        .is_some_and(|v| v.to_string().len() > MAX_VALUE_BYTES)
     {
         return refused(Code::TooLarge, "the value is too large", None);
     }
--- a/crates/pinereel_fakes/tests/input_peers.rs
+++ b/crates/pinereel_fakes/tests/input_peers.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt as _, StreamExt as _};
 use input::{answer, post, refusals, request, rest, send, site, summary, undisturbed};
-use pinereel_api::wire::{Frame, Hello, MAX_FRAME, PROTOCOL};
+use pinereel_api::wire::{Frame, Hello, MAX_FRAME_BYTES, PROTOCOL};
 use pinereel_fakes::site::{SECRET, Site};
 use std::{net::SocketAddr, time::Duration};
 use tokio::{net::TcpStream, time::timeout};
@@ -94,7 +94,7 @@
     closed_after(&site, vec![good(), wrong(b"slot for June")]).await;
     closed_after(&site, vec![Message::Binary(hello(PROTOCOL + 1).into())]).await;
     closed_after(&site, vec![good(), Message::Text("slot".into())]).await;
-    closed_after(&site, vec![good(), wrong(&vec![0; MAX_FRAME + 1])]).await;
+    closed_after(&site, vec![good(), wrong(&vec![0; MAX_FRAME_BYTES + 1])]).await;
     closed_after(&site, vec![good(), good()]).await;
     assert!(site.entries[0].shared.mesh.linked_peers().is_empty());
     insta::assert_snapshot!(refusals(&site, 6).await, @r#"pinereel_refused_total{code="bad_request"} 6"#);
--- a/crates/pinereel_fakes/tests/object_api_faults.rs
+++ b/crates/pinereel_fakes/tests/object_api_faults.rs
@@ -182,7 +182,7 @@
         ..Options::default()
     })
     .await;
-    let large = json!("x".repeat(pinereel_api::object::MAX_VALUE));
+    let large = json!("x".repeat(pinereel_api::object::MAX_VALUE_BYTES));
     let answer = create(&api, "/objects/claims/0", large).await;
     assert_eq!(answer, Some((413, 0)));
     assert_eq!(api.history(None), []);
