--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -164,13 +164,13 @@
     let input = ParticipantEvent::PeerState {
         echoed_at: own.map_or(Time::ZERO, |echo| Time(echo.sent_us)),
         number: summary.number,
-        up_to_date: summary.vouches && own.is_some(),
+        up_to_date: summary.config_confirmed && own.is_some(),
         from: from.name.clone(),
     };
     step(shared, input);
 }
 
-/// The answer to a peer's [`Call::Fetch`].
+/// The answer to a peer's [`Call::FetchConfig`].
 pub fn fetched(shared: &Shared) -> Reply {
     let Some(pin) = shared.config.pin() else {
         return Reply::Refused("starting".into());
@@ -267,7 +267,7 @@
         return;
     }
     spawn(shared, async move |shared| {
-        let reply = members::call(&shared, &from, Call::Fetch, FETCH_TIMEOUT).await;
+        let reply = members::call(&shared, &from, Call::FetchConfig, FETCH_TIMEOUT).await;
         shared.config.fetching.set(false);
         let Some(Reply::Config { number, document }) = reply else {
             return;
--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -12,7 +12,7 @@
     Problem,
     problem::Code,
     trainer::{Collect, Collected},
-    wire::{Ask, Call, Reply},
+    wire::{Call, CollectRequest, Reply},
 };
 use pinereel_core::{
     Version,
@@ -132,7 +132,7 @@
     let mut asks: FuturesUnordered<_> = placed
         .into_iter()
         .map(|(name, groups)| {
-            let ask = Ask {
+            let ask = CollectRequest {
                 lot: id.into(),
                 groups: groups.clone(),
                 token: collect.token.clone(),
@@ -189,7 +189,7 @@
 async fn ask_one(
     shared: &Rc<Shared>,
     name: &CompactString,
-    ask: Ask,
+    ask: CollectRequest,
     wait: Duration,
 ) -> Option<Found> {
     let reply = if name == shared.name() {
--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -2,7 +2,7 @@
 
 use super::carry_out;
 use crate::state::Shared;
-use pinereel_api::wire::{Ask, Assignment, Reply};
+use pinereel_api::wire::{Assignment, CollectRequest, Reply};
 use pinereel_core::{
     Time, cursor,
     lot::{self, Action, Event, Group, Refusal, Sample, Spec},
@@ -38,7 +38,7 @@
 }
 
 /// Finished samples for a collect; waits for the first one as long as the asker says.
-pub async fn collect(shared: &Rc<Shared>, ask: Ask) -> Reply {
+pub async fn collect(shared: &Rc<Shared>, ask: CollectRequest) -> Reply {
     let token = match cursor::Token::parse(&ask.token) {
         Ok(token) => token,
         Err(e) => return Reply::Refused(e.to_string().into()),
@@ -62,7 +62,11 @@
     }
 }
 
-async fn ask_once(shared: &Rc<Shared>, ask: &Ask, token: cursor::Token) -> Option<super::Answer> {
+async fn ask_once(
+    shared: &Rc<Shared>,
+    ask: &CollectRequest,
+    token: cursor::Token,
+) -> Option<super::Answer> {
     let call = shared.lots.next_call.get();
     shared.lots.next_call.set(call + 1);
     let (sender, answer) = oneshot::channel();
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -61,7 +61,7 @@
             config::relay::abort(&shared, write, leaves);
             Reply::Done
         }
-        Call::Fetch => config::fetched(&shared),
+        Call::FetchConfig => config::fetched(&shared),
         Call::Report => Reply::Report {
             incarnation: shared.incarnation,
             number: shared.config.number(),
@@ -165,7 +165,7 @@
     let now = shared.now();
     Summary {
         number: shared.config.number(),
-        vouches: shared.config.vouches(now),
+        config_confirmed: shared.config.vouches(now),
         sent_us: now.0,
         echo: shared.config.echo(to),
         versions,
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -238,7 +238,7 @@
     pub fn send_summaries(&self, summary: impl Fn(&Hello) -> Summary) {
         for link in self.links.borrow().values() {
             // If the send queue is full, the peer gets the next summary instead.
-            let _ = link.send(&Frame::Digest(summary(&link.hello)));
+            let _ = link.send(&Frame::Summary(summary(&link.hello)));
         }
     }
 
@@ -395,7 +395,7 @@
             count_frame(&self.received, size);
             match frame {
                 Frame::Hello(_) => return LinkEnd::Malformed,
-                Frame::Digest(summary) => {
+                Frame::Summary(summary) => {
                     let observer = self.summary_observer.borrow().clone();
                     if let Some(observer) = observer {
                         observer(&link.hello, summary);
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -67,9 +67,15 @@
     a.set_peers([peer("b", &b_address)]);
     b.set_peers([peer("a", &a_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
-    assert_eq!(a.call("b", Call::Fetch, WAIT).await, Ok(Reply::Granted));
-    assert_eq!(b.call("a", Call::Fetch, WAIT).await, Ok(Reply::Done));
-    assert_eq!(a.call("c", Call::Fetch, WAIT).await, Err(Error::NoLink));
+    assert_eq!(
+        a.call("b", Call::FetchConfig, WAIT).await,
+        Ok(Reply::Granted)
+    );
+    assert_eq!(b.call("a", Call::FetchConfig, WAIT).await, Ok(Reply::Done));
+    assert_eq!(
+        a.call("c", Call::FetchConfig, WAIT).await,
+        Err(Error::NoLink)
+    );
 }
 
 #[actix_rt::test]
@@ -88,7 +94,10 @@
     a.set_peers([peer("b", &b_address)]);
     assert!(linked(&a, "b").await);
     let short = Duration::from_millis(50);
-    assert_eq!(a.call("b", Call::Fetch, short).await, Err(Error::Timeout));
+    assert_eq!(
+        a.call("b", Call::FetchConfig, short).await,
+        Err(Error::Timeout)
+    );
     let large = Call::Abort {
         write: "x".repeat(MAX_FRAME_BYTES).into(),
         leaves: Default::default(),
@@ -106,7 +115,7 @@
     let (b, b_address) = mesh("b", "secret", None).await;
     a.set_peers([peer("b", &b_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
-    let call = a.call("b", Call::Fetch, WAIT);
+    let call = a.call("b", Call::FetchConfig, WAIT);
     let close = async {
         b.close();
     };
@@ -120,7 +129,7 @@
     let (b, b_address) = mesh("b", "secret", Some(Reply::Granted)).await;
     let at = peer("b", &b_address);
     assert_eq!(
-        a.call_once(&at, Call::Fetch, WAIT).await,
+        a.call_once(&at, Call::FetchConfig, WAIT).await,
         Ok(Reply::Granted)
     );
     assert!(
@@ -128,13 +137,13 @@
         "it must not become a link"
     );
     let wrong = peer("c", &b_address);
-    let result = a.call_once(&wrong, Call::Fetch, WAIT).await;
+    let result = a.call_once(&wrong, Call::FetchConfig, WAIT).await;
     assert_eq!(
         result,
         Err(Error::NoLink),
         "another entry took over the address"
     );
     b.close();
-    let result = a.call_once(&at, Call::Fetch, WAIT).await;
+    let result = a.call_once(&at, Call::FetchConfig, WAIT).await;
     assert!(result.is_err(), "{result:?}");
 }
--- a/crates/pinereel_api/src/wire.rs
+++ b/crates/pinereel_api/src/wire.rs
@@ -23,7 +23,8 @@
     /// First frame in each direction.
     Hello(Hello),
     /// Periodic state; also the heartbeat.
-    Digest(Summary),
+    #[serde(rename = "Digest")]
+    Summary(Summary),
     /// A call that expects a reply with the same id.
     Call {
         /// Unique on this link and direction.
@@ -59,7 +60,8 @@
     /// Configuration number in force at the sender.
     pub number: u64,
     /// Whether the sender admits requests and knows of no other number that may be in force.
-    pub vouches: bool,
+    #[serde(rename = "vouches")]
+    pub config_confirmed: bool,
     /// When it was sent, in microseconds of the sender's own clock.
     pub sent_us: u64,
     /// The latest summary that the sender had from the receiver.
@@ -111,13 +113,14 @@
         leaves: BTreeSet<CompactString>,
     },
     /// Read the configuration in force.
-    Fetch,
+    #[serde(rename = "Fetch")]
+    FetchConfig,
     /// Tell who you are and which number is in force; answered by [`Reply::Report`].
     Report,
     /// Run these groups of a lot.
     Assign(Assignment),
     /// Hand over finished samples of a lot.
-    Collect(Ask),
+    Collect(CollectRequest),
     /// Take over finished samples from an entry that stops.
     Handover {
         /// The lot, without groups where the receiver is known to have them.
@@ -170,7 +173,7 @@
 
 /// Asks a runner for finished samples.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct CollectRequest {
     /// Id of the lot.
     pub lot: CompactString,
     /// Groups that the asker believes the runner to run.
--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -354,7 +354,7 @@
     let leaving = (0..leaving).map(|i| (format_compact!("draft-llm-{i}"), 1_764_000_000_000_000));
     let summary = Summary {
         number: 100_000,
-        vouches: true,
+        config_confirmed: true,
         sent_us: 86_400_000_000,
         echo: Some(Echo {
             incarnation: 1_764_000_000_000_000,
@@ -365,7 +365,7 @@
         crashes: Vec::new(),
         draining: false,
     };
-    Frame::Digest(summary)
+    Frame::Summary(summary)
         .encode()
         .map_or(0.0, |bytes| bytes.len() as f64)
 }
