--- a/crates/pinereel_api/src/engine.rs
+++ b/crates/pinereel_api/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: completions with version stamps, orders, state.
+//! HTTP API of model engines: completions with weight versions, orders to load weights, state.
 //!
 //! | call | path | answer |
 //! |---|---|---|
@@ -7,45 +7,45 @@
 //! | order | `POST /v1/orders` [`Order`] | 200 [`State`], 409 if the fencing token is old |
 //! | state | `GET /v1/state` | 200 [`State`] (the load in it lags) |
 //!
-//! An engine refuses with 503 and `x-refused` before it runs anything: `leaving` (for good),
-//! `not-loaded`, `full` or `duplicate` (for now).
+//! An engine that refuses a request before running it answers 503 with `x-refused`: `leaving`
+//! (permanent), `not-loaded`, `full` or `duplicate` (temporary).
 
 use compact_str::CompactString;
 use pinereel_core::{Span, Version};
 use serde::{Deserialize, Serialize};
 
-/// A request for a completion. Callers send the same shape to an entry.
+/// Request for a completion. Callers send the same body to an entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// The model, or an entry's pool.
+    /// Name of the model; at an entry, name of the pool.
     pub model: CompactString,
-    /// The prompt.
+    /// Text to complete.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// Whether the caller wants server-sent events (an engine always streams).
     #[serde(default)]
     pub stream: bool,
-    /// Seed of the sampling.
+    /// Seed for sampling.
     #[serde(default)]
     pub seed: u64,
     /// Higher runs first: 2 live, 1 straggler, 0 bulk.
     #[serde(default)]
     pub priority: u8,
-    /// Id of the attempt; chunks and cancels name it.
+    /// Id of the attempt, which its chunks and a cancel carry.
     #[serde(default)]
     pub request_id: CompactString,
-    /// Tokens to gather before a chunk is sent; 1 for live callers.
+    /// Number of tokens per chunk; 1 for live callers.
     #[serde(default = "default_chunk_tokens")]
     pub chunk_tokens: u32,
-    /// Only prefix cache that was filled under the same salt is reused. Empty for any.
+    /// Restricts reuse of the prefix cache to entries with the same salt. Empty for no restriction.
     #[serde(default, skip_serializing_if = "CompactString::is_empty")]
     pub cache_salt: CompactString,
-    /// Text generated so far by an attempt that this one goes on with.
+    /// Text that earlier attempts generated; this one resumes after it.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub resume: String,
-    /// Tokens in `resume`.
+    /// Number of tokens in `resume`.
     #[serde(default)]
     pub resume_tokens: u32,
 }
@@ -58,24 +58,24 @@
     1
 }
 
-/// One event of a completion's stream.
+/// One event of a completion stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Id of the attempt.
     pub id: CompactString,
-    /// Output tokens before this chunk, those of `resume` included.
+    /// Number of output tokens before this chunk, including those of `resume`.
     pub offset: u32,
-    /// The new text; one token of the stand-in is one word with its leading space.
+    /// Text of this chunk. One token of the fake engine is one word with its leading space.
     pub text: String,
-    /// Output tokens in this chunk.
+    /// Number of output tokens in this chunk.
     pub tokens: u32,
-    /// The weights that computed this chunk. An engine that lost track leaves it out.
+    /// Version of the weights that computed this chunk; absent if the engine does not know it.
     #[serde(default)]
     pub version: Option<Version>,
-    /// On the first chunk: what was reused of prefix cache or imported KV, by version.
+    /// On the first chunk: tokens reused from the prefix cache or imported KV cache, by version.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub reused: Vec<Span>,
-    /// On the last chunk: why it ended.
+    /// On the last chunk: why the completion ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<FinishReason>,
 }
@@ -84,56 +84,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model generated its end token.
     Stop,
     /// `max_tokens` was reached.
     Length,
-    /// It was cancelled or preempted; it is not whole.
+    /// It was cancelled or preempted; the text is incomplete.
     Cancelled,
 }
 
-/// Cancels one attempt.
+/// Request to cancel one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancel {
     /// Id of the attempt.
     pub request_id: CompactString,
 }
 
-/// An order to load a version of a model. Idempotent: loading what is loaded changes nothing.
+/// Order to load a version of a model. Idempotent: an order for the loaded version has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Fencing token of the lease under which the order is given.
     pub fence: u64,
-    /// The model.
+    /// Name of the model.
     pub model: CompactString,
-    /// The version to serve.
+    /// Version to load and serve.
     pub version: Version,
 }
 
-/// What an engine says of itself.
+/// State that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// Changes with each start.
     pub incarnation: u64,
-    /// The version it serves now; absent before the first load.
+    /// Version being served; absent before the first load.
     pub version: Option<Version>,
-    /// The version it is loading.
+    /// Version being loaded.
     #[serde(default)]
     pub loading: Option<Version>,
-    /// Why the last load failed.
+    /// Error of the last load, if it failed.
     #[serde(default)]
     pub failed: Option<CompactString>,
-    /// Sequences running, as of `lag_ms` ago.
+    /// Number of running sequences, as of `lag_ms` ago.
     pub running: u32,
-    /// Sequences waiting, as of `lag_ms` ago.
+    /// Number of queued sequences, as of `lag_ms` ago.
     pub waiting: u32,
-    /// Age of the load figures, in milliseconds.
+    /// Age of `running` and `waiting`, in milliseconds.
     pub lag_ms: u64,
-    /// Most sequences it runs at once.
+    /// Maximum number of concurrent sequences.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving: it takes no new requests.
     pub leaving: bool,
-    /// Highest fencing token seen.
+    /// Highest fencing token of all orders received.
     #[serde(default)]
     pub fence: u64,
 }
--- a/crates/pinereel_api/src/lib.rs
+++ b/crates/pinereel_api/src/lib.rs
@@ -1,14 +1,14 @@
-//! Every message that crosses a process boundary, as types.
+//! Types of all messages that cross a process boundary.
 //!
-//! This crate does no I/O. The daemon, the stand-ins and the tests share it, so that a change of a
-//! message is a change in one place.
+//! This crate does no I/O. The daemon, the fakes and the tests share it, so that each message is
+//! defined in one place.
 //!
 //! - [`object`]: the platform's object API.
 //! - [`engine`]: model engines (completions, orders, state).
 //! - [`trainer`]: trainers (submit, collect, publish).
 //! - [`operator`]: the operators' listener.
-//! - [`wire::Frame`]: what the system's own processes say to each other.
-//! - [`problem::Problem`]: the body of every answer that is not a success.
+//! - [`wire::Frame`]: messages between entries.
+//! - [`problem::Problem`]: body of every error response.
 
 pub mod engine;
 pub mod header;
--- a/crates/pinereel_api/src/object.rs
+++ b/crates/pinereel_api/src/object.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: versioned objects with conditional updates and watches.
+//! Object API of the platform: versioned objects with conditional updates and watches.
 //!
 //! | call | path | answer |
 //! |---|---|---|
@@ -9,56 +9,56 @@
 //! | update | `PUT /objects/{kind}/{name}` with `If-Match: V` | 200 [`Written`], 404, 409 [`Written`] |
 //! | delete | `DELETE /objects/{kind}/{name}` with `If-Match: V` | 204, 404, 409 |
 //!
-//! 429 means the rate is exceeded (`Retry-After` in seconds), 503 that the API is down. A value is
-//! any JSON of at most [`MAX_VALUE_BYTES`] bytes. A waiting watch counts as one call.
+//! 429 means that the rate limit is exceeded (`Retry-After` in seconds), 503 that the API is down.
+//! A value is any JSON of at most [`MAX_VALUE_BYTES`] bytes. A pending watch counts as one call.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Largest value the API stores, in bytes of JSON.
+/// Maximum size of a value, in bytes of JSON.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Kind of the platform's own lagging list of instances (read only), values are [`Instance`].
+/// Kind of the platform's list of instances (read-only, delayed); values are [`Instance`].
 pub const INSTANCES: &str = "instances";
-/// Kind of the configuration; it has one object, [`CONFIG_NAME`].
+/// Kind of the configuration; has a single object, [`CONFIG_NAME`].
 pub const CONFIG: &str = "config";
-/// Name of the one configuration object.
+/// Name of the configuration object.
 pub const CONFIG_NAME: &str = "current";
-/// Kind of the entries' own membership objects.
+/// Kind of the membership objects, which each entry writes for itself.
 pub const MEMBERS: &str = "members";
-/// Kind of the newest published weights, one object a model.
+/// Kind of the newest published weights; one object per model.
 pub const WEIGHTS: &str = "weights";
-/// Kind of the leases for control duties.
+/// Kind of the leases for control duties, each held by one entry.
 pub const LEASES: &str = "leases";
-/// Kind of the idempotency segments, named `SHARD.N` with N of ten digits.
+/// Kind of the segments of idempotency claims, named `SHARD.N` with N of ten digits.
 pub const CLAIMS: &str = "claims";
 
-/// One object.
+/// A stored object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
     /// Name within its kind.
     pub name: CompactString,
     /// Changes with every write; never reused.
     pub version: u64,
-    /// The content.
+    /// Content of the object.
     pub value: serde_json::Value,
 }
 
-/// Answer to a list.
+/// Response to a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// Revision of the whole API at the time of the answer; a watch starts after it.
+    /// Revision of the whole store at the time of the response; a watch starts after it.
     pub revision: u64,
-    /// The objects in order of their names.
+    /// Objects, sorted by name.
     pub items: Vec<Object>,
 }
 
-/// Answer to a watch: what changed after the given revision. Empty when the wait ran out.
+/// Response to a watch: changes after the given revision. Empty if there was none in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Continue the watch after this revision.
+    /// Revision after which the next watch starts.
     pub revision: u64,
-    /// The changed objects, oldest change first.
+    /// Changed objects, oldest change first.
     pub changes: Vec<Change>,
 }
 
@@ -69,80 +69,81 @@
     pub name: CompactString,
     /// Version of the object after the change.
     pub version: u64,
-    /// The new value; absent if the object was deleted.
+    /// New value; absent if the object was deleted.
     pub value: Option<serde_json::Value>,
 }
 
 /// Body of a create or update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// The new value.
+    /// Value to store.
     pub value: serde_json::Value,
 }
 
-/// Answer to a create or update, and body of a 409: the version that now stands.
+/// Response to a create or update, and body of a 409: the object's current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Written {
-    /// Version of the object.
+    /// Current version of the object.
     pub version: u64,
 }
 
-/// What the platform's lagging list says of one instance.
+/// One instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Changes with each start of the process on it.
+    /// Changes with each start of the instance's process.
     pub incarnation: u64,
-    /// `IP:PORT` on which it serves.
+    /// `IP:PORT` of its listener.
     pub address: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
-    /// The pool it belongs to; `entry` for the system's own instances.
+    /// Pool to which it belongs; `entry` for instances that run the daemon.
     pub pool: CompactString,
-    /// Whether it is leaving.
+    /// Whether it is in service or leaving.
     pub state: InstanceState,
 }
 
-/// Live or leaving.
+/// State of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
     /// In service.
     Live,
-    /// About to stop: no new work.
+    /// About to stop: takes no new requests.
     Leaving,
 }
 
-/// Faults of the stand-in: `POST /faults`. Absent fields leave a fault as it is.
+/// Faults to inject into the fake API: `POST /faults`. Absent fields leave a fault unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Answer 503 to everything for so long, in milliseconds (0 ends an outage).
+    /// Answer 503 to all requests for this time, in milliseconds (0 ends an outage).
     pub outage_ms: Option<u64>,
-    /// Hold every answer for so long, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Take the next so many writes, then drop the connection without an answer.
+    /// Number of next writes that are applied, after which the connection is closed without a
+    /// response.
     pub lose_write_answers: Option<u32>,
-    /// Only lose answers of writes to this kind.
+    /// Restricts `lose_write_answers` to writes of this kind.
     pub lose_kind: Option<CompactString>,
-    /// End all waiting watches once, and answer 410 to the next watch of each kind.
+    /// End all pending watches once, and answer 410 to the next watch of each kind.
     pub end_watches: Option<bool>,
-    /// Refuse connections' requests that carry this user agent (cuts off one entry).
+    /// Refuse requests with one of these user agents, which disconnects single entries.
     pub cut_agents: Option<Vec<CompactString>>,
 }
 
-/// Calls answered by the stand-in since its start: `GET /stats`.
+/// Calls that the fake API answered since its start: `GET /stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Reads and lists, by kind.
     pub reads: std::collections::BTreeMap<CompactString, u64>,
     /// Creates, updates and deletes, by kind.
     pub writes: std::collections::BTreeMap<CompactString, u64>,
-    /// Watches begun, by kind.
+    /// Watches started, by kind.
     pub watches: std::collections::BTreeMap<CompactString, u64>,
-    /// Watches waiting now.
+    /// Pending watches.
     pub waiting: u64,
-    /// Of these, by kind.
+    /// Pending watches, by kind.
     pub waiting_by_kind: std::collections::BTreeMap<CompactString, u64>,
-    /// Calls refused for their rate.
+    /// Calls refused by the rate limit.
     pub limited: u64,
 }
--- a/crates/pinereel_api/src/operator.rs
+++ b/crates/pinereel_api/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' listener. Every call carries `authorization: Bearer TOKEN`.
+//! HTTP API for operators. Every request needs `authorization: Bearer TOKEN`.
 //!
 //! | call | path | answer |
 //! |---|---|---|
@@ -13,56 +13,56 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The configuration in force.
+/// Configuration in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Its number.
+    /// Number of the configuration.
     pub number: u64,
-    /// Its content.
+    /// Content of the configuration.
     pub document: serde_json::Value,
 }
 
-/// A patch against a numbered configuration.
+/// Patch to the configuration of a given number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
-    /// The number that the patch was written against.
+    /// Number of the configuration that the patch was written against.
     pub base: u64,
-    /// Id of the patch, chosen by its author; a repeat is answered like the first.
+    /// Id of the patch, chosen by its author; a repeated patch gets the same response.
     pub id: CompactString,
     /// JSON merge patch (RFC 7396).
     pub merge: serde_json::Value,
 }
 
-/// Answer to a check: the document that the patch would give.
+/// Response to a check: the document that the patch would produce.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Checked {
     /// The patched document.
     pub document: serde_json::Value,
 }
 
-/// Answer to an accepted patch.
+/// Response to an accepted patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patched {
-    /// The number now in force.
+    /// Number of the configuration now in force.
     pub number: u64,
 }
 
-/// What one entry knows of the system.
+/// State of the system as known to one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The entry that answers.
+    /// Name of the responding entry.
     pub entry: CompactString,
-    /// Its configuration number.
+    /// Configuration number of the responding entry.
     pub number: u64,
-    /// Known entries, with the configuration number each last confirmed.
+    /// Known entries, by name.
     pub entries: BTreeMap<CompactString, Entry>,
-    /// Endpoints that this entry routes to.
+    /// Endpoints to which this entry routes, by name.
     pub endpoints: BTreeMap<CompactString, Endpoint>,
-    /// Newest published version by model.
+    /// Newest published version, by model.
     pub versions: BTreeMap<CompactString, Version>,
-    /// Leases this entry holds, with their fencing tokens.
+    /// Fencing tokens of the leases that this entry holds, by lease.
     pub leases: BTreeMap<CompactString, u64>,
-    /// Calls to the object API since the start, by purpose.
+    /// Number of calls to the object API since the start, by purpose.
     pub object_calls: BTreeMap<CompactString, u64>,
 }
 
@@ -71,25 +71,25 @@
 pub struct Entry {
     /// Its availability zone.
     pub zone: CompactString,
-    /// The number it last confirmed.
+    /// Configuration number that it last confirmed.
     pub number: u64,
-    /// Milliseconds since it was last heard; absent for the entry itself.
+    /// Milliseconds since its last summary; absent for the responding entry itself.
     pub heard_ms: Option<u64>,
-    /// Whether it lags behind the answering entry.
+    /// Whether its configuration is older than the responding entry's.
     pub lags: bool,
 }
 
-/// One endpoint as an entry sees it.
+/// One endpoint as seen by an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its pool.
+    /// Pool to which it belongs.
     pub pool: CompactString,
     /// Its availability zone.
     pub zone: CompactString,
     /// `live`, `leaving`, `ejected` or `gone`.
     pub state: CompactString,
-    /// Requests this entry has in flight there.
+    /// Number of requests that this entry has in flight at the endpoint.
     pub outstanding: u32,
-    /// The version that it serves, for engines.
+    /// Version of the weights that it serves; for engines only.
     pub version: Option<Version>,
 }
--- a/crates/pinereel_api/src/problem.rs
+++ b/crates/pinereel_api/src/problem.rs
@@ -1,17 +1,17 @@
-//! The body of every answer that is not a success.
+//! Body of every error response.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// What went wrong, in words that a program can match on.
+/// Machine-readable error code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
     /// The request's body or headers are malformed.
     BadRequest,
-    /// A header, body or queue is larger than its bound.
+    /// A header, body or queue exceeds its limit.
     TooLarge,
-    /// The sender did not deliver the request in time.
+    /// The request was not received in time.
     SlowSender,
     /// No such path, pool, trainer, service or lot.
     NotFound,
@@ -19,31 +19,31 @@
     Unauthorized,
     /// The instance is draining, starting, or cannot confirm its configuration.
     Unavailable,
-    /// Predicted completion lies after the deadline, or the queue is at its bound.
+    /// The predicted completion is after the deadline, or the queue is full.
     Overloaded,
-    /// No endpoint may receive this work now.
+    /// No endpoint may receive the request now.
     NoEndpoint,
-    /// Bytes left for an endpoint and no whole answer came back.
+    /// The request was sent to an endpoint, and no complete response was received.
     Unknown,
-    /// The same idempotency key is being executed now.
+    /// Another request with the same idempotency key is running.
     InProgress,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used with a different request.
     KeyConflict,
-    /// The base number is not the configuration's number.
+    /// The patch's base number is not the number of the configuration in force.
     Conflict,
     /// The patch is not valid.
     InvalidPatch,
-    /// The patch was not confirmed by all instances and was taken back.
+    /// The patch was not confirmed by all instances and was rolled back.
     NotConfirmed,
-    /// The entry lacks the lot; submit it again (idempotent).
+    /// The entry does not have the lot; submit it again (idempotent).
     LotUnknown,
-    /// The lot id was used with another content.
+    /// The lot id was used with different content.
     LotConflict,
     /// The cursor token is malformed.
     BadToken,
     /// The cursor token belongs to another lot.
     ForeignToken,
-    /// The token's step is behind the trainer's current step.
+    /// The cursor token's step is older than the trainer's current step.
     BehindToken,
     /// The deadline passed.
     Deadline,
@@ -51,21 +51,21 @@
     ObjectApi,
 }
 
-/// The JSON body of an answer that is not a success.
+/// JSON body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// What went wrong.
+    /// Machine-readable error code.
     pub code: Code,
-    /// One sentence for a person.
+    /// Human-readable description.
     pub message: CompactString,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, in milliseconds; absent where coming back is of no use.
+    /// Delay before a retry, in milliseconds; absent where a retry is of no use.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Whether a request that got no answer ran.
+/// Whether a failed request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
--- a/crates/pinereel_api/src/trainer.rs
+++ b/crates/pinereel_api/src/trainer.rs
@@ -1,4 +1,4 @@
-//! Trainers: submit a lot, collect its samples, publish weights.
+//! HTTP API for trainers: submit a lot, collect its samples, publish weights.
 //!
 //! | call | path | answer |
 //! |---|---|---|
@@ -12,79 +12,79 @@
 
 pub use pinereel_core::lot::Sample;
 
-/// The samples that a trainer wants for one step. Idempotent by `id` and content.
+/// Samples that a trainer wants for one step. A submit is idempotent by `id` and content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lot {
-    /// Unique id, chosen by the trainer.
+    /// Id of the lot, chosen by the trainer; unique.
     pub id: CompactString,
-    /// The trainer, as named in the configuration.
+    /// Name of the trainer in the configuration.
     pub trainer: CompactString,
-    /// The step that the samples are for; grows from lot to lot.
+    /// Training step that uses the samples; increases from lot to lot.
     pub step: u64,
-    /// The trainer's version when it submits.
+    /// Version of the trainer's weights at the submit.
     pub version: Version,
-    /// The groups of samples.
+    /// Samples, grouped by prompt.
     pub groups: Vec<Group>,
-    /// Milliseconds until the samples are wanted.
+    /// Deadline of all samples, in milliseconds from the submit.
     pub deadline_ms: u64,
 }
 
-/// Samples of one prompt.
+/// Samples for one prompt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Group {
-    /// The prompt.
+    /// Text to complete.
     pub prompt: String,
-    /// How many samples.
+    /// Number of samples.
     pub samples: u32,
-    /// Most tokens of each sample.
+    /// Maximum number of tokens per sample.
     pub max_tokens: u32,
 }
 
-/// Answer to a submit.
+/// Response to a submit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submitted {
-    /// Samples in the lot.
+    /// Number of samples in the lot.
     pub samples: u32,
-    /// The token of the first collect.
+    /// Cursor token for the first collect.
     pub token: String,
 }
 
-/// Asks for samples that the trainer does not hold yet.
+/// Request for samples that the trainer does not have yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Collect {
-    /// The token of the last answer that the trainer took, or of the submit.
+    /// Cursor token of the last response that the trainer accepted, or of the submit.
     pub token: String,
-    /// The trainer's version now: staleness is judged against it.
+    /// Current version of the trainer's weights, against which staleness is computed.
     pub version: Version,
-    /// Most samples in the answer.
+    /// Maximum number of samples in the response.
     pub max: u32,
-    /// Longest wait for the first sample, in milliseconds.
+    /// Maximum wait for the first sample, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Answer to a collect. The trainer takes it only if `basis` is the token it holds.
+/// Response to a collect. The trainer accepts it only if `basis` is its current cursor token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Collected {
-    /// The token that the collect carried.
+    /// Cursor token of the collect.
     pub basis: String,
-    /// The token of the next collect.
+    /// Cursor token for the next collect.
     pub token: String,
-    /// Samples that were not in the basis.
+    /// Samples that `basis` does not include.
     pub samples: Vec<Sample>,
-    /// Samples of the lot that the trainer lacks after this answer.
+    /// Number of samples of the lot that are missing after this response.
     pub remaining: u32,
 }
 
-/// Announces new weights of the trainer's model, which the weight store holds.
+/// Announces new weights of the trainer's model, which are in the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publish {
-    /// The new version; higher than all before.
+    /// New version; higher than all earlier ones.
     pub version: Version,
 }
 
-/// Answer to a publish. A repeat of a known version is answered alike.
+/// Response to a publish, and to a repeated one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// The newest version of the model.
+    /// Newest version of the model.
     pub version: Version,
 }
--- a/crates/pinereel_api/src/wire.rs
+++ b/crates/pinereel_api/src/wire.rs
@@ -1,7 +1,7 @@
-//! Frames between the system's own processes: CBOR in binary websocket messages.
+//! Frames between entries: CBOR in binary websocket messages.
 //!
-//! A link starts with a [`Hello`] in each direction. A frame is at most [`MAX_FRAME_BYTES`] bytes; a
-//! larger or malformed one closes the link.
+//! A link starts with a [`Hello`] in each direction. A frame has at most [`MAX_FRAME_BYTES`] bytes;
+//! a larger or malformed one closes the link. Serde renames keep the names of the wire format.
 
 use crate::trainer::{Group, Sample};
 use compact_str::CompactString;
@@ -11,37 +11,37 @@
 
 pub use pinereel_core::claim::StoredResponse;
 
-/// Version of this protocol. Links between different majors are refused.
+/// Version of this protocol. Links between different versions are refused.
 pub const PROTOCOL: u16 = 1;
 
-/// Largest frame, in bytes of CBOR.
+/// Maximum size of a frame, in bytes of CBOR.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// One message of a peer link.
+/// One message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// First frame in each direction.
     Hello(Hello),
-    /// Periodic state; also the heartbeat.
+    /// Periodic state of the sender; also the heartbeat.
     #[serde(rename = "Digest")]
     Summary(Summary),
-    /// A call that expects a reply with the same id.
+    /// Call that expects a reply with the same id.
     Call {
-        /// Unique on this link and direction.
+        /// Id, unique per link and direction.
         id: u64,
-        /// What is asked.
+        /// Content of the call.
         body: Call,
     },
-    /// The reply to a call.
+    /// Reply to a call.
     Reply {
         /// Id of the call.
         id: u64,
-        /// What is answered.
+        /// Content of the reply.
         body: Reply,
     },
 }
 
-/// Who speaks.
+/// Identifies the sender of a link's frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// [`PROTOCOL`] of the sender.
@@ -54,7 +54,7 @@
     pub zone: CompactString,
 }
 
-/// What an entry tells its peers about once a second.
+/// State that an entry sends to its peers about once a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// Configuration number in force at the sender.
@@ -62,191 +62,192 @@
     /// Whether the sender admits requests and knows of no other number that may be in force.
     #[serde(rename = "vouches")]
     pub config_confirmed: bool,
-    /// When it was sent, in microseconds of the sender's own clock.
+    /// Time of sending, in microseconds of the sender's monotonic clock.
     pub sent_us: u64,
-    /// The latest summary that the sender had from the receiver.
+    /// Latest summary that the sender received from the receiver of this one.
     pub echo: Option<Echo>,
-    /// Newest published version by model; empty if nothing changed lately.
+    /// Newest published version by model; empty if nothing changed recently.
     pub versions: BTreeMap<CompactString, Version>,
-    /// Endpoints found leaving, name and incarnation; empty if nothing changed lately.
+    /// Endpoints known to be leaving, incarnation by name; empty if nothing changed recently.
     pub leaving: BTreeMap<CompactString, u64>,
-    /// Requests under which endpoints crash; empty if nothing changed lately.
+    /// Requests that crash endpoints; empty if nothing changed recently.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Report>,
     /// Whether the sender is draining.
     pub draining: bool,
 }
 
-/// Names one summary of an entry, back to that entry.
+/// Identifies a received summary to the entry that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Incarnation that sent the summary.
+    /// Incarnation of the entry that sent the summary.
     pub incarnation: u64,
-    /// Its [`Summary::sent_us`].
+    /// [`Summary::sent_us`] of the summary.
     pub sent_us: u64,
 }
 
-/// What one entry asks of another.
+/// Call from one entry to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Store a configuration that may come into force; answered by [`Reply::Confirmed`].
     Prepare {
-        /// The configuration.
+        /// Proposed configuration.
         prepare: Box<Prepare>,
-        /// Entries to pass it on to.
+        /// Entries to which the receiver forwards the call.
         leaves: BTreeSet<CompactString>,
     },
-    /// A prepared configuration is in force.
+    /// Put a prepared configuration into force.
     Commit {
-        /// Its number.
+        /// Number of the configuration.
         number: u64,
         /// Id of the write that made it pending.
         write: CompactString,
-        /// Entries to pass it on to.
+        /// Entries to which the receiver forwards the call.
         leaves: BTreeSet<CompactString>,
     },
-    /// A prepared configuration was taken back.
+    /// Discard a prepared configuration.
     Abort {
         /// Id of the write that made it pending.
         write: CompactString,
-        /// Entries to pass it on to.
+        /// Entries to which the receiver forwards the call.
         leaves: BTreeSet<CompactString>,
     },
-    /// Read the configuration in force.
+    /// Read the configuration in force; answered by [`Reply::Config`].
     #[serde(rename = "Fetch")]
     FetchConfig,
-    /// Tell who you are and which number is in force; answered by [`Reply::Report`].
+    /// Report incarnation and configuration number; answered by [`Reply::Report`].
     Report,
-    /// Run these groups of a lot.
+    /// Run groups of a lot.
     Assign(Assignment),
-    /// Hand over finished samples of a lot.
+    /// Return finished samples of a lot; answered by [`Reply::Samples`].
     Collect(CollectRequest),
-    /// Take over finished samples from an entry that stops.
+    /// Take over finished samples from an entry that is stopping.
     Handover {
-        /// The lot, without groups where the receiver is known to have them.
+        /// Lot; without groups if the receiver is known to have them.
         lot: Assignment,
-        /// Finished samples.
+        /// Finished samples of the lot.
         samples: Vec<Sample>,
     },
     /// Claim an idempotency key.
     Claim {
-        /// The key.
+        /// Key, prefixed with the pool.
         key: CompactString,
         /// Digest of the request.
         digest: Digest,
-        /// Id of the request that would execute.
+        /// Id of the request that runs if the claim is granted.
         request: CompactString,
         /// Milliseconds until the request's deadline.
         left_ms: u64,
     },
-    /// Record what became of a claimed request.
+    /// Record the outcome of a claimed request.
     Settle {
-        /// The key.
+        /// Key, prefixed with the pool.
         key: CompactString,
         /// Id of the request that held the claim.
         request: CompactString,
         /// Digest of the request, as in its claim.
         digest: Digest,
-        /// The outcome; `None` if it was not run and the key is free again.
+        /// Outcome; `None` if the request did not run, which releases the key.
         outcome: Option<StoredResponse>,
     },
 }
 
-/// Groups of a lot for one runner.
+/// Groups of a lot that are assigned to one runner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
     /// Id of the lot.
     pub lot: CompactString,
-    /// Digest of the whole lot.
+    /// Digest of the complete lot.
     pub digest: Digest,
-    /// The trainer.
+    /// Name of the trainer.
     pub trainer: CompactString,
-    /// The step.
+    /// Training step that uses the samples.
     pub step: u64,
-    /// The trainer's version.
+    /// Version of the trainer's weights.
     pub version: Version,
-    /// Milliseconds left until the samples are wanted.
+    /// Milliseconds until the lot's deadline.
     pub deadline_ms: u64,
-    /// The groups: index in the lot, index of its first sample, content.
+    /// Assigned groups: index in the lot, index of the group's first sample, content.
     pub groups: Vec<(u32, u32, Group)>,
 }
 
-/// Asks a runner for finished samples.
+/// Request to a runner for finished samples.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CollectRequest {
     /// Id of the lot.
     pub lot: CompactString,
-    /// Groups that the asker believes the runner to run.
+    /// Groups that the sender believes are assigned to the runner.
     pub groups: Vec<u32>,
-    /// The collect's token: samples that the trainer holds.
+    /// Cursor token of the collect: samples that the trainer already has.
     pub token: String,
-    /// The trainer's version.
+    /// Version of the trainer's weights.
     pub version: Version,
-    /// The bound of the asker's configuration.
+    /// Staleness bound in the sender's configuration, in versions.
     pub bound: u64,
-    /// Most samples.
+    /// Maximum number of samples in the reply.
     pub max: u32,
-    /// Longest wait for the first sample, in milliseconds.
+    /// Maximum wait for the first sample, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Answers to calls.
+/// Reply to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Done.
+    /// The call was executed.
     Done,
-    /// Refused, with the reason.
+    /// The call was refused, with the reason.
     Refused(CompactString),
-    /// Entries that stored a prepared configuration, of the receiver and its leaves.
+    /// Entries that stored a prepared configuration, among the receiver and those to which it
+    /// forwarded the call.
     Confirmed(BTreeSet<CompactString>),
-    /// Who answers, and the number in force there.
+    /// Incarnation and configuration number of the replying entry.
     Report {
-        /// The answering incarnation.
+        /// Incarnation of the entry.
         incarnation: u64,
-        /// Its configuration number.
+        /// Number of the configuration in force there.
         number: u64,
     },
-    /// The configuration in force.
+    /// Configuration in force.
     Config {
-        /// Its number.
+        /// Number of the configuration.
         number: u64,
-        /// Its content.
+        /// Content of the configuration.
         document: serde_json::Value,
     },
-    /// Finished samples, and the asked groups that the runner lacks.
+    /// Finished samples, and the requested groups that the runner does not have.
     Samples {
-        /// The samples.
+        /// Finished samples.
         samples: Vec<Sample>,
-        /// Groups to assign again.
+        /// Groups that must be assigned again.
         missing: Vec<u32>,
     },
-    /// The claim is granted: the asker may execute.
+    /// The claim is granted: the request may run.
     Granted,
-    /// The key was executed before; this came of it.
+    /// A request with the key has run; its stored response.
     Repeat(StoredResponse),
-    /// The key is being executed.
+    /// A request with the key is running.
     InProgress,
     /// The key was claimed by a request whose outcome is not known.
     ClaimUnknown,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     KeyConflict,
-    /// Nothing could be claimed: the object API is unreachable.
+    /// The key could not be claimed: the object API is unreachable.
     NotClaimed,
 }
 
-/// Why a frame could not be read.
+/// Why a frame could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Larger than [`MAX_FRAME_BYTES`].
+    /// The frame is larger than [`MAX_FRAME_BYTES`].
     #[error("frame of {0} bytes is larger than {MAX_FRAME_BYTES}")]
     TooLarge(usize),
-    /// Not the CBOR of a frame.
+    /// The bytes are not the CBOR encoding of a frame, or encoding failed.
     #[error("malformed frame: {0}")]
     Malformed(String),
 }
 
 impl Frame {
-    /// The frame as CBOR.
+    /// Encodes the frame as CBOR.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).map_err(|e| Error::Malformed(e.to_string()))?;
@@ -256,7 +257,7 @@
         Ok(bytes)
     }
 
-    /// Reads a frame from CBOR.
+    /// Decodes a frame from CBOR.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(Error::TooLarge(bytes.len()));
--- a/crates/pinereel_api/tests/wire_frame.rs
+++ b/crates/pinereel_api/tests/wire_frame.rs
@@ -1,4 +1,4 @@
-//! Frames between entries: what was sent is read again, and nothing else is taken for a frame.
+//! Frames between entries: encoding round-trips, and other bytes are rejected without a panic.
 
 use pinereel_api::wire::{Call, Error, Frame, MAX_FRAME_BYTES, Reply, StoredResponse};
 use pinereel_core::hash::Digest;
@@ -44,27 +44,27 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_was_sent_is_read_again(frame in frame()) {
+    fn an_encoded_frame_is_decoded_unchanged(frame in frame()) {
         let bytes = frame.encode().expect("a small frame fits");
         prop_assert_eq!(Frame::decode(&bytes).expect("its own bytes"), frame);
     }
 
     #[test]
-    fn a_frame_cut_short_is_malformed(frame in frame(), cut in any::<prop::sample::Index>()) {
+    fn a_truncated_frame_is_malformed(frame in frame(), cut in any::<prop::sample::Index>()) {
         let bytes = frame.encode().expect("a small frame fits");
         let cut = cut.index(bytes.len());
         prop_assert!(matches!(Frame::decode(&bytes[..cut]), Err(Error::Malformed(_))));
     }
 
     #[test]
-    fn any_bytes_are_a_frame_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // Must neither panic nor take long; what it says does not matter.
+    fn arbitrary_bytes_decode_to_a_frame_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        // Decoding must neither panic nor take long; the result does not matter.
         let _ = Frame::decode(&bytes);
     }
 }
 
 #[test]
-fn a_frame_over_the_bound_is_neither_sent_nor_read() {
+fn a_frame_over_the_size_limit_is_neither_encoded_nor_decoded() {
     let large = Frame::Reply {
         id: 1,
         body: Reply::Refused("x".repeat(MAX_FRAME_BYTES).into()),
