--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -13,18 +13,18 @@
 use std::rc::Rc;
 
 /// Largest body of a lot, in bytes: 8,192 prompts of 8 KiB.
-const MAX_LOT: usize = 64 << 20;
+const MAX_LOT_BYTES: usize = 64 << 20;
 /// Largest body of a collect or publish, in bytes.
-const MAX_SMALL: usize = 64 << 10;
+const MAX_CONTROL_BYTES: usize = 64 << 10;
 
 /// Answers one request, which is in flight until the last byte of its answer has been sent.
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
     let guard = shared.drain.enter();
-    let answer = answer_to(shared, request).await;
+    let answer = handle(shared, request).await;
     http::hold(answer, guard)
 }
 
-async fn answer_to(shared: Rc<Shared>, mut request: Request) -> Response {
+async fn handle(shared: Rc<Shared>, mut request: Request) -> Response {
     let path = request.path().to_owned();
     let parts: Vec<_> = path.split('/').skip(1).collect();
     let method = request.method().clone();
@@ -37,7 +37,7 @@
         (&Method::POST, ["v1", "trainers", name, "versions"]) => {
             publish(&shared, &mut request, name).await
         }
-        (_, ["services", pool, ..]) => relay(&shared, &mut request, pool).await,
+        (_, ["services", pool, ..]) => proxy(&shared, &mut request, pool).await,
         _ => Err(not_run(Code::NotFound, "no such path")),
     };
     result.unwrap_or_else(|problem| respond::problem_response(&shared, &problem))
@@ -53,7 +53,7 @@
 
 async fn complete(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
     let pin = pin::pin(shared)?;
-    let call: engine::Request = body(shared, &pin, request).await?;
+    let call: engine::Request = read_body(shared, &pin, request).await?;
     if call.max_tokens == 0 {
         return Err(not_run(Code::BadRequest, "max_tokens is 0"));
     }
@@ -62,27 +62,27 @@
 }
 
 /// The smaller bound of this instance and of the pinned configuration, in bytes.
-fn largest_body(shared: &Shared, pin: &Pin) -> usize {
+fn max_body_bytes(shared: &Shared, pin: &Pin) -> usize {
     let asked = pin.document.limits.max_body as usize;
     asked.min(shared.settings.limits.body)
 }
 
-async fn body<T: serde::de::DeserializeOwned>(
+async fn read_body<T: serde::de::DeserializeOwned>(
     shared: &Shared,
     pin: &Pin,
     request: &mut Request,
 ) -> Result<T, Problem> {
-    let max = largest_body(shared, pin);
+    let max = max_body_bytes(shared, pin);
     Ok(http::read_json(request, max, shared.settings.limits.read_timeout).await?)
 }
 
-async fn relay(
+async fn proxy(
     shared: &Rc<Shared>,
     request: &mut Request,
     pool: &str,
 ) -> Result<Response, Problem> {
     let pin = pin::pin(shared)?;
-    let max = largest_body(shared, &pin);
+    let max = max_body_bytes(shared, &pin);
     let timeout = shared.settings.limits.read_timeout;
     let context = admit::read_context(shared, request, pin, CompactString::from(pool))?;
     let uri = request.uri().clone();
@@ -103,7 +103,7 @@
         return Ok(service::serve(shared, context, call).await);
     }
     let owner = Rc::clone(shared);
-    keep(shared, async move {
+    run_detached(shared, async move {
         Ok(service::serve(&owner, context, call).await)
     })
     .await
@@ -111,7 +111,7 @@
 
 /// Does the work in a task of its own, which goes on when the caller is gone: it must not end
 /// halfway.
-async fn keep<T: 'static>(
+async fn run_detached<T: 'static>(
     shared: &Shared,
     work: impl Future<Output = Result<T, Problem>> + 'static,
 ) -> Result<T, Problem> {
@@ -127,10 +127,10 @@
 async fn submit(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
     let pin = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
-    let lot: trainer::Lot = http::read_json(request, MAX_LOT, timeout).await?;
+    let lot: trainer::Lot = http::read_json(request, MAX_LOT_BYTES, timeout).await?;
     let owner = Rc::clone(shared);
     let work = async move { front::submit(&owner, &pin, lot).await };
-    answer(keep(shared, work).await)
+    json_response(run_detached(shared, work).await)
 }
 
 async fn collect(
@@ -140,10 +140,10 @@
 ) -> Result<Response, Problem> {
     let pin = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
-    let collect: trainer::Collect = http::read_json(request, MAX_SMALL, timeout).await?;
+    let collect: trainer::Collect = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
     let (owner, id) = (Rc::clone(shared), id.to_owned());
     let work = async move { front::collect(&owner, &pin, &id, collect).await };
-    answer(keep(shared, work).await)
+    json_response(run_detached(shared, work).await)
 }
 
 async fn publish(
@@ -153,12 +153,12 @@
 ) -> Result<Response, Problem> {
     let pin = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
-    let publish: trainer::Publish = http::read_json(request, MAX_SMALL, timeout).await?;
+    let publish: trainer::Publish = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
     let (owner, name) = (Rc::clone(shared), name.to_owned());
     let work = async move { front::publish(&owner, &pin, &name, publish).await };
-    answer(keep(shared, work).await)
+    json_response(run_detached(shared, work).await)
 }
 
-fn answer(result: Result<impl Serialize, Problem>) -> Result<Response, Problem> {
+fn json_response(result: Result<impl Serialize, Problem>) -> Result<Response, Problem> {
     result.map(|body| http::json(StatusCode::OK, &body))
 }
