--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -14,11 +14,11 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 /// Carries out one call of the entry `from`.
-pub async fn call(shared: Rc<Shared>, _from: CompactString, call: Call) -> Reply {
+pub async fn handle_call(shared: Rc<Shared>, _from: CompactString, call: Call) -> Reply {
     match call {
-        Call::Assign(assignment) => done(runner::assign(&shared, assignment)),
+        Call::Assign(assignment) => done_reply(runner::assign(&shared, assignment)),
         Call::Collect(ask) => runner::collect(&shared, ask).await,
-        Call::Handover { lot, samples } => done(runner::take_over(&shared, lot, samples)),
+        Call::Handover { lot, samples } => done_reply(runner::take_over(&shared, lot, samples)),
         Call::Claim {
             key,
             digest,
@@ -69,7 +69,7 @@
     }
 }
 
-fn done(result: Result<(), String>) -> Reply {
+fn done_reply(result: Result<(), String>) -> Reply {
     match result {
         Ok(()) => Reply::Done,
         Err(reason) => Reply::Refused(reason.into()),
@@ -77,7 +77,7 @@
 }
 
 /// Takes in a peer's periodic summary.
-pub fn hear(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
+pub fn handle_summary(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
     members::met(shared, from, summary.draining);
     config::hear(shared, from, &summary);
     for (model, version) in summary.versions {
@@ -92,63 +92,63 @@
 }
 
 /// Summaries in a row that carry a change, since a full queue drops some.
-const REPEATS: u32 = 3;
+const CHANGE_REPEATS: u32 = 3;
 /// Summaries from one full one to the next.
-const REFRESH: u32 = 12;
+const FULL_SUMMARY_INTERVAL: u32 = 12;
 
 /// Versions and leaving endpoints, told when they change and now and then: they grow with the
 /// models, and a summary goes out every second.
 #[derive(Default)]
-pub struct News {
+pub struct RecentChanges {
     versions: BTreeMap<CompactString, Version>,
     leaving: BTreeMap<CompactString, u64>,
     links: Vec<CompactString>,
     crashes: Vec<Report>,
     /// Summaries that still carry the last change.
-    repeats: u32,
+    repeats_left: u32,
     /// Summaries since the last full one.
-    since: u32,
+    since_full: u32,
 }
 
-impl News {
+impl RecentChanges {
     /// Looks at what there is to tell in the next summary.
     pub fn refresh(&mut self, shared: &Shared) {
         let untold = crashes::untold(shared);
-        let is_news = !untold.is_empty();
+        let has_new_crashes = !untold.is_empty();
         let now = Self {
-            crashes: match is_news {
+            crashes: match has_new_crashes {
                 true => untold,
                 false => crashes::all(shared),
             },
             versions: shared.lots.versions(),
             leaving: shared.endpoints.set().hints(),
             links: shared.mesh.linked_peers(),
-            repeats: self.repeats.saturating_sub(1),
-            since: self.since + 1,
+            repeats_left: self.repeats_left.saturating_sub(1),
+            since_full: self.since_full + 1,
         };
         let same =
             now.versions == self.versions && now.leaving == self.leaving && now.links == self.links;
         *self = now;
-        if is_news || !same {
-            self.repeats = REPEATS;
+        if has_new_crashes || !same {
+            self.repeats_left = CHANGE_REPEATS;
         }
-        if self.since >= REFRESH {
-            self.repeats = self.repeats.max(1);
+        if self.since_full >= FULL_SUMMARY_INTERVAL {
+            self.repeats_left = self.repeats_left.max(1);
         }
-        if self.repeats > 0 {
-            self.since = 0;
+        if self.repeats_left > 0 {
+            self.since_full = 0;
         }
     }
 
     /// The versions, leaving endpoints and crashes that the next summary carries.
-    fn told(
+    fn for_summary(
         &self,
     ) -> (
         BTreeMap<CompactString, Version>,
         BTreeMap<CompactString, u64>,
         Vec<Report>,
     ) {
-        if self.repeats == 0 {
+        if self.repeats_left == 0 {
             return Default::default();
         }
         (
@@ -160,8 +160,8 @@
 }
 
 /// What this entry tells the peer `to`.
-pub fn summary(shared: &Shared, news: &News, to: &Hello) -> Summary {
-    let (versions, leaving, crashes) = news.told();
+pub fn summary(shared: &Shared, changes: &RecentChanges, to: &Hello) -> Summary {
+    let (versions, leaving, crashes) = changes.for_summary();
     let now = shared.now();
     Summary {
         number: shared.config.number(),
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -183,10 +183,10 @@
 fn serve_peers(shared: &Rc<Shared>) {
     let calls = Rc::clone(shared);
     let handler = move |from, call| -> futures_util::future::LocalBoxFuture<'static, _> {
-        Box::pin(dispatch::call(Rc::clone(&calls), from, call))
+        Box::pin(dispatch::handle_call(Rc::clone(&calls), from, call))
     };
     let summaries = Rc::clone(shared);
-    let observer = move |from: &_, summary| dispatch::hear(&summaries, from, summary);
+    let observer = move |from: &_, summary| dispatch::handle_summary(&summaries, from, summary);
     shared
         .mesh
         .set_handlers(Rc::new(handler), Rc::new(observer));
@@ -194,15 +194,15 @@
     let refusal = move |code| respond::count_refusal(&state, code, "by the peers' listener");
     shared.mesh.set_refusal_observer(refusal);
     spawn(shared, async |shared: Rc<Shared>| {
-        let mut news = dispatch::News::default();
+        let mut changes = dispatch::RecentChanges::default();
         loop {
-            news.refresh(&shared);
+            changes.refresh(&shared);
             shared
                 .mesh
-                .send_summaries(|to| dispatch::summary(&shared, &news, to));
+                .send_summaries(|to| dispatch::summary(&shared, &changes, to));
             // News of crashes do not wait.
-            let news_of_crashes = shared.crashes.news.notified();
-            let _ = timeout(SUMMARY_PAUSE, news_of_crashes).await;
+            let new_crashes = shared.crashes.news.notified();
+            let _ = timeout(SUMMARY_PAUSE, new_crashes).await;
         }
     });
 }
