--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -71,7 +71,7 @@
         return;
     };
     running.abort.abort();
-    engines::abandon(&shared.http, running.address, running.id);
+    engines::cancel_detached(&shared.http, running.address, running.id);
 }
 
 async fn run(
@@ -150,7 +150,7 @@
             continue;
         }
         let last = chunk.finish.is_some();
-        step(shared, Event::Chunk(engines::of_attempt(attempt, chunk)));
+        step(shared, Event::Chunk(engines::lot_chunk(attempt, chunk)));
         if last {
             return Ok(());
         }
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -26,17 +26,17 @@
 };
 
 /// Largest line of an event stream, in bytes.
-const MAX_LINE: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 /// Largest answer that is not a stream, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Longest wait for a cancel that nobody waits for.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Path of completions.
-const COMPLETIONS: &str = "/v1/completions";
+const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Prefix of a line with data.
-const DATA: &str = "data:";
+const DATA_PREFIX: &str = "data:";
 /// Data of the last event of a whole stream.
-const DONE: &str = "[DONE]";
+const DONE_DATA: &str = "[DONE]";
 
 /// Why an engine gave no whole answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -83,7 +83,7 @@
         caller: &[],
         method: "POST",
         host: &request.model,
-        target: COMPLETIONS,
+        target: COMPLETIONS_PATH,
         content: Content::Body(&body),
     })
 }
@@ -96,9 +96,9 @@
     request: &Request,
     timeout: Duration,
 ) -> Result<impl Stream<Item = Result<Chunk, Error>> + use<>, Error> {
-    let response = post(client, address, COMPLETIONS, request, timeout).await?;
-    let response = accept(response)?;
-    Ok(chunks(response))
+    let response = post(client, address, COMPLETIONS_PATH, request, timeout).await?;
+    let response = check_status(response)?;
+    Ok(parse_chunks(response))
 }
 
 /// Cancels an attempt. Cancelling what is not there does nothing.
@@ -109,11 +109,11 @@
     timeout: Duration,
 ) -> Result<(), Error> {
     let response = post(client, address, "/v1/cancel", cancel, timeout).await?;
-    accept(response).map(drop)
+    check_status(response).map(drop)
 }
 
 /// Tells an engine, in a task of its own, that nobody waits for an attempt any more.
-pub fn abandon(client: &Client, address: CompactString, request_id: CompactString) {
+pub fn cancel_detached(client: &Client, address: CompactString, request_id: CompactString) {
     let client = client.clone();
     actix_rt::spawn(async move {
         // A cancel that is lost costs tokens, nothing else.
@@ -132,14 +132,14 @@
     if response.status() == StatusCode::CONFLICT {
         return Err(Error::Fenced);
     }
-    body(accept(response)?, timeout).await
+    read_json(check_status(response)?, timeout).await
 }
 
 /// Reads an engine's state.
 pub async fn state(client: &Client, address: &str, timeout: Duration) -> Result<State, Error> {
-    let attempt = attempt(Method::GET, address, "/v1/state", Bytes::new(), timeout);
+    let attempt = json_attempt(Method::GET, address, "/v1/state", Bytes::new(), timeout);
     let response = client.send(attempt).await?;
-    body(accept(response)?, timeout).await
+    read_json(check_status(response)?, timeout).await
 }
 
 async fn post(
@@ -150,11 +150,17 @@
     timeout: Duration,
 ) -> Result<ClientResponse, Error> {
     let bytes = serde_json::to_vec(message).map_err(|e| Error::Refused(e.to_string()))?;
-    let attempt = attempt(Method::POST, address, path, bytes.into(), timeout);
+    let attempt = json_attempt(Method::POST, address, path, bytes.into(), timeout);
     Ok(client.send(attempt).await?)
 }
 
-fn attempt(method: Method, address: &str, path: &str, body: Bytes, timeout: Duration) -> Attempt {
+fn json_attempt(
+    method: Method,
+    address: &str,
+    path: &str,
+    body: Bytes,
+    timeout: Duration,
+) -> Attempt {
     Attempt {
         method,
         address: address.into(),
@@ -167,7 +173,7 @@
 }
 
 /// Sorts out answers that are not a success.
-fn accept(response: ClientResponse) -> Result<ClientResponse, Error> {
+fn check_status(response: ClientResponse) -> Result<ClientResponse, Error> {
     if response.status().is_success() {
         return Ok(response);
     }
@@ -179,11 +185,11 @@
     Err(Error::Lost(response.status().to_string()))
 }
 
-async fn body<T: DeserializeOwned>(
+async fn read_json<T: DeserializeOwned>(
     mut response: ClientResponse,
     timeout: Duration,
 ) -> Result<T, Error> {
-    let bytes = tokio::time::timeout(timeout, response.body().limit(MAX_ANSWER))
+    let bytes = tokio::time::timeout(timeout, response.body().limit(MAX_RESPONSE_BYTES))
         .await
         .map_err(|_| Error::Lost("timeout".into()))?
         .map_err(|e| Error::Lost(e.to_string()))?;
@@ -191,16 +197,16 @@
 }
 
 /// The chunks of an event stream, up to `[DONE]`. A stream that ends without it is cut.
-fn chunks(response: ClientResponse) -> impl Stream<Item = Result<Chunk, Error>> {
+fn parse_chunks(response: ClientResponse) -> impl Stream<Item = Result<Chunk, Error>> {
     let reader = StreamReader::new(response.map_err(io::Error::other));
-    let lines = FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE));
+    let lines = FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
     let end = futures_util::stream::once(async { Err(Error::Lost("stream cut".into())) });
     lines
         .map_err(|e| Error::Lost(e.to_string()))
         .chain(end)
-        .try_filter_map(|line| async move { Ok(data(&line)) })
+        .try_filter_map(|line| async move { Ok(event_data(&line)) })
         .try_take_while(|data| {
-            let more = data != DONE;
+            let more = data != DONE_DATA;
             async move { Ok(more) }
         })
         .and_then(|data| async move {
@@ -214,8 +220,9 @@
         })
 }
 
-fn data(line: &str) -> Option<String> {
-    line.strip_prefix(DATA).map(|data| data.trim().to_owned())
+fn event_data(line: &str) -> Option<String> {
+    line.strip_prefix(DATA_PREFIX)
+        .map(|data| data.trim().to_owned())
 }
 
 /// The stamps of a chunk, as the core reads them.
@@ -229,7 +236,7 @@
 }
 
 /// A chunk of an attempt, as a lot's runner reads it.
-pub fn of_attempt(attempt: AttemptKey, chunk: Chunk) -> lot::Chunk {
+pub fn lot_chunk(attempt: AttemptKey, chunk: Chunk) -> lot::Chunk {
     lot::Chunk {
         attempt,
         stamp: stamp(&chunk),
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -70,6 +70,6 @@
             return;
         }
         let address = std::mem::take(&mut self.address);
-        engines::abandon(&self.shared.http, address, std::mem::take(&mut self.id));
+        engines::cancel_detached(&self.shared.http, address, std::mem::take(&mut self.id));
     }
 }
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -328,7 +328,7 @@
         if chunk.finish.is_some() {
             self.end(life, attempt, AttemptEnd::Completed);
         }
-        self.step(life, Event::Chunk(engines::of_attempt(attempt, chunk)));
+        self.step(life, Event::Chunk(engines::lot_chunk(attempt, chunk)));
     }
 
     /// An attempt broke off.
