--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -162,7 +162,7 @@
 
 /// Logs a routing decision with its runners-up.
 pub fn log_choice(shared: &Shared, request: &str, what: What, choice: &Choice, config: u64) {
-    shared.metrics.decide(what);
+    shared.metrics.count_decision(what);
     if !shared.settings.log.decisions {
         return;
     }
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -322,7 +322,7 @@
     change(pool, now);
     let labels = [name.as_str()];
     let metrics = &shared.metrics;
-    let waiting = metrics.queue.with_label_values(&labels);
+    let waiting = metrics.waiting.with_label_values(&labels);
     waiting.set(pool.waiting() as i64);
     let running = metrics.in_flight.with_label_values(&labels);
     running.set(pool.queue.running() as i64);
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -19,7 +19,7 @@
 
 /// Counts a refused request by its code and logs it.
 pub fn count_refusal(shared: &Shared, code: Code, why: &str) {
-    shared.metrics.refuse(code);
+    shared.metrics.count_refusal(code);
     log::info!(entry = shared.name().as_str(), code:serde; "refused: {why}");
 }
 
--- a/crates/pinereel/src/metrics.rs
+++ b/crates/pinereel/src/metrics.rs
@@ -12,11 +12,11 @@
 use std::fs;
 
 /// Upper bounds of the latency buckets, in seconds.
-const LATENCY: [f64; 16] = [
+const LATENCY_BUCKETS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 120.0,
 ];
 /// Upper bounds of the staleness buckets, in versions.
-const STALENESS: [f64; 8] = [0.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 16.0];
+const STALENESS_BUCKETS: [f64; 8] = [0.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 16.0];
 /// Ticks a second in `/proc`, fixed by Linux's interface.
 const TICKS_PER_SECOND: f64 = 100.0;
 
@@ -34,13 +34,13 @@
     pub attempts: IntCounterVec,
     /// Attempts after the first, by `pool`.
     pub retries: IntCounterVec,
-    /// Refusals by `code`; see [`Metrics::refuse`].
+    /// Refusals by `code`; see [`Metrics::count_refusal`].
     pub refused: IntCounterVec,
     /// Requests now at endpoints, by `pool`.
     pub in_flight: IntGaugeVec,
     /// Requests now waiting, by `pool`.
-    pub queue: IntGaugeVec,
-    /// Decisions by `what`; see [`Metrics::decide`].
+    pub waiting: IntGaugeVec,
+    /// Decisions by `what`; see [`Metrics::count_decision`].
     pub decisions: IntCounterVec,
     /// Chunks of an answer that came after its request had ended.
     pub late_chunks: IntCounter,
@@ -67,8 +67,8 @@
     /// Claims of idempotency keys by `verdict`.
     pub claims: IntCounterVec,
     log_dropped: IntCounter,
-    cpu: Counter,
-    memory: Gauge,
+    cpu_seconds: Counter,
+    resident_bytes: Gauge,
 }
 
 impl Default for Metrics {
@@ -84,43 +84,43 @@
         let r = &registry;
         let trainer_event = ["trainer", "event"];
         Self {
-            requests: counters(r, "requests_total", "Requests.", &["pool", "outcome"]),
-            latency: histograms(
+            requests: counter_vec(r, "requests_total", "Requests.", &["pool", "outcome"]),
+            latency: histogram_vec(
                 r,
                 "request_seconds",
                 "Time to the answer's end.",
                 "pool",
-                &LATENCY,
+                &LATENCY_BUCKETS,
             ),
-            attempts: counters(r, "attempts_total", "Attempts.", &["pool", "result"]),
-            retries: counters(r, "retries_total", "Attempts after the first.", &["pool"]),
-            refused: counters(r, "refused_total", "Refused requests.", &["code"]),
-            in_flight: gauges(r, "requests_in_flight", "Requests at endpoints.", "pool"),
-            queue: gauges(r, "requests_waiting", "Requests that wait.", "pool"),
-            decisions: counters(r, "decisions_total", "Decisions.", &["what"]),
+            attempts: counter_vec(r, "attempts_total", "Attempts.", &["pool", "result"]),
+            retries: counter_vec(r, "retries_total", "Attempts after the first.", &["pool"]),
+            refused: counter_vec(r, "refused_total", "Refused requests.", &["code"]),
+            in_flight: gauge_vec(r, "requests_in_flight", "Requests at endpoints.", "pool"),
+            waiting: gauge_vec(r, "requests_waiting", "Requests that wait.", "pool"),
+            decisions: counter_vec(r, "decisions_total", "Decisions.", &["what"]),
             late_chunks: counter(r, "late_chunks_dropped_total", "Chunks after the end."),
-            lots: counters(r, "lots_total", "Lots.", &trainer_event),
-            samples: counters(r, "samples_total", "Samples.", &trainer_event),
-            staleness: histograms(
+            lots: counter_vec(r, "lots_total", "Lots.", &trainer_event),
+            samples: counter_vec(r, "samples_total", "Samples.", &trainer_event),
+            staleness: histogram_vec(
                 r,
                 "staleness_versions",
                 "Versions behind the newest at delivery.",
                 "trainer",
-                &STALENESS,
+                &STALENESS_BUCKETS,
             ),
-            object_calls: counters(
+            object_calls: counter_vec(
                 r,
                 "object_api_calls_total",
                 "Calls to the object API.",
                 &["purpose", "kind"],
             ),
             config_number: gauge(r, "config_number", "Configuration in force."),
-            peer_frames: counters(r, "peer_frames_total", "Frames of links.", &["direction"]),
-            peer_bytes: counters(r, "peer_bytes_total", "Bytes of links.", &["direction"]),
+            peer_frames: counter_vec(r, "peer_frames_total", "Frames of links.", &["direction"]),
+            peer_bytes: counter_vec(r, "peer_bytes_total", "Bytes of links.", &["direction"]),
             links_up: gauge(r, "peer_links_up", "Links that are up."),
             endpoints_known: gauge(r, "endpoints_known", "Endpoints known here."),
-            runner: counters(r, "runner_total", "Work on samples here.", &["event"]),
-            claims: counters(
+            runner: counter_vec(r, "runner_total", "Work on samples here.", &["event"]),
+            claims: counter_vec(
                 r,
                 "claims_total",
                 "Claims of idempotency keys.",
@@ -131,14 +131,14 @@
                 "log_lines_dropped_total",
                 "Lines dropped by the process's log.",
             ),
-            cpu: register(
+            cpu_seconds: register(
                 r,
                 Counter::new(
                     "pinereel_process_cpu_seconds_total",
                     "CPU time of the process.",
                 ),
             ),
-            memory: register(
+            resident_bytes: register(
                 r,
                 Gauge::new(
                     "pinereel_process_resident_bytes",
@@ -150,35 +150,36 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, code: Code) {
+    pub fn count_refusal(&self, code: Code) {
         let name = serde_json::to_value(code).unwrap_or_default();
         let name = name.as_str().unwrap_or("unnamed");
         self.refused.with_label_values(&[name]).inc();
     }
 
     /// Counts a decision.
-    pub fn decide(&self, what: logging::What) {
+    pub fn count_decision(&self, what: logging::What) {
         self.decisions.with_label_values(&[what.as_str()]).inc();
     }
 
     /// All figures in the text format of Prometheus.
     pub fn render(&self) -> String {
-        self.refresh();
+        self.update_process_metrics();
         let families = self.registry.gather();
         let text = TextEncoder::new().encode_to_string(&families);
         text.expect("families without samples are not gathered, and the rest encode")
     }
 
     /// Takes the process's own figures.
-    fn refresh(&self) {
+    fn update_process_metrics(&self) {
         let dropped = logging::dropped();
         self.log_dropped
             .inc_by(dropped.saturating_sub(self.log_dropped.get()));
         if let Some(seconds) = cpu_seconds() {
-            self.cpu.inc_by((seconds - self.cpu.get()).max(0.0));
+            self.cpu_seconds
+                .inc_by((seconds - self.cpu_seconds.get()).max(0.0));
         }
         if let Some(bytes) = resident_bytes() {
-            self.memory.set(bytes);
+            self.resident_bytes.set(bytes);
         }
     }
 }
@@ -204,35 +205,35 @@
 }
 
 fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    register(registry, IntCounter::new(full(name), help))
+    register(registry, IntCounter::new(prefixed(name), help))
 }
 
-fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-    let opts = Opts::new(full(name), help);
+fn counter_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    let opts = Opts::new(prefixed(name), help);
     register(registry, IntCounterVec::new(opts, labels))
 }
 
 fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    register(registry, IntGauge::new(full(name), help))
+    register(registry, IntGauge::new(prefixed(name), help))
 }
 
-fn gauges(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
-    let opts = Opts::new(full(name), help);
+fn gauge_vec(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
+    let opts = Opts::new(prefixed(name), help);
     register(registry, IntGaugeVec::new(opts, &[label]))
 }
 
-fn histograms(
+fn histogram_vec(
     registry: &Registry,
     name: &str,
     help: &str,
     label: &str,
     buckets: &[f64],
 ) -> HistogramVec {
-    let opts = HistogramOpts::new(full(name), help).buckets(buckets.to_vec());
+    let opts = HistogramOpts::new(prefixed(name), help).buckets(buckets.to_vec());
     register(registry, HistogramVec::new(opts, &[label]))
 }
 
-fn full(name: &str) -> String {
+fn prefixed(name: &str) -> String {
     format!("pinereel_{name}")
 }
 
--- a/crates/pinereel/src/state.rs
+++ b/crates/pinereel/src/state.rs
@@ -107,7 +107,7 @@
 
     /// Logs a decision that has no cost to compare, and counts it.
     pub fn decide(&self, what: What, request: &str, chosen: Option<&str>, reason: &str) {
-        self.metrics.decide(what);
+        self.metrics.count_decision(what);
         if !self.settings.log.decisions {
             return;
         }
--- a/crates/pinereel/tests/metrics_render.rs
+++ b/crates/pinereel/tests/metrics_render.rs
@@ -31,10 +31,10 @@
         .with_label_values(&["draft-llm", "answer"])
         .inc_by(2);
     metrics.retries.with_label_values(&["draft-llm"]).inc();
-    metrics.refuse(Code::SlowSender);
+    metrics.count_refusal(Code::SlowSender);
     metrics.in_flight.with_label_values(&["draft-llm"]).set(4);
-    metrics.queue.with_label_values(&["draft-llm"]).set(2);
-    metrics.decide(What::Route);
+    metrics.waiting.with_label_values(&["draft-llm"]).set(2);
+    metrics.count_decision(What::Route);
     metrics.late_chunks.inc();
     metrics.lots.with_label_values(&["wording", "done"]).inc();
     metrics
