--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -208,7 +208,7 @@
 
 fn note(shared: &Shared, change: &Change) {
     let what = serde_json::to_string(&change.kind).unwrap_or_default();
-    shared.decide(What::Eject, &change.name, Some(&change.name), &what);
+    shared.log_decision(What::Eject, &change.name, Some(&change.name), &what);
     shared.endpoints.room.notify_waiters();
 }
 
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -49,7 +49,7 @@
     } else {
         "start"
     };
-    shared.decide(What::Route, &subject, Some(&start.endpoint), reason);
+    shared.log_decision(What::Route, &subject, Some(&start.endpoint), reason);
     let task = actix_rt::spawn(run(
         Rc::clone(shared),
         start,
--- a/crates/pinereel/src/controllers/lots/front/assign.rs
+++ b/crates/pinereel/src/controllers/lots/front/assign.rs
@@ -54,7 +54,7 @@
     let results: Vec<_> = assigns.collect().await;
     for (name, taken) in results {
         if let Err(reason) = taken {
-            shared.decide(What::Place, id, Some(&name), &reason);
+            shared.log_decision(What::Place, id, Some(&name), &reason);
             away.insert(name);
         }
     }
@@ -67,7 +67,7 @@
     groups: &[u32],
 ) -> Result<(), String> {
     let assignment = assignment(shared, id, groups).ok_or("lot unknown")?;
-    shared.decide(What::Place, id, Some(name), "rendezvous");
+    shared.log_decision(What::Place, id, Some(name), "rendezvous");
     if name == shared.name() {
         return runner::assign(shared, assignment);
     }
--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -165,7 +165,7 @@
                 }
             }
             None => {
-                shared.decide(What::Place, id, Some(&name), "unreachable");
+                shared.log_decision(What::Place, id, Some(&name), "unreachable");
                 away.insert(name);
                 // Its groups go to the next in rank.
                 let lost: BTreeSet<_> = groups.into_iter().collect();
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -63,7 +63,7 @@
         let samples = groups.iter().filter_map(|group| by_group.remove(group));
         for part in parts(samples.flatten().collect()) {
             let taken = offer(shared, &name, spec, &part).await;
-            shared.decide(
+            shared.log_decision(
                 What::Place,
                 &spec.lot,
                 Some(&name),
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -234,7 +234,7 @@
         if let Err(refused) = told {
             let reason = format_compact!("{:?}", refused.reason);
             self.shared
-                .decide(What::Admit, &self.arrival.id, None, &reason);
+                .log_decision(What::Admit, &self.arrival.id, None, &reason);
         }
         told
     }
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -190,7 +190,7 @@
             fence,
         } => {
             let reason = format_compact!("{version} under fence {fence}");
-            shared.decide(What::Load, pool, Some(&name), &reason);
+            shared.log_decision(What::Load, pool, Some(&name), &reason);
             let pool = pool.clone();
             spawn(shared, async move |shared| {
                 let event = order(&shared, &pool, &name, version, fence).await;
@@ -199,7 +199,7 @@
         }
         other => {
             let reason = serde_json::to_string(&other).unwrap_or_default();
-            shared.decide(What::Load, pool, None, &reason);
+            shared.log_decision(What::Load, pool, None, &reason);
         }
     }
 }
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -28,7 +28,7 @@
 };
 
 /// Pause between summaries to peers; also the heartbeat of links.
-const SUMMARY_PAUSE: Duration = Duration::from_millis(800);
+const SUMMARY_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Why an entry did not run.
 #[derive(Debug, thiserror::Error)]
@@ -72,7 +72,7 @@
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let entry = Entry::start(settings).await?;
-        entry.announce();
+        entry.print_addresses();
         let shared = Rc::clone(&entry.shared);
         actix_rt::spawn(async move {
             loop {
@@ -83,7 +83,7 @@
                 }
             }
         });
-        entry.finished().await;
+        entry.run_until_drained().await;
         Ok(())
     });
     handle.flush(Duration::from_secs(1));
@@ -96,29 +96,29 @@
     /// # Errors
     /// See [`Error`].
     pub async fn start(settings: Settings) -> Result<Self, Error> {
-        let callers = listen(settings.entry.callers).await?;
-        let peers = listen(settings.entry.peers).await?;
-        let operators = listen(settings.entry.operators).await?;
+        let callers = bind(settings.entry.callers).await?;
+        let peers = bind(settings.entry.peers).await?;
+        let operators = bind(settings.entry.operators).await?;
         let peers_address = peers.local_addr()?;
         let advertised = settings.entry.advertise_peers.unwrap_or(peers_address);
-        let shared = shared(settings);
+        let shared = build_shared(settings);
         shared.mesh.listen(peers);
         serve_peers(&shared);
-        let callers = serve(&shared, callers, callers::serve, false).await?;
-        let operators = serve(&shared, operators, operators::serve, true).await?;
+        let callers = start_server(&shared, callers, callers::serve, false).await?;
+        let operators = start_server(&shared, operators, operators::serve, true).await?;
         let entry = Self {
             shared,
             callers,
             operators,
             peers: peers_address,
         };
-        entry.control(advertised);
+        entry.start_controllers(advertised);
         Ok(entry)
     }
 
     /// Starts the controllers. The member object comes first: once it is written, every patch waits
     /// for this entry, so the configuration that is read after it cannot be outdated unnoticed.
-    fn control(&self, advertised: SocketAddr) {
+    fn start_controllers(&self, advertised: SocketAddr) {
         spawn(&self.shared, async move |shared| {
             let address = CompactString::from(advertised.to_string());
             members::register(&shared, address).await;
@@ -134,14 +134,14 @@
     }
 
     /// Prints the bound addresses, one line each, for whoever started the process.
-    pub fn announce(&self) {
+    pub fn print_addresses(&self) {
         println!("callers {}", self.callers.address);
         println!("peers {}", self.peers);
         println!("operators {}", self.operators.address);
     }
 
     /// Waits until a drain was asked for and is done.
-    pub async fn finished(&self) {
+    pub async fn run_until_drained(&self) {
         drain::run(&self.shared, &self.callers).await;
         self.callers.close();
         self.operators.close();
@@ -149,13 +149,13 @@
     }
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
+async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
         .map_err(|error| Error::Listen { address, error })
 }
 
-async fn serve<F>(
+async fn start_server<F>(
     shared: &Rc<Shared>,
     listener: TcpListener,
     handler: fn(Rc<Shared>, http::Request) -> F,
@@ -202,12 +202,12 @@
                 .send_summaries(|to| dispatch::summary(&shared, &changes, to));
             // News of crashes do not wait.
             let new_crashes = shared.crashes.news.notified();
-            let _ = timeout(SUMMARY_PAUSE, new_crashes).await;
+            let _ = timeout(SUMMARY_INTERVAL, new_crashes).await;
         }
     });
 }
 
-fn shared(settings: Settings) -> Rc<Shared> {
+fn build_shared(settings: Settings) -> Rc<Shared> {
     let clock = Clock::new();
     let incarnation = incarnation();
     let options = objects::Options {
@@ -248,7 +248,7 @@
         rollout: Default::default(),
         claims: Default::default(),
         drain: Default::default(),
-        next: Cell::new(0),
+        next_request_number: Cell::new(0),
         settings,
     })
 }
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -203,7 +203,7 @@
     };
     shared.metrics.claims.with_label_values(&[verdict]).inc();
     let reason = format_compact!("claim: {verdict}");
-    shared.decide(What::Admit, &context.id, None, &reason);
+    shared.log_decision(What::Admit, &context.id, None, &reason);
 }
 
 fn claim_failed(message: &str) -> Problem {
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -92,7 +92,7 @@
                 }
             }
             Err(e) => {
-                shared.decide(What::Route, &context.id, None, &e.to_string());
+                shared.log_decision(What::Route, &context.id, None, &e.to_string());
                 return Err(retryable(Code::NoEndpoint, e.to_string()));
             }
         }
@@ -121,7 +121,7 @@
     let ticket = endpoints::begin(shared, key, criteria.tokens);
     let assignment = assignment(shared, key, ticket)
         .ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
-    shared.decide(What::Route, &context.id, Some(&assignment.name), "in doubt");
+    shared.log_decision(What::Route, &context.id, Some(&assignment.name), "in doubt");
     Ok(assignment)
 }
 
--- a/crates/pinereel/src/state.rs
+++ b/crates/pinereel/src/state.rs
@@ -79,7 +79,7 @@
     /// The graceful stop.
     pub drain: Drain,
     /// Number of the next request.
-    pub(crate) next: Cell<u64>,
+    pub(crate) next_request_number: Cell<u64>,
 }
 
 impl Shared {
@@ -100,13 +100,13 @@
 
     /// A request id that no other request of any entry has.
     pub fn request_id(&self) -> CompactString {
-        let number = self.next.get();
-        self.next.set(number + 1);
+        let number = self.next_request_number.get();
+        self.next_request_number.set(number + 1);
         format_compact!("{}-{:x}-{number}", self.name(), self.incarnation)
     }
 
     /// Logs a decision that has no cost to compare, and counts it.
-    pub fn decide(&self, what: What, request: &str, chosen: Option<&str>, reason: &str) {
+    pub fn log_decision(&self, what: What, request: &str, chosen: Option<&str>, reason: &str) {
         self.metrics.count_decision(what);
         if !self.settings.log.decisions {
             return;
--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -112,7 +112,7 @@
             entry.shared.drain.ask();
         }
         for entry in &self.all {
-            entry.finished().await;
+            entry.run_until_drained().await;
         }
     }
 }
--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -129,7 +129,7 @@
         sleep(entry.shared.settings.drain.balancer_lag / 2).await;
         traffic.entries.borrow_mut().retain(|e| *e != address);
     };
-    tokio::join!(balancer, entry.finished());
+    tokio::join!(balancer, entry.run_until_drained());
     Ok(millis(start))
 }
 
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -293,7 +293,7 @@
     let finished = Rc::clone(&done);
     entry.shared.drain.ask();
     actix_rt::spawn(async move {
-        entry.finished().await;
+        entry.run_until_drained().await;
         finished.set(true);
     });
     let mut number = 0;
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -284,7 +284,8 @@
         patch(&leaving, 1, "late", bound(4)).await
     };
     let sent = patch(&leaving, 1, "a", bound(3));
-    let (answer, late, ()) = futures_util::future::join3(sent, stop, leaving.finished()).await;
+    let (answer, late, ()) =
+        futures_util::future::join3(sent, stop, leaving.run_until_drained()).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
     assert_eq!((late.0, &late.1["code"]), (503, &json!("unavailable")));
     until(|| in_force(&site, 2)).await.unwrap();
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -347,7 +347,7 @@
     let leaving = site.entries.remove(2);
     let (code, _) = post(&leaving, "/v1/drain", &Value::Null).await;
     assert_eq!(code, 202);
-    leaving.finished().await;
+    leaving.run_until_drained().await;
     assert!(admits(&leaving).is_err());
     let answer = patch(&site.entries[0], 1, "without", bound(3)).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -97,7 +97,7 @@
     let mut collection = submit(&site, &mut client).await;
     let leaving = site.entries.remove(0);
     leaving.shared.drain.ask();
-    leaving.finished().await;
+    leaving.run_until_drained().await;
     let taken = collect(&mut client, &mut collection).await;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
     assert_eq!(finished(&site), taken, "no sample was made twice");
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -174,7 +174,7 @@
     let stop = async {
         queued(&site, POOL, 1, 0).await;
         entry.shared.drain.ask();
-        entry.finished().await;
+        entry.run_until_drained().await;
     };
     let ((text, problem, done), ()) = join(stream(&address, "stream"), stop).await;
     assert_eq!(text, text::whole("stream", 7, TOKENS));
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -120,7 +120,7 @@
     let mut site = site().await;
     let entry = site.entries.remove(0);
     entry.shared.drain.ask();
-    entry.finished().await;
+    entry.run_until_drained().await;
     let members = site.api.objects("members").items;
     assert_eq!(members.len(), 1);
 }
@@ -144,7 +144,7 @@
         .unwrap();
     entry.shared.drain.ask();
     let shared = std::rc::Rc::clone(&entry.shared);
-    let finished = actix_rt::spawn(async move { entry.finished().await });
+    let finished = actix_rt::spawn(async move { entry.run_until_drained().await });
     pinereel_fakes::site::until(|| shared.drain.refuses())
         .await
         .unwrap();
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -90,7 +90,7 @@
     let holder = holds(&site).unwrap();
     let leaving = site.entries.remove(holder);
     leaving.shared.drain.ask();
-    leaving.finished().await;
+    leaving.run_until_drained().await;
     let lease = &site.api.objects("leases").items[0];
     let own = leaving.shared.name().as_str();
     let held = lease.value["holder"].as_str().unwrap();
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -58,7 +58,7 @@
     // A leaving entry's engines go to others.
     let leaving = site.entries.remove(0);
     leaving.shared.drain.ask();
-    leaving.finished().await;
+    leaving.run_until_drained().await;
     until(|| even(&site)).await.unwrap();
 }
 
