--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: live requests, trainers' calls, liveness and readiness.
+//! HTTP handlers of the callers' listener: live requests, trainers' calls, liveness and readiness.
 
 use crate::{
     controllers::{config::Pin, lots::front},
@@ -12,12 +12,12 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Largest body of a lot, in bytes: 8,192 prompts of 8 KiB.
+/// Maximum body size of a submitted lot, in bytes: 8,192 prompts of 8 KiB.
 const MAX_LOT_BYTES: usize = 64 << 20;
-/// Largest body of a collect or publish, in bytes.
+/// Maximum body size of a collect or publish, in bytes.
 const MAX_CONTROL_BYTES: usize = 64 << 10;
 
-/// Answers one request, which is in flight until the last byte of its answer has been sent.
+/// Serves one request. A drain counts it as in flight until its response has been sent completely.
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
     let guard = shared.drain.enter();
     let answer = handle(shared, request).await;
@@ -43,7 +43,7 @@
     result.unwrap_or_else(|problem| respond::problem_response(&shared, &problem))
 }
 
-/// Whether the balancer may send connections here.
+/// Readiness: whether the load balancer may send connections to this instance.
 pub fn ready(shared: &Shared) -> Response {
     match pin::ready(shared) {
         Ok(number) => http::text(StatusCode::OK, format!("ready {number}\n")),
@@ -61,7 +61,7 @@
     Ok(completion::serve(shared, context, call).await)
 }
 
-/// The smaller bound of this instance and of the pinned configuration, in bytes.
+/// Maximum body size: the smaller limit of the settings and of the pinned configuration.
 fn max_body_bytes(shared: &Shared, pin: &Pin) -> usize {
     let asked = pin.document.limits.max_body as usize;
     asked.min(shared.settings.limits.body)
@@ -109,8 +109,7 @@
     .await
 }
 
-/// Does the work in a task of its own, which goes on when the caller is gone: it must not end
-/// halfway.
+/// Runs `work` in a task of its own, so that it is completed even if the caller disconnects.
 async fn run_detached<T: 'static>(
     shared: &Shared,
     work: impl Future<Output = Result<T, Problem>> + 'static,
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out what other entries ask.
+//! Handles calls and summaries from other entries, and builds this entry's own summaries.
 
 use crate::{
     controllers::{
@@ -13,7 +13,7 @@
 use pinereel_core::{Version, crash::Report, endpoint::Event};
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
-/// Carries out one call of the entry `from`.
+/// Executes one call from another entry.
 pub async fn handle_call(shared: Rc<Shared>, _from: CompactString, call: Call) -> Reply {
     match call {
         Call::Assign(assignment) => done_reply(runner::assign(&shared, assignment)),
@@ -76,7 +76,7 @@
     }
 }
 
-/// Takes in a peer's periodic summary.
+/// Applies a peer's summary to the controllers' state.
 pub fn handle_summary(shared: &Rc<Shared>, from: &Hello, summary: Summary) {
     members::met(shared, from, summary.draining);
     config::hear(shared, from, &summary);
@@ -91,27 +91,28 @@
     }
 }
 
-/// Summaries in a row that carry a change, since a full queue drops some.
+/// Number of consecutive summaries that carry a change, since a full send queue drops some.
 const CHANGE_REPEATS: u32 = 3;
-/// Summaries from one full one to the next.
+/// Number of summaries after which the full state is sent again.
 const FULL_SUMMARY_INTERVAL: u32 = 12;
 
-/// Versions and leaving endpoints, told when they change and now and then: they grow with the
-/// models, and a summary goes out every second.
+/// Versions, leaving endpoints and crash reports. Summaries carry them after a change and at long
+/// intervals only: they grow with the number of models, and a summary is sent every second.
 #[derive(Default)]
 pub struct RecentChanges {
     versions: BTreeMap<CompactString, Version>,
     leaving: BTreeMap<CompactString, u64>,
     links: Vec<CompactString>,
     crashes: Vec<Report>,
-    /// Summaries that still carry the last change.
+    /// Number of summaries that still carry the last change.
     repeats_left: u32,
-    /// Summaries since the last full one.
+    /// Number of summaries since the last one that carried the state.
     since_full: u32,
 }
 
 impl RecentChanges {
-    /// Looks at what there is to tell in the next summary.
+    /// Reads the current state and decides whether the next summary carries it. Call once per
+    /// summary period.
     pub fn refresh(&mut self, shared: &Shared) {
         let untold = crashes::untold(shared);
         let has_new_crashes = !untold.is_empty();
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The versions, leaving endpoints and crashes that the next summary carries.
+    /// Versions, leaving endpoints and crash reports for the next summary; empty if it does not
+    /// carry them.
     fn for_summary(
         &self,
     ) -> (
@@ -159,7 +161,7 @@
     }
 }
 
-/// What this entry tells the peer `to`.
+/// Builds this entry's summary for the peer `to`.
 pub fn summary(shared: &Shared, changes: &RecentChanges, to: &Hello) -> Summary {
     let (versions, leaving, crashes) = changes.for_summary();
     let now = shared.now();
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -1,4 +1,4 @@
-//! Client of model engines: completions as streams of chunks, orders, state.
+//! HTTP client of model engines: streamed completions, cancels, load orders and state.
 
 use crate::upstream::{Attempt, Client, Error as SendError, Reuse};
 use actix_http::{
@@ -25,35 +25,35 @@
     io::StreamReader,
 };
 
-/// Largest line of an event stream, in bytes.
+/// Maximum length of a line in an event stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// Largest answer that is not a stream, in bytes.
+/// Maximum body size of a response that is not streamed, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// Longest wait for a cancel that nobody waits for.
+/// Timeout of a cancel that is sent in the background.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Path of completions.
 const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Prefix of a line with data.
+/// Prefix of a data line in an event stream.
 const DATA_PREFIX: &str = "data:";
-/// Data of the last event of a whole stream.
+/// Data of the last event of a complete stream.
 const DONE_DATA: &str = "[DONE]";
 
-/// Why an engine gave no whole answer.
+/// Why there is no complete response from an engine.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The connection could not be opened: it did not run.
+    /// The connection could not be opened: the request did not run.
     #[error("{0}")]
     NotOpened(String),
-    /// The engine refused before running it; it may be leaving.
+    /// The engine refused the request before running it; it may be leaving.
     #[error("refused: {0}")]
     Refused(String),
-    /// An order carried an old fencing token.
+    /// The order's fencing token is lower than one that the engine has seen.
     #[error("the fencing token is old")]
     Fenced,
-    /// Nothing is known: it may have run.
+    /// The response was lost: the request may have run.
     #[error("lost: {0}")]
     Lost(String),
-    /// A chunk is malformed.
+    /// The response or one of its chunks is malformed.
     #[error("malformed: {0}")]
     Malformed(String),
 }
@@ -68,7 +68,8 @@
     }
 }
 
-/// What makes a completion the same request when it comes again, whatever earlier attempts of it have made.
+/// Identity by which crash reports recognise a repeated completion request. It does not depend on
+/// the output of earlier attempts.
 pub fn identity(request: Request) -> Identity {
     let request = Request {
         request_id: CompactString::default(),
@@ -77,7 +78,7 @@
         resume_tokens: 0,
         ..request
     };
-    // One that cannot be written is refused before it is sent.
+    // A request that cannot be encoded is refused before it is sent.
     let body = serde_json::to_vec(&request).unwrap_or_default();
     Identity::of(RequestParts {
         caller: &[],
@@ -89,7 +90,7 @@
 }
 
 /// Starts a completion. The stream ends after the chunk with a `finish`; an error item means that
-/// the answer is not whole.
+/// the response is incomplete.
 pub async fn complete(
     client: &Client,
     address: &str,
@@ -101,7 +102,7 @@
     Ok(parse_chunks(response))
 }
 
-/// Cancels an attempt. Cancelling what is not there does nothing.
+/// Cancels an attempt. Has no effect if the engine does not run it.
 pub async fn cancel(
     client: &Client,
     address: &str,
@@ -112,16 +113,19 @@
     check_status(response).map(drop)
 }
 
-/// Tells an engine, in a task of its own, that nobody waits for an attempt any more.
+/// Cancels an attempt in the background.
 pub fn cancel_detached(client: &Client, address: CompactString, request_id: CompactString) {
     let client = client.clone();
     actix_rt::spawn(async move {
-        // A cancel that is lost costs tokens, nothing else.
+        // A lost cancel only wastes tokens.
         let _ = cancel(&client, &address, &Cancel { request_id }, CANCEL_TIMEOUT).await;
     });
 }
 
-/// Orders a version to be served.
+/// Orders an engine to load and serve a version.
+///
+/// # Errors
+/// [`Error::Fenced`] if the engine has seen a higher fencing token.
 pub async fn order(
     client: &Client,
     address: &str,
@@ -172,7 +176,7 @@
     }
 }
 
-/// Sorts out answers that are not a success.
+/// Converts error responses to errors.
 fn check_status(response: ClientResponse) -> Result<ClientResponse, Error> {
     if response.status().is_success() {
         return Ok(response);
@@ -196,7 +200,7 @@
     serde_json::from_slice(&bytes).map_err(|e| Error::Malformed(e.to_string()))
 }
 
-/// The chunks of an event stream, up to `[DONE]`. A stream that ends without it is cut.
+/// Parses the chunks of an event stream up to `[DONE]`. A stream that ends without it is truncated.
 fn parse_chunks(response: ClientResponse) -> impl Stream<Item = Result<Chunk, Error>> {
     let reader = StreamReader::new(response.map_err(io::Error::other));
     let lines = FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
@@ -213,7 +217,7 @@
             serde_json::from_str(&data).map_err(|e| Error::Malformed(e.to_string()))
         })
         .scan(false, |failed, item| {
-            // Nothing follows an error.
+            // The stream ends after an error.
             let over = *failed;
             *failed = item.is_err();
             async move { (!over).then_some(item) }
@@ -225,7 +229,7 @@
         .map(|data| data.trim().to_owned())
 }
 
-/// The stamps of a chunk, as the core reads them.
+/// Converts a chunk's token positions and versions to the core's type.
 pub fn stamp(chunk: &Chunk) -> Stamp {
     Stamp {
         offset: chunk.offset,
@@ -235,7 +239,7 @@
     }
 }
 
-/// A chunk of an attempt, as a lot's runner reads it.
+/// Converts a chunk of an attempt to the type of the core's lot runner.
 pub fn lot_chunk(attempt: AttemptKey, chunk: Chunk) -> lot::Chunk {
     lot::Chunk {
         attempt,
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -1,4 +1,4 @@
-//! The running daemon.
+//! The entry daemon: starts listeners, peer links and controllers, and stops them after a drain.
 
 use crate::{
     callers,
@@ -27,24 +27,24 @@
     time::timeout,
 };
 
-/// Pause between summaries to peers; also the heartbeat of links.
+/// Interval between summaries to peers, which are also the links' heartbeats.
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Why an entry did not run.
+/// Why an entry could not be started or run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listener could not be opened.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address in the settings.
+        /// Address in the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// The log could not be opened.
     #[error(transparent)]
     Log(#[from] logging::Error),
-    /// The system refused something else.
+    /// Another call to the operating system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -52,17 +52,17 @@
 /// A running entry.
 #[derive(Clone)]
 pub struct Entry {
-    /// What its parts share.
+    /// State shared by filters and controllers.
     pub shared: Rc<Shared>,
-    /// The callers' listener.
+    /// HTTP server for callers.
     pub callers: Server,
-    /// The operators' listener.
+    /// HTTP server for operators.
     pub operators: Server,
-    /// Address of the peers' listener.
+    /// Bound address of the listener for peer links.
     pub peers: SocketAddr,
 }
 
-/// Runs an entry as this process until it is told to stop.
+/// Runs an entry in this process until a signal has started a drain and the drain is done.
 ///
 /// # Errors
 /// See [`Error`].
@@ -76,7 +76,7 @@
         let shared = Rc::clone(&entry.shared);
         actix_rt::spawn(async move {
             loop {
-                // A second signal asks for what is under way already.
+                // A second signal has no further effect.
                 tokio::select! {
                     _ = terminate.recv() => shared.drain.ask(),
                     _ = interrupt.recv() => shared.drain.ask(),
@@ -116,8 +116,9 @@
         Ok(entry)
     }
 
-    /// Starts the controllers. The member object comes first: once it is written, every patch waits
-    /// for this entry, so the configuration that is read after it cannot be outdated unnoticed.
+    /// Starts the controllers. The membership object is written first: from then on every patch
+    /// waits for this entry, so the configuration that is read afterwards cannot become outdated
+    /// unnoticed.
     fn start_controllers(&self, advertised: SocketAddr) {
         spawn(&self.shared, async move |shared| {
             let address = CompactString::from(advertised.to_string());
@@ -133,14 +134,14 @@
         });
     }
 
-    /// Prints the bound addresses, one line each, for whoever started the process.
+    /// Prints the bound addresses to stdout, one per line, for the parent process.
     pub fn print_addresses(&self) {
         println!("callers {}", self.callers.address);
         println!("peers {}", self.peers);
         println!("operators {}", self.operators.address);
     }
 
-    /// Waits until a drain was asked for and is done.
+    /// Waits for a drain request, runs the drain, and closes all listeners and links.
     pub async fn run_until_drained(&self) {
         drain::run(&self.shared, &self.callers).await;
         self.callers.close();
@@ -200,7 +201,7 @@
             shared
                 .mesh
                 .send_summaries(|to| dispatch::summary(&shared, &changes, to));
-            // News of crashes do not wait.
+            // New crash reports are sent immediately.
             let new_crashes = shared.crashes.news.notified();
             let _ = timeout(SUMMARY_INTERVAL, new_crashes).await;
         }
@@ -253,7 +254,7 @@
     })
 }
 
-/// Differs between starts of one instance's process; the wall clock is used for nothing else.
+/// Number that differs between starts of the process; the only use of the wall clock.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_micros() as u64)
--- a/crates/pinereel/src/lib.rs
+++ b/crates/pinereel/src/lib.rs
@@ -1,14 +1,14 @@
 //! The entry daemon of pinereel and its command line.
 //!
-//! One role: every instance runs `pinereel entry`. Requests pass a chain of [`filters`]; state is
-//! kept by [`controllers`]; the decisions of both are made by `pinereel_core`.
+//! Every instance runs `pinereel entry`. Live requests pass a filter chain ([`filters`]), background
+//! tasks maintain the state ([`controllers`]), and `pinereel_core` makes the decisions of both.
 //!
 //! The main types:
-//! - [`settings::Settings`]: what the process was told in its INI file.
+//! - [`settings::Settings`]: settings of the process, from its INI file.
 //! - [`entry::Entry`]: the running daemon.
-//! - [`state::Shared`]: what filters and controllers share on the one thread of an entry.
-//! - [`objects::Client`]: the budgeted client of the platform's object API.
-//! - [`peer::Mesh`]: the links to the other entries.
+//! - [`state::Shared`]: state shared by filters and controllers on an entry's single thread.
+//! - [`objects::Client`]: rate-limited client of the platform's object API.
+//! - [`peer::Mesh`]: links to the other entries.
 
 pub mod callers;
 pub mod cli;
--- a/crates/pinereel/src/main.rs
+++ b/crates/pinereel/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary.
+//! The `pinereel` binary: parses the command line and runs the command.
 
 use pinereel::cli;
 use pinereel_platform::adapter;
--- a/crates/pinereel/src/metrics.rs
+++ b/crates/pinereel/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The process's figures for `prometheus`, on a registry of each entry's own.
+//! Prometheus metrics, in a registry per entry.
 //!
 //! Label values come from the configuration (pools, trainers) or from fixed sets, never from
 //! callers, so that the number of series stays bounded.
@@ -11,24 +11,24 @@
 };
 use std::fs;
 
-/// Upper bounds of the latency buckets, in seconds.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 120.0,
 ];
-/// Upper bounds of the staleness buckets, in versions.
+/// Upper bounds of the staleness histogram's buckets, in versions.
 const STALENESS_BUCKETS: [f64; 8] = [0.0, 1.0, 2.0, 3.0, 4.0, 6.0, 8.0, 16.0];
-/// Ticks a second in `/proc`, fixed by Linux's interface.
+/// Clock ticks per second in `/proc`, fixed by Linux's ABI.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// All figures of one entry.
+/// All metrics of one entry.
 ///
-/// The labels of each family, in their order, stand in its description.
+/// Each field's description names the labels of its family, in their order.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
     /// Requests by `pool` and `outcome` (`answer`, `not_run`, `unknown`).
     pub requests: IntCounterVec,
-    /// Seconds from receipt to the end of the answer, by `pool`.
+    /// Seconds from receipt to the end of the response, by `pool`.
     pub latency: HistogramVec,
     /// Attempts by `pool` and `result` (`answer`, `not_run`, `unknown`).
     pub attempts: IntCounterVec,
@@ -36,19 +36,19 @@
     pub retries: IntCounterVec,
     /// Refusals by `code`; see [`Metrics::count_refusal`].
     pub refused: IntCounterVec,
-    /// Requests now at endpoints, by `pool`.
+    /// Requests currently at endpoints, by `pool`.
     pub in_flight: IntGaugeVec,
-    /// Requests now waiting, by `pool`.
+    /// Requests currently waiting in the queue, by `pool`.
     pub waiting: IntGaugeVec,
     /// Decisions by `what`; see [`Metrics::count_decision`].
     pub decisions: IntCounterVec,
-    /// Chunks of an answer that came after its request had ended.
+    /// Dropped chunks: duplicates, and those of another or ended attempt.
     pub late_chunks: IntCounter,
     /// Lots by `trainer` and `event` (`submitted`, `done`).
     pub lots: IntCounterVec,
     /// Samples by `trainer` and `event` (`delivered`, `voided`, `redone`).
     pub samples: IntCounterVec,
-    /// Versions behind the newest at delivery, by `trainer`.
+    /// Staleness of samples at delivery, in versions behind the newest, by `trainer`.
     pub staleness: HistogramVec,
     /// Calls to the object API by `purpose` and `kind` (`read`, `write`, `watch`).
     pub object_calls: IntCounterVec,
@@ -58,11 +58,11 @@
     pub peer_frames: IntCounterVec,
     /// Bytes on links between entries, by `direction` (`in`, `out`).
     pub peer_bytes: IntCounterVec,
-    /// Links to other entries that are up.
+    /// Open links to other entries.
     pub links_up: IntGauge,
-    /// Endpoints that are known here, leaving ones included.
+    /// Endpoints known to this entry, including leaving ones.
     pub endpoints_known: IntGauge,
-    /// What this entry's runner did with samples, by `event`.
+    /// Events of samples in this entry's lot runner, by `event`.
     pub runner: IntCounterVec,
     /// Claims of idempotency keys by `verdict`.
     pub claims: IntCounterVec,
@@ -78,7 +78,7 @@
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// Creates all metrics, with zero values, in a new registry.
     pub fn new() -> Self {
         let registry = Registry::new();
         let r = &registry;
@@ -149,19 +149,19 @@
         }
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request by its error code.
     pub fn count_refusal(&self, code: Code) {
         let name = serde_json::to_value(code).unwrap_or_default();
         let name = name.as_str().unwrap_or("unnamed");
         self.refused.with_label_values(&[name]).inc();
     }
 
-    /// Counts a decision.
+    /// Counts a decision by its kind.
     pub fn count_decision(&self, what: logging::What) {
         self.decisions.with_label_values(&[what.as_str()]).inc();
     }
 
-    /// All figures in the text format of Prometheus.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.update_process_metrics();
         let families = self.registry.gather();
@@ -169,7 +169,7 @@
         text.expect("families without samples are not gathered, and the rest encode")
     }
 
-    /// Takes the process's own figures.
+    /// Updates the metrics of the process itself.
     fn update_process_metrics(&self) {
         let dropped = logging::dropped();
         self.log_dropped
@@ -184,10 +184,10 @@
     }
 }
 
-/// User and system time of the process so far.
+/// User and system CPU time of the process, in seconds.
 pub(crate) fn cpu_seconds() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
-    // The second field, the program's name, may hold spaces and ends with the last `)`.
+    // The second field, the program's name, may contain spaces and ends with the last `)`.
     let (_, rest) = stat.rsplit_once(')')?;
     let mut fields = rest.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
--- a/crates/pinereel/src/state.rs
+++ b/crates/pinereel/src/state.rs
@@ -1,4 +1,4 @@
-//! What filters and controllers share on the one thread of an entry.
+//! State that filters and controllers share on the single thread of an entry.
 
 use crate::{
     controllers::{
@@ -16,7 +16,7 @@
 use std::{cell::Cell, rc::Rc};
 use tokio::time::Instant;
 
-/// The runtime's clock as the core's time. Tests pause and advance the runtime's clock.
+/// Monotonic clock of the runtime, in the core's time type. Tests pause and advance it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -29,56 +29,56 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
         }
     }
 
-    /// Time since the start.
+    /// Current time, counted from the clock's start.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 }
 
-/// Everything that one entry's filters and controllers share.
+/// State that the filters and controllers of one entry share.
 pub struct Shared {
-    /// What the process was told.
+    /// Settings of the process.
     pub settings: Settings,
     /// Changes with each start of the process.
     pub incarnation: u64,
-    /// The runtime's clock.
+    /// Source of the current time.
     pub clock: Clock,
-    /// What is measured.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// The platform's object API.
+    /// Client of the platform's object API.
     pub objects: objects::Client,
-    /// HTTP towards endpoints.
+    /// HTTP client for endpoints.
     pub http: upstream::Client,
     /// Links to the other entries.
     pub mesh: peer::Mesh,
-    /// The configuration in force here.
+    /// Configuration in force on this entry.
     pub config: Config,
-    /// The entries.
+    /// Membership: the known entries.
     pub members: Members,
-    /// The endpoints that this entry routes to.
+    /// Endpoints to which this entry routes.
     pub endpoints: Endpoints,
-    /// Requests under which endpoints crash.
+    /// Reports of requests that crash endpoints.
     pub crashes: Crashes,
-    /// Lots: those submitted here, and the groups that run here.
+    /// Lots submitted to this entry, and groups of lots that run here.
     pub lots: Lots,
-    /// Requests that wait for an endpoint.
+    /// Queues of requests that wait for admission.
     pub queues: Queues,
-    /// Leases that this entry holds or looks after.
+    /// Leases that this entry holds or tries to acquire.
     pub leases: Leases,
-    /// Weight rollouts.
+    /// Rollouts of new weights to engines.
     pub rollout: Rollout,
-    /// Logs of idempotency claims that are open here.
+    /// Logs of idempotency claims that this entry owns.
     pub claims: Claims,
-    /// The graceful stop.
+    /// Graceful shutdown.
     pub drain: Drain,
-    /// Number of the next request.
+    /// Number for the id of the next request.
     pub(crate) next_request_number: Cell<u64>,
 }
 
@@ -93,19 +93,19 @@
         &self.settings.entry.zone
     }
 
-    /// The time now.
+    /// Current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// A request id that no other request of any entry has.
+    /// Creates a request id that is unique among all entries.
     pub fn request_id(&self) -> CompactString {
         let number = self.next_request_number.get();
         self.next_request_number.set(number + 1);
         format_compact!("{}-{:x}-{number}", self.name(), self.incarnation)
     }
 
-    /// Logs a decision that has no cost to compare, and counts it.
+    /// Logs and counts a decision without costs of alternatives.
     pub fn log_decision(&self, what: What, request: &str, chosen: Option<&str>, reason: &str) {
         self.metrics.count_decision(what);
         if !self.settings.log.decisions {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Spawns `task` on this thread; it ends with the entry.
+/// Spawns `task` on the current thread; it is cancelled when the entry's runtime stops.
 pub fn spawn(shared: &Rc<Shared>, task: impl AsyncFnOnce(Rc<Shared>) + 'static) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move { task(shared).await });
--- a/crates/pinereel/tests/metrics_render.rs
+++ b/crates/pinereel/tests/metrics_render.rs
@@ -1,10 +1,10 @@
-//! Metrics: every line of the text format parses, and figures appear under their names.
+//! Prometheus metrics: every line of the text format parses, and each metric has its name and labels.
 
 use pinereel::{logging::What, metrics::Metrics};
 use pinereel_api::problem::Code;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Samples by name and labels; panics at a line that is neither a comment nor a sample.
+/// Parses samples by name and labels; panics on a line that is neither a comment nor a sample.
 fn parse(text: &str) -> BTreeMap<String, f64> {
     let sample = |line: &str| {
         let (name, value) = line.rsplit_once(' ').expect("a name and a value");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn figures_appear_under_their_names() {
+fn metrics_have_their_names_and_labels() {
     let metrics = Metrics::new();
     metrics
         .requests
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn two_entries_of_one_process_count_apart() {
+fn entries_of_one_process_have_independent_metrics() {
     let (one, two) = (Metrics::new(), Metrics::default());
     one.late_chunks.inc();
     assert_eq!(
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_process_is_seen() {
+fn process_metrics_are_reported() {
     let samples = parse(&Metrics::new().render());
     assert!(samples["pinereel_process_resident_bytes"] > 1_048_576.0);
     assert!(samples["pinereel_process_cpu_seconds_total"] >= 0.0);
