--- a/crates/pinereel/src/upstream/direct.rs
+++ b/crates/pinereel/src/upstream/direct.rs
@@ -44,23 +44,23 @@
         .parse()
         .map_err(|e| Error::Invalid(format!("{e}")))?;
     let wait = attempt.timeout;
-    let exchange = async {
+    let response = async {
         let stream = connect(&uri)
             .await
             .map_err(|e| Error::NotOpened(e.to_string()))?;
-        exchange(stream, uri, attempt).await
+        send_on(stream, uri, attempt).await
     };
-    timeout(wait, exchange)
+    timeout(wait, response)
         .await
         .unwrap_or_else(|_| Err(Error::Lost("timeout".into())))
 }
 
-async fn exchange(stream: TcpStream, uri: Uri, attempt: Attempt) -> Result<Response, Error> {
+async fn send_on(stream: TcpStream, uri: Uri, attempt: Attempt) -> Result<Response, Error> {
     let mut framed = Framed::new(stream, ClientCodec::default());
     let body = attempt.body.clone();
     let method = attempt.method.clone();
     let size = BodySize::Sized(body.len() as u64);
-    let head = RequestHeadType::Owned(head(uri, attempt));
+    let head = RequestHeadType::Owned(build_head(uri, attempt));
     let lost = |e: io::Error| Error::Lost(e.to_string());
     framed
         .feed(Message::Item((head, size)))
@@ -99,7 +99,7 @@
     *method != Method::HEAD && !status.is_informational() && !bare.contains(&status)
 }
 
-fn head(uri: Uri, attempt: Attempt) -> RequestHead {
+fn build_head(uri: Uri, attempt: Attempt) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = attempt.method;
     head.uri = uri;
--- a/crates/pinereel/src/upstream/mod.rs
+++ b/crates/pinereel/src/upstream/mod.rs
@@ -33,13 +33,13 @@
 
 /// Pause before the first probe of a quiet connection, and between probes. The system counts it in
 /// whole seconds.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Probes without an answer after which a connection counts as gone.
-const PROBES: u32 = 3;
+const KEEPALIVE_PROBES: u32 = 3;
 
 /// Idle time after which a pooled connection is not used again; below usual servers' own.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Why an attempt got no response.
 #[derive(Debug, thiserror::Error)]
@@ -86,7 +86,7 @@
 /// The marker of an error that our connector made.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-struct NotOpened(io::Error);
+struct ConnectFailed(io::Error);
 
 /// Clients of both kinds of connection reuse.
 #[derive(Clone)]
@@ -105,8 +105,8 @@
     /// A client on the current thread.
     pub fn new() -> Self {
         Self {
-            pooled: build(IDLE, Duration::from_secs(600)),
-            fresh: build(Duration::ZERO, Duration::ZERO),
+            pooled: build_client(IDLE_TIMEOUT, Duration::from_secs(600)),
+            fresh: build_client(Duration::ZERO, Duration::ZERO),
         }
     }
 
@@ -134,7 +134,7 @@
 /// Only our connector's own error is evidence that nothing left.
 fn classify(error: SendRequestError) -> Error {
     match &error {
-        SendRequestError::Connect(ConnectError::Io(io)) if is_not_opened(io) => {
+        SendRequestError::Connect(ConnectError::Io(io)) if is_connect_failure(io) => {
             Error::NotOpened(io.to_string())
         }
         SendRequestError::Url(_) => Error::Invalid(error.to_string()),
@@ -142,13 +142,15 @@
     }
 }
 
-fn is_not_opened(error: &io::Error) -> bool {
-    error.get_ref().is_some_and(|inner| inner.is::<NotOpened>())
+fn is_connect_failure(error: &io::Error) -> bool {
+    error
+        .get_ref()
+        .is_some_and(|inner| inner.is::<ConnectFailed>())
 }
 
-fn build(keep_alive: Duration, lifetime: Duration) -> awc::Client {
+fn build_client(keep_alive: Duration, lifetime: Duration) -> awc::Client {
     let connector = Connector::new()
-        .connector(fn_service(open))
+        .connector(fn_service(open_connection))
         .timeout(LIBRARY_CONNECT_TIMEOUT)
         .conn_keep_alive(keep_alive)
         .conn_lifetime(lifetime)
@@ -162,11 +164,11 @@
 }
 
 /// Opens a connection to the IP number and port in the URI.
-async fn open(info: ConnectInfo<Uri>) -> Result<Connection<Uri, TcpStream>, TcpError> {
+async fn open_connection(info: ConnectInfo<Uri>) -> Result<Connection<Uri, TcpStream>, TcpError> {
     let uri = info.request().clone();
     match connect(&uri).await {
         Ok(stream) => Ok(Connection::new(uri, stream)),
-        Err(e) => Err(TcpError::Io(io::Error::other(NotOpened(e)))),
+        Err(e) => Err(TcpError::Io(io::Error::other(ConnectFailed(e)))),
     }
 }
 
@@ -186,18 +188,18 @@
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
-    watch_silence(&stream)?;
+    set_keepalive(&stream)?;
     Ok(stream)
 }
 
 /// Lets the system end a connection whose peer has gone silent: without it, a waiting call on such
 /// a connection would wait for its whole timeout.
-fn watch_silence(stream: &TcpStream) -> io::Result<()> {
+fn set_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PROBE_PAUSE)
-        .with_interval(PROBE_PAUSE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(PROBE_PAUSE * PROBES))
+    socket.set_tcp_user_timeout(Some(KEEPALIVE_INTERVAL * KEEPALIVE_PROBES))
 }
