--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -316,7 +316,7 @@
     /// Returns the next part; `None` after the end and after an error.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         self.ticket.as_ref()?;
-        let part = timeout_at(self.deadline, self.body.part()).await;
+        let part = timeout_at(self.deadline, self.body.next_part()).await;
         let part = part.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut)));
         match part {
             Ok(Some(part)) => Some(Ok(part)),
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -84,7 +84,7 @@
                 log::info!(endpoint = entry.id.as_str(); "entry of an earlier start, not taken over");
                 return;
             }
-            self.parts.pool.forget(before.address);
+            self.parts.pool.close_idle(before.address);
         }
         log_listed(before.as_ref(), &entry, object.revision, level);
         let instance = listed_instance(&entry);
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -1,7 +1,7 @@
 //! One run of an item at an engine, event by event.
 
 use super::{runner::Runner, state::Work};
-use crate::upstream::pool::{Body, Error, Exchange};
+use crate::upstream::pool::{Body, Error, PooledRequest};
 use actix_http::{
     Method, RequestHead, StatusCode,
     header::{AUTHORIZATION, HOST, HeaderMap, HeaderName, HeaderValue},
@@ -140,7 +140,7 @@
     place: &Place,
 ) -> End {
     let (last, made_by) = runner.progress(work);
-    let exchange = Exchange {
+    let exchange = PooledRequest {
         address: place.address,
         head: head(runner, work, item, place, last),
         body: item.body.clone(),
@@ -155,7 +155,7 @@
     };
     let said = (runner.parts.adapter.headers.decode_response)(response.status, &response.headers);
     if said.not_executed {
-        let _ = timeout(SILENCE, response.body.whole()).await;
+        let _ = timeout(SILENCE, response.body.read_all()).await;
         return End::Refused;
     }
     if said.id.as_ref().is_some_and(|id| *id != item.id) || said.content_encoded {
@@ -247,7 +247,7 @@
                 Some(_) => self.runner.patience(self.work, self.place.key),
                 None => SILENCE,
             };
-            let part = match timeout(patience, body.part()).await {
+            let part = match timeout(patience, body.next_part()).await {
                 Ok(Ok(Some(part))) => part,
                 Ok(Ok(None)) if buffer.is_empty() && self.last.is_some() => {
                     return End::Complete;
--- a/crates/pinereel/src/hosted/orders/call.rs
+++ b/crates/pinereel/src/hosted/orders/call.rs
@@ -1,7 +1,7 @@
 //! Calls at engines.
 
 use super::Orders;
-use crate::upstream::pool::{Error, Exchange};
+use crate::upstream::pool::{Error, PooledRequest};
 use actix_http::{
     Method, RequestHead, StatusCode,
     header::{CONTENT_TYPE, HOST, HeaderValue},
@@ -65,7 +65,7 @@
             caller: &Caller::Anonymous,
         };
         (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
-        let exchange = Exchange {
+        let exchange = PooledRequest {
             address: entry.address,
             head,
             body,
@@ -78,7 +78,7 @@
                 Error::Lost(_) | Error::Stale(_) => NoAnswer::Lost,
             })?;
             let status = response.status;
-            let body = response.body.whole().await;
+            let body = response.body.read_all().await;
             Ok((status, body.map_err(|_| NoAnswer::Lost)?))
         };
         timeout(ANSWER, exchange)
--- a/crates/pinereel/src/hosted/platform.rs
+++ b/crates/pinereel/src/hosted/platform.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform that one instance makes at a time.
 
-use crate::upstream::pool::{Exchange, Pool};
+use crate::upstream::pool::{Pool, PooledRequest};
 use actix_http::{
     RequestHead, StatusCode,
     header::{HOST, HeaderValue},
@@ -22,7 +22,7 @@
     if let Ok(host) = host {
         head.headers.insert(HOST, host);
     }
-    let exchange = Exchange {
+    let exchange = PooledRequest {
         address,
         head,
         body: call.body,
@@ -32,7 +32,7 @@
     let exchange = async {
         let response = pool.send(exchange).await.ok()?;
         let status = response.status;
-        response.body.whole().await.ok()?;
+        response.body.read_all().await.ok()?;
         Some(status)
     };
     timeout(ANSWER, exchange).await.ok().flatten()
--- a/crates/pinereel/src/hosted/relay/attempt.rs
+++ b/crates/pinereel/src/hosted/relay/attempt.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Call, Picked, Relay, head::end_to_end, report::report_break};
 use crate::{
     hosted::{crashes::Occupied, endpoints::Endpoints},
-    upstream::pool::{Error, Exchange, Response},
+    upstream::pool::{Error, PooledRequest, Response},
 };
 use actix_http::{RequestHead, StatusCode, Uri};
 use futures_util::future::LocalBoxFuture;
@@ -64,7 +64,7 @@
         let mut reuse = repeatable;
         let mut broke = false;
         loop {
-            let exchange = Exchange {
+            let exchange = PooledRequest {
                 address: picked.address,
                 head: head(),
                 body: call.body.clone(),
@@ -145,7 +145,7 @@
         if said.not_executed {
             // Read to its end, so that the connection can be used again.
             let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
-            let _ = response.body.whole().await;
+            let _ = response.body.read_all().await;
             return Err(if misdirected {
                 Failure::OtherEndpoint
             } else {
@@ -157,7 +157,7 @@
             return Err(Failure::InvalidAnswer);
         }
         let (status, headers) = (response.status, end_to_end(&response.headers));
-        let body = response.body.whole().await.map_err(|_| Failure::Lost)?;
+        let body = response.body.read_all().await.map_err(|_| Failure::Lost)?;
         Ok(Answer {
             status,
             headers,
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -272,7 +272,7 @@
             let sources = Sources {
                 crashes: Rc::clone(&crashes),
                 store: store.client().clone(),
-                connections: Box::new(move || pool.opened()),
+                connections: Box::new(move || pool.opened_count()),
                 config: Box::new(move || config.table().map_or(0, |table| table.number())),
             };
             metrics.serve(listen(address).await?, sources).await?;
--- a/crates/pinereel/src/upstream/direct.rs
+++ b/crates/pinereel/src/upstream/direct.rs
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// The connection broke, or ended before the body did.
-    pub async fn part(&mut self) -> io::Result<Option<Bytes>> {
+    pub async fn next_part(&mut self) -> io::Result<Option<Bytes>> {
         let Some(framed) = &mut self.framed else {
             return Ok(None);
         };
@@ -143,7 +143,7 @@
     pub fn into_stream(self) -> impl Stream<Item = io::Result<Bytes>> {
         stream::unfold(Some(self), |body| async move {
             let mut body = body?;
-            match body.part().await {
+            match body.next_part().await {
                 Ok(Some(part)) => Some((Ok(part), Some(body))),
                 Ok(None) => None,
                 Err(e) => Some((Err(e), None)),
--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -27,13 +27,13 @@
 };
 use tokio::{io::AsyncReadExt as _, net::TcpStream, time::Instant};
 
-/// Idle time after which a connection is not used again if its endpoint does not say how long it
-/// keeps it. Usual servers keep 5 s or more.
-const USUAL_IDLE: Duration = Duration::from_secs(4);
+/// IdleConnection time after which a connection is not used again if its endpoint does not say how long it
+/// keeps it. Usual servers idle_timeout 5 s or more.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// An endpoint counts its idle time from the moment its answer left, and closes in whole seconds.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 /// The longest body that is read whole.
-const MAX_BODY: usize = 32 << 20;
+const MAX_BODY_BYTES: usize = 32 << 20;
 
 /// Why an exchange brought no answer.
 #[derive(Debug, thiserror::Error)]
@@ -50,7 +50,7 @@
 }
 
 /// One request over one connection.
-pub struct Exchange {
+pub struct PooledRequest {
     /// The endpoint.
     pub address: SocketAddr,
     /// Method, target and headers; `Content-Length` is set by the body.
@@ -72,29 +72,29 @@
 }
 
 /// An idle connection.
-struct Idle {
-    wire: Framed<TcpStream, ClientCodec>,
-    until: Instant,
+struct IdleConnection {
+    connection: Framed<TcpStream, ClientCodec>,
+    expires_at: Instant,
 }
 
 /// The connections of one process.
 #[derive(Default)]
 pub struct Pool {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
     opened: Cell<u64>,
 }
 
 /// A body that is being read.
 pub struct Body {
     state: State,
-    home: Rc<Pool>,
+    pool: Rc<Pool>,
     address: SocketAddr,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 enum State {
     /// Nothing more to read.
-    Done,
+    Ended,
     /// The framing tells the end.
     Framed(Framed<TcpStream, ClientPayloadCodec>),
     /// The connection's end is the body's end; what was read with the head comes first.
@@ -103,7 +103,7 @@
 
 impl Pool {
     /// Connections opened since the start.
-    pub fn opened(&self) -> u64 {
+    pub fn opened_count(&self) -> u64 {
         self.opened.get()
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Closes the idle connections to an endpoint that has started again.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
@@ -125,8 +125,8 @@
             Found::Broken | Found::Unknown => false,
             Found::Listening(stream) => {
                 self.opened.set(self.opened.get() + 1);
-                let wire = Framed::new(stream, ClientCodec::default());
-                self.put(address, wire, USUAL_IDLE);
+                let connection = Framed::new(stream, ClientCodec::default());
+                self.put_idle(address, connection, DEFAULT_IDLE_TIMEOUT);
                 false
             }
         }
@@ -137,62 +137,65 @@
     /// # Errors
     /// [`Error::NotOpened`] only if no byte of it left; [`Error::Stale`] if a connection that had
     /// lain idle broke without any byte of an answer.
-    pub async fn send(self: &Rc<Self>, exchange: Exchange) -> Result<Response, Error> {
-        let address = exchange.address;
-        let idle = exchange.reuse.then(|| self.take(address)).flatten();
+    pub async fn send(self: &Rc<Self>, request: PooledRequest) -> Result<Response, Error> {
+        let address = request.address;
+        let idle = request.reuse.then(|| self.take_idle(address)).flatten();
         let reused = idle.is_some();
-        let wire = match idle {
-            Some(wire) => wire,
-            None => self.open(address).await?,
+        let connection = match idle {
+            Some(connection) => connection,
+            None => self.open_connection(address).await?,
         };
-        let result = self.exchange(wire, exchange).await;
+        let result = self.send_on(connection, request).await;
         result.map_err(|error| match error {
             Error::Lost(why) if reused => Error::Stale(why),
             error => error,
         })
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<Framed<TcpStream, ClientCodec>, Error> {
+    async fn open_connection(
+        &self,
+        address: SocketAddr,
+    ) -> Result<Framed<TcpStream, ClientCodec>, Error> {
         let stream = connect_to(address).await.map_err(Error::NotOpened)?;
         self.opened.set(self.opened.get() + 1);
         Ok(Framed::new(stream, ClientCodec::default()))
     }
 
-    async fn exchange(
+    async fn send_on(
         self: &Rc<Self>,
-        mut wire: Framed<TcpStream, ClientCodec>,
-        exchange: Exchange,
+        mut connection: Framed<TcpStream, ClientCodec>,
+        request: PooledRequest,
     ) -> Result<Response, Error> {
-        let method = exchange.head.method.clone();
-        let sent = write(&mut wire, exchange.head, exchange.body).await;
+        let method = request.head.method.clone();
+        let sent = write_request(&mut connection, request.head, request.body).await;
         // An endpoint may answer before it has read the whole request, and close.
-        let head = match wire.next().await {
+        let head = match connection.next().await {
             Some(Ok(head)) => head,
             Some(Err(e)) => return Err(Error::Lost(e.to_string())),
             None => return Err(Error::Lost("closed without an answer".into())),
         };
-        let keep = if sent.is_ok() && wire.codec_ref().keep_alive() {
-            idle_time(&head.headers)
+        let idle_timeout = if sent.is_ok() && connection.codec_ref().keep_alive() {
+            parse_idle_timeout(&head.headers)
         } else {
             None
         };
-        let bare = wire.codec_ref().message_type() == MessageType::None;
+        let bare = connection.codec_ref().message_type() == MessageType::None;
         let unframed = bare
             && !head.headers.contains_key(CONTENT_LENGTH)
             && may_have_body(&method, head.status);
         let mut body = Body {
-            state: State::Done,
-            home: Rc::clone(self),
-            address: exchange.address,
-            keep,
+            state: State::Ended,
+            pool: Rc::clone(self),
+            address: request.address,
+            idle_timeout,
         };
         if unframed {
-            let parts = wire.into_parts();
+            let parts = connection.into_parts();
             body.state = State::UntilClose(parts.io, parts.read_buf.freeze());
         } else if bare {
-            body.give_back(wire);
+            body.return_to_pool(connection);
         } else {
-            body.state = State::Framed(wire.into_map_codec(ClientCodec::into_payload_codec));
+            body.state = State::Framed(connection.into_map_codec(ClientCodec::into_payload_codec));
         }
         Ok(Response {
             status: head.status,
@@ -202,14 +205,14 @@
     }
 
     /// An idle connection that still looks open.
-    fn take(&self, address: SocketAddr) -> Option<Framed<TcpStream, ClientCodec>> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Framed<TcpStream, ClientCodec>> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&address)?;
         let mut found = None;
         while let Some(connection) = idle.pop() {
-            if connection.until > now && is_quiet(connection.wire.io_ref()) {
-                found = Some(connection.wire);
+            if connection.expires_at > now && is_open_and_empty(connection.connection.io_ref()) {
+                found = Some(connection.connection);
                 break;
             }
         }
@@ -219,49 +222,59 @@
         found
     }
 
-    fn put(&self, address: SocketAddr, wire: Framed<TcpStream, ClientCodec>, keep: Duration) {
+    fn put_idle(
+        &self,
+        address: SocketAddr,
+        connection: Framed<TcpStream, ClientCodec>,
+        idle_timeout: Duration,
+    ) {
         let now = Instant::now();
-        let until = now + keep;
+        let expires_at = now + idle_timeout;
         let mut all = self.idle.borrow_mut();
         for connections in all.values_mut() {
-            connections.retain(|connection| connection.until > now);
+            connections.retain(|connection| connection.expires_at > now);
         }
         all.retain(|_, connections| !connections.is_empty());
-        all.entry(address).or_default().push(Idle { wire, until });
+        all.entry(address).or_default().push(IdleConnection {
+            connection,
+            expires_at,
+        });
     }
 }
 
-async fn write(
-    wire: &mut Framed<TcpStream, ClientCodec>,
+async fn write_request(
+    connection: &mut Framed<TcpStream, ClientCodec>,
     head: RequestHead,
     body: Bytes,
 ) -> io::Result<()> {
     let size = BodySize::Sized(body.len() as u64);
     let head = RequestHeadType::Owned(head);
-    wire.feed(Message::Item((head, size))).await?;
+    connection.feed(Message::Item((head, size))).await?;
     if !body.is_empty() {
-        wire.feed(Message::Chunk(Some(body))).await?;
+        connection.feed(Message::Chunk(Some(body))).await?;
     }
-    wire.flush().await
+    connection.flush().await
 }
 
 /// Whether an idle connection is open and nothing came over it.
-fn is_quiet(stream: &TcpStream) -> bool {
+fn is_open_and_empty(stream: &TcpStream) -> bool {
     let mut byte = [0];
     let read = stream.try_read(&mut byte);
     read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
 /// How long a connection may lie idle; none if it may not be used again.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
-    let said = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+fn parse_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let said = headers
+        .get("keep-alive")
+        .and_then(|v| v.to_str().ok());
     let Some(said) = said else {
-        return Some(USUAL_IDLE);
+        return Some(DEFAULT_IDLE_TIMEOUT);
     };
     let mut parameters = said.split(',').map(str::trim);
     let seconds = parameters.find_map(|p| p.strip_prefix("timeout="));
     let Some(seconds) = seconds.and_then(|seconds| seconds.parse().ok()) else {
-        return Some(USUAL_IDLE);
+        return Some(DEFAULT_IDLE_TIMEOUT);
     };
     Duration::from_secs(seconds)
         .checked_sub(IDLE_MARGIN)
@@ -279,28 +292,28 @@
     ///
     /// # Errors
     /// The connection broke, or ended before the body did.
-    pub async fn part(&mut self) -> io::Result<Option<Bytes>> {
+    pub async fn next_part(&mut self) -> io::Result<Option<Bytes>> {
         match &mut self.state {
-            State::Done => Ok(None),
-            State::Framed(wire) => match wire.next().await {
+            State::Ended => Ok(None),
+            State::Framed(connection) => match connection.next().await {
                 Some(Ok(Some(part))) => Ok(Some(part)),
                 Some(Ok(None)) => {
-                    self.end();
+                    self.finish();
                     Ok(None)
                 }
-                Some(Err(e)) => self.broken(io::Error::other(e.to_string())),
-                None => self.broken(io::ErrorKind::UnexpectedEof.into()),
+                Some(Err(e)) => self.fail(io::Error::other(e.to_string())),
+                None => self.fail(io::ErrorKind::UnexpectedEof.into()),
             },
             State::UntilClose(_, read) if !read.is_empty() => Ok(Some(std::mem::take(read))),
             State::UntilClose(stream, _) => {
                 let mut part = BytesMut::with_capacity(4_096);
                 match stream.read_buf(&mut part).await {
                     Ok(0) => {
-                        self.state = State::Done;
+                        self.state = State::Ended;
                         Ok(None)
                     }
                     Ok(_) => Ok(Some(part.freeze())),
-                    Err(e) => self.broken(e),
+                    Err(e) => self.fail(e),
                 }
             }
         }
@@ -310,10 +323,10 @@
     ///
     /// # Errors
     /// It broke off, or is longer than 32 MiB.
-    pub async fn whole(mut self) -> io::Result<Bytes> {
+    pub async fn read_all(mut self) -> io::Result<Bytes> {
         let mut whole = BytesMut::new();
-        while let Some(part) = self.part().await? {
-            if whole.len() + part.len() > MAX_BODY {
+        while let Some(part) = self.next_part().await? {
+            if whole.len() + part.len() > MAX_BODY_BYTES {
                 return Err(io::Error::other("body is too long"));
             }
             whole.extend_from_slice(&part);
@@ -321,21 +334,21 @@
         Ok(whole.freeze())
     }
 
-    fn broken(&mut self, error: io::Error) -> io::Result<Option<Bytes>> {
-        self.state = State::Done;
+    fn fail(&mut self, error: io::Error) -> io::Result<Option<Bytes>> {
+        self.state = State::Ended;
         Err(error)
     }
 
-    fn end(&mut self) {
-        if let State::Framed(wire) = std::mem::replace(&mut self.state, State::Done) {
-            self.give_back(wire.into_map_codec(ClientPayloadCodec::into_message_codec));
+    fn finish(&mut self) {
+        if let State::Framed(connection) = std::mem::replace(&mut self.state, State::Ended) {
+            self.return_to_pool(connection.into_map_codec(ClientPayloadCodec::into_message_codec));
         }
     }
 
     /// Bytes after the end belong to no request: such a connection is closed.
-    fn give_back(&mut self, wire: Framed<TcpStream, ClientCodec>) {
-        if let Some(keep) = self.keep.filter(|_| wire.is_read_buf_empty()) {
-            self.home.put(self.address, wire, keep);
+    fn return_to_pool(&mut self, connection: Framed<TcpStream, ClientCodec>) {
+        if let Some(idle_timeout) = self.idle_timeout.filter(|_| connection.is_read_buf_empty()) {
+            self.pool.put_idle(self.address, connection, idle_timeout);
         }
     }
 }
--- a/crates/pinereel/tests/upstream_direct.rs
+++ b/crates/pinereel/tests/upstream_direct.rs
@@ -40,7 +40,7 @@
     };
     let mut body = Vec::new();
     loop {
-        match response.body.part().await {
+        match response.body.next_part().await {
             Ok(Some(part)) => body.extend_from_slice(&part),
             Ok(None) => break,
             Err(e) => return format!("{} {:?} cut: {:?}", response.status, body, e.kind()),
--- a/crates/pinereel/tests/upstream_pool.rs
+++ b/crates/pinereel/tests/upstream_pool.rs
@@ -2,7 +2,7 @@
 
 use actix_http::{Method, RequestHead};
 use bytes::Bytes;
-use pinereel::upstream::pool::{Error, Exchange, Pool};
+use pinereel::upstream::pool::{Error, Pool, PooledRequest};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
@@ -56,10 +56,10 @@
     address
 }
 
-fn exchange(address: SocketAddr) -> Exchange {
+fn exchange(address: SocketAddr) -> PooledRequest {
     let mut head = RequestHead::default();
     head.method = Method::POST;
-    Exchange {
+    PooledRequest {
         address,
         head,
         body: Bytes::from_static(b"hello"),
@@ -70,7 +70,7 @@
 async fn whole(pool: &Rc<Pool>, address: SocketAddr) -> Result<String, String> {
     let response = pool.send(exchange(address)).await;
     let response = response.map_err(|error| error.to_string())?;
-    let body = response.body.whole().await;
+    let body = response.body.read_all().await;
     let body = body.map_err(|error| format!("cut: {error}"))?;
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
@@ -84,7 +84,7 @@
     for _ in 0..2 {
         assert_eq!(whole(&pool, address).await, Ok("ok".into()));
     }
-    assert_eq!(pool.opened(), 1);
+    assert_eq!(pool.opened_count(), 1);
 }
 
 #[actix_rt::test]
@@ -96,7 +96,7 @@
         assert_eq!(whole(&pool, address).await, Ok("ok".into()));
         sleep(Duration::from_millis(30)).await;
     }
-    assert_eq!(pool.opened(), 2);
+    assert_eq!(pool.opened_count(), 2);
 }
 
 #[actix_rt::test]
@@ -107,7 +107,7 @@
     for _ in 0..2 {
         assert_eq!(whole(&pool, address).await, Ok("ok".into()));
     }
-    assert_eq!(pool.opened(), 2);
+    assert_eq!(pool.opened_count(), 2);
 }
 
 #[actix_rt::test]
--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -5,7 +5,7 @@
     header::{HeaderMap, HeaderName, HeaderValue},
 };
 use bytes::Bytes;
-use pinereel::upstream::pool::{Error, Exchange, Pool};
+use pinereel::upstream::pool::{Error, Pool, PooledRequest};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
@@ -59,7 +59,7 @@
         }
     }
     let pool = Rc::new(Pool::default());
-    let exchange = Exchange {
+    let exchange = PooledRequest {
         address,
         head,
         body,
@@ -73,7 +73,7 @@
         Ok(Answer {
             status: response.status,
             headers: response.headers,
-            body: response.body.whole().await.map_err(|_| Failure::Cut)?,
+            body: response.body.read_all().await.map_err(|_| Failure::Cut)?,
         })
     };
     timeout(wait, exchange).await.unwrap_or(Err(Failure::Late))
