--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 
 use super::{
     connect_to,
-    probe::{Found, probe},
+    probe::{Probe, probe},
 };
 use actix_codec::Framed;
 use actix_http::{
@@ -121,9 +121,9 @@
     /// there. A connection that is opened to look is kept.
     pub async fn is_gone(&self, address: SocketAddr) -> bool {
         match probe(address).await {
-            Found::Nobody => true,
-            Found::Broken | Found::Unknown => false,
-            Found::Listening(stream) => {
+            Probe::NotListening => true,
+            Probe::Reset | Probe::Unknown => false,
+            Probe::Listening(stream) => {
                 self.opened.set(self.opened.get() + 1);
                 let connection = Framed::new(stream, ClientCodec::default());
                 self.put_idle(address, connection, DEFAULT_IDLE_TIMEOUT);
