--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -333,9 +333,9 @@
     fn note(&self, answer: &Result<(StatusCode, Bytes), Error>) {
         let mut inner = self.inner.borrow_mut();
         if answered(answer) {
-            inner.breaker.success();
+            inner.breaker.record_success();
         } else {
-            inner.breaker.failure(self.clock.now());
+            inner.breaker.record_failure(self.clock.now());
         }
     }
 }
--- a/crates/pinereel/tests/objects_breaker.rs
+++ b/crates/pinereel/tests/objects_breaker.rs
@@ -9,7 +9,7 @@
     let mut now = Time::ZERO;
     for _ in 0..failures {
         now = now + Duration::from_secs(2);
-        breaker.failure(now);
+        breaker.record_failure(now);
     }
     (breaker, now)
 }
@@ -34,7 +34,7 @@
 #[test]
 fn an_answer_closes_it_for_all() {
     let (mut breaker, now) = after_failures(12);
-    breaker.success();
+    breaker.record_success();
     assert!(breaker.allows(false, now));
     assert!(breaker.allows(true, now));
 }
@@ -50,7 +50,7 @@
             others += 1;
         }
         if breaker.allows(true, now) {
-            breaker.failure(now);
+            breaker.record_failure(now);
         }
     }
     // In 4 s, with a longest back-off of 1.25 s.
