--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -4,7 +4,7 @@
     breaker::Breaker,
     call::{Access, Purpose},
     error::Error,
-    rate::Bucket,
+    token_bucket::TokenBucket,
 };
 use crate::{
     state::Clock,
@@ -62,8 +62,8 @@
 
 struct Inner {
     breaker: Breaker,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
     calls: BTreeMap<(Purpose, &'static str), u64>,
 }
 
@@ -74,8 +74,8 @@
         let seed = hash::stable(options.agent.as_bytes());
         let inner = Inner {
             breaker: Breaker::new(seed),
-            reads: Bucket::new(options.reads, now),
-            writes: Bucket::new(options.writes, now),
+            reads: TokenBucket::new(options.reads, now),
+            writes: TokenBucket::new(options.writes, now),
             calls: BTreeMap::new(),
         };
         Self {
--- a/crates/pinereel/src/objects/mod.rs
+++ b/crates/pinereel/src/objects/mod.rs
@@ -9,7 +9,7 @@
 mod call;
 mod client;
 mod error;
-mod rate;
+mod token_bucket;
 
 pub use breaker::Breaker;
 pub use call::{Access, Purpose};
