--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -214,10 +214,10 @@
     let options = objects::Options {
         address: settings.object_api.url.trim_start_matches("http://").into(),
         agent: settings.entry.name.clone(),
-        concurrency: settings.object_api.max_concurrency as usize,
+        max_concurrency: settings.object_api.max_concurrency as usize,
         timeout: settings.object_api.timeout,
-        reads: f64::from(settings.object_api.reads_per_second),
-        writes: f64::from(settings.object_api.writes_per_second),
+        reads_per_second: f64::from(settings.object_api.reads_per_second),
+        writes_per_second: f64::from(settings.object_api.writes_per_second),
     };
     let local = LocalEntry {
         name: settings.entry.name.clone(),
--- a/crates/pinereel/src/hosted/metrics.rs
+++ b/crates/pinereel/src/hosted/metrics.rs
@@ -148,7 +148,7 @@
     }
 
     fn render(&self, sources: &Sources) -> String {
-        for ((purpose, access), count) in sources.store.calls() {
+        for ((purpose, access), count) in sources.store.call_counts() {
             let calls = self
                 .store_calls
                 .with_label_values(&[purpose.as_str(), access]);
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -331,10 +331,10 @@
     objects::Options {
         address: settings.store.address.to_string(),
         agent: settings.instance.name.clone(),
-        concurrency: STORE_CALLS,
+        max_concurrency: STORE_CALLS,
         timeout: settings.store.timeout,
-        reads: f64::from(settings.store.reads_per_second),
-        writes: f64::from(settings.store.writes_per_second),
+        reads_per_second: f64::from(settings.store.reads_per_second),
+        writes_per_second: f64::from(settings.store.writes_per_second),
     }
 }
 
@@ -349,7 +349,7 @@
     loop {
         sleep(SUMMARY).await;
         let calls: BTreeMap<_, _> = client
-            .calls()
+            .call_counts()
             .into_iter()
             .map(|((purpose, access), count)| {
                 (format_compact!("{} {access}", purpose.as_str()), count)
--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -28,10 +28,10 @@
 };
 
 /// Largest answer that is read, in bytes: a list may hold many values.
-const MAX_ANSWER: usize = 16 * MAX_VALUE_BYTES;
+const MAX_RESPONSE_BYTES: usize = 16 * MAX_VALUE_BYTES;
 
-/// Longest wait for a turn under the rate limits; longer counts as unavailable.
-const LONGEST_TURN: Duration = Duration::from_secs(2);
+/// Longest wait for a permit under the rate limits; longer counts as unavailable.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// Bounds of the client.
 #[derive(Clone, Debug)]
@@ -41,13 +41,13 @@
     /// Name sent as the user agent.
     pub agent: CompactString,
     /// Most calls at once, waiting watches not counted.
-    pub concurrency: usize,
+    pub max_concurrency: usize,
     /// Longest wait for one answer.
     pub timeout: Duration,
     /// Reads a second.
-    pub reads: f64,
+    pub reads_per_second: f64,
     /// Writes a second.
-    pub writes: f64,
+    pub writes_per_second: f64,
 }
 
 /// The client. Clones share their budget.
@@ -56,7 +56,7 @@
     http: Http,
     options: Rc<Options>,
     clock: Clock,
-    turns: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     inner: Rc<RefCell<Inner>>,
 }
 
@@ -64,7 +64,7 @@
     breaker: Breaker,
     reads: TokenBucket,
     writes: TokenBucket,
-    calls: BTreeMap<(Purpose, &'static str), u64>,
+    call_counts: BTreeMap<(Purpose, &'static str), u64>,
 }
 
 impl Client {
@@ -74,13 +74,13 @@
         let seed = hash::stable(options.agent.as_bytes());
         let inner = Inner {
             breaker: Breaker::new(seed),
-            reads: TokenBucket::new(options.reads, now),
-            writes: TokenBucket::new(options.writes, now),
-            calls: BTreeMap::new(),
+            reads: TokenBucket::new(options.reads_per_second, now),
+            writes: TokenBucket::new(options.writes_per_second, now),
+            call_counts: BTreeMap::new(),
         };
         Self {
             http: Http::new(),
-            turns: Arc::new(Semaphore::new(options.concurrency)),
+            permits: Arc::new(Semaphore::new(options.max_concurrency)),
             options: Rc::new(options),
             clock,
             inner: Rc::new(RefCell::new(inner)),
@@ -88,8 +88,8 @@
     }
 
     /// Calls since the start, by purpose and kind (`read`, `write`, `watch`).
-    pub fn calls(&self) -> BTreeMap<(Purpose, &'static str), u64> {
-        self.inner.borrow().calls.clone()
+    pub fn call_counts(&self) -> BTreeMap<(Purpose, &'static str), u64> {
+        self.inner.borrow().call_counts.clone()
     }
 
     /// Reads one object; `None` if it does not exist.
@@ -122,7 +122,7 @@
         wait: Duration,
     ) -> Result<Changes, Error> {
         let path = format!("/objects/{kind}?after={after}&wait_ms={}", wait.as_millis());
-        self.enter(purpose, Access::Watch).await?;
+        self.admit(purpose, Access::Watch).await?;
         let timeout = wait + self.options.timeout;
         let (status, body) = self
             .call(Method::GET, path, Vec::new(), Bytes::new(), timeout)
@@ -165,12 +165,12 @@
     ) -> Result<(), Error> {
         let path = format!("/objects/{kind}/{name}");
         let headers = vec![(IF_MATCH, HeaderValue::from(version))];
-        let _turn = self.turn(purpose, Access::Write).await?;
+        let _permit = self.acquire_permit(purpose, Access::Write).await?;
         let timeout = self.options.timeout;
         let (status, _) = self
             .call(Method::DELETE, path, headers, Bytes::new(), timeout)
             .await?;
-        check(status)
+        check_status(status)
     }
 
     /// One call in the dialect of whoever makes it, within this client's budget.
@@ -185,12 +185,12 @@
         call: Request,
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), Error> {
-        let turn = match access {
+        let permit = match access {
             Access::Watch => {
-                self.enter(purpose, access).await?;
+                self.admit(purpose, access).await?;
                 None
             }
-            _ => Some(self.turn(purpose, access).await?),
+            _ => Some(self.acquire_permit(purpose, access).await?),
         };
         let mut headers = Vec::new();
         if !call.body.is_empty() {
@@ -200,16 +200,16 @@
         let answer = self
             .send(call.method, call.path, headers, call.body, timeout)
             .await;
-        drop(turn);
+        drop(permit);
         // Probes fail all through an outage; they must not put off the calls that wait for its end.
-        if access != Access::Probe || answered(&answer) {
-            self.note(&answer);
+        if access != Access::Probe || is_available(&answer) {
+            self.record_result(&answer);
         }
         answer
     }
 
     async fn get<T: DeserializeOwned>(&self, purpose: Purpose, path: String) -> Result<T, Error> {
-        let _turn = self.turn(purpose, Access::Read).await?;
+        let _permit = self.acquire_permit(purpose, Access::Read).await?;
         let timeout = self.options.timeout;
         let (status, body) = self
             .call(Method::GET, path, Vec::new(), Bytes::new(), timeout)
@@ -230,7 +230,7 @@
             serde_json::to_vec(&Write { value }).map_err(|e| Error::NotSent(e.to_string()))?;
         let json = (CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let path = format!("/objects/{kind}/{name}");
-        let _turn = self.turn(purpose, Access::Write).await?;
+        let _permit = self.acquire_permit(purpose, Access::Write).await?;
         let timeout = self.options.timeout;
         let (status, body) = self
             .call(
@@ -244,19 +244,23 @@
         parse::<Written>(status, &body).map(|written| written.version)
     }
 
-    /// Waits for a turn under the concurrency bound, and counts the call.
-    async fn turn(&self, purpose: Purpose, access: Access) -> Result<OwnedSemaphorePermit, Error> {
-        let turns = Arc::clone(&self.turns);
+    /// Waits for a permit under the concurrency bound, and counts the call.
+    async fn acquire_permit(
+        &self,
+        purpose: Purpose,
+        access: Access,
+    ) -> Result<OwnedSemaphorePermit, Error> {
+        let permits = Arc::clone(&self.permits);
         let permit = tokio::select! {
-            permit = turns.acquire_owned() => permit.expect("the semaphore is never closed"),
-            () = sleep(LONGEST_TURN) => return Err(Error::NotSent("too many calls at once".into())),
+            permit = permits.acquire_owned() => permit.expect("the semaphore is never closed"),
+            () = sleep(MAX_WAIT) => return Err(Error::NotSent("too many calls at once".into())),
         };
-        self.enter(purpose, access).await?;
+        self.admit(purpose, access).await?;
         Ok(permit)
     }
 
     /// Passes the breaker and the rate limit, and counts the call.
-    async fn enter(&self, purpose: Purpose, access: Access) -> Result<(), Error> {
+    async fn admit(&self, purpose: Purpose, access: Access) -> Result<(), Error> {
         let wait = {
             let now = self.clock.now();
             let mut inner = self.inner.borrow_mut();
@@ -269,14 +273,14 @@
                 _ => inner.reads.reserve(now),
             }
         };
-        if wait > LONGEST_TURN {
+        if wait > MAX_WAIT {
             return Err(Error::NotSent("the rate budget is spent".into()));
         }
         sleep(wait).await;
         *self
             .inner
             .borrow_mut()
-            .calls
+            .call_counts
             .entry((purpose, access.as_str()))
             .or_default() += 1;
         Ok(())
@@ -292,7 +296,7 @@
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), Error> {
         let answer = self.send(method, path, headers, body, timeout).await;
-        self.note(&answer);
+        self.record_result(&answer);
         answer
     }
 
@@ -316,23 +320,23 @@
             timeout,
             reuse: Reuse::Allowed,
         };
-        let exchange = async {
+        let result = async {
             let response = self.http.send(attempt).await.map_err(|e| match e {
                 HttpError::NotOpened(_) | HttpError::Invalid(_) => Error::NotSent(e.to_string()),
                 HttpError::Lost(_) => Error::Unknown(e.to_string()),
             })?;
-            read(response).await
+            read_body(response).await
         };
         // The timeout covers the body as well as the head.
-        tokio::time::timeout(timeout, exchange)
+        tokio::time::timeout(timeout, result)
             .await
             .unwrap_or_else(|_| Err(Error::Unknown("timeout".into())))
     }
 
     /// Tells the breaker how a call ended.
-    fn note(&self, answer: &Result<(StatusCode, Bytes), Error>) {
+    fn record_result(&self, answer: &Result<(StatusCode, Bytes), Error>) {
         let mut inner = self.inner.borrow_mut();
-        if answered(answer) {
+        if is_available(answer) {
             inner.breaker.record_success();
         } else {
             inner.breaker.record_failure(self.clock.now());
@@ -341,21 +345,21 @@
 }
 
 /// Whether the API answered, and not that it is down.
-fn answered(answer: &Result<(StatusCode, Bytes), Error>) -> bool {
+fn is_available(answer: &Result<(StatusCode, Bytes), Error>) -> bool {
     matches!(answer, Ok((status, _)) if *status != StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn read(mut response: ClientResponse) -> Result<(StatusCode, Bytes), Error> {
+async fn read_body(mut response: ClientResponse) -> Result<(StatusCode, Bytes), Error> {
     let status = response.status();
     let body = response
         .body()
-        .limit(MAX_ANSWER)
+        .limit(MAX_RESPONSE_BYTES)
         .await
         .map_err(|e| Error::Unknown(e.to_string()))?;
     Ok((status, body))
 }
 
-fn check(status: StatusCode) -> Result<(), Error> {
+fn check_status(status: StatusCode) -> Result<(), Error> {
     match status {
         StatusCode::OK | StatusCode::NO_CONTENT => Ok(()),
         StatusCode::NOT_FOUND => Err(Error::NotFound),
@@ -366,6 +370,6 @@
 }
 
 fn parse<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, Error> {
-    check(status)?;
+    check_status(status)?;
     serde_json::from_slice(body).map_err(|e| Error::Malformed(e.to_string()))
 }
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -15,7 +15,7 @@
 /// The answer to `GET /v1/status`.
 pub async fn status(shared: &Shared) -> Status {
     let mut object_calls = BTreeMap::<CompactString, u64>::new();
-    for ((purpose, _), count) in shared.objects.calls() {
+    for ((purpose, _), count) in shared.objects.call_counts() {
         *object_calls.entry(purpose.as_str().into()).or_default() += count;
     }
     Status {
@@ -32,7 +32,7 @@
 /// Brings figures up to date that are only looked at when asked for.
 pub fn measure(shared: &Shared) {
     let metrics = &shared.metrics;
-    for ((purpose, kind), count) in shared.objects.calls() {
+    for ((purpose, kind), count) in shared.objects.call_counts() {
         let counter = metrics
             .object_calls
             .with_label_values(&[purpose.as_str(), kind]);
--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -83,7 +83,7 @@
 
     /// Calls of the object API by all entries since their start: reads, writes, watches.
     fn calls(&self) -> u64 {
-        let calls = self.all.iter().map(|e| e.shared.objects.calls());
+        let calls = self.all.iter().map(|e| e.shared.objects.call_counts());
         calls.map(|calls| calls.values().sum::<u64>()).sum()
     }
 
@@ -96,7 +96,7 @@
     fn purposes(&self) -> String {
         let mut sums = std::collections::BTreeMap::new();
         for entry in &self.all {
-            for ((purpose, kind), count) in entry.shared.objects.calls() {
+            for ((purpose, kind), count) in entry.shared.objects.call_counts() {
                 *sums.entry((purpose.as_str(), kind)).or_insert(0) += count;
             }
         }
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -117,10 +117,10 @@
         Options {
             address: self.address.to_string(),
             agent: "front-1".into(),
-            concurrency: 8,
+            max_concurrency: 8,
             timeout: Duration::from_millis(500),
-            reads: 100.0,
-            writes: 100.0,
+            reads_per_second: 100.0,
+            writes_per_second: 100.0,
         }
     }
 
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -240,7 +240,7 @@
 /// Bytes on links, and calls for configuration and membership.
 fn costs(entry: &pinereel::entry::Entry) -> (u64, u64) {
     let (sent, received) = entry.shared.mesh.byte_counts();
-    let calls = entry.shared.objects.calls();
+    let calls = entry.shared.objects.call_counts();
     let own = calls
         .iter()
         .filter(|((purpose, _), _)| matches!(purpose, Purpose::Config | Purpose::Members));
--- a/crates/pinereel_fakes/tests/object_api_client.rs
+++ b/crates/pinereel_fakes/tests/object_api_client.rs
@@ -22,10 +22,10 @@
     let bounds = Bounds {
         address: api.address.to_string(),
         agent: "entry-1".into(),
-        concurrency: 4,
+        max_concurrency: 4,
         timeout: Duration::from_secs(10),
-        reads: 1_000.0,
-        writes: 1_000.0,
+        reads_per_second: 1_000.0,
+        writes_per_second: 1_000.0,
     };
     (api, Client::new(bounds, Clock::new()))
 }
