--- a/crates/pinereel/src/objects/breaker.rs
+++ b/crates/pinereel/src/objects/breaker.rs
@@ -1,35 +1,35 @@
-//! A circuit breaker: after failures in a row, calls fail at once until a back-off is over.
+//! Circuit breaker: after consecutive failures, calls fail immediately until a back-off is over.
 
 use pinereel_core::{Time, hash};
 use std::time::Duration;
 
-/// Failures in a row that open the breaker.
+/// Number of consecutive failures that open the breaker.
 const FAILURE_THRESHOLD: u32 = 3;
-/// First back-off.
+/// Back-off when the breaker opens; doubled after each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest back-off: an API that is back is found within about this time.
+/// Maximum back-off before jitter. The recovery of an API is noticed within about this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// An urgent call may go out this long after the last failure, however long the back-off is. A
-/// trainer offers a step again for about 6 s after a refusal, every 0.3 s, so one that comes back in
-/// its last second must still find an API that has just returned.
+/// Maximum back-off of urgent calls, from the last failure. A trainer resubmits a refused step every
+/// 0.3 s for about 6 s, so that a submit in the last second must still reach an API that has just
+/// recovered.
 const MAX_URGENT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The state of one breaker.
+/// Circuit breaker with separate back-offs for urgent and for other calls.
 #[derive(Clone, Debug, Default)]
 pub struct Breaker {
-    /// Failures in a row.
+    /// Number of consecutive failures.
     failures: u32,
-    /// Calls fail at once until then.
+    /// Time until which calls fail immediately.
     open_until: Option<Time>,
-    /// Urgent calls fail at once until then.
+    /// Time until which urgent calls fail immediately.
     urgent_open_until: Option<Time>,
-    /// Makes the jitter differ between instances.
+    /// Seed of the jitter, different on each instance.
     seed: u64,
 }
 
 impl Breaker {
-    /// A closed breaker.
+    /// Creates a closed breaker.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether a call may go out. An urgent one has a caller that gives up soon.
+    /// Whether a call may be sent. An urgent call has a caller that gives up soon.
     pub fn allows(&self, urgent: bool, now: Time) -> bool {
         let until = if urgent {
             self.urgent_open_until
@@ -47,15 +47,15 @@
         until.is_none_or(|until| now >= until)
     }
 
-    /// Notes a call that was answered by the API, whatever the answer.
+    /// Records a call that the API answered with any status but 503; closes the breaker.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.open_until = None;
         self.urgent_open_until = None;
     }
 
-    /// Notes a call that was not answered, or answered as down. A back-off that still runs is not
-    /// put off by it: urgent calls may fail all the while.
+    /// Records a call without a response, or with status 503. Does not extend a back-off that is
+    /// still running, since urgent calls may fail throughout.
     pub fn record_failure(&mut self, now: Time) {
         if !self.allows(false, now) {
             self.urgent_open_until = Some(now + MAX_URGENT_BACKOFF);
@@ -68,7 +68,7 @@
         let doublings = (self.failures - FAILURE_THRESHOLD).min(10);
         let backoff = (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
         let jitter = hash::stable(&(self.seed ^ u64::from(self.failures)).to_le_bytes()) % 50;
-        // Between 75% and 125% of the back-off.
+        // Jitter: between 75% and 125% of the back-off.
         let percent = 75 + u32::try_from(jitter).unwrap_or(0);
         let backoff = backoff * percent / 100;
         self.open_until = Some(now + backoff);
--- a/crates/pinereel/src/objects/call.rs
+++ b/crates/pinereel/src/objects/call.rs
@@ -1,36 +1,36 @@
-//! What a call is for, and what it does.
+//! Classification of calls by purpose and by kind of access.
 
-/// What a call is for; calls are counted by it.
+/// Purpose of a call, by which calls are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Purpose {
-    /// Configuration and patches.
+    /// Configuration and patches to it.
     Config,
     /// Membership objects.
     Members,
     /// The platform's instance list.
     Instances,
-    /// Newest weights.
+    /// Newest published weights.
     Weights,
-    /// Leases.
+    /// Leases for control duties.
     Leases,
     /// Idempotency claims.
     Claims,
     /// Lots and their results.
     Lots,
-    /// Requests to empty an instance.
+    /// Requests to drain an instance before it is retired.
     Retirements,
-    /// Sums of the requests of each workspace.
+    /// Request totals of each workspace.
     Usage,
 }
 
 impl Purpose {
-    /// Whether such a call has a caller that gives up soon: a trainer offers its lot for some
+    /// Whether the call has a caller that gives up soon: a trainer resubmits its lot for a few
     /// seconds only.
     pub const fn is_urgent(self, access: Access) -> bool {
         matches!((self, access), (Self::Lots, Access::Write))
     }
 
-    /// The purpose as a label.
+    /// Label of the purpose in metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Config => "config",
@@ -46,22 +46,22 @@
     }
 }
 
-/// What a call does; the store's rates and prices differ by it.
+/// Kind of access of a call, by which the store's rate limits and prices differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Access {
-    /// A linearizable read or list.
+    /// Linearizable read or list.
     Read,
-    /// A read that may be somewhat old, which looks whether the API is back. It goes out while the
-    /// breaker is open, too: whoever makes it paces it.
+    /// Possibly stale read that checks whether the API has recovered. It is sent even while the
+    /// breaker is open: its caller limits its rate.
     Probe,
-    /// A waiting call.
+    /// Long poll for changes.
     Watch,
     /// Any write.
     Write,
 }
 
 impl Access {
-    /// The access as a label.
+    /// Label of the access in metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Read => "read",
--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -1,4 +1,4 @@
-//! The calls.
+//! HTTP client of the object API: rate and concurrency limits, circuit breaker, and the calls.
 
 use super::{
     breaker::Breaker,
@@ -27,30 +27,31 @@
     time::sleep,
 };
 
-/// Largest answer that is read, in bytes: a list may hold many values.
+/// Maximum size of a response body, in bytes: a list may contain many values.
 const MAX_RESPONSE_BYTES: usize = 16 * MAX_VALUE_BYTES;
 
-/// Longest wait for a permit under the rate limits; longer counts as unavailable.
+/// Maximum wait under the concurrency limit, and under the rate limit; a call that would wait longer
+/// fails.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Bounds of the client.
+/// Options of the client.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// `IP:PORT` of the API.
     pub address: String,
-    /// Name sent as the user agent.
+    /// Value of the `user-agent` header; also the seed of the breaker's jitter.
     pub agent: CompactString,
-    /// Most calls at once, waiting watches not counted.
+    /// Maximum number of concurrent calls, not counting watches.
     pub max_concurrency: usize,
-    /// Longest wait for one answer.
+    /// Timeout of a call; a watch's own wait is added.
     pub timeout: Duration,
-    /// Reads a second.
+    /// Rate limit of reads and watches, per second.
     pub reads_per_second: f64,
-    /// Writes a second.
+    /// Rate limit of writes, per second.
     pub writes_per_second: f64,
 }
 
-/// The client. Clones share their budget.
+/// Client of the object API. Clones share limits, breaker and counts.
 #[derive(Clone)]
 pub struct Client {
     http: Http,
@@ -68,7 +69,7 @@
 }
 
 impl Client {
-    /// A client on the current thread.
+    /// Creates a client for the current thread.
     pub fn new(options: Options, clock: Clock) -> Self {
         let now = clock.now();
         let seed = hash::stable(options.agent.as_bytes());
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Calls since the start, by purpose and kind (`read`, `write`, `watch`).
+    /// Number of calls since the start, by purpose and access (`read`, `probe`, `watch`, `write`).
     pub fn call_counts(&self) -> BTreeMap<(Purpose, &'static str), u64> {
         self.inner.borrow().call_counts.clone()
     }
@@ -113,7 +114,10 @@
             .await
     }
 
-    /// Waits for changes of a kind after a revision, at most `wait`.
+    /// Waits at most `wait` for changes of a kind after a revision.
+    ///
+    /// # Errors
+    /// [`Error::Gone`] if the revision is too old.
     pub async fn watch(
         &self,
         purpose: Purpose,
@@ -130,7 +134,7 @@
         parse(status, &body)
     }
 
-    /// Creates an object that must not exist; gives its version.
+    /// Creates an object that must not exist; returns its version.
     pub async fn create(
         &self,
         purpose: Purpose,
@@ -142,7 +146,7 @@
         self.put(purpose, kind, name, condition, value).await
     }
 
-    /// Updates an object that must have `version`; gives its new version.
+    /// Updates an object that must have `version`; returns its new version.
     pub async fn update(
         &self,
         purpose: Purpose,
@@ -173,11 +177,12 @@
         check_status(status)
     }
 
-    /// One call in the dialect of whoever makes it, within this client's budget.
+    /// Sends a call of another store protocol under this client's limits, and returns the response's
+    /// status and body.
     ///
     /// # Errors
-    /// [`Error::NotSent`] if nothing left, [`Error::Unknown`] if the answer was lost. Any status is
-    /// an answer.
+    /// [`Error::NotSent`] if nothing was sent, [`Error::Unknown`] if the response was lost. A
+    /// response of any status is no error.
     pub async fn exchange(
         &self,
         purpose: Purpose,
@@ -201,7 +206,7 @@
             .send(call.method, call.path, headers, call.body, timeout)
             .await;
         drop(permit);
-        // Probes fail all through an outage; they must not put off the calls that wait for its end.
+        // Probes fail throughout an outage; they must not extend the back-off of other calls.
         if access != Access::Probe || is_available(&answer) {
             self.record_result(&answer);
         }
@@ -244,7 +249,7 @@
         parse::<Written>(status, &body).map(|written| written.version)
     }
 
-    /// Waits for a permit under the concurrency bound, and counts the call.
+    /// Waits under the concurrency limit, then as [`Self::admit`].
     async fn acquire_permit(
         &self,
         purpose: Purpose,
@@ -259,7 +264,7 @@
         Ok(permit)
     }
 
-    /// Passes the breaker and the rate limit, and counts the call.
+    /// Checks the breaker, waits under the rate limit, and counts the call.
     async fn admit(&self, purpose: Purpose, access: Access) -> Result<(), Error> {
         let wait = {
             let now = self.clock.now();
@@ -286,7 +291,7 @@
         Ok(())
     }
 
-    /// One call, whose end the breaker hears of.
+    /// Sends a call and records its result in the breaker.
     async fn call(
         &self,
         method: Method,
@@ -333,7 +338,7 @@
             .unwrap_or_else(|_| Err(Error::Unknown("timeout".into())))
     }
 
-    /// Tells the breaker how a call ended.
+    /// Records a call's result in the breaker.
     fn record_result(&self, answer: &Result<(StatusCode, Bytes), Error>) {
         let mut inner = self.inner.borrow_mut();
         if is_available(answer) {
@@ -344,7 +349,7 @@
     }
 }
 
-/// Whether the API answered, and not that it is down.
+/// Whether the API responded with a status other than 503.
 fn is_available(answer: &Result<(StatusCode, Bytes), Error>) -> bool {
     matches!(answer, Ok((status, _)) if *status != StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/pinereel/src/objects/error.rs
+++ b/crates/pinereel/src/objects/error.rs
@@ -1,33 +1,33 @@
-//! Why a call gave no result.
+//! Errors of calls to the object API.
 
-/// Why a call gave no result.
+/// Error of a call to the object API.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing left: the breaker is open, the budget is spent, or no connection could be opened.
+    /// Nothing was sent: the breaker is open, a limit is reached, or no connection could be opened.
     #[error("object API not reached: {0}")]
     NotSent(String),
-    /// The API answered that it did not do it (down or limiting).
+    /// The API refused the call: it is down, limits the rate, or answered an unexpected status.
     #[error("object API refused: {0}")]
     Refused(String),
-    /// The answer was lost: a write may have taken effect.
+    /// The response was lost: a write may have taken effect.
     #[error("object API's answer was lost: {0}")]
     Unknown(String),
-    /// The condition does not hold.
+    /// The write's version condition does not hold.
     #[error("conflict")]
     Conflict,
-    /// No such object.
+    /// The object does not exist.
     #[error("not found")]
     NotFound,
-    /// The watch's revision is too old: list again.
+    /// The watch's revision is too old: the caller must list again.
     #[error("revision too old")]
     Gone,
-    /// The answer is not what the protocol says.
+    /// The response does not follow the protocol.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
 impl Error {
-    /// Whether a write that ended so certainly had no effect.
+    /// Whether a write that failed with this error certainly had no effect.
     pub const fn had_no_effect(&self) -> bool {
         !matches!(self, Self::Unknown(_) | Self::Malformed(_))
     }
--- a/crates/pinereel/src/objects/mod.rs
+++ b/crates/pinereel/src/objects/mod.rs
@@ -1,9 +1,9 @@
-//! The budgeted client of the platform's object API.
+//! Rate-limited client of the platform's object API, with a circuit breaker.
 //!
-//! Every call names its purpose and is counted under it, since the platform counts each. Concurrency
-//! and rates are limited here, and a circuit breaker with jittered back-off spares an API that is
-//! down. A write whose answer was lost is [`Error::Unknown`]: the caller reads back before anything
-//! else.
+//! Every call names its purpose and is counted under it, since the platform counts each call.
+//! Concurrency and rates are limited, and a circuit breaker with jittered back-off limits the load on
+//! an API that is down. A write whose response was lost fails with [`Error::Unknown`]: the caller
+//! must read the object back before it does anything else.
 
 mod breaker;
 mod call;
--- a/crates/pinereel/src/objects/token_bucket.rs
+++ b/crates/pinereel/src/objects/token_bucket.rs
@@ -1,21 +1,21 @@
-//! A token bucket.
+//! Token bucket that limits the rate of calls.
 
 use pinereel_core::Time;
 use std::time::Duration;
 
-/// Tokens that refill at a steady tokens_per_second up to a burst of one second's worth.
+/// Token bucket that holds at most the tokens of one second.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Refill rate, in tokens per second.
     tokens_per_second: f64,
-    /// Tokens now; negative when callers have reserved future ones.
+    /// Available tokens; negative if callers have reserved future ones.
     tokens: f64,
-    /// When `tokens` was last brought up to date.
+    /// Time at which `tokens` was computed.
     updated: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket of `tokens_per_second` tokens a second.
+    /// Creates a full bucket with the given refill rate.
     pub const fn new(tokens_per_second: f64, now: Time) -> Self {
         Self {
             tokens_per_second,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reserves one token and tells how long to wait before using it.
+    /// Reserves one token and returns how long the caller must wait before it uses the token.
     pub fn reserve(&mut self, now: Time) -> Duration {
         let passed = now.since(self.updated).as_secs_f64();
         self.tokens = (self.tokens + passed * self.tokens_per_second).min(self.tokens_per_second);
--- a/crates/pinereel/tests/objects_breaker.rs
+++ b/crates/pinereel/tests/objects_breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker of the object API on virtual time.
+//! Circuit breaker of the object API's client, with virtual time.
 
 use pinereel::objects::Breaker;
 use pinereel_core::Time;
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn two_failures_do_not_open_it() {
+fn two_failures_do_not_open_the_breaker() {
     let (breaker, now) = after_failures(2);
     assert!(breaker.allows(false, now));
     assert!(breaker.allows(true, now));
 }
 
 #[test]
-fn an_urgent_call_need_not_wait_for_the_long_back_off() {
+fn an_urgent_call_does_not_wait_for_the_full_back_off() {
     let (breaker, now) = after_failures(12);
     let soon = now + Duration::from_millis(200);
     assert!(!breaker.allows(true, now));
@@ -32,16 +32,17 @@
 }
 
 #[test]
-fn an_answer_closes_it_for_all() {
+fn a_success_closes_the_breaker_for_all_calls() {
     let (mut breaker, now) = after_failures(12);
     breaker.record_success();
     assert!(breaker.allows(false, now));
     assert!(breaker.allows(true, now));
 }
 
-/// Finding 16: leases and watches must get their turn while lots' writes keep failing.
+/// Leases and watches must still be sent while the urgent writes of lots keep failing. If each
+/// failure extended the back-off, they never would be.
 #[test]
-fn urgent_failures_do_not_put_off_other_calls() {
+fn urgent_failures_do_not_extend_the_back_off_of_other_calls() {
     let (mut breaker, start) = after_failures(12);
     let mut others = 0;
     for step in 1..=20 {
@@ -53,6 +54,6 @@
             breaker.record_failure(now);
         }
     }
-    // In 4 s, with a longest back-off of 1.25 s.
+    // 4 s, with a maximum back-off of 1.25 s including jitter.
     assert!(others >= 3, "{others} turns of other calls");
 }
