--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -61,7 +61,7 @@
     request: &'a Request,
     sender: &'a mpsc::Sender<Chunk>,
     /// Whether an attempt may have run.
-    may_have_run: Cell<bool>,
+    ran: Cell<bool>,
 }
 
 /// Serves one completion. Cancels its attempt when the caller disconnects.
@@ -130,7 +130,7 @@
     end: oneshot::Receiver<Result<(), Problem>>,
 ) -> Response {
     let Some(first) = chunks.recv().await else {
-        let problem = final_problem(end.await);
+        let problem = end_problem(end.await);
         let problem = problem.unwrap_or_else(|| may_have_run(Code::Unknown, "no answer"));
         return respond::problem_response(shared, &problem);
     };
@@ -156,13 +156,12 @@
         .chain(rest)
         .map(move |chunk| format::chunk_event(&id, &model, chunk));
     // The result has a channel of its own, so that unread chunks do not block it.
-    let last = stream::once(end).filter_map(|end| {
-        future::ready(final_problem(end).map(|problem| format::error_event(&problem)))
-    });
+    let last = stream::once(end)
+        .filter_map(|end| future::ready(end_problem(end).map(|error| format::error_event(&error))));
     events.chain(last).map(Ok)
 }
 
-fn final_problem(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
+fn end_problem(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
     match end {
         Ok(result) => result.err(),
         Err(_) => Some(may_have_run(Code::Unknown, "the answer ended early")),
@@ -181,7 +180,7 @@
         context: &context,
         request: &request,
         sender: &sender,
-        may_have_run: Cell::new(false),
+        ran: Cell::new(false),
     };
     let result = tokio::select! {
         result = work.run() => result,
@@ -206,9 +205,7 @@
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
-            Err(_) if self.may_have_run.get() => {
-                Err(may_have_run(Code::Deadline, "the deadline passed"))
-            }
+            Err(_) if self.ran.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
             Err(_) => Err(admit::rejection(turn.expired())),
         }
     }
@@ -264,7 +261,7 @@
     /// Builds the problem for the last attempt's error; not run only if no attempt may have run.
     fn problem_for(&self, error: Error) -> Problem {
         let message = format_compact!("{error}");
-        if self.may_have_run.get() {
+        if self.ran.get() {
             let late = self.context.remaining(self.shared.now()).is_zero();
             let code = if late { Code::Deadline } else { Code::Unknown };
             return may_have_run(code, message);
@@ -279,7 +276,7 @@
     /// neither gaps nor repeated text.
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
-        let before = self.may_have_run.replace(true);
+        let before = self.ran.replace(true);
         let guard = AttemptGuard::new(self.shared, address, id.clone());
         let request = Request {
             stream: true,
@@ -293,7 +290,7 @@
         match &result {
             Ok(()) => guard.ended(),
             Err(error) if !attempt::error_may_have_run(error) => {
-                self.may_have_run.set(before);
+                self.ran.set(before);
                 guard.ended();
             }
             // Dropping the guard cancels the attempt at the engine.
