--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -11,12 +11,12 @@
 /// One endpoint that sends nothing may use up 1/`SILENCE_DIVISOR` of the time to the deadline.
 const SILENCE_DIVISOR: u32 = 3;
 /// Minimum timeout for an endpoint that sends nothing, unless the deadline is nearer.
-const MIN_SILENCE: Duration = Duration::from_millis(500);
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum time without data from an endpoint when `left` remains until the deadline. Bounded so
 /// that another endpoint can still answer.
 pub fn silence_timeout(left: Duration) -> Duration {
-    (left / SILENCE_DIVISOR).max(MIN_SILENCE).min(left)
+    (left / SILENCE_DIVISOR).max(MIN_SILENCE_TIMEOUT).min(left)
 }
 
 /// Maps an engine's error to the attempt's end that load balancing records for the endpoint.
--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -74,7 +74,7 @@
 
 /// Idle connection in the pool.
 struct IdleConnection {
-    connection: Framed<TcpStream, ClientCodec>,
+    framed: Framed<TcpStream, ClientCodec>,
     expires_at: Instant,
 }
 
@@ -212,8 +212,8 @@
         let idle = all.get_mut(&address)?;
         let mut found = None;
         while let Some(connection) = idle.pop() {
-            if connection.expires_at > now && is_open_and_empty(connection.connection.io_ref()) {
-                found = Some(connection.connection);
+            if connection.expires_at > now && is_open_and_empty(connection.framed.io_ref()) {
+                found = Some(connection.framed);
                 break;
             }
         }
@@ -237,7 +237,7 @@
         }
         all.retain(|_, connections| !connections.is_empty());
         all.entry(address).or_default().push(IdleConnection {
-            connection,
+            framed: connection,
             expires_at,
         });
     }
--- a/crates/pinereel/src/upstream/probe.rs
+++ b/crates/pinereel/src/upstream/probe.rs
@@ -29,7 +29,8 @@
     Listening(TcpStream),
     /// The host is reachable and no process listens there.
     NotListening,
-    /// A connection was taken and reset before it could be used: somebody listens, or is just ending.
+    /// The connection was accepted and reset before it could be used: the process listens, or is
+    /// exiting.
     Reset,
     /// No response in time, so neither is known.
     Unknown,
