--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -21,7 +21,7 @@
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
     let guard = shared.drain.enter();
     let answer = answer_to(shared, request).await;
-    http::hold(answer, guard)
+    http::attach_guard(answer, guard)
 }
 
 async fn answer_to(shared: Rc<Shared>, mut request: Request) -> Response {
@@ -96,7 +96,7 @@
         method: request.method().clone(),
         path: path.to_owned(),
         headers: service::Call::headers_of(request.headers()),
-        body: http::read(request, max, timeout).await?,
+        body: http::read_body(request, max, timeout).await?,
         repeatable: service::repeatable(&exchange, request.method(), path),
     };
     if call.repeatable {
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -166,8 +166,8 @@
 {
     let options = http::Options {
         head_timeout: shared.settings.limits.read_timeout,
-        connections: shared.settings.limits.connections,
-        half_closed,
+        max_connections: shared.settings.limits.connections,
+        allow_half_closed: half_closed,
         ..http::Options::default()
     };
     let state = Rc::clone(shared);
@@ -176,7 +176,7 @@
     })
     .await?;
     let state = Rc::clone(shared);
-    server.observe(move |code| respond::refused(&state, code, "by the listener"));
+    server.on_refusal(move |code| respond::refused(&state, code, "by the listener"));
     Ok(server)
 }
 
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -289,16 +289,16 @@
             metrics,
         });
         let options = http::Options {
-            connections: settings.instance.connections,
+            max_connections: settings.instance.connections,
             keep_alive: CALLER_IDLE,
-            half_closed: false,
+            allow_half_closed: false,
             ..http::Options::default()
         };
         let server = Server::start(callers, options, move |request| {
             serve(Rc::clone(&front), request)
         })
         .await?;
-        server.observe(|code| log::info!(code:serde = code; "refused by the listener"));
+        server.on_refusal(|code| log::info!(code:serde = code; "refused by the listener"));
         Ok(Self {
             callers: server,
             stop: Rc::clone(stop),
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -75,7 +75,7 @@
         // The caller opens its next connection elsewhere.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
-    http::hold(answer, guard)
+    http::attach_guard(answer, guard)
 }
 
 impl Front {
@@ -119,7 +119,7 @@
             Err(refusal) => return refusal,
         };
         let max = table.document().limits.max_body_bytes;
-        let body = match http::read(&mut request, max, BODY_TIMEOUT).await {
+        let body = match http::read_body(&mut request, max, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(error) => {
                 self.metrics.count(&self.metrics.refused, &["body"]);
@@ -267,8 +267,8 @@
     log::info!(id = said.id.as_str(), error:% = error; "refused: body");
     http::empty(match error {
         http::Error::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
-        http::Error::Slow(_) => StatusCode::REQUEST_TIMEOUT,
-        http::Error::Broken(_) | http::Error::Malformed(_) => StatusCode::BAD_REQUEST,
+        http::Error::Timeout(_) => StatusCode::REQUEST_TIMEOUT,
+        http::Error::Read(_) | http::Error::Json(_) => StatusCode::BAD_REQUEST,
     })
 }
 
--- a/crates/pinereel/src/http/body.rs
+++ b/crates/pinereel/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies within bounds of size and time.
+//! Reads request bodies with a size limit and a timeout.
 
 use super::Request;
 use bytes::{Bytes, BytesMut};
@@ -10,29 +10,29 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Why a body could not be read. The request did not run in any case.
+/// Why a request body could not be read. The request has not been executed in any of these cases.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// More than the bound.
+    /// The body exceeds the limit of so many bytes.
     #[error("body is larger than {0} bytes")]
     TooLarge(usize),
-    /// Not complete within the timeout.
+    /// The body was not complete within the timeout.
     #[error("body was not complete within {0:?}")]
-    Slow(Duration),
-    /// The connection broke or the framing is wrong.
+    Timeout(Duration),
+    /// The connection failed or the transfer encoding is invalid.
     #[error("body could not be read: {0}")]
-    Broken(String),
-    /// Not the expected JSON.
+    Read(String),
+    /// The body is not JSON of the expected type.
     #[error("malformed JSON: {0}")]
-    Malformed(serde_json::Error),
+    Json(serde_json::Error),
 }
 
 impl From<Error> for Problem {
     fn from(error: Error) -> Self {
         let code = match error {
             Error::TooLarge(_) => Code::TooLarge,
-            Error::Slow(_) => Code::SlowSender,
-            Error::Broken(_) | Error::Malformed(_) => Code::BadRequest,
+            Error::Timeout(_) => Code::SlowSender,
+            Error::Read(_) | Error::Json(_) => Code::BadRequest,
         };
         Self {
             code,
@@ -43,31 +43,35 @@
     }
 }
 
-/// Reads a whole body of at most `max` bytes within `timeout`.
-pub async fn read(request: &mut Request, max: usize, timeout: Duration) -> Result<Bytes, Error> {
+/// Reads a whole body of at most `max_bytes` within `timeout`.
+pub async fn read_body(
+    request: &mut Request,
+    max_bytes: usize,
+    timeout: Duration,
+) -> Result<Bytes, Error> {
     let mut payload = request.take_payload();
-    let whole = async {
+    let read_all = async {
         let mut body = BytesMut::new();
-        while let Some(part) = payload.next().await {
-            let part = part.map_err(|e| Error::Broken(e.to_string()))?;
-            if body.len() + part.len() > max {
-                return Err(Error::TooLarge(max));
+        while let Some(chunk) = payload.next().await {
+            let chunk = chunk.map_err(|e| Error::Read(e.to_string()))?;
+            if body.len() + chunk.len() > max_bytes {
+                return Err(Error::TooLarge(max_bytes));
             }
-            body.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
         Ok(body.freeze())
     };
-    tokio::time::timeout(timeout, whole)
+    tokio::time::timeout(timeout, read_all)
         .await
-        .unwrap_or(Err(Error::Slow(timeout)))
+        .unwrap_or(Err(Error::Timeout(timeout)))
 }
 
-/// Reads a JSON body of at most `max` bytes within `timeout`.
+/// Reads a JSON body of at most `max_bytes` within `timeout`.
 pub async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
-    max: usize,
+    max_bytes: usize,
     timeout: Duration,
 ) -> Result<T, Error> {
-    let body = read(request, max, timeout).await?;
-    serde_json::from_slice(&body).map_err(Error::Malformed)
+    let body = read_body(request, max_bytes, timeout).await?;
+    serde_json::from_slice(&body).map_err(Error::Json)
 }
--- a/crates/pinereel/src/http/mod.rs
+++ b/crates/pinereel/src/http/mod.rs
@@ -1,21 +1,22 @@
-//! HTTP listeners: accept loop, bounded bodies, answers.
+//! HTTP/1.1 server: listeners with bounded connections, size-limited request bodies and response
+//! builders.
 //!
-//! Connections are served by `actix-http`; accepting is done here, on the caller's own thread, so
-//! that a drain decides when accepting ends and nothing is cut by a library's shutdown timeout.
+//! `actix-http` serves the connections. The accept loop runs here, on the caller's thread, so that
+//! a drain decides when accepting ends and no library shutdown timeout cuts a response.
 
-mod answer;
+mod activity;
 mod body;
-mod hold;
-mod idle;
+mod guard;
+mod response;
 mod server;
 
-pub use answer::{empty, event_stream, json, problem, problem_status, text};
-pub use body::{Error, read, read_json};
-pub use hold::hold;
+pub use body::{Error, read_body, read_json};
+pub use guard::attach_guard;
+pub use response::{empty, event_stream, json, problem, problem_status, text};
 pub use server::{Options, Server};
 
-/// A request as the listeners hand it over.
+/// Request that a listener passes to its handler.
 pub type Request = actix_http::Request;
 
-/// An answer of any body type.
+/// Response with a boxed body.
 pub type Response = actix_http::Response<actix_http::body::BoxBody>;
--- a/crates/pinereel/src/http/answer.rs
+++ b/crates/pinereel/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Building answers.
+//! Builders for HTTP responses.
 
 use super::Response;
 use actix_http::{
@@ -15,30 +15,30 @@
 use serde::Serialize;
 use std::convert::Infallible;
 
-/// An answer with a JSON body.
+/// Response with a JSON body; status 500 with the error text if `body` cannot be serialized.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response {
     let bytes = match serde_json::to_vec(body) {
         Ok(bytes) => bytes,
         Err(e) => return text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
     };
-    typed(status, "application/json", bytes)
+    with_content_type(status, "application/json", bytes)
 }
 
-/// An answer with a plain text body.
+/// Response with a plain text body in UTF-8.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response {
-    typed(
+    with_content_type(
         status,
         "text/plain; charset=utf-8",
         body.into().into_bytes(),
     )
 }
 
-/// An answer without a body.
+/// Response without a body.
 pub fn empty(status: StatusCode) -> Response {
     Response::new(status).set_body(BoxBody::new(()))
 }
 
-/// An answer of server-sent events.
+/// Streaming response of server-sent events; each item is sent as one chunk.
 pub fn event_stream(events: impl Stream<Item = Result<Bytes, Infallible>> + 'static) -> Response {
     let body = BoxBody::new(BodyStream::new(events));
     let mut response = Response::new(StatusCode::OK).set_body(body);
@@ -48,7 +48,8 @@
     response
 }
 
-/// The answer for a problem: status by its code, `Retry-After` and `x-ran` in the head.
+/// Error response for `problem`: the status follows its code, and `x-ran` and `Retry-After` are set
+/// in the headers.
 pub fn problem(problem: &Problem) -> Response {
     let mut response = json(problem_status(problem.code), problem);
     let headers = response.headers_mut();
@@ -61,13 +62,13 @@
         HeaderValue::from_static(ran),
     );
     if let Some(millis) = problem.retry_after_ms {
-        // The header counts whole seconds; rounding up never invites a caller too early.
+        // `Retry-After` is in whole seconds. Rounding up never makes a client retry too early.
         headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(1_000)));
     }
     response
 }
 
-/// The HTTP status of a problem's code.
+/// HTTP status of a problem code.
 pub const fn problem_status(code: Code) -> StatusCode {
     match code {
         Code::BadRequest | Code::BadToken | Code::InvalidPatch => StatusCode::BAD_REQUEST,
@@ -91,7 +92,7 @@
     }
 }
 
-fn typed(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Response {
+fn with_content_type(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Response {
     let mut response = Response::new(status).set_body(BoxBody::new(body));
     response
         .headers_mut()
--- a/crates/pinereel/src/http/server.rs
+++ b/crates/pinereel/src/http/server.rs
@@ -1,6 +1,6 @@
-//! The accept loop of one listener.
+//! HTTP server on one listening socket: accept loop, connection limit, timeouts and shutdown.
 
-use super::{Request, Response, idle::Idle};
+use super::{Request, Response, activity::ConnectionActivity};
 use actix_http::{
     Extensions, HttpService, KeepAlive,
     error::{DispatchError, ParseError},
@@ -24,26 +24,27 @@
     sync::watch,
 };
 
-/// Pause after a failed accept (for example out of file descriptors), so that the loop does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept (for example when out of file descriptors), so that the accept loop
+/// does not spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The library reads its clock twice a second and counts its waits from the last reading, so it may
-/// end them earlier by so much.
-const CLOCK_LAG: Duration = Duration::from_millis(500);
+/// `actix-http` reads its clock twice a second and measures timeouts from the last reading, so they
+/// may end earlier by up to this much.
+const MAX_CLOCK_LAG: Duration = Duration::from_millis(500);
 
-/// Bounds of a listener.
+/// Limits and timeouts of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Wait for a request's head: for the first one from the connection's start, and up to half a
-    /// second more. A later one may take `keep_alive` besides.
+    /// Timeout for a request head. For the first request it counts from the start of the connection
+    /// and may end up to half a second later. A later head may take `keep_alive` in addition.
     pub head_timeout: Duration,
-    /// Longest idle time of a connection between requests.
+    /// How long a connection may be idle between requests.
     pub keep_alive: Duration,
-    /// Most open connections; one more is closed at once and counted.
-    pub connections: usize,
-    /// Whether a client that has closed its sending side still gets its answer. If not, the
-    /// handling of its request is dropped where it stands.
-    pub half_closed: bool,
+    /// Maximum number of open connections; further ones are closed at once and counted.
+    pub max_connections: usize,
+    /// Whether a client that has closed its sending side still gets a response. If not, the future
+    /// of its request handler is dropped.
+    pub allow_half_closed: bool,
 }
 
 impl Default for Options {
@@ -51,46 +52,49 @@
         Self {
             head_timeout: Duration::from_secs(5),
             keep_alive: Duration::from_secs(30),
-            connections: 4_096,
-            half_closed: true,
+            max_connections: 4_096,
+            allow_half_closed: true,
         }
     }
 }
 
-/// Hears why the listener itself refused a request or a connection.
-type Observer = Rc<dyn Fn(Code)>;
+/// Called with the problem code of each request or connection that the server itself refuses.
+type RefusalCallback = Rc<dyn Fn(Code)>;
 
-/// Connections on their way to the library, by file descriptor.
-type Opened = RefCell<BTreeMap<RawFd, Rc<Idle>>>;
+/// Accepted connections that `actix-http` has not yet taken over, by file descriptor.
+type PendingConnections = RefCell<BTreeMap<RawFd, Rc<ConnectionActivity>>>;
 
-/// A running listener. Dropping it does not stop it; [`Server::stop`] does.
+/// Handle of a running server. Dropping it does not stop the server; [`Server::stop`] does.
 #[derive(Clone)]
 pub struct Server {
-    /// The bound address.
+    /// Local address of the listening socket.
     pub address: SocketAddr,
-    /// Ends the accept loop when true.
+    /// Set to true to end the accept loop.
     stop: watch::Sender<bool>,
-    /// Ends the connections when true.
+    /// Set to true to close the open connections.
     close: watch::Sender<bool>,
-    /// Open connections.
-    open: Rc<Cell<usize>>,
-    /// Connections closed because of the bound.
-    refused: Rc<Cell<u64>>,
-    /// Hears the refusals that no handler sees.
-    observer: Rc<RefCell<Option<Observer>>>,
+    /// Number of open connections.
+    open_connections: Rc<Cell<usize>>,
+    /// Connections closed because of `max_connections`.
+    refused_connections: Rc<Cell<u64>>,
+    /// Receives the refusals that no handler sees.
+    on_refusal: Rc<RefCell<Option<RefusalCallback>>>,
 }
 
 impl fmt::Debug for Server {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Server")
             .field("address", &self.address)
-            .field("open", &self.open)
+            .field("open", &self.open_connections)
             .finish_non_exhaustive()
     }
 }
 
 impl Server {
-    /// Serves `listener` with `handler` on this thread until stopped.
+    /// Serves `listener` with `handler` on the current thread until stopped.
+    ///
+    /// # Errors
+    /// If the local address cannot be read or the HTTP service cannot be built.
     pub async fn start<H, F>(
         listener: TcpListener,
         options: Options,
@@ -106,30 +110,33 @@
             address: listener.local_addr()?,
             stop,
             close,
-            open: Rc::new(Cell::new(0)),
-            refused: Rc::new(Cell::new(0)),
-            observer: Rc::default(),
+            open_connections: Rc::new(Cell::new(0)),
+            refused_connections: Rc::new(Cell::new(0)),
+            on_refusal: Rc::default(),
         };
-        let opened: Rc<Opened> = Rc::default();
-        let known = Rc::clone(&opened);
+        let pending: Rc<PendingConnections> = Rc::default();
+        let pending_on_connect = Rc::clone(&pending);
         let factory = HttpService::build()
-            .client_request_timeout(options.head_timeout + CLOCK_LAG)
+            .client_request_timeout(options.head_timeout + MAX_CLOCK_LAG)
             .client_disconnect_timeout(Duration::from_secs(1))
             .keep_alive(KeepAlive::Timeout(options.keep_alive))
-            .h1_allow_half_closed(options.half_closed)
+            .h1_allow_half_closed(options.allow_half_closed)
             .on_connect_ext(move |stream: &TcpStream, data: &mut Extensions| {
-                if let Some(idle) = known.borrow_mut().remove(&stream.as_raw_fd()) {
-                    data.insert(idle);
+                if let Some(activity) = pending_on_connect.borrow_mut().remove(&stream.as_raw_fd())
+                {
+                    data.insert(activity);
                 }
             })
             .h1(fn_service(move |request: Request| {
-                let busy = request.conn_data::<Rc<Idle>>().map(Idle::enter);
-                let answer = handler(request);
+                let guard = request
+                    .conn_data::<Rc<ConnectionActivity>>()
+                    .map(ConnectionActivity::begin_request);
+                let response = handler(request);
                 async move {
-                    let answer = answer.await;
-                    Ok::<_, Infallible>(match busy {
-                        Some(busy) => busy.hold(answer),
-                        None => answer,
+                    let response = response.await;
+                    Ok::<_, Infallible>(match guard {
+                        Some(guard) => guard.attach_to(response),
+                        None => response,
                     })
                 }
             }))
@@ -139,18 +146,19 @@
             .await
             .map_err(|()| io::Error::other("listener set-up failed"))?;
         let service = Rc::new(service);
-        let serve = move |stream: TcpStream, idle: Rc<Idle>| {
+        let serve_connection = move |stream: TcpStream, activity: Rc<ConnectionActivity>| {
             let service = Rc::clone(&service);
-            // Taken out when the library takes the connection, so no descriptor stands here twice.
-            opened
+            // `on_connect_ext` removes it when `actix-http` takes over the connection, so no
+            // descriptor is in the map twice.
+            pending
                 .borrow_mut()
-                .insert(stream.as_raw_fd(), Rc::clone(&idle));
+                .insert(stream.as_raw_fd(), Rc::clone(&activity));
             async move {
-                // Requests that reached the handler have had their answers; the others are told of.
+                // Requests that reached the handler got a response; the others are reported as refused.
                 match service.call(stream).await {
-                    Err(error) => refusal(error),
-                    Ok(()) => idle
-                        .never_served(options.head_timeout)
+                    Err(error) => refusal_code(error),
+                    Ok(()) => activity
+                        .first_head_timed_out(options.head_timeout)
                         .then_some(Code::SlowSender),
                 }
             }
@@ -161,51 +169,54 @@
             server.clone(),
             stopped,
             closed,
-            serve,
+            serve_connection,
         ));
         Ok(server)
     }
 
-    /// Sets who hears of the requests and connections that the listener refuses before any handler:
-    /// a malformed or too large head, a head that comes too slowly, one connection too many.
-    pub fn observe(&self, observer: impl Fn(Code) + 'static) {
-        self.observer.replace(Some(Rc::new(observer)));
+    /// Sets the callback for requests and connections that the server refuses before any handler:
+    /// a malformed or too large head, a head that arrives too slowly, or a connection beyond
+    /// `max_connections`.
+    pub fn on_refusal(&self, callback: impl Fn(Code) + 'static) {
+        self.on_refusal.replace(Some(Rc::new(callback)));
     }
 
-    fn tell(&self, code: Code) {
-        let observer = self.observer.borrow().clone();
-        if let Some(observer) = observer {
-            observer(code);
+    fn report_refusal(&self, code: Code) {
+        let callback = self.on_refusal.borrow().clone();
+        if let Some(callback) = callback {
+            callback(code);
         }
     }
 
-    /// Stops accepting. Open connections go on.
+    /// Stops accepting connections. Open connections are still served.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Closes what is still open. To be called when no request is in flight.
+    /// Stops accepting and closes all open connections, also those with a request in progress; call
+    /// it when there is none.
     pub fn close(&self) {
         self.stop();
         self.close.send_replace(true);
     }
 
-    /// Open connections.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    /// Number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
-    /// Connections closed because of the bound, since the start.
-    pub fn refused(&self) -> u64 {
-        self.refused.get()
+    /// Number of connections closed because of `max_connections`, since the start.
+    pub fn refused_connections(&self) -> u64 {
+        self.refused_connections.get()
     }
 }
 
-/// Why the library refused a request that no handler saw, by the error that ended its connection.
-fn refusal(error: DispatchError) -> Option<Code> {
+/// Problem code for the error that ended a connection, if `actix-http` refused a request on it
+/// before any handler saw it.
+fn refusal_code(error: DispatchError) -> Option<Code> {
     match error {
         DispatchError::Parse(ParseError::TooLarge) => Some(Code::TooLarge),
-        // The client went away between requests or within a head: nobody was refused.
+        // The client disconnected between requests or within a head: no request was refused.
         DispatchError::Parse(ParseError::Io(_) | ParseError::Incomplete) => None,
         DispatchError::Parse(_) => Some(Code::BadRequest),
         DispatchError::SlowRequestTimeout => Some(Code::SlowSender),
@@ -213,16 +224,16 @@
     }
 }
 
-/// Accepts until stopped and spawns a task a connection.
+/// Accepts connections until stopped and spawns a task for each.
 async fn accept<S, F>(
     listener: TcpListener,
     options: Options,
     server: Server,
     mut stopped: watch::Receiver<bool>,
     closed: watch::Receiver<bool>,
-    serve: S,
+    serve_connection: S,
 ) where
-    S: Fn(TcpStream, Rc<Idle>) -> F + 'static,
+    S: Fn(TcpStream, Rc<ConnectionActivity>) -> F + 'static,
     F: Future<Output = Option<Code>> + 'static,
 {
     loop {
@@ -231,33 +242,40 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if server.open.get() >= options.connections {
-            server.refused.set(server.refused.get() + 1);
-            server.tell(Code::Overloaded);
+        if server.open_connections.get() >= options.max_connections {
+            server
+                .refused_connections
+                .set(server.refused_connections.get() + 1);
+            server.report_refusal(Code::Overloaded);
             continue;
         }
-        // Small answers must not wait for more data.
+        // Without TCP_NODELAY a small response would wait for more data.
         let _ = stream.set_nodelay(true);
-        server.open.set(server.open.get() + 1);
+        server
+            .open_connections
+            .set(server.open_connections.get() + 1);
         let server = server.clone();
-        let idle = Idle::new();
-        let connection = serve(stream, Rc::clone(&idle));
+        let activity = ConnectionActivity::new();
+        let connection = serve_connection(stream, Rc::clone(&activity));
         let mut closed = closed.clone();
         actix_rt::spawn(async move {
             tokio::select! {
                 refusal = connection => if let Some(code) = refusal {
-                    server.tell(code);
+                    server.report_refusal(code);
                 },
-                // The library ends what is idle after `keep_alive`; what is left sends a head slowly.
-                () = idle.over(options.keep_alive + options.head_timeout) => {
-                    server.tell(Code::SlowSender);
+                // `actix-http` closes connections that are idle for `keep_alive`; one that is still open
+                // after this sends a request head too slowly.
+                () = activity.wait_until_idle_for(options.keep_alive + options.head_timeout) => {
+                    server.report_refusal(Code::SlowSender);
                 }
                 _ = closed.wait_for(|close| *close) => {}
             }
-            server.open.set(server.open.get() - 1);
+            server
+                .open_connections
+                .set(server.open_connections.get() - 1);
         });
     }
 }
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/fragile.rs
@@ -338,7 +338,7 @@
     }
     let id = header(request.headers(), "x-request-id").unwrap_or_default();
     let after = header(request.headers(), "last-event-id").and_then(|n| n.parse().ok());
-    let body = http::read(&mut request, MAX_BODY, Duration::from_secs(5)).await;
+    let body = http::read_body(&mut request, MAX_BODY, Duration::from_secs(5)).await;
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     println!("run {id}");
     let long = body.contains(LINGER);
--- a/crates/pinereel_fakes/src/object_api/handle.rs
+++ b/crates/pinereel_fakes/src/object_api/handle.rs
@@ -169,7 +169,7 @@
         let shared = Rc::clone(&state);
         let bounds = Listener {
             // A watch must not count as waiting once its client is gone.
-            half_closed: false,
+            allow_half_closed: false,
             ..Listener::default()
         };
         let server = Server::start(listener, bounds, move |request| {
--- a/crates/pinereel_fakes/src/service/serve.rs
+++ b/crates/pinereel_fakes/src/service/serve.rs
@@ -8,7 +8,7 @@
     header::{CONTENT_TYPE, HeaderName, HeaderValue},
 };
 use compact_str::CompactString;
-use pinereel::http::{Request, Response, empty, json, problem, read, read_json, text};
+use pinereel::http::{Request, Response, empty, json, problem, read_body, read_json, text};
 use pinereel_api::header;
 use pinereel_core::hash::{self, Digest};
 use serde::Deserialize;
@@ -83,7 +83,7 @@
         }
         return response;
     }
-    let body = match read(&mut request, MAX_BODY, BODY_TIMEOUT).await {
+    let body = match read_body(&mut request, MAX_BODY, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(e) => return problem(&e.into()),
     };
