--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::{
     controllers::config::Pin,
     engines,
-    logging::{Decision, RunnerUp, What},
+    logging::{Decision, DecisionKind, RunnerUp},
     settings::Routing,
     state::{Shared, spawn},
 };
@@ -161,7 +161,13 @@
 }
 
 /// Logs a routing decision with its runners-up.
-pub fn log_choice(shared: &Shared, request: &str, what: What, choice: &Choice, config: u64) {
+pub fn log_choice(
+    shared: &Shared,
+    request: &str,
+    what: DecisionKind,
+    choice: &Choice,
+    config: u64,
+) {
     shared.metrics.decide(what);
     if !shared.settings.log.decisions {
         return;
@@ -187,7 +193,7 @@
     Decision {
         entry: shared.name(),
         request,
-        what,
+        kind: what,
         chosen: chosen.map(|(name, _)| name),
         cost: chosen.map(|(_, cost)| cost),
         reason: reason.as_str().unwrap_or_default(),
@@ -208,7 +214,7 @@
 
 fn note(shared: &Shared, change: &Change) {
     let what = serde_json::to_string(&change.kind).unwrap_or_default();
-    shared.decide(What::Eject, &change.name, Some(&change.name), &what);
+    shared.decide(DecisionKind::Eject, &change.name, Some(&change.name), &what);
     shared.endpoints.room.notify_waiters();
 }
 
--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -4,7 +4,7 @@
 //! the object API grow with the duties and not with the entries.
 
 use crate::{
-    logging::What,
+    logging::DecisionKind,
     objects::{Error, Purpose},
     state::{Shared, spawn},
 };
@@ -98,7 +98,7 @@
         if now != held {
             let reason = now.map_or("lost".into(), |fence| format_compact!("fence {fence}"));
             let chosen = now.map(|_| shared.name().as_str());
-            shared.decide(What::Lease, duty, chosen, &reason);
+            shared.decide(DecisionKind::Lease, duty, chosen, &reason);
             held = now;
         }
         sleep(TICK).await;
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -8,7 +8,7 @@
     },
     engines::{self, Error},
     filters::attempt::end_of,
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use compact_str::{CompactString, format_compact};
@@ -49,7 +49,7 @@
     } else {
         "start"
     };
-    shared.decide(What::Route, &subject, Some(&start.endpoint), reason);
+    shared.decide(DecisionKind::Route, &subject, Some(&start.endpoint), reason);
     let task = actix_rt::spawn(run(
         Rc::clone(shared),
         start,
--- a/crates/pinereel/src/controllers/lots/front/assign.rs
+++ b/crates/pinereel/src/controllers/lots/front/assign.rs
@@ -1,7 +1,7 @@
 //! Spreads the groups of a lot over the runners.
 
 use super::super::{placement as rank, runner};
-use crate::{logging::What, state::Shared};
+use crate::{logging::DecisionKind, state::Shared};
 use compact_str::CompactString;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::wire::{Assignment, Call, Reply};
@@ -54,7 +54,7 @@
     let results: Vec<_> = assigns.collect().await;
     for (name, taken) in results {
         if let Err(reason) = taken {
-            shared.decide(What::Place, id, Some(&name), &reason);
+            shared.decide(DecisionKind::Place, id, Some(&name), &reason);
             away.insert(name);
         }
     }
@@ -67,7 +67,7 @@
     groups: &[u32],
 ) -> Result<(), String> {
     let assignment = assignment(shared, id, groups).ok_or("lot unknown")?;
-    shared.decide(What::Place, id, Some(name), "rendezvous");
+    shared.decide(DecisionKind::Place, id, Some(name), "rendezvous");
     if name == shared.name() {
         return runner::assign(shared, assignment);
     }
--- a/crates/pinereel/src/controllers/lots/front/collect.rs
+++ b/crates/pinereel/src/controllers/lots/front/collect.rs
@@ -5,7 +5,7 @@
     assign::{assign_all, placement},
     refuse,
 };
-use crate::{controllers::config::Pin, logging::What, state::Shared};
+use crate::{controllers::config::Pin, logging::DecisionKind, state::Shared};
 use compact_str::{CompactString, format_compact};
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::{
@@ -165,7 +165,7 @@
                 }
             }
             None => {
-                shared.decide(What::Place, id, Some(&name), "unreachable");
+                shared.decide(DecisionKind::Place, id, Some(&name), "unreachable");
                 away.insert(name);
                 // Its groups go to the next in rank.
                 let lost: BTreeSet<_> = groups.into_iter().collect();
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -1,7 +1,7 @@
 //! Hands finished samples of a stopping runner to the entries that run their groups next.
 
 use super::placement;
-use crate::{logging::What, state::Shared};
+use crate::{logging::DecisionKind, state::Shared};
 use compact_str::CompactString;
 use pinereel_api::{
     trainer,
@@ -64,7 +64,7 @@
         for part in parts(samples.flatten().collect()) {
             let taken = offer(shared, &name, spec, &part).await;
             shared.decide(
-                What::Place,
+                DecisionKind::Place,
                 &spec.lot,
                 Some(&name),
                 if taken { "handover" } else { "lost" },
--- a/crates/pinereel/src/controllers/lots/mod.rs
+++ b/crates/pinereel/src/controllers/lots/mod.rs
@@ -14,7 +14,7 @@
 mod score;
 
 use crate::{
-    logging::What,
+    logging::DecisionKind,
     state::{Shared, spawn},
 };
 use compact_str::CompactString;
@@ -152,7 +152,7 @@
                 .lots
                 .with_label_values(&["", "assigned"])
                 .inc();
-            shared.decide(What::Place, &lot, Some(shared.name()), "assigned");
+            shared.decide(DecisionKind::Place, &lot, Some(shared.name()), "assigned");
         }
         Action::Refused { lot, reason } => {
             shared
@@ -160,7 +160,7 @@
                 .lots
                 .with_label_values(&["", "refused"])
                 .inc();
-            shared.decide(What::Place, &lot, None, &reason.to_string());
+            shared.decide(DecisionKind::Place, &lot, None, &reason.to_string());
         }
         Action::Dropped { lot, reason } => {
             shared
@@ -168,7 +168,7 @@
                 .lots
                 .with_label_values(&["", "dropped"])
                 .inc();
-            shared.decide(What::Place, &lot, None, &reason.to_string());
+            shared.decide(DecisionKind::Place, &lot, None, &reason.to_string());
         }
         Action::Handover { spec, samples } => handover::start(shared, spec, samples),
     }
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -3,7 +3,7 @@
 use super::step;
 use crate::{
     controllers::{crashes, endpoints},
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
     upstream::{Attempt, Error, Reuse},
 };
@@ -75,7 +75,7 @@
         seed: hash::stable(id.as_bytes()),
     };
     let choice = shared.endpoints.choose(shared, &request).ok()?;
-    endpoints::log_choice(shared, &id, What::Route, &choice, pin.number);
+    endpoints::log_choice(shared, &id, DecisionKind::Route, &choice, pin.number);
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
     let question = serde_json::to_vec(&Question { prompt, text }).ok()?;
     let identity = || {
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -4,7 +4,7 @@
 //! at the end or because the caller is gone, frees the place exactly once.
 
 use crate::{
-    logging::What,
+    logging::DecisionKind,
     state::{Shared, spawn},
 };
 use compact_str::{CompactString, format_compact};
@@ -234,7 +234,7 @@
         if let Err(refused) = told {
             let reason = format_compact!("{:?}", refused.reason);
             self.shared
-                .decide(What::Admit, &self.arrival.id, None, &reason);
+                .decide(DecisionKind::Admit, &self.arrival.id, None, &reason);
         }
         told
     }
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -3,7 +3,7 @@
 use super::leases;
 use crate::{
     engines::{self, Error},
-    logging::What,
+    logging::DecisionKind,
     state::{Shared, spawn},
 };
 use compact_str::{CompactString, format_compact};
@@ -190,7 +190,7 @@
             fence,
         } => {
             let reason = format_compact!("{version} under fence {fence}");
-            shared.decide(What::Load, pool, Some(&name), &reason);
+            shared.decide(DecisionKind::Load, pool, Some(&name), &reason);
             let pool = pool.clone();
             spawn(shared, async move |shared| {
                 let event = order(&shared, &pool, &name, version, fence).await;
@@ -199,7 +199,7 @@
         }
         other => {
             let reason = serde_json::to_string(&other).unwrap_or_default();
-            shared.decide(What::Load, pool, None, &reason);
+            shared.decide(DecisionKind::Load, pool, None, &reason);
         }
     }
 }
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -11,7 +11,7 @@
 use crate::{
     controllers::claims::{self, Ask, Asked},
     http::Response,
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use actix_http::{
@@ -201,7 +201,7 @@
     };
     shared.metrics.claims.with_label_values(&[verdict]).inc();
     let reason = format_compact!("claim: {verdict}");
-    shared.decide(What::Admit, &exchange.id, None, &reason);
+    shared.decide(DecisionKind::Admit, &exchange.id, None, &reason);
 }
 
 fn not_claimed(message: &str) -> Problem {
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -7,7 +7,7 @@
         endpoints::{self, Ticket},
         queues::{self, Turn},
     },
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use compact_str::CompactString;
@@ -68,9 +68,9 @@
         match shared.endpoints.choose(shared, &request) {
             Ok(choice) => {
                 let what = if wish.excluded.is_empty() {
-                    What::Route
+                    DecisionKind::Route
                 } else {
-                    What::Retry
+                    DecisionKind::Retry
                 };
                 endpoints::log_choice(shared, &exchange.id, what, &choice, exchange.pin.number);
                 let ticket = endpoints::begin(shared, choice.key, wish.tokens);
@@ -88,7 +88,7 @@
                 }
             }
             Err(e) => {
-                shared.decide(What::Route, &exchange.id, None, &e.to_string());
+                shared.decide(DecisionKind::Route, &exchange.id, None, &e.to_string());
                 return Err(later(Code::NoEndpoint, e.to_string()));
             }
         }
@@ -116,7 +116,12 @@
     }
     let ticket = endpoints::begin(shared, key, wish.tokens);
     let seat = seat(shared, key, ticket).ok_or_else(|| later(Code::NoEndpoint, "it has gone"))?;
-    shared.decide(What::Route, &exchange.id, Some(&seat.name), "in doubt");
+    shared.decide(
+        DecisionKind::Route,
+        &exchange.id,
+        Some(&seat.name),
+        "in doubt",
+    );
     Ok(seat)
 }
 
--- a/crates/pinereel/src/logging/decision.rs
+++ b/crates/pinereel/src/logging/decision.rs
@@ -4,12 +4,12 @@
 use serde::Serialize;
 
 /// Target of decision lines, to tell them from ordinary ones.
-pub const TARGET: &str = "decision";
+pub const DECISION_TARGET: &str = "decision";
 
 /// What was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum DecisionKind {
     /// Whether a request is taken, and if it waits.
     Admit,
     /// Which endpoint a request goes to.
@@ -28,7 +28,7 @@
     Lease,
 }
 
-impl What {
+impl DecisionKind {
     /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -63,7 +63,7 @@
     /// Id of the request, lot or object that the decision is about.
     pub request: &'a str,
     /// What was decided.
-    pub what: What,
+    pub kind: DecisionKind,
     /// The one chosen; absent if none was.
     pub chosen: Option<&'a str>,
     /// Cost of the one chosen, in the unit of the decision; absent where there is none.
@@ -86,7 +86,7 @@
     pub fn emit_to(&self, logger: &dyn Log) {
         log::info!(
             logger: logger,
-            target: TARGET,
+            target: DECISION_TARGET,
             entry = self.entry,
             request = self.request,
             chosen:serde = self.chosen,
@@ -94,7 +94,7 @@
             reason = self.reason,
             runners_up:serde = self.runners_up,
             config = self.config;
-            "{}", self.what.as_str()
+            "{}", self.kind.as_str()
         );
     }
 }
--- a/crates/pinereel/src/logging/line.rs
+++ b/crates/pinereel/src/logging/line.rs
@@ -12,14 +12,14 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Fields that every line has; a key of a record with such a name gets [`PREFIX`].
-const RESERVED: [&str; 4] = ["ts", "level", "target", "msg"];
-const PREFIX: &str = "field_";
+/// Fields that every line has; a key of a record with such a name gets [`RESERVED_KEY_PREFIX`].
+const RESERVED_KEYS: [&str; 4] = ["ts", "level", "target", "msg"];
+const RESERVED_KEY_PREFIX: &str = "field_";
 
-const MILLIS_A_DAY: u128 = 86_400_000;
+const MILLIS_PER_DAY: u128 = 86_400_000;
 
 /// The line of `record`, without a line break.
-pub(super) fn format(now: SystemTime, record: &Record<'_>) -> String {
+pub(super) fn format_record(now: SystemTime, record: &Record<'_>) -> String {
     let mut fields = Fields::default();
     // Collecting into a map cannot fail.
     let _ = record.key_values().visit(&mut fields);
@@ -34,7 +34,7 @@
 }
 
 /// The line that tells of `count` dropped lines.
-pub(super) fn dropped(now: SystemTime, count: u64) -> String {
+pub(super) fn format_dropped(now: SystemTime, count: u64) -> String {
     let line = Line {
         now,
         level: Level::Warn,
@@ -46,7 +46,7 @@
 }
 
 /// The line that tells of `count` lines of a kind that were left out by their bound.
-pub(super) fn left_out(now: SystemTime, kind: &str, count: u64) -> String {
+pub(super) fn format_suppressed(now: SystemTime, kind: &str, count: u64) -> String {
     let line = Line {
         now,
         level: Level::Warn,
@@ -64,15 +64,15 @@
 pub fn timestamp(time: SystemTime) -> CompactString {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = since.as_millis();
-    let (year, month, day) = date(millis / MILLIS_A_DAY);
-    let rest = millis % MILLIS_A_DAY;
+    let (year, month, day) = civil_date(millis / MILLIS_PER_DAY);
+    let rest = millis % MILLIS_PER_DAY;
     let (hour, minute) = (rest / 3_600_000, rest / 60_000 % 60);
     let (second, milli) = (rest / 1_000 % 60, rest % 1_000);
     format_compact!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
 /// Year, month and day of the Gregorian calendar, `days` after 1970-01-01.
-fn date(days: u128) -> (u128, u128, u128) {
+fn civil_date(days: u128) -> (u128, u128, u128) {
     // Counted from 0000-03-01, so that a leap day is the last day of its year; the calendar
     // repeats every 400 years.
     let days = days + 719_468;
@@ -124,8 +124,8 @@
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let key = key.as_str();
-        let key = if RESERVED.contains(&key) {
-            format_compact!("{PREFIX}{key}")
+        let key = if RESERVED_KEYS.contains(&key) {
+            format_compact!("{RESERVED_KEY_PREFIX}{key}")
         } else {
             key.into()
         };
--- a/crates/pinereel/src/logging/mod.rs
+++ b/crates/pinereel/src/logging/mod.rs
@@ -4,18 +4,18 @@
 //! it full are dropped and counted. Ordinary lines carry fields in the way of `log`:
 //! `log::info!(entry = name, zone = zone; "listening")`. Decisions have a type: [`Decision`].
 
-mod bound;
 mod decision;
 mod line;
 mod queue;
+mod rate_limit;
 
-pub use decision::{Decision, RunnerUp, TARGET, What};
+pub use decision::{DECISION_TARGET, Decision, DecisionKind, RunnerUp};
 pub use line::timestamp;
 pub use queue::Queue;
 
 use crate::settings;
-use bound::{Bound, Verdict};
 use log::LevelFilter;
+use rate_limit::{Outcome, RateLimiter};
 use std::{
     fs::OpenOptions,
     io::{self, Write},
@@ -70,21 +70,21 @@
 ///
 /// Idempotent: later calls, also with other settings, give the log that the first one set up.
 pub fn init(settings: &settings::Log) -> Result<Handle, Error> {
-    let mut slot = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
-    if let Some(handle) = &*slot {
+    let mut installed = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
+    if let Some(handle) = &*installed {
         return Ok(handle.clone());
     }
-    let queue = Queue::start(settings.queue, sink(settings)?)?;
+    let queue = Queue::start(settings.queue, open_sink(settings)?)?;
     dispatch(settings, queue.clone()).apply()?;
     let handle = Handle { queue };
-    *slot = Some(handle.clone());
+    *installed = Some(handle.clone());
     Ok(handle)
 }
 
 /// Lines that the process's log has dropped; zero before [`init`].
 pub fn dropped() -> u64 {
-    let slot = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
-    slot.as_ref().map_or(0, Handle::dropped)
+    let installed = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
+    installed.as_ref().map_or(0, Handle::dropped)
 }
 
 /// The dispatch that filters records by `settings` and puts their lines into `queue`.
@@ -94,24 +94,30 @@
     } else {
         LevelFilter::Off
     };
-    let bound = Bound::default();
+    let rate_limiter = RateLimiter::default();
     let write = move |record: &log::Record<'_>| {
         // A message that is made up of parts has no constant text; those are rare.
-        let kind = record.args().as_str().unwrap_or("");
-        if let Verdict::Write { left_out } = bound.judge(record.target(), kind, Instant::now()) {
-            if left_out > 0 {
-                queue.push(line::left_out(SystemTime::now(), kind, left_out));
+        let message = record.args().as_str().unwrap_or("");
+        if let Outcome::Allow { suppressed } =
+            rate_limiter.check(record.target(), message, Instant::now())
+        {
+            if suppressed > 0 {
+                queue.push(line::format_suppressed(
+                    SystemTime::now(),
+                    message,
+                    suppressed,
+                ));
             }
-            queue.push(line::format(SystemTime::now(), record));
+            queue.push(line::format_record(SystemTime::now(), record));
         }
     };
     fern::Dispatch::new()
         .level(settings.level)
-        .level_for(TARGET, decisions)
+        .level_for(DECISION_TARGET, decisions)
         .chain(fern::Output::call(write))
 }
 
-fn sink(settings: &settings::Log) -> Result<Box<dyn Write + Send>, Error> {
+fn open_sink(settings: &settings::Log) -> Result<Box<dyn Write + Send>, Error> {
     let Some(path) = &settings.file else {
         if settings.stdout {
             return Ok(Box::new(io::stdout()));
--- a/crates/pinereel/src/logging/queue.rs
+++ b/crates/pinereel/src/logging/queue.rs
@@ -10,7 +10,7 @@
 };
 
 /// Lines that are written in one go.
-const BATCH: usize = 64;
+const MAX_BATCH_LINES: usize = 64;
 
 /// A bounded queue of lines with a thread that writes them.
 ///
@@ -20,7 +20,7 @@
 pub struct Queue {
     shared: Arc<Shared>,
     /// Tells the thread when the last clone is gone.
-    _open: Arc<Open>,
+    _close_on_drop: Arc<CloseOnDrop>,
 }
 
 #[derive(Debug)]
@@ -28,9 +28,9 @@
     capacity: usize,
     state: Mutex<State>,
     /// Signalled when there is something for the thread to do.
-    filled: Condvar,
+    work_available: Condvar,
     /// Signalled when the thread has written all that there was.
-    drained: Condvar,
+    all_written: Condvar,
 }
 
 #[derive(Debug, Default)]
@@ -40,16 +40,16 @@
     closed: bool,
     dropped: u64,
     /// The part of `dropped` that a line has told of.
-    told: u64,
+    reported_drops: u64,
 }
 
 #[derive(Debug)]
-struct Open(Arc<Shared>);
+struct CloseOnDrop(Arc<Shared>);
 
-impl Drop for Open {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
         self.0.lock().closed = true;
-        self.0.filled.notify_one();
+        self.0.work_available.notify_one();
     }
 }
 
@@ -62,17 +62,17 @@
         let shared = Arc::new(Shared {
             capacity,
             state: Mutex::default(),
-            filled: Condvar::new(),
-            drained: Condvar::new(),
+            work_available: Condvar::new(),
+            all_written: Condvar::new(),
         });
         let writer = shared.clone();
         thread::Builder::new()
             .name("log".into())
-            .spawn(move || writer.run(sink))?;
-        let open = Arc::new(Open(shared.clone()));
+            .spawn(move || writer.write_until_closed(sink))?;
+        let close_on_drop = Arc::new(CloseOnDrop(shared.clone()));
         Ok(Self {
             shared,
-            _open: open,
+            _close_on_drop: close_on_drop,
         })
     }
 
@@ -85,7 +85,7 @@
         }
         state.lines.push_back(line);
         drop(state);
-        self.shared.filled.notify_one();
+        self.shared.work_available.notify_one();
     }
 
     /// Lines dropped since the start, because the queue was full or the sink failed.
@@ -98,7 +98,7 @@
         let state = self.shared.lock();
         let waited = self
             .shared
-            .drained
+            .all_written
             .wait_timeout_while(state, timeout, |state| !state.is_idle());
         let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
         state.is_idle()
@@ -110,8 +110,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut sink: impl Write) {
-        while let Some((text, count)) = self.next() {
+    fn write_until_closed(&self, mut sink: impl Write) {
+        while let Some((text, count)) = self.next_batch() {
             let written = sink.write_all(text.as_bytes()).and_then(|()| sink.flush());
             if written.is_err() {
                 self.lock().dropped += count;
@@ -120,36 +120,39 @@
     }
 
     /// Waits for the next lines; `None` once the queue is closed and empty.
-    fn next(&self) -> Option<(String, u64)> {
+    fn next_batch(&self) -> Option<(String, u64)> {
         let mut state = self.lock();
         state.writing = false;
         while state.is_idle() {
-            self.drained.notify_all();
+            self.all_written.notify_all();
             if state.closed {
                 return None;
             }
-            let woken = self.filled.wait(state);
+            let woken = self.work_available.wait(state);
             state = woken.unwrap_or_else(PoisonError::into_inner);
         }
         state.writing = true;
-        Some(state.take())
+        Some(state.take_batch())
     }
 }
 
 impl State {
     /// Whether there is nothing to write or to tell.
     fn is_idle(&self) -> bool {
-        self.lines.is_empty() && !self.writing && self.told == self.dropped
+        self.lines.is_empty() && !self.writing && self.reported_drops == self.dropped
     }
 
     /// The next lines as one text, and how many they are.
-    fn take(&mut self) -> (String, u64) {
+    fn take_batch(&mut self) -> (String, u64) {
         let mut text = String::new();
-        let count = self.lines.len().min(BATCH);
-        if self.told < self.dropped {
-            text.push_str(&line::dropped(SystemTime::now(), self.dropped - self.told));
+        let count = self.lines.len().min(MAX_BATCH_LINES);
+        if self.reported_drops < self.dropped {
+            text.push_str(&line::format_dropped(
+                SystemTime::now(),
+                self.dropped - self.reported_drops,
+            ));
             text.push('\n');
-            self.told = self.dropped;
+            self.reported_drops = self.dropped;
         }
         for line in self.lines.drain(..count) {
             text.push_str(&line);
--- a/crates/pinereel/src/logging/bound.rs
+++ b/crates/pinereel/src/logging/rate_limit.rs
@@ -9,51 +9,51 @@
 
 /// Lines of one kind in a second. An instance serves some 25 requests a second at the two-year
 /// size, so that usual work is never left out.
-const LINES_PER_SECOND: u32 = 200;
-const SECOND: Duration = Duration::from_secs(1);
+const MAX_LINES_PER_SECOND: u32 = 200;
+const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
 /// Counts lines by kind: the module and the constant text of the message.
 #[derive(Debug, Default)]
-pub(super) struct Bound {
+pub(super) struct RateLimiter {
     kinds: Mutex<BTreeMap<(String, &'static str), Window>>,
 }
 
 #[derive(Debug)]
 struct Window {
-    since: Instant,
+    started_at: Instant,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Whether a line is written.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum Outcome {
     /// It is; of its kind so many were left out before.
-    Write { left_out: u64 },
+    Allow { suppressed: u64 },
     /// It is left out.
-    LeaveOut,
+    Suppress,
 }
 
-impl Bound {
+impl RateLimiter {
     /// Judges a line of a kind.
-    pub(super) fn judge(&self, target: &str, message: &'static str, now: Instant) -> Verdict {
+    pub(super) fn check(&self, target: &str, message: &'static str, now: Instant) -> Outcome {
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         let window = kinds.entry((target.to_owned(), message)).or_insert(Window {
-            since: now,
+            started_at: now,
             lines: 0,
-            left_out: 0,
+            suppressed: 0,
         });
-        if now.duration_since(window.since) >= SECOND {
-            window.since = now;
+        if now.duration_since(window.started_at) >= WINDOW_LENGTH {
+            window.started_at = now;
             window.lines = 0;
         }
-        if window.lines >= LINES_PER_SECOND {
-            window.left_out += 1;
-            return Verdict::LeaveOut;
+        if window.lines >= MAX_LINES_PER_SECOND {
+            window.suppressed += 1;
+            return Outcome::Suppress;
         }
         window.lines += 1;
-        Verdict::Write {
-            left_out: std::mem::take(&mut window.left_out),
+        Outcome::Allow {
+            suppressed: std::mem::take(&mut window.suppressed),
         }
     }
 }
--- a/crates/pinereel/src/metrics.rs
+++ b/crates/pinereel/src/metrics.rs
@@ -157,7 +157,7 @@
     }
 
     /// Counts a decision.
-    pub fn decide(&self, what: logging::What) {
+    pub fn decide(&self, what: logging::DecisionKind) {
         self.decisions.with_label_values(&[what.as_str()]).inc();
     }
 
--- a/crates/pinereel/src/state.rs
+++ b/crates/pinereel/src/state.rs
@@ -5,7 +5,7 @@
         claims::Claims, config::Config, crashes::Crashes, drain::Drain, endpoints::Endpoints,
         leases::Leases, lots::Lots, members::Members, queues::Queues, rollout::Rollout,
     },
-    logging::{Decision, What},
+    logging::{Decision, DecisionKind},
     metrics::Metrics,
     objects, peer,
     settings::Settings,
@@ -106,7 +106,7 @@
     }
 
     /// Logs a decision that has no cost to compare, and counts it.
-    pub fn decide(&self, what: What, request: &str, chosen: Option<&str>, reason: &str) {
+    pub fn decide(&self, what: DecisionKind, request: &str, chosen: Option<&str>, reason: &str) {
         self.metrics.decide(what);
         if !self.settings.log.decisions {
             return;
@@ -114,7 +114,7 @@
         Decision {
             entry: self.name(),
             request,
-            what,
+            kind: what,
             chosen,
             cost: None,
             reason,
--- a/crates/pinereel/tests/logging_lines.rs
+++ b/crates/pinereel/tests/logging_lines.rs
@@ -2,7 +2,7 @@
 
 use log::Log;
 use pinereel::{
-    logging::{self, Decision, Queue, RunnerUp, What},
+    logging::{self, Decision, DecisionKind, Queue, RunnerUp},
     settings,
 };
 use serde_json::Value;
@@ -16,7 +16,7 @@
     time::{Duration, UNIX_EPOCH},
 };
 
-const LONG: Duration = Duration::from_secs(30);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn settings(level: log::LevelFilter, decisions: bool) -> settings::Log {
     settings::Log {
@@ -30,9 +30,9 @@
 
 /// A sink that keeps what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct MemorySink(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for MemorySink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no panic").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -43,7 +43,7 @@
     }
 }
 
-impl Kept {
+impl MemorySink {
     /// The lines, each parsed and without its time.
     fn lines(&self) -> Vec<Value> {
         lines(&String::from_utf8_lossy(&self.0.lock().expect("no panic")))
@@ -61,16 +61,16 @@
 }
 
 /// A sink that says when it is written to and then waits to be let go on.
-struct Gate {
-    entered: Sender<()>,
-    opened: Receiver<()>,
-    kept: Kept,
+struct BlockingSink {
+    write_started: Sender<()>,
+    unblocked: Receiver<()>,
+    kept: MemorySink,
 }
 
-impl Write for Gate {
+impl Write for BlockingSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.entered.send(());
-        let _ = self.opened.recv();
+        let _ = self.write_started.send(());
+        let _ = self.unblocked.recv();
         self.kept.write(bytes)
     }
 
@@ -80,9 +80,9 @@
 }
 
 /// A sink that always fails.
-struct Broken;
+struct FailingSink;
 
-impl Write for Broken {
+impl Write for FailingSink {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         Err(io::ErrorKind::BrokenPipe.into())
     }
@@ -94,13 +94,13 @@
 
 /// What `write` logs under `settings`, one line a line.
 fn logged(settings: &settings::Log, write: impl FnOnce(&dyn Log)) -> String {
-    let kept = Kept::default();
+    let kept = MemorySink::default();
     let queue = Queue::start(16, kept.clone()).expect("a thread");
     // The macros look at the process's level first, which is off until a logger is installed.
     log::set_max_level(log::LevelFilter::Trace);
     let (_, logger) = logging::dispatch(settings, queue.clone()).into_log();
     write(&*logger);
-    assert!(queue.flush(LONG));
+    assert!(queue.flush(FLUSH_TIMEOUT));
     let lines: Vec<_> = kept.lines().iter().map(Value::to_string).collect();
     lines.join("\n")
 }
@@ -124,7 +124,7 @@
     let decision = Decision {
         entry: "entry-1",
         request: "r-17",
-        what: What::Route,
+        kind: DecisionKind::Route,
         chosen: Some("draft-llm-3"),
         cost: Some(1.5),
         reason: "least work",
@@ -156,24 +156,24 @@
 
 #[test]
 fn drops_are_exact_and_told() {
-    let (entered, on_entered) = channel();
-    let (open, opened) = channel();
-    let kept = Kept::default();
-    let gate = Gate {
-        entered,
-        opened,
+    let (write_started, on_write_started) = channel();
+    let (unblock, unblocked) = channel();
+    let kept = MemorySink::default();
+    let sink = BlockingSink {
+        write_started,
+        unblocked,
         kept: kept.clone(),
     };
-    let queue = Queue::start(4, gate).unwrap();
+    let queue = Queue::start(4, sink).unwrap();
     queue.push(r#"{"ts":"123456789012345678901234","n":0}"#.into());
-    on_entered.recv().unwrap();
+    on_write_started.recv().unwrap();
     for n in 1..=9 {
         queue.push(format!(r#"{{"ts":"123456789012345678901234","n":{n}}}"#));
     }
     assert_eq!(queue.dropped(), 5);
     assert!(!queue.flush(Duration::ZERO));
-    drop(open);
-    assert!(queue.flush(LONG));
+    drop(unblock);
+    assert!(queue.flush(FLUSH_TIMEOUT));
     let lines: Vec<_> = kept.lines().iter().map(Value::to_string).collect();
     insta::assert_snapshot!(lines.join("\n"), @r#"
     {"n":0}
@@ -203,19 +203,19 @@
         let mut text = String::new();
         reader.read_to_string(&mut text).map(|_| text)
     });
-    assert!(queue.flush(LONG));
+    assert!(queue.flush(FLUSH_TIMEOUT));
     drop(queue);
     let lines = lines(&reading.join().unwrap().unwrap());
-    let told: u64 = lines.iter().filter_map(|l| l["dropped"].as_u64()).sum();
+    let reported: u64 = lines.iter().filter_map(|l| l["dropped"].as_u64()).sum();
     let written = lines.iter().filter(|l| l["n"].is_u64()).count() as u64;
-    assert_eq!((told, written), (dropped, LINES - dropped));
+    assert_eq!((reported, written), (dropped, LINES - dropped));
 }
 
 #[test]
 fn a_broken_sink_counts_as_drops() {
-    let queue = Queue::start(4, Broken).unwrap();
+    let queue = Queue::start(4, FailingSink).unwrap();
     queue.push("lost".into());
-    assert!(queue.flush(LONG));
+    assert!(queue.flush(FLUSH_TIMEOUT));
     assert_eq!(queue.dropped(), 1);
 }
 
@@ -229,7 +229,7 @@
     settings.file = Some("/nowhere/at/all".into());
     logging::init(&settings).unwrap();
     log::info!(target: "init_is_idempotent", entry = "entry-2"; "once");
-    assert!(first.flush(LONG));
+    assert!(first.flush(FLUSH_TIMEOUT));
     let text = std::fs::read_to_string(path).unwrap();
     let own = |line: &&Value| line["target"] == "init_is_idempotent";
     assert_eq!(lines(&text).iter().filter(own).count(), 1);
--- a/crates/pinereel/tests/metrics_render.rs
+++ b/crates/pinereel/tests/metrics_render.rs
@@ -1,6 +1,6 @@
 //! Metrics: every line of the text format parses, and figures appear under their names.
 
-use pinereel::{logging::What, metrics::Metrics};
+use pinereel::{logging::DecisionKind, metrics::Metrics};
 use pinereel_api::problem::Code;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
     metrics.refuse(Code::SlowSender);
     metrics.in_flight.with_label_values(&["draft-llm"]).set(4);
     metrics.queue.with_label_values(&["draft-llm"]).set(2);
-    metrics.decide(What::Route);
+    metrics.decide(DecisionKind::Route);
     metrics.late_chunks.inc();
     metrics.lots.with_label_values(&["wording", "done"]).inc();
     metrics
