--- a/crates/pinereel/src/http/server.rs
+++ b/crates/pinereel/src/http/server.rs
@@ -154,7 +154,7 @@
                 .borrow_mut()
                 .insert(stream.as_raw_fd(), Rc::clone(&activity));
             async move {
-                // Requests that reached the handler got a response; the others are reported as refused.
+                // Requests that reached the handler got a response; others are reported as refused.
                 match service.call(stream).await {
                     Err(error) => refusal_code(error),
                     Ok(()) => activity
@@ -266,8 +266,8 @@
                 refusal = connection => if let Some(code) = refusal {
                     server.report_refusal(code);
                 },
-                // `actix-http` closes connections that are idle for `keep_alive`; one that is still open
-                // after this sends a request head too slowly.
+                // `actix-http` closes connections that are idle for `keep_alive`; one that is
+                // still open after this sends a request head too slowly.
                 () = activity.wait_until_idle_for(options.keep_alive + options.head_timeout) => {
                     server.report_refusal(Code::SlowSender);
                 }
--- a/crates/pinereel/src/logging/decision.rs
+++ b/crates/pinereel/src/logging/decision.rs
@@ -1,35 +1,35 @@
-//! A line for each routing and placement decision.
+//! Log lines for decisions such as routing and placement, each with reason, cost and alternatives.
 
 use log::Log;
 use serde::Serialize;
 
-/// Target of decision lines, to tell them from ordinary ones.
+/// Log target of decision lines, which sets them apart from ordinary ones.
 pub const DECISION_TARGET: &str = "decision";
 
-/// What was decided.
+/// Kind of a decision; its name is the message of the log line and a label in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
-    /// Whether a request is taken, and if it waits.
+    /// Whether a request is admitted, and whether it is queued.
     Admit,
-    /// Which endpoint a request goes to.
+    /// Which endpoint receives a request.
     Route,
-    /// Whether, and to which endpoint, a request is sent again.
+    /// Whether a request is retried, and on which endpoint.
     Retry,
     /// Which entry runs a group of a lot.
     Place,
-    /// Whether a sample is made again.
+    /// Whether a sample is generated again.
     Redo,
-    /// Whether an endpoint may receive work.
+    /// Whether an endpoint is ejected from load balancing.
     Eject,
-    /// Which version an endpoint is told to load.
+    /// Which weight version an endpoint is told to load.
     Load,
     /// Who holds a lease.
     Lease,
 }
 
 impl DecisionKind {
-    /// The name in logs and metrics.
+    /// Name in log lines and metric labels.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Admit => "admit",
@@ -44,45 +44,45 @@
     }
 }
 
-/// One that was considered and not chosen.
+/// Candidate that was considered and not chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct RunnerUp<'a> {
-    /// Its name.
+    /// Name of the candidate.
     pub name: &'a str,
-    /// Its cost, in the unit of the decision; the lower the better.
+    /// Cost of the candidate, in the unit of the decision; lower is better.
     pub cost: f64,
-    /// Why it was not chosen.
+    /// Why the candidate was not chosen.
     pub reason: &'a str,
 }
 
-/// One decision, as it is logged.
+/// Decision with the fields of its log line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Decision<'a> {
     /// Name of the entry that decided.
     pub entry: &'a str,
     /// Id of the request, lot or object that the decision is about.
     pub request: &'a str,
-    /// What was decided.
+    /// Kind of the decision.
     pub kind: DecisionKind,
-    /// The one chosen; absent if none was.
+    /// Name of the chosen candidate; `None` if none was chosen.
     pub chosen: Option<&'a str>,
-    /// Cost of the one chosen, in the unit of the decision; absent where there is none.
+    /// Cost of the chosen candidate, in the unit of the decision; `None` if it has no cost.
     pub cost: Option<f64>,
-    /// Why.
+    /// Reason for the decision.
     pub reason: &'a str,
-    /// Those considered and not chosen.
+    /// Candidates that were considered and not chosen.
     pub runners_up: &'a [RunnerUp<'a>],
-    /// Number of the configuration that it was decided under.
+    /// Number of the configuration that was in force.
     pub config: u64,
 }
 
 impl Decision<'_> {
-    /// Logs the decision.
+    /// Logs the decision with the process-wide logger.
     pub fn emit(&self) {
         self.emit_to(log::logger());
     }
 
-    /// Logs the decision by `logger`.
+    /// Logs the decision with `logger`.
     pub fn emit_to(&self, logger: &dyn Log) {
         log::info!(
             logger: logger,
--- a/crates/pinereel/src/logging/line.rs
+++ b/crates/pinereel/src/logging/line.rs
@@ -1,4 +1,4 @@
-//! One record as one JSON line.
+//! Formats log records as JSON lines.
 
 use compact_str::{CompactString, format_compact};
 use log::{
@@ -12,13 +12,13 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Fields that every line has; a key of a record with such a name gets [`RESERVED_KEY_PREFIX`].
+/// Keys that every line has; a record's field of the same name gets [`RESERVED_KEY_PREFIX`].
 const RESERVED_KEYS: [&str; 4] = ["ts", "level", "target", "msg"];
 const RESERVED_KEY_PREFIX: &str = "field_";
 
 const MILLIS_PER_DAY: u128 = 86_400_000;
 
-/// The line of `record`, without a line break.
+/// Formats `record` as a line without a line break.
 pub(super) fn format_record(now: SystemTime, record: &Record<'_>) -> String {
     let mut fields = Fields::default();
     // Collecting into a map cannot fail.
@@ -33,7 +33,7 @@
     line.to_json()
 }
 
-/// The line that tells of `count` dropped lines.
+/// Formats the line that reports `count` lines dropped by the queue.
 pub(super) fn format_dropped(now: SystemTime, count: u64) -> String {
     let line = Line {
         now,
@@ -45,7 +45,8 @@
     line.to_json()
 }
 
-/// The line that tells of `count` lines of a kind that were left out by their bound.
+/// Formats the line that reports `count` lines with the message `kind` that the rate limiter has
+/// suppressed.
 pub(super) fn format_suppressed(now: SystemTime, kind: &str, count: u64) -> String {
     let line = Line {
         now,
@@ -60,7 +61,7 @@
     line.to_json()
 }
 
-/// `time` in UTC as RFC 3339 with milliseconds, such as `1970-01-01T00:00:00.000Z`.
+/// Formats `time` in UTC as RFC 3339 with milliseconds, such as `1970-01-01T00:00:00.000Z`.
 pub fn timestamp(time: SystemTime) -> CompactString {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = since.as_millis();
@@ -71,10 +72,10 @@
     format_compact!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
-/// Year, month and day of the Gregorian calendar, `days` after 1970-01-01.
+/// Year, month and day in the Gregorian calendar, `days` after 1970-01-01.
 fn civil_date(days: u128) -> (u128, u128, u128) {
-    // Counted from 0000-03-01, so that a leap day is the last day of its year; the calendar
-    // repeats every 400 years.
+    // Counts from 0000-03-01, so that a leap day is the last day of its year. The calendar
+    // repeats every 400 years, which is 146,097 days.
     let days = days + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
@@ -117,7 +118,7 @@
     }
 }
 
-/// The fields of a record; of a key given twice, the last value counts.
+/// Key-value fields of a record; if a key occurs twice, the last value is kept.
 #[derive(Default)]
 struct Fields(BTreeMap<CompactString, serde_json::Value>);
 
--- a/crates/pinereel/src/logging/mod.rs
+++ b/crates/pinereel/src/logging/mod.rs
@@ -1,8 +1,8 @@
-//! The log: JSON lines through `log` and `fern`, written by a thread of its own.
+//! Structured logging: JSON lines through `log` and `fern`, written by a background thread.
 //!
-//! Nobody who logs ever waits for the sink: lines pass a bounded [`Queue`], and those that find
-//! it full are dropped and counted. Ordinary lines carry fields in the way of `log`:
-//! `log::info!(entry = name, zone = zone; "listening")`. Decisions have a type: [`Decision`].
+//! Logging never blocks on the sink: lines go through a bounded [`Queue`], which drops and counts
+//! them when it is full. Ordinary lines carry the key-value fields of `log`:
+//! `log::info!(entry = name, zone = zone; "listening")`. Decisions are logged as a [`Decision`].
 
 mod decision;
 mod line;
@@ -24,51 +24,55 @@
     time::{Duration, Instant, SystemTime},
 };
 
-/// The process's log, once [`init`] has set it up.
+/// Handle of the process-wide logger, once [`init`] has installed it.
 static HANDLE: Mutex<Option<Handle>> = Mutex::new(None);
 
-/// Why logging could not be set up.
+/// Why the logger could not be installed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The log file cannot be opened.
     #[error("log file {}: {source}", path.display())]
     Open {
-        /// The file.
+        /// Path of the log file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The writer's thread cannot be started.
+    /// The writer thread cannot be started.
     #[error("log writer: {0}")]
     Thread(#[from] io::Error),
-    /// Another logger was installed before.
+    /// Another logger is already installed.
     #[error(transparent)]
     Installed(#[from] log::SetLoggerError),
 }
 
-/// The process's log.
+/// Handle of the process-wide logger, to flush it and to count dropped lines.
 #[derive(Clone, Debug)]
 pub struct Handle {
     queue: Queue,
 }
 
 impl Handle {
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.queue.dropped()
     }
 
-    /// Waits until every line is written, at most `timeout`. Says whether all were.
+    /// Waits up to `timeout` until every line is written and returns whether all were.
     ///
-    /// Blocks the thread: for use at the end of the process only.
+    /// Blocks the calling thread; call it only at process exit.
     pub fn flush(&self, timeout: Duration) -> bool {
         self.queue.flush(timeout)
     }
 }
 
-/// Sets up the process's log.
+/// Installs the process-wide logger.
 ///
-/// Idempotent: later calls, also with other settings, give the log that the first one set up.
+/// Idempotent: later calls, also with other settings, return the handle of the first one.
+///
+/// # Errors
+/// If the log file cannot be opened, the writer thread cannot be started, or another logger is
+/// installed.
 pub fn init(settings: &settings::Log) -> Result<Handle, Error> {
     let mut installed = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(handle) = &*installed {
@@ -81,13 +85,14 @@
     Ok(handle)
 }
 
-/// Lines that the process's log has dropped; zero before [`init`].
+/// Number of lines that the process-wide logger has dropped; zero before [`init`].
 pub fn dropped() -> u64 {
     let installed = HANDLE.lock().unwrap_or_else(PoisonError::into_inner);
     installed.as_ref().map_or(0, Handle::dropped)
 }
 
-/// The dispatch that filters records by `settings` and puts their lines into `queue`.
+/// Builds the dispatch that filters records by `settings`, limits their rate and pushes their JSON
+/// lines to `queue`.
 pub fn dispatch(settings: &settings::Log, queue: Queue) -> fern::Dispatch {
     let decisions = if settings.decisions {
         LevelFilter::Info
@@ -96,7 +101,8 @@
     };
     let rate_limiter = RateLimiter::default();
     let write = move |record: &log::Record<'_>| {
-        // A message that is made up of parts has no constant text; those are rare.
+        // A message with format arguments has no constant text. Those are rare, so all of one
+        // target share a limit.
         let message = record.args().as_str().unwrap_or("");
         if let Outcome::Allow { suppressed } =
             rate_limiter.check(record.target(), message, Instant::now())
--- a/crates/pinereel/src/logging/queue.rs
+++ b/crates/pinereel/src/logging/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue between those who log and the thread that writes.
+//! Bounded queue of log lines and the background thread that writes them to the sink.
 
 use super::line;
 use std::{
@@ -9,17 +9,17 @@
     time::{Duration, SystemTime},
 };
 
-/// Lines that are written in one go.
+/// Maximum number of lines in one write to the sink.
 const MAX_BATCH_LINES: usize = 64;
 
-/// A bounded queue of lines with a thread that writes them.
+/// Bounded queue of log lines with its writer thread.
 ///
-/// [`Queue::push`] holds a lock for a moment but never waits for the sink. The thread ends with
-/// the last clone of the queue, after the lines that were in it.
+/// [`Queue::push`] takes a lock briefly but never waits for the sink. When the last clone of the
+/// queue is dropped, the thread writes the remaining lines and ends.
 #[derive(Clone, Debug)]
 pub struct Queue {
     shared: Arc<Shared>,
-    /// Tells the thread when the last clone is gone.
+    /// Closes the queue when the last clone is dropped.
     _close_on_drop: Arc<CloseOnDrop>,
 }
 
@@ -27,9 +27,9 @@
 struct Shared {
     capacity: usize,
     state: Mutex<State>,
-    /// Signalled when there is something for the thread to do.
+    /// Signalled when the writer thread has a line to write or the queue is closed.
     work_available: Condvar,
-    /// Signalled when the thread has written all that there was.
+    /// Signalled when the writer thread has written all lines.
     all_written: Condvar,
 }
 
@@ -39,7 +39,7 @@
     writing: bool,
     closed: bool,
     dropped: u64,
-    /// The part of `dropped` that a line has told of.
+    /// How many of the `dropped` lines have been reported in a log line.
     reported_drops: u64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Queue {
-    /// Starts a thread that writes lines to `sink`; at most `capacity` lines wait for it.
+    /// Starts a thread that writes lines to `sink`; at most `capacity` lines are queued.
     ///
     /// # Errors
     /// If the thread cannot be started.
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Adds a line, or drops it if the queue is full.
+    /// Appends a line, or drops and counts it if the queue is full.
     pub fn push(&self, line: String) {
         let mut state = self.shared.lock();
         if state.lines.len() >= self.shared.capacity {
@@ -88,12 +88,12 @@
         self.shared.work_available.notify_one();
     }
 
-    /// Lines dropped since the start, because the queue was full or the sink failed.
+    /// Number of lines dropped since the start, because the queue was full or the sink failed.
     pub fn dropped(&self) -> u64 {
         self.shared.lock().dropped
     }
 
-    /// Waits until every line is written, at most `timeout`. Says whether all were.
+    /// Waits up to `timeout` until every line is written and returns whether all were.
     pub fn flush(&self, timeout: Duration) -> bool {
         let state = self.shared.lock();
         let waited = self
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Waits for the next lines; `None` once the queue is closed and empty.
+    /// Waits for the next batch: its text and its number of lines. `None` once the queue is
+    /// closed and empty.
     fn next_batch(&self) -> Option<(String, u64)> {
         let mut state = self.lock();
         state.writing = false;
@@ -137,12 +138,13 @@
 }
 
 impl State {
-    /// Whether there is nothing to write or to tell.
+    /// Whether there are no lines to write and no drops to report.
     fn is_idle(&self) -> bool {
         self.lines.is_empty() && !self.writing && self.reported_drops == self.dropped
     }
 
-    /// The next lines as one text, and how many they are.
+    /// Removes up to `MAX_BATCH_LINES` lines and returns them as one text with their number. A line
+    /// about unreported drops comes first.
     fn take_batch(&mut self) -> (String, u64) {
         let mut text = String::new();
         let count = self.lines.len().min(MAX_BATCH_LINES);
--- a/crates/pinereel/src/logging/rate_limit.rs
+++ b/crates/pinereel/src/logging/rate_limit.rs
@@ -1,5 +1,5 @@
-//! Bounds the lines of each kind, so that a storm of one kind neither fills the log nor takes the
-//! processor.
+//! Rate limiter for log lines, by target and message, so that a burst of one message neither fills
+//! the log nor takes the CPU.
 
 use std::{
     collections::BTreeMap,
@@ -7,12 +7,13 @@
     time::{Duration, Instant},
 };
 
-/// Lines of one kind in a second. An instance serves some 25 requests a second at the two-year
-/// size, so that usual work is never left out.
+/// Maximum number of lines per second with the same target and message. An instance serves some 25
+/// requests per second at the size planned for two years, so lines of normal operation are never
+/// suppressed.
 const MAX_LINES_PER_SECOND: u32 = 200;
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// Counts lines by kind: the module and the constant text of the message.
+/// Counts lines in windows of one second, by target and constant message text.
 #[derive(Debug, Default)]
 pub(super) struct RateLimiter {
     kinds: Mutex<BTreeMap<(String, &'static str), Window>>,
@@ -25,17 +26,17 @@
     suppressed: u64,
 }
 
-/// Whether a line is written.
+/// Whether a line may be written.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It is; of its kind so many were left out before.
+    /// It may; so many lines with the same target and message were suppressed since the last one.
     Allow { suppressed: u64 },
-    /// It is left out.
+    /// It exceeds the rate limit and is discarded.
     Suppress,
 }
 
 impl RateLimiter {
-    /// Judges a line of a kind.
+    /// Counts a line and returns whether it may be written.
     pub(super) fn check(&self, target: &str, message: &'static str, now: Instant) -> Outcome {
         let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
         let window = kinds.entry((target.to_owned(), message)).or_insert(Window {
--- a/crates/pinereel/tests/hosting_logs.rs
+++ b/crates/pinereel/tests/hosting_logs.rs
@@ -1,9 +1,10 @@
-//! The page for whoever is on call names every message of the hosted instance.
+//! The operations page documents every log message of the hosted instance.
 
 use std::{fs, path::Path};
 
-/// The text up to the parenthesis that closes the one before it.
-fn call(text: &str) -> &str {
+/// The arguments of a call: the text up to the closing parenthesis that matches the one before
+/// `text`.
+fn call_arguments(text: &str) -> &str {
     let (mut depth, mut quoted) = (1, false);
     for (at, c) in text.char_indices() {
         match c {
@@ -26,14 +27,15 @@
     Some(text.split_once('"')?.0)
 }
 
-/// The messages of all log calls in `source`.
+/// The messages of all log calls in `source`, without those that only print a value.
 fn messages(source: &str) -> Vec<String> {
     let mut found = Vec::new();
     for level in ["info", "warn", "error"] {
         let begin = format!("log::{level}!(");
         for (at, _) in source.match_indices(&begin) {
-            let text = message(call(&source[at + begin.len()..])).unwrap_or_default();
-            // What a fault says of itself is no message of the code.
+            let text = message(call_arguments(&source[at + begin.len()..])).unwrap_or_default();
+            // A message that starts with a format argument has its text from elsewhere, such as
+            // an error.
             if !text.is_empty() && !text.starts_with('{') {
                 found.push(text.to_owned());
             }
@@ -42,11 +44,11 @@
     found
 }
 
-fn sources(folder: &Path, found: &mut Vec<String>) {
+fn read_sources(folder: &Path, found: &mut Vec<String>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            read_sources(&path, found);
         } else {
             found.push(fs::read_to_string(path).expect("a source file"));
         }
@@ -58,10 +60,10 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/OPERATIONS.md")).expect("the page");
     let mut all = Vec::new();
-    sources(&root.join("src/hosted"), &mut all);
+    read_sources(&root.join("src/hosted"), &mut all);
     let messages: Vec<_> = all.iter().flat_map(|source| messages(source)).collect();
     assert!(messages.len() > 40, "the search finds them");
-    // A message with a value in it is found by what stands before it.
+    // A message with a format argument is searched for by the text before the argument.
     let start = |message: &str| {
         message
             .split('{')
--- a/crates/pinereel/tests/logging_lines.rs
+++ b/crates/pinereel/tests/logging_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines: their form, and that a blocked sink never blocks those who log.
+//! Format of log lines, and that a blocked sink never blocks the threads that log.
 
 use log::Log;
 use pinereel::{
@@ -28,7 +28,7 @@
     }
 }
 
-/// A sink that keeps what is written.
+/// Sink that stores what is written.
 #[derive(Clone, Default)]
 struct MemorySink(Arc<Mutex<Vec<u8>>>);
 
@@ -44,7 +44,7 @@
 }
 
 impl MemorySink {
-    /// The lines, each parsed and without its time.
+    /// The lines, each parsed and without its timestamp.
     fn lines(&self) -> Vec<Value> {
         lines(&String::from_utf8_lossy(&self.0.lock().expect("no panic")))
     }
@@ -60,7 +60,7 @@
     text.lines().map(parse).collect()
 }
 
-/// A sink that says when it is written to and then waits to be let go on.
+/// Sink that signals each write and then blocks until `unblocked` receives or is closed.
 struct BlockingSink {
     write_started: Sender<()>,
     unblocked: Receiver<()>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A sink that always fails.
+/// Sink whose writes always fail.
 struct FailingSink;
 
 impl Write for FailingSink {
@@ -92,11 +92,11 @@
     }
 }
 
-/// What `write` logs under `settings`, one line a line.
+/// What `write` logs with `settings`, one JSON object per line.
 fn logged(settings: &settings::Log, write: impl FnOnce(&dyn Log)) -> String {
     let kept = MemorySink::default();
     let queue = Queue::start(16, kept.clone()).expect("a thread");
-    // The macros look at the process's level first, which is off until a logger is installed.
+    // The macros check the process-wide level first, which is off until a logger is installed.
     log::set_max_level(log::LevelFilter::Trace);
     let (_, logger) = logging::dispatch(settings, queue.clone()).into_log();
     write(&*logger);
@@ -196,7 +196,7 @@
             r#"{{"ts":"123456789012345678901234","n":{n},"x":"{filling}"}}"#
         ));
     }
-    // 2 MB were logged; a pipe holds 64 KiB, the queue 100 lines, the writer 64.
+    // 2 MB were logged; a pipe holds 64 KiB, the queue 100 lines and the writer's batch 64.
     let dropped = queue.dropped();
     assert!(dropped > LINES / 2, "{dropped}");
     let reading = thread::spawn(move || {
