--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 /// Largest body of a patch, in bytes.
-const MAX_PATCH: usize = 1 << 20;
+const MAX_PATCH_BYTES: usize = 1 << 20;
 
 /// Answers one request.
 pub async fn serve(shared: Rc<Shared>, mut request: Request) -> Response {
@@ -30,7 +30,7 @@
         (&Method::GET, "/ready") => return callers::ready(&shared),
         _ => {}
     }
-    if !authorized(&shared, &request) {
+    if !is_authorized(&shared, &request) {
         let problem = refuse(
             Code::Unauthorized,
             "the operators' token is missing or wrong",
@@ -39,7 +39,7 @@
     }
     let result = match (&method, path.as_str()) {
         (&Method::GET, "/metrics") => {
-            status::measure(&shared);
+            status::update_metrics(&shared);
             return http::text(StatusCode::OK, shared.metrics.render());
         }
         (&Method::POST, "/v1/drain") => {
@@ -47,9 +47,9 @@
             return http::empty(StatusCode::ACCEPTED);
         }
         (&Method::GET, "/v1/status") => Ok(json(&status::status(&shared).await)),
-        (&Method::GET, "/v1/config") => show(&shared),
-        (&Method::POST, "/v1/config/check") => check(&shared, &mut request).await,
-        (&Method::POST, "/v1/config") => patch(&shared, &mut request).await,
+        (&Method::GET, "/v1/config") => get_config(&shared),
+        (&Method::POST, "/v1/config/check") => check_patch(&shared, &mut request).await,
+        (&Method::POST, "/v1/config") => submit_patch(&shared, &mut request).await,
         _ => Err(refuse(Code::NotFound, "no such path")),
     };
     result.unwrap_or_else(|problem| respond::problem(&shared, &problem))
@@ -59,7 +59,7 @@
     http::json(StatusCode::OK, body)
 }
 
-fn show(shared: &Shared) -> Result<Response, Problem> {
+fn get_config(shared: &Shared) -> Result<Response, Problem> {
     let pin = pin::known(shared)?;
     let document = serde_json::to_value(&*pin.document).unwrap_or_default();
     Ok(json(&Config {
@@ -68,25 +68,25 @@
     }))
 }
 
-async fn check(shared: &Shared, request: &mut Request) -> Result<Response, Problem> {
-    let patch = read(shared, request).await?;
+async fn check_patch(shared: &Shared, request: &mut Request) -> Result<Response, Problem> {
+    let patch = read_patch(shared, request).await?;
     let document = propose::check(shared, &patch)?;
     let document = serde_json::to_value(document).unwrap_or_default();
     Ok(json(&Checked { document }))
 }
 
-async fn patch(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
-    let patch = read(shared, request).await?;
+async fn submit_patch(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
+    let patch = read_patch(shared, request).await?;
     let number = propose::propose(shared, patch).await?;
     Ok(json(&Patched { number }))
 }
 
-async fn read(shared: &Shared, request: &mut Request) -> Result<Patch, Problem> {
+async fn read_patch(shared: &Shared, request: &mut Request) -> Result<Patch, Problem> {
     let timeout = shared.settings.limits.read_timeout;
-    Ok(http::read_json(request, MAX_PATCH, timeout).await?)
+    Ok(http::read_json(request, MAX_PATCH_BYTES, timeout).await?)
 }
 
-fn authorized(shared: &Shared, request: &Request) -> bool {
+fn is_authorized(shared: &Shared, request: &Request) -> bool {
     let token = &shared.settings.secrets.operator_token;
     let given = request.headers().get(header::AUTHORIZATION);
     given.is_some_and(|given| token.matches("Bearer ", given.as_bytes()))
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// An entry that was not heard for so long counts as lagging: nothing is confirmed there.
-const SILENT: Duration = Duration::from_secs(4);
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
 
 /// The answer to `GET /v1/status`.
 pub async fn status(shared: &Shared) -> Status {
@@ -21,8 +21,8 @@
     Status {
         entry: shared.name().clone(),
         number: shared.config.number(),
-        entries: entries(shared).await,
-        endpoints: endpoints(shared),
+        entries: describe_entries(shared).await,
+        endpoints: describe_endpoints(shared),
         versions: shared.lots.versions(),
         leases: shared.leases.all(shared.now()),
         object_calls,
@@ -30,7 +30,7 @@
 }
 
 /// Brings figures up to date that are only looked at when asked for.
-pub fn measure(shared: &Shared) {
+pub fn update_metrics(shared: &Shared) {
     let metrics = &shared.metrics;
     for ((purpose, kind), count) in shared.objects.calls() {
         let counter = metrics
@@ -74,27 +74,27 @@
 }
 
 /// The known entries. Those that were not heard of lately, or only with a lower number, are asked.
-async fn entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
+async fn describe_entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
     let heard = shared.config.heard();
     let known = shared.members.view().members().clone();
     let others = known.iter().filter(|(name, _)| *name != shared.name());
-    let doubtful = others.filter(|(_, entry)| {
-        let number = fresh(now, entry, &heard).map(|heard| heard.number);
+    let unconfirmed = others.filter(|(_, entry)| {
+        let number = recently_heard(now, entry, &heard).map(|heard| heard.number);
         number < Some(shared.config.number())
     });
-    let names = doubtful.map(|(name, _)| name.clone()).collect();
+    let names = unconfirmed.map(|(name, _)| name.clone()).collect();
     let reports = members::reports(shared, names).await;
     let describe = |(name, entry): (CompactString, member::Member)| {
         let report = reports.get(&name);
         let described = if name == *shared.name() {
-            own(shared, &entry)
+            own_entry(shared, &entry)
         } else if let Some((_, number)) = report.filter(|r| r.0 == entry.object.incarnation) {
-            other(shared, &entry, *number, Duration::ZERO)
+            peer_entry(shared, &entry, *number, Duration::ZERO)
         } else {
             let last = heard.get(&name);
             let silence = now.since(last.map_or(Time::ZERO, |last| last.at));
-            other(shared, &entry, last.map_or(0, |last| last.number), silence)
+            peer_entry(shared, &entry, last.map_or(0, |last| last.number), silence)
         };
         (name, described)
     };
@@ -102,17 +102,17 @@
 }
 
 /// What was heard of this incarnation lately.
-fn fresh<'a>(
+fn recently_heard<'a>(
     now: Time,
     entry: &member::Member,
     heard: &'a BTreeMap<CompactString, Heard>,
 ) -> Option<&'a Heard> {
     let last = heard.get(&entry.object.name)?;
     let same = last.incarnation == entry.object.incarnation;
-    (same && now.since(last.at) < SILENT).then_some(last)
+    (same && now.since(last.at) < MAX_PEER_SILENCE).then_some(last)
 }
 
-fn own(shared: &Shared, entry: &member::Member) -> Entry {
+fn own_entry(shared: &Shared, entry: &member::Member) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number: shared.config.number(),
@@ -121,16 +121,16 @@
     }
 }
 
-fn other(shared: &Shared, entry: &member::Member, number: u64, silence: Duration) -> Entry {
+fn peer_entry(shared: &Shared, entry: &member::Member, number: u64, silence: Duration) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number,
         heard_ms: Some(u64::try_from(silence.as_millis()).unwrap_or(u64::MAX)),
-        lags: number < shared.config.number() || silence >= SILENT,
+        lags: number < shared.config.number() || silence >= MAX_PEER_SILENCE,
     }
 }
 
-fn endpoints(shared: &Shared) -> BTreeMap<CompactString, Endpoint> {
+fn describe_endpoints(shared: &Shared) -> BTreeMap<CompactString, Endpoint> {
     let set = shared.endpoints.set();
     let known = set.iter().map(|(_, endpoint)| {
         let state = match endpoint.state {
