--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -1,4 +1,6 @@
-//! The operators' listener.
+//! HTTP API for operators: liveness and readiness, metrics, status, drain and configuration patches.
+//!
+//! All paths except `/live` and `/ready` need the operators' bearer token.
 
 mod status;
 
@@ -18,10 +20,10 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Largest body of a patch, in bytes.
+/// Maximum size of a configuration patch's request body, in bytes.
 const MAX_PATCH_BYTES: usize = 1 << 20;
 
-/// Answers one request.
+/// Handles one request of the operators' listener.
 pub async fn serve(shared: Rc<Shared>, mut request: Request) -> Response {
     let path = request.path().to_owned();
     let method = request.method().clone();
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the system.
+//! Status report and on-demand metrics: this entry's view of entries, endpoints and leases.
 
 use crate::{
     controllers::{config::Heard, members},
@@ -9,10 +9,11 @@
 use pinereel_core::{Time, endpoint::State, member};
 use std::{collections::BTreeMap, time::Duration};
 
-/// An entry that was not heard for so long counts as lagging: nothing is confirmed there.
+/// An entry without a message for this long is reported as lagging: its configuration is not known
+/// to be current.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
 
-/// The answer to `GET /v1/status`.
+/// Builds the response to `GET /v1/status`.
 pub async fn status(shared: &Shared) -> Status {
     let mut object_calls = BTreeMap::<CompactString, u64>::new();
     for ((purpose, _), count) in shared.objects.calls() {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Brings figures up to date that are only looked at when asked for.
+/// Updates the metrics that are computed only when they are scraped.
 pub fn update_metrics(shared: &Shared) {
     let metrics = &shared.metrics;
     for ((purpose, kind), count) in shared.objects.calls() {
@@ -73,7 +74,8 @@
     }
 }
 
-/// The known entries. Those that were not heard of lately, or only with a lower number, are asked.
+/// Describes the known entries. Entries that sent no recent message, or only one with a lower
+/// configuration number, are queried.
 async fn describe_entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
     let heard = shared.config.heard();
@@ -101,7 +103,7 @@
     known.into_iter().map(describe).collect()
 }
 
-/// What was heard of this incarnation lately.
+/// The last message from this incarnation of `entry`, if it is recent.
 fn recently_heard<'a>(
     now: Time,
     entry: &member::Member,
@@ -146,7 +148,7 @@
             outstanding: endpoint.outstanding,
             version: endpoint.version,
         };
-        // An old incarnation may still be busy beside the new one of the same name.
+        // An old incarnation may still have requests in flight beside a new one of the same name.
         let name = match endpoint.state {
             State::Gone => format_compact!("{}#{}", endpoint.name, endpoint.incarnation),
             _ => endpoint.name.clone(),
