--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -9,8 +9,8 @@
 use pinereel_core::{Time, endpoint::State, member};
 use std::{collections::BTreeMap, time::Duration};
 
-/// An entry without a message for this long is reported as lagging: its configuration is not known
-/// to be current.
+/// An entry without a message for this long is reported as lagging, since nothing about it is
+/// confirmed.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
 
 /// Builds the response to `GET /v1/status`.
--- a/crates/pinereel/src/settings/hosted.rs
+++ b/crates/pinereel/src/settings/hosted.rs
@@ -1,6 +1,6 @@
 //! Settings of an instance whose state is kept by the platform that it runs on.
 
-use super::{Error, Faults, Log, WAIT, reader::Reader, unit};
+use super::{Error, Log, ValidationErrors, WAIT_RANGE, reader::Reader, value};
 use compact_str::CompactString;
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -113,14 +113,14 @@
     /// If it cannot be read, or its content is at fault.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
-        Self::parse(path, &super::text_of(path)?).map_err(Error::Invalid)
+        Self::parse(path, &super::read_file(path)?).map_err(Error::Invalid)
     }
 
     /// Checks `text` as the content of the file `path`.
     ///
     /// # Errors
     /// All faults of the text.
-    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, Faults> {
+    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Reader::new(path.as_ref(), text)?;
         let instance = Instance::read(&mut reader);
         let store = Store::read(&mut reader);
@@ -129,9 +129,9 @@
         let lots = Lots::read(&mut reader);
         let platform = Platform::read(&mut reader);
         let log = Log::read(&mut reader);
-        let faults = reader.finish();
+        let errors = reader.finish();
         match (instance, store) {
-            (Some(instance), Some(store)) if faults.is_empty() => Ok(Self {
+            (Some(instance), Some(store)) if errors.is_empty() => Ok(Self {
                 instance,
                 store,
                 stop,
@@ -140,7 +140,7 @@
                 platform,
                 log,
             }),
-            _ => Err(faults),
+            _ => Err(errors),
         }
     }
 }
@@ -148,20 +148,20 @@
 impl Instance {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("instance");
-        let name = section.required("name", unit::NAME, unit::name);
-        let zone = section.required("zone", unit::NAME, unit::name);
-        let callers = section.optional("callers", unit::ADDRESS, unit::address);
-        let readiness = section.optional("readiness", unit::ADDRESS, unit::address);
-        let metrics = section.optional("metrics", unit::ADDRESS, unit::address);
-        let peers = section.optional("peers", unit::ADDRESS, unit::address);
-        section.no_clash(&[
+        let name = section.required("name", value::EXPECTED_NAME, value::name);
+        let zone = section.required("zone", value::EXPECTED_NAME, value::name);
+        let callers = section.optional("callers", value::EXPECTED_ADDRESS, value::address);
+        let readiness = section.optional("readiness", value::EXPECTED_ADDRESS, value::address);
+        let metrics = section.optional("metrics", value::EXPECTED_ADDRESS, value::address);
+        let peers = section.optional("peers", value::EXPECTED_ADDRESS, value::address);
+        section.check_address_conflicts(&[
             ("callers", callers),
             ("readiness", readiness),
             ("metrics", metrics),
             ("peers", peers),
         ]);
         // Half of the descriptors are left for endpoints, the store and files.
-        let cores = section.optional("cores", unit::CORES, unit::cores);
+        let cores = section.optional("cores", value::EXPECTED_CORES, value::cores);
         let descriptors = section.count("file_descriptors", 64..=1_000_000, 1_024);
         Some(Self {
             name: name?,
@@ -179,11 +179,11 @@
 impl Store {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("store");
-        let address = section.required("address", unit::ADDRESS, unit::address);
+        let address = section.required("address", value::EXPECTED_ADDRESS, value::address);
         Some(Self {
-            timeout: section.duration("timeout", WAIT, Duration::from_millis(1_500)),
-            watch: section.duration("watch", WAIT, Duration::from_secs(20)),
-            leave_after: section.duration("leave_after", WAIT, Duration::from_secs(2)),
+            timeout: section.duration("timeout", WAIT_RANGE, Duration::from_millis(1_500)),
+            watch: section.duration("watch", WAIT_RANGE, Duration::from_secs(20)),
+            leave_after: section.duration("leave_after", WAIT_RANGE, Duration::from_secs(2)),
             reads_per_second: section.number("reads_per_second", 1..=10_000, 100),
             writes_per_second: section.number("writes_per_second", 1..=10_000, 50),
             address: address?,
@@ -194,10 +194,10 @@
 impl Stop {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("stop");
-        let lag = section.duration("balancer_lag", WAIT, Duration::from_millis(2_500));
-        let killed_after = section.duration("killed_after", WAIT, Duration::from_secs(8));
+        let lag = section.duration("balancer_lag", WAIT_RANGE, Duration::from_millis(2_500));
+        let killed_after = section.duration("killed_after", WAIT_RANGE, Duration::from_secs(8));
         if killed_after <= lag {
-            section.fault("killed_after", "longer than balancer_lag");
+            section.report_error("killed_after", "longer than balancer_lag");
         }
         Self {
             balancer_lag: lag,
@@ -210,7 +210,7 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("orders");
         Self {
-            gap: section.duration("gap", WAIT, Duration::from_secs(3)),
+            gap: section.duration("gap", WAIT_RANGE, Duration::from_secs(3)),
             loads: section.count("loads", 1..=1_000, 2),
         }
     }
@@ -220,7 +220,7 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("lots");
         Self {
-            kept: section.duration("kept", WAIT, Duration::from_secs(120)),
+            kept: section.duration("kept", WAIT_RANGE, Duration::from_secs(120)),
         }
     }
 }
@@ -228,10 +228,10 @@
 impl Platform {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("platform");
-        let address = section.optional("address", unit::ADDRESS, unit::address);
-        let duties = section.optional("duties", unit::DUTIES, unit::duties);
-        let window = section.duration("usage_window", WAIT, Duration::from_secs(5));
-        let late = section.duration("usage_late", WAIT, Duration::from_secs(10));
+        let address = section.optional("address", value::EXPECTED_ADDRESS, value::address);
+        let duties = section.optional("duties", value::EXPECTED_DUTIES, value::duties);
+        let window = section.duration("usage_window", WAIT_RANGE, Duration::from_secs(5));
+        let late = section.duration("usage_late", WAIT_RANGE, Duration::from_secs(10));
         let duties = duties.unwrap_or_default();
         Some(Self {
             address: address?,
--- a/crates/pinereel/src/settings/mod.rs
+++ b/crates/pinereel/src/settings/mod.rs
@@ -3,15 +3,15 @@
 //! Reading never stops at the first fault: [`Error::Invalid`] holds all of them, each with its
 //! line, so that one look at the output is enough to mend the file.
 
-mod fault;
 mod hosted;
 mod reader;
 mod secret;
-mod unit;
+mod validation;
+mod value;
 
-pub use fault::{Fault, Faults};
 pub use hosted::{Hosted, Instance, Lots, Orders, Platform, Stop, Store, Usage};
 pub use secret::Secret;
+pub use validation::{ValidationError, ValidationErrors};
 
 use compact_str::CompactString;
 use reader::Reader;
@@ -24,11 +24,11 @@
 };
 
 /// Range of settings that say how long one wait may take.
-const WAIT: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
+const WAIT_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
 /// Range of settings that bound a number of things held in memory.
-const COUNT: RangeInclusive<u64> = 1..=1_000_000;
+const COUNT_RANGE: RangeInclusive<u64> = 1..=1_000_000;
 /// Range of settings that bound bytes held in memory.
-const BYTES: RangeInclusive<u64> = 1_024..=(1 << 30);
+const MEMORY_BYTES_RANGE: RangeInclusive<u64> = 1_024..=(1 << 30);
 
 /// Why there are no settings.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
     },
     /// The file was read, and its content is at fault.
     #[error("{0}")]
-    Invalid(Faults),
+    Invalid(ValidationErrors),
 }
 
 /// All settings of one process.
@@ -179,13 +179,13 @@
     /// Reads and checks the file at `path`, and the secrets that it names.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
-        Self::parse(path, &text_of(path)?).map_err(Error::Invalid)
+        Self::parse(path, &read_file(path)?).map_err(Error::Invalid)
     }
 
     /// Checks `text` as the content of the file `path`, and reads the secrets that it names.
     ///
     /// Relative paths in the text start from the folder of `path`.
-    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, Faults> {
+    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Reader::new(path.as_ref(), text)?;
         let entry = Entry::read(&mut reader);
         let object_api = ObjectApi::read(&mut reader);
@@ -195,9 +195,9 @@
         let limits = Limits::read(&mut reader);
         let policy = Policy::read(&mut reader);
         let data = reader.section("data").path("folder");
-        let faults = reader.finish();
+        let errors = reader.finish();
         match (entry, object_api, secrets) {
-            (Some(entry), Some(object_api), Some(secrets)) if faults.is_empty() => Ok(Self {
+            (Some(entry), Some(object_api), Some(secrets)) if errors.is_empty() => Ok(Self {
                 entry,
                 object_api,
                 secrets,
@@ -207,7 +207,7 @@
                 policy,
                 data,
             }),
-            _ => Err(faults),
+            _ => Err(errors),
         }
     }
 }
@@ -215,14 +215,14 @@
 impl Entry {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("entry");
-        let name = section.required("name", unit::NAME, unit::name);
-        let zone = section.required("zone", unit::NAME, unit::name);
-        let callers = section.required("callers", unit::ADDRESS, unit::address);
-        let peers = section.required("peers", unit::ADDRESS, unit::address);
-        let operators = section.required("operators", unit::ADDRESS, unit::address);
-        let advertise_callers = section.advertised("advertise_callers", callers);
-        let advertise_peers = section.advertised("advertise_peers", peers);
-        section.no_clash(&[
+        let name = section.required("name", value::EXPECTED_NAME, value::name);
+        let zone = section.required("zone", value::EXPECTED_NAME, value::name);
+        let callers = section.required("callers", value::EXPECTED_ADDRESS, value::address);
+        let peers = section.required("peers", value::EXPECTED_ADDRESS, value::address);
+        let operators = section.required("operators", value::EXPECTED_ADDRESS, value::address);
+        let advertise_callers = section.advertised_address("advertise_callers", callers);
+        let advertise_peers = section.advertised_address("advertise_peers", peers);
+        section.check_address_conflicts(&[
             ("callers", callers),
             ("peers", peers),
             ("operators", operators),
@@ -242,9 +242,9 @@
 impl ObjectApi {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("object_api");
-        let url = section.required("url", unit::URL, unit::url);
+        let url = section.required("url", value::EXPECTED_URL, value::url);
         let max_concurrency = section.number("max_concurrency", 1..=1_024, 8);
-        let timeout = section.duration("timeout", WAIT, Duration::from_secs(2));
+        let timeout = section.duration("timeout", WAIT_RANGE, Duration::from_secs(2));
         let reads_per_second = section.number("reads_per_second", 1..=10_000, 20);
         let writes_per_second = section.number("writes_per_second", 1..=10_000, 10);
         Some(Self {
@@ -274,9 +274,9 @@
         let mut section = reader.section("drain");
         let wait = Duration::ZERO..=Duration::from_secs(3_600);
         let balancer_lag = section.duration("balancer_lag", wait, Duration::from_secs(3));
-        let longest = section.duration("longest", WAIT, Duration::from_secs(30));
+        let longest = section.duration("longest", WAIT_RANGE, Duration::from_secs(30));
         if longest < balancer_lag {
-            section.fault("longest", "no shorter than balancer_lag");
+            section.report_error("longest", "no shorter than balancer_lag");
         }
         Self {
             balancer_lag,
@@ -288,14 +288,14 @@
 impl Log {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("log");
-        let level = section.optional("level", unit::LEVEL, unit::level);
+        let level = section.optional("level", value::EXPECTED_LEVEL, value::level);
         let file = section.path("file").filter(|file| !file.ends_with("-"));
         Self {
             level: level.unwrap_or(log::LevelFilter::Info),
             file,
-            stdout: section.switch("stdout", false),
-            queue: section.count("queue", COUNT, 8_192),
-            decisions: section.switch("decisions", true),
+            stdout: section.boolean("stdout", false),
+            queue: section.count("queue", COUNT_RANGE, 8_192),
+            decisions: section.boolean("decisions", true),
         }
     }
 }
@@ -304,13 +304,13 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("limits");
         Self {
-            connections: section.count("connections", COUNT, 4_096),
-            read_timeout: section.duration("read_timeout", WAIT, Duration::from_secs(5)),
-            body: section.size("body", BYTES, 1 << 20),
-            waiting: section.count("waiting", COUNT, 1_024),
-            peer_queue: section.count("peer_queue", COUNT, 256),
-            lots: section.count("lots", COUNT, 64),
-            sample_memory: section.size("sample_memory", BYTES, 64 << 20),
+            connections: section.count("connections", COUNT_RANGE, 4_096),
+            read_timeout: section.duration("read_timeout", WAIT_RANGE, Duration::from_secs(5)),
+            body: section.size("body", MEMORY_BYTES_RANGE, 1 << 20),
+            waiting: section.count("waiting", COUNT_RANGE, 1_024),
+            peer_queue: section.count("peer_queue", COUNT_RANGE, 256),
+            lots: section.count("lots", COUNT_RANGE, 64),
+            sample_memory: section.size("sample_memory", MEMORY_BYTES_RANGE, 64 << 20),
         }
     }
 }
@@ -318,18 +318,18 @@
 impl Policy {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("policy");
-        let routing = section.optional("routing", unit::ROUTING, unit::routing);
+        let routing = section.optional("routing", value::EXPECTED_ROUTING, value::routing);
         Self {
             routing: routing.unwrap_or(Routing::Full),
-            zone_local: section.switch("zone_local", true),
-            prefix_affinity: section.switch("prefix_affinity", true),
-            subset: section.count("subset", COUNT, 64),
+            zone_local: section.boolean("zone_local", true),
+            prefix_affinity: section.boolean("prefix_affinity", true),
+            subset: section.count("subset", COUNT_RANGE, 64),
         }
     }
 }
 
 /// The content of a settings file.
-fn text_of(path: &Path) -> Result<String, Error> {
+fn read_file(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
         source,
--- a/crates/pinereel/src/settings/reader.rs
+++ b/crates/pinereel/src/settings/reader.rs
@@ -1,6 +1,6 @@
 //! Reads values from the parsed INI file and collects every fault.
 
-use super::{Fault, Faults, Secret, unit};
+use super::{Secret, ValidationError, ValidationErrors, value};
 use compact_str::{CompactString, format_compact};
 use ini::Ini;
 use std::{
@@ -13,7 +13,7 @@
 };
 
 /// One `key = value`, with its line.
-struct Value {
+struct Property {
     line: usize,
     text: CompactString,
 }
@@ -22,28 +22,28 @@
 pub(super) struct Reader {
     file: PathBuf,
     /// Line of each section's first header.
-    headers: BTreeMap<CompactString, usize>,
-    values: BTreeMap<CompactString, BTreeMap<CompactString, Value>>,
+    section_lines: BTreeMap<CompactString, usize>,
+    values: BTreeMap<CompactString, BTreeMap<CompactString, Property>>,
     /// Every key that was asked for, by section.
-    known: BTreeMap<CompactString, BTreeSet<CompactString>>,
-    faults: Vec<Fault>,
+    requested: BTreeMap<CompactString, BTreeSet<CompactString>>,
+    errors: Vec<ValidationError>,
 }
 
 impl Reader {
     /// Parses `text`; a text that is not INI is the only fault that ends the reading.
-    pub(super) fn new(file: &Path, text: &str) -> Result<Self, Faults> {
+    pub(super) fn new(file: &Path, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Self {
             file: file.to_owned(),
-            headers: BTreeMap::new(),
+            section_lines: BTreeMap::new(),
             values: BTreeMap::new(),
-            known: BTreeMap::new(),
-            faults: Vec::new(),
+            requested: BTreeMap::new(),
+            errors: Vec::new(),
         };
         match Ini::load_from_str(text) {
-            Ok(ini) => reader.fill(&ini, &Lines::scan(text)),
+            Ok(ini) => reader.load_properties(&ini, &LineIndex::scan(text)),
             Err(error) => {
                 let given = text.lines().nth(error.line.saturating_sub(1));
-                reader.faults.push(Fault {
+                reader.errors.push(ValidationError {
                     file: file.to_owned(),
                     line: error.line,
                     section: CompactString::default(),
@@ -51,7 +51,7 @@
                     given: Some(given.unwrap_or_default().trim().into()),
                     expected: format_compact!("INI: {}", error.msg),
                 });
-                return Err(Faults(reader.faults));
+                return Err(ValidationErrors(reader.errors));
             }
         }
         Ok(reader)
@@ -59,40 +59,40 @@
 
     /// The section `name`, to read its keys.
     pub(super) fn section(&mut self, name: &'static str) -> Section<'_> {
-        self.known.entry(name.into()).or_default();
+        self.requested.entry(name.into()).or_default();
         Section { reader: self, name }
     }
 
     /// All faults, with those of sections and keys that nobody asked for.
-    pub(super) fn finish(mut self) -> Faults {
-        self.find_unknown();
-        self.faults.sort_by_key(|fault| fault.line);
-        Faults(self.faults)
+    pub(super) fn finish(mut self) -> ValidationErrors {
+        self.report_unknown();
+        self.errors.sort_by_key(|error| error.line);
+        ValidationErrors(self.errors)
     }
 
-    fn fill(&mut self, ini: &Ini, lines: &Lines) {
+    fn load_properties(&mut self, ini: &Ini, lines: &LineIndex) {
         for (name, line) in &lines.headers {
-            if self.headers.contains_key(name) {
+            if self.section_lines.contains_key(name) {
                 let given = format_compact!("[{name}]");
-                self.push(*line, name, None, Some(given), "each section once");
+                self.push_error(*line, name, None, Some(given), "each section once");
             } else {
-                self.headers.insert(name.clone(), *line);
+                self.section_lines.insert(name.clone(), *line);
             }
         }
         let mut seen = BTreeMap::new();
         for (section, properties) in ini {
             let section = CompactString::from(section.unwrap_or_default());
             for (key, text) in properties {
-                let place = (section.clone(), CompactString::from(key));
-                let nth = seen.entry(place.clone()).or_insert(0);
-                let line = lines.find(&place, *nth);
+                let location = (section.clone(), CompactString::from(key));
+                let nth = seen.entry(location.clone()).or_insert(0);
+                let line = lines.find(&location, *nth);
                 *nth += 1;
-                self.add(place, line, text.into());
+                self.add_property(location, line, text.into());
             }
         }
     }
 
-    fn add(
+    fn add_property(
         &mut self,
         (section, key): (CompactString, CompactString),
         line: usize,
@@ -101,23 +101,23 @@
         let keys = self.values.entry(section.clone()).or_default();
         if let Some(first) = keys.get(&key) {
             let expected = format_compact!("each key once (first on line {})", first.line);
-            self.push(line, &section, Some(&key), Some(text), expected);
+            self.push_error(line, &section, Some(&key), Some(text), expected);
         } else {
-            keys.insert(key, Value { line, text });
+            keys.insert(key, Property { line, text });
         }
     }
 
-    fn find_unknown(&mut self) {
-        let sections = join(self.known.keys());
-        for (section, line) in self.headers.clone() {
-            if !self.known.contains_key(&section) {
+    fn report_unknown(&mut self) {
+        let sections = join(self.requested.keys());
+        for (section, line) in self.section_lines.clone() {
+            if !self.requested.contains_key(&section) {
                 let given = format_compact!("[{section}]");
                 let expected = format_compact!("one of {sections}");
-                self.push(line, &section, None, Some(given), expected);
+                self.push_error(line, &section, None, Some(given), expected);
             }
         }
         for (section, keys) in std::mem::take(&mut self.values) {
-            let known = self.known.get(&section).cloned();
+            let known = self.requested.get(&section).cloned();
             for (key, value) in keys {
                 let expected = match &known {
                     Some(known) if known.contains(&key) => continue,
@@ -125,12 +125,12 @@
                     None if section.is_empty() => "a section before the first key".into(),
                     None => continue,
                 };
-                self.push(value.line, &section, Some(&key), Some(value.text), expected);
+                self.push_error(value.line, &section, Some(&key), Some(value.text), expected);
             }
         }
     }
 
-    fn push(
+    fn push_error(
         &mut self,
         line: usize,
         section: &str,
@@ -138,7 +138,7 @@
         given: Option<CompactString>,
         expected: impl Into<CompactString>,
     ) {
-        self.faults.push(Fault {
+        self.errors.push(ValidationError {
             file: self.file.clone(),
             line,
             section: section.into(),
@@ -166,7 +166,7 @@
         let text = self.text(key)?;
         let value = parse(&text);
         if value.is_none() {
-            self.fault(key, expected);
+            self.report_error(key, expected);
         }
         value
     }
@@ -179,7 +179,7 @@
         parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
         if self.text(key).is_none() {
-            self.fault(key, expected);
+            self.report_error(key, expected);
         }
         self.optional(key, expected, parse)
     }
@@ -188,8 +188,8 @@
     pub(super) fn number(&mut self, key: &str, range: RangeInclusive<u32>, default: u32) -> u32 {
         let (low, high) = (*range.start(), *range.end());
         let expected = format_compact!("a number from {low} to {high}");
-        let parse = |text: &str| u32::try_from(unit::number(text)?).ok();
-        self.optional(key, &expected, |text| within(parse(text), &range))
+        let parse = |text: &str| u32::try_from(value::number(text)?).ok();
+        self.optional(key, &expected, |text| in_range(parse(text), &range))
             .unwrap_or(default)
     }
 
@@ -197,19 +197,19 @@
     pub(super) fn count(&mut self, key: &str, range: RangeInclusive<u64>, default: usize) -> usize {
         let (low, high) = (range.start(), range.end());
         let expected = format_compact!("a number from {low} to {high}");
-        self.optional(key, &expected, |text| within(unit::number(text), &range))
-            .map_or(default, to_usize)
+        self.optional(key, &expected, |text| in_range(value::number(text), &range))
+            .map_or(default, saturating_usize)
     }
 
     /// A size in `range`, given with its unit, in bytes.
     pub(super) fn size(&mut self, key: &str, range: RangeInclusive<u64>, default: usize) -> usize {
         let (low, high) = (
-            unit::show_size(*range.start()),
-            unit::show_size(*range.end()),
+            value::format_size(*range.start()),
+            value::format_size(*range.end()),
         );
         let expected = format_compact!("a size (B, KiB, MiB, GiB) from {low} to {high}");
-        self.optional(key, &expected, |text| within(unit::size(text), &range))
-            .map_or(default, to_usize)
+        self.optional(key, &expected, |text| in_range(value::size(text), &range))
+            .map_or(default, saturating_usize)
     }
 
     /// A duration in `range`, given with its unit.
@@ -221,25 +221,27 @@
     ) -> Duration {
         let (low, high) = (range.start(), range.end());
         let expected = format_compact!("a duration (ms, s, m, h) from {low:?} to {high:?}");
-        self.optional(key, &expected, |text| within(unit::duration(text), &range))
-            .unwrap_or(default)
+        self.optional(key, &expected, |text| {
+            in_range(value::duration(text), &range)
+        })
+        .unwrap_or(default)
     }
 
     /// `true` or `false`.
-    pub(super) fn switch(&mut self, key: &str, default: bool) -> bool {
-        self.optional(key, unit::SWITCH, unit::switch)
+    pub(super) fn boolean(&mut self, key: &str, default: bool) -> bool {
+        self.optional(key, value::EXPECTED_BOOLEAN, value::boolean)
             .unwrap_or(default)
     }
 
     /// A path; a relative one starts from the folder of the settings file.
     pub(super) fn path(&mut self, key: &str) -> Option<PathBuf> {
-        let folder = self.folder();
+        let folder = self.base_folder();
         let parse = |text: &str| (!text.is_empty()).then(|| folder.join(text));
         self.optional(key, "a path", parse)
     }
 
     /// The address that others are told in place of `bound`.
-    pub(super) fn advertised(
+    pub(super) fn advertised_address(
         &mut self,
         key: &str,
         bound: Option<SocketAddr>,
@@ -247,32 +249,34 @@
         let expected = "IP:PORT that others can connect to";
         let reachable = |a: &SocketAddr| a.port() != 0 && !a.ip().is_unspecified();
         if self.text(key).is_none() && bound.is_some_and(|bound| bound.ip().is_unspecified()) {
-            self.fault(key, expected);
+            self.report_error(key, expected);
         }
-        self.optional(key, expected, |text| unit::address(text).filter(reachable))
+        self.optional(key, expected, |text| value::address(text).filter(reachable))
     }
 
     /// The content of the file that `key` names.
     pub(super) fn secret(&mut self, key: &str) -> Option<Secret> {
-        let folder = self.folder();
+        let folder = self.base_folder();
         let parse = |text: &str| (!text.is_empty()).then(|| folder.join(text));
         let path = self.required(key, "path of a secret's file", parse)?;
         match Secret::read(&path) {
             Ok(secret) => Some(secret),
             Err(expected) => {
-                self.fault(key, &expected);
+                self.report_error(key, &expected);
                 None
             }
         }
     }
 
     /// Finds listeners that cannot be bound at once.
-    pub(super) fn no_clash(&mut self, listeners: &[(&str, Option<SocketAddr>)]) {
+    pub(super) fn check_address_conflicts(&mut self, listeners: &[(&str, Option<SocketAddr>)]) {
         for (index, (key, address)) in listeners.iter().enumerate() {
             let earlier = &listeners[..index];
-            let other = earlier.iter().find(|(_, other)| clash(*address, *other));
+            let other = earlier
+                .iter()
+                .find(|(_, other)| addresses_conflict(*address, *other));
             if let Some((other, _)) = other {
-                self.fault(
+                self.report_error(
                     key,
                     &format_compact!("an address that {other} does not use"),
                 );
@@ -281,23 +285,28 @@
     }
 
     /// Notes that the value of `key` is not what was expected, or is missing.
-    pub(super) fn fault(&mut self, key: &str, expected: &str) {
+    pub(super) fn report_error(&mut self, key: &str, expected: &str) {
         let value = self.reader.values.get(self.name).and_then(|s| s.get(key));
-        let header = self.reader.headers.get(self.name).copied().unwrap_or(1);
+        let header = self
+            .reader
+            .section_lines
+            .get(self.name)
+            .copied()
+            .unwrap_or(1);
         let line = value.map_or(header, |value| value.line);
         let given = value.map(|value| value.text.clone());
         self.reader
-            .push(line, self.name, Some(key), given, expected);
+            .push_error(line, self.name, Some(key), given, expected);
     }
 
     fn text(&mut self, key: &str) -> Option<CompactString> {
-        let known = self.reader.known.entry(self.name.into()).or_default();
+        let known = self.reader.requested.entry(self.name.into()).or_default();
         known.insert(key.into());
         let value = self.reader.values.get(self.name)?.get(key)?;
         Some(value.text.clone())
     }
 
-    fn folder(&self) -> PathBuf {
+    fn base_folder(&self) -> PathBuf {
         self.reader
             .file
             .parent()
@@ -307,12 +316,12 @@
 }
 
 /// Where sections and keys stand, since the INI library does not say.
-struct Lines {
+struct LineIndex {
     headers: Vec<(CompactString, usize)>,
     keys: BTreeMap<(CompactString, CompactString), Vec<usize>>,
 }
 
-impl Lines {
+impl LineIndex {
     fn scan(text: &str) -> Self {
         let mut lines = Self {
             headers: Vec::new(),
@@ -328,22 +337,22 @@
                 section = header.split(']').next().unwrap_or_default().trim().into();
                 lines.headers.push((section.clone(), index + 1));
             } else if let Some((key, _)) = line.split_once(['=', ':']) {
-                let place = (section.clone(), key.trim().into());
-                lines.keys.entry(place).or_default().push(index + 1);
+                let location = (section.clone(), key.trim().into());
+                lines.keys.entry(location).or_default().push(index + 1);
             }
         }
         lines
     }
 
     /// Line of the `nth` time that a key stands in a section; 1 if the scan missed it.
-    fn find(&self, place: &(CompactString, CompactString), nth: usize) -> usize {
-        let lines = self.keys.get(place);
+    fn find(&self, location: &(CompactString, CompactString), nth: usize) -> usize {
+        let lines = self.keys.get(location);
         lines.and_then(|lines| lines.get(nth)).copied().unwrap_or(1)
     }
 }
 
 /// Whether two listeners cannot be bound at once.
-fn clash(a: Option<SocketAddr>, b: Option<SocketAddr>) -> bool {
+fn addresses_conflict(a: Option<SocketAddr>, b: Option<SocketAddr>) -> bool {
     let (Some(a), Some(b)) = (a, b) else {
         return false;
     };
@@ -351,11 +360,11 @@
     a.port() != 0 && a.port() == b.port() && (any || a.ip() == b.ip())
 }
 
-fn within<T: PartialOrd>(value: Option<T>, range: &RangeInclusive<T>) -> Option<T> {
+fn in_range<T: PartialOrd>(value: Option<T>, range: &RangeInclusive<T>) -> Option<T> {
     value.filter(|value| range.contains(value))
 }
 
-fn to_usize(value: u64) -> usize {
+fn saturating_usize(value: u64) -> usize {
     usize::try_from(value).unwrap_or(usize::MAX)
 }
 
--- a/crates/pinereel/src/settings/secret.rs
+++ b/crates/pinereel/src/settings/secret.rs
@@ -4,9 +4,9 @@
 use std::{fmt, fs, io, os::unix::fs::PermissionsExt as _, path::Path};
 
 /// Shortest token or secret, in bytes.
-const SHORTEST: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 /// Permission bits that let any user of the machine read or write a file.
-const OTHERS: u32 = 0o006;
+const OTHER_USERS_MODE_BITS: u32 = 0o006;
 
 /// A text that never shows in logs or debug output.
 #[derive(Clone, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     pub fn read(path: &Path) -> Result<Self, CompactString> {
         let unreadable = |error: io::Error| format_compact!("a readable file ({error})");
         let mode = fs::metadata(path).map_err(unreadable)?.permissions().mode();
-        if mode & OTHERS != 0 {
+        if mode & OTHER_USERS_MODE_BITS != 0 {
             let mode = mode & 0o777;
             return Err(format_compact!(
                 "a file closed to other users (its mode is {mode:04o}; use chmod o-rw)"
@@ -44,9 +44,9 @@
         let text = fs::read_to_string(path).map_err(unreadable)?;
         let text = text.trim();
         let len = text.len();
-        if len < SHORTEST {
+        if len < MIN_SECRET_BYTES {
             return Err(format_compact!(
-                "a file with at least {SHORTEST} bytes (it has {len})"
+                "a file with at least {MIN_SECRET_BYTES} bytes (it has {len})"
             ));
         }
         Ok(Self::new(text))
--- a/crates/pinereel/src/settings/fault.rs
+++ b/crates/pinereel/src/settings/validation.rs
@@ -5,7 +5,7 @@
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     /// The file.
     pub file: PathBuf,
     /// The line, from 1. For a missing key, the line of its section, or 1.
@@ -20,7 +20,7 @@
     pub expected: CompactString,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let file = self.file.display();
         write!(f, "{file}:{}: [{}]", self.line, self.section)?;
@@ -36,22 +36,22 @@
 
 /// All faults of a settings file, in the order of its lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl Faults {
+impl ValidationErrors {
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.0.iter().enumerate() {
+        for (index, error) in self.0.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{fault}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
--- a/crates/pinereel/src/settings/unit.rs
+++ b/crates/pinereel/src/settings/value.rs
@@ -5,23 +5,26 @@
 use log::LevelFilter;
 use std::{net::SocketAddr, time::Duration};
 
-pub(super) const NAME: &str = "1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9";
-pub(super) const ADDRESS: &str = "IP:PORT";
-pub(super) const URL: &str = "http://IP:PORT";
-pub(super) const LEVEL: &str = "off, error, warn, info, debug or trace";
-pub(super) const ROUTING: &str = "full or baseline";
-pub(super) const CORES: &str = "a number of cores above 0, such as 0.25";
-pub(super) const DUTIES: &str = "a list of usage and autoscale, joined by commas";
-pub(super) const SWITCH: &str = "true or false";
-
-const NAME_MAX: usize = 63;
+pub(super) const EXPECTED_NAME: &str =
+    "1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9";
+pub(super) const EXPECTED_ADDRESS: &str = "IP:PORT";
+pub(super) const EXPECTED_URL: &str = "http://IP:PORT";
+pub(super) const EXPECTED_LEVEL: &str = "off, error, warn, info, debug or trace";
+pub(super) const EXPECTED_ROUTING: &str = "full or baseline";
+pub(super) const EXPECTED_CORES: &str = "a number of cores above 0, such as 0.25";
+pub(super) const EXPECTED_DUTIES: &str = "a list of usage and autoscale, joined by commas";
+pub(super) const EXPECTED_BOOLEAN: &str = "true or false";
+
+const MAX_NAME_BYTES: usize = 63;
 
 pub(super) fn name(text: &str) -> Option<CompactString> {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
+    let is_alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
     let first = text.chars().next()?;
-    let valid = plain(first)
-        && text.len() <= NAME_MAX
-        && text.chars().all(|c| plain(c) || "-._".contains(c));
+    let valid = is_alphanumeric(first)
+        && text.len() <= MAX_NAME_BYTES
+        && text
+            .chars()
+            .all(|c| is_alphanumeric(c) || "-._".contains(c));
     valid.then(|| text.into())
 }
 
@@ -63,7 +66,7 @@
     })
 }
 
-pub(super) fn switch(text: &str) -> Option<bool> {
+pub(super) fn boolean(text: &str) -> Option<bool> {
     text.parse().ok()
 }
 
@@ -80,7 +83,7 @@
 
 /// A whole number of `ms`, `s`, `m` or `h`.
 pub(super) fn duration(text: &str) -> Option<Duration> {
-    let (count, unit) = split(text)?;
+    let (count, unit) = split_unit(text)?;
     let millis = match unit {
         "ms" => 1,
         "s" => 1_000,
@@ -93,7 +96,7 @@
 
 /// A whole number of `B`, `KiB`, `MiB` or `GiB`.
 pub(super) fn size(text: &str) -> Option<u64> {
-    let (count, unit) = split(text)?;
+    let (count, unit) = split_unit(text)?;
     let bytes = match unit {
         "B" => 1,
         "KiB" => 1 << 10,
@@ -105,7 +108,7 @@
 }
 
 /// How a number of bytes is written, in the largest unit that keeps it whole.
-pub(super) fn show_size(bytes: u64) -> CompactString {
+pub(super) fn format_size(bytes: u64) -> CompactString {
     let units = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
     let whole = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
     match units.into_iter().find(|(shift, _)| whole(*shift)) {
@@ -114,7 +117,7 @@
     }
 }
 
-fn split(text: &str) -> Option<(u64, &str)> {
+fn split_unit(text: &str) -> Option<(u64, &str)> {
     let end = text.find(|c: char| !c.is_ascii_digit())?;
     let (count, unit) = text.split_at(end);
     Some((number(count)?, unit))
