--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP API for operators: liveness and readiness, metrics, status, drain and configuration patches.
+//! HTTP API for operators: health checks, metrics, status, drain and configuration patches.
 //!
 //! All paths except `/live` and `/ready` need the operators' bearer token.
 
--- a/crates/pinereel/src/settings/hosted.rs
+++ b/crates/pinereel/src/settings/hosted.rs
@@ -1,125 +1,125 @@
-//! Settings of an instance whose state is kept by the platform that it runs on.
+//! Settings of a hosted instance, whose state is kept by the platform that it runs on.
 
 use super::{Error, Log, ValidationErrors, WAIT_RANGE, reader::Reader, value};
 use compact_str::CompactString;
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-/// All settings of one hosted instance.
+/// All settings of a hosted instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hosted {
-    /// Who it is and where it listens.
+    /// Name, zone and listening addresses of the instance.
     pub instance: Instance,
-    /// The platform's object store.
+    /// Address of the platform's object store, and the limits on calls to it.
     pub store: Store,
-    /// Graceful stop.
+    /// Graceful shutdown.
     pub stop: Stop,
-    /// Orders to model engines.
+    /// Limits on orders to model engines.
     pub orders: Orders,
-    /// Lots.
+    /// Retention of lots.
     pub lots: Lots,
-    /// Duties toward the platform; none if there are none.
+    /// Calls to the platform; `None` if its address is not set.
     pub platform: Option<Platform>,
-    /// The log.
+    /// Logging.
     pub log: Log,
 }
 
-/// Who the instance is and where it listens.
+/// Name, zone, listening addresses and resources of the instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Name, unique in the system.
+    /// Name of the instance, unique in the system.
     pub name: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: CompactString,
-    /// Where callers connect; none on an instance that serves none.
+    /// Listening address for callers; `None` on an instance that serves none.
     pub callers: Option<SocketAddr>,
-    /// Where the balancer asks for readiness.
+    /// Listening address for the load balancer's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Where metrics are read.
+    /// Listening address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Where other instances connect; without it each reads the store for itself.
+    /// Listening address for other instances; without it each instance reads the store itself.
     pub peers: Option<SocketAddr>,
-    /// Most open connections of callers.
+    /// Maximum number of open connections of callers.
     pub connections: usize,
-    /// Cores that it may use; duties go to instances with more of them.
+    /// CPU cores that the instance may use; duties go to instances with more of them.
     pub cores: f64,
 }
 
-/// The platform's object store and this process's budget of calls to it.
+/// Address of the platform's object store, and the limits on this process's calls to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Store {
-    /// Where it serves.
+    /// Address of the object store.
     pub address: SocketAddr,
-    /// Longest wait for one answer, a watch's own wait not counted.
+    /// Timeout of one call, in addition to the wait of a watch.
     pub timeout: Duration,
-    /// Longest wait of a watch.
+    /// Maximum wait of one watch call.
     pub watch: Duration,
-    /// After so long an endpoint that leaves must get no request.
+    /// Time after which an endpoint that is leaving must not receive requests.
     pub leave_after: Duration,
-    /// Reads a second.
+    /// Maximum number of reads per second.
     pub reads_per_second: u32,
-    /// Writes a second.
+    /// Maximum number of writes per second.
     pub writes_per_second: u32,
 }
 
-/// Graceful stop.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// How long the balancer may still send connections after readiness is off.
+    /// How long the load balancer may still send connections after readiness is off.
     pub balancer_lag: Duration,
-    /// After so long the process is killed; it ends by itself before.
+    /// Time after which the platform kills the process; it exits by itself before.
     pub killed_after: Duration,
 }
 
-/// Orders to model engines.
+/// Limits on orders to model engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Orders {
-    /// Shortest time between orders of two instances to one engine.
+    /// Minimum time between orders of two instances to one engine.
     pub gap: Duration,
-    /// Most engines that load weights at once.
+    /// Maximum number of engines that load weights at the same time.
     pub loads: usize,
 }
 
-/// Lots.
+/// Retention of lots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lots {
-    /// How long a lot can be read after its submission.
+    /// How long after its submission a lot can be read.
     pub kept: Duration,
 }
 
-/// Duties toward the platform.
+/// Calls to the platform: usage reports and autoscaling.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
-    /// Where it takes calls.
+    /// Address of the platform's API.
     pub address: SocketAddr,
-    /// Reports of usage; none if they are no duty.
+    /// Usage reports; `None` if they are not a duty of this deployment.
     pub usage: Option<Usage>,
-    /// Whether endpoints are to be asked for.
+    /// Whether to request endpoints from the platform.
     pub autoscale: bool,
 }
 
-/// Reports of the requests of each workspace.
+/// Usage reports, which count the requests of each workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Length of a window, counted from the start of 1970.
+    /// Length of a reporting window; windows are aligned to the Unix epoch.
     pub window: Duration,
-    /// A report that comes so long after its window's end is late.
+    /// Time after the end of its window from which a report counts as late.
     pub late: Duration,
 }
 
 impl Hosted {
-    /// Reads and checks the file at `path`.
+    /// Loads and validates the file at `path`.
     ///
     /// # Errors
-    /// If it cannot be read, or its content is at fault.
+    /// If the file cannot be read or its content is invalid.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         Self::parse(path, &super::read_file(path)?).map_err(Error::Invalid)
     }
 
-    /// Checks `text` as the content of the file `path`.
+    /// Validates `text` as the content of the file `path`.
     ///
     /// # Errors
-    /// All faults of the text.
+    /// All validation errors of the text.
     pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Reader::new(path.as_ref(), text)?;
         let instance = Instance::read(&mut reader);
@@ -160,7 +160,7 @@
             ("metrics", metrics),
             ("peers", peers),
         ]);
-        // Half of the descriptors are left for endpoints, the store and files.
+        // The other half of the file descriptors is for endpoints, the store and files.
         let cores = section.optional("cores", value::EXPECTED_CORES, value::cores);
         let descriptors = section.count("file_descriptors", 64..=1_000_000, 1_024);
         Some(Self {
--- a/crates/pinereel/src/settings/mod.rs
+++ b/crates/pinereel/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! What the process is told in its INI file, read and checked once at the start.
+//! Settings of the process, loaded from an INI file and validated once at startup.
 //!
-//! Reading never stops at the first fault: [`Error::Invalid`] holds all of them, each with its
-//! line, so that one look at the output is enough to mend the file.
+//! Validation does not stop at the first error: [`Error::Invalid`] holds all of them, each with its
+//! line number, so that one run is enough to correct the file.
 
 mod hosted;
 mod reader;
@@ -23,168 +23,176 @@
     time::Duration,
 };
 
-/// Range of settings that say how long one wait may take.
+/// Accepted range of timeouts and other durations.
 const WAIT_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
-/// Range of settings that bound a number of things held in memory.
+/// Accepted range of settings that limit the number of items held in memory.
 const COUNT_RANGE: RangeInclusive<u64> = 1..=1_000_000;
-/// Range of settings that bound bytes held in memory.
+/// Accepted range of settings that limit the bytes held in memory.
 const MEMORY_BYTES_RANGE: RangeInclusive<u64> = 1_024..=(1 << 30);
 
-/// Why there are no settings.
+/// Why the settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file was read, and its content is at fault.
+    /// The file was read, but its content is invalid.
     #[error("{0}")]
     Invalid(ValidationErrors),
 }
 
-/// All settings of one process.
+/// All settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who the entry is and where it listens.
+    /// Name, zone and addresses of the entry.
     pub entry: Entry,
-    /// The platform's object API.
+    /// Address of the platform's object API, and the limits on calls to it.
     pub object_api: ObjectApi,
-    /// Token and secret, already read from their files.
+    /// Operators' token and peer secret, already read from their files.
     pub secrets: Secrets,
-    /// Graceful stop.
+    /// Graceful shutdown.
     pub drain: Drain,
-    /// The log.
+    /// Logging.
     pub log: Log,
-    /// Bounds on what the process holds.
+    /// Limits on connections, requests and memory.
     pub limits: Limits,
-    /// Switches of the routing policy.
+    /// Options of the routing policy.
     pub policy: Policy,
-    /// The folder for bulk data, on the instances that have a disk.
+    /// Directory for bulk data, on instances that have a disk.
     pub data: Option<PathBuf>,
 }
 
-/// Who the entry is and where it listens.
+/// Name, zone and addresses of the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Name of the instance, unique in the system.
     pub name: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: CompactString,
-    /// Where callers connect. Port 0 lets the system choose one.
+    /// Listening address for callers. With port 0 the operating system chooses a port.
     pub callers: SocketAddr,
-    /// Where other entries connect. Port 0 lets the system choose one.
+    /// Listening address for other entries. With port 0 the operating system chooses a port.
     pub peers: SocketAddr,
-    /// Where operators connect. Port 0 lets the system choose one.
+    /// Listening address for operators. With port 0 the operating system chooses a port.
     pub operators: SocketAddr,
-    /// What others are told as the callers' address; the bound address if absent.
+    /// Address advertised to others for callers; the bound address if `None`.
     pub advertise_callers: Option<SocketAddr>,
-    /// What others are told as the peers' address; the bound address if absent.
+    /// Address advertised to other entries; the bound address if `None`.
     pub advertise_peers: Option<SocketAddr>,
 }
 
-/// The platform's object API and this process's budget of calls to it.
+/// Address of the platform's object API, and the limits on this process's calls to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectApi {
     /// `http://IP:PORT`, without a slash at the end.
     pub url: CompactString,
-    /// Calls in flight at once.
+    /// Maximum number of concurrent calls.
     pub max_concurrency: u32,
-    /// Longest wait for one answer.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Reads a second.
+    /// Maximum number of reads per second.
     pub reads_per_second: u32,
-    /// Writes a second.
+    /// Maximum number of writes per second.
     pub writes_per_second: u32,
 }
 
-/// What callers of the private listeners must show.
+/// Credentials that clients of the operators' and peers' listeners must present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secrets {
-    /// Bearer token of the operators' listener.
+    /// Bearer token for the operators' listener.
     pub operator_token: Secret,
-    /// Shared secret of the links between entries.
+    /// Shared secret for the connections between entries.
     pub peer_secret: Secret,
 }
 
-/// Graceful stop.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// How long the balancer may still send connections after readiness is off.
+    /// How long the load balancer may still send connections after readiness is off.
     pub balancer_lag: Duration,
-    /// Longest wait for requests in flight.
+    /// Maximum time to wait for requests in flight.
     pub longest: Duration,
 }
 
-/// The log.
+/// Logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// The file to append to; standard output or error if absent.
+    /// File to append to; standard output or standard error if `None`.
     pub file: Option<PathBuf>,
-    /// Whether lines go to standard output in place of standard error.
+    /// Whether lines go to standard output instead of standard error.
     pub stdout: bool,
-    /// Lines that wait for a slow sink before further ones are dropped.
+    /// Maximum number of queued lines; further ones are dropped.
     pub queue: usize,
-    /// Whether each routing and placement decision has a line.
+    /// Whether each routing and placement decision is logged.
     pub decisions: bool,
 }
 
-/// Bounds on what the process holds.
+/// Limits on connections, requests and memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Open connections on the callers' listener.
+    /// Maximum number of open connections on the callers' listener.
     pub connections: usize,
-    /// Longest wait for a whole request from its sender.
+    /// Timeout for receiving a whole request.
     pub read_timeout: Duration,
-    /// Largest request body, in bytes; the configuration may ask for less.
+    /// Maximum size of a request body, in bytes; the configuration may set a lower limit.
     pub body: usize,
-    /// Requests that wait for an endpoint of one pool; the configuration may ask for less.
+    /// Maximum number of requests queued for the endpoints of one pool; the configuration may set a
+    /// lower limit.
     pub waiting: usize,
-    /// Frames that wait on one link to another entry.
+    /// Maximum number of frames queued on the connection to one other entry.
     pub peer_queue: usize,
-    /// Lots held at once.
+    /// Maximum number of open lots.
     pub lots: usize,
-    /// Bytes of finished samples' text held, from which on no further groups are taken.
+    /// Bytes of text of finished samples held in memory; from this amount on, no further
+    /// groups are accepted.
     pub sample_memory: usize,
 }
 
 /// Which routing policy runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routing {
-    /// All of the policy.
+    /// The full policy.
     Full,
-    /// The plain policy that the full one is measured against.
+    /// A simple policy, as the baseline for comparisons with the full one.
     Baseline,
 }
 
-/// Switches of the routing policy.
+/// Options of the routing policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Which routing policy runs.
     pub routing: Routing,
-    /// Whether endpoints of the entry's own availability zone are preferred.
+    /// Whether endpoints in the entry's own availability zone are preferred.
     pub zone_local: bool,
-    /// Whether requests with a common prefix are kept on one endpoint.
+    /// Whether requests with a common prompt prefix are routed to the same endpoint.
     pub prefix_affinity: bool,
-    /// Most endpoints of a pool that this entry keeps state and connections for.
+    /// Maximum number of endpoints of a pool that this entry keeps state and connections for.
     pub subset: usize,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`, and the secrets that it names.
+    /// Loads and validates the file at `path` and the secret files that it names.
+    ///
+    /// # Errors
+    /// If the file cannot be read or its content is invalid.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
         Self::parse(path, &read_file(path)?).map_err(Error::Invalid)
     }
 
-    /// Checks `text` as the content of the file `path`, and reads the secrets that it names.
+    /// Validates `text` as the content of the file `path` and reads the secret files that it names.
+    ///
+    /// Relative paths in the text are resolved against the directory of `path`.
     ///
-    /// Relative paths in the text start from the folder of `path`.
+    /// # Errors
+    /// All validation errors of the text.
     pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Reader::new(path.as_ref(), text)?;
         let entry = Entry::read(&mut reader);
@@ -328,7 +336,7 @@
     }
 }
 
-/// The content of a settings file.
+/// Reads a settings file.
 fn read_file(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
--- a/crates/pinereel/src/settings/reader.rs
+++ b/crates/pinereel/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values from the parsed INI file and collects every fault.
+//! Typed access to the sections and keys of an INI file, which collects all validation errors.
 
 use super::{Secret, ValidationError, ValidationErrors, value};
 use compact_str::{CompactString, format_compact};
@@ -12,25 +12,25 @@
     time::Duration,
 };
 
-/// One `key = value`, with its line.
+/// Text of one `key = value` with its line number.
 struct Property {
     line: usize,
     text: CompactString,
 }
 
-/// The content of a file, and what was found wrong with it so far.
+/// Content of a settings file and the validation errors found so far.
 pub(super) struct Reader {
     file: PathBuf,
-    /// Line of each section's first header.
+    /// Line number of each section's first header.
     section_lines: BTreeMap<CompactString, usize>,
     values: BTreeMap<CompactString, BTreeMap<CompactString, Property>>,
-    /// Every key that was asked for, by section.
+    /// Keys requested so far, by section; all others are reported as unknown.
     requested: BTreeMap<CompactString, BTreeSet<CompactString>>,
     errors: Vec<ValidationError>,
 }
 
 impl Reader {
-    /// Parses `text`; a text that is not INI is the only fault that ends the reading.
+    /// Parses `text`. A syntax error in the INI text is the only error that stops validation.
     pub(super) fn new(file: &Path, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Self {
             file: file.to_owned(),
@@ -57,13 +57,13 @@
         Ok(reader)
     }
 
-    /// The section `name`, to read its keys.
+    /// Opens the section `name` to read its keys.
     pub(super) fn section(&mut self, name: &'static str) -> Section<'_> {
         self.requested.entry(name.into()).or_default();
         Section { reader: self, name }
     }
 
-    /// All faults, with those of sections and keys that nobody asked for.
+    /// Returns all errors, including those for sections and keys that were never requested.
     pub(super) fn finish(mut self) -> ValidationErrors {
         self.report_unknown();
         self.errors.sort_by_key(|error| error.line);
@@ -156,7 +156,7 @@
 }
 
 impl Section<'_> {
-    /// The value of a key that may be left out.
+    /// The parsed value of an optional key.
     pub(super) fn optional<T>(
         &mut self,
         key: &str,
@@ -171,7 +171,7 @@
         value
     }
 
-    /// The value of a key that must be there.
+    /// The parsed value of a required key; reports an error if it is missing.
     pub(super) fn required<T>(
         &mut self,
         key: &str,
@@ -193,7 +193,7 @@
             .unwrap_or(default)
     }
 
-    /// A whole number of things in `range`.
+    /// A whole number in `range`, as a count of items.
     pub(super) fn count(&mut self, key: &str, range: RangeInclusive<u64>, default: usize) -> usize {
         let (low, high) = (range.start(), range.end());
         let expected = format_compact!("a number from {low} to {high}");
@@ -201,7 +201,7 @@
             .map_or(default, saturating_usize)
     }
 
-    /// A size in `range`, given with its unit, in bytes.
+    /// A size with its unit in `range`, converted to bytes.
     pub(super) fn size(&mut self, key: &str, range: RangeInclusive<u64>, default: usize) -> usize {
         let (low, high) = (
             value::format_size(*range.start()),
@@ -212,7 +212,7 @@
             .map_or(default, saturating_usize)
     }
 
-    /// A duration in `range`, given with its unit.
+    /// A duration with its unit in `range`.
     pub(super) fn duration(
         &mut self,
         key: &str,
@@ -233,14 +233,15 @@
             .unwrap_or(default)
     }
 
-    /// A path; a relative one starts from the folder of the settings file.
+    /// A path; a relative one is resolved against the directory of the settings file.
     pub(super) fn path(&mut self, key: &str) -> Option<PathBuf> {
         let folder = self.base_folder();
         let parse = |text: &str| (!text.is_empty()).then(|| folder.join(text));
         self.optional(key, "a path", parse)
     }
 
-    /// The address that others are told in place of `bound`.
+    /// The address to advertise instead of `bound`. It is required if `bound` is an unspecified IP
+    /// address.
     pub(super) fn advertised_address(
         &mut self,
         key: &str,
@@ -254,7 +255,7 @@
         self.optional(key, expected, |text| value::address(text).filter(reachable))
     }
 
-    /// The content of the file that `key` names.
+    /// The secret in the file that `key` names.
     pub(super) fn secret(&mut self, key: &str) -> Option<Secret> {
         let folder = self.base_folder();
         let parse = |text: &str| (!text.is_empty()).then(|| folder.join(text));
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Finds listeners that cannot be bound at once.
+    /// Reports listeners whose addresses cannot be bound at the same time.
     pub(super) fn check_address_conflicts(&mut self, listeners: &[(&str, Option<SocketAddr>)]) {
         for (index, (key, address)) in listeners.iter().enumerate() {
             let earlier = &listeners[..index];
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Notes that the value of `key` is not what was expected, or is missing.
+    /// Reports that the value of `key` is invalid or missing.
     pub(super) fn report_error(&mut self, key: &str, expected: &str) {
         let value = self.reader.values.get(self.name).and_then(|s| s.get(key));
         let header = self
@@ -315,7 +316,7 @@
     }
 }
 
-/// Where sections and keys stand, since the INI library does not say.
+/// Line numbers of sections and keys, which the INI library does not provide.
 struct LineIndex {
     headers: Vec<(CompactString, usize)>,
     keys: BTreeMap<(CompactString, CompactString), Vec<usize>>,
@@ -344,14 +345,14 @@
         lines
     }
 
-    /// Line of the `nth` time that a key stands in a section; 1 if the scan missed it.
+    /// Line number of the `nth` occurrence of a key in a section; 1 if the scan missed it.
     fn find(&self, location: &(CompactString, CompactString), nth: usize) -> usize {
         let lines = self.keys.get(location);
         lines.and_then(|lines| lines.get(nth)).copied().unwrap_or(1)
     }
 }
 
-/// Whether two listeners cannot be bound at once.
+/// Whether two listeners cannot be bound at the same time.
 fn addresses_conflict(a: Option<SocketAddr>, b: Option<SocketAddr>) -> bool {
     let (Some(a), Some(b)) = (a, b) else {
         return false;
--- a/crates/pinereel/src/settings/secret.rs
+++ b/crates/pinereel/src/settings/secret.rs
@@ -1,25 +1,25 @@
-//! Tokens and secrets, and the files that hold them.
+//! Tokens and shared secrets, read from files and hidden in debug output.
 
 use compact_str::{CompactString, format_compact};
 use std::{fmt, fs, io, os::unix::fs::PermissionsExt as _, path::Path};
 
-/// Shortest token or secret, in bytes.
+/// Minimum length of a token or secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// Permission bits that let any user of the machine read or write a file.
+/// Permission bits that let any user of the machine read or write the file.
 const OTHER_USERS_MODE_BITS: u32 = 0o006;
 
-/// A text that never shows in logs or debug output.
+/// Token or shared secret; its text is never written to logs or debug output.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(CompactString);
 
 impl Secret {
-    /// Wraps `text`.
+    /// Wraps `text`, without the checks of [`Secret::read`].
     pub fn new(text: impl Into<CompactString>) -> Self {
         Self(text.into())
     }
 
-    /// Whether `given` is `prefix` followed by the secret. Takes a time that does not depend on where
-    /// the two differ.
+    /// Whether `given` is `prefix` followed by the secret. The time of the
+    /// comparison does not depend on where the two differ.
     pub fn matches(&self, prefix: &str, given: &[u8]) -> bool {
         let expected = prefix.bytes().chain(self.0.bytes());
         let length = prefix.len() + self.0.len();
@@ -27,11 +27,11 @@
         given.len() == length && differ == 0
     }
 
-    /// Reads the file at `path`, without the white space around its content.
+    /// Reads the file at `path` and trims surrounding white space.
     ///
     /// # Errors
-    /// What was expected of the file: that it is readable, closed to other users of the machine,
-    /// and holds at least 16 bytes.
+    /// A description of the expected file: readable, not accessible to other users of the machine,
+    /// and at least 16 bytes long.
     pub fn read(path: &Path) -> Result<Self, CompactString> {
         let unreadable = |error: io::Error| format_compact!("a readable file ({error})");
         let mode = fs::metadata(path).map_err(unreadable)?.permissions().mode();
@@ -52,7 +52,7 @@
         Ok(Self::new(text))
     }
 
-    /// The text itself, to be sent or compared.
+    /// The plain text, to be sent or compared.
     pub fn reveal(&self) -> &str {
         &self.0
     }
--- a/crates/pinereel/src/settings/validation.rs
+++ b/crates/pinereel/src/settings/validation.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a settings file.
+//! Validation errors of a settings file.
 
 use compact_str::CompactString;
 use std::{fmt, path::PathBuf};
 
-/// One fault of a settings file.
+/// One invalid or missing setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// The file.
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// The line, from 1. For a missing key, the line of its section, or 1.
+    /// Line number, from 1. For a missing key, the line of its section header, or 1.
     pub line: usize,
-    /// The section; empty for keys before the first one.
+    /// Name of the section; empty for keys before the first one.
     pub section: CompactString,
-    /// The key; absent where the section itself is at fault.
+    /// The key; `None` if the section itself is invalid.
     pub key: Option<CompactString>,
-    /// What was given; absent if nothing was.
+    /// The given text; `None` if the key is missing.
     pub given: Option<CompactString>,
-    /// What was expected.
+    /// Description of a valid value.
     pub expected: CompactString,
 }
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// All faults of a settings file, in the order of its lines.
+/// All validation errors of a settings file, ordered by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
 impl ValidationErrors {
-    /// Whether there is none.
+    /// Whether the file is valid.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/pinereel/src/settings/value.rs
+++ b/crates/pinereel/src/settings/value.rs
@@ -1,4 +1,7 @@
-//! Values with their units. Each function gives `None` for a text that is not such a value.
+//! Parsers for setting values such as names, addresses, durations and sizes.
+//!
+//! Each parser returns `None` for invalid text. The `EXPECTED_*` constants describe valid values in
+//! validation errors.
 
 use super::Routing;
 use compact_str::{CompactString, format_compact};
@@ -50,14 +53,15 @@
     }
 }
 
-/// Duties toward the platform.
+/// Calls to the platform that this deployment is responsible for.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Duties {
     pub(super) usage: bool,
     pub(super) autoscale: bool,
 }
 
-/// Duties that are not known here are left to others.
+/// Parses a comma-separated list of duties. Unknown names are ignored: other programs
+/// handle them.
 pub(super) fn duties(text: &str) -> Option<Duties> {
     let names: Vec<_> = text.split(',').map(str::trim).collect();
     Some(Duties {
@@ -81,7 +85,7 @@
     digits.then(|| text.parse().ok()).flatten()
 }
 
-/// A whole number of `ms`, `s`, `m` or `h`.
+/// Parses a whole number followed by `ms`, `s`, `m` or `h`.
 pub(super) fn duration(text: &str) -> Option<Duration> {
     let (count, unit) = split_unit(text)?;
     let millis = match unit {
@@ -94,7 +98,7 @@
     count.checked_mul(millis).map(Duration::from_millis)
 }
 
-/// A whole number of `B`, `KiB`, `MiB` or `GiB`.
+/// Parses a whole number followed by `B`, `KiB`, `MiB` or `GiB`, into bytes.
 pub(super) fn size(text: &str) -> Option<u64> {
     let (count, unit) = split_unit(text)?;
     let bytes = match unit {
@@ -107,7 +111,7 @@
     count.checked_mul(bytes)
 }
 
-/// How a number of bytes is written, in the largest unit that keeps it whole.
+/// Formats a number of bytes in the largest unit that gives a whole number.
 pub(super) fn format_size(bytes: u64) -> CompactString {
     let units = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
     let whole = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
--- a/crates/pinereel/tests/settings_file.rs
+++ b/crates/pinereel/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file: defaults, every kind of fault, and the worked example of the docs.
+//! Settings file: defaults, all keys, and each kind of validation error.
 
 use pinereel::settings::{Error, Secret, Settings};
 use std::{
@@ -7,7 +7,7 @@
     path::{Path, PathBuf},
 };
 
-const GOOD: &str = "\
+const MINIMAL_SETTINGS: &str = "\
 [entry]
 name = entry-1
 zone = toledo-hall
@@ -23,8 +23,8 @@
 peer_secret_file = secret
 ";
 
-/// A folder of this test's own, with a token and a secret.
-fn folder(test: &str) -> PathBuf {
+/// Creates a directory for one test, with a token file and a secret file.
+fn test_folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     fs::create_dir_all(&folder).expect("a folder");
     write(&folder.join("token"), "  operators-token-1\n", 0o600);
@@ -37,18 +37,18 @@
     fs::set_permissions(path, fs::Permissions::from_mode(mode)).expect("its mode");
 }
 
-/// The faults of `text`, without the folder's name.
-fn faults(test: &str, text: &str) -> String {
-    let folder = folder(test);
-    let faults = Settings::parse(folder.join("pinereel.ini"), text).expect_err("faults");
+/// The validation errors of `text`, without the directory's name.
+fn validation_errors(test: &str, text: &str) -> String {
+    let folder = test_folder(test);
+    let errors = Settings::parse(folder.join("pinereel.ini"), text).expect_err("faults");
     let prefix = format!("{}/", folder.display());
-    faults.to_string().replace(&prefix, "")
+    errors.to_string().replace(&prefix, "")
 }
 
 #[test]
 fn defaults() {
-    let folder = folder("defaults");
-    let settings = Settings::parse(folder.join("pinereel.ini"), GOOD).unwrap();
+    let folder = test_folder("defaults");
+    let settings = Settings::parse(folder.join("pinereel.ini"), MINIMAL_SETTINGS).unwrap();
     assert_eq!(
         settings.secrets.operator_token.reveal(),
         "operators-token-1"
@@ -109,7 +109,7 @@
 
 #[test]
 fn every_key_is_taken() {
-    let text = GOOD.to_owned()
+    let text = MINIMAL_SETTINGS.to_owned()
         + "
 [drain]
 balancer_lag = 250ms
@@ -135,7 +135,7 @@
 [data]
 folder = /var/lib/pinereel
 ";
-    let folder = folder("every_key");
+    let folder = test_folder("every_key");
     let settings = Settings::parse(folder.join("pinereel.ini"), &text).unwrap();
     assert_eq!(settings.log.file, Some(folder.join("logs/entry.log")));
     let Settings {
@@ -155,7 +155,7 @@
 
 #[test]
 fn empty_file_lists_all_that_is_required() {
-    insta::assert_snapshot!(faults("empty", ""), @r#"
+    insta::assert_snapshot!(validation_errors("empty", ""), @r#"
     pinereel.ini:1: [entry] name: missing, expected 1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9
     pinereel.ini:1: [entry] zone: missing, expected 1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9
     pinereel.ini:1: [entry] callers: missing, expected IP:PORT
@@ -169,11 +169,11 @@
 
 #[test]
 fn unknown_and_duplicate() {
-    let text = GOOD.replace(
+    let text = MINIMAL_SETTINGS.replace(
         "[object_api]",
         "colour = red\nzone = erie-hall\n[object_api]",
     ) + "[entry]\n[drian]\nlongest = 3s\n";
-    insta::assert_snapshot!(faults("unknown", &text), @r#"
+    insta::assert_snapshot!(validation_errors("unknown", &text), @r#"
     pinereel.ini:8: [entry] colour: given "red", expected one of advertise_callers, advertise_peers, callers, name, operators, peers, zone
     pinereel.ini:9: [entry] zone: given "erie-hall", expected each key once (first on line 3)
     pinereel.ini:16: [entry]: given "[entry]", expected each section once
@@ -183,14 +183,14 @@
 
 #[test]
 fn key_before_the_first_section() {
-    insta::assert_snapshot!(faults("general", &format!("name = a\n{GOOD}")), @r#"
+    insta::assert_snapshot!(validation_errors("general", &format!("name = a\n{MINIMAL_SETTINGS}")), @r#"
     pinereel.ini:1: [] name: given "a", expected a section before the first key
     "#);
 }
 
 #[test]
 fn bad_values() {
-    let text = GOOD
+    let text = MINIMAL_SETTINGS
         .replace("entry-1", "Entry 1")
         .replace("127.0.0.1:8081", "localhost:8081")
         .replace("http://127.0.0.1:9000/", "https://127.0.0.1:9000")
@@ -212,7 +212,7 @@
 [policy]
 routing = best
 ";
-    insta::assert_snapshot!(faults("bad_values", &text), @r#"
+    insta::assert_snapshot!(validation_errors("bad_values", &text), @r#"
     pinereel.ini:2: [entry] name: given "Entry 1", expected 1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9
     pinereel.ini:5: [entry] peers: given "localhost:8081", expected IP:PORT
     pinereel.ini:9: [object_api] url: given "https://127.0.0.1:9000", expected http://IP:PORT
@@ -233,32 +233,34 @@
 
 #[test]
 fn drain_shorter_than_the_lag() {
-    let text = GOOD.to_owned() + "[drain]\nbalancer_lag = 9s\nlongest = 8s\n";
-    insta::assert_snapshot!(faults("short_drain", &text), @r#"
+    let text = MINIMAL_SETTINGS.to_owned() + "[drain]\nbalancer_lag = 9s\nlongest = 8s\n";
+    insta::assert_snapshot!(validation_errors("short_drain", &text), @r#"
     pinereel.ini:16: [drain] longest: given "8s", expected no shorter than balancer_lag
     "#);
 }
 
 #[test]
 fn listeners_clash() {
-    let text = GOOD
+    let text = MINIMAL_SETTINGS
         .replace("127.0.0.1:8081", "127.0.0.1:8080")
         .replace("127.0.0.1:8082", "0.0.0.0:8080");
-    insta::assert_snapshot!(faults("clash", &text), @r#"
+    insta::assert_snapshot!(validation_errors("clash", &text), @r#"
     pinereel.ini:5: [entry] peers: given "127.0.0.1:8080", expected an address that callers does not use
     pinereel.ini:6: [entry] operators: given "0.0.0.0:8080", expected an address that callers does not use
     "#);
-    let text = GOOD.replace(":8080", ":0").replace(":8081", ":0");
-    let folder = folder("clash");
+    let text = MINIMAL_SETTINGS
+        .replace(":8080", ":0")
+        .replace(":8081", ":0");
+    let folder = test_folder("clash");
     Settings::parse(folder.join("pinereel.ini"), &text).unwrap();
 }
 
 #[test]
 fn unreachable_advertised_address() {
-    let text = GOOD
+    let text = MINIMAL_SETTINGS
         .replace("127.0.0.1:8080", "0.0.0.0:8080")
         .replace("[object_api]", "advertise_peers = 10.0.0.1:0\n[object_api]");
-    insta::assert_snapshot!(faults("advertise", &text), @r#"
+    insta::assert_snapshot!(validation_errors("advertise", &text), @r#"
     pinereel.ini:1: [entry] advertise_callers: missing, expected IP:PORT that others can connect to
     pinereel.ini:8: [entry] advertise_peers: given "10.0.0.1:0", expected IP:PORT that others can connect to
     "#);
@@ -267,40 +269,40 @@
 #[test]
 fn secrets_missing_short_or_open() {
     let name = "secrets";
-    let folder = folder(name);
+    let folder = test_folder(name);
     write(&folder.join("open"), "operators-token-1", 0o644);
     write(&folder.join("short"), "   too-short    \n", 0o600);
-    let open = GOOD
+    let open = MINIMAL_SETTINGS
         .replace("= token", "= open")
         .replace("= secret", "= short");
-    insta::assert_snapshot!(faults(name, &open), @r#"
+    insta::assert_snapshot!(validation_errors(name, &open), @r#"
     pinereel.ini:12: [secrets] operator_token_file: given "open", expected a file closed to other users (its mode is 0644; use chmod o-rw)
     pinereel.ini:13: [secrets] peer_secret_file: given "short", expected a file with at least 16 bytes (it has 9)
     "#);
-    let missing = GOOD.replace("= token", "= nowhere");
-    insta::assert_snapshot!(faults(name, &missing), @r#"
+    let missing = MINIMAL_SETTINGS.replace("= token", "= nowhere");
+    insta::assert_snapshot!(validation_errors(name, &missing), @r#"
     pinereel.ini:12: [secrets] operator_token_file: given "nowhere", expected a readable file (No such file or directory (os error 2))
     "#);
 }
 
 #[test]
 fn not_ini() {
-    insta::assert_snapshot!(faults("not_ini", "[entry\nname = a\n"), @r#"
+    insta::assert_snapshot!(validation_errors("not_ini", "[entry\nname = a\n"), @r#"
     pinereel.ini:3: []: given "", expected INI: expecting "[Some(']')]" but found EOF.
     "#);
 }
 
 #[test]
 fn load_names_the_file() {
-    let path = folder("load").join("nowhere.ini");
+    let path = test_folder("load").join("nowhere.ini");
     let error = Settings::load(&path).unwrap_err();
     assert!(matches!(error, Error::Read { path: named, .. } if named == path));
 }
 
 #[test]
 fn debug_hides_secrets() {
-    let folder = folder("debug");
-    let settings = Settings::parse(folder.join("pinereel.ini"), GOOD).unwrap();
+    let folder = test_folder("debug");
+    let settings = Settings::parse(folder.join("pinereel.ini"), MINIMAL_SETTINGS).unwrap();
     let shown = format!("{settings:?}");
     assert!(!shown.contains("operators-token-1") && !shown.contains("peers-secret-0001"));
 }
