--- a/crates/pinereel/src/cli/client.rs
+++ b/crates/pinereel/src/cli/client.rs
@@ -12,44 +12,44 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// Longest wait for one answer: a patch answers once all entries have confirmed it.
-const TIMEOUT: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Waits between attempts of a call that may be repeated.
-const BACK_OFF: [Duration; 3] = [
+const RETRY_DELAYS: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(400),
 ];
 /// Largest answer, in bytes.
-const ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// One call.
-pub(super) struct Call<'a, B> {
+pub(super) struct Request<'a, B> {
     pub(super) path: &'a str,
     /// The JSON body; a call without one is a GET, unless it changes something.
     pub(super) body: Option<&'a B>,
     /// Whether it may change something. Such calls are idempotent, so they are repeated until
     /// their answer arrives.
-    pub(super) changes: bool,
+    pub(super) mutating: bool,
 }
 
 /// Does `call` and waits for its answer.
 pub(super) fn send<B: Serialize, T: DeserializeOwned>(
     target: &Target,
-    call: &Call<'_, B>,
+    request: &Request<'_, B>,
 ) -> Result<T, Error> {
     let token = Secret::read(&target.token_file).map_err(|expected| Error::File {
         path: target.token_file.clone(),
         expected,
     })?;
-    let body = call.body.map(serde_json::to_vec).transpose();
+    let body = request.body.map(serde_json::to_vec).transpose();
     let client = Client {
         address: target.operators,
         token,
-        path: call.path,
+        path: request.path,
         body: body.expect("messages have text keys only"),
-        changes: call.changes,
+        mutating: request.mutating,
     };
     let bytes = actix_rt::System::new().block_on(client.send())?;
     let bytes = if bytes.is_empty() {
@@ -57,7 +57,7 @@
     } else {
         &bytes[..]
     };
-    serde_json::from_slice(bytes).map_err(|error| client.unexpected(200, &error))
+    serde_json::from_slice(bytes).map_err(|error| client.unexpected_response(200, &error))
 }
 
 struct Client<'a> {
@@ -65,99 +65,99 @@
     token: Secret,
     path: &'a str,
     body: Option<Vec<u8>>,
-    changes: bool,
+    mutating: bool,
 }
 
 impl Client<'_> {
     /// Repeats the call while that is of use.
     async fn send(&self) -> Result<Vec<u8>, Error> {
         let mut result = self.attempt().await;
-        let mut lost = None;
-        for wait in BACK_OFF {
+        let mut no_response = None;
+        for delay in RETRY_DELAYS {
             let Err(error) = result else { break };
-            if !self.may_repeat(&error) {
+            if !self.is_retryable(&error) {
                 return Err(error);
             }
-            if !matches!(error, Error::Unreached { .. }) {
-                lost = Some(error);
+            if !matches!(error, Error::Unreachable { .. }) {
+                no_response = Some(error);
             }
-            actix_rt::time::sleep(wait).await;
+            actix_rt::time::sleep(delay).await;
             result = self.attempt().await;
         }
-        match (result, lost) {
+        match (result, no_response) {
             // An earlier attempt may have done it, so this is not a plain failure.
-            (Err(Error::Unreached { .. }), Some(lost)) => Err(lost),
+            (Err(Error::Unreachable { .. }), Some(no_response)) => Err(no_response),
             (result, _) => result,
         }
     }
 
-    fn may_repeat(&self, error: &Error) -> bool {
-        let unanswered = match error {
-            Error::Unreached { .. } | Error::Lost { .. } => true,
+    fn is_retryable(&self, error: &Error) -> bool {
+        let retryable = match error {
+            Error::Unreachable { .. } | Error::NoResponse { .. } => true,
             Error::Problem { problem, .. } => problem.code == Code::InProgress,
             _ => false,
         };
-        self.changes && unanswered
+        self.mutating && retryable
     }
 
     async fn attempt(&self) -> Result<Vec<u8>, Error> {
         let client = awc::Client::builder()
             .disable_redirects()
-            .timeout(TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .connector(awc::Connector::new().timeout(CONNECT_TIMEOUT))
             .finish();
         let url = format!("http://{}{}", self.address, self.path);
-        let request = if self.body.is_some() || self.changes {
+        let request = if self.body.is_some() || self.mutating {
             client.post(url)
         } else {
             client.get(url)
         };
-        let bearer = format!("Bearer {}", self.token.reveal());
+        let authorization = format!("Bearer {}", self.token.reveal());
         let request = request
-            .insert_header((header::AUTHORIZATION, bearer))
+            .insert_header((header::AUTHORIZATION, authorization))
             .insert_header(("content-type", "application/json"));
         let sent = request.send_body(self.body.clone().unwrap_or_default());
-        let mut answer = sent.await.map_err(|error| self.failed(&error))?;
-        let status = answer.status();
-        let body = answer.body().limit(ANSWER).await;
-        let body = body.map_err(|error| self.lost(&error))?;
+        let mut response = sent.await.map_err(|error| self.send_error(&error))?;
+        let status = response.status();
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
+        let body = body.map_err(|error| self.no_response(&error))?;
         if status.is_success() {
             return Ok(body.to_vec());
         }
         match serde_json::from_slice::<Problem>(&body) {
             Ok(problem) => Err(Error::Problem {
                 problem,
-                changes: self.changes,
+                mutating: self.mutating,
             }),
-            Err(error) => Err(self.unexpected(status.as_u16(), &error)),
+            Err(error) => Err(self.unexpected_response(status.as_u16(), &error)),
         }
     }
 
-    fn failed(&self, error: &SendRequestError) -> Error {
+    fn send_error(&self, error: &SendRequestError) -> Error {
         match error {
             // awc also says this of a connection that closed after the request was sent.
-            SendRequestError::Connect(ConnectError::Disconnected) => self.lost(error),
-            SendRequestError::Url(_) | SendRequestError::Connect(_) => Error::Unreached {
+            SendRequestError::Connect(ConnectError::Disconnected) => self.no_response(error),
+            SendRequestError::Url(_) | SendRequestError::Connect(_) => Error::Unreachable {
                 address: self.address,
                 reason: error.to_compact_string(),
             },
-            _ => self.lost(error),
+            _ => self.no_response(error),
         }
     }
 
-    fn lost(&self, error: &impl ToString) -> Error {
-        Error::Lost {
+    fn no_response(&self, error: &impl ToString) -> Error {
+        Error::NoResponse {
             address: self.address,
             reason: error.to_string().into(),
-            changes: self.changes,
+            mutating: self.mutating,
         }
     }
 
-    fn unexpected(&self, status: u16, error: &serde_json::Error) -> Error {
-        Error::Answer {
+    fn unexpected_response(&self, status: u16, error: &serde_json::Error) -> Error {
+        Error::UnexpectedResponse {
             status,
             reason: CompactString::from(error.to_string()),
-            changes: self.changes,
+            mutating: self.mutating,
         }
     }
 }
--- a/crates/pinereel/src/cli/config.rs
+++ b/crates/pinereel/src/cli/config.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Draft, Error, Target,
-    client::{self, Call},
+    client::{self, Request},
     output::{self, Output},
 };
 use compact_str::{CompactString, format_compact};
@@ -10,60 +10,71 @@
 use pinereel_core::hash::Digest;
 use std::{fs, io, path::Path};
 
-const PATH: &str = "/v1/config";
-const CHECK_PATH: &str = "/v1/config/check";
+const CONFIG_PATH: &str = "/v1/config";
+const CONFIG_CHECK_PATH: &str = "/v1/config/check";
 
 pub(super) fn show(target: &Target, output: &mut Output<'_>) -> Result<(), Error> {
-    let call = Call::<()> {
-        path: PATH,
+    let request = Request::<()> {
+        path: CONFIG_PATH,
         body: None,
-        changes: false,
+        mutating: false,
     };
-    let config: Config = client::send(target, &call)?;
-    output.value(&config, |config| {
-        let document = output::pretty(&config.document);
+    let config: Config = client::send(target, &request)?;
+    output.print(&config, |config| {
+        let document = output::to_pretty_json(&config.document);
         format!("configuration {}\n{document}", config.number)
     })
 }
 
-pub(super) fn check(target: &Target, draft: &Draft, output: &mut Output<'_>) -> Result<(), Error> {
-    let patch = read(draft)?;
-    let call = Call {
-        path: CHECK_PATH,
+pub(super) fn check_patch(
+    target: &Target,
+    draft: &Draft,
+    output: &mut Output<'_>,
+) -> Result<(), Error> {
+    let patch = read_patch(draft)?;
+    let request = Request {
+        path: CONFIG_CHECK_PATH,
         body: Some(&patch),
-        changes: false,
+        mutating: false,
     };
-    let checked: Checked = client::send(target, &call)?;
-    output.value(&checked, |checked| {
-        let document = output::pretty(&checked.document);
+    let checked: Checked = client::send(target, &request)?;
+    output.print(&checked, |checked| {
+        let document = output::to_pretty_json(&checked.document);
         format!("the patch is valid and would give\n{document}")
     })
 }
 
-pub(super) fn patch(target: &Target, draft: &Draft, output: &mut Output<'_>) -> Result<(), Error> {
-    let patch = read(draft)?;
-    let call = Call {
-        path: PATH,
+pub(super) fn submit_patch(
+    target: &Target,
+    draft: &Draft,
+    output: &mut Output<'_>,
+) -> Result<(), Error> {
+    let patch = read_patch(draft)?;
+    let request = Request {
+        path: CONFIG_PATH,
         body: Some(&patch),
-        changes: true,
+        mutating: true,
     };
-    let patched: Patched = client::send(target, &call)?;
-    output.value(&patched, |patched| {
+    let patched: Patched = client::send(target, &request)?;
+    output.print(&patched, |patched| {
         format!("configuration {} is in force", patched.number)
     })
 }
 
 /// The patch in the draft's file.
-fn read(draft: &Draft) -> Result<Patch, Error> {
-    let fault = |expected| Error::File {
+fn read_patch(draft: &Draft) -> Result<Patch, Error> {
+    let file_error = |expected| Error::File {
         path: draft.file.clone(),
         expected,
     };
     let text = read_text(&draft.file)
-        .map_err(|error| fault(format_compact!("a readable file ({error})")))?;
+        .map_err(|error| file_error(format_compact!("a readable file ({error})")))?;
     let merge = serde_json::from_str(&text)
-        .map_err(|error| fault(format_compact!("a JSON merge patch ({error})")))?;
-    let id = draft.id.clone().unwrap_or_else(|| id(draft.base, &merge));
+        .map_err(|error| file_error(format_compact!("a JSON merge patch ({error})")))?;
+    let id = draft
+        .id
+        .clone()
+        .unwrap_or_else(|| content_id(draft.base, &merge));
     Ok(Patch {
         base: draft.base,
         id,
@@ -80,7 +91,7 @@
 }
 
 /// An id made from the patch's content, so that the same command run twice is one patch.
-fn id(base: u64, merge: &serde_json::Value) -> CompactString {
+fn content_id(base: u64, merge: &serde_json::Value) -> CompactString {
     let digest = Digest::of(format!("{base} {merge}").as_bytes());
     format_compact!("patch-{digest}")
 }
--- a/crates/pinereel/src/cli/drain.rs
+++ b/crates/pinereel/src/cli/drain.rs
@@ -2,18 +2,18 @@
 
 use super::{
     Error, Target,
-    client::{self, Call},
+    client::{self, Request},
     output::Output,
 };
 
-const PATH: &str = "/v1/drain";
+const DRAIN_PATH: &str = "/v1/drain";
 
 pub(super) fn drain(target: &Target, output: &mut Output<'_>) -> Result<(), Error> {
-    let call = Call::<()> {
-        path: PATH,
+    let request = Request::<()> {
+        path: DRAIN_PATH,
         body: None,
-        changes: true,
+        mutating: true,
     };
-    let answer: serde_json::Value = client::send(target, &call)?;
-    output.value(&answer, |_| format!("{} drains", target.operators))
+    let response: serde_json::Value = client::send(target, &request)?;
+    output.print(&response, |_| format!("{} drains", target.operators))
 }
--- a/crates/pinereel/src/cli/error.rs
+++ b/crates/pinereel/src/cli/error.rs
@@ -1,6 +1,6 @@
 //! Why a command was not done.
 
-use super::Exit;
+use super::ExitCode;
 use crate::{entry, hosted, settings};
 use compact_str::CompactString;
 use pinereel_api::problem::{Code, Problem, Ran};
@@ -31,21 +31,21 @@
     Hosted(hosted::Error),
     /// Nothing reached the entry.
     #[error("{address}: not reached: {reason}")]
-    Unreached {
+    Unreachable {
         /// Its operators' address.
         address: SocketAddr,
         /// What happened.
         reason: CompactString,
     },
     /// The call was sent, and no whole answer came.
-    #[error("{address}: no answer: {reason}{}", if *.changes { "; it may or may not have been done" } else { "" })]
-    Lost {
+    #[error("{address}: no answer: {reason}{}", if *.mutating { "; it may or may not have been done" } else { "" })]
+    NoResponse {
         /// Its operators' address.
         address: SocketAddr,
         /// What happened.
         reason: CompactString,
         /// Whether the call may have changed something.
-        changes: bool,
+        mutating: bool,
     },
     /// The entry answered that it did not do it.
     #[error("{} ({:?})", problem.message, problem.code)]
@@ -53,17 +53,17 @@
         /// Its answer.
         problem: Problem,
         /// Whether the call may have changed something.
-        changes: bool,
+        mutating: bool,
     },
     /// The entry answered something that is no answer to the call.
     #[error("unexpected answer {status}: {reason}")]
-    Answer {
+    UnexpectedResponse {
         /// Its HTTP status.
         status: u16,
         /// What is wrong with it.
         reason: CompactString,
         /// Whether the call may have changed something.
-        changes: bool,
+        mutating: bool,
     },
     /// The result could not be written, or the runtime failed.
     #[error(transparent)]
@@ -78,20 +78,24 @@
 
 impl Error {
     /// The exit code that tells of the error.
-    pub const fn exit(&self) -> Exit {
+    pub const fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Usage(_) | Self::Settings(_) | Self::File { .. } => Exit::Usage,
-            Self::Entry(_) | Self::Hosted(_) | Self::Unreached { .. } | Self::Io(_) => Exit::Failed,
-            Self::Lost { changes, .. } | Self::Answer { changes, .. } => unknown_if(*changes),
-            Self::Problem { problem, changes } => match problem.code {
-                Code::Conflict | Code::InvalidPatch | Code::NotConfirmed => Exit::Refused,
-                _ => unknown_if(*changes && matches!(problem.ran, Ran::Unknown)),
+            Self::Usage(_) | Self::Settings(_) | Self::File { .. } => ExitCode::Usage,
+            Self::Entry(_) | Self::Hosted(_) | Self::Unreachable { .. } | Self::Io(_) => {
+                ExitCode::Failed
+            }
+            Self::NoResponse { mutating, .. } | Self::UnexpectedResponse { mutating, .. } => {
+                unknown_or_failed(*mutating)
+            }
+            Self::Problem { problem, mutating } => match problem.code {
+                Code::Conflict | Code::InvalidPatch | Code::NotConfirmed => ExitCode::Refused,
+                _ => unknown_or_failed(*mutating && matches!(problem.ran, Ran::Unknown)),
             },
         }
     }
 
     /// The text for a person, or the entry's own JSON if `json` and there is one.
-    pub(super) fn show(&self, json: bool) -> String {
+    pub(super) fn render(&self, json: bool) -> String {
         match self {
             Self::Problem { problem, .. } if json => {
                 serde_json::to_string(problem).unwrap_or_else(|_| self.to_string())
@@ -101,6 +105,10 @@
     }
 }
 
-const fn unknown_if(unknown: bool) -> Exit {
-    if unknown { Exit::Unknown } else { Exit::Failed }
+const fn unknown_or_failed(unknown: bool) -> ExitCode {
+    if unknown {
+        ExitCode::Unknown
+    } else {
+        ExitCode::Failed
+    }
 }
--- a/crates/pinereel/src/cli/mod.rs
+++ b/crates/pinereel/src/cli/mod.rs
@@ -24,15 +24,15 @@
 use std::{io::Write, net::SocketAddr, path::PathBuf};
 
 /// Environment variable for `--operators`.
-pub const OPERATORS: &str = "PINEREEL_OPERATORS";
+pub const OPERATORS_VAR: &str = "PINEREEL_OPERATORS";
 /// Environment variable for `--config` of a hosted instance.
-pub const SETTINGS: &str = "PINEREEL_SETTINGS";
+pub const SETTINGS_VAR: &str = "PINEREEL_SETTINGS";
 /// Environment variable for `--token-file`.
-pub const TOKEN_FILE: &str = "PINEREEL_TOKEN_FILE";
+pub const TOKEN_FILE_VAR: &str = "PINEREEL_TOKEN_FILE";
 
 /// What the process tells whoever started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitCode {
     /// Done.
     Done = 0,
     /// Failed: nobody answered, or the server had an error.
@@ -103,40 +103,45 @@
 /// Does `command`, with results on `out` and faults on `err`.
 ///
 /// `adapter` speaks to the platform that hosts the process, if the command is to run there.
-pub fn run(command: Command, adapter: Adapter, out: &mut impl Write, err: &mut impl Write) -> Exit {
+pub fn run(
+    command: Command,
+    adapter: Adapter,
+    out: &mut impl Write,
+    err: &mut impl Write,
+) -> ExitCode {
     let json = command.target().is_some_and(|target| target.json);
-    let mut output = Output { out, json };
+    let mut output = Output { writer: out, json };
     match execute(command, adapter, &mut output) {
-        Ok(()) => Exit::Done,
+        Ok(()) => ExitCode::Done,
         Err(error) => {
             // Nobody is left to tell if standard error is closed.
-            let _ = writeln!(err, "{}", error.show(json));
-            error.exit()
+            let _ = writeln!(err, "{}", error.render(json));
+            error.exit_code()
         }
     }
 }
 
 fn execute(command: Command, adapter: Adapter, output: &mut Output<'_>) -> Result<(), Error> {
     match command {
-        Command::Help(text) => output.text(text),
-        Command::Version => output.text(concat!("pinereel ", env!("CARGO_PKG_VERSION"))),
+        Command::Help(text) => output.print_line(text),
+        Command::Version => output.print_line(concat!("pinereel ", env!("CARGO_PKG_VERSION"))),
         Command::Entry { config, check } => {
             let settings = Settings::load(config)?;
             if check {
-                return output.text("settings are valid");
+                return output.print_line("settings are valid");
             }
             entry::run(settings).map_err(Error::Entry)
         }
         Command::Hosted { config, check } => {
             let settings = Hosted::load(&config)?;
             if check {
-                return output.text("settings are valid");
+                return output.print_line("settings are valid");
             }
             hosted::run(settings, config, adapter).map_err(Error::Hosted)
         }
         Command::Show(target) => config::show(&target, output),
-        Command::Check(target, draft) => config::check(&target, &draft, output),
-        Command::Patch(target, draft) => config::patch(&target, &draft, output),
+        Command::Check(target, draft) => config::check_patch(&target, &draft, output),
+        Command::Patch(target, draft) => config::submit_patch(&target, &draft, output),
         Command::Status(target) => status::status(&target, output),
         Command::Drain(target) => drain::drain(&target, output),
     }
--- a/crates/pinereel/src/cli/output.rs
+++ b/crates/pinereel/src/cli/output.rs
@@ -5,31 +5,31 @@
 use std::io::Write;
 
 pub(super) struct Output<'a> {
-    pub(super) out: &'a mut dyn Write,
+    pub(super) writer: &'a mut dyn Write,
     pub(super) json: bool,
 }
 
 impl Output<'_> {
-    pub(super) fn text(&mut self, text: &str) -> Result<(), Error> {
-        writeln!(self.out, "{text}")?;
+    pub(super) fn print_line(&mut self, text: &str) -> Result<(), Error> {
+        writeln!(self.writer, "{text}")?;
         Ok(())
     }
 
     /// Writes `value` as JSON if that was asked for, else `text` of it.
-    pub(super) fn value<T: Serialize>(
+    pub(super) fn print<T: Serialize>(
         &mut self,
         value: &T,
-        text: impl FnOnce(&T) -> String,
+        to_text: impl FnOnce(&T) -> String,
     ) -> Result<(), Error> {
-        let shown = if self.json {
-            pretty(value)
+        let rendered = if self.json {
+            to_pretty_json(value)
         } else {
-            text(value)
+            to_text(value)
         };
-        self.text(&shown)
+        self.print_line(&rendered)
     }
 }
 
-pub(super) fn pretty(value: &impl Serialize) -> String {
+pub(super) fn to_pretty_json(value: &impl Serialize) -> String {
     serde_json::to_string_pretty(value).expect("answers have text keys only")
 }
--- a/crates/pinereel/src/cli/parse.rs
+++ b/crates/pinereel/src/cli/parse.rs
@@ -1,6 +1,6 @@
 //! Reads the command line. Nothing is done here, and no file is opened.
 
-use super::{Command, Draft, Error, OPERATORS, SETTINGS, TOKEN_FILE, Target, help};
+use super::{Command, Draft, Error, OPERATORS_VAR, SETTINGS_VAR, TOKEN_FILE_VAR, Target, help};
 use compact_str::{CompactString, format_compact};
 use lexopt::{Arg, Parser, ValueExt as _};
 use std::{ffi::OsString, path::PathBuf};
@@ -14,13 +14,13 @@
     match parser.next()? {
         Some(Arg::Long("version") | Arg::Short('V')) => Ok(Command::Version),
         Some(Arg::Long("help") | Arg::Short('h')) => Ok(Command::Help(help::MAIN)),
-        Some(Arg::Value(name)) => command(&name.string()?, parser, env),
+        Some(Arg::Value(name)) => parse_command(&name.string()?, parser, env),
         Some(arg) => Err(arg.unexpected().into()),
-        None => Err(usage("a command is missing")),
+        None => Err(usage_error("a command is missing")),
     }
 }
 
-fn command(
+fn parse_command(
     name: &str,
     parser: Parser,
     env: impl Fn(&str) -> Option<OsString>,
@@ -32,20 +32,20 @@
         "status" => help::STATUS,
         "drain" => help::DRAIN,
         "help" => return Ok(Command::Help(help::MAIN)),
-        _ => return Err(usage(format_compact!("unknown command {name:?}"))),
+        _ => return Err(usage_error(format_compact!("unknown command {name:?}"))),
     };
-    let mut options = Options::read(name, parser)?;
+    let mut options = Options::parse(name, parser)?;
     if options.help {
         return Ok(Command::Help(text));
     }
     let command = match name {
-        "entry" => options.entry()?,
-        "hosted" => options.hosted(&env)?,
-        "config" => options.config(&env)?,
+        "entry" => options.entry_command()?,
+        "hosted" => options.hosted_command(&env)?,
+        "config" => options.config_command(&env)?,
         "status" => Command::Status(options.target(&env)?),
         _ => Command::Drain(options.target(&env)?),
     };
-    options.finish()?;
+    options.reject_unused()?;
     Ok(command)
 }
 
@@ -61,11 +61,11 @@
     base: Option<u64>,
     id: Option<CompactString>,
     /// What is no option, last first.
-    values: Vec<OsString>,
+    positional: Vec<OsString>,
 }
 
 impl Options {
-    fn read(command: &str, mut parser: Parser) -> Result<Self, Error> {
+    fn parse(command: &str, mut parser: Parser) -> Result<Self, Error> {
         let mut options = Self::default();
         while let Some(arg) = parser.next()? {
             match (command, arg) {
@@ -76,7 +76,7 @@
                 }
                 ("config", Arg::Long("base")) => options.base = Some(parser.value()?.parse()?),
                 ("config", Arg::Long("id")) => options.id = Some(parser.value()?.string()?.into()),
-                ("config", Arg::Value(value)) => options.values.insert(0, value),
+                ("config", Arg::Value(value)) => options.positional.insert(0, value),
                 ("entry" | "hosted", arg) => return Err(arg.unexpected().into()),
                 (_, Arg::Long("json")) => options.json = true,
                 (_, Arg::Long("operators")) => options.operators = Some(parser.value()?),
@@ -87,27 +87,27 @@
         Ok(options)
     }
 
-    fn entry(&mut self) -> Result<Command, Error> {
+    fn entry_command(&mut self) -> Result<Command, Error> {
         let config = self
             .settings
             .take()
-            .ok_or_else(|| usage("--config is missing"))?;
+            .ok_or_else(|| usage_error("--config is missing"))?;
         let check = self.check;
         Ok(Command::Entry { config, check })
     }
 
-    fn hosted(&mut self, env: impl Fn(&str) -> Option<OsString>) -> Result<Command, Error> {
+    fn hosted_command(&mut self, env: impl Fn(&str) -> Option<OsString>) -> Result<Command, Error> {
         let config = self.settings.take();
-        let config = config.or_else(|| env(SETTINGS).map(PathBuf::from));
-        let config =
-            config.ok_or_else(|| usage(format_compact!("--config or {SETTINGS} is missing")))?;
+        let config = config.or_else(|| env(SETTINGS_VAR).map(PathBuf::from));
+        let config = config
+            .ok_or_else(|| usage_error(format_compact!("--config or {SETTINGS_VAR} is missing")))?;
         let check = self.check;
         Ok(Command::Hosted { config, check })
     }
 
-    fn config(&mut self, env: impl Fn(&str) -> Option<OsString>) -> Result<Command, Error> {
-        let verb = self.values.pop().unwrap_or_default();
-        match verb.to_str() {
+    fn config_command(&mut self, env: impl Fn(&str) -> Option<OsString>) -> Result<Command, Error> {
+        let action = self.positional.pop().unwrap_or_default();
+        match action.to_str() {
             Some("show") => Ok(Command::Show(self.target(env)?)),
             Some("check") => {
                 let draft = self.draft()?;
@@ -117,16 +117,22 @@
                 let draft = self.draft()?;
                 Ok(Command::Patch(self.target(env)?, draft))
             }
-            _ => Err(usage("config needs show, check or patch")),
+            _ => Err(usage_error("config needs show, check or patch")),
         }
     }
 
     fn draft(&mut self) -> Result<Draft, Error> {
-        let base = self.base.take().ok_or_else(|| usage("--base is missing"))?;
-        let file = self.values.pop().ok_or_else(|| usage("FILE is missing"))?;
+        let base = self
+            .base
+            .take()
+            .ok_or_else(|| usage_error("--base is missing"))?;
+        let file = self
+            .positional
+            .pop()
+            .ok_or_else(|| usage_error("FILE is missing"))?;
         let id = self.id.take();
         if id.as_ref().is_some_and(CompactString::is_empty) {
-            return Err(usage("--id is empty"));
+            return Err(usage_error("--id is empty"));
         }
         Ok(Draft {
             base,
@@ -136,16 +142,20 @@
     }
 
     fn target(&mut self, env: impl Fn(&str) -> Option<OsString>) -> Result<Target, Error> {
-        let operators = self.operators.take().or_else(|| env(OPERATORS));
-        let operators = operators
-            .ok_or_else(|| usage(format_compact!("--operators or {OPERATORS} is missing")))?;
-        let token_file = self.token_file.take().or_else(|| env(TOKEN_FILE));
-        let token_file = token_file
-            .ok_or_else(|| usage(format_compact!("--token-file or {TOKEN_FILE} is missing")))?;
+        let operators = self.operators.take().or_else(|| env(OPERATORS_VAR));
+        let operators = operators.ok_or_else(|| {
+            usage_error(format_compact!("--operators or {OPERATORS_VAR} is missing"))
+        })?;
+        let token_file = self.token_file.take().or_else(|| env(TOKEN_FILE_VAR));
+        let token_file = token_file.ok_or_else(|| {
+            usage_error(format_compact!(
+                "--token-file or {TOKEN_FILE_VAR} is missing"
+            ))
+        })?;
         let address = operators.to_str().and_then(|text| text.parse().ok());
         Ok(Target {
             operators: address.ok_or_else(|| {
-                usage(format_compact!(
+                usage_error(format_compact!(
                     "operators: given {operators:?}, expected IP:PORT"
                 ))
             })?,
@@ -155,17 +165,19 @@
     }
 
     /// Refuses what the command has no use for.
-    fn finish(mut self) -> Result<(), Error> {
-        if let Some(value) = self.values.pop() {
-            return Err(usage(format_compact!("unexpected argument {value:?}")));
+    fn reject_unused(mut self) -> Result<(), Error> {
+        if let Some(value) = self.positional.pop() {
+            return Err(usage_error(format_compact!(
+                "unexpected argument {value:?}"
+            )));
         }
         if self.base.is_some() || self.id.is_some() {
-            return Err(usage("--base and --id belong to a patch"));
+            return Err(usage_error("--base and --id belong to a patch"));
         }
         Ok(())
     }
 }
 
-fn usage(message: impl Into<CompactString>) -> Error {
+fn usage_error(message: impl Into<CompactString>) -> Error {
     Error::Usage(message.into())
 }
--- a/crates/pinereel/src/cli/status.rs
+++ b/crates/pinereel/src/cli/status.rs
@@ -2,32 +2,37 @@
 
 use super::{
     Error, Target,
-    client::{self, Call},
+    client::{self, Request},
     output::Output,
 };
 use pinereel_api::operator::{Endpoint, Entry, Status};
 
-const PATH: &str = "/v1/status";
+const STATUS_PATH: &str = "/v1/status";
 
 pub(super) fn status(target: &Target, output: &mut Output<'_>) -> Result<(), Error> {
-    let call = Call::<()> {
-        path: PATH,
+    let request = Request::<()> {
+        path: STATUS_PATH,
         body: None,
-        changes: false,
+        mutating: false,
     };
-    let status: Status = client::send(target, &call)?;
-    output.value(&status, text)
+    let status: Status = client::send(target, &request)?;
+    output.print(&status, status_text)
 }
 
-fn text(status: &Status) -> String {
+fn status_text(status: &Status) -> String {
     let mut lines = vec![format!(
         "entry {}, configuration {}",
         status.entry, status.number
     )];
     lines.push("entries:".into());
-    lines.extend(status.entries.iter().map(|(name, e)| entry(name, e)));
+    lines.extend(status.entries.iter().map(|(name, e)| entry_line(name, e)));
     lines.push("endpoints:".into());
-    lines.extend(status.endpoints.iter().map(|(name, e)| endpoint(name, e)));
+    lines.extend(
+        status
+            .endpoints
+            .iter()
+            .map(|(name, e)| endpoint_line(name, e)),
+    );
     lines.push("versions:".into());
     lines.extend(
         status
@@ -48,7 +53,7 @@
     lines.join("\n")
 }
 
-fn entry(name: &str, entry: &Entry) -> String {
+fn entry_line(name: &str, entry: &Entry) -> String {
     let heard = match entry.heard_ms {
         Some(millis) => format!("heard {millis} ms ago"),
         None => "this entry".into(),
@@ -60,7 +65,7 @@
     )
 }
 
-fn endpoint(name: &str, endpoint: &Endpoint) -> String {
+fn endpoint_line(name: &str, endpoint: &Endpoint) -> String {
     let Endpoint {
         pool,
         zone,
--- a/crates/pinereel/src/main.rs
+++ b/crates/pinereel/src/main.rs
@@ -10,7 +10,7 @@
         Ok(command) => cli::run(command, adapter(), &mut io::stdout(), &mut io::stderr()),
         Err(error) => {
             eprintln!("pinereel: {error}");
-            error.exit()
+            error.exit_code()
         }
     };
     ExitCode::from(exit as u8)
--- a/crates/pinereel/tests/cli_calls.rs
+++ b/crates/pinereel/tests/cli_calls.rs
@@ -1,6 +1,6 @@
 //! What the commands send, what they print, and how they end, against a scripted entry.
 
-use pinereel::cli::{self, Exit};
+use pinereel::cli::{self, ExitCode};
 use pinereel_platform::adapter;
 use std::{
     fs,
@@ -12,10 +12,10 @@
 };
 
 /// How the scripted entry takes one call.
-enum Take {
-    Answer(u16, &'static str),
+enum ScriptedResponse {
+    Send(u16, &'static str),
     /// Reads the call and closes the connection.
-    Lose,
+    Disconnect,
 }
 
 fn folder() -> PathBuf {
@@ -33,7 +33,7 @@
 }
 
 /// Request line, authorization and body of one call.
-fn receive(stream: &TcpStream) -> String {
+fn read_request(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream);
     let mut first = String::new();
     reader.read_line(&mut first).expect("a request line");
@@ -56,15 +56,15 @@
 }
 
 /// Takes one call a script line; gives what was received.
-fn entry(script: Vec<Take>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
+fn start_entry(script: Vec<ScriptedResponse>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let serve = move || {
         let mut received = Vec::new();
-        for take in script {
+        for response in script {
             let (mut stream, _) = listener.accept().expect("a call");
-            received.push(receive(&stream));
-            if let Take::Answer(status, body) = take {
+            received.push(read_request(&stream));
+            if let ScriptedResponse::Send(status, body) = response {
                 let length = body.len();
                 let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {length}\r\n");
                 let answer = format!("{head}connection: close\r\n\r\n{body}");
@@ -77,11 +77,11 @@
 }
 
 /// Exit code, standard output and standard error of `line` at `address`.
-fn run(line: &str, address: SocketAddr) -> (Exit, String) {
+fn run(line: &str, address: SocketAddr) -> (ExitCode, String) {
     let token = file(&format!("token-{}", address.port()), "operators-token-1\n");
     let env = |name: &str| match name {
-        cli::OPERATORS => Some(address.to_string().into()),
-        cli::TOKEN_FILE => Some(token.clone().into()),
+        cli::OPERATORS_VAR => Some(address.to_string().into()),
+        cli::TOKEN_FILE_VAR => Some(token.clone().into()),
         _ => None,
     };
     let command = cli::parse(line.split_whitespace(), env).expect("a command");
@@ -93,8 +93,8 @@
 }
 
 /// Everything that can be seen of `line` against `script`.
-fn play(line: &str, script: Vec<Take>) -> String {
-    let (address, served) = entry(script);
+fn run_against(line: &str, script: Vec<ScriptedResponse>) -> String {
+    let (address, served) = start_entry(script);
     let (exit, text) = run(line, address);
     let calls = served.join().expect("all calls came");
     format!("{}\n{exit:?}\n{text}", calls.join("\n"))
@@ -103,7 +103,7 @@
 #[test]
 fn show() {
     let answer = r#"{"number":7,"document":{"pools":{}}}"#;
-    insta::assert_snapshot!(play("config show", vec![Take::Answer(200, answer)]), @r#"
+    insta::assert_snapshot!(run_against("config show", vec![ScriptedResponse::Send(200, answer)]), @r#"
     GET /v1/config HTTP/1.1 [bearer operators-token-1] 
     Done
     configuration 7
@@ -111,7 +111,7 @@
       "pools": {}
     }
     "#);
-    insta::assert_snapshot!(play("config show --json", vec![Take::Answer(200, answer)]), @r#"
+    insta::assert_snapshot!(run_against("config show --json", vec![ScriptedResponse::Send(200, answer)]), @r#"
     GET /v1/config HTTP/1.1 [bearer operators-token-1] 
     Done
     {
@@ -128,7 +128,7 @@
     let patch = file("check.json", r#"{"pools":{"a":null}}"#);
     let answer = r#"{"document":{"pools":{}}}"#;
     let line = format!("config check --base 7 --id mine {patch}");
-    insta::assert_snapshot!(play(&line, vec![Take::Answer(200, answer)]), @r#"
+    insta::assert_snapshot!(run_against(&line, vec![ScriptedResponse::Send(200, answer)]), @r#"
     POST /v1/config/check HTTP/1.1 [bearer operators-token-1] {"base":7,"id":"mine","merge":{"pools":{"a":null}}}
     Done
     the patch is valid and would give
@@ -142,8 +142,11 @@
 fn a_lost_answer_is_asked_for_again_with_the_same_id() {
     let patch = file("lost.json", r#"{"pools":{"a":null}}"#);
     let line = format!("config patch --base 7 {patch}");
-    let script = vec![Take::Lose, Take::Answer(200, r#"{"number":8}"#)];
-    insta::assert_snapshot!(play(&line, script), @r#"
+    let script = vec![
+        ScriptedResponse::Disconnect,
+        ScriptedResponse::Send(200, r#"{"number":8}"#),
+    ];
+    insta::assert_snapshot!(run_against(&line, script), @r#"
     POST /v1/config HTTP/1.1 [bearer operators-token-1] {"base":7,"id":"patch-0a65c56c012f9a98780ae4b7d7c07c30","merge":{"pools":{"a":null}}}
     POST /v1/config HTTP/1.1 [bearer operators-token-1] {"base":7,"id":"patch-0a65c56c012f9a98780ae4b7d7c07c30","merge":{"pools":{"a":null}}}
     Done
@@ -155,12 +158,19 @@
 fn answers_lost_to_the_end_are_unknown() {
     let patch = file("unknown.json", "{}");
     let line = format!("config patch --base 7 --id mine {patch}");
-    let lose = || vec![Take::Lose, Take::Lose, Take::Lose, Take::Lose];
-    assert!(play(&line, lose()).contains("Unknown"));
-    assert!(play("drain", lose()).contains("Unknown"));
+    let lose = || {
+        vec![
+            ScriptedResponse::Disconnect,
+            ScriptedResponse::Disconnect,
+            ScriptedResponse::Disconnect,
+            ScriptedResponse::Disconnect,
+        ]
+    };
+    assert!(run_against(&line, lose()).contains("Unknown"));
+    assert!(run_against("drain", lose()).contains("Unknown"));
     // The entry takes one call and is gone: that one may have been done.
-    assert!(play("drain", vec![Take::Lose]).contains("Unknown"));
-    assert!(play("status", vec![Take::Lose]).contains("Failed"));
+    assert!(run_against("drain", vec![ScriptedResponse::Disconnect]).contains("Unknown"));
+    assert!(run_against("status", vec![ScriptedResponse::Disconnect]).contains("Failed"));
 }
 
 #[test]
@@ -172,15 +182,16 @@
         Box::leak(text.into_boxed_str())
     };
     let cases = [
-        (409, "conflict", "not_run", Exit::Refused),
-        (422, "invalid_patch", "not_run", Exit::Refused),
-        (409, "not_confirmed", "not_run", Exit::Refused),
-        (401, "unauthorized", "not_run", Exit::Failed),
-        (503, "object_api", "unknown", Exit::Unknown),
-        (503, "unavailable", "not_run", Exit::Failed),
+        (409, "conflict", "not_run", ExitCode::Refused),
+        (422, "invalid_patch", "not_run", ExitCode::Refused),
+        (409, "not_confirmed", "not_run", ExitCode::Refused),
+        (401, "unauthorized", "not_run", ExitCode::Failed),
+        (503, "object_api", "unknown", ExitCode::Unknown),
+        (503, "unavailable", "not_run", ExitCode::Failed),
     ];
     for (status, code, ran, expected) in cases {
-        let (address, served) = entry(vec![Take::Answer(status, problem(code, ran))]);
+        let (address, served) =
+            start_entry(vec![ScriptedResponse::Send(status, problem(code, ran))]);
         let (exit, text) = run(&line, address);
         assert_eq!(
             (exit, served.join().unwrap().len()),
@@ -188,22 +199,22 @@
             "{text}"
         );
     }
-    let json = vec![Take::Answer(409, problem("conflict", "not_run"))];
-    insta::assert_snapshot!(play(&format!("{line} --json"), json), @r#"
+    let json = vec![ScriptedResponse::Send(409, problem("conflict", "not_run"))];
+    insta::assert_snapshot!(run_against(&format!("{line} --json"), json), @r#"
     POST /v1/config HTTP/1.1 [bearer operators-token-1] {"base":7,"id":"mine","merge":{}}
     Refused
     {"code":"conflict","message":"no","ran":"not_run"}
     "#);
     let running = vec![
-        Take::Answer(409, problem("in_progress", "unknown")),
-        Take::Answer(200, r#"{"number":8}"#),
+        ScriptedResponse::Send(409, problem("in_progress", "unknown")),
+        ScriptedResponse::Send(200, r#"{"number":8}"#),
     ];
-    assert!(play(&line, running).contains("configuration 8 is in force"));
+    assert!(run_against(&line, running).contains("configuration 8 is in force"));
 }
 
 #[test]
 fn redirects_are_not_followed() {
-    let text = play("status", vec![Take::Answer(307, "elsewhere")]);
+    let text = run_against("status", vec![ScriptedResponse::Send(307, "elsewhere")]);
     insta::assert_snapshot!(text, @r#"
     GET /v1/status HTTP/1.1 [bearer operators-token-1] 
     Failed
@@ -219,7 +230,7 @@
         "endpoints":{"draft-llm-1":{"pool":"draft-llm","zone":"erie-hall","state":"live",
                      "outstanding":3,"version":12}},
         "versions":{"draft-llm":12},"leases":{"lots-3":5},"object_calls":{"lease":9}}"#;
-    insta::assert_snapshot!(play("status", vec![Take::Answer(200, answer)]), @r#"
+    insta::assert_snapshot!(run_against("status", vec![ScriptedResponse::Send(200, answer)]), @r#"
     GET /v1/status HTTP/1.1 [bearer operators-token-1] 
     Done
     entry entry-1, configuration 7
@@ -239,7 +250,7 @@
 
 #[test]
 fn drain() {
-    insta::assert_snapshot!(play("drain", vec![Take::Answer(202, "")]), @r#"
+    insta::assert_snapshot!(run_against("drain", vec![ScriptedResponse::Send(202, "")]), @r#"
     POST /v1/drain HTTP/1.1 [bearer operators-token-1] 
     Done
     ENTRY drains
@@ -251,8 +262,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    assert_eq!(run("status", address).0, Exit::Failed);
-    assert_eq!(run("drain", address).0, Exit::Failed);
+    assert_eq!(run("status", address).0, ExitCode::Failed);
+    assert_eq!(run("drain", address).0, ExitCode::Failed);
 }
 
 #[test]
@@ -261,8 +272,8 @@
     let address = listener.local_addr().unwrap();
     let patch = file("not-json.json", "pools:");
     let (exit, text) = run(&format!("config patch --base 7 {patch}"), address);
-    assert_eq!(exit, Exit::Usage, "{text}");
+    assert_eq!(exit, ExitCode::Usage, "{text}");
     let short = file("short-token", "short");
     let (exit, text) = run(&format!("status --token-file {short}"), address);
-    assert_eq!(exit, Exit::Usage, "{text}");
+    assert_eq!(exit, ExitCode::Usage, "{text}");
 }
--- a/crates/pinereel/tests/cli_parse.rs
+++ b/crates/pinereel/tests/cli_parse.rs
@@ -6,26 +6,26 @@
 const TARGET: &str = "--operators 127.0.0.1:8082 --token-file token";
 
 /// The command that `line` is read as, or its fault.
-fn read(line: &str) -> String {
-    read_with(line, |_| None)
+fn parse_line(line: &str) -> String {
+    parse_with_env(line, |_| None)
 }
 
-fn read_with(line: &str, env: impl Fn(&str) -> Option<OsString>) -> String {
+fn parse_with_env(line: &str, env: impl Fn(&str) -> Option<OsString>) -> String {
     match cli::parse(line.split_whitespace(), env) {
         Ok(Command::Help(text)) => text.into(),
         Ok(command) => format!("{command:?}"),
-        Err(error) => format!("{:?}: {error}", error.exit()),
+        Err(error) => format!("{:?}: {error}", error.exit_code()),
     }
 }
 
-fn read_all(lines: &[&str]) -> String {
-    let lines: Vec<_> = lines.iter().map(|line| read(line)).collect();
+fn parse_all(lines: &[&str]) -> String {
+    let lines: Vec<_> = lines.iter().map(|line| parse_line(line)).collect();
     lines.join("\n")
 }
 
 #[test]
 fn commands() {
-    let text = read_all(&[
+    let text = parse_all(&[
         "--version",
         "entry --config a.ini",
         "entry --check --config=a.ini",
@@ -50,21 +50,21 @@
 #[test]
 fn environment_stands_in_for_the_target() {
     let env = |name: &str| match name {
-        cli::OPERATORS => Some("127.0.0.1:1".into()),
-        cli::TOKEN_FILE => Some("env-token".into()),
+        cli::OPERATORS_VAR => Some("127.0.0.1:1".into()),
+        cli::TOKEN_FILE_VAR => Some("env-token".into()),
         _ => None,
     };
-    insta::assert_snapshot!(read_with("status", env), @r#"
+    insta::assert_snapshot!(parse_with_env("status", env), @r#"
     Status(Target { operators: 127.0.0.1:1, token_file: "env-token", json: false })
     "#);
-    insta::assert_snapshot!(read_with("status --operators 127.0.0.1:2", env), @r#"
+    insta::assert_snapshot!(parse_with_env("status --operators 127.0.0.1:2", env), @r#"
     Status(Target { operators: 127.0.0.1:2, token_file: "env-token", json: false })
     "#);
 }
 
 #[test]
 fn faults() {
-    let text = read_all(&[
+    let text = parse_all(&[
         "",
         "bake",
         "--loud",
@@ -110,7 +110,7 @@
 
 #[test]
 fn help_everywhere() {
-    insta::assert_snapshot!(read("--help"), @r#"
+    insta::assert_snapshot!(parse_line("--help"), @r#"
     pinereel: rollout service for reinforcement learning
 
     usage: pinereel COMMAND [OPTIONS]
@@ -132,7 +132,7 @@
       3  refused: a conflict, an invalid patch, or a patch that was not confirmed
       4  unknown: it may or may not have been done
     "#);
-    insta::assert_snapshot!(read("entry --help"), @r#"
+    insta::assert_snapshot!(parse_line("entry --help"), @r#"
     usage: pinereel entry --config FILE [--check]
 
     Runs an entry until it is told to stop.
@@ -143,7 +143,7 @@
     exit codes: 0 done, 1 failed, 2 bad usage or settings
     "#);
     for command in ["config", "config show", "config patch", "status", "drain"] {
-        let text = read(&format!("{command} -h"));
+        let text = parse_line(&format!("{command} -h"));
         let first = command.split(' ').next().unwrap();
         assert!(
             text.starts_with(&format!("usage: pinereel {first} ")),
