--- a/crates/pinereel/src/cli/client.rs
+++ b/crates/pinereel/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' listener of one entry.
+//! HTTP client for the operators' listener of one entry, which retries idempotent requests.
 
 use super::{Error, Target};
 use crate::settings::Secret;
@@ -11,30 +11,30 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{net::SocketAddr, time::Duration};
 
-/// Longest wait for one answer: a patch answers once all entries have confirmed it.
+/// Timeout of one response: a patch is answered once all entries have confirmed it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest wait for a connection.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Waits between attempts of a call that may be repeated.
+/// Delays between attempts of a request that may be retried.
 const RETRY_DELAYS: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(400),
 ];
-/// Largest answer, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// One call.
+/// Request to an entry.
 pub(super) struct Request<'a, B> {
     pub(super) path: &'a str,
-    /// The JSON body; a call without one is a GET, unless it changes something.
+    /// JSON body. A request without one is a GET, unless it is mutating.
     pub(super) body: Option<&'a B>,
-    /// Whether it may change something. Such calls are idempotent, so they are repeated until
-    /// their answer arrives.
+    /// Whether the request may change state. Such requests are idempotent and are retried until
+    /// their response arrives.
     pub(super) mutating: bool,
 }
 
-/// Does `call` and waits for its answer.
+/// Sends `request` and waits for its response.
 pub(super) fn send<B: Serialize, T: DeserializeOwned>(
     target: &Target,
     request: &Request<'_, B>,
@@ -69,7 +69,7 @@
 }
 
 impl Client<'_> {
-    /// Repeats the call while that is of use.
+    /// Sends the request and retries it after the delays of `RETRY_DELAYS` while it is retryable.
     async fn send(&self) -> Result<Vec<u8>, Error> {
         let mut result = self.attempt().await;
         let mut no_response = None;
@@ -85,7 +85,7 @@
             result = self.attempt().await;
         }
         match (result, no_response) {
-            // An earlier attempt may have done it, so this is not a plain failure.
+            // An earlier attempt may have been executed, so the outcome is unknown.
             (Err(Error::Unreachable { .. }), Some(no_response)) => Err(no_response),
             (result, _) => result,
         }
@@ -135,7 +135,7 @@
 
     fn send_error(&self, error: &SendRequestError) -> Error {
         match error {
-            // awc also says this of a connection that closed after the request was sent.
+            // awc also reports this error if the connection was closed after the request was sent.
             SendRequestError::Connect(ConnectError::Disconnected) => self.no_response(error),
             SendRequestError::Url(_) | SendRequestError::Connect(_) => Error::Unreachable {
                 address: self.address,
--- a/crates/pinereel/src/cli/config.rs
+++ b/crates/pinereel/src/cli/config.rs
@@ -61,7 +61,7 @@
     })
 }
 
-/// The patch in the draft's file.
+/// Reads the patch from the draft's file.
 fn read_patch(draft: &Draft) -> Result<Patch, Error> {
     let file_error = |expected| Error::File {
         path: draft.file.clone(),
@@ -90,7 +90,8 @@
     }
 }
 
-/// An id made from the patch's content, so that the same command run twice is one patch.
+/// Derives an id from the patch's content, so that running the same command twice submits one
+/// patch.
 fn content_id(base: u64, merge: &serde_json::Value) -> CompactString {
     let digest = Digest::of(format!("{base} {merge}").as_bytes());
     format_compact!("patch-{digest}")
--- a/crates/pinereel/src/cli/drain.rs
+++ b/crates/pinereel/src/cli/drain.rs
@@ -1,4 +1,4 @@
-//! `pinereel drain`: stop an entry gracefully.
+//! `pinereel drain`: graceful shutdown of an entry.
 
 use super::{
     Error, Target,
--- a/crates/pinereel/src/cli/error.rs
+++ b/crates/pinereel/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command was not done.
+//! Errors of commands and their exit codes.
 
 use super::ExitCode;
 use crate::{entry, hosted, settings};
@@ -6,21 +6,21 @@
 use pinereel_api::problem::{Code, Problem, Ran};
 use std::{io, net::SocketAddr, path::PathBuf};
 
-/// Why a command was not done.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is at fault.
+    /// The command line is invalid.
     #[error("{0} (see pinereel --help)")]
     Usage(CompactString),
-    /// The settings are at fault.
+    /// The settings could not be loaded or are invalid.
     #[error(transparent)]
     Settings(#[from] settings::Error),
-    /// A file named on the command line is at fault.
+    /// A file named on the command line is unreadable or invalid.
     #[error("{}: expected {expected}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What was expected of it.
+        /// Description of a valid file.
         expected: CompactString,
     },
     /// The entry ended with an error.
@@ -29,40 +29,40 @@
     /// The hosted instance ended with an error.
     #[error("instance: {0}")]
     Hosted(hosted::Error),
-    /// Nothing reached the entry.
+    /// No connection to the entry, so the request was not sent.
     #[error("{address}: not reached: {reason}")]
     Unreachable {
-        /// Its operators' address.
+        /// Address of the entry's operators' listener.
         address: SocketAddr,
-        /// What happened.
+        /// Error of the HTTP client.
         reason: CompactString,
     },
-    /// The call was sent, and no whole answer came.
+    /// The request may have been sent, but no complete response arrived.
     #[error("{address}: no answer: {reason}{}", if *.mutating { "; it may or may not have been done" } else { "" })]
     NoResponse {
-        /// Its operators' address.
+        /// Address of the entry's operators' listener.
         address: SocketAddr,
-        /// What happened.
+        /// Error of the HTTP client.
         reason: CompactString,
-        /// Whether the call may have changed something.
+        /// Whether the request may have changed state.
         mutating: bool,
     },
-    /// The entry answered that it did not do it.
+    /// The entry responded with an error.
     #[error("{} ({:?})", problem.message, problem.code)]
     Problem {
-        /// Its answer.
+        /// The error response.
         problem: Problem,
-        /// Whether the call may have changed something.
+        /// Whether the request may have changed state.
         mutating: bool,
     },
-    /// The entry answered something that is no answer to the call.
+    /// The response has an unexpected format.
     #[error("unexpected answer {status}: {reason}")]
     UnexpectedResponse {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What is wrong with it.
+        /// Why the response could not be parsed.
         reason: CompactString,
-        /// Whether the call may have changed something.
+        /// Whether the request may have changed state.
         mutating: bool,
     },
     /// The result could not be written, or the runtime failed.
@@ -77,7 +77,7 @@
 }
 
 impl Error {
-    /// The exit code that tells of the error.
+    /// Exit code for the error.
     pub const fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::Settings(_) | Self::File { .. } => ExitCode::Usage,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The text for a person, or the entry's own JSON if `json` and there is one.
+    /// The error as text, or the entry's JSON error response if `json` is set and there is one.
     pub(super) fn render(&self, json: bool) -> String {
         match self {
             Self::Problem { problem, .. } if json => {
--- a/crates/pinereel/src/cli/help.rs
+++ b/crates/pinereel/src/cli/help.rs
@@ -1,4 +1,4 @@
-//! Help texts.
+//! Help texts of the commands.
 
 pub(super) const MAIN: &str = "\
 pinereel: rollout service for reinforcement learning
--- a/crates/pinereel/src/cli/mod.rs
+++ b/crates/pinereel/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The command line: [`parse`] reads it, [`run`] does it.
+//! Command-line interface: [`parse`] turns arguments into a [`Command`], [`run`] executes it.
 //!
-//! Exit codes are the same for all commands: see [`Exit`].
+//! All commands use the same exit codes, see [`ExitCode`].
 
 mod client;
 mod config;
@@ -30,79 +30,80 @@
 /// Environment variable for `--token-file`.
 pub const TOKEN_FILE_VAR: &str = "PINEREEL_TOKEN_FILE";
 
-/// What the process tells whoever started it.
+/// Exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// Failed: nobody answered, or the server had an error.
+    /// The command failed: there was no response, or the server had an error.
     Failed = 1,
-    /// The command line or the settings are at fault.
+    /// The command line, a file named there or the settings are invalid.
     Usage = 2,
-    /// Refused: a conflict, an invalid patch, or a patch that was not confirmed.
+    /// The server refused the command: a conflict, an invalid patch, or a patch that was not
+    /// confirmed.
     Refused = 3,
-    /// It may or may not have been done.
+    /// The outcome is unknown: the command may or may not have been executed.
     Unknown = 4,
 }
 
-/// One command line, fully read.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print a help text.
+    /// Print this help text.
     Help(&'static str),
     /// Print the version.
     Version,
     /// Run an entry.
     Entry {
-        /// Its settings file.
+        /// Path of the settings file.
         config: PathBuf,
-        /// Whether to stop after reading the settings.
+        /// Whether to only validate the settings.
         check: bool,
     },
-    /// Run an instance on the platform that hosts it.
+    /// Run a hosted instance, whose state the platform keeps.
     Hosted {
-        /// Its settings file.
+        /// Path of the settings file.
         config: PathBuf,
-        /// Whether to stop after reading the settings.
+        /// Whether to only validate the settings.
         check: bool,
     },
     /// Print the configuration in force.
     Show(Target),
-    /// Ask what a patch would give.
+    /// Validate a patch and print the resulting configuration, without applying it.
     Check(Target, Draft),
     /// Submit a patch.
     Patch(Target, Draft),
-    /// Print what an entry knows of the system.
+    /// Print an entry's view of the system.
     Status(Target),
-    /// Tell an entry to stop gracefully.
+    /// Shut an entry down gracefully.
     Drain(Target),
 }
 
-/// The entry to talk to.
+/// Entry that a command is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Address of its operators' listener.
+    /// Address of the entry's operators' listener.
     pub operators: SocketAddr,
-    /// File with the operators' token.
+    /// Path of the file with the operators' token.
     pub token_file: PathBuf,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// A patch as it is given on the command line.
+/// Configuration patch as given on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
-    /// The number that it was written against.
+    /// Number of the configuration that the patch is based on.
     pub base: u64,
-    /// Its id; made from its content if absent.
+    /// Id of the patch; derived from its content if `None`.
     pub id: Option<CompactString>,
-    /// File with the JSON merge patch; `-` is standard input.
+    /// Path of the file with the JSON merge patch; `-` is standard input.
     pub file: PathBuf,
 }
 
-/// Does `command`, with results on `out` and faults on `err`.
+/// Executes `command`, with results on `out` and errors on `err`.
 ///
-/// `adapter` speaks to the platform that hosts the process, if the command is to run there.
+/// `adapter` is the client of the hosting platform; only [`Command::Hosted`] uses it.
 pub fn run(
     command: Command,
     adapter: Adapter,
@@ -114,7 +115,7 @@
     match execute(command, adapter, &mut output) {
         Ok(()) => ExitCode::Done,
         Err(error) => {
-            // Nobody is left to tell if standard error is closed.
+            // If standard error is closed, there is no way to report the error.
             let _ = writeln!(err, "{}", error.render(json));
             error.exit_code()
         }
--- a/crates/pinereel/src/cli/output.rs
+++ b/crates/pinereel/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Results, for a person or as JSON.
+//! Prints command results as text or JSON.
 
 use super::Error;
 use serde::Serialize;
@@ -15,7 +15,7 @@
         Ok(())
     }
 
-    /// Writes `value` as JSON if that was asked for, else `text` of it.
+    /// Prints `value` as JSON if `json` is set, else as the text that `to_text` returns.
     pub(super) fn print<T: Serialize>(
         &mut self,
         value: &T,
--- a/crates/pinereel/src/cli/parse.rs
+++ b/crates/pinereel/src/cli/parse.rs
@@ -1,11 +1,14 @@
-//! Reads the command line. Nothing is done here, and no file is opened.
+//! Command-line parser. It has no side effects and opens no files.
 
 use super::{Command, Draft, Error, OPERATORS_VAR, SETTINGS_VAR, TOKEN_FILE_VAR, Target, help};
 use compact_str::{CompactString, format_compact};
 use lexopt::{Arg, Parser, ValueExt as _};
 use std::{ffi::OsString, path::PathBuf};
 
-/// Reads `args`, without the program's name; `env` looks up environment variables.
+/// Parses `args`, which exclude the program name; `env` looks up environment variables.
+///
+/// # Errors
+/// [`Error::Usage`] if the command line is invalid.
 pub fn parse(
     args: impl IntoIterator<Item = impl Into<OsString>>,
     env: impl Fn(&str) -> Option<OsString>,
@@ -49,7 +52,7 @@
     Ok(command)
 }
 
-/// Everything that may follow a command.
+/// Options and positional arguments of all commands.
 #[derive(Default)]
 struct Options {
     help: bool,
@@ -60,7 +63,7 @@
     token_file: Option<OsString>,
     base: Option<u64>,
     id: Option<CompactString>,
-    /// What is no option, last first.
+    /// Positional arguments in reverse order.
     positional: Vec<OsString>,
 }
 
@@ -164,7 +167,7 @@
         })
     }
 
-    /// Refuses what the command has no use for.
+    /// Rejects arguments that the command does not use.
     fn reject_unused(mut self) -> Result<(), Error> {
         if let Some(value) = self.positional.pop() {
             return Err(usage_error(format_compact!(
--- a/crates/pinereel/src/cli/status.rs
+++ b/crates/pinereel/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `pinereel status`: what an entry knows of the system.
+//! `pinereel status`: prints an entry's view of the system.
 
 use super::{
     Error, Target,
--- a/crates/pinereel/src/settings/secret.rs
+++ b/crates/pinereel/src/settings/secret.rs
@@ -18,8 +18,8 @@
         Self(text.into())
     }
 
-    /// Whether `given` is `prefix` followed by the secret. The time of the
-    /// comparison does not depend on where the two differ.
+    /// Whether `given` is `prefix` followed by the secret. The time of the comparison does not
+    /// depend on where the two differ.
     pub fn matches(&self, prefix: &str, given: &[u8]) -> bool {
         let expected = prefix.bytes().chain(self.0.bytes());
         let length = prefix.len() + self.0.len();
--- a/crates/pinereel/src/settings/value.rs
+++ b/crates/pinereel/src/settings/value.rs
@@ -60,8 +60,8 @@
     pub(super) autoscale: bool,
 }
 
-/// Parses a comma-separated list of duties. Unknown names are ignored: other programs
-/// handle them.
+/// Parses a comma-separated list of duties. Unknown names are ignored: other programs handle
+/// them.
 pub(super) fn duties(text: &str) -> Option<Duties> {
     let names: Vec<_> = text.split(',').map(str::trim).collect();
     Some(Duties {
--- a/crates/pinereel/tests/cli_calls.rs
+++ b/crates/pinereel/tests/cli_calls.rs
@@ -1,4 +1,4 @@
-//! What the commands send, what they print, and how they end, against a scripted entry.
+//! Requests, output and exit codes of the commands, against a scripted entry.
 
 use pinereel::cli::{self, ExitCode};
 use pinereel_platform::adapter;
@@ -11,10 +11,10 @@
     thread,
 };
 
-/// How the scripted entry takes one call.
+/// How the scripted entry responds to one request.
 enum ScriptedResponse {
     Send(u16, &'static str),
-    /// Reads the call and closes the connection.
+    /// Reads the request and closes the connection without a response.
     Disconnect,
 }
 
@@ -24,7 +24,7 @@
     folder
 }
 
-/// A file of one test's own.
+/// Writes a file that only its owner may read and returns its path.
 fn file(name: &str, text: &str) -> String {
     let path = folder().join(name);
     fs::write(&path, text).expect("a file");
@@ -32,7 +32,7 @@
     path.to_str().expect("a plain path").to_owned()
 }
 
-/// Request line, authorization and body of one call.
+/// Reads one request; returns its request line, authorization and body.
 fn read_request(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream);
     let mut first = String::new();
@@ -55,7 +55,7 @@
     format!("{} [{bearer}] {body}", first.trim())
 }
 
-/// Takes one call a script line; gives what was received.
+/// Starts an entry that handles one request per item of `script` and returns what it received.
 fn start_entry(script: Vec<ScriptedResponse>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -76,7 +76,7 @@
     (address, thread::spawn(serve))
 }
 
-/// Exit code, standard output and standard error of `line` at `address`.
+/// Runs `line` against `address`; returns the exit code, and standard output with standard error.
 fn run(line: &str, address: SocketAddr) -> (ExitCode, String) {
     let token = file(&format!("token-{}", address.port()), "operators-token-1\n");
     let env = |name: &str| match name {
@@ -92,7 +92,7 @@
     (exit, text.replace(&address.to_string(), "ENTRY"))
 }
 
-/// Everything that can be seen of `line` against `script`.
+/// Runs `line` against `script`; returns the requests, the exit code and the output.
 fn run_against(line: &str, script: Vec<ScriptedResponse>) -> String {
     let (address, served) = start_entry(script);
     let (exit, text) = run(line, address);
@@ -168,7 +168,7 @@
     };
     assert!(run_against(&line, lose()).contains("Unknown"));
     assert!(run_against("drain", lose()).contains("Unknown"));
-    // The entry takes one call and is gone: that one may have been done.
+    // The entry reads one request and stops listening: that request may have been executed.
     assert!(run_against("drain", vec![ScriptedResponse::Disconnect]).contains("Unknown"));
     assert!(run_against("status", vec![ScriptedResponse::Disconnect]).contains("Failed"));
 }
--- a/crates/pinereel/tests/cli_parse.rs
+++ b/crates/pinereel/tests/cli_parse.rs
@@ -1,11 +1,11 @@
-//! The command line as it is read: commands, faults, help texts, and the binary's exit codes.
+//! Command-line parser: commands, usage errors, help texts, and the binary's exit codes.
 
 use pinereel::cli::{self, Command};
 use std::{ffi::OsString, fs, path::Path, process};
 
 const TARGET: &str = "--operators 127.0.0.1:8082 --token-file token";
 
-/// The command that `line` is read as, or its fault.
+/// The command that `line` is parsed as, or its error.
 fn parse_line(line: &str) -> String {
     parse_with_env(line, |_| None)
 }
