--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -21,7 +21,7 @@
 pub async fn serve(shared: Rc<Shared>, request: Request) -> Response {
     let guard = shared.drain.track_request();
     let answer = handle(shared, request).await;
-    http::hold(answer, guard)
+    http::attach_guard(answer, guard)
 }
 
 async fn handle(shared: Rc<Shared>, mut request: Request) -> Response {
@@ -96,7 +96,7 @@
         method: request.method().clone(),
         path: path.to_owned(),
         headers: service::ServiceRequest::end_to_end_headers(request.headers()),
-        body: http::read(request, max, timeout).await?,
+        body: http::read_body(request, max, timeout).await?,
         repeatable: service::repeatable(&context, request.method(), path),
     };
     if call.repeatable {
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::{
     controllers::config::Snapshot,
     engines,
-    logging::{Decision, RunnerUp, What},
+    logging::{Decision, DecisionKind, RunnerUp},
     settings::Routing,
     state::{Shared, spawn},
 };
@@ -166,7 +166,13 @@
 }
 
 /// Logs a routing decision with its runners-up.
-pub fn log_choice(shared: &Shared, request: &str, what: What, choice: &Choice, config: u64) {
+pub fn log_choice(
+    shared: &Shared,
+    request: &str,
+    what: DecisionKind,
+    choice: &Choice,
+    config: u64,
+) {
     shared.metrics.count_decision(what);
     if !shared.settings.log.decisions {
         return;
@@ -192,7 +198,7 @@
     Decision {
         entry: shared.name(),
         request,
-        what,
+        kind: what,
         chosen: chosen.map(|(name, _)| name),
         cost: chosen.map(|(_, cost)| cost),
         reason: reason.as_str().unwrap_or_default(),
@@ -213,7 +219,7 @@
 
 fn log_change(shared: &Shared, change: &Change) {
     let what = serde_json::to_string(&change.kind).unwrap_or_default();
-    shared.log_decision(What::Eject, &change.name, Some(&change.name), &what);
+    shared.log_decision(DecisionKind::Eject, &change.name, Some(&change.name), &what);
     shared.endpoints.capacity_freed.notify_waiters();
 }
 
--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -4,7 +4,7 @@
 //! calls to the object API grows with the number of duties and not with the number of entries.
 
 use crate::{
-    logging::What,
+    logging::DecisionKind,
     objects::{Error, Purpose},
     state::{Shared, spawn},
 };
@@ -101,7 +101,7 @@
         if now != held {
             let reason = now.map_or("lost".into(), |fence| format_compact!("fence {fence}"));
             let chosen = now.map(|_| shared.name().as_str());
-            shared.log_decision(What::Lease, duty, chosen, &reason);
+            shared.log_decision(DecisionKind::Lease, duty, chosen, &reason);
             held = now;
         }
         sleep(TICK_INTERVAL).await;
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -8,7 +8,7 @@
     },
     engines::{self, Error},
     filters::attempt::attempt_end,
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use compact_str::{CompactString, format_compact};
@@ -50,7 +50,7 @@
     } else {
         "start"
     };
-    shared.log_decision(What::Route, &subject, Some(&start.endpoint), reason);
+    shared.log_decision(DecisionKind::Route, &subject, Some(&start.endpoint), reason);
     let task = actix_rt::spawn(run_attempt(
         Rc::clone(shared),
         start,
--- a/crates/pinereel/src/controllers/lots/handover.rs
+++ b/crates/pinereel/src/controllers/lots/handover.rs
@@ -1,7 +1,7 @@
 //! Transfers the finished samples of a draining entry to the entries that take over their groups.
 
 use super::placement;
-use crate::{logging::What, state::Shared};
+use crate::{logging::DecisionKind, state::Shared};
 use compact_str::CompactString;
 use pinereel_api::{
     trainer,
@@ -71,7 +71,7 @@
         for part in split_by_size(samples.flatten().collect()) {
             let accepted = offer_to(shared, &name, spec, &part).await;
             shared.log_decision(
-                What::Place,
+                DecisionKind::Place,
                 &spec.lot,
                 Some(&name),
                 if accepted { "handover" } else { "lost" },
--- a/crates/pinereel/src/controllers/lots/score.rs
+++ b/crates/pinereel/src/controllers/lots/score.rs
@@ -3,7 +3,7 @@
 use super::step;
 use crate::{
     controllers::{crashes, endpoints},
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
     upstream::{Attempt, Error, Reuse},
 };
@@ -80,7 +80,7 @@
         seed: hash::stable(id.as_bytes()),
     };
     let choice = shared.endpoints.choose(shared, &request).ok()?;
-    endpoints::log_choice(shared, &id, What::Route, &choice, snapshot.number);
+    endpoints::log_choice(shared, &id, DecisionKind::Route, &choice, snapshot.number);
     let address = shared.endpoints.set().get(choice.key)?.address.clone();
     let score_request = serde_json::to_vec(&ScoreRequest { prompt, text }).ok()?;
     let identity = || {
--- a/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
@@ -1,7 +1,7 @@
 //! Distributes the groups of a lot over the runners.
 
 use super::super::{placement, runner};
-use crate::{logging::What, state::Shared};
+use crate::{logging::DecisionKind, state::Shared};
 use compact_str::CompactString;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::wire::{Assignment, Call, Reply};
@@ -54,7 +54,7 @@
     let results: Vec<_> = calls.collect().await;
     for (name, accepted) in results {
         if let Err(reason) = accepted {
-            shared.log_decision(What::Place, id, Some(&name), &reason);
+            shared.log_decision(DecisionKind::Place, id, Some(&name), &reason);
             excluded.insert(name);
         }
     }
@@ -67,7 +67,7 @@
     groups: &[u32],
 ) -> Result<(), String> {
     let assignment = build_assignment(shared, id, groups).ok_or("lot unknown")?;
-    shared.log_decision(What::Place, id, Some(name), "rendezvous");
+    shared.log_decision(DecisionKind::Place, id, Some(name), "rendezvous");
     if name == shared.name() {
         return runner::assign(shared, assignment);
     }
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -5,7 +5,7 @@
     assign::{assign_groups, place_missing_groups},
     refuse,
 };
-use crate::{controllers::config::Snapshot, logging::What, state::Shared};
+use crate::{controllers::config::Snapshot, logging::DecisionKind, state::Shared};
 use compact_str::{CompactString, format_compact};
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
 use pinereel_api::{
@@ -182,7 +182,7 @@
                 }
             }
             None => {
-                shared.log_decision(What::Place, id, Some(&name), "unreachable");
+                shared.log_decision(DecisionKind::Place, id, Some(&name), "unreachable");
                 excluded.insert(name);
                 // Its groups move to the next runner in rank.
                 let lost: BTreeSet<_> = groups.into_iter().collect();
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -4,7 +4,7 @@
 //! end or because its caller disconnected, frees the request's slot exactly once.
 
 use crate::{
-    logging::What,
+    logging::DecisionKind,
     state::{Shared, spawn},
 };
 use compact_str::{CompactString, format_compact};
@@ -236,7 +236,7 @@
         if let Err(refused) = result {
             let reason = format_compact!("{:?}", refused.reason);
             self.shared
-                .log_decision(What::Admit, &self.arrival.id, None, &reason);
+                .log_decision(DecisionKind::Admit, &self.arrival.id, None, &reason);
         }
         result
     }
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -6,7 +6,7 @@
 use super::leases;
 use crate::{
     engines::{self, Error},
-    logging::What,
+    logging::DecisionKind,
     state::{Shared, spawn},
 };
 use compact_str::{CompactString, format_compact};
@@ -203,7 +203,7 @@
             fence,
         } => {
             let reason = format_compact!("{version} under fence {fence}");
-            shared.log_decision(What::Load, pool, Some(&name), &reason);
+            shared.log_decision(DecisionKind::Load, pool, Some(&name), &reason);
             let pool = pool.clone();
             spawn(shared, async move |shared| {
                 let event = send_order(&shared, &pool, &name, version, fence).await;
@@ -212,7 +212,7 @@
         }
         other => {
             let reason = serde_json::to_string(&other).unwrap_or_default();
-            shared.log_decision(What::Load, pool, None, &reason);
+            shared.log_decision(DecisionKind::Load, pool, None, &reason);
         }
     }
 }
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -167,8 +167,8 @@
 {
     let options = http::Options {
         head_timeout: shared.settings.limits.read_timeout,
-        connections: shared.settings.limits.connections,
-        half_closed,
+        max_connections: shared.settings.limits.connections,
+        allow_half_closed: half_closed,
         ..http::Options::default()
     };
     let state = Rc::clone(shared);
@@ -177,7 +177,7 @@
     })
     .await?;
     let state = Rc::clone(shared);
-    server.observe(move |code| respond::count_refusal(&state, code, "by the listener"));
+    server.on_refusal(move |code| respond::count_refusal(&state, code, "by the listener"));
     Ok(server)
 }
 
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -10,7 +10,7 @@
 use crate::{
     controllers::claims::{self, ClaimRequest, ClaimResult},
     http::Response,
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use actix_http::{
@@ -209,7 +209,7 @@
     };
     shared.metrics.claims.with_label_values(&[verdict]).inc();
     let reason = format_compact!("claim: {verdict}");
-    shared.log_decision(What::Admit, &context.id, None, &reason);
+    shared.log_decision(DecisionKind::Admit, &context.id, None, &reason);
 }
 
 fn claim_failed(message: &str) -> Problem {
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -7,7 +7,7 @@
         endpoints::{self, AttemptGuard},
         queues::{self, Permit},
     },
-    logging::What,
+    logging::DecisionKind,
     state::Shared,
 };
 use compact_str::CompactString;
@@ -69,9 +69,9 @@
         match shared.endpoints.choose(shared, &request) {
             Ok(choice) => {
                 let what = if criteria.excluded.is_empty() {
-                    What::Route
+                    DecisionKind::Route
                 } else {
-                    What::Retry
+                    DecisionKind::Retry
                 };
                 endpoints::log_choice(shared, &context.id, what, &choice, context.pin.number);
                 let ticket = endpoints::start_attempt(shared, choice.key, criteria.tokens);
@@ -92,7 +92,7 @@
                 }
             }
             Err(e) => {
-                shared.log_decision(What::Route, &context.id, None, &e.to_string());
+                shared.log_decision(DecisionKind::Route, &context.id, None, &e.to_string());
                 return Err(retryable(Code::NoEndpoint, e.to_string()));
             }
         }
@@ -121,7 +121,12 @@
     let ticket = endpoints::start_attempt(shared, key, criteria.tokens);
     let assignment = assignment(shared, key, ticket)
         .ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
-    shared.log_decision(What::Route, &context.id, Some(&assignment.name), "in doubt");
+    shared.log_decision(
+        DecisionKind::Route,
+        &context.id,
+        Some(&assignment.name),
+        "in doubt",
+    );
     Ok(assignment)
 }
 
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -77,7 +77,7 @@
         // Makes the caller open its next connection to another instance.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
-    http::hold(answer, guard)
+    http::attach_guard(answer, guard)
 }
 
 impl Frontend {
@@ -121,7 +121,7 @@
             Err(refusal) => return refusal,
         };
         let max = table.document().limits.max_body_bytes;
-        let body = match http::read(&mut request, max, BODY_TIMEOUT).await {
+        let body = match http::read_body(&mut request, max, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(error) => {
                 self.metrics.count(&self.metrics.refusals, &["body"]);
@@ -286,8 +286,8 @@
     log::info!(id = metadata.id.as_str(), error:% = error; "refused: body");
     http::empty(match error {
         http::Error::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
-        http::Error::Slow(_) => StatusCode::REQUEST_TIMEOUT,
-        http::Error::Broken(_) | http::Error::Malformed(_) => StatusCode::BAD_REQUEST,
+        http::Error::Timeout(_) => StatusCode::REQUEST_TIMEOUT,
+        http::Error::Read(_) | http::Error::Json(_) => StatusCode::BAD_REQUEST,
     })
 }
 
--- a/crates/pinereel/src/metrics.rs
+++ b/crates/pinereel/src/metrics.rs
@@ -157,7 +157,7 @@
     }
 
     /// Counts a decision by its kind.
-    pub fn count_decision(&self, what: logging::What) {
+    pub fn count_decision(&self, what: logging::DecisionKind) {
         self.decisions.with_label_values(&[what.as_str()]).inc();
     }
 
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the system.
+//! Status report and on-demand metrics: this entry's view of entries, endpoints and leases.
 
 use crate::{
     controllers::{config::PeerState, members},
@@ -9,10 +9,11 @@
 use pinereel_core::{Time, endpoint::State, member};
 use std::{collections::BTreeMap, time::Duration};
 
-/// An entry that was not heard for so long counts as lagging: nothing is confirmed there.
-const SILENT: Duration = Duration::from_secs(4);
+/// An entry without a message for this long is reported as lagging, since nothing about it is
+/// confirmed.
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(4);
 
-/// The answer to `GET /v1/status`.
+/// Builds the response to `GET /v1/status`.
 pub async fn status(shared: &Shared) -> Status {
     let mut object_calls = BTreeMap::<CompactString, u64>::new();
     for ((purpose, _), count) in shared.objects.call_counts() {
@@ -21,16 +22,16 @@
     Status {
         entry: shared.name().clone(),
         number: shared.config.number(),
-        entries: entries(shared).await,
-        endpoints: endpoints(shared),
+        entries: describe_entries(shared).await,
+        endpoints: describe_endpoints(shared),
         versions: shared.lots.versions(),
         leases: shared.leases.held_tokens(shared.now()),
         object_calls,
     }
 }
 
-/// Brings figures up to date that are only looked at when asked for.
-pub fn measure(shared: &Shared) {
+/// Updates the metrics that are computed only when they are scraped.
+pub fn update_metrics(shared: &Shared) {
     let metrics = &shared.metrics;
     for ((purpose, kind), count) in shared.objects.call_counts() {
         let counter = metrics
@@ -73,46 +74,47 @@
     }
 }
 
-/// The known entries. Those that were not heard of lately, or only with a lower number, are asked.
-async fn entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
+/// Describes the known entries. Entries that sent no recent message, or only one with a lower
+/// configuration number, are queried.
+async fn describe_entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
     let heard = shared.config.peer_states();
     let known = shared.members.view().members().clone();
     let others = known.iter().filter(|(name, _)| *name != shared.name());
-    let doubtful = others.filter(|(_, entry)| {
-        let number = fresh(now, entry, &heard).map(|heard| heard.number);
+    let unconfirmed = others.filter(|(_, entry)| {
+        let number = recently_heard(now, entry, &heard).map(|heard| heard.number);
         number < Some(shared.config.number())
     });
-    let names = doubtful.map(|(name, _)| name.clone()).collect();
+    let names = unconfirmed.map(|(name, _)| name.clone()).collect();
     let reports = members::fetch_reports(shared, names).await;
     let describe = |(name, entry): (CompactString, member::Member)| {
         let report = reports.get(&name);
         let described = if name == *shared.name() {
-            own(shared, &entry)
+            own_entry(shared, &entry)
         } else if let Some((_, number)) = report.filter(|r| r.0 == entry.object.incarnation) {
-            other(shared, &entry, *number, Duration::ZERO)
+            peer_entry(shared, &entry, *number, Duration::ZERO)
         } else {
             let last = heard.get(&name);
             let silence = now.since(last.map_or(Time::ZERO, |last| last.received_at));
-            other(shared, &entry, last.map_or(0, |last| last.number), silence)
+            peer_entry(shared, &entry, last.map_or(0, |last| last.number), silence)
         };
         (name, described)
     };
     known.into_iter().map(describe).collect()
 }
 
-/// What was heard of this incarnation lately.
-fn fresh<'a>(
+/// The last message from this incarnation of `entry`, if it is recent.
+fn recently_heard<'a>(
     now: Time,
     entry: &member::Member,
     heard: &'a BTreeMap<CompactString, PeerState>,
 ) -> Option<&'a PeerState> {
     let last = heard.get(&entry.object.name)?;
     let same = last.incarnation == entry.object.incarnation;
-    (same && now.since(last.received_at) < SILENT).then_some(last)
+    (same && now.since(last.received_at) < MAX_PEER_SILENCE).then_some(last)
 }
 
-fn own(shared: &Shared, entry: &member::Member) -> Entry {
+fn own_entry(shared: &Shared, entry: &member::Member) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number: shared.config.number(),
@@ -121,16 +123,16 @@
     }
 }
 
-fn other(shared: &Shared, entry: &member::Member, number: u64, silence: Duration) -> Entry {
+fn peer_entry(shared: &Shared, entry: &member::Member, number: u64, silence: Duration) -> Entry {
     Entry {
         zone: entry.object.zone.clone(),
         number,
         heard_ms: Some(u64::try_from(silence.as_millis()).unwrap_or(u64::MAX)),
-        lags: number < shared.config.number() || silence >= SILENT,
+        lags: number < shared.config.number() || silence >= MAX_PEER_SILENCE,
     }
 }
 
-fn endpoints(shared: &Shared) -> BTreeMap<CompactString, Endpoint> {
+fn describe_endpoints(shared: &Shared) -> BTreeMap<CompactString, Endpoint> {
     let set = shared.endpoints.set();
     let known = set.iter().map(|(_, endpoint)| {
         let state = match endpoint.state {
@@ -146,7 +148,7 @@
             outstanding: endpoint.outstanding,
             version: endpoint.version,
         };
-        // An old incarnation may still be busy beside the new one of the same name.
+        // An old incarnation may still have requests in flight beside a new one of the same name.
         let name = match endpoint.state {
             State::Gone => format_compact!("{}#{}", endpoint.name, endpoint.incarnation),
             _ => endpoint.name.clone(),
--- a/crates/pinereel/src/settings/mod.rs
+++ b/crates/pinereel/src/settings/mod.rs
@@ -1,17 +1,17 @@
-//! What the process is told in its INI file, read and checked once at the start.
+//! Settings of the process, loaded from an INI file and validated once at startup.
 //!
-//! Reading never stops at the first fault: [`Error::Invalid`] holds all of them, each with its
-//! line, so that one look at the output is enough to mend the file.
+//! Validation does not stop at the first error: [`Error::Invalid`] holds all of them, each with its
+//! line number, so that one run is enough to correct the file.
 
-mod fault;
 mod hosted;
 mod reader;
 mod secret;
-mod unit;
+mod validation;
+mod value;
 
-pub use fault::{Fault, Faults};
 pub use hosted::{Hosted, Instance, Lots, Orders, Platform, Stop, Store, Usage};
 pub use secret::Secret;
+pub use validation::{ValidationError, ValidationErrors};
 
 use compact_str::CompactString;
 use reader::Reader;
@@ -23,169 +23,177 @@
     time::Duration,
 };
 
-/// Range of settings that say how long one wait may take.
-const WAIT: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
-/// Range of settings that bound a number of things held in memory.
-const COUNT: RangeInclusive<u64> = 1..=1_000_000;
-/// Range of settings that bound bytes held in memory.
-const BYTES: RangeInclusive<u64> = 1_024..=(1 << 30);
+/// Accepted range of timeouts and other durations.
+const WAIT_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
+/// Accepted range of settings that limit the number of items held in memory.
+const COUNT_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+/// Accepted range of settings that limit the bytes held in memory.
+const MEMORY_BYTES_RANGE: RangeInclusive<u64> = 1_024..=(1 << 30);
 
-/// Why there are no settings.
+/// Why the settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file was read, and its content is at fault.
+    /// The file was read, but its content is invalid.
     #[error("{0}")]
-    Invalid(Faults),
+    Invalid(ValidationErrors),
 }
 
-/// All settings of one process.
+/// All settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who the entry is and where it listens.
+    /// Name, zone and addresses of the entry.
     pub entry: Entry,
-    /// The platform's object API.
+    /// Address of the platform's object API, and the limits on calls to it.
     pub object_api: ObjectApi,
-    /// Token and secret, already read from their files.
+    /// Operators' token and peer secret, already read from their files.
     pub secrets: Secrets,
-    /// Graceful stop.
+    /// Graceful shutdown.
     pub drain: Drain,
-    /// The log.
+    /// Logging.
     pub log: Log,
-    /// Bounds on what the process holds.
+    /// Limits on connections, requests and memory.
     pub limits: Limits,
-    /// Switches of the routing policy.
+    /// Options of the routing policy.
     pub policy: Policy,
-    /// The folder for bulk data, on the instances that have a disk.
+    /// Directory for bulk data, on instances that have a disk.
     pub data: Option<PathBuf>,
 }
 
-/// Who the entry is and where it listens.
+/// Name, zone and addresses of the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Name of the instance, unique in the system.
     pub name: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: CompactString,
-    /// Where callers connect. Port 0 lets the system choose one.
+    /// Listening address for callers. With port 0 the operating system chooses a port.
     pub callers: SocketAddr,
-    /// Where other entries connect. Port 0 lets the system choose one.
+    /// Listening address for other entries. With port 0 the operating system chooses a port.
     pub peers: SocketAddr,
-    /// Where operators connect. Port 0 lets the system choose one.
+    /// Listening address for operators. With port 0 the operating system chooses a port.
     pub operators: SocketAddr,
-    /// What others are told as the callers' address; the bound address if absent.
+    /// Address advertised to others for callers; the bound address if `None`.
     pub advertise_callers: Option<SocketAddr>,
-    /// What others are told as the peers' address; the bound address if absent.
+    /// Address advertised to other entries; the bound address if `None`.
     pub advertise_peers: Option<SocketAddr>,
 }
 
-/// The platform's object API and this process's budget of calls to it.
+/// Address of the platform's object API, and the limits on this process's calls to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectApi {
     /// `http://IP:PORT`, without a slash at the end.
     pub url: CompactString,
-    /// Calls in flight at once.
+    /// Maximum number of concurrent calls.
     pub max_concurrency: u32,
-    /// Longest wait for one answer.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Reads a second.
+    /// Maximum number of reads per second.
     pub reads_per_second: u32,
-    /// Writes a second.
+    /// Maximum number of writes per second.
     pub writes_per_second: u32,
 }
 
-/// What callers of the private listeners must show.
+/// Credentials that clients of the operators' and peers' listeners must present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secrets {
-    /// Bearer token of the operators' listener.
+    /// Bearer token for the operators' listener.
     pub operator_token: Secret,
-    /// Shared secret of the links between entries.
+    /// Shared secret for the connections between entries.
     pub peer_secret: Secret,
 }
 
-/// Graceful stop.
+/// Graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// How long the balancer may still send connections after readiness is off.
+    /// How long the load balancer may still send connections after readiness is off.
     pub balancer_lag: Duration,
-    /// Longest wait for requests in flight.
+    /// Maximum time to wait for requests in flight.
     pub longest: Duration,
 }
 
-/// The log.
+/// Logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// The file to append to; standard output or error if absent.
+    /// File to append to; standard output or standard error if `None`.
     pub file: Option<PathBuf>,
-    /// Whether lines go to standard output in place of standard error.
+    /// Whether lines go to standard output instead of standard error.
     pub stdout: bool,
-    /// Lines that wait for a slow sink before further ones are dropped.
+    /// Maximum number of queued lines; further ones are dropped.
     pub queue: usize,
-    /// Whether each routing and placement decision has a line.
+    /// Whether each routing and placement decision is logged.
     pub decisions: bool,
 }
 
-/// Bounds on what the process holds.
+/// Limits on connections, requests and memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Open connections on the callers' listener.
+    /// Maximum number of open connections on the callers' listener.
     pub connections: usize,
-    /// Longest wait for a whole request from its sender.
+    /// Timeout for receiving a whole request.
     pub read_timeout: Duration,
-    /// Largest request body, in bytes; the configuration may ask for less.
+    /// Maximum size of a request body, in bytes; the configuration may set a lower limit.
     pub body: usize,
-    /// Requests that wait for an endpoint of one pool; the configuration may ask for less.
+    /// Maximum number of requests queued for the endpoints of one pool; the configuration may set a
+    /// lower limit.
     pub waiting: usize,
-    /// Frames that wait on one link to another entry.
+    /// Maximum number of frames queued on the connection to one other entry.
     pub peer_queue: usize,
-    /// Lots held at once.
+    /// Maximum number of open lots.
     pub lots: usize,
-    /// Bytes of finished samples' text held, from which on no further groups are taken.
+    /// Bytes of text of finished samples held in memory; from this amount on, no further
+    /// groups are accepted.
     pub sample_memory: usize,
 }
 
 /// Which routing policy runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Routing {
-    /// All of the policy.
+    /// The full policy.
     Full,
-    /// The plain policy that the full one is measured against.
+    /// A simple policy, as the baseline for comparisons with the full one.
     Baseline,
 }
 
-/// Switches of the routing policy.
+/// Options of the routing policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// Which routing policy runs.
     pub routing: Routing,
-    /// Whether endpoints of the entry's own availability zone are preferred.
+    /// Whether endpoints in the entry's own availability zone are preferred.
     pub zone_local: bool,
-    /// Whether requests with a common prefix are kept on one endpoint.
+    /// Whether requests with a common prompt prefix are routed to the same endpoint.
     pub prefix_affinity: bool,
-    /// Most endpoints of a pool that this entry keeps state and connections for.
+    /// Maximum number of endpoints of a pool that this entry keeps state and connections for.
     pub subset: usize,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`, and the secrets that it names.
+    /// Loads and validates the file at `path` and the secret files that it names.
+    ///
+    /// # Errors
+    /// If the file cannot be read or its content is invalid.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Error> {
         let path = path.as_ref();
-        Self::parse(path, &text_of(path)?).map_err(Error::Invalid)
+        Self::parse(path, &read_file(path)?).map_err(Error::Invalid)
     }
 
-    /// Checks `text` as the content of the file `path`, and reads the secrets that it names.
+    /// Validates `text` as the content of the file `path` and reads the secret files that it names.
+    ///
+    /// Relative paths in the text are resolved against the directory of `path`.
     ///
-    /// Relative paths in the text start from the folder of `path`.
-    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, Faults> {
+    /// # Errors
+    /// All validation errors of the text.
+    pub fn parse(path: impl AsRef<Path>, text: &str) -> Result<Self, ValidationErrors> {
         let mut reader = Reader::new(path.as_ref(), text)?;
         let entry = Entry::read(&mut reader);
         let object_api = ObjectApi::read(&mut reader);
@@ -195,9 +203,9 @@
         let limits = Limits::read(&mut reader);
         let policy = Policy::read(&mut reader);
         let data = reader.section("data").path("folder");
-        let faults = reader.finish();
+        let errors = reader.finish();
         match (entry, object_api, secrets) {
-            (Some(entry), Some(object_api), Some(secrets)) if faults.is_empty() => Ok(Self {
+            (Some(entry), Some(object_api), Some(secrets)) if errors.is_empty() => Ok(Self {
                 entry,
                 object_api,
                 secrets,
@@ -207,7 +215,7 @@
                 policy,
                 data,
             }),
-            _ => Err(faults),
+            _ => Err(errors),
         }
     }
 }
@@ -215,14 +223,14 @@
 impl Entry {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("entry");
-        let name = section.required("name", unit::NAME, unit::name);
-        let zone = section.required("zone", unit::NAME, unit::name);
-        let callers = section.required("callers", unit::ADDRESS, unit::address);
-        let peers = section.required("peers", unit::ADDRESS, unit::address);
-        let operators = section.required("operators", unit::ADDRESS, unit::address);
-        let advertise_callers = section.advertised("advertise_callers", callers);
-        let advertise_peers = section.advertised("advertise_peers", peers);
-        section.no_clash(&[
+        let name = section.required("name", value::EXPECTED_NAME, value::name);
+        let zone = section.required("zone", value::EXPECTED_NAME, value::name);
+        let callers = section.required("callers", value::EXPECTED_ADDRESS, value::address);
+        let peers = section.required("peers", value::EXPECTED_ADDRESS, value::address);
+        let operators = section.required("operators", value::EXPECTED_ADDRESS, value::address);
+        let advertise_callers = section.advertised_address("advertise_callers", callers);
+        let advertise_peers = section.advertised_address("advertise_peers", peers);
+        section.check_address_conflicts(&[
             ("callers", callers),
             ("peers", peers),
             ("operators", operators),
@@ -242,9 +250,9 @@
 impl ObjectApi {
     fn read(reader: &mut Reader) -> Option<Self> {
         let mut section = reader.section("object_api");
-        let url = section.required("url", unit::URL, unit::url);
+        let url = section.required("url", value::EXPECTED_URL, value::url);
         let max_concurrency = section.number("max_concurrency", 1..=1_024, 8);
-        let timeout = section.duration("timeout", WAIT, Duration::from_secs(2));
+        let timeout = section.duration("timeout", WAIT_RANGE, Duration::from_secs(2));
         let reads_per_second = section.number("reads_per_second", 1..=10_000, 20);
         let writes_per_second = section.number("writes_per_second", 1..=10_000, 10);
         Some(Self {
@@ -274,9 +282,9 @@
         let mut section = reader.section("drain");
         let wait = Duration::ZERO..=Duration::from_secs(3_600);
         let balancer_lag = section.duration("balancer_lag", wait, Duration::from_secs(3));
-        let longest = section.duration("longest", WAIT, Duration::from_secs(30));
+        let longest = section.duration("longest", WAIT_RANGE, Duration::from_secs(30));
         if longest < balancer_lag {
-            section.fault("longest", "no shorter than balancer_lag");
+            section.report_error("longest", "no shorter than balancer_lag");
         }
         Self {
             balancer_lag,
@@ -288,14 +296,14 @@
 impl Log {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("log");
-        let level = section.optional("level", unit::LEVEL, unit::level);
+        let level = section.optional("level", value::EXPECTED_LEVEL, value::level);
         let file = section.path("file").filter(|file| !file.ends_with("-"));
         Self {
             level: level.unwrap_or(log::LevelFilter::Info),
             file,
-            stdout: section.switch("stdout", false),
-            queue: section.count("queue", COUNT, 8_192),
-            decisions: section.switch("decisions", true),
+            stdout: section.boolean("stdout", false),
+            queue: section.count("queue", COUNT_RANGE, 8_192),
+            decisions: section.boolean("decisions", true),
         }
     }
 }
@@ -304,13 +312,13 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("limits");
         Self {
-            connections: section.count("connections", COUNT, 4_096),
-            read_timeout: section.duration("read_timeout", WAIT, Duration::from_secs(5)),
-            body: section.size("body", BYTES, 1 << 20),
-            waiting: section.count("waiting", COUNT, 1_024),
-            peer_queue: section.count("peer_queue", COUNT, 256),
-            lots: section.count("lots", COUNT, 64),
-            sample_memory: section.size("sample_memory", BYTES, 64 << 20),
+            connections: section.count("connections", COUNT_RANGE, 4_096),
+            read_timeout: section.duration("read_timeout", WAIT_RANGE, Duration::from_secs(5)),
+            body: section.size("body", MEMORY_BYTES_RANGE, 1 << 20),
+            waiting: section.count("waiting", COUNT_RANGE, 1_024),
+            peer_queue: section.count("peer_queue", COUNT_RANGE, 256),
+            lots: section.count("lots", COUNT_RANGE, 64),
+            sample_memory: section.size("sample_memory", MEMORY_BYTES_RANGE, 64 << 20),
         }
     }
 }
@@ -318,18 +326,18 @@
 impl Policy {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("policy");
-        let routing = section.optional("routing", unit::ROUTING, unit::routing);
+        let routing = section.optional("routing", value::EXPECTED_ROUTING, value::routing);
         Self {
             routing: routing.unwrap_or(Routing::Full),
-            zone_local: section.switch("zone_local", true),
-            prefix_affinity: section.switch("prefix_affinity", true),
-            subset: section.count("subset", COUNT, 64),
+            zone_local: section.boolean("zone_local", true),
+            prefix_affinity: section.boolean("prefix_affinity", true),
+            subset: section.count("subset", COUNT_RANGE, 64),
         }
     }
 }
 
-/// The content of a settings file.
-fn text_of(path: &Path) -> Result<String, Error> {
+/// Reads a settings file.
+fn read_file(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
         source,
--- a/crates/pinereel/src/settings/fault.rs
+++ b/crates/pinereel/src/settings/validation.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a settings file.
+//! Validation errors of a settings file.
 
 use compact_str::CompactString;
 use std::{fmt, path::PathBuf};
 
-/// One fault of a settings file.
+/// One invalid or missing setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The file.
+pub struct ValidationError {
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// The line, from 1. For a missing key, the line of its section, or 1.
+    /// Line number, from 1. For a missing key, the line of its section header, or 1.
     pub line: usize,
-    /// The section; empty for keys before the first one.
+    /// Name of the section; empty for keys before the first one.
     pub section: CompactString,
-    /// The key; absent where the section itself is at fault.
+    /// The key; `None` if the section itself is invalid.
     pub key: Option<CompactString>,
-    /// What was given; absent if nothing was.
+    /// The given text; `None` if the key is missing.
     pub given: Option<CompactString>,
-    /// What was expected.
+    /// Description of a valid value.
     pub expected: CompactString,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let file = self.file.display();
         write!(f, "{file}:{}: [{}]", self.line, self.section)?;
@@ -34,24 +34,24 @@
     }
 }
 
-/// All faults of a settings file, in the order of its lines.
+/// All validation errors of a settings file, ordered by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl Faults {
-    /// Whether there is none.
+impl ValidationErrors {
+    /// Whether the file is valid.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.0.iter().enumerate() {
+        for (index, error) in self.0.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{fault}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
--- a/crates/pinereel/tests/metrics_render.rs
+++ b/crates/pinereel/tests/metrics_render.rs
@@ -1,6 +1,6 @@
 //! Prometheus metrics: every line of the text format parses, and each metric has its name and labels.
 
-use pinereel::{logging::What, metrics::Metrics};
+use pinereel::{logging::DecisionKind, metrics::Metrics};
 use pinereel_api::problem::Code;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
     metrics.count_refusal(Code::SlowSender);
     metrics.in_flight.with_label_values(&["draft-llm"]).set(4);
     metrics.waiting.with_label_values(&["draft-llm"]).set(2);
-    metrics.count_decision(What::Route);
+    metrics.count_decision(DecisionKind::Route);
     metrics.late_chunks.inc();
     metrics.lots.with_label_values(&["wording", "done"]).inc();
     metrics
