--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -46,15 +46,15 @@
 impl Node {
     /// Reads the store while this instance holds the root duty, and follows a parent otherwise. Never ends.
     pub(super) async fn run_uplink(self: Rc<Self>) {
-        let mut standing = self.parts.duties.register_candidate(&ROOT_DUTY.into());
+        let mut status = self.parts.duties.register_candidate(&ROOT_DUTY.into());
         let mut next = None;
         loop {
-            let is_root = standing.borrow_and_update().lease.is_some();
+            let is_root = status.borrow_and_update().lease.is_some();
             if is_root && !self.is_shutting_down() {
                 let mut shutting_down = self.shutting_down.subscribe();
                 let end = async {
                     tokio::select! {
-                        () = until_duty_lost(&mut standing) => {}
+                        () = until_duty_lost(&mut status) => {}
                         _ = shutting_down.wait_for(|shutting_down| *shutting_down) => {}
                     }
                 };
@@ -63,47 +63,44 @@
             }
             let link = match next.take() {
                 Some(link) => Some(link),
-                None => self.find_parent(&mut standing).await,
+                None => self.find_parent(&mut status).await,
             };
             let Some(link) = link else { continue };
-            match self.follow_parent(link, &mut standing).await {
+            match self.follow_parent(link, &mut status).await {
                 LinkEnd::ParentLost | LinkEnd::DutyAcquired => {}
                 LinkEnd::FresherParent(link) => next = Some(*link),
-                LinkEnd::StoreAnswers => next = self.run_without_parent(&mut standing).await,
+                LinkEnd::StoreAnswers => next = self.run_without_parent(&mut status).await,
             }
         }
     }
 
     /// Finds a parent, and reads the store meanwhile if other instances need its data. `None` once this
     /// instance has the root duty.
-    async fn find_parent(&self, standing: &mut watch::Receiver<Status>) -> Option<ParentLink> {
+    async fn find_parent(&self, status: &mut watch::Receiver<Status>) -> Option<ParentLink> {
         tokio::select! {
             found = timeout(PARENT_SEARCH_TIMEOUT, self.search_or_take_over()) => match found {
                 Ok(Some(link)) => return Some(link),
                 // No other standby precedes this one.
-                Ok(None) => return self.replace_root(standing).await,
+                Ok(None) => return self.replace_root(status).await,
                 Err(_) => {}
             },
-            () = self.until_duty_acquired(standing) => return None,
+            () = self.until_duty_acquired(status) => return None,
         }
-        self.run_without_parent(standing).await
+        self.run_without_parent(status).await
     }
 
     /// Reads the store if other instances need its data, and goes without data otherwise, until a parent is
     /// found. `None` once this instance has the root duty.
-    async fn run_without_parent(
-        &self,
-        standing: &mut watch::Receiver<Status>,
-    ) -> Option<ParentLink> {
+    async fn run_without_parent(&self, status: &mut watch::Receiver<Status>) -> Option<ParentLink> {
         let has_children = !self.state.borrow().children.is_empty();
         let is_needed = has_children || self.uplink.borrow().is_standby();
         if is_needed && !self.is_shutting_down() {
-            return self.replace_root(standing).await;
+            return self.replace_root(status).await;
         }
         self.parts.feed.publish_lost();
         tokio::select! {
             link = self.search(Requirement::Any) => Some(link),
-            () = self.until_duty_acquired(standing) => None,
+            () = self.until_duty_acquired(status) => None,
         }
     }
 
@@ -118,12 +115,12 @@
 
     /// Reads the store in place of the root until a parent with fresh data is found. `None` once this instance
     /// has the root duty.
-    async fn replace_root(&self, standing: &mut watch::Receiver<Status>) -> Option<ParentLink> {
+    async fn replace_root(&self, status: &mut watch::Receiver<Status>) -> Option<ParentLink> {
         log::info!("bulletin: standing in");
         let end = async {
             tokio::select! {
                 link = self.search(Requirement::Fresh) => Some(link),
-                () = self.until_duty_acquired(standing) => None,
+                () = self.until_duty_acquired(status) => None,
             }
         };
         self.read_store_until(end).await
@@ -144,7 +141,7 @@
     async fn follow_parent(
         &self,
         mut link: ParentLink,
-        standing: &mut watch::Receiver<Status>,
+        status: &mut watch::Receiver<Status>,
     ) -> LinkEnd {
         let address = link.address.clone();
         if !self
@@ -199,7 +196,7 @@
                     break LinkEnd::ParentLost;
                 },
                 Some(end) = &mut fresher_source => break end,
-                () = self.until_duty_acquired(standing) => break LinkEnd::DutyAcquired,
+                () = self.until_duty_acquired(status) => break LinkEnd::DutyAcquired,
             }
             let is_fresh = self.is_fresh();
             self.parts.feed.set_has_parent(is_fresh);
@@ -267,8 +264,8 @@
     }
 
     /// Waits until this instance has the root duty; forever if it is shutting down.
-    async fn until_duty_acquired(&self, standing: &mut watch::Receiver<Status>) {
-        let acquired = standing.wait_for(|s| s.lease.is_some()).await.is_ok();
+    async fn until_duty_acquired(&self, status: &mut watch::Receiver<Status>) {
+        let acquired = status.wait_for(|s| s.lease.is_some()).await.is_ok();
         if !acquired || self.is_shutting_down() {
             // The process is ending.
             std::future::pending::<()>().await;
@@ -360,8 +357,8 @@
 }
 
 /// Waits until this instance has lost the root duty.
-async fn until_duty_lost(standing: &mut watch::Receiver<Status>) {
-    if standing.wait_for(Status::is_not_held).await.is_err() {
+async fn until_duty_lost(status: &mut watch::Receiver<Status>) {
+    if status.wait_for(Status::is_not_held).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
