--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -290,8 +290,8 @@
             config,
             endpoints,
             proxy,
-            desk: TrainerApi::new(adapter, &store),
-            stop: Rc::clone(shutdown),
+            trainer_api: TrainerApi::new(adapter, &store),
+            shutdown: Rc::clone(shutdown),
             metrics,
         });
         let options = http::Options {
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -62,18 +62,18 @@
     /// Forwards live requests.
     pub proxy: Rc<Proxy>,
     /// Handles trainers' calls.
-    pub desk: TrainerApi,
+    pub trainer_api: TrainerApi,
     /// Graceful shutdown.
-    pub stop: Rc<Shutdown>,
+    pub shutdown: Rc<Shutdown>,
     /// Metrics.
     pub metrics: Metrics,
 }
 
 /// Answers one request. It counts as in flight until the last byte of its answer has been sent.
 pub async fn serve(frontend: Rc<Frontend>, request: Request) -> Response {
-    let guard = frontend.stop.track_request();
+    let guard = frontend.shutdown.track_request();
     let mut answer = frontend.answer(request).await;
-    if frontend.stop.is_initiated() {
+    if frontend.shutdown.is_initiated() {
         // Makes the caller open its next connection to another instance.
         answer.head_mut().set_connection_type(ConnectionType::Close);
     }
@@ -131,7 +131,7 @@
         if route.kind == RouteKind::Lot && request.method() == Method::POST {
             let deadline = deadline(&metadata, route.timeout, received_at);
             let reply = self
-                .desk
+                .trainer_api
                 .submit(&caller, &metadata.id, &host, &path, &body, deadline)
                 .await;
             return self.respond("submit", reply);
@@ -250,15 +250,16 @@
         let wait = metadata.long_poll_wait.unwrap_or_default();
         let wait = wait.min(self.adapter.lot.max_long_poll_wait);
         let (name, reply) = match call {
-            lot::Request::ReadResults { lot, offset: from } => {
-                ("read", self.desk.read(caller, &lot, from, wait).await)
-            }
+            lot::Request::ReadResults { lot, offset: from } => (
+                "read",
+                self.trainer_api.read(caller, &lot, from, wait).await,
+            ),
             lot::Request::ReadItemBody { lot, item } => {
-                ("body", self.desk.body(caller, &lot, &item).await)
+                ("body", self.trainer_api.body(caller, &lot, &item).await)
             }
             lot::Request::EndLot { lot } => {
                 let deadline = deadline(metadata, LOT_END_TIMEOUT, received_at);
-                ("end", self.desk.end(caller, &lot, deadline).await)
+                ("end", self.trainer_api.end(caller, &lot, deadline).await)
             }
             lot::Request::Other => ("other", Reply::NotFound),
         };
