--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -40,16 +40,23 @@
             feed: Rc::clone(feed),
         });
         let (state, store) = (Rc::clone(&config), store.clone());
-        let fed = Some(feed.subscribe(Topic::Config));
+        let feed_events = Some(feed.subscribe(Topic::Config));
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.config;
-            let manner = || WatchOptions {
+            let options = || WatchOptions {
                 max_wait: wait,
                 batch_delay: Duration::ZERO,
             };
-            list_and_watch(&store, Purpose::Config, kind, manner, fed, |update, _| {
-                state.apply_update(adapter, update);
-            })
+            list_and_watch(
+                &store,
+                Purpose::Config,
+                kind,
+                options,
+                feed_events,
+                |update, _| {
+                    state.apply_update(adapter, update);
+                },
+            )
             .await;
         });
         config
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -143,7 +143,7 @@
             settings.leave_after.mul_f64(BATCH_DELAY_FRACTION),
         );
         let (adapter, store) = (parts.adapter, parts.store.clone());
-        let fed = Some(parts.feed.subscribe(Topic::Endpoints));
+        let feed_events = Some(parts.feed.subscribe(Topic::Endpoints));
         let endpoints = Rc::new(Self {
             parts,
             zone: instance.zone.clone(),
@@ -158,7 +158,7 @@
         let state = Rc::clone(&endpoints);
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.endpoints;
-            let manner = || WatchOptions {
+            let options = || WatchOptions {
                 max_wait: wait,
                 batch_delay: if needs_prompt_updates() {
                     PROMPT_BATCH_DELAY
@@ -167,7 +167,15 @@
                 },
             };
             let apply = move |update, _, origin| state.apply_update(update, Self::scope(origin));
-            list_and_watch_with_origin(&store, Purpose::Instances, kind, manner, fed, apply).await;
+            list_and_watch_with_origin(
+                &store,
+                Purpose::Instances,
+                kind,
+                options,
+                feed_events,
+                apply,
+            )
+            .await;
         });
         let state = Rc::clone(&endpoints);
         actix_rt::spawn(async move { state.follow_engines().await });
