--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -27,12 +27,12 @@
             request,
             left_ms,
         } => {
-            let ask = claims::ClaimRequest {
+            let claim_request = claims::ClaimRequest {
                 key,
                 digest,
                 request,
             };
-            claims::serve_claim(&shared, ask, Duration::from_millis(left_ms)).await
+            claims::serve_claim(&shared, claim_request, Duration::from_millis(left_ms)).await
         }
         Call::Settle {
             key,
@@ -40,12 +40,12 @@
             digest,
             outcome,
         } => {
-            let ask = claims::ClaimRequest {
+            let claim_request = claims::ClaimRequest {
                 key,
                 digest,
                 request,
             };
-            claims::serve_settle(&shared, ask, outcome).await
+            claims::serve_settle(&shared, claim_request, outcome).await
         }
         Call::Prepare { prepare, leaves } => {
             let confirmed = config::relay::prepare(&shared, *prepare, leaves).await;
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -79,7 +79,7 @@
     request: ServiceRequest,
     key: &str,
 ) -> Result<Response, Problem> {
-    let ask = ClaimRequest {
+    let claim_request = ClaimRequest {
         // No pool's name has a slash in it, so two pools' keys are never the same.
         key: format_compact!("{}/{key}", context.pool),
         digest: digest(&request),
@@ -89,7 +89,7 @@
     let context = context.clone();
     let task = actix_rt::spawn(async move {
         let _guard = shared.drain.track_request();
-        run_with_claim(&shared, &context, &request, ask).await
+        run_with_claim(&shared, &context, &request, claim_request).await
     });
     task.await
         .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
@@ -107,11 +107,13 @@
     shared: &Rc<Shared>,
     context: &RequestContext,
     request: &ServiceRequest,
-    ask: ClaimRequest,
+    claim_request: ClaimRequest,
 ) -> Result<Response, Problem> {
-    let (ask, asked) = request_verdict(shared, context, ask).await;
+    let (claim_request, asked) = request_verdict(shared, context, claim_request).await;
     match asked {
-        ClaimResult::Verdict(Verdict::Granted) => run_granted(shared, context, request, ask).await,
+        ClaimResult::Verdict(Verdict::Granted) => {
+            run_granted(shared, context, request, claim_request).await
+        }
         ClaimResult::Verdict(Verdict::Repeat(record)) => replay(record),
         ClaimResult::Verdict(Verdict::InProgress) => Err(Problem {
             retry_after_ms: Some(RETRY_AFTER_MS),
@@ -126,31 +128,31 @@
             Err(claim_failed("the key could not be claimed"))
         }
         ClaimResult::Closed | ClaimResult::TimedOut => {
-            settle(shared, ask, None);
+            settle(shared, claim_request, None);
             Err(claim_failed("no verdict on the key came"))
         }
     }
 }
 
 /// Asks the key's owner for a verdict. If the link to the owner closes, gives up what it may have
-/// claimed and asks the next owner, under another request id since the first ask must never be
-/// granted.
+/// claimed and asks the next owner, under another request id since the first claim request must
+/// never be granted.
 async fn request_verdict(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    ask: ClaimRequest,
+    claim_request: ClaimRequest,
 ) -> (ClaimRequest, ClaimResult) {
-    let asked = claims::claim(shared, &ask, context.remaining(shared.now())).await;
+    let asked = claims::claim(shared, &claim_request, context.remaining(shared.now())).await;
     log_verdict(shared, context, &asked);
     if asked != ClaimResult::Closed {
-        return (ask, asked);
+        return (claim_request, asked);
     }
     let again = ClaimRequest {
-        request: format_compact!("{}.2", ask.request),
-        ..ask.clone()
+        request: format_compact!("{}.2", claim_request.request),
+        ..claim_request.clone()
     };
-    if !claims::settle_not_run(shared, &ask).await {
-        return (ask, asked);
+    if !claims::settle_not_run(shared, &claim_request).await {
+        return (claim_request, asked);
     }
     let asked = claims::claim(shared, &again, context.remaining(shared.now())).await;
     log_verdict(shared, context, &asked);
@@ -161,10 +163,10 @@
     shared: &Rc<Shared>,
     context: &RequestContext,
     request: &ServiceRequest,
-    ask: ClaimRequest,
+    claim_request: ClaimRequest,
 ) -> Result<Response, Problem> {
     if context.remaining(shared.now()).is_zero() {
-        settle(shared, ask, None);
+        settle(shared, claim_request, None);
         return Err(not_run(Code::Deadline, "the deadline passed"));
     }
     let result = match run_attempts(shared, context, request).await {
@@ -173,7 +175,7 @@
     };
     match result {
         Ok((response, outcome)) => {
-            settle(shared, ask, Some(outcome));
+            settle(shared, claim_request, Some(outcome));
             Ok(response)
         }
         Err(problem) => {
@@ -181,18 +183,18 @@
                 Ran::NotRun => None,
                 Ran::Unknown => Some(empty_response()),
             };
-            settle(shared, ask, outcome);
+            settle(shared, claim_request, outcome);
             Err(problem)
         }
     }
 }
 
 /// Settles the claim in the background, since the caller's response does not depend on it.
-fn settle(shared: &Rc<Shared>, ask: ClaimRequest, outcome: Option<StoredResponse>) {
+fn settle(shared: &Rc<Shared>, claim_request: ClaimRequest, outcome: Option<StoredResponse>) {
     let shared = Rc::clone(shared);
     actix_rt::spawn(async move {
         let _guard = shared.drain.track_request();
-        claims::settle(&shared, &ask, outcome).await;
+        claims::settle(&shared, &claim_request, outcome).await;
     });
 }
 
