--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -78,11 +78,11 @@
 /// configuration number, are queried.
 async fn describe_entries(shared: &Shared) -> BTreeMap<CompactString, Entry> {
     let now = shared.now();
-    let heard = shared.config.peer_states();
+    let peer_states = shared.config.peer_states();
     let known = shared.members.view().members().clone();
     let others = known.iter().filter(|(name, _)| *name != shared.name());
     let unconfirmed = others.filter(|(_, entry)| {
-        let number = recently_heard(now, entry, &heard).map(|heard| heard.number);
+        let number = recently_heard(now, entry, &peer_states).map(|state| state.number);
         number < Some(shared.config.number())
     });
     let names = unconfirmed.map(|(name, _)| name.clone()).collect();
@@ -94,7 +94,7 @@
         } else if let Some((_, number)) = report.filter(|r| r.0 == entry.object.incarnation) {
             peer_entry(shared, &entry, *number, Duration::ZERO)
         } else {
-            let last = heard.get(&name);
+            let last = peer_states.get(&name);
             let silence = now.since(last.map_or(Time::ZERO, |last| last.received_at));
             peer_entry(shared, &entry, last.map_or(0, |last| last.number), silence)
         };
@@ -107,9 +107,9 @@
 fn recently_heard<'a>(
     now: Time,
     entry: &member::Member,
-    heard: &'a BTreeMap<CompactString, PeerState>,
+    peer_states: &'a BTreeMap<CompactString, PeerState>,
 ) -> Option<&'a PeerState> {
-    let last = heard.get(&entry.object.name)?;
+    let last = peer_states.get(&entry.object.name)?;
     let same = last.incarnation == entry.object.incarnation;
     (same && now.since(last.received_at) < MAX_PEER_SILENCE).then_some(last)
 }
