--- a/crates/pinereel/src/hosted/proxy/request.rs
+++ b/crates/pinereel/src/hosted/proxy/request.rs
@@ -21,9 +21,9 @@
     pub config_age: Duration,
     /// Route that matched it.
     pub route: Route,
-    /// Caller on whose behalf it is made, as the endpoints are told.
+    /// Caller on whose behalf it is made, as sent to the endpoints.
     pub caller: Caller,
-    /// Workspace that crashes are attributed to, also where endpoints are not told the workspace.
+    /// Workspace that crashes are attributed to, also if it is not sent to the endpoints.
     pub workspace: Option<CompactString>,
     /// HTTP method.
     pub method: Method,
--- a/crates/pinereel/src/http/body.rs
+++ b/crates/pinereel/src/http/body.rs
@@ -13,7 +13,7 @@
 /// Why a request body could not be read. The request has not been executed in any of these cases.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The body exceeds the limit of so many bytes.
+    /// The body exceeds the limit, which is given in bytes.
     #[error("body is larger than {0} bytes")]
     TooLarge(usize),
     /// The body was not complete within the timeout.
--- a/crates/pinereel/src/logging/rate_limit.rs
+++ b/crates/pinereel/src/logging/rate_limit.rs
@@ -29,7 +29,8 @@
 /// Whether a line may be written.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It may; so many lines with the same target and message were suppressed since the last one.
+    /// It may; `suppressed` lines with the same target and message were discarded since the last
+    /// one.
     Allow { suppressed: u64 },
     /// It exceeds the rate limit and is discarded.
     Suppress,
