--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -184,7 +184,7 @@
     };
     let result = tokio::select! {
         result = work.run() => result,
-        // Drops the turn and the attempt's ticket, and cancels the attempt at the engine.
+        // Drops the permit and the attempt's ticket, and cancels the attempt at the engine.
         () = sender.closed() => Err(may_have_run(Code::Unknown, "the caller is gone")),
     };
     match &result {
@@ -196,30 +196,35 @@
 
 impl CompletionRun<'_> {
     async fn run(&self) -> Result<(), Problem> {
-        let turn = admit::wait_for_turn(self.shared, self.context).await?;
+        let permit = admit::wait_for_turn(self.shared, self.context).await?;
         let left = self.context.remaining(self.shared.now());
-        let result = timeout(left, self.attempts(&turn)).await;
+        let result = timeout(left, self.attempts(&permit)).await;
         match result {
             Ok(Ok(())) => {
-                turn.record_success();
+                permit.record_success();
                 Ok(())
             }
             Ok(Err(problem)) => Err(problem),
             Err(_) if self.ran.get() => Err(may_have_run(Code::Deadline, "the deadline passed")),
-            Err(_) => Err(admit::rejection(turn.expired_refusal())),
+            Err(_) => Err(admit::rejection(permit.expired_refusal())),
         }
     }
 
-    async fn attempts(&self, turn: &Permit) -> Result<(), Problem> {
+    async fn attempts(&self, permit: &Permit) -> Result<(), Problem> {
         let mut progress = Progress::default();
         let mut excluded: Vec<Key> = Vec::new();
         let mut last = None;
         for _ in 0..MAX_ATTEMPTS {
             let current_criteria = criteria(self.request, &excluded);
             let identity = || self.identity();
-            let assignment =
-                route::assign_next(self.shared, self.context, turn, current_criteria, identity)
-                    .await;
+            let assignment = route::assign_next(
+                self.shared,
+                self.context,
+                permit,
+                current_criteria,
+                identity,
+            )
+            .await;
             let assignment = match (assignment, last) {
                 (Ok(assignment), _) => assignment,
                 // The error of an endpoint that was tried is more specific than the routing error.
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -57,7 +57,7 @@
 async fn assign(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    turn: &Permit,
+    permit: &Permit,
     criteria: Criteria<'_>,
 ) -> Result<Assignment, Problem> {
     loop {
@@ -80,7 +80,7 @@
                 }
             }
             Err(Refusal::Full) if criteria.excluded.is_empty() => {
-                turn.requeue().await.map_err(admit::rejection)?;
+                permit.requeue().await.map_err(admit::rejection)?;
             }
             Err(Refusal::Full) => {
                 let left = context.remaining(shared.now());
@@ -107,12 +107,12 @@
 pub async fn assign_next(
     shared: &Rc<Shared>,
     context: &RequestContext,
-    turn: &Permit,
+    permit: &Permit,
     criteria: Criteria<'_>,
     identity: impl Fn() -> Identity,
 ) -> Result<Assignment, Problem> {
     let key = match crashes::place_attempt(shared, &context.pool, identity).await? {
-        AttemptPlacement::Any => return assign(shared, context, turn, criteria).await,
+        AttemptPlacement::Any => return assign(shared, context, permit, criteria).await,
         AttemptPlacement::Only(key) => key,
     };
     if criteria.excluded.contains(&key) {
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -137,14 +137,14 @@
     context: &RequestContext,
     request: &ServiceRequest,
 ) -> Result<Response, Problem> {
-    let turn = admit::wait_for_turn(shared, context).await?;
+    let permit = admit::wait_for_turn(shared, context).await?;
     let mut excluded: Vec<Key> = Vec::new();
     let mut last: Option<Problem> = None;
     for _ in 0..MAX_ATTEMPTS {
         let identity = || request.identity(&context.pool);
         let current_criteria = criteria(request, &excluded);
         let assignment =
-            match route::assign_next(shared, context, &turn, current_criteria, identity).await {
+            match route::assign_next(shared, context, &permit, current_criteria, identity).await {
                 Ok(assignment) => assignment,
                 Err(problem) => return Err(last.unwrap_or(problem)),
             };
@@ -165,7 +165,7 @@
                         pool: context.pool.clone(),
                         at: sent_at,
                     };
-                    return Ok(proxy_response(context, response, assignment, turn, sent));
+                    return Ok(proxy_response(context, response, assignment, permit, sent));
                 }
             },
             Err(Error::NotOpened(e)) => (AttemptEnd::ConnectionRefused, retryable(&e), true),
@@ -251,15 +251,15 @@
     context: &RequestContext,
     response: direct::Response,
     assignment: route::Assignment,
-    turn: Permit,
+    permit: Permit,
     sent: SentRequest,
 ) -> Response {
     let headers = ServiceRequest::end_to_end_headers(&response.headers);
-    let left = context.remaining(turn.shared().now());
+    let left = context.remaining(permit.shared().now());
     let state = ProxiedBody {
         body: response.body,
         ticket: Some(assignment.ticket),
-        turn,
+        permit,
         sent,
         deadline: Instant::now() + left,
     };
@@ -305,7 +305,7 @@
     /// Counts the attempt until the body has ended.
     ticket: Option<AttemptGuard>,
     /// Keeps the request admitted until the body has ended.
-    turn: Permit,
+    permit: Permit,
     /// The request, with its endpoint and the time of sending.
     sent: SentRequest,
     /// Deadline of the request. Bounds how long an endpoint that sends nothing occupies resources.
@@ -322,14 +322,14 @@
             Ok(Some(part)) => Some(Ok(part)),
             Ok(None) => {
                 let sent = &self.sent;
-                crashes::record_answer(self.turn.shared(), sent.key, || sent.identity(), sent.at);
+                crashes::record_answer(self.permit.shared(), sent.key, || sent.identity(), sent.at);
                 self.end(AttemptEnd::Completed);
-                self.turn.record_success();
+                self.permit.record_success();
                 None
             }
             Err(e) => {
                 let sent = &self.sent;
-                crashes::connection_lost(self.turn.shared(), sent.key, sent.identity()).await;
+                crashes::connection_lost(self.permit.shared(), sent.key, sent.identity()).await;
                 self.end(AttemptEnd::Failed);
                 Some(Err(e))
             }
