--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -184,7 +184,7 @@
     };
     let result = tokio::select! {
         result = work.run() => result,
-        // Drops the permit and the attempt's ticket, and cancels the attempt at the engine.
+        // Drops the permit and the attempt's guard, and cancels the attempt at the engine.
         () = sender.closed() => Err(may_have_run(Code::Unknown, "the caller is gone")),
     };
     match &result {
@@ -236,7 +236,7 @@
             let error = match self.attempt(&assignment.address, &mut progress).await {
                 Ok(()) => {
                     crashes::record_answer(self.shared, assignment.key, identity, sent_at);
-                    assignment.ticket.finish(AttemptEnd::Completed);
+                    assignment.guard.finish(AttemptEnd::Completed);
                     return Ok(());
                 }
                 Err(error) => error,
@@ -244,7 +244,7 @@
             if matches!(error, Error::Lost(_)) {
                 crashes::connection_lost(self.shared, assignment.key, identity()).await;
             }
-            assignment.ticket.finish(attempt::attempt_end(&error));
+            assignment.guard.finish(attempt::attempt_end(&error));
             let criteria = criteria(self.request, &excluded);
             let over = excluded.len() == MAX_ATTEMPTS;
             if over || !route::may_retry(self.shared, self.context, criteria) {
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -33,7 +33,7 @@
     /// `IP:PORT`.
     pub address: CompactString,
     /// Counts the attempt as running until it is finished or dropped.
-    pub ticket: AttemptGuard,
+    pub guard: AttemptGuard,
 }
 
 /// Criteria for the choice of an attempt's endpoint.
@@ -74,8 +74,8 @@
                     DecisionKind::Retry
                 };
                 endpoints::log_choice(shared, &context.id, what, &choice, context.pin.number);
-                let ticket = endpoints::start_attempt(shared, choice.key, criteria.tokens);
-                if let Some(assignment) = assignment(shared, choice.key, ticket) {
+                let guard = endpoints::start_attempt(shared, choice.key, criteria.tokens);
+                if let Some(assignment) = assignment(shared, choice.key, guard) {
                     return Ok(assignment);
                 }
             }
@@ -118,9 +118,9 @@
     if criteria.excluded.contains(&key) {
         return Err(retryable(Code::NoEndpoint, "it was tried there"));
     }
-    let ticket = endpoints::start_attempt(shared, key, criteria.tokens);
-    let assignment = assignment(shared, key, ticket)
-        .ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
+    let guard = endpoints::start_attempt(shared, key, criteria.tokens);
+    let assignment =
+        assignment(shared, key, guard).ok_or_else(|| retryable(Code::NoEndpoint, "it has gone"))?;
     shared.log_decision(
         DecisionKind::Route,
         &context.id,
@@ -156,14 +156,14 @@
     }
 }
 
-fn assignment(shared: &Shared, key: Key, ticket: AttemptGuard) -> Option<Assignment> {
+fn assignment(shared: &Shared, key: Key, guard: AttemptGuard) -> Option<Assignment> {
     let set = shared.endpoints.set();
     let endpoint = set.get(key)?;
     Some(Assignment {
         key,
         name: endpoint.name.clone(),
         address: endpoint.address.clone(),
-        ticket,
+        guard,
     })
 }
 
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -176,7 +176,7 @@
                 (AttemptEnd::Failed, problem, request.repeatable)
             }
         };
-        assignment.ticket.finish(end);
+        assignment.guard.finish(end);
         // An attempt that did not run proves nothing about an earlier one that may have run.
         let problem = match last.take() {
             Some(earlier) if earlier.ran == Ran::Unknown => earlier,
@@ -258,7 +258,7 @@
     let left = context.remaining(permit.shared().now());
     let state = ProxiedBody {
         body: response.body,
-        ticket: Some(assignment.ticket),
+        guard: Some(assignment.guard),
         permit,
         sent,
         deadline: Instant::now() + left,
@@ -303,7 +303,7 @@
 struct ProxiedBody {
     body: direct::Body,
     /// Counts the attempt until the body has ended.
-    ticket: Option<AttemptGuard>,
+    guard: Option<AttemptGuard>,
     /// Keeps the request admitted until the body has ended.
     permit: Permit,
     /// The request, with its endpoint and the time of sending.
@@ -315,7 +315,7 @@
 impl ProxiedBody {
     /// Returns the next part; `None` after the end and after an error.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
-        self.ticket.as_ref()?;
+        self.guard.as_ref()?;
         let part = timeout_at(self.deadline, self.body.next_part()).await;
         let part = part.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut)));
         match part {
@@ -337,8 +337,8 @@
     }
 
     fn end(&mut self, end: AttemptEnd) {
-        if let Some(ticket) = self.ticket.take() {
-            ticket.finish(end);
+        if let Some(guard) = self.guard.take() {
+            guard.finish(end);
         }
     }
 }
