--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -26,21 +26,21 @@
 pub fn read_context(
     shared: &Shared,
     request: &Request,
-    pin: Snapshot,
+    snapshot: Snapshot,
     pool: CompactString,
 ) -> Result<RequestContext, Problem> {
-    if !pin.document.pools.contains_key(&pool) {
+    if !snapshot.document.pools.contains_key(&pool) {
         return Err(not_run(Code::NotFound, "unknown pool"));
     }
     let started = shared.now();
-    let default = pin.document.limits.default_deadline_ms;
+    let default = snapshot.document.limits.default_deadline_ms;
     let millis = header_number(request, header::DEADLINE_MS)?.unwrap_or(default);
     let deadline = Duration::from_millis(millis).min(MAX_DEADLINE);
     Ok(RequestContext {
         id: shared.request_id(),
         started,
         deadline: started + deadline,
-        pin,
+        snapshot,
         pool,
         priority: header_priority(request)?,
     })
@@ -59,7 +59,7 @@
         id: context.id.clone(),
         priority: context.priority,
         deadline: context.deadline,
-        max_waiting: (context.pin.document.limits.max_queue as usize)
+        max_waiting: (context.snapshot.document.limits.max_queue as usize)
             .min(shared.settings.limits.waiting),
     };
     queues::admit(shared, arrival).await.map_err(rejection)
--- a/crates/pinereel/src/filters/mod.rs
+++ b/crates/pinereel/src/filters/mod.rs
@@ -33,7 +33,7 @@
     /// Time after which the caller no longer wants a response.
     pub deadline: Time,
     /// Configuration under which the request is served.
-    pub pin: Snapshot,
+    pub snapshot: Snapshot,
     /// Pool to which the request is routed.
     pub pool: CompactString,
     /// Priority class in the pool's queue.
--- a/crates/pinereel/src/filters/pin.rs
+++ b/crates/pinereel/src/filters/pin.rs
@@ -19,7 +19,7 @@
         return Err(unavailable("this instance is draining"));
     }
     match shared.config.admits(shared.now()) {
-        Ok(pin) => Ok(pin),
+        Ok(snapshot) => Ok(snapshot),
         Err(refusal) => Err(unavailable(refusal.to_string())),
     }
 }
@@ -29,8 +29,8 @@
 /// # Errors
 /// `Unavailable` before the first read.
 pub fn last_known(shared: &Shared) -> Result<Snapshot, Problem> {
-    let pin = shared.config.snapshot();
-    pin.ok_or_else(|| unavailable(Refusal::Starting.to_string()))
+    let snapshot = shared.config.snapshot();
+    snapshot.ok_or_else(|| unavailable(Refusal::Starting.to_string()))
 }
 
 /// Readiness: returns the configuration number if the load balancer may send connections here.
@@ -45,7 +45,7 @@
     if !shared.endpoints.is_list_read() {
         return Err(unavailable("the endpoints are not known yet"));
     }
-    pin(shared).map(|pin| pin.number)
+    pin(shared).map(|snapshot| snapshot.number)
 }
 
 fn unavailable(message: impl Into<CompactString>) -> Problem {
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -29,7 +29,7 @@
     if let Ok(id) = HeaderValue::from_str(&context.id) {
         headers.insert(HeaderName::from_static(header::REQUEST_ID), id);
     }
-    let number = HeaderValue::from(context.pin.number);
+    let number = HeaderValue::from(context.snapshot.number);
     headers.insert(HeaderName::from_static(header::CONFIG_NUMBER), number);
 }
 
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -73,7 +73,7 @@
                 } else {
                     DecisionKind::Retry
                 };
-                endpoints::log_choice(shared, &context.id, what, &choice, context.pin.number);
+                endpoints::log_choice(shared, &context.id, what, &choice, context.snapshot.number);
                 let guard = endpoints::start_attempt(shared, choice.key, criteria.tokens);
                 if let Some(assignment) = assignment(shared, choice.key, guard) {
                     return Ok(assignment);
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -87,7 +87,7 @@
 /// Whether the pinned configuration lets a request run twice: no `non_idempotent` rule of the pool
 /// (`METHOD PREFIX`) matches it.
 pub fn repeatable(context: &RequestContext, method: &Method, path: &str) -> bool {
-    let Some(pool) = context.pin.document.pools.get(&context.pool) else {
+    let Some(pool) = context.snapshot.document.pools.get(&context.pool) else {
         return false;
     };
     !pool.non_idempotent.iter().any(|rule| {
