--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -346,7 +346,7 @@
 
 /// Whether a chunk is a duplicate: all of it was received before in the same attempt, which began
 /// at token `start`. A chunk from before `start` is not a duplicate but an error: the engine did
-/// not resume where it was told to.
+/// not resume at the requested token.
 fn is_duplicate(chunk: &Chunk, start: u32, record: &Record) -> bool {
     let end = chunk.offset.saturating_add(chunk.tokens);
     let repeat = chunk.offset >= start && end <= record.tokens();
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -67,8 +67,8 @@
 }
 
 impl ServiceRequest {
-    /// Identity by which crash reports recognise a repeat of the same request. The pool stands in
-    /// for the host, since the request's path names a pool and no host.
+    /// Identity by which crash reports recognise a repeat of the same request. The pool is used
+    /// as the host, since the request's path names a pool and no host.
     fn identity(&self, pool: &str) -> Identity {
         let mut caller = self
             .headers
