--- a/crates/pinereel/src/cli/mod.rs
+++ b/crates/pinereel/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command-line interface: [`parse`] turns arguments into a [`Command`], [`run`] executes it.
+//! Command-line interface: [`parse()`] turns arguments into a [`Command`], [`run`] executes it.
 //!
 //! All commands use the same exit codes, see [`ExitCode`].
 
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -103,7 +103,7 @@
 /// the one endpoint where it runs alone, however busy that is.
 ///
 /// # Errors
-/// As [`assign`]; also `NoEndpoint`, not run, if the request crashes endpoints.
+/// As `assign`; also `NoEndpoint`, not run, if the request crashes endpoints.
 pub async fn assign_next(
     shared: &Rc<Shared>,
     context: &RequestContext,
--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -22,7 +22,7 @@
 }
 
 /// Number of engines of `service` that the demand needs: the first ones in the order of
-/// [`Endpoints::first`].
+/// [`Endpoints::ranked`].
 pub fn working_set_size(
     config: &Config,
     duties: &Duties,
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -69,7 +69,7 @@
         self.last_heartbeat = None;
     }
 
-    /// Sets whether this instance reads the store itself. If so, it gives up its parent.
+    /// Sets whether this instance reads the store itself. If so, it detaches from its parent.
     pub fn set_reads_store(&mut self, reads_store: bool) {
         self.reads_store = reads_store;
         if reads_store {
