--- a/crates/pinereel_fakes/src/fault.rs
+++ b/crates/pinereel_fakes/src/fault.rs
@@ -1,4 +1,4 @@
-//! What the faults of several stand-ins have in common.
+//! Helpers that several fakes share to inject faults.
 
 use actix_http::{
     StatusCode,
@@ -9,34 +9,34 @@
 use pinereel::http::Response;
 use std::{cell::Cell, io, time::Duration};
 
-/// An answer that is never sent: its body fails at once, so that the connection closes before the
-/// head is written. The client sees a lost answer, not an error status.
-pub fn lost_answer() -> Response {
-    let failure = io::Error::other("answer lost on request");
-    let body = stream::once(async move { Err::<Bytes, _>(failure) });
+/// Response that is never sent: its body fails at once, so that the connection is closed before the
+/// head is written. The client sees a lost response, not an error status.
+pub fn lost_response() -> Response {
+    let error = io::Error::other("response lost because of an injected fault");
+    let body = stream::once(async move { Err::<Bytes, _>(error) });
     Response::new(StatusCode::OK).set_body(BoxBody::new(BodyStream::new(body)))
 }
 
-/// Takes one from a counter of faults to come; false when none is left.
-pub fn take(left: &Cell<u32>) -> bool {
-    match left.get().checked_sub(1) {
+/// Takes one from a counter of faults that are still to be injected; returns false if it is zero.
+pub fn take_one(remaining: &Cell<u32>) -> bool {
+    match remaining.get().checked_sub(1) {
         Some(rest) => {
-            left.set(rest);
+            remaining.set(rest);
             true
         }
         None => false,
     }
 }
 
-/// Holds an answer for `delay`; returns at once if it is zero (a timer takes a millisecond at least).
-pub async fn hold(delay: Duration) {
+/// Delays a response. Returns at once if `delay` is zero, since a timer takes 1 ms or more.
+pub async fn delay(delay: Duration) {
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
 }
 
-/// The value of `name` in a query string. The stand-ins' names need no percent-encoding.
-pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+/// Value of `name` in a query string. Does not decode percent-encoding, which the fakes do not use.
+pub fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/pinereel_fakes/src/object_api/handle.rs
+++ b/crates/pinereel_fakes/src/object_api/handle.rs
@@ -195,7 +195,7 @@
 
 impl Handle {
     /// Sets faults; absent fields leave a fault as it is.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
--- a/crates/pinereel_fakes/src/object_api/serve.rs
+++ b/crates/pinereel_fakes/src/object_api/serve.rs
@@ -34,9 +34,10 @@
     let query = request.uri().query().unwrap_or_default().to_owned();
     match (request.method().clone(), path.as_str()) {
         (Method::GET, "/stats") => json(StatusCode::OK, &*state.stats.borrow()),
-        (Method::GET, "/history") => {
-            json(StatusCode::OK, &state.history(fault::query(&query, "kind")))
-        }
+        (Method::GET, "/history") => json(
+            StatusCode::OK,
+            &state.history(fault::query_value(&query, "kind")),
+        ),
         (Method::POST, "/faults") => {
             match read_json::<Faults>(&mut request, MAX_BODY, BODY_TIMEOUT).await {
                 Ok(faults) => state.set_faults(faults),
@@ -65,7 +66,7 @@
 async fn objects(state: &Rc<State>, request: Request, rest: &str) -> Response {
     let agent = header(&request, USER_AGENT.as_str());
     if state.cut.borrow().contains(&agent) {
-        return fault::lost_answer();
+        return fault::lost_response();
     }
     if state.down() {
         return down();
@@ -86,7 +87,7 @@
         None if writes => refused(Code::BadRequest, "a write needs a name", None),
         None => list_or_watch(state, &request, kind).await,
     };
-    fault::hold(state.delay.get()).await;
+    fault::delay(state.delay.get()).await;
     answer
 }
 
@@ -100,12 +101,12 @@
 
 async fn list_or_watch(state: &Rc<State>, request: &Request, kind: &str) -> Response {
     let query = request.uri().query().unwrap_or_default();
-    let Some(after) = fault::query(query, "after") else {
+    let Some(after) = fault::query_value(query, "after") else {
         count(&mut state.stats.borrow_mut().reads, kind);
-        let prefix = fault::query(query, "prefix").unwrap_or_default();
+        let prefix = fault::query_value(query, "prefix").unwrap_or_default();
         return json(StatusCode::OK, &state.store.borrow().list(kind, prefix));
     };
-    let wait = fault::query(query, "wait_ms").unwrap_or("0");
+    let wait = fault::query_value(query, "wait_ms").unwrap_or("0");
     let (Ok(after), Ok(wait)) = (after.parse(), wait.parse()) else {
         return refused(Code::BadRequest, "after and wait_ms are numbers", None);
     };
@@ -203,7 +204,7 @@
     let deletes = value.is_none();
     let written = state.write(kind, name, value, condition, agent);
     if written.is_ok() && loses(state, kind) {
-        return fault::lost_answer();
+        return fault::lost_response();
     }
     match written {
         Ok(_) if deletes => empty(StatusCode::NO_CONTENT),
@@ -221,7 +222,7 @@
 /// Whether the answer to this accepted write is to be lost.
 fn loses(state: &State, kind: &str) -> bool {
     let any = state.lose_kind.borrow().as_ref().is_none_or(|k| k == kind);
-    any && fault::take(&state.lose)
+    any && fault::take_one(&state.lose)
 }
 
 fn condition(request: &Request) -> Option<Condition> {
--- a/crates/pinereel_fakes/src/service/serve.rs
+++ b/crates/pinereel_fakes/src/service/serve.rs
@@ -50,8 +50,8 @@
 
 /// A request for work: faults before the run, the run, faults after it.
 async fn work(state: &State, request: Request) -> Response {
-    if fault::take(&state.drop_before_run) {
-        return fault::lost_answer();
+    if fault::take_one(&state.drop_before_run) {
+        return fault::lost_response();
     }
     let before = state.faults.get();
     if before.leaving == Some(true) {
@@ -62,9 +62,9 @@
     }
     let answer = run(state, request).await;
     let after = state.faults.get();
-    fault::hold(Duration::from_millis(after.delay_ms.unwrap_or(0))).await;
-    if fault::take(&state.drop_after_run) {
-        return fault::lost_answer();
+    fault::delay(Duration::from_millis(after.delay_ms.unwrap_or(0))).await;
+    if fault::take_one(&state.drop_after_run) {
+        return fault::lost_response();
     }
     match after.fail_status.map(StatusCode::from_u16) {
         Some(Ok(status)) => text(status, "failed on request"),
--- a/crates/pinereel_fakes/src/weight_store.rs
+++ b/crates/pinereel_fakes/src/weight_store.rs
@@ -165,7 +165,7 @@
 
 impl Handle {
     /// Sets faults; absent fields leave a fault as it is.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
@@ -218,7 +218,7 @@
 
 impl Load {
     fn new(state: Rc<State>, byte: u8) -> Self {
-        let breaks_at = fault::take(&state.fail).then_some(state.options.bytes / 2);
+        let breaks_at = fault::take_one(&state.fail).then_some(state.options.bytes / 2);
         let mut stats = state.stats.borrow_mut();
         stats.begun += 1;
         stats.running += 1;
--- a/crates/pinereel_fakes/tests/claim_calls.rs
+++ b/crates/pinereel_fakes/tests/claim_calls.rs
@@ -78,7 +78,7 @@
         .await
         .unwrap();
     for delay in [0, 5] {
-        site.api.faults(Faults {
+        site.api.set_faults(Faults {
             delay_ms: Some(delay),
             ..Faults::default()
         });
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -32,7 +32,7 @@
 async fn one_key_through_all_entries_at_once_runs_once_and_all_get_its_answer() {
     let site = site(3).await;
     joined(&site).await;
-    site.services[0].handle.faults(Faults {
+    site.services[0].handle.set_faults(Faults {
         delay_ms: Some(100),
         ..Faults::default()
     });
@@ -147,13 +147,13 @@
 async fn a_call_without_a_key_is_sent_once_only() {
     let site = site(1).await;
     let service = &site.services[0].handle;
-    service.faults(Faults {
+    service.set_faults(Faults {
         fail_status: Some(503),
         ..Faults::default()
     });
     assert_eq!(order(&site, 0, None, "lacquer").await.short(), "503");
     assert_eq!(service.executions().len(), 1);
-    service.faults(Faults {
+    service.set_faults(Faults {
         fail_status: Some(0),
         drop_after_run: Some(1),
         ..Faults::default()
@@ -161,7 +161,7 @@
     let lost = order(&site, 0, None, "lacquer").await;
     assert_eq!(lost.short(), "502 unknown unknown");
     assert_eq!(service.executions().len(), 2);
-    service.faults(Faults {
+    service.set_faults(Faults {
         refuse: Some(true),
         ..Faults::default()
     });
@@ -175,11 +175,11 @@
     let mut options = claims::options(1);
     options.services[0].1 = 2;
     let site = Site::start(options).await.unwrap();
-    site.services[0].handle.faults(Faults {
+    site.services[0].handle.set_faults(Faults {
         drop_after_run: Some(u32::MAX),
         ..Faults::default()
     });
-    site.services[1].handle.faults(Faults {
+    site.services[1].handle.set_faults(Faults {
         refuse: Some(true),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/claim_random.rs
+++ b/crates/pinereel_fakes/tests/claim_random.rs
@@ -42,7 +42,7 @@
         if !self.alive.contains(&DIES) {
             cut_agents.push(self.site.entries[DIES].shared.name().clone());
         }
-        self.site.api.faults(object::Faults {
+        self.site.api.set_faults(object::Faults {
             outage_ms: rng.random_bool(0.05).then(|| rng.random_range(20..100)),
             delay_ms: Some(rng.random_range(0..10)),
             lose_write_answers: Some(u32::from(rng.random_bool(0.4))),
@@ -50,7 +50,7 @@
             end_watches: None,
             cut_agents: Some(cut_agents),
         });
-        self.site.services[0].handle.faults(service::Faults {
+        self.site.services[0].handle.set_faults(service::Faults {
             delay_ms: Some(rng.random_range(0..40)),
             refuse: Some(rng.random_bool(0.05)),
             drop_after_run: Some(u32::from(rng.random_bool(0.2))),
@@ -114,14 +114,14 @@
 
     async fn heal(&mut self) {
         let dead = self.site.entries[DIES].shared.name().clone();
-        self.site.api.faults(object::Faults {
+        self.site.api.set_faults(object::Faults {
             outage_ms: Some(0),
             delay_ms: Some(0),
             lose_write_answers: Some(0),
             cut_agents: Some(vec![dead]),
             ..object::Faults::default()
         });
-        self.site.services[0].handle.faults(service::Faults {
+        self.site.services[0].handle.set_faults(service::Faults {
             delay_ms: Some(0),
             refuse: Some(false),
             drop_after_run: Some(0),
--- a/crates/pinereel_fakes/tests/claims/mod.rs
+++ b/crates/pinereel_fakes/tests/claims/mod.rs
@@ -297,7 +297,7 @@
     let entry = &site.entries[index];
     entry.shared.mesh.close();
     entry.callers.close();
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -20,7 +20,7 @@
 const MAX_TRIES: u32 = 40;
 
 fn lose(site: &Site, count: u32) {
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         lose_write_answers: Some(count),
         lose_kind: Some("config".into()),
         ..Faults::default()
@@ -28,7 +28,7 @@
 }
 
 fn delay(site: &Site, millis: u64) {
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         delay_ms: Some(millis),
         ..Faults::default()
     });
@@ -130,7 +130,7 @@
 #[actix_rt::test]
 async fn with_the_object_api_down_entries_serve_on_and_patches_are_unknown_at_once() {
     let site = site(9).await;
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         outage_ms: Some(60_000),
         ..Faults::default()
     });
@@ -150,7 +150,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         outage_ms: Some(0),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_help/mod.rs
@@ -119,7 +119,7 @@
 
 /// Cuts an entry off from the object API alone.
 pub fn cut_api(site: &Site, entry: &Entry) {
-    site.api.faults(pinereel_api::object::Faults {
+    site.api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Default::default()
     });
@@ -127,7 +127,7 @@
 
 /// Ends all cuts from the object API.
 pub fn uncut(site: &Site) {
-    site.api.faults(pinereel_api::object::Faults {
+    site.api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![]),
         ..Default::default()
     });
--- a/crates/pinereel_fakes/tests/load_tool.rs
+++ b/crates/pinereel_fakes/tests/load_tool.rs
@@ -88,7 +88,7 @@
 #[actix_rt::test]
 async fn latency_counts_from_the_intended_time() {
     let (service, target) = service().await;
-    service.faults(Faults {
+    service.set_faults(Faults {
         delay_ms: Some(50),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/object_api_client.rs
+++ b/crates/pinereel_fakes/tests/object_api_client.rs
@@ -38,7 +38,7 @@
     assert_eq!(conflict, Err(Error::Conflict));
     let missing = client.update(CONFIG, "config", "other", 1, &2).await;
     assert_eq!(missing, Err(Error::NotFound));
-    api.faults(Faults {
+    api.set_faults(Faults {
         lose_write_answers: Some(1),
         ..Faults::default()
     });
@@ -49,7 +49,7 @@
     assert_eq!((object.version, object.value), (2, json!(3)));
     let gone = client.watch(CONFIG, "config", 0, Duration::ZERO).await;
     assert_eq!(gone, Err(Error::Gone));
-    api.faults(Faults {
+    api.set_faults(Faults {
         outage_ms: Some(60_000),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/object_api_faults.rs
+++ b/crates/pinereel_fakes/tests/object_api_faults.rs
@@ -119,7 +119,7 @@
 #[actix_rt::test]
 async fn a_lost_answer_leaves_its_effect() {
     let api = start(Options::default()).await;
-    api.faults(Faults {
+    api.set_faults(Faults {
         lose_write_answers: Some(1),
         lose_kind: Some("config".into()),
         ..Faults::default()
@@ -162,7 +162,7 @@
     );
     let rest: Changes = read(&api, "/objects/config?after=2").await;
     assert_eq!((rest.revision, rest.changes.len()), (4, 2));
-    api.faults(Faults {
+    api.set_faults(Faults {
         end_watches: Some(true),
         ..Faults::default()
     });
@@ -207,7 +207,7 @@
 #[actix_rt::test]
 async fn outages_and_cut_agents() {
     let api = start(Options::default()).await;
-    api.faults(Faults {
+    api.set_faults(Faults {
         outage_ms: Some(60_000),
         ..Faults::default()
     });
@@ -216,7 +216,7 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     assert_eq!(get(&api, "/stats").await.0, StatusCode::OK);
-    api.faults(Faults {
+    api.set_faults(Faults {
         outage_ms: Some(0),
         cut_agents: Some(vec!["one".into()]),
         ..Faults::default()
--- a/crates/pinereel_fakes/tests/overload_admit.rs
+++ b/crates/pinereel_fakes/tests/overload_admit.rs
@@ -243,7 +243,7 @@
         delay_ms: Some(delay_ms),
         ..service::Faults::default()
     };
-    service.faults(slow(500));
+    service.set_faults(slow(500));
     let path = |rest| format!("/services/{ORDERS}{rest}");
     let _first = open(&address, &path("/orders/1"), "", LONG).await;
     queued(&site, ORDERS, 1, 0).await;
@@ -252,7 +252,7 @@
     queued(&site, ORDERS, 1, 2).await;
     drop((order, look));
     queued(&site, ORDERS, 1, 1).await;
-    service.faults(slow(0));
+    service.set_faults(slow(0));
     queued(&site, ORDERS, 0, 0).await;
     let ran: Vec<_> = service.executions().into_iter().map(|e| e.path).collect();
     assert_eq!(ran, ["/orders/1", "/orders"]);
--- a/crates/pinereel_fakes/tests/service_executions.rs
+++ b/crates/pinereel_fakes/tests/service_executions.rs
@@ -17,7 +17,7 @@
 #[actix_rt::test]
 async fn dropped_answers_are_executions_and_refusals_are_none() {
     let service = Service::start(Options::default()).await.unwrap();
-    service.faults(Faults {
+    service.set_faults(Faults {
         drop_before_run: Some(1),
         drop_after_run: Some(1),
         ..Faults::default()
@@ -29,7 +29,7 @@
     assert_eq!(service.executions().len(), 1);
     let answer = post(&service, "/orders", &body).await;
     assert_eq!(answer, Some((200, json!({ "id": 2 }))));
-    service.faults(Faults {
+    service.set_faults(Faults {
         leaving: Some(true),
         ..Faults::default()
     });
@@ -52,7 +52,7 @@
     let one = post(&service, "/score", &text).await;
     assert_eq!(one, post(&service, "/score", &text).await);
     assert_eq!(post(&service, "/echo", &text).await, Some((200, text)));
-    service.faults(Faults {
+    service.set_faults(Faults {
         fail_status: Some(500),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -103,7 +103,7 @@
     site.api.remove_instance("winder-lm-late");
     until(|| known() == 1).await.unwrap();
     // Also after the watch's history was lost.
-    site.api.faults(Faults {
+    site.api.set_faults(Faults {
         end_watches: Some(true),
         ..Default::default()
     });
--- a/crates/pinereel_fakes/tests/weight_store_loads.rs
+++ b/crates/pinereel_fakes/tests/weight_store_loads.rs
@@ -44,7 +44,7 @@
     })
     .await
     .unwrap();
-    store.faults(Faults {
+    store.set_faults(Faults {
         fail: Some(1),
         ..Faults::default()
     });
