--- a/crates/pinereel_fakes/src/demo/deployment.rs
+++ b/crates/pinereel_fakes/src/demo/deployment.rs
@@ -68,8 +68,8 @@
             engines: vec![(self.engines.0.into(), self.engines.1)],
             batch: batch::Options {
                 tokens_per_second: 500.0,
-                swap: Duration::from_millis(150),
-                warm_up: Duration::from_millis(50),
+                swap_time: Duration::from_millis(150),
+                warm_up_time: Duration::from_millis(50),
                 ..batch::Options::default()
             },
             services: vec![(self.services.0.into(), self.services.1)],
--- a/crates/pinereel_fakes/src/demo/traffic.rs
+++ b/crates/pinereel_fakes/src/demo/traffic.rs
@@ -122,7 +122,7 @@
         };
         let mut seen = self.seen.borrow_mut();
         let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let whole = answer["choices"][0]["text"] == text::whole(prompt, 1, TOKENS);
+        let whole = answer["choices"][0]["text"] == text::completion(prompt, 1, TOKENS);
         let named = answer["versions"].as_array().is_some_and(|v| !v.is_empty());
         seen.flawed += u64::from(!(whole && named));
         seen.completions.saturating_record(micros(start));
--- a/crates/pinereel_fakes/src/engine/cache.rs
+++ b/crates/pinereel_fakes/src/engine/cache.rs
@@ -1,94 +1,95 @@
-//! The cache of prompt prefixes: bounded, least recently used out first.
+//! Prefix cache: bounded, with eviction of the least recently used block.
 //!
-//! Blocks of words are keyed by the hash of the whole prompt up to their end and remember the
-//! version that computed them. A weight swap keeps them, as engines do that reuse across versions.
+//! A block holds consecutive words of a prompt. Its key is a hash of the salt and of the prompt up
+//! to the end of the block, and it records the version that computed it. A weight swap keeps the
+//! blocks, as in engines that reuse the KV cache across versions.
 
 use pinereel_core::{Span, Version, hash};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Words in a block.
-pub const BLOCK: usize = 4;
+/// Number of words per block.
+pub const BLOCK_WORDS: usize = 4;
 
-/// A change of the cache.
+/// A change of the cache; the value is the key of the block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A block came in.
+    /// A block was added.
     Stored(u64),
-    /// A block went out.
+    /// A block was evicted.
     Evicted(u64),
 }
 
-/// The cached blocks of a prompt, for another engine.
+/// The cached blocks at the start of a prompt, as exported to another engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blob {
-    /// Key and computing version of each block, in prompt order.
+pub struct CachedBlocks {
+    /// Key of each block and the version that computed it, in prompt order.
     pub blocks: Vec<(u64, Version)>,
 }
 
-impl Blob {
-    /// The versions that computed the blocks.
+impl CachedBlocks {
+    /// Tokens of the blocks, by the version that computed them.
     pub fn spans(&self) -> Vec<Span> {
         let mut spans = Vec::new();
         for (_, version) in &self.blocks {
-            append(&mut spans, *version, BLOCK as u32);
+            append_span(&mut spans, *version, BLOCK_WORDS as u32);
         }
         spans
     }
 }
 
-/// The cache of one engine.
+/// Prefix cache of one engine.
 #[derive(Clone, Debug)]
 pub struct Cache {
-    /// Most blocks.
-    bound: usize,
-    /// Computing version and last use by key.
+    /// Maximum number of blocks.
+    max_blocks: usize,
+    /// Version that computed the block and `clock` at its last use, by key.
     blocks: BTreeMap<u64, (Version, u64)>,
-    /// Counts uses.
+    /// Logical clock, incremented by each lookup and each import.
     clock: u64,
-    /// Changes not taken yet.
+    /// Changes since the last [`Cache::take_changes`].
     changes: Vec<Change>,
 }
 
 impl Cache {
-    /// An empty cache of at most `bound` blocks.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty cache of at most `max_blocks` blocks.
+    pub fn new(max_blocks: usize) -> Self {
         Self {
-            bound,
+            max_blocks,
             blocks: BTreeMap::new(),
             clock: 0,
             changes: Vec::new(),
         }
     }
 
-    /// The cached blocks at the start of `prompt` under `salt`; marks them as used.
-    pub fn find(&mut self, salt: &str, prompt: &str) -> Blob {
+    /// Returns the cached blocks at the start of `prompt` under `salt`, and marks them as used.
+    pub fn find(&mut self, salt: &str, prompt: &str) -> CachedBlocks {
         self.clock += 1;
-        let mut found = Blob::default();
-        for key in keys(salt, prompt) {
-            let Some((version, used)) = self.blocks.get_mut(&key) else {
+        let mut found = CachedBlocks::default();
+        for key in block_keys(salt, prompt) {
+            let Some((version, last_used)) = self.blocks.get_mut(&key) else {
                 break;
             };
-            *used = self.clock;
+            *last_used = self.clock;
             found.blocks.push((key, *version));
         }
         found
     }
 
-    /// Adds the blocks of `prompt` under `salt` that are missing, as computed under `version`.
-    pub fn fill(&mut self, salt: &str, prompt: &str, version: Version) {
-        let blocks = keys(salt, prompt)
+    /// Adds the missing blocks of `prompt` under `salt`, as computed by `version`.
+    pub fn insert(&mut self, salt: &str, prompt: &str, version: Version) {
+        let blocks = block_keys(salt, prompt)
             .into_iter()
             .map(|key| (key, version))
             .collect();
-        self.import(&Blob { blocks });
+        self.import(&CachedBlocks { blocks });
     }
 
-    /// Adds blocks from elsewhere. Blocks that are there already keep their version.
-    pub fn import(&mut self, blob: &Blob) {
+    /// Adds the blocks that are not cached yet. Those that are cached keep their version.
+    pub fn import(&mut self, blocks: &CachedBlocks) {
         self.clock += 1;
-        for (key, version) in &blob.blocks {
+        for (key, version) in &blocks.blocks {
             if self.blocks.contains_key(key) {
                 continue;
             }
@@ -98,16 +99,20 @@
         }
     }
 
-    /// Takes the changes since the last call.
+    /// Returns and removes the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
+    /// Removes the least recently used block if the cache exceeds its maximum size.
     fn evict(&mut self) {
-        if self.blocks.len() <= self.bound {
+        if self.blocks.len() <= self.max_blocks {
             return;
         }
-        let oldest = self.blocks.iter().min_by_key(|(_, (_, used))| *used);
+        let oldest = self
+            .blocks
+            .iter()
+            .min_by_key(|(_, (_, last_used))| *last_used);
         if let Some(key) = oldest.map(|(key, _)| *key) {
             self.blocks.remove(&key);
             self.changes.push(Change::Evicted(key));
@@ -115,8 +120,8 @@
     }
 }
 
-/// Adds `tokens` of `version` to `spans`, joined with an equal last span.
-pub fn append(spans: &mut Vec<Span>, version: Version, tokens: u32) {
+/// Appends `tokens` tokens of `version` to `spans`; extends the last span if it has this version.
+pub fn append_span(spans: &mut Vec<Span>, version: Version, tokens: u32) {
     match spans.last_mut() {
         _ if tokens == 0 => {}
         Some(last) if last.version == version => last.tokens += tokens,
@@ -124,17 +129,17 @@
     }
 }
 
-/// Tokens of a prompt: its words.
-pub fn tokens(prompt: &str) -> u32 {
+/// Number of tokens in a prompt: each word is one token.
+pub fn count_tokens(prompt: &str) -> u32 {
     prompt.split_whitespace().count() as u32
 }
 
 /// Keys of the full blocks of `prompt` under `salt`.
-fn keys(salt: &str, prompt: &str) -> Vec<u64> {
+fn block_keys(salt: &str, prompt: &str) -> Vec<u64> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut text = String::from(salt);
     let mut keys = Vec::new();
-    for block in words.chunks_exact(BLOCK) {
+    for block in words.chunks_exact(BLOCK_WORDS) {
         text.push_str(&block.join(" "));
         text.push(' ');
         keys.push(hash::stable(text.as_bytes()));
--- a/crates/pinereel_fakes/src/engine/fault.rs
+++ b/crates/pinereel_fakes/src/engine/fault.rs
@@ -1,33 +1,35 @@
-//! What may be made to go wrong in an engine.
+//! Faults that can be injected into the fake engine.
 
 use pinereel_core::Version;
 use serde::{Deserialize, Serialize};
 
-/// The faults in force. `POST /faults` replaces them all; what is left out is off.
+/// Injected faults. `POST /faults` replaces all of them; an absent field turns its fault off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Chunks carry no version.
+    /// Send chunks without a version.
     pub omit_stamps: bool,
-    /// Chunks after a stream's first carry the version below the true one.
+    /// Stamp all chunks but the first of a stream with the actual version minus one.
     pub regress_stamps: bool,
-    /// Serve this version, truly, without an order.
+    /// Switch to this version at once, without an order to load it.
     pub stamp_unordered: Option<Version>,
-    /// So many swaps fail at their end; the old version stays.
+    /// Number of next swaps that fail at their end; the engine keeps the old version.
     pub fail_next_swaps: u32,
-    /// Swaps fail halfway: no usable weights are left and what runs is cancelled.
+    /// Fail swaps halfway: no usable weights remain, and all running and waiting sequences are
+    /// cancelled.
     pub swap_partway: bool,
-    /// After so many more tokens: all streams are cut and the engine starts anew.
+    /// Number of further output tokens after which the engine crashes: it cuts all streams and
+    /// restarts.
     pub crash_after_tokens: Option<u64>,
-    /// Nothing is produced.
+    /// Start no further steps, so that no tokens are generated.
     pub stall: bool,
-    /// Each stream is cut after its first chunk, without `[DONE]`.
+    /// Cut each stream after its next chunk, without `data: [DONE]`.
     pub cut_streams: bool,
-    /// Each chunk is sent twice.
+    /// Send each chunk twice.
     pub duplicate_chunks: bool,
-    /// Steps take so many times as long.
+    /// Factor by which steps take longer; 1 for normal speed.
     pub slow_factor: f64,
-    /// The engine refuses new work and says that it is leaving.
+    /// Refuse new requests and report that the engine is leaving.
     pub leaving: bool,
 }
 
--- a/crates/pinereel_fakes/src/engine/process.rs
+++ b/crates/pinereel_fakes/src/engine/process.rs
@@ -1,7 +1,7 @@
-//! The engine stand-in as a process.
+//! Fake engine as a process of its own.
 //!
 //! Flags: `--address IP:PORT`, `--name NAME`, `--slots N`, `--tokens-per-second X`, `--swap-ms N`,
-//! `--warm-up-ms N`, `--lag-ms N`, `--seed N`, `--version N` (0: nothing loaded at first),
+//! `--warm-up-ms N`, `--lag-ms N`, `--seed N`, `--version N` (0 for no version at the start),
 //! `--ignore-fencing`, `--until-stdin-closes`, `--max-seconds N`.
 
 use super::server::{Handle, Options};
@@ -18,28 +18,28 @@
     sync::oneshot,
 };
 
-/// How long a forgotten process lives.
-const MAX_SECONDS: u64 = 600;
+/// Default of `--max-seconds`, after which a process ends that nobody stops.
+const DEFAULT_MAX_SECONDS: u64 = 600;
 
-/// Why the process could not run.
+/// Error of the process.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A flag is unknown or its value is malformed.
     #[error("{0}")]
     Flags(#[from] lexopt::Error),
-    /// The listener or the standard streams failed.
+    /// The listener, standard output or the signal handler failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// When the process ends by itself.
+/// Conditions under which the process ends, in addition to SIGTERM.
 #[derive(Clone, Copy, Debug)]
-struct End {
-    stdin: bool,
-    after: Duration,
+struct ExitConditions {
+    until_stdin_closes: bool,
+    max_run_time: Duration,
 }
 
-/// Runs the process; errors go to standard error.
+/// Runs the process and prints an error to standard error.
 pub fn main(args: Parser) -> ExitCode {
     match run(args) {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,27 +50,27 @@
     }
 }
 
-/// Runs the stand-in until SIGTERM, or as its flags say.
+/// Runs the engine until SIGTERM, or until a condition of its flags is met.
 ///
 /// # Errors
-/// Malformed flags, or an address that cannot be bound.
+/// If a flag is unknown or malformed, or the address cannot be bound.
 pub fn run(args: Parser) -> Result<(), Error> {
-    let (options, end) = parse(args)?;
+    let (options, exit) = parse_flags(args)?;
     actix_rt::System::new().block_on(async move {
         let handle = Handle::start(options).await?;
         println!("listening {}", handle.address);
         io::stdout().flush()?;
-        wait(end).await?;
+        wait_for_exit(exit).await?;
         handle.stop();
         Ok(())
     })
 }
 
-fn parse(mut args: Parser) -> Result<(Options, End), Error> {
+fn parse_flags(mut args: Parser) -> Result<(Options, ExitConditions), Error> {
     let mut options = Options::default();
-    let mut end = End {
-        stdin: false,
-        after: Duration::from_secs(MAX_SECONDS),
+    let mut exit = ExitConditions {
+        until_stdin_closes: false,
+        max_run_time: Duration::from_secs(DEFAULT_MAX_SECONDS),
     };
     while let Some(arg) = args.next()? {
         let Arg::Long(name) = arg else {
@@ -81,41 +81,41 @@
             "name" => options.name = args.value()?.string()?.into(),
             "slots" => options.batch.slots = args.value()?.parse()?,
             "tokens-per-second" => options.batch.tokens_per_second = args.value()?.parse()?,
-            "swap-ms" => options.batch.swap = millis(&mut args)?,
-            "warm-up-ms" => options.batch.warm_up = millis(&mut args)?,
-            "lag-ms" => options.lag = millis(&mut args)?,
+            "swap-ms" => options.batch.swap_time = parse_millis(&mut args)?,
+            "warm-up-ms" => options.batch.warm_up_time = parse_millis(&mut args)?,
+            "lag-ms" => options.lag = parse_millis(&mut args)?,
             "seed" => options.seed = args.value()?.parse()?,
             "version" => {
                 let version: u64 = args.value()?.parse()?;
-                options.batch.version = (version > 0).then_some(Version(version));
+                options.batch.initial_version = (version > 0).then_some(Version(version));
             }
             "ignore-fencing" => options.checks_fencing = false,
-            "until-stdin-closes" => end.stdin = true,
-            "max-seconds" => end.after = Duration::from_secs(args.value()?.parse()?),
+            "until-stdin-closes" => exit.until_stdin_closes = true,
+            "max-seconds" => exit.max_run_time = Duration::from_secs(args.value()?.parse()?),
             _ => return Err(arg.unexpected().into()),
         }
     }
-    Ok((options, end))
+    Ok((options, exit))
 }
 
-fn millis(args: &mut Parser) -> Result<Duration, lexopt::Error> {
+fn parse_millis(args: &mut Parser) -> Result<Duration, lexopt::Error> {
     Ok(Duration::from_millis(args.value()?.parse()?))
 }
 
-async fn wait(end: End) -> io::Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let (closed, stdin) = oneshot::channel();
-    if end.stdin {
-        // Reading standard input blocks, so it has a thread, which ends with the process.
+async fn wait_for_exit(exit: ExitConditions) -> io::Result<()> {
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let (stdin_closed, stdin) = oneshot::channel();
+    if exit.until_stdin_closes {
+        // Reads of standard input block, so they run on a thread, which ends with the process.
         thread::spawn(move || {
             let _ = io::stdin().read_to_end(&mut Vec::new());
-            let _ = closed.send(());
+            let _ = stdin_closed.send(());
         });
     }
     tokio::select! {
-        _ = term.recv() => {}
+        _ = sigterm.recv() => {}
         Ok(()) = stdin => {}
-        () = tokio::time::sleep(end.after) => {}
+        () = tokio::time::sleep(exit.max_run_time) => {}
     }
     Ok(())
 }
--- a/crates/pinereel_fakes/src/engine/sequence.rs
+++ b/crates/pinereel_fakes/src/engine/sequence.rs
@@ -1,68 +1,76 @@
-//! One request on its way through the batching model.
+//! State of one request in the simulated engine.
 
 use super::{cache, text};
 use pinereel_api::engine::{FinishReason, Request};
 use pinereel_core::{Span, Version};
 
-/// One request on its way.
+/// A waiting or running request.
 #[derive(Clone, Debug)]
 pub(super) struct Sequence {
     pub(super) request: Request,
-    /// Output tokens of the whole completion.
-    pub(super) length: u32,
-    /// Output tokens so far, those resumed from included.
-    pub(super) done: u32,
-    /// Whether its prompt is computed.
+    /// Number of output tokens of the whole completion.
+    pub(super) total_tokens: u32,
+    /// Number of output tokens so far, including those of `resume`.
+    pub(super) generated_tokens: u32,
+    /// Whether the prompt has been computed.
     pub(super) prefilled: bool,
-    /// What the prompt was reused from.
-    pub(super) reused: Vec<Span>,
-    /// Prompt tokens that were computed for it, and under what.
-    pub(super) computed: Option<Span>,
-    /// Whether a chunk went out.
-    pub(super) started: bool,
-    /// Text and tokens of the chunk that is being gathered.
-    pub(super) pending: String,
+    /// Prompt tokens reused from the cache, by the version that computed them.
+    pub(super) reused_spans: Vec<Span>,
+    /// Prompt and `resume` tokens that were computed for this request.
+    pub(super) computed_span: Option<Span>,
+    /// Whether the first chunk has been emitted.
+    pub(super) first_chunk_emitted: bool,
+    /// Text generated since the last chunk.
+    pub(super) pending_text: String,
+    /// Number of tokens in `pending_text`.
     pub(super) pending_tokens: u32,
 }
 
 impl Sequence {
     pub(super) fn new(request: Request) -> Self {
-        let length = text::length(&request.prompt, request.seed, request.max_tokens);
+        let total_tokens = text::length(&request.prompt, request.seed, request.max_tokens);
         Self {
-            length,
-            done: request.resume_tokens.min(length),
+            total_tokens,
+            generated_tokens: request.resume_tokens.min(total_tokens),
             prefilled: false,
-            reused: Vec::new(),
-            computed: None,
-            started: false,
-            pending: String::new(),
+            reused_spans: Vec::new(),
+            computed_span: None,
+            first_chunk_emitted: false,
+            pending_text: String::new(),
             pending_tokens: 0,
             request,
         }
     }
 
-    pub(super) fn grow(&mut self) {
-        let word = text::word(&self.request.prompt, self.request.seed, self.done);
-        self.pending.push_str(&word);
+    pub(super) fn generate_token(&mut self) {
+        let token = text::token(
+            &self.request.prompt,
+            self.request.seed,
+            self.generated_tokens,
+        );
+        self.pending_text.push_str(&token);
         self.pending_tokens += 1;
-        self.done += 1;
+        self.generated_tokens += 1;
     }
 
-    pub(super) fn finish(&self) -> FinishReason {
-        if text::natural_length(&self.request.prompt, self.request.seed) > self.length {
+    /// Why the completion ends once all its tokens are generated.
+    pub(super) fn finish_reason(&self) -> FinishReason {
+        if text::unlimited_length(&self.request.prompt, self.request.seed) > self.total_tokens {
             FinishReason::Length
         } else {
             FinishReason::Stop
         }
     }
 
-    /// What the first chunk tells of the prompt. Its computed rest goes without saying, unless
-    /// the weights were swapped between the prompt and the first token.
+    /// Prompt spans that the first chunk reports, where `version` is the version of that chunk.
+    ///
+    /// These are the reused tokens. The tokens computed for this request are included only if they
+    /// have another version, because of a swap before the first output token.
     pub(super) fn prompt_spans(&self, version: Option<Version>) -> Vec<Span> {
-        let mut spans = self.reused.clone();
+        let mut spans = self.reused_spans.clone();
         let differs = |span: &Span| Some(span.version) != version;
-        if let Some(span) = self.computed.filter(differs) {
-            cache::append(&mut spans, span.version, span.tokens);
+        if let Some(span) = self.computed_span.filter(differs) {
+            cache::append_span(&mut spans, span.version, span.tokens);
         }
         spans
     }
--- a/crates/pinereel_fakes/src/engine/server.rs
+++ b/crates/pinereel_fakes/src/engine/server.rs
@@ -1,18 +1,20 @@
-//! The engine stand-in on a listener: `pinereel_api::engine`, and three paths of its own.
+//! HTTP server of the fake engine: the calls of `pinereel_api::engine`, and these of its own.
 //!
-//! | path | what |
+//! | path | effect or response |
 //! |---|---|
-//! | `POST /faults` | replaces the [`Faults`] |
-//! | `GET /record` | what truly happened, by attempt id: [`Record`](super::batch::Record) |
-//! | `GET /v1/cache_events?after=N` | [`CacheEvent`]s, late and with gaps |
-//! | `POST /v1/kv/export` | [`Prompt`] in, [`Blob`](super::cache::Blob) out |
-//! | `POST /v1/kv/import` | [`Blob`](super::cache::Blob) in |
+//! | `POST /faults` | replaces the injected [`Faults`] |
+//! | `GET /record` | what was actually computed, by attempt id: [`Record`](super::batch::Record) |
+//! | `GET /v1/cache_events?after=N` | [`CacheEvent`]s after number N, delayed and with gaps |
+//! | `POST /v1/kv/export` | takes an [`ExportRequest`], returns [`CachedBlocks`] |
+//! | `POST /v1/kv/import` | takes [`CachedBlocks`] |
+//!
+//! [`CachedBlocks`]: super::cache::CachedBlocks
 
 use super::{
     batch::{self, Refusal},
     cache::Change,
     fault::Faults,
-    state::{Shared, drive},
+    state::{Shared, run_steps},
     stream,
 };
 use actix_http::{
@@ -33,27 +35,27 @@
 use std::{collections::BTreeMap, io, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{net::TcpListener, sync::mpsc, task::JoinHandle};
 
-/// Largest request body, in bytes.
-const MAX_BODY: usize = 4 << 20;
-/// Longest wait for a request body.
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// One cache event in this many is never published.
-const GAP_ONE_IN: u64 = 16;
+/// On average, one cache event in this many is never published.
+const EVENTS_PER_GAP: u64 = 16;
 
-/// How the stand-in is set up.
+/// Options of the fake engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it listens; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses a port.
     pub address: SocketAddr,
-    /// Its name.
+    /// Name, for debug output only.
     pub name: CompactString,
-    /// Size and speed.
+    /// Capacity and speed.
     pub batch: batch::Options,
-    /// Whether orders with an old fencing token are refused.
+    /// Whether orders with an old fencing token are refused with status 409.
     pub checks_fencing: bool,
-    /// How old the reported load and the cache events are, at least.
+    /// Minimum age of the reported load and of published cache events.
     pub lag: Duration,
-    /// Decides which cache events are lost.
+    /// Seed that decides which cache events are never published.
     pub seed: u64,
 }
 
@@ -70,70 +72,71 @@
     }
 }
 
-/// A change of the prefix cache, as published.
+/// A published change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one an event; a jump is a gap.
+    /// Number of the change, one higher than that of the previous change. A missing number means
+    /// that an event was lost.
     pub number: u64,
     /// What changed.
     pub change: Change,
 }
 
-/// Asks for the cached KV of a prompt.
+/// Request for the cached blocks of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Prompt {
-    /// The prompt.
+pub struct ExportRequest {
+    /// Prompt whose blocks are requested.
     pub prompt: String,
 }
 
-/// A running stand-in. Dropping it does not stop it; [`Handle::stop`] does.
+/// Handle of a running fake engine. Dropping it does not stop the engine; [`Handle::stop`] does.
 #[derive(Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Local address of the listening socket.
     pub address: SocketAddr,
     server: Server,
-    driver: JoinHandle<()>,
+    step_task: JoinHandle<()>,
     shared: Rc<Shared>,
 }
 
 impl Handle {
-    /// Starts a stand-in on this thread's runtime.
+    /// Starts a fake engine on the current thread.
     ///
     /// # Errors
-    /// The address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn start(options: Options) -> io::Result<Self> {
         let listener = TcpListener::bind(options.address).await?;
         let shared = Rc::new(Shared::new(options));
-        let driver = actix_rt::spawn(drive(Rc::clone(&shared)));
+        let step_task = actix_rt::spawn(run_steps(Rc::clone(&shared)));
         let state = Rc::clone(&shared);
-        let handler = move |request| answer(Rc::clone(&state), request);
+        let handler = move |request| handle_request(Rc::clone(&state), request);
         let server = Server::start(listener, http::Options::default(), handler).await?;
         Ok(Self {
             address: server.address,
             server,
-            driver,
+            step_task,
             shared,
         })
     }
 
-    /// Closes the listener and every connection.
+    /// Stops listening and closes all connections.
     pub fn stop(&self) {
-        self.driver.abort();
+        self.step_task.abort();
         self.server.close();
     }
 
-    /// Replaces the faults, as `POST /faults` does.
+    /// Replaces the injected faults, as `POST /faults` does.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.set_faults(faults);
     }
 
-    /// What truly happened, as `GET /record` tells.
-    pub fn record(&self) -> BTreeMap<CompactString, batch::Record> {
+    /// What was actually computed for each attempt, as `GET /record` returns it.
+    pub fn records(&self) -> BTreeMap<CompactString, batch::Record> {
         self.shared.state.borrow().engine.records().clone()
     }
 }
 
-async fn answer(shared: Rc<Shared>, request: Request) -> Response {
+async fn handle_request(shared: Rc<Shared>, request: Request) -> Response {
     let mut response = dispatch(&shared, request)
         .await
         .unwrap_or_else(|problem| http::problem(&problem));
@@ -148,24 +151,24 @@
 async fn dispatch(shared: &Rc<Shared>, mut request: Request) -> Result<Response, Problem> {
     let path = request.path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::POST, "/v1/completions") => Ok(complete(shared, body(&mut request).await?)),
-        (&Method::POST, "/v1/cancel") => Ok(cancel(shared, body(&mut request).await?)),
-        (&Method::POST, "/v1/orders") => order(shared, body(&mut request).await?),
-        (&Method::GET, "/v1/state") => Ok(http::json(StatusCode::OK, &shared.report())),
+        (&Method::POST, "/v1/completions") => Ok(complete(shared, read_body(&mut request).await?)),
+        (&Method::POST, "/v1/cancel") => Ok(cancel(shared, read_body(&mut request).await?)),
+        (&Method::POST, "/v1/orders") => order(shared, read_body(&mut request).await?),
+        (&Method::GET, "/v1/state") => Ok(http::json(StatusCode::OK, &shared.reported_state())),
         (&Method::GET, "/v1/cache_events") => Ok(cache_events(shared, request.uri().query())),
         (&Method::POST, "/v1/kv/export") => {
-            let Prompt { prompt } = body(&mut request).await?;
-            let blob = shared.state.borrow_mut().engine.export(&prompt);
-            Ok(http::json(StatusCode::OK, &blob))
+            let ExportRequest { prompt } = read_body(&mut request).await?;
+            let blocks = shared.state.borrow_mut().engine.export_blocks(&prompt);
+            Ok(http::json(StatusCode::OK, &blocks))
         }
         (&Method::POST, "/v1/kv/import") => {
-            let blob = body(&mut request).await?;
+            let blocks = read_body(&mut request).await?;
             let mut state = shared.state.borrow_mut();
-            state.engine.import(shared.now(), &blob);
+            state.engine.import_blocks(shared.now(), &blocks);
             Ok(http::empty(StatusCode::NO_CONTENT))
         }
         (&Method::POST, "/faults") => {
-            shared.set_faults(body(&mut request).await?);
+            shared.set_faults(read_body(&mut request).await?);
             Ok(http::empty(StatusCode::NO_CONTENT))
         }
         (&Method::GET, "/record") => {
@@ -176,8 +179,8 @@
     }
 }
 
-async fn body<T: DeserializeOwned>(request: &mut Request) -> Result<T, Problem> {
-    http::read_json(request, MAX_BODY, BODY_TIMEOUT)
+async fn read_body<T: DeserializeOwned>(request: &mut Request) -> Result<T, Problem> {
+    http::read_json(request, MAX_BODY_BYTES, BODY_TIMEOUT)
         .await
         .map_err(Into::into)
 }
@@ -191,30 +194,31 @@
     }
 }
 
+/// Submits a completion request and returns the stream of its chunks.
 fn complete(shared: &Rc<Shared>, mut request: engine::Request) -> Response {
     let mut state = shared.state.borrow_mut();
     if request.request_id.is_empty() {
-        state.unnamed += 1;
-        request.request_id = format_compact!("unnamed-{}", state.unnamed);
+        state.unnamed_requests += 1;
+        request.request_id = format_compact!("unnamed-{}", state.unnamed_requests);
     }
     let id = request.request_id.clone();
     if let Err(refusal) = state.engine.submit(shared.now(), request) {
-        return refuse(refusal);
+        return refusal_response(refusal);
     }
     let (sender, receiver) = mpsc::unbounded_channel();
     state.streams.insert(id.clone(), sender);
     drop(state);
     shared.wake.notify_one();
-    let owner = Rc::clone(shared);
-    let body = stream::body(receiver, move || owner.forget(&id));
+    let shared = Rc::clone(shared);
+    let body = stream::body(receiver, move || shared.cancel_closed(&id));
     let mut response = Response::new(StatusCode::OK).set_body(BoxBody::new(BodyStream::new(body)));
     let event_stream = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(CONTENT_TYPE, event_stream);
     response
 }
 
-/// Nothing ran; the header is the evidence for it.
-fn refuse(refusal: Refusal) -> Response {
+/// Response to a refused request. Its `x-refused` header tells the caller that nothing ran.
+fn refusal_response(refusal: Refusal) -> Response {
     let code = match refusal {
         Refusal::Duplicate => Code::InProgress,
         Refusal::Leaving | Refusal::NotLoaded | Refusal::Full => Code::Unavailable,
@@ -237,21 +241,22 @@
     let mut state = shared.state.borrow_mut();
     state.engine.cancel(&cancel.request_id);
     drop(state);
-    // The driver passes the last chunk on.
+    // The step task forwards the last chunk to the stream.
     shared.wake.notify_one();
     http::empty(StatusCode::NO_CONTENT)
 }
 
+/// Applies an order to load a version, unless its fencing token is old.
 fn order(shared: &Rc<Shared>, order: Order) -> Result<Response, Problem> {
     let mut state = shared.state.borrow_mut();
-    if shared.options.checks_fencing && order.fence < state.fence {
+    if shared.options.checks_fencing && order.fence < state.highest_fence {
         return Err(problem(Code::Conflict, "old fencing token"));
     }
-    state.fence = state.fence.max(order.fence);
+    state.highest_fence = state.highest_fence.max(order.fence);
     state.engine.load(shared.now(), order.version);
     drop(state);
     shared.wake.notify_one();
-    Ok(http::json(StatusCode::OK, &shared.report()))
+    Ok(http::json(StatusCode::OK, &shared.reported_state()))
 }
 
 fn cache_events(shared: &Rc<Shared>, query: Option<&str>) -> Response {
@@ -259,11 +264,11 @@
     let after = after.and_then(|after| after.parse().ok()).unwrap_or(0);
     let seed = shared.options.seed;
     let lost =
-        |number: u64| hash::stable(&(number ^ seed).to_le_bytes()).is_multiple_of(GAP_ONE_IN);
+        |number: u64| hash::stable(&(number ^ seed).to_le_bytes()).is_multiple_of(EVENTS_PER_GAP);
     let state = shared.state.borrow();
     let changes = state
         .engine
-        .changes(shared.now(), after, shared.options.lag);
+        .cache_changes(shared.now(), after, shared.options.lag);
     let events: Vec<CacheEvent> = changes
         .into_iter()
         .filter(|(number, _)| !lost(*number))
--- a/crates/pinereel_fakes/src/engine/state.rs
+++ b/crates/pinereel_fakes/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The state of a running engine stand-in, and the task that runs its steps.
+//! State of a running fake engine, and the task that runs its steps.
 
 use super::{batch::Engine, fault::Faults, server::Options, stream::Event};
 use compact_str::CompactString;
@@ -17,17 +17,17 @@
 
 type Sender = mpsc::UnboundedSender<Event>;
 
-/// State shared by the handlers and the driver.
+/// State shared by the request handlers and the step task.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) options: Options,
     start: Instant,
     pub(super) state: RefCell<State>,
-    /// Tells the driver that the engine's next moment may have changed.
+    /// Wakes the step task when the time of the engine's next event may have changed.
     pub(super) wake: Notify,
 }
 
-/// The load of one moment.
+/// Load of the engine at one time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     at: Time,
@@ -35,20 +35,21 @@
     waiting: u32,
 }
 
-/// What changes while it runs.
+/// Mutable part of the state.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) engine: Engine,
-    /// Open streams. A stream holds at most its request's `max_tokens` chunks.
+    /// Open streams, by attempt id. A stream buffers at most `max_tokens` chunks of its request.
     pub(super) streams: BTreeMap<CompactString, Sender>,
     pub(super) incarnation: u64,
-    pub(super) fence: u64,
-    /// The load that is told.
-    told: Load,
-    /// The load that is told once it is old enough.
-    taken: Load,
-    /// Requests without an id of their own.
-    pub(super) unnamed: u64,
+    /// Highest fencing token of all orders received.
+    pub(super) highest_fence: u64,
+    /// Load that is reported.
+    reported_load: Load,
+    /// Newest sample of the load, reported once it is at least `lag` old.
+    sampled_load: Load,
+    /// Number of requests that came without an id.
+    pub(super) unnamed_requests: u64,
 }
 
 impl Shared {
@@ -59,10 +60,10 @@
             engine: Engine::new(options.batch.clone()),
             streams: BTreeMap::new(),
             incarnation,
-            fence: 0,
-            told: Load::default(),
-            taken: Load::default(),
-            unnamed: 0,
+            highest_fence: 0,
+            reported_load: Load::default(),
+            sampled_load: Load::default(),
+            unnamed_requests: 0,
         };
         Self {
             options,
@@ -72,6 +73,7 @@
         }
     }
 
+    /// Time since the start, which is the engine's clock.
     pub(super) fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
@@ -83,67 +85,69 @@
         self.wake.notify_one();
     }
 
-    /// Cancels an attempt whose reader is gone.
-    pub(super) fn forget(&self, id: &str) {
+    /// Cancels an attempt whose stream was dropped.
+    pub(super) fn cancel_closed(&self, id: &str) {
         let mut state = self.state.borrow_mut();
         state.streams.remove(id);
         state.engine.cancel(id);
     }
 
-    /// Runs what is due and passes the chunks on; tells when to come back.
-    fn pump(&self) -> Option<Instant> {
+    /// Runs the engine up to now and forwards its chunks. Returns the time of its next event.
+    fn advance_engine(&self) -> Option<Instant> {
         let mut state = self.state.borrow_mut();
         let now = self.now();
-        state.observe(now, self.options.lag);
+        state.sample_load(now, self.options.lag);
         let chunks = state.engine.advance(now);
         for chunk in chunks {
-            state.pass(chunk);
+            state.forward(chunk);
         }
-        if state.engine.crashed() {
-            state.crash();
+        if state.engine.has_crashed() {
+            state.restart_after_crash();
         }
-        let next = state.engine.next()?;
+        let next = state.engine.next_event()?;
         Some(self.start + next.since(Time::ZERO))
     }
 
-    pub(super) fn report(&self) -> engine::State {
+    /// State that `GET /v1/state` returns. The load in it is at least `lag` old.
+    pub(super) fn reported_state(&self) -> engine::State {
         let mut state = self.state.borrow_mut();
         let now = self.now();
-        state.observe(now, self.options.lag);
-        self.describe(&state, now, state.told)
+        state.sample_load(now, self.options.lag);
+        self.state_with_load(&state, now, state.reported_load)
     }
 
-    fn describe(&self, state: &State, now: Time, load: Load) -> engine::State {
+    fn state_with_load(&self, state: &State, now: Time, load: Load) -> engine::State {
         engine::State {
             incarnation: state.incarnation,
             version: state.engine.version(),
-            loading: state.engine.loading(),
-            failed: state.engine.failed().map(Into::into),
+            loading: state.engine.loading_version(),
+            failed: state.engine.swap_failure().map(Into::into),
             running: load.running,
             waiting: load.waiting,
             lag_ms: now.since(load.at).as_millis() as u64,
             slots: self.options.batch.slots as u32,
             leaving: state.engine.faults().leaving,
-            fence: state.fence,
+            fence: state.highest_fence,
         }
     }
 }
 
 impl State {
-    /// Keeps the told load late by `lag` at least.
-    fn observe(&mut self, now: Time, lag: Duration) {
-        if now.since(self.taken.at) < lag {
+    /// Once the newest sample is at least `lag` old, reports it from now on and takes another one.
+    fn sample_load(&mut self, now: Time, lag: Duration) {
+        if now.since(self.sampled_load.at) < lag {
             return;
         }
-        self.told = self.taken;
-        self.taken = Load {
+        self.reported_load = self.sampled_load;
+        self.sampled_load = Load {
             at: now,
-            running: self.engine.running() as u32,
-            waiting: self.engine.waiting() as u32,
+            running: self.engine.running_count() as u32,
+            waiting: self.engine.waiting_count() as u32,
         };
     }
 
-    fn pass(&mut self, chunk: Chunk) {
+    /// Sends a chunk to its stream, with the injected faults of streams.
+    fn forward(&mut self, chunk: Chunk) {
         let faults = self.engine.faults();
         let copies = if faults.duplicate_chunks { 2 } else { 1 };
         let cut = faults.cut_streams;
@@ -151,7 +155,7 @@
             return;
         };
         for _ in 0..copies {
-            // A reader that is gone cancels by dropping its end.
+            // Fails if the stream was dropped, which cancels the attempt by `cancel_closed`.
             let _ = stream.send(Event::Chunk(chunk.clone()));
         }
         if cut {
@@ -162,7 +166,8 @@
         }
     }
 
-    fn crash(&mut self) {
+    /// Cuts all streams and restarts the engine with the next incarnation.
+    fn restart_after_crash(&mut self) {
         for stream in std::mem::take(&mut self.streams).values() {
             let _ = stream.send(Event::Cut);
         }
@@ -171,10 +176,10 @@
     }
 }
 
-/// Runs the engine's steps when they are due, for as long as the stand-in runs.
-pub(super) async fn drive(shared: Rc<Shared>) {
+/// Runs the engine's steps when they are due, until the task is aborted.
+pub(super) async fn run_steps(shared: Rc<Shared>) {
     loop {
-        let due = shared.pump();
+        let due = shared.advance_engine();
         let wake = shared.wake.notified();
         match due {
             None => wake.await,
--- a/crates/pinereel_fakes/src/engine/stream.rs
+++ b/crates/pinereel_fakes/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The event stream of one completion.
+//! Event stream of one completion.
 
 use bytes::Bytes;
 use futures_util::{Stream, stream};
@@ -6,59 +6,64 @@
 use std::io;
 use tokio::sync::mpsc;
 
-/// What a stream is told.
+/// Message to the stream of a completion.
 pub(super) enum Event {
-    /// One event of the completion.
+    /// The next chunk of the completion.
     Chunk(Chunk),
-    /// The connection is to break here.
+    /// Break the connection.
     Cut,
 }
 
-/// Calls its function when dropped.
-struct Guard<F: FnOnce()>(Option<F>);
+/// Calls a function when dropped.
+struct OnDrop<F: FnOnce()>(Option<F>);
 
-impl<F: FnOnce()> Drop for Guard<F> {
+impl<F: FnOnce()> Drop for OnDrop<F> {
     fn drop(&mut self) {
-        if let Some(gone) = self.0.take() {
-            gone();
+        if let Some(callback) = self.0.take() {
+            callback();
         }
     }
 }
 
-/// Where a stream of events stands.
-enum Step {
+/// Progress of a stream.
+enum Progress {
+    /// More chunks are expected.
     Open,
-    Done,
+    /// The last chunk was sent. Only a duplicate of it, a cut or `[DONE]` may follow.
+    Finished,
+    /// Nothing more is sent.
     Closed,
 }
 
-/// The body of a stream. `gone` is called once the reader is gone or has everything.
+/// Response body with the events of `receiver`. Calls `on_close` when the body is dropped, whether
+/// it was sent completely or not.
 pub(super) fn body(
     receiver: mpsc::UnboundedReceiver<Event>,
-    gone: impl FnOnce() + 'static,
+    on_close: impl FnOnce() + 'static,
 ) -> impl Stream<Item = Result<Bytes, io::Error>> {
-    let guard = Guard(Some(gone));
-    stream::unfold((receiver, guard, Step::Open), |state| async move {
-        let (mut receiver, guard, step) = state;
-        match step {
-            Step::Closed => return None,
-            Step::Done if receiver.is_empty() => {
+    let guard = OnDrop(Some(on_close));
+    stream::unfold((receiver, guard, Progress::Open), |state| async move {
+        let (mut receiver, guard, progress) = state;
+        match progress {
+            Progress::Closed => return None,
+            Progress::Finished if receiver.is_empty() => {
                 let done = Bytes::from_static(b"data: [DONE]\n\n");
-                return Some((Ok(done), (receiver, guard, Step::Closed)));
+                return Some((Ok(done), (receiver, guard, Progress::Closed)));
             }
-            Step::Open | Step::Done => {}
+            Progress::Open | Progress::Finished => {}
         }
         let Some(Event::Chunk(chunk)) = receiver.recv().await else {
-            // What was sent so far goes out first: a pending body lets the listener flush.
+            // Yields once, because the server flushes the events sent so far while the body is
+            // pending.
             tokio::task::yield_now().await;
-            // An error ends the connection without the body's regular end.
-            let cut = io::Error::from(io::ErrorKind::ConnectionReset);
-            return Some((Err(cut), (receiver, guard, Step::Closed)));
+            // An error closes the connection without the last chunk of the chunked encoding.
+            let error = io::Error::from(io::ErrorKind::ConnectionReset);
+            return Some((Err(error), (receiver, guard, Progress::Closed)));
         };
         let next = if chunk.finish.is_some() {
-            Step::Done
+            Progress::Finished
         } else {
-            Step::Open
+            Progress::Open
         };
         let json = serde_json::to_string(&chunk).map_err(io::Error::other);
         let event = json.map(|json| Bytes::from(format!("data: {json}\n\n")));
--- a/crates/pinereel_fakes/src/experiment/engines.rs
+++ b/crates/pinereel_fakes/src/experiment/engines.rs
@@ -57,7 +57,7 @@
 
     /// Output tokens computed so far.
     pub(super) fn tokens(&self) -> u64 {
-        self.tokens + self.batch.tokens()
+        self.tokens + self.batch.generated_tokens()
     }
 
     /// What it says of its weights.
@@ -65,8 +65,8 @@
         Status {
             incarnation: self.incarnation,
             version: self.batch.version(),
-            loading: self.batch.loading(),
-            failed: self.batch.failed().is_some(),
+            loading: self.batch.loading_version(),
+            failed: self.batch.swap_failure().is_some(),
         }
     }
 
@@ -80,7 +80,7 @@
             running,
             waiting,
             version: self.batch.version(),
-            loading: self.batch.loading(),
+            loading: self.batch.loading_version(),
             leaving: false,
         }
     }
@@ -93,7 +93,10 @@
         if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
-        let (running, waiting) = (self.batch.running() as u32, self.batch.waiting() as u32);
+        let (running, waiting) = (
+            self.batch.running_count() as u32,
+            self.batch.waiting_count() as u32,
+        );
         self.history.push_back((now, running, waiting));
     }
 }
@@ -112,7 +115,7 @@
             self.hand_out(index, chunk);
         }
         let engine = &mut self.engines[index];
-        let next = engine.batch.next();
+        let next = engine.batch.next_event();
         if next != engine.wake {
             engine.wake = next;
             if let Some(at) = next {
@@ -197,7 +200,7 @@
     pub(super) fn crash(&mut self, index: usize) {
         self.run_engine(index);
         let engine = &mut self.engines[index];
-        engine.tokens += engine.batch.tokens();
+        engine.tokens += engine.batch.generated_tokens();
         engine.batch.restart();
         engine.up = false;
         engine.incarnation += 1;
--- a/crates/pinereel_fakes/src/experiment/scenario.rs
+++ b/crates/pinereel_fakes/src/experiment/scenario.rs
@@ -231,10 +231,10 @@
         slots: section.get("slots")?,
         tokens_per_second: section.get("tokens_per_second")?,
         batch_cost: section.get("batch_cost")?,
-        swap: section.millis("swap_ms")?,
-        warm_up: section.millis("warm_up_ms")?,
+        swap_time: section.millis("swap_ms")?,
+        warm_up_time: section.millis("warm_up_ms")?,
         // Nothing is loaded after a crash, until an order comes.
-        version: None,
+        initial_version: None,
         ..batch::Options::default()
     })
 }
--- a/crates/pinereel_fakes/src/experiment/world.rs
+++ b/crates/pinereel_fakes/src/experiment/world.rs
@@ -65,7 +65,7 @@
             live: Live::new(scenario, seed, length),
             rollout: rollout::Controller::new(weights::settings(
                 policy.waves,
-                scenario.engine.swap,
+                scenario.engine.swap_time,
             )),
             policy,
             seed,
--- a/crates/pinereel_fakes/src/load/stage.rs
+++ b/crates/pinereel_fakes/src/load/stage.rs
@@ -178,7 +178,7 @@
             // A step of 10 microseconds: what is measured is not the engine.
             tokens_per_second: 100_000.0,
             batch_cost: 0.0,
-            prefill_per_second: 1e9,
+            prefill_tokens_per_second: 1e9,
             ..batch::Options::default()
         },
         services: vec![(SERVICES.into(), 1)],
--- a/crates/pinereel_fakes/tests/engine_server.rs
+++ b/crates/pinereel_fakes/tests/engine_server.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in over HTTP: streams, orders with and without fencing, refusals, cuts.
+//! Fake engine over HTTP: streams, orders with and without fencing, refusals, cut streams.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,9 +7,9 @@
 use pinereel_core::Version;
 use pinereel_fakes::engine::{
     batch,
-    cache::Blob,
+    cache::CachedBlocks,
     fault::Faults,
-    server::{Handle, Options, Prompt},
+    server::{ExportRequest, Handle, Options},
     text,
 };
 use std::time::Duration;
@@ -18,7 +18,7 @@
     net::TcpStream,
 };
 
-/// Regular end of a body in chunks.
+/// End of a complete response body in chunked encoding.
 const LAST_CHUNK: &str = "\r\n0\r\n\r\n";
 const PROMPT: &str = "a prompt of a few words for the engine";
 
@@ -26,7 +26,7 @@
     Options {
         batch: batch::Options {
             tokens_per_second: 5_000.0,
-            swap: Duration::from_millis(5),
+            swap_time: Duration::from_millis(5),
             ..batch::Options::default()
         },
         lag: Duration::ZERO,
@@ -41,7 +41,7 @@
         .finish()
 }
 
-fn broken(set: impl FnOnce(&mut Faults)) -> Faults {
+fn faults_with(set: impl FnOnce(&mut Faults)) -> Faults {
     let mut faults = Faults::default();
     set(&mut faults);
     faults
@@ -56,7 +56,7 @@
         prompt: PROMPT.into(),
         max_tokens: 20,
         seed: (0..)
-            .find(|seed| text::natural_length(PROMPT, *seed) > 20)
+            .find(|seed| text::unlimited_length(PROMPT, *seed) > 20)
             .unwrap(),
         request_id: id.into(),
         chunk_tokens,
@@ -64,17 +64,17 @@
     }
 }
 
-/// The body of a completion as far as it came. The client takes a cut body for an ended one.
+/// Body of a completion as far as it was received: `awc` reports a cut body as a complete one.
 async fn complete(engine: &Handle, request: &Request) -> String {
     let call = client().post(url(engine, "/v1/completions"));
-    let mut answer = call.send_json(request).await.unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
-    let body = answer.body().await.unwrap();
+    let mut response = call.send_json(request).await.unwrap();
+    assert_eq!(response.status(), StatusCode::OK);
+    let body = response.body().await.unwrap();
     String::from_utf8(body.to_vec()).unwrap()
 }
 
-/// All bytes of a completion's answer until the engine closes the connection.
-async fn raw(engine: &Handle, request: &Request) -> String {
+/// All bytes of the response to a completion request, until the engine closes the connection.
+async fn raw_response(engine: &Handle, request: &Request) -> String {
     let json = serde_json::to_string(request).unwrap();
     let length = json.len();
     let head = format!("POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {length}");
@@ -82,12 +82,12 @@
     let mut stream = TcpStream::connect(engine.address).await.unwrap();
     stream.write_all(call.as_bytes()).await.unwrap();
     let mut bytes = Vec::new();
-    // A reset is one way to cut; what came before it counts.
+    // The engine may cut a stream by a reset; the bytes received before it are checked.
     let _ = stream.read_to_end(&mut bytes).await;
     String::from_utf8(bytes).unwrap()
 }
 
-fn chunks(body: &str) -> Vec<Chunk> {
+fn parse_chunks(body: &str) -> Vec<Chunk> {
     let events = body
         .split_terminator("\n\n")
         .map(|e| e.strip_prefix("data: ").unwrap());
@@ -96,7 +96,7 @@
         .collect()
 }
 
-async fn order(engine: &Handle, fence: u64, version: u64) -> StatusCode {
+async fn send_order(engine: &Handle, fence: u64, version: u64) -> StatusCode {
     let order = Order {
         fence,
         model: "m".into(),
@@ -106,25 +106,25 @@
     call.send_json(&order).await.unwrap().status()
 }
 
-async fn state(engine: &Handle) -> State {
-    let mut answer = client().get(url(engine, "/v1/state")).send().await.unwrap();
-    answer.json().await.unwrap()
+async fn get_state(engine: &Handle) -> State {
+    let mut response = client().get(url(engine, "/v1/state")).send().await.unwrap();
+    response.json().await.unwrap()
 }
 
 #[actix_rt::test]
-async fn streams_coalesce_tokens_and_end_with_done() {
+async fn stream_sends_tokens_in_chunks_and_ends_with_done() {
     let engine = Handle::start(options()).await.unwrap();
     let body = complete(&engine, &request("a", 8)).await;
     assert!(body.ends_with("data: [DONE]\n\n"));
-    let whole = raw(&engine, &request("raw", 8)).await;
-    assert!(whole.ends_with(LAST_CHUNK), "{whole}");
-    let chunks = chunks(&body);
+    let response = raw_response(&engine, &request("raw", 8)).await;
+    assert!(response.ends_with(LAST_CHUNK), "{response}");
+    let chunks = parse_chunks(&body);
     let sizes: Vec<_> = chunks.iter().map(|c| (c.offset, c.tokens)).collect();
     assert_eq!(sizes, [(0, 8), (8, 8), (16, 4)]);
     assert_eq!(chunks[2].finish, Some(FinishReason::Length));
-    let whole: String = chunks.iter().map(|c| c.text.as_str()).collect();
-    assert_eq!(text::check(PROMPT, 20, &whole), Ok(()));
-    let record = &engine.record()["a"];
+    let text: String = chunks.iter().map(|c| c.text.as_str()).collect();
+    assert_eq!(text::check(PROMPT, 20, &text), Ok(()));
+    let record = &engine.records()["a"];
     assert_eq!(
         (record.tokens, record.finished),
         (20, Some(FinishReason::Length))
@@ -133,7 +133,7 @@
 }
 
 #[actix_rt::test]
-async fn old_fencing_tokens_are_refused_only_by_engines_that_check() {
+async fn order_with_an_old_fencing_token_is_refused_only_if_the_engine_checks_fencing() {
     for checks_fencing in [true, false] {
         let engine = Handle::start(Options {
             checks_fencing,
@@ -141,70 +141,70 @@
         })
         .await
         .unwrap();
-        assert_eq!(order(&engine, 5, 2).await, StatusCode::OK);
-        let late = order(&engine, 4, 3).await;
+        assert_eq!(send_order(&engine, 5, 2).await, StatusCode::OK);
+        let late_status = send_order(&engine, 4, 3).await;
         let (status, version) = if checks_fencing {
             (StatusCode::CONFLICT, 2)
         } else {
             (StatusCode::OK, 3)
         };
-        assert_eq!(late, status);
-        let told = loop {
-            let told = state(&engine).await;
-            if told.loading.is_none() {
-                break told;
+        assert_eq!(late_status, status);
+        let state = loop {
+            let state = get_state(&engine).await;
+            if state.loading.is_none() {
+                break state;
             }
         };
-        assert_eq!((told.version, told.fence), (Some(Version(version)), 5));
+        assert_eq!((state.version, state.fence), (Some(Version(version)), 5));
         engine.stop();
     }
 }
 
 #[actix_rt::test]
-async fn refusals_come_before_anything_runs() {
+async fn refused_requests_are_not_run() {
     let mut unloaded = options();
-    unloaded.batch.version = None;
+    unloaded.batch.initial_version = None;
     let unloaded = Handle::start(unloaded).await.unwrap();
     let leaving = Handle::start(options()).await.unwrap();
-    leaving.set_faults(broken(|f| f.leaving = true));
+    leaving.set_faults(faults_with(|f| f.leaving = true));
     for (engine, reason) in [(&unloaded, "not-loaded"), (&leaving, "leaving")] {
         let call = client().post(url(engine, "/v1/completions"));
-        let answer = call.send_json(&request("a", 1)).await.unwrap();
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(answer.headers().get("x-refused").unwrap(), reason);
-        assert!(answer.headers().contains_key("x-incarnation"));
-        assert!(engine.record().is_empty());
+        let response = call.send_json(&request("a", 1)).await.unwrap();
+        assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(response.headers().get("x-refused").unwrap(), reason);
+        assert!(response.headers().contains_key("x-incarnation"));
+        assert!(engine.records().is_empty());
         engine.stop();
     }
 }
 
 #[actix_rt::test]
-async fn cut_and_crashed_streams_are_not_whole_and_duplicates_are_repeats() {
+async fn cut_and_crashed_streams_are_incomplete_and_duplicated_chunks_come_twice() {
     let engine = Handle::start(options()).await.unwrap();
-    engine.set_faults(broken(|f| f.cut_streams = true));
-    let cut = raw(&engine, &request("cut", 4)).await;
+    engine.set_faults(faults_with(|f| f.cut_streams = true));
+    let cut = raw_response(&engine, &request("cut", 4)).await;
     assert!(cut.contains(r#""offset":0"#), "{cut}");
     assert!(!cut.contains(r#""offset":4"#), "{cut}");
     assert!(!cut.ends_with(LAST_CHUNK), "{cut}");
-    let before = state(&engine).await.incarnation;
-    engine.set_faults(broken(|f| f.crash_after_tokens = Some(10)));
-    let crashed = raw(&engine, &request("crashed", 4)).await;
+    let incarnation = get_state(&engine).await.incarnation;
+    engine.set_faults(faults_with(|f| f.crash_after_tokens = Some(10)));
+    let crashed = raw_response(&engine, &request("crashed", 4)).await;
     assert!(crashed.contains(r#""offset":0"#), "{crashed}");
     assert!(!crashed.ends_with(LAST_CHUNK), "{crashed}");
-    assert_eq!(state(&engine).await.incarnation, before + 1);
-    engine.set_faults(broken(|f| f.duplicate_chunks = true));
+    assert_eq!(get_state(&engine).await.incarnation, incarnation + 1);
+    engine.set_faults(faults_with(|f| f.duplicate_chunks = true));
     let body = complete(&engine, &request("twice", 10)).await;
-    let offsets: Vec<_> = chunks(&body).iter().map(|c| c.offset).collect();
+    let offsets: Vec<_> = parse_chunks(&body).iter().map(|c| c.offset).collect();
     assert_eq!(offsets, [0, 0, 10, 10]);
     engine.stop();
 }
 
 #[actix_rt::test]
-async fn a_stalled_stream_can_be_cancelled() {
+async fn stalled_stream_can_be_cancelled() {
     let engine = Handle::start(options()).await.unwrap();
-    engine.set_faults(broken(|f| f.stall = true));
+    engine.set_faults(faults_with(|f| f.stall = true));
     let call = client().post(url(&engine, "/v1/completions"));
-    let mut answer = call.send_json(&request("a", 4)).await.unwrap();
+    let mut response = call.send_json(&request("a", 4)).await.unwrap();
     let cancel = Cancel {
         request_id: "a".into(),
     };
@@ -213,21 +213,21 @@
         call.send_json(&cancel).await.unwrap().status(),
         StatusCode::NO_CONTENT
     );
-    let body = answer.body().await.unwrap();
-    let chunks = chunks(std::str::from_utf8(&body).unwrap());
+    let body = response.body().await.unwrap();
+    let chunks = parse_chunks(std::str::from_utf8(&body).unwrap());
     assert_eq!(chunks.last().unwrap().finish, Some(FinishReason::Cancelled));
     engine.stop();
 }
 
 #[actix_rt::test]
-async fn a_reader_that_goes_away_cancels_its_attempt() {
+async fn closed_connection_cancels_the_attempt() {
     let mut slow = options();
     slow.batch.tokens_per_second = 200.0;
     let engine = Handle::start(slow).await.unwrap();
     let mut seeds = 0..;
     let long = Request {
         seed: seeds
-            .find(|seed| text::natural_length(PROMPT, *seed) > 400)
+            .find(|seed| text::unlimited_length(PROMPT, *seed) > 400)
             .unwrap(),
         max_tokens: 400,
         ..request("a", 1)
@@ -235,8 +235,8 @@
     let call = client().post(url(&engine, "/v1/completions"));
     drop(call.send_json(&long).await.unwrap());
     let finished = loop {
-        state(&engine).await;
-        if let Some(finished) = engine.record()["a"].finished {
+        get_state(&engine).await;
+        if let Some(finished) = engine.records()["a"].finished {
             break finished;
         }
     };
@@ -245,28 +245,28 @@
 }
 
 #[actix_rt::test]
-async fn kv_moves_between_engines_with_its_versions() {
+async fn imported_blocks_keep_the_version_that_computed_them() {
     let (from, to) = (
         Handle::start(options()).await.unwrap(),
         Handle::start(options()).await.unwrap(),
     );
     complete(&from, &request("a", 20)).await;
-    order(&to, 1, 4).await;
-    let prompt = Prompt {
+    send_order(&to, 1, 4).await;
+    let export = ExportRequest {
         prompt: PROMPT.into(),
     };
     let call = client().post(url(&from, "/v1/kv/export"));
-    let blob: Blob = call.send_json(&prompt).await.unwrap().json().await.unwrap();
+    let blocks: CachedBlocks = call.send_json(&export).await.unwrap().json().await.unwrap();
     let call = client().post(url(&to, "/v1/kv/import"));
     assert_eq!(
-        call.send_json(&blob).await.unwrap().status(),
+        call.send_json(&blocks).await.unwrap().status(),
         StatusCode::NO_CONTENT
     );
     let body = complete(&to, &request("b", 20)).await;
-    let first = &chunks(&body)[0];
+    let first = &parse_chunks(&body)[0];
     assert_eq!(first.reused[0].version, Version(1));
     assert_eq!(first.version, Some(Version(4)));
-    assert_eq!(to.record()["b"].prompt_spans[0], first.reused[0]);
+    assert_eq!(to.records()["b"].prompt_spans[0], first.reused[0]);
     from.stop();
     to.stop();
 }
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -69,7 +69,7 @@
 
 /// Attempts that the engines ran to their end.
 fn finished(site: &Site) -> usize {
-    let records = site.engines.iter().map(|engine| engine.handle.record());
+    let records = site.engines.iter().map(|engine| engine.handle.records());
     records
         .map(|record| record.values().filter(|r| r.finished.is_some()).count())
         .sum()
--- a/crates/pinereel_fakes/tests/input_senders.rs
+++ b/crates/pinereel_fakes/tests/input_senders.rs
@@ -64,7 +64,7 @@
     let site = site().await;
     let body = "{\"model\": \"draft-llm\", \"prompt\": \"slot\", \"max_tokens\": 5000}";
     let mut stream = send(callers(&site), &post("/v1/completions", body)).await;
-    let record = || site.engines[0].handle.record();
+    let record = || site.engines[0].handle.records();
     until(|| record().len() == 1).await.unwrap();
     stream.shutdown().await.unwrap();
     assert_eq!(rest(&mut stream).await, "");
--- a/crates/pinereel_fakes/tests/overload/mod.rs
+++ b/crates/pinereel_fakes/tests/overload/mod.rs
@@ -183,7 +183,7 @@
 /// Records of all attempts at all engines for a prompt.
 pub fn attempts(site: &Site, prompt: &str) -> Vec<Record> {
     let digest = Digest::of(prompt.as_bytes()).to_string();
-    let records = site.engines.iter().flat_map(|e| e.handle.record());
+    let records = site.engines.iter().flat_map(|e| e.handle.records());
     let records = records.map(|(_, record)| record);
     records.filter(|r| r.prompt == digest).collect()
 }
--- a/crates/pinereel_fakes/tests/overload_admit.rs
+++ b/crates/pinereel_fakes/tests/overload_admit.rs
@@ -34,7 +34,7 @@
     };
     let (answers, ()) = join(join_all(held), more).await;
     for (answer, prompt) in answers.iter().zip(prompts) {
-        assert_eq!(answer.text(), text::whole(prompt, 7, 5), "{answer:?}");
+        assert_eq!(answer.text(), text::completion(prompt, 7, 5), "{answer:?}");
     }
     queued(&site, POOL, 0, 0).await;
 }
@@ -88,9 +88,9 @@
         .map(|prompt| complete(&address, prompt, 5, Duration::from_millis(1_500)));
     let answers = join_all(calls).await;
     for (answer, prompt) in answers.iter().zip(&prompts) {
-        assert_eq!(answer.text(), text::whole(prompt, 7, 5), "{answer:?}");
+        assert_eq!(answer.text(), text::completion(prompt, 7, 5), "{answer:?}");
     }
-    let silent = || site.engines[0].handle.record();
+    let silent = || site.engines[0].handle.records();
     assert!(!silent().is_empty(), "no request met the silent engine");
     let cancelled = || {
         silent()
@@ -121,7 +121,7 @@
         assert_eq!(answer.status, 502, "{answer:?}");
         assert_eq!(answer.ran.as_deref(), Some("unknown"));
     }
-    let attempts: usize = site.engines.iter().map(|e| e.handle.record().len()).sum();
+    let attempts: usize = site.engines.iter().map(|e| e.handle.records().len()).sum();
     let extra = attempts - 60;
     let seconds = began.elapsed().as_secs() as usize;
     assert!(
@@ -180,7 +180,7 @@
     let enough = |prompt: &String| text::length(prompt, 7, 40) == 40;
     let prompt = (0..).map(|n| n.to_string()).find(enough).unwrap();
     let answer = complete(&address, &prompt, 40, LONG).await;
-    assert_eq!(answer.text(), text::whole(&prompt, 7, 40));
+    assert_eq!(answer.text(), text::completion(&prompt, 7, 40));
     let body = completion(&prompt, 40, false);
     for _ in 0..30 {
         let gone = open(&address, "/v1/completions", &body, LONG).await;
@@ -224,7 +224,7 @@
         until(cancelled).await.unwrap();
         site.engines[0].handle.set_faults(Faults::default());
         let next = complete(&address, "next", 5, LONG).await;
-        assert_eq!(next.text(), text::whole("next", 7, 5), "{next:?}");
+        assert_eq!(next.text(), text::completion("next", 7, 5), "{next:?}");
     }
 }
 
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -62,11 +62,11 @@
     let prompts: Vec<String> = (0..8).map(|n| format!("prompt {n}")).collect();
     let streams = prompts.iter().map(|prompt| stream(&address, prompt));
     for ((text, problem, done), prompt) in join_all(streams).await.iter().zip(&prompts) {
-        assert_eq!(text, &text::whole(prompt, 7, TOKENS));
+        assert_eq!(text, &text::completion(prompt, 7, TOKENS));
         assert!(*done && problem.is_none(), "{prompt}: {problem:?}");
     }
     assert!(
-        !site.engines[0].handle.record().is_empty(),
+        !site.engines[0].handle.records().is_empty(),
         "no request met the fault"
     );
 }
@@ -101,7 +101,7 @@
     resumed(&site, twice.clone()).await;
     let address = site.callers().remove(0);
     let whole = complete(&address, "whole", TOKENS, LONG).await;
-    assert_eq!(whole.text(), text::whole("whole", 7, TOKENS));
+    assert_eq!(whole.text(), text::completion("whole", 7, TOKENS));
     assert!(site.entries[0].shared.metrics.late_chunks.get() > 0);
 }
 
@@ -127,7 +127,11 @@
     for prompt in &prompts {
         let before = attempts(&site, prompt).len();
         let answer = complete(&address, prompt, TOKENS, LONG).await;
-        assert_eq!(answer.text(), text::whole(prompt, 7, TOKENS), "{answer:?}");
+        assert_eq!(
+            answer.text(),
+            text::completion(prompt, 7, TOKENS),
+            "{answer:?}"
+        );
         let tokens = text::length(prompt, 7, TOKENS);
         assert_eq!(
             answer.body["usage"]["completion_tokens"], tokens,
@@ -150,7 +154,7 @@
     }
     let address = site.callers().remove(0);
     let (text, problem, done) = stream(&address, "cut").await;
-    let whole = text::whole("cut", 7, TOKENS);
+    let whole = text::completion("cut", 7, TOKENS);
     assert!(
         whole.starts_with(&text) && text.len() < whole.len(),
         "{text}"
@@ -177,7 +181,7 @@
         entry.run_until_drained().await;
     };
     let ((text, problem, done), ()) = join(stream(&address, "stream"), stop).await;
-    assert_eq!(text, text::whole("stream", 7, TOKENS));
+    assert_eq!(text, text::completion("stream", 7, TOKENS));
     assert!(done && problem.is_none(), "{problem:?}");
 }
 
@@ -270,7 +274,7 @@
     for number in 0..20 {
         let prompt = format!("{number}");
         let answer = complete(&address, &prompt, 5, LONG).await;
-        assert_eq!(answer.text(), text::whole(&prompt, 7, 5));
+        assert_eq!(answer.text(), text::completion(&prompt, 7, 5));
     }
     queued(&site, "orders-app", 0, 0).await;
     until(|| endless.closed.get() == 1).await.unwrap();
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -61,7 +61,7 @@
         let mut response = client().post(url).send_json(&request).await.unwrap();
         assert_eq!(response.status(), 200);
         let answer: Value = response.json().await.unwrap();
-        let expected = text::whole("slot for June", 7, 20);
+        let expected = text::completion("slot for June", 7, 20);
         assert_eq!(answer["choices"][0]["text"], Value::from(expected));
         assert_eq!(answer["versions"][0]["version"], 1);
     }
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -99,7 +99,7 @@
         for (index, engine) in cluster.engines.iter().enumerate() {
             let path = "/record";
             type Records =
-                std::collections::BTreeMap<String, pinereel_fakes::engine::model::Record>;
+                std::collections::BTreeMap<String, pinereel_fakes::engine::types::Record>;
             let records: Records = pinereel_fakes::cluster::get(engine.address, path)
                 .await
                 .unwrap();
@@ -123,10 +123,10 @@
         let (text, _) = complete(cluster.entries[number % 2].callers, &prompt)
             .await
             .unwrap();
-        assert_eq!(text, text::whole(&prompt, 0, 40));
+        assert_eq!(text, text::completion(&prompt, 0, 40));
     }
     let (_, text) = running.await.unwrap().unwrap();
-    assert_eq!(text, text::whole(&prompt, 0, 600));
+    assert_eq!(text, text::completion(&prompt, 0, 600));
     measured("stream whole after its engine's kill", killed);
     let taken = all_once(&mut trainer, STEPS, LOT).await;
     measured("the rest of three steps after the kill", killed);
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -27,7 +27,7 @@
         let prompt = format!("{word} {}", entry.name);
         let start = Instant::now();
         let (answer, _) = complete(entry.callers, &prompt).await.unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        assert_eq!(answer, text::completion(&prompt, 0, 40));
         assert!(start.elapsed() < PROMPT, "{word}: {:?}", start.elapsed());
     }
 }
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -38,7 +38,7 @@
     let prompt = long_prompt(40);
     for entry in &cluster.entries {
         let (text, versions) = complete(entry.callers, &prompt).await.unwrap();
-        assert_eq!(text, text::whole(&prompt, 0, 40));
+        assert_eq!(text, text::completion(&prompt, 0, 40));
         assert_eq!(
             versions,
             json!([{ "version": 1, "tokens": versions[0]["tokens"] }])
@@ -141,7 +141,7 @@
         "the stream was meant to be longer than the lag"
     );
     let (_, text) = running.await.unwrap().unwrap();
-    assert_eq!(text, text::whole(&prompt, 0, 400));
+    assert_eq!(text, text::completion(&prompt, 0, 400));
     assert!(cluster::ended(&mut cluster.entries[0].child).await.unwrap());
     measured("exit after SIGTERM, stream of 4 s", start);
     let attempts = cluster.attempts().await.unwrap();
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -167,7 +167,7 @@
 async fn last_new(cluster: &Cluster, index: usize, start: Instant, enough: Duration) -> Duration {
     let engine = &cluster.engines[index];
     let begun = async || {
-        type Records = std::collections::BTreeMap<String, pinereel_fakes::engine::model::Record>;
+        type Records = std::collections::BTreeMap<String, pinereel_fakes::engine::types::Record>;
         let records: Records = cluster::get(engine.address, "/record").await.unwrap();
         records.len()
     };
@@ -176,7 +176,7 @@
         let prompt = format!("request {number} {enough:?}");
         let entry = &cluster.entries[number % cluster.entries.len()];
         let (answer, _) = complete(entry.callers, &prompt).await.unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        assert_eq!(answer, text::completion(&prompt, 0, 40));
         number += 1;
         let now = begun().await;
         if now > count {
@@ -242,7 +242,7 @@
         let (answer, _) = complete(cluster.entries[number % 2].callers, &prompt)
             .await
             .unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        assert_eq!(answer, text::completion(&prompt, 0, 40));
         number += 1;
         if sent() > count {
             (last, count) = (said.elapsed(), sent());
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -60,7 +60,7 @@
 /// A prompt whose completion with seed 0 is of just `tokens` tokens or more.
 pub fn long_prompt(tokens: u32) -> String {
     let prompts = (0..).map(|number| format!("status of lacquer slot {number}"));
-    let mut long = prompts.filter(|prompt| text::natural_length(prompt, 0) >= tokens);
+    let mut long = prompts.filter(|prompt| text::unlimited_length(prompt, 0) >= tokens);
     long.next().unwrap()
 }
 
@@ -104,7 +104,7 @@
         .map(|event| serde_json::from_str::<Value>(event).unwrap())
         .map(|event| event["choices"][0]["text"].as_str().unwrap().to_owned())
         .collect();
-    if text == text::whole(prompt, 0, max) {
+    if text == text::completion(prompt, 0, max) {
         Ok((id, text))
     } else {
         Err("not the whole text".into())
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -28,7 +28,7 @@
         engines: vec![("winder-lm".into(), engines)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
-            swap: Duration::from_millis(100),
+            swap_time: Duration::from_millis(100),
             ..batch::Options::default()
         },
         services: Vec::new(),
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -28,7 +28,7 @@
         engines: vec![("winder-lm".into(), engines)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
-            swap: Duration::from_millis(50),
+            swap_time: Duration::from_millis(50),
             ..batch::Options::default()
         },
         services: Vec::new(),
--- a/crates/pinereel_fakes/tests/trainer_client.rs
+++ b/crates/pinereel_fakes/tests/trainer_client.rs
@@ -118,7 +118,7 @@
     let samples = (from..to).map(|index| {
         let group = index / lot.groups[0].samples;
         let asked = &lot.groups[group as usize];
-        let mut text = text::whole(&asked.prompt, u64::from(index), asked.max_tokens);
+        let mut text = text::completion(&asked.prompt, u64::from(index), asked.max_tokens);
         if entry.cut_text {
             text.truncate(text.rfind(' ').unwrap());
         }
