--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -193,8 +193,8 @@
             "reads-per-second" => options.reads_per_second = value(parser)?,
             "writes-per-second" => options.writes_per_second = value(parser)?,
             "lag-ms" => options.lag = Duration::from_millis(value(parser)?),
-            "history" => options.history = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "history" => options.max_watch_changes = value(parser)?,
+            "records" => options.max_records = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
--- a/crates/pinereel_fakes/src/capacity/platform.rs
+++ b/crates/pinereel_fakes/src/capacity/platform.rs
@@ -149,7 +149,7 @@
         put(&api, options, SERVICES, i, service.address);
         services.push(service);
     }
-    api.settle_instances();
+    api.list_pending_instances();
     Ok((api.address, (api, engines, services)))
 }
 
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -2,7 +2,7 @@
 //! killed, paused and started again.
 
 use crate::{
-    engine::batch, launch::Child, object_api::Record, service::Execution, site,
+    engine::batch, launch::Child, object_api::WriteRecord, service::Execution, site,
     trainer::step::Taken,
 };
 use awc::http::StatusCode;
@@ -306,7 +306,7 @@
     ///
     /// # Errors
     /// The object API does not answer.
-    pub async fn history(&self, kind: &str) -> io::Result<Vec<Record>> {
+    pub async fn history(&self, kind: &str) -> io::Result<Vec<WriteRecord>> {
         let path = format!("/history?kind={kind}");
         get(self.api.address, &path).await
     }
--- a/crates/pinereel_fakes/src/object_api/handle.rs
+++ b/crates/pinereel_fakes/src/object_api/handle.rs
@@ -1,8 +1,8 @@
-//! The running stand-in and the handle to it.
+//! State of a running fake API, and the handle of it.
 
-use super::{Bucket, Condition, Options, Record, Refusal, Store, serve};
+use super::{Condition, Options, Refusal, Store, TokenBucket, WriteRecord, serve};
 use compact_str::CompactString;
-use pinereel::http::{Options as Listener, Server};
+use pinereel::http::{Options as ServerOptions, Server};
 use pinereel_api::object::{Change, Faults, INSTANCES, Instance, List, Stats};
 use std::{
     cell::{Cell, RefCell},
@@ -14,29 +14,33 @@
 };
 use tokio::{net::TcpListener, sync::watch, time::Instant};
 
-/// State that the connections share on the one thread.
+/// State shared by the request handlers, all on one thread.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) options: Options,
-    pub(super) started: Instant,
+    pub(super) started_at: Instant,
     pub(super) store: RefCell<Store>,
-    pub(super) records: RefCell<VecDeque<Record>>,
+    pub(super) records: RefCell<VecDeque<WriteRecord>>,
     pub(super) stats: RefCell<Stats>,
-    pub(super) reads: Bucket,
-    pub(super) writes: Bucket,
-    /// Bumped whenever a waiting watch must look again.
-    pub(super) wake: watch::Sender<()>,
-    /// Truths about instances that are not in the list yet, oldest first.
-    pending: RefCell<VecDeque<(CompactString, Option<Instance>)>>,
+    /// Rate limit of reads and watches.
+    pub(super) reads: TokenBucket,
+    /// Rate limit of writes.
+    pub(super) writes: TokenBucket,
+    /// Wakes the pending watches after a change of the objects or of the faults.
+    pub(super) watch_wake: watch::Sender<()>,
+    /// Changes of instances that the list does not show yet, oldest first. `None` is a removal.
+    unlisted_instances: RefCell<VecDeque<(CompactString, Option<Instance>)>>,
     pub(super) outage_until: Cell<Instant>,
-    pub(super) delay: Cell<Duration>,
-    pub(super) lose: Cell<u32>,
+    pub(super) response_delay: Cell<Duration>,
+    /// Number of next writes that are applied but not answered.
+    pub(super) writes_to_lose: Cell<u32>,
     pub(super) lose_kind: RefCell<Option<CompactString>>,
-    /// How often watches were ended on request.
-    pub(super) ended: Cell<u64>,
-    /// Up to which of these each kind has answered 410.
-    pub(super) ended_seen: RefCell<BTreeMap<CompactString, u64>>,
-    pub(super) cut: RefCell<Vec<CompactString>>,
+    /// Number of times that a fault ended all watches.
+    pub(super) watch_ends: Cell<u64>,
+    /// Value of `watch_ends` at the last watch of each kind. A watch that finds a lower value is
+    /// answered with 410.
+    pub(super) watch_ends_seen: RefCell<BTreeMap<CompactString, u64>>,
+    pub(super) cut_agents: RefCell<Vec<CompactString>>,
 }
 
 impl State {
@@ -44,53 +48,53 @@
         let now = Instant::now();
         Self {
             options,
-            started: now,
-            store: RefCell::new(Store::new(options.history)),
+            started_at: now,
+            store: RefCell::new(Store::new(options.max_watch_changes)),
             records: RefCell::default(),
             stats: RefCell::default(),
-            reads: Bucket::new(options.reads_per_second),
-            writes: Bucket::new(options.writes_per_second),
-            wake: watch::Sender::new(()),
-            pending: RefCell::default(),
+            reads: TokenBucket::new(options.reads_per_second),
+            writes: TokenBucket::new(options.writes_per_second),
+            watch_wake: watch::Sender::new(()),
+            unlisted_instances: RefCell::default(),
             outage_until: Cell::new(now),
-            delay: Cell::default(),
-            lose: Cell::default(),
+            response_delay: Cell::default(),
+            writes_to_lose: Cell::default(),
             lose_kind: RefCell::default(),
-            ended: Cell::default(),
-            ended_seen: RefCell::default(),
-            cut: RefCell::default(),
+            watch_ends: Cell::default(),
+            watch_ends_seen: RefCell::default(),
+            cut_agents: RefCell::default(),
         }
     }
 
-    /// Whether an outage is on.
-    pub(super) fn down(&self) -> bool {
+    /// Whether an injected outage is in progress.
+    pub(super) fn has_outage(&self) -> bool {
         Instant::now() < self.outage_until.get()
     }
 
-    /// Sets the faults that are present in `faults`.
+    /// Sets the faults of the fields that are present, and wakes the pending watches.
     pub(super) fn set_faults(&self, faults: Faults) {
         if let Some(millis) = faults.outage_ms {
             self.outage_until
                 .set(Instant::now() + Duration::from_millis(millis));
         }
         if let Some(millis) = faults.delay_ms {
-            self.delay.set(Duration::from_millis(millis));
+            self.response_delay.set(Duration::from_millis(millis));
         }
         if let Some(writes) = faults.lose_write_answers {
-            self.lose.set(writes);
-            // Named together with the count: a count without a kind is of any kind.
+            self.writes_to_lose.set(writes);
+            // The kind is set together with the count: a count without a kind applies to all kinds.
             self.lose_kind.replace(faults.lose_kind);
         }
         if faults.end_watches == Some(true) {
-            self.ended.set(self.ended.get() + 1);
+            self.watch_ends.set(self.watch_ends.get() + 1);
         }
         if let Some(agents) = faults.cut_agents {
-            self.cut.replace(agents);
+            self.cut_agents.replace(agents);
         }
-        self.wake.send_replace(());
+        self.watch_wake.send_replace(());
     }
 
-    /// Writes an object under a condition; a value of none deletes.
+    /// Writes an object if `condition` is met, and records the write; a value of `None` deletes it.
     pub(super) fn write(
         &self,
         kind: &str,
@@ -103,77 +107,78 @@
             .store
             .borrow_mut()
             .write(kind, name, value, condition)?;
-        self.record(kind, change.clone(), agent);
+        self.record_write(kind, change.clone(), agent);
         Ok(change)
     }
 
-    fn record(&self, kind: &str, change: Change, agent: &str) {
+    fn record_write(&self, kind: &str, change: Change, agent: &str) {
         let mut records = self.records.borrow_mut();
-        records.push_back(Record {
+        records.push_back(WriteRecord {
             kind: kind.into(),
             change,
-            at_ms: self.started.elapsed().as_millis() as u64,
+            at_ms: self.started_at.elapsed().as_millis() as u64,
             agent: agent.into(),
         });
-        while records.len() > self.options.records {
+        while records.len() > self.options.max_records {
             records.pop_front();
         }
-        self.wake.send_replace(());
+        self.watch_wake.send_replace(());
     }
 
-    /// Takes what is now true of an instance; the list shows it after the lag.
+    /// Changes an instance, or removes it with `None`. The list shows the change after the lag.
     pub(super) fn set_instance(self: &Rc<Self>, name: &str, instance: Option<Instance>) {
-        self.pending.borrow_mut().push_back((name.into(), instance));
+        self.unlisted_instances
+            .borrow_mut()
+            .push_back((name.into(), instance));
         let state = Rc::clone(self);
         let due = Instant::now() + self.options.lag;
         actix_rt::spawn(async move {
             tokio::time::sleep_until(due).await;
-            // The lag is the same for all, so the oldest is due whichever task wakes first.
-            state.show_instance();
+            // All changes have the same lag, so the oldest one is due, whichever task runs first.
+            state.list_oldest_change();
         });
     }
 
-    /// Puts the oldest pending truth into the list; false if there is none.
-    fn show_instance(&self) -> bool {
-        let Some((name, instance)) = self.pending.borrow_mut().pop_front() else {
+    /// Applies the oldest change that the list does not show yet; returns false if there is none.
+    fn list_oldest_change(&self) -> bool {
+        let Some((name, instance)) = self.unlisted_instances.borrow_mut().pop_front() else {
             return false;
         };
-        let value = instance.map(|i| {
-            serde_json::to_value(i).expect("an instance has only text, numbers and enums")
-        });
-        let change = self.store.borrow_mut().force(INSTANCES, &name, value);
-        self.record(INSTANCES, change, "platform");
+        let value = instance
+            .map(|i| serde_json::to_value(i).expect("an instance can be serialized as JSON"));
+        let change = self.store.borrow_mut().apply(INSTANCES, &name, value);
+        self.record_write(INSTANCES, change, "platform");
         true
     }
 
-    /// The kept accepted writes of `kind`, or of all kinds.
-    pub(super) fn history(&self, kind: Option<&str>) -> Vec<Record> {
+    /// Accepted writes of `kind`, or of all kinds, oldest first.
+    pub(super) fn history(&self, kind: Option<&str>) -> Vec<WriteRecord> {
         let records = self.records.borrow();
-        let chosen = records.iter().filter(|r| kind.is_none_or(|k| r.kind == k));
-        chosen.cloned().collect()
+        let matching = records.iter().filter(|r| kind.is_none_or(|k| r.kind == k));
+        matching.cloned().collect()
     }
 }
 
-/// Starts the stand-in.
+/// Starts the fake API.
 #[derive(Clone, Copy, Debug)]
 pub struct Api;
 
 impl Api {
-    /// Starts on loopback, on the current thread's local tasks.
+    /// Starts a fake API on the loopback address, on the current thread.
     ///
     /// # Errors
-    /// If the port can't be bound.
+    /// If the port cannot be bound.
     pub async fn start(options: Options) -> io::Result<Handle> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, options.port)).await?;
         let state = Rc::new(State::new(options));
         let shared = Rc::clone(&state);
-        let bounds = Listener {
-            // A watch must not count as waiting once its client is gone.
+        let server_options = ServerOptions {
+            // A watch must not count as pending once its client has disconnected.
             allow_half_closed: false,
-            ..Listener::default()
+            ..ServerOptions::default()
         };
-        let server = Server::start(listener, bounds, move |request| {
-            serve::answer(Rc::clone(&shared), request)
+        let server = Server::start(listener, server_options, move |request| {
+            serve::handle_request(Rc::clone(&shared), request)
         })
         .await?;
         Ok(Handle {
@@ -184,48 +189,48 @@
     }
 }
 
-/// A running stand-in. Dropping the handle does not stop it; [`Handle::stop`] does.
+/// Handle of a running fake API. Dropping it does not stop the API; [`Handle::stop`] does.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Local address of the listening socket.
     pub address: SocketAddr,
     server: Server,
     state: Rc<State>,
 }
 
 impl Handle {
-    /// Sets faults; absent fields leave a fault as it is.
+    /// Sets the faults of the fields that are present.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// Calls answered so far.
+    /// Calls since the start.
     pub fn stats(&self) -> Stats {
         self.state.stats.borrow().clone()
     }
 
-    /// Says what is now true of an instance; the list shows it after the lag.
+    /// Adds or changes an instance. The list shows the change after the lag.
     pub fn put_instance(&self, name: &str, instance: Instance) {
         self.state.set_instance(name, Some(instance));
     }
 
-    /// Says that an instance is gone; the list shows it after the lag.
+    /// Removes an instance. The list shows the change after the lag.
     pub fn remove_instance(&self, name: &str) {
         self.state.set_instance(name, None);
     }
 
-    /// Shows every pending truth in the list of instances now, without waiting for the lag.
-    pub fn settle_instances(&self) {
-        while self.state.show_instance() {}
+    /// Shows all changes of instances in the list at once, without waiting for the lag.
+    pub fn list_pending_instances(&self) {
+        while self.state.list_oldest_change() {}
     }
 
-    /// The objects of a kind as they stand; no call, neither limited nor counted.
+    /// Current objects of a kind. Not a call of the API: neither rate-limited nor counted.
     pub fn objects(&self, kind: &str) -> List {
         self.state.store.borrow().list(kind, "")
     }
 
-    /// The kept accepted writes of `kind`, or of all kinds, oldest first.
-    pub fn history(&self, kind: Option<&str>) -> Vec<Record> {
+    /// Accepted writes of `kind`, or of all kinds, oldest first.
+    pub fn history(&self, kind: Option<&str>) -> Vec<WriteRecord> {
         self.state.history(kind)
     }
 
--- a/crates/pinereel_fakes/src/object_api/mod.rs
+++ b/crates/pinereel_fakes/src/object_api/mod.rs
@@ -1,44 +1,44 @@
-//! The platform's object API, in memory, with faults on request.
+//! Fake of the platform's object API: in memory, with faults that can be injected.
 //!
-//! Beside the calls of `pinereel_api::object`, for tests and the demo:
+//! In addition to the calls of `pinereel_api::object`, it serves these to tests and the demo:
 //!
-//! | call | path | answer |
+//! | call | path | response |
 //! |---|---|---|
-//! | faults | `POST /faults` with `object::Faults` | 204 |
+//! | set faults | `POST /faults` with `object::Faults` | 204 |
 //! | counters | `GET /stats` | 200 `object::Stats` |
-//! | accepted writes | `GET /history?kind=K` | 200 list of [`Record`] |
-//! | what is true of an instance | `POST /instances/{name}` with `object::Instance` | 204 |
-//! | the instance is gone | `DELETE /instances/{name}` | 204 |
+//! | accepted writes | `GET /history?kind=K` | 200 list of [`WriteRecord`] |
+//! | add or change an instance | `POST /instances/{name}` with `object::Instance` | 204 |
+//! | remove an instance | `DELETE /instances/{name}` | 204 |
 //!
-//! These answer also in an outage and are neither limited nor counted. An instance shows in kind
-//! `instances` only after [`Options::lag`], for reads and watches alike.
+//! They work during an outage too, and are neither rate-limited nor counted. Reads and watches of
+//! kind `instances` see a change of an instance only after [`Options::lag`].
 
-mod bucket;
 mod handle;
 mod serve;
 mod store;
+mod token_bucket;
 
-pub use bucket::Bucket;
 pub use handle::{Api, Handle};
-pub use store::{Condition, Record, Refusal, Store};
+pub use store::{Condition, Refusal, Store, WriteRecord};
+pub use token_bucket::TokenBucket;
 
 use std::time::Duration;
 
-/// Settings of the stand-in.
+/// Options of the fake API.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Port on loopback; 0 lets the system choose.
+    /// Port on the loopback address; with 0 the system chooses one.
     pub port: u16,
-    /// Reads, lists and begun watches a second.
+    /// Rate limit of reads, lists and new watches, per second.
     pub reads_per_second: u32,
-    /// Creates, updates and deletes a second.
+    /// Rate limit of creates, updates and deletes, per second.
     pub writes_per_second: u32,
-    /// How far the list of instances is behind the truth.
+    /// Delay until the list of instances shows a change.
     pub lag: Duration,
-    /// Changes of each kind that a watch can still catch up with.
-    pub history: usize,
-    /// Accepted writes kept for `GET /history`, the newest.
-    pub records: usize,
+    /// Maximum number of changes per kind that are kept for watches.
+    pub max_watch_changes: usize,
+    /// Maximum number of accepted writes that are kept for `GET /history`.
+    pub max_records: usize,
 }
 
 impl Default for Options {
@@ -48,8 +48,8 @@
             reads_per_second: 2_000,
             writes_per_second: 400,
             lag: Duration::from_secs(1),
-            history: 10_000,
-            records: 100_000,
+            max_watch_changes: 10_000,
+            max_records: 100_000,
         }
     }
 }
--- a/crates/pinereel_fakes/src/object_api/serve.rs
+++ b/crates/pinereel_fakes/src/object_api/serve.rs
@@ -1,4 +1,4 @@
-//! From requests to answers.
+//! Request handlers.
 
 use super::{Condition, Refusal, handle::State};
 use crate::fault;
@@ -16,20 +16,21 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Longest wait for a request's body.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait of a watch.
-const MAX_WAIT: Duration = Duration::from_secs(60);
-/// What a client that exceeds the rate is told to wait, in milliseconds.
+/// Maximum wait of a watch.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// Time after which a client that exceeds the rate limit may retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
-/// Bodies are read somewhat beyond [`MAX_VALUE_BYTES`], so that too large a value gets a whole answer.
-const MAX_BODY: usize = 2 * MAX_VALUE_BYTES;
+/// Maximum size of a request body, in bytes. It is above [`MAX_VALUE_BYTES`], so that a value that
+/// is too large gets a proper response.
+const MAX_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES;
 
-/// Answers one request.
-pub(super) async fn answer(state: Rc<State>, mut request: Request) -> Response {
+/// Handles one request.
+pub(super) async fn handle_request(state: Rc<State>, mut request: Request) -> Response {
     let path = request.path().to_owned();
     if let Some(rest) = path.strip_prefix("/objects/") {
-        return objects(&state, request, rest).await;
+        return handle_objects_call(&state, request, rest).await;
     }
     let query = request.uri().query().unwrap_or_default().to_owned();
     match (request.method().clone(), path.as_str()) {
@@ -39,7 +40,7 @@
             &state.history(fault::query_value(&query, "kind")),
         ),
         (Method::POST, "/faults") => {
-            match read_json::<Faults>(&mut request, MAX_BODY, BODY_TIMEOUT).await {
+            match read_json::<Faults>(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
                 Ok(faults) => state.set_faults(faults),
                 Err(e) => return problem(&e.into()),
             }
@@ -47,7 +48,7 @@
         }
         (method, path) => match (method, path.strip_prefix("/instances/")) {
             (Method::POST, Some(name)) => {
-                match read_json::<Instance>(&mut request, MAX_BODY, BODY_TIMEOUT).await {
+                match read_json::<Instance>(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
                     Ok(instance) => state.set_instance(name, Some(instance)),
                     Err(e) => return problem(&e.into()),
                 }
@@ -57,71 +58,75 @@
                 state.set_instance(name, None);
                 empty(StatusCode::NO_CONTENT)
             }
-            _ => refused(Code::NotFound, "no such path", None),
+            _ => refusal_response(Code::NotFound, "no such path", None),
         },
     }
 }
 
-/// A call on objects: faults, then the rate, then the call itself.
-async fn objects(state: &Rc<State>, request: Request, rest: &str) -> Response {
+/// Handles a call on objects: first the faults, then the rate limit, then the call itself.
+async fn handle_objects_call(state: &Rc<State>, request: Request, rest: &str) -> Response {
     let agent = header(&request, USER_AGENT.as_str());
-    if state.cut.borrow().contains(&agent) {
+    if state.cut_agents.borrow().contains(&agent) {
         return fault::lost_response();
     }
-    if state.down() {
-        return down();
+    if state.has_outage() {
+        return outage_response();
     }
     let (kind, name) = match rest.split_once('/') {
         Some((kind, name)) => (kind, Some(name)),
         None => (rest, None),
     };
-    let writes = request.method() != Method::GET;
-    let bucket = if writes { &state.writes } else { &state.reads };
-    if !bucket.take() {
+    let is_write = request.method() != Method::GET;
+    let limit = if is_write {
+        &state.writes
+    } else {
+        &state.reads
+    };
+    if !limit.try_take() {
         state.stats.borrow_mut().limited += 1;
-        return refused(Code::Overloaded, "rate exceeded", Some(RETRY_AFTER_MS));
+        return refusal_response(Code::Overloaded, "rate exceeded", Some(RETRY_AFTER_MS));
     }
-    let answer = match name {
-        Some(name) if writes => write(state, request, kind, name, &agent).await,
+    let response = match name {
+        Some(name) if is_write => write(state, request, kind, name, &agent).await,
         Some(name) => read(state, kind, name),
-        None if writes => refused(Code::BadRequest, "a write needs a name", None),
+        None if is_write => refusal_response(Code::BadRequest, "a write needs a name", None),
         None => list_or_watch(state, &request, kind).await,
     };
-    fault::delay(state.delay.get()).await;
-    answer
+    fault::delay(state.response_delay.get()).await;
+    response
 }
 
 fn read(state: &State, kind: &str, name: &str) -> Response {
-    count(&mut state.stats.borrow_mut().reads, kind);
+    increment(&mut state.stats.borrow_mut().reads, kind);
     match state.store.borrow().read(kind, name) {
         Some(object) => json(StatusCode::OK, &object),
-        None => refused(Code::NotFound, "no such object", None),
+        None => refusal_response(Code::NotFound, "no such object", None),
     }
 }
 
 async fn list_or_watch(state: &Rc<State>, request: &Request, kind: &str) -> Response {
     let query = request.uri().query().unwrap_or_default();
     let Some(after) = fault::query_value(query, "after") else {
-        count(&mut state.stats.borrow_mut().reads, kind);
+        increment(&mut state.stats.borrow_mut().reads, kind);
         let prefix = fault::query_value(query, "prefix").unwrap_or_default();
         return json(StatusCode::OK, &state.store.borrow().list(kind, prefix));
     };
     let wait = fault::query_value(query, "wait_ms").unwrap_or("0");
     let (Ok(after), Ok(wait)) = (after.parse(), wait.parse()) else {
-        return refused(Code::BadRequest, "after and wait_ms are numbers", None);
+        return refusal_response(Code::BadRequest, "after and wait_ms are numbers", None);
     };
-    count(&mut state.stats.borrow_mut().watches, kind);
-    let wait = Duration::from_millis(wait).min(MAX_WAIT);
+    increment(&mut state.stats.borrow_mut().watches, kind);
+    let wait = Duration::from_millis(wait).min(MAX_WATCH_WAIT);
     watch(state, kind, after, wait).await
 }
 
-/// Counts a waiting watch for as long as it lives, also if its client goes away.
-struct Waiting {
+/// Counts a pending watch until dropped, which happens also when its client disconnects.
+struct PendingWatch {
     state: Rc<State>,
     kind: CompactString,
 }
 
-impl Waiting {
+impl PendingWatch {
     fn new(state: &Rc<State>, kind: &str) -> Self {
         let mut stats = state.stats.borrow_mut();
         stats.waiting += 1;
@@ -133,33 +138,33 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingWatch {
     fn drop(&mut self) {
         let mut stats = self.state.stats.borrow_mut();
         stats.waiting -= 1;
         let of_kind = stats.waiting_by_kind.get_mut(&self.kind);
-        *of_kind.expect("a waiting watch was counted") -= 1;
+        *of_kind.expect("a pending watch was counted at its start") -= 1;
     }
 }
 
 async fn watch(state: &Rc<State>, kind: &str, after: u64, wait: Duration) -> Response {
     let deadline = Instant::now() + wait;
-    let ended = state.ended.get();
-    let seen = state.ended_seen.borrow_mut().insert(kind.into(), ended);
-    if seen.unwrap_or(0) < ended {
-        return gone();
+    let ends = state.watch_ends.get();
+    let seen = state.watch_ends_seen.borrow_mut().insert(kind.into(), ends);
+    if seen.unwrap_or(0) < ends {
+        return gone_response();
     }
-    let mut wake = state.wake.subscribe();
-    let _waiting = Waiting::new(state, kind);
+    let mut wake = state.watch_wake.subscribe();
+    let _pending = PendingWatch::new(state, kind);
     loop {
-        if state.down() {
-            return down();
+        if state.has_outage() {
+            return outage_response();
         }
         let Some(changes) = state.store.borrow().changes(kind, after) else {
-            return gone();
+            return gone_response();
         };
-        let over = Instant::now() >= deadline || state.ended.get() != ended;
-        if over || !changes.changes.is_empty() {
+        let is_over = Instant::now() >= deadline || state.watch_ends.get() != ends;
+        if is_over || !changes.changes.is_empty() {
             return json(StatusCode::OK, &changes);
         }
         let _ = tokio::time::timeout_at(deadline, wake.changed()).await;
@@ -174,58 +179,58 @@
     agent: &str,
 ) -> Response {
     if kind == INSTANCES {
-        return refused(
+        return refusal_response(
             Code::Unauthorized,
             "the list of instances is read only",
             None,
         );
     }
-    let Some(condition) = condition(&request) else {
-        return refused(Code::BadRequest, "If-None-Match: * or If-Match: V", None);
+    let Some(condition) = parse_condition(&request) else {
+        return refusal_response(Code::BadRequest, "If-None-Match: * or If-Match: V", None);
     };
     let value = match request.method().clone() {
         Method::DELETE if condition == Condition::Absent => {
-            return refused(Code::BadRequest, "a delete needs If-Match: V", None);
+            return refusal_response(Code::BadRequest, "a delete needs If-Match: V", None);
         }
         Method::DELETE => None,
-        Method::PUT => match read_json::<Write>(&mut request, MAX_BODY, BODY_TIMEOUT).await {
+        Method::PUT => match read_json::<Write>(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
             Ok(write) => Some(write.value),
             Err(e) => return problem(&e.into()),
         },
-        _ => return refused(Code::BadRequest, "GET, PUT or DELETE", None),
+        _ => return refusal_response(Code::BadRequest, "GET, PUT or DELETE", None),
     };
     if value
         .as_ref()
         .is_some_and(|v| v.to_string().len() > MAX_VALUE_BYTES)
     {
-        return refused(Code::TooLarge, "the value is too large", None);
+        return refusal_response(Code::TooLarge, "the value is too large", None);
     }
-    count(&mut state.stats.borrow_mut().writes, kind);
-    let deletes = value.is_none();
+    increment(&mut state.stats.borrow_mut().writes, kind);
+    let is_delete = value.is_none();
     let written = state.write(kind, name, value, condition, agent);
-    if written.is_ok() && loses(state, kind) {
+    if written.is_ok() && should_lose_response(state, kind) {
         return fault::lost_response();
     }
     match written {
-        Ok(_) if deletes => empty(StatusCode::NO_CONTENT),
+        Ok(_) if is_delete => empty(StatusCode::NO_CONTENT),
         Ok(change) => json(
             StatusCode::OK,
             &Written {
                 version: change.version,
             },
         ),
-        Err(Refusal::NotFound) => refused(Code::NotFound, "no such object", None),
+        Err(Refusal::NotFound) => refusal_response(Code::NotFound, "no such object", None),
         Err(Refusal::Conflict(version)) => json(StatusCode::CONFLICT, &Written { version }),
     }
 }
 
-/// Whether the answer to this accepted write is to be lost.
-fn loses(state: &State, kind: &str) -> bool {
-    let any = state.lose_kind.borrow().as_ref().is_none_or(|k| k == kind);
-    any && fault::take_one(&state.lose)
+/// Whether to lose the response to this accepted write. If so, one write fewer is left to lose.
+fn should_lose_response(state: &State, kind: &str) -> bool {
+    let kind_matches = state.lose_kind.borrow().as_ref().is_none_or(|k| k == kind);
+    kind_matches && fault::take_one(&state.writes_to_lose)
 }
 
-fn condition(request: &Request) -> Option<Condition> {
+fn parse_condition(request: &Request) -> Option<Condition> {
     if header(request, IF_NONE_MATCH.as_str()) == "*" {
         return Some(Condition::Absent);
     }
@@ -237,25 +242,26 @@
         .map(Condition::Version)
 }
 
-/// The text of a header; empty if it is absent or no text.
+/// Value of a header; empty if it is absent or not printable ASCII.
 fn header(request: &Request, name: &str) -> CompactString {
     let value = request.headers().get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default().into()
 }
 
-fn count(counters: &mut BTreeMap<CompactString, u64>, kind: &str) {
+/// Increments the counter of a kind.
+fn increment(counters: &mut BTreeMap<CompactString, u64>, kind: &str) {
     *counters.entry(kind.into()).or_default() += 1;
 }
 
-fn down() -> Response {
-    refused(Code::ObjectApi, "the object API is down", None)
+fn outage_response() -> Response {
+    refusal_response(Code::ObjectApi, "the object API is down", None)
 }
 
-fn gone() -> Response {
+fn gone_response() -> Response {
     text(StatusCode::GONE, "the history does not reach back so far")
 }
 
-fn refused(code: Code, message: &str, retry_after_ms: Option<u64>) -> Response {
+fn refusal_response(code: Code, message: &str, retry_after_ms: Option<u64>) -> Response {
     problem(&Problem {
         code,
         message: message.into(),
--- a/crates/pinereel_fakes/src/object_api/store.rs
+++ b/crates/pinereel_fakes/src/object_api/store.rs
@@ -1,4 +1,4 @@
-//! The objects, their versions and the bounded history that watches read.
+//! Objects, their versions, and the bounded list of changes that watches read.
 
 use compact_str::CompactString;
 use pinereel_api::object::{Change, Changes, List, Object};
@@ -6,63 +6,67 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a write requires of the object that stands.
+/// Condition of a write on the stored object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// There is none (`If-None-Match: *`).
+    /// The object does not exist (`If-None-Match: *`).
     Absent,
-    /// It has this version (`If-Match: V`).
+    /// The object has this version (`If-Match: V`).
     Version(u64),
 }
 
-/// Why a write was not taken.
+/// Why a write was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// There is no such object.
+    /// The object does not exist.
     #[error("no such object")]
     NotFound,
-    /// The object has another version.
+    /// The object has this version, which does not meet the condition.
     #[error("the object has version {0}")]
     Conflict(u64),
 }
 
-/// One accepted write, for oracles: `GET /history?kind=K`.
+/// An accepted write, as returned by `GET /history?kind=K`. Tests use it to check what was written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
-    /// Kind of the object.
+pub struct WriteRecord {
+    /// Kind of the written object.
     pub kind: CompactString,
-    /// What changed.
+    /// New version and value of the object.
     pub change: Change,
-    /// When it took effect, in milliseconds since the start of the stand-in.
+    /// Time of the write, in milliseconds since the start of the fake API.
     pub at_ms: u64,
-    /// `user-agent` of the writer; empty if it sent none.
+    /// `user-agent` header of the writer; empty if it sent none. It is `platform` for changes of
+    /// instances.
     pub agent: CompactString,
 }
 
-/// The objects of one kind.
+/// Objects and changes of one kind.
 #[derive(Debug, Default)]
 struct Kind {
+    /// Version and value by name.
     objects: BTreeMap<CompactString, (u64, Value)>,
+    /// The newest changes, oldest first.
     changes: VecDeque<Change>,
-    /// Version of the newest change that is no longer in `changes`.
-    forgotten: u64,
+    /// Version of the newest change that was dropped from `changes`.
+    last_dropped_version: u64,
 }
 
-/// All objects. Versions are revisions of the whole store, so that none is ever reused.
+/// Objects of all kinds. A version is the revision of the whole store at the write, so that none is
+/// ever reused.
 #[derive(Debug)]
 pub struct Store {
     revision: u64,
     kinds: BTreeMap<CompactString, Kind>,
-    history: usize,
+    max_watch_changes: usize,
 }
 
 impl Store {
-    /// An empty store that keeps `history` changes of each kind for watches.
-    pub const fn new(history: usize) -> Self {
+    /// Creates an empty store that keeps at most `max_watch_changes` changes of each kind.
+    pub const fn new(max_watch_changes: usize) -> Self {
         Self {
             revision: 0,
             kinds: BTreeMap::new(),
-            history,
+            max_watch_changes,
         }
     }
 
@@ -71,7 +75,7 @@
         self.revision
     }
 
-    /// One object.
+    /// Returns an object; `None` if it does not exist.
     pub fn read(&self, kind: &str, name: &str) -> Option<Object> {
         let (name, (version, value)) = self.kinds.get(kind)?.objects.get_key_value(name)?;
         Some(Object {
@@ -81,7 +85,7 @@
         })
     }
 
-    /// The objects whose names begin with `prefix`.
+    /// Returns the objects of a kind whose names start with `prefix`.
     pub fn list(&self, kind: &str, prefix: &str) -> List {
         let objects = self.kinds.get(kind).into_iter().flat_map(|k| &k.objects);
         let items = objects
@@ -98,15 +102,15 @@
         }
     }
 
-    /// What changed after revision `after`; none if the history no longer reaches back so far, or
-    /// if the revision is none of this store's.
+    /// Returns the changes of a kind after revision `after`; `None` if some of them are no longer
+    /// kept, or if the store has not reached that revision.
     pub fn changes(&self, kind: &str, after: u64) -> Option<Changes> {
         if after > self.revision {
             return None;
         }
         let mut changes = Vec::new();
         if let Some(kind) = self.kinds.get(kind) {
-            if after < kind.forgotten {
+            if after < kind.last_dropped_version {
                 return None;
             }
             let newer = kind.changes.iter().filter(|c| c.version > after);
@@ -118,7 +122,10 @@
         })
     }
 
-    /// Checks `condition` and writes; a value of none deletes.
+    /// Writes an object if `condition` is met; a value of `None` deletes it.
+    ///
+    /// # Errors
+    /// If the condition is not met.
     pub fn write(
         &mut self,
         kind: &str,
@@ -126,22 +133,22 @@
         value: Option<Value>,
         condition: Condition,
     ) -> Result<Change, Refusal> {
-        let present = self
+        let current_version = self
             .kinds
             .get(kind)
             .and_then(|k| k.objects.get(name))
             .map(|(version, _)| *version);
-        match (condition, present) {
+        match (condition, current_version) {
             (Condition::Absent, None) => {}
-            (Condition::Version(wanted), Some(version)) if wanted == version => {}
+            (Condition::Version(expected), Some(version)) if expected == version => {}
             (Condition::Version(_), None) => return Err(Refusal::NotFound),
             (_, Some(version)) => return Err(Refusal::Conflict(version)),
         }
-        Ok(self.force(kind, name, value))
+        Ok(self.apply(kind, name, value))
     }
 
-    /// Writes without a condition; a value of none deletes.
-    pub fn force(&mut self, kind: &str, name: &str, value: Option<Value>) -> Change {
+    /// Writes an object without a condition; a value of `None` deletes it.
+    pub fn apply(&mut self, kind: &str, name: &str, value: Option<Value>) -> Change {
         self.revision += 1;
         let change = Change {
             name: name.into(),
@@ -158,9 +165,9 @@
             }
         }
         kind.changes.push_back(change.clone());
-        while kind.changes.len() > self.history {
+        while kind.changes.len() > self.max_watch_changes {
             if let Some(oldest) = kind.changes.pop_front() {
-                kind.forgotten = oldest.version;
+                kind.last_dropped_version = oldest.version;
             }
         }
         change
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -101,7 +101,7 @@
         };
         site.start_engines(&options).await?;
         site.start_services(&options).await?;
-        site.api.settle_instances();
+        site.api.list_pending_instances();
         for index in 0..options.entries {
             site.start_entry(&options, index).await?;
         }
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -78,7 +78,7 @@
     let site = Rc::new(site().await);
     let crashes = Crashes::default();
     let _endpoints = endpoints(&site, &crashes);
-    site.api.settle_instances();
+    site.api.list_pending_instances();
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH} g");
     let end = Instant::now() + Duration::from_secs(7);
--- a/crates/pinereel_fakes/tests/object_api_client.rs
+++ b/crates/pinereel_fakes/tests/object_api_client.rs
@@ -1,12 +1,12 @@
-//! The daemon's own client against the stand-in, and the stand-in's control calls over HTTP.
+//! The daemon's client of the object API against the fake API, and the fake's own calls over HTTP.
 
 use awc::Client as Http;
 use pinereel::{
-    objects::{Client, Error, Options as Bounds, Purpose},
+    objects::{Client, Error, Options as ClientOptions, Purpose},
     state::Clock,
 };
 use pinereel_api::object::{Change, Faults, Instance, InstanceState};
-use pinereel_fakes::object_api::{Api, Handle, Options, Record};
+use pinereel_fakes::object_api::{Api, Handle, Options, WriteRecord};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 async fn start() -> (Handle, Client) {
     let options = Options {
         lag: Duration::from_millis(1),
-        history: 1,
+        max_watch_changes: 1,
         ..Options::default()
     };
     let api = Api::start(options).await.expect("a free port");
-    let bounds = Bounds {
+    let client_options = ClientOptions {
         address: api.address.to_string(),
         agent: "entry-1".into(),
         max_concurrency: 4,
@@ -27,11 +27,11 @@
         reads_per_second: 1_000.0,
         writes_per_second: 1_000.0,
     };
-    (api, Client::new(bounds, Clock::new()))
+    (api, Client::new(client_options, Clock::new()))
 }
 
 #[actix_rt::test]
-async fn the_client_sees_each_answer_as_what_it_is() {
+async fn client_maps_each_response_to_its_result_or_error() {
     let (api, client) = start().await;
     assert_eq!(client.create(CONFIG, "config", "current", &1).await, Ok(1));
     let conflict = client.create(CONFIG, "config", "current", &2).await;
@@ -53,14 +53,14 @@
         outage_ms: Some(60_000),
         ..Faults::default()
     });
-    let down = client.read(CONFIG, "config", "current").await;
-    assert!(matches!(&down, Err(Error::Refused(_))), "{down:?}");
+    let refused = client.read(CONFIG, "config", "current").await;
+    assert!(matches!(&refused, Err(Error::Refused(_))), "{refused:?}");
     let writers = api.history(Some("config")).into_iter().map(|r| r.agent);
     assert_eq!(writers.collect::<Vec<_>>(), ["entry-1", "entry-1"]);
 }
 
 #[actix_rt::test]
-async fn instances_are_told_by_http_and_seen_in_a_watch() {
+async fn changes_of_instances_by_http_appear_in_a_watch() {
     let (api, client) = start().await;
     let url = |path: &str| format!("http://{}{path}", api.address);
     let instance = Instance {
@@ -70,33 +70,33 @@
         pool: "wording".into(),
         state: InstanceState::Live,
     };
-    let told = Http::default().post(url("/instances/w1"));
-    assert_eq!(told.send_json(&instance).await.unwrap().status(), 204);
+    let request = Http::default().post(url("/instances/w1"));
+    assert_eq!(request.send_json(&instance).await.unwrap().status(), 204);
     let wait = Duration::from_secs(20);
     let purpose = Purpose::Instances;
-    let seen = client.watch(purpose, "instances", 0, wait).await.unwrap();
+    let changes = client.watch(purpose, "instances", 0, wait).await.unwrap();
     let change = Change {
         name: "w1".into(),
         version: 1,
         value: Some(json!(instance)),
     };
-    assert_eq!(seen.changes, [change]);
-    let told = Http::default().delete(url("/instances/w1"));
-    assert_eq!(told.send().await.unwrap().status(), 204);
-    let seen = client.watch(purpose, "instances", 1, wait).await.unwrap();
-    assert_eq!(seen.changes[0].value, None);
+    assert_eq!(changes.changes, [change]);
+    let request = Http::default().delete(url("/instances/w1"));
+    assert_eq!(request.send().await.unwrap().status(), 204);
+    let changes = client.watch(purpose, "instances", 1, wait).await.unwrap();
+    assert_eq!(changes.changes[0].value, None);
     assert!(
         client
             .create(purpose, "instances", "w2", &Value::Null)
             .await
             .is_err()
     );
-    let history = Http::default().get(url("/history?kind=instances"));
-    let records: Vec<Record> = history.send().await.unwrap().json().await.unwrap();
+    let request = Http::default().get(url("/history?kind=instances"));
+    let records: Vec<WriteRecord> = request.send().await.unwrap().json().await.unwrap();
     assert_eq!(records.len(), 2);
-    let faults = Http::default().post(url("/faults"));
-    let answer = faults.send_json(&json!({ "outage_ms": 60_000 })).await;
-    assert_eq!(answer.unwrap().status(), 204);
-    let down = client.list(purpose, "instances", "").await;
-    assert!(matches!(&down, Err(Error::Refused(_))), "{down:?}");
+    let request = Http::default().post(url("/faults"));
+    let response = request.send_json(&json!({ "outage_ms": 60_000 })).await;
+    assert_eq!(response.unwrap().status(), 204);
+    let refused = client.list(purpose, "instances", "").await;
+    assert!(matches!(&refused, Err(Error::Refused(_))), "{refused:?}");
 }
--- a/crates/pinereel_fakes/tests/object_api_faults.rs
+++ b/crates/pinereel_fakes/tests/object_api_faults.rs
@@ -1,11 +1,11 @@
-//! The object API stand-in over HTTP: conditions, lost answers, watches, limits and the lag.
+//! Fake object API over HTTP: conditions, lost responses, watches, limits, and the lag of the list.
 
 use actix_http::StatusCode;
 use awc::Client;
 use pinereel_api::object::{
     Changes, Faults, Instance, InstanceState, List, Object, Write, Written,
 };
-use pinereel_fakes::object_api::{Api, Bucket, Handle, Options};
+use pinereel_fakes::object_api::{Api, Handle, Options, TokenBucket};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
     format!("http://{}{path}", api.address)
 }
 
-/// Writes and gives the status and the answer's version, or none if there was no answer.
+/// Writes an object. Returns the status and the version in the response (0 if it contains none);
+/// `None` if there was no response.
 async fn put(
     api: &Handle,
     path: &str,
@@ -27,9 +28,9 @@
     let request = Client::default()
         .put(url(api, path))
         .insert_header(condition);
-    let mut answer = request.send_json(&Write { value }).await.ok()?;
-    let version = answer.json::<Written>().await.map_or(0, |w| w.version);
-    Some((answer.status().as_u16(), version))
+    let mut response = request.send_json(&Write { value }).await.ok()?;
+    let version = response.json::<Written>().await.map_or(0, |w| w.version);
+    Some((response.status().as_u16(), version))
 }
 
 async fn create(api: &Handle, path: &str, value: Value) -> Option<(u16, u64)> {
@@ -41,13 +42,13 @@
 }
 
 async fn get(api: &Handle, path: &str) -> (StatusCode, Vec<u8>) {
-    let mut answer = Client::default()
+    let mut response = Client::default()
         .get(url(api, path))
         .send()
         .await
-        .expect("an answer");
-    let body = answer.body().await.expect("a body");
-    (answer.status(), body.to_vec())
+        .expect("a response");
+    let body = response.body().await.expect("a body");
+    (response.status(), body.to_vec())
 }
 
 async fn read<T: serde::de::DeserializeOwned>(api: &Handle, path: &str) -> T {
@@ -57,7 +58,7 @@
 }
 
 #[actix_rt::test]
-async fn writes_are_conditional() {
+async fn write_is_applied_only_if_its_condition_is_met() {
     let api = start(Options::default()).await;
     assert_eq!(
         create(&api, "/objects/leases/a", json!(1)).await,
@@ -82,17 +83,17 @@
     let object: Object = read(&api, "/objects/leases/a").await;
     assert_eq!((object.version, object.value), (2, json!(3)));
     let delete = Client::default().delete(url(&api, "/objects/leases/a"));
-    let answer = delete
+    let response = delete
         .insert_header(("if-match", "2"))
         .send()
         .await
         .unwrap();
-    assert_eq!(answer.status(), StatusCode::NO_CONTENT);
+    assert_eq!(response.status(), StatusCode::NO_CONTENT);
     assert_eq!(
         get(&api, "/objects/leases/a").await.0,
         StatusCode::NOT_FOUND
     );
-    // A version is never reused, also after a delete.
+    // Versions are never reused, not even after a delete.
     assert_eq!(
         create(&api, "/objects/leases/a", json!(5)).await,
         Some((200, 4))
@@ -104,7 +105,7 @@
 }
 
 #[actix_rt::test]
-async fn one_of_two_creators_wins() {
+async fn one_of_two_concurrent_creates_succeeds() {
     let api = start(Options::default()).await;
     let (one, two) = tokio::join!(
         create(&api, "/objects/claims/0.1", json!("one")),
@@ -117,7 +118,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_leaves_its_effect() {
+async fn write_is_applied_although_its_response_is_lost() {
     let api = start(Options::default()).await;
     api.set_faults(Faults {
         lose_write_answers: Some(1),
@@ -141,18 +142,18 @@
 }
 
 #[actix_rt::test]
-async fn a_watch_waits_and_tells_of_gaps() {
+async fn watch_waits_for_changes_and_returns_410_after_a_gap_or_an_injected_end() {
     let api = start(Options {
-        history: 2,
+        max_watch_changes: 2,
         ..Options::default()
     })
     .await;
-    let (seen, written) = tokio::join!(
+    let (changes, written) = tokio::join!(
         read::<Changes>(&api, "/objects/config?after=0&wait_ms=30000"),
         create(&api, "/objects/config/current", json!(1)),
     );
     assert_eq!(written, Some((200, 1)));
-    assert_eq!((seen.revision, seen.changes[0].version), (1, 1));
+    assert_eq!((changes.revision, changes.changes[0].version), (1, 1));
     for version in 1..4 {
         update(&api, "/objects/config/current", version, json!(2)).await;
     }
@@ -176,36 +177,36 @@
 }
 
 #[actix_rt::test]
-async fn limits_of_rate_and_size() {
+async fn calls_above_the_rate_limit_and_too_large_values_are_refused() {
     let api = start(Options {
         reads_per_second: 0,
         ..Options::default()
     })
     .await;
     let large = json!("x".repeat(pinereel_api::object::MAX_VALUE_BYTES));
-    let answer = create(&api, "/objects/claims/0", large).await;
-    assert_eq!(answer, Some((413, 0)));
+    let created = create(&api, "/objects/claims/0", large).await;
+    assert_eq!(created, Some((413, 0)));
     assert_eq!(api.history(None), []);
     let request = Client::default().get(url(&api, "/objects/claims"));
-    let answer = request.send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::TOO_MANY_REQUESTS);
-    assert_eq!(answer.headers().get("retry-after").unwrap(), "1");
+    let response = request.send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
+    assert_eq!(response.headers().get("retry-after").unwrap(), "1");
     assert_eq!(api.stats().limited, 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bucket_fills_at_its_rate() {
-    let bucket = Bucket::new(2);
+async fn token_bucket_refills_at_its_rate() {
+    let bucket = TokenBucket::new(2);
     let mut granted = Vec::new();
     for _ in 0..6 {
-        granted.push(bucket.take());
+        granted.push(bucket.try_take());
         tokio::time::advance(Duration::from_millis(250)).await;
     }
     assert_eq!(granted, [true, true, true, false, true, false]);
 }
 
 #[actix_rt::test]
-async fn outages_and_cut_agents() {
+async fn outage_returns_503_and_cut_agents_get_no_response() {
     let api = start(Options::default()).await;
     api.set_faults(Faults {
         outage_ms: Some(60_000),
@@ -221,16 +222,16 @@
         cut_agents: Some(vec!["one".into()]),
         ..Faults::default()
     });
-    let as_agent = |agent: &'static str| {
+    let list_as_agent = |agent: &'static str| {
         let request = Client::default().get(url(&api, "/objects/claims"));
         request.insert_header(("user-agent", agent)).send()
     };
-    assert!(as_agent("one").await.is_err());
-    assert!(as_agent("two").await.is_ok());
+    assert!(list_as_agent("one").await.is_err());
+    assert!(list_as_agent("two").await.is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_list_of_instances_lags() {
+async fn list_shows_changes_of_instances_after_the_lag() {
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async {
@@ -249,7 +250,7 @@
             tokio::time::sleep(Duration::from_millis(501)).await;
             let state = |api: &Handle| api.objects("instances").items[0].value["state"].clone();
             assert_eq!(state(&api), json!("live"));
-            api.settle_instances();
+            api.list_pending_instances();
             assert_eq!(state(&api), json!("leaving"));
             api.remove_instance("i");
             tokio::time::sleep(Duration::from_millis(1_001)).await;
@@ -259,23 +260,23 @@
 }
 
 #[actix_rt::test]
-async fn a_watch_whose_client_is_gone_no_longer_waits() {
+async fn watch_ends_when_its_client_disconnects() {
     let api = start(Options::default()).await;
     let request = Client::default().get(url(&api, "/objects/config?after=0&wait_ms=60000"));
     let watch = actix_rt::spawn(request.timeout(Duration::from_secs(60)).send());
-    wait_for_waiting(&api, 1).await;
+    wait_for_pending_watches(&api, 1).await;
     watch.abort();
-    wait_for_waiting(&api, 0).await;
+    wait_for_pending_watches(&api, 0).await;
 }
 
-async fn wait_for_waiting(api: &Handle, waiting: u64) {
+async fn wait_for_pending_watches(api: &Handle, count: u64) {
     let reached = async {
-        while api.stats().waiting != waiting {
+        while api.stats().waiting != count {
             tokio::task::yield_now().await;
         }
     };
-    let limit = Duration::from_secs(10);
-    tokio::time::timeout(limit, reached)
+    let timeout = Duration::from_secs(10);
+    tokio::time::timeout(timeout, reached)
         .await
-        .expect("the watch begins or ends");
+        .expect("the number of pending watches was not reached in time");
 }
