--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -225,7 +225,7 @@
     let common = Common::parse(&mut parser, |name, parser| {
         match name {
             "incarnation" => options.incarnation = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "records" => options.max_executions = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
--- a/crates/pinereel_fakes/src/service/handle.rs
+++ b/crates/pinereel_fakes/src/service/handle.rs
@@ -1,7 +1,7 @@
-//! The running service and the handle to it.
+//! State of a running service, and the handle of it.
 
 use super::{Execution, Faults, serve};
-use pinereel::http::{Options as Listener, Server};
+use pinereel::http::{Options as ServerOptions, Server};
 use std::{
     cell::{Cell, RefCell},
     collections::VecDeque,
@@ -11,15 +11,15 @@
 };
 use tokio::{net::TcpListener, time::Instant};
 
-/// Settings of the stand-in.
+/// Options of the fake service.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Port on loopback; 0 lets the system choose.
+    /// Port on the loopback address; with 0 the system chooses one.
     pub port: u16,
-    /// Incarnation that it names on each answer.
+    /// Incarnation in the `x-incarnation` header of each response.
     pub incarnation: u64,
-    /// Executions kept, the newest.
-    pub records: usize,
+    /// Maximum number of executions that are kept.
+    pub max_executions: usize,
 }
 
 impl Default for Options {
@@ -27,26 +27,30 @@
         Self {
             port: 0,
             incarnation: 1,
-            records: 100_000,
+            max_executions: 100_000,
         }
     }
 }
 
-/// State that the connections share on the one thread.
+/// State shared by the request handlers, all on one thread.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) options: Options,
-    pub(super) started: Instant,
+    pub(super) started_at: Instant,
+    /// The newest executions, oldest first.
     pub(super) executions: RefCell<VecDeque<Execution>>,
-    /// Orders and quotes so far.
-    pub(super) orders: Cell<u64>,
+    /// Number of orders and quotes so far; the id of the last one.
+    pub(super) order_count: Cell<u64>,
+    /// Faults without those that count requests.
     pub(super) faults: Cell<Faults>,
+    /// Number of next requests whose connection is closed after the execution.
     pub(super) drop_after_run: Cell<u32>,
+    /// Number of next requests whose connection is closed before the execution.
     pub(super) drop_before_run: Cell<u32>,
 }
 
 impl State {
-    /// Sets the faults that are present in `new`.
+    /// Sets the faults of the fields that are present.
     pub(super) fn set_faults(&self, new: Faults) {
         let old = self.faults.get();
         self.faults.set(Faults {
@@ -66,29 +70,29 @@
     }
 }
 
-/// Starts the stand-in.
+/// Starts the fake service.
 #[derive(Clone, Copy, Debug)]
 pub struct Service;
 
 impl Service {
-    /// Starts on loopback, on the current thread's local tasks.
+    /// Starts a fake service on the loopback address, on the current thread.
     ///
     /// # Errors
-    /// If the port can't be bound.
+    /// If the port cannot be bound.
     pub async fn start(options: Options) -> io::Result<Handle> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, options.port)).await?;
         let state = Rc::new(State {
             options,
-            started: Instant::now(),
+            started_at: Instant::now(),
             executions: RefCell::default(),
-            orders: Cell::default(),
+            order_count: Cell::default(),
             faults: Cell::default(),
             drop_after_run: Cell::default(),
             drop_before_run: Cell::default(),
         });
         let shared = Rc::clone(&state);
-        let server = Server::start(listener, Listener::default(), move |request| {
-            serve::answer(Rc::clone(&shared), request)
+        let server = Server::start(listener, ServerOptions::default(), move |request| {
+            serve::handle_request(Rc::clone(&shared), request)
         })
         .await?;
         Ok(Handle {
@@ -99,22 +103,22 @@
     }
 }
 
-/// A running service. Dropping the handle does not stop it; [`Handle::stop`] does.
+/// Handle of a running service. Dropping it does not stop the service; [`Handle::stop`] does.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Local address of the listening socket.
     pub address: SocketAddr,
     server: Server,
     state: Rc<State>,
 }
 
 impl Handle {
-    /// Sets faults; absent fields leave a fault as it is.
+    /// Sets the faults of the fields that are present.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// The kept executions, oldest first.
+    /// The newest executions, oldest first.
     pub fn executions(&self) -> Vec<Execution> {
         self.state.executions.borrow().iter().cloned().collect()
     }
--- a/crates/pinereel_fakes/src/service/mod.rs
+++ b/crates/pinereel_fakes/src/service/mod.rs
@@ -1,15 +1,15 @@
-//! A plain service that counts every execution, with faults on request.
+//! Fake plain service that records every execution, with faults that can be injected.
 //!
-//! | call | path | answer |
+//! | call | path | response |
 //! |---|---|---|
-//! | score a text | `POST /score` with `{"text": …}` | `{"score": 0..1}`, always the same for a text |
-//! | not repeatable | `POST /orders`, `POST /quotes` | `{"id": N}`, N counts up |
-//! | look up | `GET /orders/N` | `{"id": N, "status": …}` |
-//! | echo | any method, `/echo` | the body, streamed back |
-//! | executions | `GET /record` | list of [`Execution`], oldest first |
-//! | faults | `POST /faults` with [`Faults`] | 204 |
+//! | score a text | `POST /score` with `{"text": …}` | `{"score": S}`, S from 0 to 1 by the text only |
+//! | non-idempotent call | `POST /orders`, `POST /quotes` | `{"id": N}`, where N counts up |
+//! | read an order | `GET /orders/N` | `{"id": N, "status": …}` |
+//! | echo | `/echo`, any method | the body, streamed back |
+//! | recorded executions | `GET /record` | list of [`Execution`], oldest first |
+//! | set faults | `POST /faults` with [`Faults`] | 204 |
 //!
-//! `/record` and `/faults` are not executions and are exempt from faults.
+//! Calls of `/record` and `/faults` are not recorded, and the faults do not apply to them.
 
 mod handle;
 mod serve;
@@ -20,37 +20,39 @@
 use pinereel_core::hash::Digest;
 use serde::{Deserialize, Serialize};
 
-/// One request that ran.
+/// A request that was executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
     /// HTTP method.
     pub method: CompactString,
     /// Path without the query.
     pub path: CompactString,
-    /// The idempotency key, if any.
+    /// Value of the `idempotency-key` header.
     pub key: Option<CompactString>,
-    /// The request id, if any.
+    /// Value of the `x-request-id` header.
     pub request_id: Option<CompactString>,
-    /// Digest of the body; none for `/echo`, which does not gather it.
+    /// Digest of the body; `None` for `/echo`, which streams the body instead of reading it whole.
     pub body: Option<Digest>,
-    /// When it ran, in milliseconds since the start of the stand-in.
+    /// Time of the execution, in milliseconds since the start of the service.
     pub at_ms: u64,
 }
 
-/// Faults: `POST /faults`. Absent fields leave a fault as it is.
+/// Faults to inject: `POST /faults`. Absent fields leave a fault unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Hold every answer for so long, in milliseconds, after the request ran.
+    /// Delay of every response after the execution, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Answer 503 with `x-refused: busy` before running anything.
+    /// Refuse requests before execution, with status 503 and `x-refused: busy`.
     pub refuse: Option<bool>,
-    /// Answer 503 with `x-refused: leaving` before running anything.
+    /// Refuse requests before execution, with status 503 and `x-refused: leaving`.
     pub leaving: Option<bool>,
-    /// Run the next so many requests, then drop the connection without an answer.
+    /// Number of next requests that are executed, after which the connection is closed without a
+    /// response.
     pub drop_after_run: Option<u32>,
-    /// Drop the connection of the next so many requests before they run.
+    /// Number of next requests that are not executed and whose connection is closed without a
+    /// response.
     pub drop_before_run: Option<u32>,
-    /// Run, then answer with this status (0 ends it).
+    /// Status of every response, after the execution (0 turns the fault off).
     pub fail_status: Option<u16>,
 }
