--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -208,9 +208,9 @@
     let mut options = weight_store::Options::default();
     let common = Common::parse(&mut parser, |name, parser| {
         match name {
-            "bytes" => options.bytes = value(parser)?,
+            "bytes" => options.weight_bytes = value(parser)?,
             "bytes-per-second" => options.bytes_per_second = value(parser)?,
-            "loads" => options.loads = value(parser)?,
+            "loads" => options.max_loads = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
--- a/crates/pinereel_fakes/tests/weight_store_loads.rs
+++ b/crates/pinereel_fakes/tests/weight_store_loads.rs
@@ -1,45 +1,45 @@
-//! The weight store stand-in: sizes, the shared rate, the limit of loads, broken loads.
+//! Fake weight store: sizes, the shared rate, the limit of concurrent loads, aborted loads.
 
 use actix_http::StatusCode;
 use awc::Client;
 use pinereel_fakes::weight_store::{Faults, Handle, Options, Store};
 use std::time::{Duration, Instant};
 
-/// Status of a load, its size, and whether that is the size which the head says. The client
-/// itself takes a body that was cut for a whole one.
+/// Loads weights. Returns the status, the number of bytes received, and whether it equals
+/// `content-length`; `awc` itself reports an aborted body as a complete one.
 async fn load(store: &Handle, version: u64) -> (StatusCode, usize, bool) {
     let url = format!("http://{}/weights/wording/{version}", store.address);
-    let mut answer = Client::default().get(url).send().await.expect("a head");
-    let body = answer.body().limit(1 << 22).await.expect("a body");
-    let length = answer.headers().get("content-length").expect("a length");
-    let whole = length.as_bytes() == body.len().to_string().as_bytes();
-    (answer.status(), body.len(), whole)
+    let mut response = Client::default().get(url).send().await.expect("a head");
+    let body = response.body().limit(1 << 22).await.expect("a body");
+    let length = response.headers().get("content-length").expect("a length");
+    let complete = length.as_bytes() == body.len().to_string().as_bytes();
+    (response.status(), body.len(), complete)
 }
 
 #[actix_rt::test]
-async fn loads_share_the_rate_and_are_counted() {
+async fn concurrent_loads_share_the_rate_and_are_counted() {
     let store = Store::start(Options {
-        bytes: 100_000,
+        weight_bytes: 100_000,
         bytes_per_second: 1_000_000,
-        loads: 2,
+        max_loads: 2,
         ..Options::default()
     })
     .await
     .unwrap();
     let start = Instant::now();
     let (one, two) = tokio::join!(load(&store, 1), load(&store, 2));
-    let whole = (StatusCode::OK, 100_000, true);
-    assert_eq!((one, two), (whole, whole));
-    // 200 kB at 1 MB/s; only the lower bound holds on a busy machine.
+    let complete = (StatusCode::OK, 100_000, true);
+    assert_eq!((one, two), (complete, complete));
+    // 200 kB at 1 MB/s take 0.2 s. There is no upper bound, since a busy machine may take longer.
     assert!(start.elapsed() >= Duration::from_millis(199));
     let stats = store.stats();
     assert_eq!((stats.begun, stats.done, stats.bytes), (2, 2, 200_000));
 }
 
 #[actix_rt::test]
-async fn too_many_loads_are_refused_and_faults_break_loads() {
+async fn loads_beyond_the_limit_are_refused_and_faults_abort_loads() {
     let store = Store::start(Options {
-        loads: 1,
+        max_loads: 1,
         ..Options::default()
     })
     .await
