--- a/crates/pinereel_fakes/src/engine/batch.rs
+++ b/crates/pinereel_fakes/src/engine/batch.rs
@@ -371,6 +371,7 @@
         total
     }
 
+    /// Duration of a step that computes `prefill_tokens` and then one token per running sequence.
     fn step_duration(&self, now: Time, prefill_tokens: u32) -> Duration {
         let others = self.running.len().saturating_sub(1) as f64;
         let decode = (1.0 + self.options.batch_cost * others) / self.options.tokens_per_second;
@@ -407,6 +408,7 @@
         }
     }
 
+    /// Applies the outcome of a swap that has ended.
     fn finish_swap(&mut self, now: Time, swap: Swap) {
         self.swap_failure = swap.failure;
         if swap.failure.is_none() {
@@ -433,6 +435,7 @@
         self.version = None;
     }
 
+    /// Emits the pending text of all sequences.
     fn emit_all(&mut self, finish: Option<FinishReason>) {
         let mut running = std::mem::take(&mut self.running);
         let mut waiting = std::mem::take(&mut self.waiting);
@@ -443,8 +446,9 @@
         self.waiting = waiting;
     }
 
-    /// Emits the pending text of a sequence, stamped with the served version. Without pending text,
-    /// only a last chunk is emitted.
+    /// Emits the pending text of a sequence as a chunk, stamped with the served version. With
+    /// `finish` it is the last chunk and may be empty; otherwise nothing is emitted without pending
+    /// text.
     fn emit_chunk(&mut self, sequence: &mut Sequence, finish: Option<FinishReason>) {
         if sequence.pending_tokens == 0 && finish.is_none() {
             return;
--- a/crates/pinereel_fakes/src/engine/text.rs
+++ b/crates/pinereel_fakes/src/engine/text.rs
@@ -1,7 +1,7 @@
 //! Text of a completion: a pure function of prompt and seed, independent of the weights.
 //!
 //! The first word contains the hash of the prompt and the seed. A test that knows only the prompt
-//! can therefore tell a complete text from one that is truncated, mixed or of another prompt.
+//! can therefore distinguish a full text from one that is truncated, mixed or of another prompt.
 
 use pinereel_core::hash;
 use rand::{Rng as _, SeedableRng as _};
@@ -17,7 +17,7 @@
 /// Factor by which a straggler is longer.
 const STRAGGLER_FACTOR: f64 = 8.0;
 
-/// Why a text is not the complete completion of a prompt.
+/// Why a text is not a full completion of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The first word does not contain a prompt hash and a seed.
@@ -61,14 +61,14 @@
     unlimited_length(prompt, seed).min(max_tokens)
 }
 
-/// Complete text of a completion with `max_tokens`.
+/// Full text of a completion with `max_tokens`.
 pub fn completion(prompt: &str, seed: u64, max_tokens: u32) -> String {
     (0..length(prompt, seed, max_tokens))
         .map(|index| token(prompt, seed, index))
         .collect()
 }
 
-/// Checks that `text` is the complete completion of `prompt` for the seed in its first word.
+/// Checks that `text` is the full completion of `prompt` for the seed in its first word.
 ///
 /// # Errors
 /// If it is not.
--- a/crates/pinereel_fakes/src/service/mod.rs
+++ b/crates/pinereel_fakes/src/service/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | path | response |
 //! |---|---|---|
-//! | score a text | `POST /score` with `{"text": …}` | `{"score": S}`, S from 0 to 1 by the text only |
+//! | score a text | `POST /score` with `{"text": …}` | `{"score": S}`, S from 0 to 1, a function of the text |
 //! | non-idempotent call | `POST /orders`, `POST /quotes` | `{"id": N}`, where N counts up |
 //! | read an order | `GET /orders/N` | `{"id": N, "status": …}` |
 //! | echo | `/echo`, any method | the body, streamed back |
