--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -193,8 +193,8 @@
             "reads-per-second" => options.reads_per_second = value(parser)?,
             "writes-per-second" => options.writes_per_second = value(parser)?,
             "lag-ms" => options.lag = Duration::from_millis(value(parser)?),
-            "history" => options.history = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "history" => options.max_watch_changes = value(parser)?,
+            "records" => options.max_records = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
@@ -208,9 +208,9 @@
     let mut options = weight_store::Options::default();
     let common = Common::parse(&mut parser, |name, parser| {
         match name {
-            "bytes" => options.bytes = value(parser)?,
+            "bytes" => options.weight_bytes = value(parser)?,
             "bytes-per-second" => options.bytes_per_second = value(parser)?,
-            "loads" => options.loads = value(parser)?,
+            "loads" => options.max_loads = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
@@ -225,7 +225,7 @@
     let common = Common::parse(&mut parser, |name, parser| {
         match name {
             "incarnation" => options.incarnation = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "records" => options.max_executions = value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
