--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -36,10 +36,10 @@
         for action in actions {
             match *action {
                 Action::Start { key } => {
-                    let (priority, deadline) = self.waiting.remove(&key).expect("it waits");
+                    let (priority, deadline) = self.waiting.remove(&key).expect("the request waits");
                     assert!(deadline > now, "started after its deadline");
                     let first = self.waiting.values().all(|(p, _)| *p <= priority);
-                    assert!(first, "a lower priority overtook");
+                    assert!(first, "started before a request of higher priority");
                     self.running.push(key);
                     assert!(
                         self.running.len() <= slots as usize,
@@ -49,7 +49,7 @@
                 Action::Refuse {
                     key, retry_after, ..
                 } => {
-                    self.waiting.remove(&key).expect("it waits or just came");
+                    self.waiting.remove(&key).expect("it waits or has just arrived");
                     assert!(retry_after <= LIMITS.max_retry_after);
                 }
             }
@@ -66,7 +66,7 @@
     })]
 
     #[test]
-    fn all_are_started_or_answered_by_their_deadline(
+    fn every_request_is_started_or_answered_by_its_deadline(
         ops in vec((0..12u8, 0..400u64, 0..3usize, 1..3_000u64), 1..200),
     ) {
         let (mut now, mut slots, mut model) = (Time::ZERO, 0, Model::default());
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn live_before_straggler_before_bulk() {
+fn requests_start_in_order_of_priority() {
     let mut queue = Queue::new(LIMITS, 1);
     for (key, priority) in PRIORITIES.into_iter().enumerate() {
         queue.step(Time::ZERO, Event::Capacity { slots: 1 });
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once() {
+fn a_full_queue_refuses_immediately() {
     let mut queue = Queue::new(LIMITS, 1);
     queue.step(Time::ZERO, Event::Capacity { slots: 1 });
     for key in 0..9 {
@@ -267,19 +267,19 @@
 }
 
 #[test]
-fn retry_after_is_honest_under_lasting_overload() {
+fn retry_after_is_accurate_under_sustained_overload() {
     let summary = simulate(|at| u64::from(at % 100 < 3));
     insta::assert_snapshot!(summary, @"served 1189 late 2 expired 99 returned 4673 admitted on return 1004, told 5164 error mean 815 ms, absolute 815 ms");
 }
 
 #[test]
-fn retry_after_is_honest_after_bursts() {
+fn retry_after_is_accurate_after_bursts() {
     let summary = simulate(|at| if at % 5_000 == 0 { 30 } else { 0 });
     insta::assert_snapshot!(summary, @"served 327 late 0 expired 33 returned 210 admitted on return 175, told 210 error mean 357 ms, absolute 379 ms");
 }
 
 #[test]
-fn what_is_given_up_does_not_make_the_estimate_shorter() {
+fn aborted_requests_do_not_shorten_the_service_time_estimate() {
     let mut queue = Queue::new(LIMITS, 1);
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 1 });
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_request_that_can_start_at_once_gets_its_chance() {
+fn a_request_starts_in_a_free_slot_whatever_the_estimate() {
     let mut queue = Queue::new(LIMITS, 1);
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 1 });
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn what_waited_too_long_does_not_take_a_place() {
+fn an_expired_request_is_refused_and_takes_no_slot() {
     let mut queue = Queue::new(LIMITS, 1);
     let ms = Time::from_millis;
     queue.step(ms(0), Event::Capacity { slots: 2 });
--- a/crates/pinereel_core/tests/batch_asked.rs
+++ b/crates/pinereel_core/tests/batch_demand.rs
@@ -3,7 +3,7 @@
 use pinereel_core::{Time, batch::DemandWindow};
 
 #[test]
-fn the_mean_is_that_of_the_last_lots() {
+fn the_demand_covers_only_lots_within_the_window() {
     let at = |seconds: u64| Time::from_millis(seconds * 1_000);
     let mut window = DemandWindow::default();
     assert_eq!(window.demand(at(0)).tokens, 0);
@@ -13,7 +13,7 @@
     }
     assert_eq!(window.demand(at(8)).tokens, 200);
     assert_eq!(window.demand(at(9)).unplaced_items, 20);
-    assert_eq!(window.demand(at(8)).items, 60, "the largest counts");
-    assert_eq!(window.demand(at(16)).tokens, 250, "the first is too old");
+    assert_eq!(window.demand(at(8)).items, 60, "the largest lot counts");
+    assert_eq!(window.demand(at(16)).tokens, 250, "the first lot is outside the window");
     assert_eq!(window.demand(at(60)).tokens, 0);
 }
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_used_last() {
+fn a_slow_engine_is_picked_only_when_the_others_are_full() {
     let mut fleet = fleet(3);
     for id in ["engine-0", "engine-2"] {
         set_interval(&mut fleet, id, 40);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn old_weights_and_leaving_engines_get_nothing() {
+fn engines_that_leave_or_have_old_weights_are_not_picked() {
     let mut fleet = Fleet::default();
     let leaving = Listing {
         leaving: true,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_run_moves_only_where_it_is_much_faster() {
+fn a_run_moves_only_to_a_much_faster_engine() {
     let mut fleet = fleet(2);
     set_interval(&mut fleet, "engine-0", 60);
     set_interval(&mut fleet, "engine-1", 46);
@@ -93,15 +93,15 @@
     assert_eq!(
         fleet.move_target(NOW, slow, 5, 30),
         Some(fast),
-        "a long run"
+        "a long run moves"
     );
     assert_eq!(fleet.move_target(NOW, fast, 5, 30), None);
     set_interval(&mut fleet, "engine-0", 160);
-    assert_eq!(fleet.move_target(NOW, slow, 5, 3), Some(fast), "far slower");
+    assert_eq!(fleet.move_target(NOW, slow, 5, 3), Some(fast), "the engine is far slower");
 }
 
 #[test]
-fn an_engine_that_refused_is_tried_by_one_run_after_a_pause() {
+fn an_engine_that_rejected_a_run_is_probed_by_one_run_after_a_delay() {
     let mut fleet = fleet(1);
     let engine = key(&fleet, "engine-0");
     fleet.run_started(NOW, engine, 0);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_engine_that_keeps_breaking_is_tried_less_and_less_often() {
+fn an_engine_that_keeps_failing_is_retried_with_exponential_backoff() {
     let mut fleet = fleet(1);
     let engine = key(&fleet, "engine-0");
     let mut now = NOW;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_engine_that_left_the_list_is_forgotten_with_its_last_run() {
+fn a_delisted_engine_is_removed_after_its_last_run() {
     let mut fleet = fleet(1);
     let delisted = key(&fleet, "engine-0");
     fleet.run_started(NOW, delisted, 0);
@@ -146,23 +146,23 @@
     assert!(fleet.get(delisted).is_none());
 }
 
-/// Failure: an engine restarts under its id while runs are in progress on it, after it broke off
-/// others. The new process must not inherit the load and the backoff of the old one.
+/// Failure: an engine restarts under its id while runs are in progress on it, after other runs on it
+/// have failed. The new process must not inherit the load and the backoff of the old one.
 #[test]
-fn an_engine_that_starts_again_is_a_new_one() {
+fn a_restarted_engine_does_not_inherit_load_or_backoff() {
     let mut fleet = fleet(2);
     let before = key(&fleet, "engine-0");
     fleet.run_started(NOW, before, 0);
     fleet.run_started(NOW, before, 0);
     fleet.run_ended(NOW, before, RunOutcome::Failed);
     assert!(fleet.get(before).expect("listed").needs_probe());
-    let again = Listing {
+    let restarted = Listing {
         incarnation: 2,
         ..listing(0, 5)
     };
     assert!(!fleet.has_restarted(before));
     assert!(
-        fleet.update([again.clone(), listing(1, 5)]),
+        fleet.update([restarted.clone(), listing(1, 5)]),
         "a run is lost"
     );
     assert!(fleet.has_restarted(before));
@@ -179,7 +179,7 @@
     fleet.run_ended(NOW, before, RunOutcome::Failed);
     assert!(!fleet.get(after).expect("listed").needs_probe());
     assert!(
-        !fleet.update([again, listing(1, 5)]),
+        !fleet.update([restarted, listing(1, 5)]),
         "the list has not changed"
     );
 }
@@ -187,7 +187,7 @@
 /// Failure: an engine crashes with 8 items running, which are retried together with others. If two
 /// of these suspects share an engine, the next crash cannot be attributed to one of them.
 #[test]
-fn one_item_in_doubt_runs_at_an_engine() {
+fn only_one_suspect_item_runs_at_an_engine() {
     let mut fleet = fleet(2);
     let first = fleet.pick_for_item(NOW, 5, 1).expect("a free slot");
     fleet.run_started(NOW, first, 1);
@@ -195,7 +195,7 @@
     assert_ne!(first, second);
     fleet.run_started(NOW, second, 1);
     assert_eq!(fleet.pick_for_item(NOW, 5, 1), None);
-    assert!(fleet.pick(NOW, 5, None).is_some(), "others run beside it");
+    assert!(fleet.pick(NOW, 5, None).is_some(), "other items run beside it");
     fleet.suspect_run_ended(first);
     assert_eq!(fleet.pick_for_item(NOW, 5, 1), Some(first));
 }
@@ -203,7 +203,7 @@
 /// Failure: all engines are full, and an item on its last attempt finds none to itself. An engine is
 /// reserved for it, and nothing starts beside it, so that a crash can be attributed to the item.
 #[test]
-fn an_item_with_a_last_chance_gets_an_engine_where_nothing_begins() {
+fn an_item_on_its_last_attempt_gets_a_reserved_engine() {
     let mut fleet = fleet(2);
     for _ in 0..16 {
         let key = fleet.pick(NOW, 5, None).expect("a free slot");
@@ -230,10 +230,10 @@
     assert_eq!(fleet.pick(later, 5, None), Some(isolated));
 }
 
-/// Failure: an engine falls silent under the longest texts of a step, which have less than a second
-/// to spare.
+/// Failure: an engine stops sending events while it runs the longest texts of a step, which have less
+/// than a second of slack.
 #[test]
-fn a_silent_engine_is_left_after_some_of_its_usual_gaps() {
+fn the_stall_timeout_follows_the_event_interval_of_an_engine() {
     let mut fleet = fleet(3);
     set_interval(&mut fleet, "engine-0", 46);
     set_interval(&mut fleet, "engine-1", 150);
@@ -251,13 +251,13 @@
 /// Failure: there are more engines than runs, and runs are slower than the interval assumed for an
 /// engine without events. Each long run moved to such an engine and processed its prompt again.
 #[test]
-fn no_run_moves_to_an_engine_only_because_nothing_is_known_of_it() {
+fn no_run_moves_to_an_engine_without_measured_intervals() {
     for engines in [8, 16, 32] {
         let mut fleet = fleet(engines);
         let now = Time::ZERO;
         let runs: Vec<_> = (0..engines / 4)
             .map(|_| {
-                let key = fleet.pick(now, 1, None).expect("there is room");
+                let key = fleet.pick(now, 1, None).expect("a free slot");
                 fleet.run_started(now, key, 0);
                 key
             })
--- a/crates/pinereel_core/tests/batch_lot.rs
+++ b/crates/pinereel_core/tests/batch_lot.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn submission(groups: usize, size: usize, wanted: usize) -> Submission {
+fn submission(groups: usize, size: usize, required_groups: usize) -> Submission {
     let items = (0..groups * size).map(|at| Item {
         id: format_compact!("item-{at}"),
         path: "/x/".into(),
@@ -22,7 +22,7 @@
     Submission {
         model: "m".into(),
         min_version: 1,
-        required_groups: wanted,
+        required_groups,
         items: items.collect(),
     }
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn long_items_start_first_and_groups_that_came_again_before_all() {
+fn resubmitted_groups_start_first_then_long_items() {
     let mut submission = submission(3, 2, 2);
     for (item, hint) in submission.items.iter_mut().zip([10, 900, 50, 60, 5, 7]) {
         item.output_tokens_hint = Some(hint);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_item_is_given_up_after_its_failures_and_only_then() {
+fn an_item_is_given_up_only_after_its_allowed_failures() {
     let mut lot = Lot::new(&submission(1, 3, 1), &BTreeSet::new());
     let at = lot.start().unwrap();
     for failure in [Failure::Interrupted, Failure::Failed, Failure::Interrupted] {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_trainer_is_satisfied_by_whole_groups_with_those_that_came_again() {
+fn a_trainer_is_satisfied_by_complete_groups_including_resubmitted_ones() {
     let submission = submission(3, 2, 2);
     let known = BTreeSet::from([CompactString::from("item-4")]);
     let mut lot = Lot::new(&submission, &known);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_another_runner_committed_is_not_committed_again() {
+fn results_committed_by_another_runner_are_not_committed_again() {
     let mut lot = Lot::new(&submission(1, 4, 1), &BTreeSet::new());
     while lot.start().is_some() {}
     for at in 0..3 {
@@ -97,8 +97,8 @@
     }
     let theirs = vec![sample("item-1", "theirs"), sample("item-3", "theirs")];
     lot.add_segment(0, theirs).unwrap();
-    let left: Vec<_> = lot.uncommitted().iter().map(|s| s.item.as_str()).collect();
-    assert_eq!(left, ["item-0", "item-2"]);
+    let uncommitted: Vec<_> = lot.uncommitted().iter().map(|s| s.item.as_str()).collect();
+    assert_eq!(uncommitted, ["item-0", "item-2"]);
     assert!(lot.is_finished(3));
 }
 
@@ -142,7 +142,7 @@
     }
 }
 
-/// One of several instances that run the same lot at once.
+/// One of several instances that run the same lot at the same time.
 struct Runner {
     name: usize,
     lot: Lot,
@@ -172,10 +172,10 @@
         let samples = uncommitted[..count].to_vec();
         let from = self.lot.commit_log().next_position();
         match rng.random_range(0..10) {
-            // The call is lost, or takes effect at some later time.
+            // The call is lost, or takes effect later.
             0 => {}
             1 => store.pending_creates.push((from, samples)),
-            // It takes effect, and the answer is lost: the runner reads the segment.
+            // The call takes effect, and its answer is lost: the runner reads the segment.
             2 => {
                 store.create(from, &samples);
                 self.read_next_segment(store);
@@ -183,7 +183,7 @@
             _ if store.create(from, &samples) => {
                 self.lot
                     .add_segment(from, samples)
-                    .expect("it is the next one");
+                    .expect("the segment is the next one");
             }
             _ => self.read_next_segment(store),
         }
@@ -261,7 +261,7 @@
 proptest! {
     #![proptest_config(Config { cases: 64, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Config::default() })]
     #[test]
-    fn positions_never_change_however_many_run_the_lot(seed in any::<u64>()) {
+    fn positions_never_change_with_concurrent_runners(seed in any::<u64>()) {
         // 64 cases of 2,000 transitions each; PINEREEL_TRANSITIONS sets the transitions per case.
         let steps = std::env::var("PINEREEL_TRANSITIONS");
         let steps = steps.ok().and_then(|n| n.parse().ok()).unwrap_or(2_000);
--- a/crates/pinereel_core/tests/budget_bucket.rs
+++ b/crates/pinereel_core/tests/budget_bucket.rs
@@ -20,7 +20,7 @@
     })]
 
     #[test]
-    fn granted_stays_under_the_line(
+    fn granted_attempts_stay_within_the_budget(
         ops in vec((0..4u8, 0..2_000u64), 1..300),
         hedge in any::<bool>(),
     ) {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn quiet_times_can_retry_again() {
+fn the_budget_refills_over_time_without_successes() {
     let mut bucket = Bucket::new(Settings::RETRY, Time::ZERO);
     let granted = (0..100).filter(|_| bucket.take(Time::ZERO)).count();
     assert_eq!(granted, 20);
--- a/crates/pinereel_core/tests/claim_cost.rs
+++ b/crates/pinereel_core/tests/claim_cost.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn segments_cost_the_same_whatever_the_window() {
+fn the_cost_of_segments_is_independent_of_the_window() {
     let mut table = String::new();
     for batch in [1, 10, 100] {
         let claims = claims(batch * COMMIT_COUNT);
@@ -176,11 +176,11 @@
         let log = segments(&claims, batch);
         row("segments", "any", &log);
         for window in [1_000, 10_000, 100_000] {
-            let one = rewritten_object(&claims, batch, window);
-            row("one object", &window.to_string(), &one);
+            let rewritten = rewritten_object(&claims, batch, window);
+            row("one object", &window.to_string(), &rewritten);
             assert!(
-                one.bytes > log.bytes,
-                "the window's bytes count at each commit"
+                rewritten.bytes > log.bytes,
+                "each commit writes the bytes of the whole window"
             );
         }
     }
--- a/crates/pinereel_core/tests/claim_cases.rs
+++ b/crates/pinereel_core/tests/claim_events.rs
@@ -67,15 +67,15 @@
 
 /// Claims `key` and completes the calls up to the grant. Returns the segment that was written.
 fn granted(log: &mut Log, now: Time, request: &str, key: &str) -> (u64, Segment) {
-    let made = segment(&log.step(now, claim(request, key, 1)));
+    let written = segment(&log.step(now, claim(request, key, 1)));
     assert_eq!(log.step(now, Event::Created), vec![Action::ReadBase]);
     let actions = log.step(now, Event::Base(0));
     assert_eq!(actions, vec![verdict(request, Verdict::Granted)]);
-    made
+    written
 }
 
 #[test]
-fn claims_gather_while_a_create_is_open_up_to_the_bound() {
+fn claims_are_batched_up_to_the_limit_while_a_create_is_in_flight() {
     let mut log = opened(
         Limits {
             max_waiting: 2,
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn claims_of_a_create_without_effect_are_refused_at_once_and_settlements_kept() {
+fn a_create_without_effect_refuses_its_claims_immediately_and_keeps_its_settlements() {
     let mut log = opened(Limits::default(), vec![], 0);
     granted(&mut log, NOW, "a", "ka");
     log.step(NOW, settle("a", "ka", Some(record("one"))));
@@ -133,9 +133,9 @@
         vec![Action::Read { from: 1 }]
     );
     let segments = vec![];
-    let (number, again) = segment(&log.step(at(200), Event::Read { segments, base: 0 }));
+    let (number, retried) = segment(&log.step(at(200), Event::Read { segments, base: 0 }));
     assert_eq!(
-        (number, again.settlements.len(), again.claims.len()),
+        (number, retried.settlements.len(), retried.claims.len()),
         (1, 1, 0)
     );
 }
@@ -158,7 +158,7 @@
 #[test]
 fn a_lost_answer_is_resolved_by_the_write_id() {
     let mut log = opened(Limits::default(), vec![], 0);
-    let made = segment(&log.step(NOW, claim("a", "k", 1)));
+    let written = segment(&log.step(NOW, claim("a", "k", 1)));
     assert_eq!(
         log.step(NOW, Event::CreateUnknown),
         vec![Action::Read { from: 0 }]
@@ -166,7 +166,7 @@
     let actions = log.step(
         NOW,
         Event::Read {
-            segments: vec![made],
+            segments: vec![written],
             base: 0,
         },
     );
@@ -176,7 +176,7 @@
 #[test]
 fn a_number_found_absent_is_tried_again_with_the_same_segment_only() {
     let mut log = opened(Limits::default(), vec![], 0);
-    let made = segment(&log.step(NOW, claim("a", "k", 1)));
+    let written = segment(&log.step(NOW, claim("a", "k", 1)));
     log.step(NOW, Event::CreateUnknown);
     assert_eq!(
         log.step(
@@ -190,14 +190,14 @@
     );
     assert_eq!(
         segment(&log.step(at(500), Event::Tick)),
-        made,
+        written,
         "the first create may take effect late"
     );
     log.step(at(500), Event::Conflict);
     let actions = log.step(
         at(500),
         Event::Read {
-            segments: vec![made],
+            segments: vec![written],
             base: 0,
         },
     );
@@ -207,7 +207,7 @@
 #[test]
 fn a_segment_written_after_its_claims_deadline_frees_the_key_again() {
     let mut log = opened(Limits::default(), vec![], 0);
-    let made = segment(&log.step(NOW, claim("a", "k", 1)));
+    let written = segment(&log.step(NOW, claim("a", "k", 1)));
     assert_eq!(log.step(NOW, claim("w", "waits", 1)), vec![]);
     log.step(NOW, Event::CreateUnknown);
     assert_eq!(
@@ -218,14 +218,14 @@
     assert_eq!(
         refused,
         vec![verdict("b", Verdict::NotClaimed)],
-        "an outage refuses at once"
+        "an outage refuses immediately"
     );
     let late = log.step(at(2_000), Event::Tick);
     assert_eq!(late[0], verdict("a", Verdict::NotClaimed));
     let actions = log.step(
         at(2_000),
         Event::Read {
-            segments: vec![made],
+            segments: vec![written],
             base: 0,
         },
     );
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_writer_left_behind_by_a_trim_grants_nothing() {
+fn a_writer_that_a_trim_overtook_grants_nothing() {
     let mut log = opened(Limits::default(), vec![], 0);
     segment(&log.step(NOW, claim("a", "k", 1)));
     log.step(NOW, Event::Created);
@@ -286,8 +286,8 @@
 
 #[test]
 fn another_writers_claim_reads_as_in_progress_then_unknown_then_its_record() {
-    let made = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
-    let mut log = opened(Limits::default(), vec![made], 0);
+    let written = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
+    let mut log = opened(Limits::default(), vec![written], 0);
     assert_eq!(
         log.step(NOW, claim("b", "k", 1)),
         vec![verdict("b", Verdict::InProgress)]
@@ -320,8 +320,8 @@
 #[test]
 fn an_outcome_that_another_writer_stored_is_found_by_a_repeat() {
     let mut other = opened(Limits::default(), vec![], 0);
-    let made = granted(&mut other, NOW, "a", "k");
-    let mut log = opened(Limits::default(), vec![made], 0);
+    let written = granted(&mut other, NOW, "a", "k");
+    let mut log = opened(Limits::default(), vec![written], 0);
     let settled = segment(&other.step(NOW, settle("a", "k", Some(record("done")))));
     let later = at(500);
     for (request, content) in [("b", 1), ("c", 2)] {
@@ -338,10 +338,10 @@
 }
 
 #[test]
-fn a_key_that_another_writer_freed_goes_to_one_of_the_repeats() {
+fn a_key_that_another_writer_freed_is_granted_to_one_repeat() {
     let mut other = opened(Limits::default(), vec![], 0);
-    let made = granted(&mut other, NOW, "a", "k");
-    let mut log = opened(Limits::default(), vec![made], 0);
+    let written = granted(&mut other, NOW, "a", "k");
+    let mut log = opened(Limits::default(), vec![written], 0);
     let freed = segment(&other.step(NOW, settle("a", "k", None)));
     let later = at(500);
     for (request, content) in [("b", 1), ("c", 1), ("d", 2)] {
@@ -361,9 +361,9 @@
 }
 
 #[test]
-fn a_key_held_by_another_writer_is_answered_by_what_was_read_while_nothing_can_be() {
-    let made = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
-    let mut log = opened(Limits::default(), vec![made], 0);
+fn a_key_held_by_another_writer_is_answered_from_the_last_read_during_an_outage() {
+    let written = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
+    let mut log = opened(Limits::default(), vec![written], 0);
     log.step(at(500), claim("b", "k", 1));
     assert_eq!(
         log.step(at(500), Event::CallFailed),
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn an_outcome_waits_for_a_claim_to_be_written_with_but_not_for_long() {
+fn an_outcome_waits_briefly_to_share_a_segment_with_a_claim() {
     let limits = Limits {
         linger: Duration::from_millis(100),
         ..Limits::default()
@@ -411,10 +411,11 @@
     assert_eq!((kept.status, kept.body), (201, None));
 }
 
-/// Found by `a_key_runs_at_most_once_in_its_window`: the settlement of a request that outlived the
-/// retention time had no digest, so a request with other content got its stored response.
+/// Found by `a_key_runs_at_most_once_within_its_retention_period`: the settlement of a request that
+/// outlived the retention time had no digest, so a request with other content got its stored
+/// response.
 #[test]
-fn a_settlement_without_its_claim_still_tells_other_content_apart() {
+fn a_settlement_without_its_claim_still_detects_different_content() {
     let mut log = opened(Limits::default(), vec![], 0);
     segment(&log.step(NOW, settle("a", "k", Some(record("done")))));
     log.step(NOW, Event::Created);
@@ -425,8 +426,8 @@
     );
 }
 
-/// Found by `a_key_runs_at_most_once_in_its_window`: a later release of another request kept a
-/// trimmed claim alive at writers that had read the claim before the trim.
+/// Found by `a_key_runs_at_most_once_within_its_retention_period`: a later release of another request
+/// kept a trimmed claim alive at writers that had read the claim before the trim.
 #[test]
 fn a_later_segment_does_not_prolong_a_trimmed_claim() {
     let first = granted(&mut opened(Limits::default(), vec![], 0), NOW, "a", "k");
@@ -447,7 +448,7 @@
 }
 
 #[test]
-fn a_key_is_free_again_after_the_window() {
+fn a_key_is_free_again_after_the_retention_period() {
     let limits = Limits {
         retention: Duration::from_secs(10),
         ..Limits::default()
--- a/crates/pinereel_core/tests/claim_log.rs
+++ b/crates/pinereel_core/tests/claim_log.rs
@@ -210,7 +210,7 @@
                 call => {
                     assert!(
                         self.writers[writer].call.is_none(),
-                        "two calls in flight at once"
+                        "two calls in flight at the same time"
                     );
                     self.writers[writer].call = Some((call, None));
                 }
@@ -236,9 +236,9 @@
                 .filter(|(_, r)| r.key == own.key)
         };
         match &verdict {
-            Verdict::Repeat(given) => assert!(
-                others().any(|(i, r)| r.finished && *given == record(i) && r.digest == own.digest),
-                "replayed a response of a request that did not run: {given:?}"
+            Verdict::Repeat(replayed) => assert!(
+                others().any(|(i, r)| r.finished && *replayed == record(i) && r.digest == own.digest),
+                "replayed a response of a request that did not run: {replayed:?}"
             ),
             Verdict::KeyConflict => assert!(others().any(|(_, r)| r.digest != own.digest)),
             Verdict::InProgress | Verdict::ClaimUnknown => {
@@ -529,9 +529,9 @@
             (0..WRITER_COUNT).for_each(|writer| self.run_until_idle(writer));
         }
         for (index, request) in self.requests.iter().enumerate() {
-            let cut = request.cancelled;
+            let cancelled = request.cancelled;
             assert!(
-                request.verdict.is_some() || cut,
+                request.verdict.is_some() || cancelled,
                 "request {index} got no verdict"
             );
         }
@@ -582,7 +582,7 @@
 }
 
 #[test]
-fn a_key_runs_at_most_once_in_its_window() {
+fn a_key_runs_at_most_once_within_its_retention_period() {
     let config = ProptestConfig {
         cases: std::env::var("CLAIM_CASES").map_or(1_000, |c| c.parse().unwrap()),
         rng_seed: RngSeed::Fixed(std::env::var("CLAIM_SEED").map_or(71, |s| s.parse().unwrap())),
@@ -627,5 +627,5 @@
         total.orphans > 0 && total.trims > 0,
         "no create below the base or no trim was generated"
     );
-    assert_eq!(total.verdicts.len(), 6, "some verdict was never given");
+    assert_eq!(total.verdicts.len(), 6, "some verdict never occurred");
 }
--- a/crates/pinereel_core/tests/config_round.rs
+++ b/crates/pinereel_core/tests/config_coordinator.rs
@@ -63,7 +63,7 @@
 
 /// Runs a coordinator up to its prepare messages. Version 1 holds the pending patch, which is
 /// returned.
-fn until_prepare(write_id: &str) -> (Coordinator, StoredConfig) {
+fn run_until_prepare(write_id: &str) -> (Coordinator, StoredConfig) {
     let mut coordinator = coordinator(write_id);
     assert_eq!(
         coordinator.step(ms(0), CoordinatorEvent::Tick),
@@ -84,8 +84,8 @@
 }
 
 /// Runs a coordinator up to its accepting write. Returns the pending and the accepted content.
-fn until_accept() -> (Coordinator, StoredConfig, StoredConfig) {
-    let (mut coordinator, pending) = until_prepare("w");
+fn run_until_accept() -> (Coordinator, StoredConfig, StoredConfig) {
+    let (mut coordinator, pending) = run_until_prepare("w");
     assert_eq!(confirm(&mut coordinator, 1, "e1"), []);
     let accepted = written_config(&confirm(&mut coordinator, 2, "e2"));
     (coordinator, pending, accepted)
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn accepted_when_all_have_confirmed() {
-    let (mut coordinator, _, accepted) = until_accept();
+fn a_patch_is_accepted_when_all_members_have_confirmed() {
+    let (mut coordinator, _, accepted) = run_until_accept();
     assert_eq!(
         (accepted.number, accepted.document.limits.max_queue),
         (1, 7)
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_lost_answer_to_the_accepting_write_is_read_back() {
-    let (mut coordinator, _, accepted) = until_accept();
+    let (mut coordinator, _, accepted) = run_until_accept();
     assert_eq!(written(&mut coordinator, 3, 1, WriteResult::Unknown), []);
     assert_eq!(
         coordinator.step(ms(300), CoordinatorEvent::Tick),
@@ -132,13 +132,13 @@
 }
 
 #[test]
-fn an_accepting_write_that_did_not_land_is_sent_again() {
-    let (mut coordinator, pending, accepted) = until_accept();
+fn an_accepting_write_without_effect_is_sent_again() {
+    let (mut coordinator, pending, accepted) = run_until_accept();
     written(&mut coordinator, 3, 1, WriteResult::Unknown);
     coordinator.step(ms(300), CoordinatorEvent::Tick);
-    let again = coordinator.step(ms(310), CoordinatorEvent::Read(Some((1, pending))));
+    let repeated = coordinator.step(ms(310), CoordinatorEvent::Read(Some((1, pending))));
     assert_eq!(
-        again,
+        repeated,
         [CoordinatorAction::Write {
             version: 1,
             stored: accepted
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn an_unresolved_accepting_write_is_unknown_at_the_deadline_only() {
-    let (mut coordinator, _, _) = until_accept();
+fn an_unresolved_accepting_write_is_answered_as_unknown_only_at_the_deadline() {
+    let (mut coordinator, _, _) = run_until_accept();
     written(&mut coordinator, 3, 1, WriteResult::Unknown);
     for now in (250..8_000).step_by(250) {
         assert_eq!(
@@ -164,52 +164,52 @@
 }
 
 #[test]
-fn a_missing_member_is_named_and_the_patch_can_never_be_accepted() {
-    let (mut coordinator, pending) = until_prepare("w");
+fn a_patch_that_a_member_did_not_confirm_is_refused_and_never_accepted_later() {
+    let (mut coordinator, pending) = run_until_prepare("w");
     confirm(&mut coordinator, 1, "e1");
     let actions = coordinator.step(ms(2_000), CoordinatorEvent::Tick);
     let expected = Answer::NotConfirmed(vec!["e2".into()]);
     assert_eq!(answers(&actions), [&expected]);
-    let back = CoordinatorAction::Write {
+    let abort = CoordinatorAction::Write {
         version: 1,
         stored: pending.without_pending(),
     };
-    assert!(actions.contains(&back));
+    assert!(actions.contains(&abort));
     assert_eq!(confirm(&mut coordinator, 2_001, "e2"), []);
     written(&mut coordinator, 2_100, 1, WriteResult::Unknown);
     coordinator.step(ms(2_400), CoordinatorEvent::Tick);
     assert_eq!(
         coordinator.step(ms(2_410), CoordinatorEvent::Read(Some((1, pending)))),
-        [back]
+        [abort]
     );
 }
 
 #[test]
 fn a_confirmation_after_the_timeout_accepts_nothing() {
-    let (mut coordinator, pending) = until_prepare("w");
+    let (mut coordinator, pending) = run_until_prepare("w");
     confirm(&mut coordinator, 1, "e1");
     let actions = confirm(&mut coordinator, 60_000, "e2");
     assert_eq!(
         answers(&actions),
         [&Answer::NotConfirmed(vec!["e2".into()])]
     );
-    let back = pending.without_pending();
+    let stored = pending.without_pending();
     assert!(actions.contains(&CoordinatorAction::Write {
         version: 1,
-        stored: back
+        stored
     }));
 }
 
 #[test]
-fn another_pending_patch_is_waited_for_then_taken_back() {
-    let (_, foreign) = until_prepare("other");
+fn another_pending_patch_is_aborted_after_a_timeout() {
+    let (_, foreign) = run_until_prepare("other");
     let mut coordinator = coordinator("w");
     coordinator.step(ms(0), CoordinatorEvent::Tick);
-    let mut taken = None;
+    let mut aborted = None;
     for now in (0..4_000).step_by(250) {
         let actions = coordinator.step(ms(now), CoordinatorEvent::Read(Some((1, foreign.clone()))));
         if !actions.is_empty() {
-            taken = Some((now, actions));
+            aborted = Some((now, actions));
             break;
         }
         coordinator.step(ms(now + 250), CoordinatorEvent::Tick);
@@ -218,12 +218,12 @@
         version: 1,
         stored: foreign.without_pending(),
     }];
-    assert_eq!(taken, Some((3_000, expected)));
+    assert_eq!(aborted, Some((3_000, expected)));
 }
 
 #[test]
-fn a_repeat_gets_the_first_answer_and_other_content_is_refused() {
-    let (_, _, accepted) = until_accept();
+fn a_repeat_gets_the_first_answer_and_different_content_is_refused() {
+    let (_, _, accepted) = run_until_accept();
     let mut repeat = coordinator("w2");
     repeat.step(ms(0), CoordinatorEvent::Tick);
     let actions = repeat.step(ms(0), CoordinatorEvent::Read(Some((9, accepted.clone()))));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn regression_a_repeat_that_can_read_nothing_is_not_refused() {
+fn regression_a_repeat_without_a_read_is_answered_as_unknown() {
     // An earlier attempt of the same patch may have been accepted, with its answer lost.
     let mut repeat = coordinator("w2");
     for now in (0..8_000).step_by(250) {
--- a/crates/pinereel_core/tests/config_promise.rs
+++ b/crates/pinereel_core/tests/config_invariants.rs
@@ -41,7 +41,7 @@
         Just(vec![Op::ApiOutage(true)]),
         Just(vec![Op::Join]),
     ];
-    let sudden = (patch(), 1u64..150, fault, 2_000u64..9_000).prop_map(|(patch, gap, fault, t)| {
+    let patch_then_fault = (patch(), 1u64..150, fault, 2_000u64..9_000).prop_map(|(patch, gap, fault, t)| {
         [
             vec![Op::EndFaults, Op::Run(500), patch, Op::Run(gap)],
             fault,
@@ -49,7 +49,7 @@
         ]
         .concat()
     });
-    let removed = (0usize..9, patch(), 1u64..3_000).prop_map(|(instance, patch, t)| {
+    let patch_after_removal = (0usize..9, patch(), 1u64..3_000).prop_map(|(instance, patch, t)| {
         vec![
             Op::EndFaults,
             Op::RemoveWrongly(instance),
@@ -61,22 +61,22 @@
     });
     let part = prop_oneof![
         12 => op().prop_map(|op| vec![op]),
-        3 => sudden,
-        1 => removed,
+        3 => patch_then_fault,
+        1 => patch_after_removal,
     ];
     prop::collection::vec(part, 5..40).prop_map(|parts| parts.concat())
 }
 
 /// Proposes a patch, mostly with the content that belongs to its id, sometimes with other content
 /// or a wrong base.
-fn propose((instance, patch, odd): (usize, u64, prop::sample::Index)) -> Op {
-    let odd = odd.index(10);
-    let content = if odd == 0 { patch + 100 } else { patch };
+fn propose((instance, patch, variant): (usize, u64, prop::sample::Index)) -> Op {
+    let variant = variant.index(10);
+    let content = if variant == 0 { patch + 100 } else { patch };
     Op::Propose {
         instance,
         patch,
         content,
-        stale: odd == 1,
+        stale: variant == 1,
     }
 }
 
@@ -93,7 +93,7 @@
         "{:?}",
         sim.admitted()
     );
-    // Whatever state the faults left, the next patch is accepted and comes into force everywhere.
+    // After any faults, the next patch is accepted and comes into force at all instances.
     let before = sim.count("accepted");
     sim.propose(0, 1_000, 1_000, false);
     sim.run(12_000);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn holds_under_any_faults() {
+fn accepted_patches_come_into_force_and_refused_ones_never_do_under_random_faults() {
     let cases = std::env::var("CASES")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -167,7 +167,7 @@
 /// instance that is partitioned from its peers and the object API. The repeat must not be answered
 /// as refused.
 #[test]
-fn regression_a_repeat_from_a_cut_off_entry_is_not_refused() {
+fn regression_a_repeat_at_a_partitioned_instance_is_not_refused() {
     let patch = |instance| Op::Propose {
         instance,
         patch: 8,
--- a/crates/pinereel_core/tests/config_register.rs
+++ b/crates/pinereel_core/tests/config_participant.rs
@@ -1,5 +1,5 @@
 //! Tests of each admission check of the participant on its own. In the simulation of
-//! `config_promise.rs` one check can hide the failure of another.
+//! `config_invariants.rs` one check can hide the failure of another.
 
 use pinereel_core::{
     Time,
@@ -65,7 +65,7 @@
 
 /// Sends ticks and state messages of an up-to-date peer, so that neither a pause nor isolation is
 /// detected.
-fn pass(participant: &mut Participant, from: u64, to: u64) {
+fn run_connected(participant: &mut Participant, from: u64, to: u64) {
     for now in (from..=to).step_by(250) {
         participant.step(ms(now), peer_state(now, participant.number(), true));
         participant.step(ms(now), ParticipantEvent::Tick);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn doubt_stops_admission_in_time() {
+fn an_unresolved_prepare_stops_admission_after_three_seconds() {
     let mut participant = participant();
     assert_eq!(
         participant.step(ms(0), prepare(11, 6, "w")),
@@ -94,45 +94,45 @@
             write_id: "w".into()
         }]
     );
-    pass(&mut participant, 0, 2_750);
+    run_connected(&mut participant, 0, 2_750);
     assert_eq!(participant.admits(ms(2_999)), Ok(5));
-    pass(&mut participant, 3_000, 3_000);
+    run_connected(&mut participant, 3_000, 3_000);
     assert_eq!(participant.admits(ms(3_000)), Err(Refusal::InDoubt(6)));
     participant.step(ms(3_100), read(3_050, 12, stored(5, None)));
     assert_eq!(participant.admits(ms(3_100)), Ok(5));
 }
 
 #[test]
-fn a_repeated_prepare_does_not_prolong_the_doubt() {
+fn a_repeated_prepare_does_not_extend_its_admission_period() {
     let mut participant = participant();
     participant.step(ms(0), prepare(11, 6, "w"));
-    pass(&mut participant, 0, 2_000);
-    let again = participant.step(ms(2_000), prepare(11, 6, "w"));
+    run_connected(&mut participant, 0, 2_000);
+    let repeated = participant.step(ms(2_000), prepare(11, 6, "w"));
     assert_eq!(
-        again,
+        repeated,
         [ParticipantAction::Confirm {
             write_id: "w".into()
         }]
     );
-    pass(&mut participant, 2_250, 3_000);
+    run_connected(&mut participant, 2_250, 3_000);
     assert_eq!(participant.admits(ms(3_000)), Err(Refusal::InDoubt(6)));
 }
 
 #[test]
-fn a_starting_entry_takes_a_pending_patch_for_prepared_since_its_read_was_sent() {
+fn a_starting_instance_treats_a_pending_patch_as_prepared_when_its_read_was_sent() {
     let mut participant = Participant::new(ms(0), "e1");
-    pass(&mut participant, 0, 2_500);
+    run_connected(&mut participant, 0, 2_500);
     participant.step(ms(2_500), read(100, 11, stored(5, Some("w"))));
-    pass(&mut participant, 2_500, 3_000);
+    run_connected(&mut participant, 2_500, 3_000);
     assert_eq!(participant.admits(ms(3_000)), Ok(5));
     assert_eq!(participant.admits(ms(3_100)), Err(Refusal::InDoubt(6)));
 }
 
 #[test]
-fn a_doubt_is_read_then_taken_back() {
+fn an_unresolved_prepare_is_read_then_aborted() {
     let mut participant = participant();
     participant.step(ms(0), prepare(11, 6, "w"));
-    pass(&mut participant, 0, 750);
+    run_connected(&mut participant, 0, 750);
     assert_eq!(
         participant.step(ms(1_000), ParticipantEvent::Tick),
         [ParticipantAction::Read]
@@ -153,14 +153,14 @@
 fn a_late_read_from_before_the_prepare_does_not_resolve_it() {
     let mut participant = participant();
     participant.step(ms(0), prepare(11, 6, "w"));
-    pass(&mut participant, 0, 2_750);
+    run_connected(&mut participant, 0, 2_750);
     participant.step(ms(2_900), read(0, 10, stored(5, None)));
-    pass(&mut participant, 3_000, 3_000);
+    run_connected(&mut participant, 3_000, 3_000);
     assert_eq!(participant.admits(ms(3_000)), Err(Refusal::InDoubt(6)));
 }
 
 #[test]
-fn a_late_read_from_before_the_commit_starts_no_doubt() {
+fn a_late_read_from_before_the_commit_does_not_prepare_the_patch_again() {
     let mut participant = participant();
     participant.step(ms(0), prepare(11, 6, "w"));
     participant.step(
@@ -172,7 +172,7 @@
     );
     participant.step(ms(20), read(5, 11, stored(5, Some("w"))));
     assert_eq!(participant.number(), 6);
-    pass(&mut participant, 250, 4_000);
+    run_connected(&mut participant, 250, 4_000);
     assert_eq!(participant.admits(ms(4_000)), Ok(6));
 }
 
@@ -187,7 +187,7 @@
     );
     assert_eq!(participant.step(ms(0), prepare(11, 6, "w")), []);
     participant.step(ms(10), read(5, 11, stored(5, Some("w"))));
-    pass(&mut participant, 250, 4_000);
+    run_connected(&mut participant, 250, 4_000);
     assert_eq!(participant.admits(ms(4_000)), Ok(5));
 }
 
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_commit_without_its_prepare_stops_admission_until_the_document_is_here() {
+fn a_commit_without_its_prepare_stops_admission_until_the_document_is_fetched() {
     let mut participant = participant();
     participant.step(
         ms(0),
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_pause_must_be_followed_by_a_confirmation_asked_for_after_it() {
+fn admission_resumes_after_a_pause_only_with_a_peer_state_requested_after_it() {
     let mut participant = participant();
     assert_eq!(participant.admits(ms(1_001)), Err(Refusal::Paused));
     participant.step(ms(1_500), peer_state(900, 5, true));
@@ -247,10 +247,11 @@
 }
 
 #[test]
-fn isolation_stops_admission_whatever_arrives_late() {
+fn isolation_stops_admission_despite_delayed_or_outdated_peer_states() {
     let mut participant = participant();
     for now in (0..=4_250).step_by(250) {
-        // Delayed on a link for long, or from a peer that is in doubt itself.
+        // The first message was delayed on its link; the second is from a peer that is not up to
+        // date.
         participant.step(ms(now), peer_state(0, 5, true));
         participant.step(ms(now), peer_state(now, 5, false));
     }
@@ -258,8 +259,8 @@
 }
 
 #[test]
-fn peers_are_enough_while_the_object_api_is_down() {
+fn peers_alone_sustain_admission_while_the_object_api_is_down() {
     let mut participant = participant();
-    pass(&mut participant, 0, 3_600_000);
+    run_connected(&mut participant, 0, 3_600_000);
     assert_eq!(participant.admits(ms(3_600_000)), Ok(5));
 }
--- a/crates/pinereel_core/tests/config_patch.rs
+++ b/crates/pinereel_core/tests/config_patch.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn unknown_keys_and_wrong_types_are_named_all_at_once() {
+fn all_unknown_keys_and_wrong_types_are_reported_together() {
     insta::assert_snapshot!(outcome(json!({
         "pool": {},
         "limits": {"max_queues": 1},
--- a/crates/pinereel_core/tests/config_sim/mod.rs
+++ b/crates/pinereel_core/tests/config_sim/mod.rs
@@ -50,7 +50,7 @@
     LossPercent(u32),
     MaxExtraDelayMs(u64),
     Join,
-    /// Partitions an instance until its member object is deleted although it runs.
+    /// Partitions a running instance until its member object is deleted.
     RemoveWrongly(usize),
     EndFaults,
 }
@@ -388,7 +388,7 @@
         self.call(instance, None, Call::Register);
     }
 
-    /// Partitions a running instance; after a grace period the platform reports it as gone and its
+    /// Partitions a running instance; after a grace period the platform reports it as stopped and its
     /// member object is deleted.
     fn remove_wrongly(&mut self, instance: usize) {
         self.partitioned_peers = 1 << instance;
--- a/crates/pinereel_core/tests/crash_innocent.rs
+++ b/crates/pinereel_core/tests/crash_attribution.rs
@@ -118,14 +118,14 @@
     fn run_round(
         &mut self,
         number: u32,
-        wanted: &[(Identity, Option<usize>)],
+        arrivals: &[(Identity, Option<usize>)],
         scenario: Scenario,
         outcome: &mut Outcome,
     ) -> BTreeSet<Identity> {
         let mut load: BTreeMap<EndpointStart, Vec<Identity>> = BTreeMap::new();
         let mut crasher_at: BTreeMap<EndpointStart, usize> = BTreeMap::new();
         let mut occupied = BTreeSet::new();
-        for (identity, crasher) in wanted {
+        for (identity, crasher) in arrivals {
             if matches!(
                 self.register.status(self.now, identity),
                 RequestStatus::Blocked { .. }
@@ -201,30 +201,30 @@
     let mut simulation = Simulation::new(scenario, seed);
     let mut outcome = Outcome::default();
     let mut waiting: Vec<(Identity, Option<usize>)> = Vec::new();
-    let mut made = 0;
+    let mut created = 0;
     let mut crasher_count = scenario.crashers;
     for number in 0..rounds {
         while waiting.len() < scenario.harmless + crasher_count - scenario.crashers {
-            made += 1;
+            created += 1;
             let is_crasher = simulation.rng.random_bool(scenario.new_crasher_share);
             crasher_count += usize::from(is_crasher);
-            let identity = request(&format!("request {made} of {seed}"));
+            let identity = request(&format!("request {created} of {seed}"));
             waiting.push((identity, is_crasher.then_some(crasher_count)));
         }
         let crashers =
             (0..scenario.crashers).map(|c| (request(&format!("culprit {c} of {seed}")), Some(c)));
-        let mut wanted: Vec<_> = waiting.iter().copied().chain(crashers).collect();
+        let mut arrivals: Vec<_> = waiting.iter().copied().chain(crashers).collect();
         // Varies the order of arrival from round to round.
         let offset = simulation.rng.random_range(0..wanted.len());
-        wanted.rotate_left(offset);
-        let done = simulation.run_round(number, &wanted, scenario, &mut outcome);
+        arrivals.rotate_left(offset);
+        let done = simulation.run_round(number, &arrivals, scenario, &mut outcome);
         waiting.retain(|(identity, _)| !done.contains(identity));
     }
     outcome
 }
 
 #[test]
-fn one_culprit_at_full_endpoints_takes_three_and_no_innocent_is_refused() {
+fn one_crasher_at_full_endpoints_crashes_three_and_no_harmless_request_is_blocked() {
     for seed in 0..20 {
         let scenario = Scenario {
             endpoints: 4,
@@ -243,7 +243,7 @@
 /// Crashers that meet at an endpoint share its crash; from then on each runs apart from other
 /// suspected requests.
 #[test]
-fn several_culprits_at_once_take_few_and_no_innocent_is_refused() {
+fn concurrent_crashers_crash_at_most_three_each_and_no_harmless_request_is_blocked() {
     for seed in 0..12 {
         for (endpoints, crashers) in [(4, 2), (5, 3), (15, 5)] {
             let scenario = Scenario {
@@ -254,10 +254,10 @@
                 new_crasher_share: 0.0,
             };
             let outcome = simulate(scenario, seed, 150);
-            let most = outcome.crashes.values().max();
+            let max_crashes = outcome.crashes.values().max();
             assert!(
-                most.is_some_and(|most| *most <= MAX_CRASHES),
-                "{most:?}, seed {seed}"
+                max_crashes.is_some_and(|max_crashes| *max_crashes <= MAX_CRASHES),
+                "{max_crashes:?}, seed {seed}"
             );
             assert_eq!(
                 outcome.wrongly_blocked.len(),
@@ -269,9 +269,9 @@
     }
 }
 
-/// Load pattern: endpoints go down and up in turn, each once in twenty seconds.
+/// Load pattern: each endpoint crashes once every twenty seconds on average, without a crasher.
 #[test]
-fn endpoints_that_fail_by_themselves_bring_nobody_a_verdict() {
+fn spontaneous_crashes_block_no_request() {
     for seed in 0..20 {
         let scenario = Scenario {
             endpoints: 8,
@@ -289,7 +289,7 @@
 /// at first, and full endpoints end all their other runs. Guards against such a request crashing up
 /// to five endpoints in place of three.
 #[test]
-fn a_share_of_culprits_takes_three_each_and_no_innocent_is_refused() {
+fn a_share_of_new_crashers_crashes_at_most_three_each_and_no_harmless_request_is_blocked() {
     for seed in 0..6 {
         for endpoints in [4, 7, 15] {
             let scenario = Scenario {
@@ -300,10 +300,10 @@
                 new_crasher_share: 0.03,
             };
             let outcome = simulate(scenario, seed, 200);
-            let most = outcome.crashes.values().max();
+            let max_crashes = outcome.crashes.values().max();
             assert!(
-                most.is_some_and(|most| *most <= MAX_CRASHES),
-                "{most:?}, seed {seed}, {endpoints} endpoints"
+                max_crashes.is_some_and(|max_crashes| *max_crashes <= MAX_CRASHES),
+                "{max_crashes:?}, seed {seed}, {endpoints} endpoints"
             );
             assert_eq!(
                 outcome.wrongly_blocked.len(),
--- a/crates/pinereel_core/tests/crash_news.rs
+++ b/crates/pinereel_core/tests/crash_propagation.rs
@@ -71,8 +71,8 @@
         let mut branches: Vec<_> = (0..count).map(|_| Children::default()).collect();
         let mut parents = BTreeMap::new();
         for number in 1..count {
-            let mut left = VecDeque::from([0]);
-            while let Some(target) = left.pop_front() {
+            let mut targets = VecDeque::from([0]);
+            while let Some(target) = targets.pop_front() {
                 match branches[target].admit(peer(number)) {
                     Admission::Child(_) => {
                         parents.insert(number, target);
@@ -82,7 +82,7 @@
                         let to = to
                             .iter()
                             .filter_map(|address| address.parse::<usize>().ok());
-                        left.extend(to);
+                        targets.extend(to);
                     }
                 }
             }
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn all_instances_know_of_the_third_crash_within_half_a_second() {
+fn all_instances_block_a_request_within_half_a_second_of_its_third_crash() {
     for count in [30, 165, 350] {
         let took = propagation_time(count);
         assert!(
@@ -228,15 +228,15 @@
 }
 
 #[test]
-fn those_below_a_relay_that_is_lost_know_when_they_have_another_parent() {
+fn instances_below_a_lost_inner_node_block_the_request_once_they_have_another_parent() {
     let mut fleet = Fleet::new(165);
     let crasher = request(0);
     for endpoint in 1..MAX_CRASHES {
         fleet.crash(2, crasher, endpoint);
         fleet.run();
     }
-    let relay = *fleet.parents.values().max().expect("there are two levels");
-    fleet.stop(relay);
+    let inner_node = *fleet.parents.values().max().expect("there are two levels");
+    fleet.stop(inner_node);
     let started_at = fleet.now;
     fleet.crash(2, crasher, MAX_CRASHES);
     fleet.run();
@@ -247,13 +247,13 @@
 }
 
 #[test]
-fn a_thousand_crashes_in_a_second_take_bounded_messages() {
+fn a_thousand_crashes_per_second_take_bounded_messages() {
     let mut fleet = Fleet::new(165);
     let started_at = fleet.now;
     for number in 0..1_000 {
         let node = number % 165;
         fleet.crash(node, request(number), number);
-        // Delivers after each tenth of them, ten times a second.
+        // Delivers the messages after every hundredth crash.
         if number % 100 == 99 {
             fleet.run();
         }
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_makes_a_request_another_one() {
+fn each_part_of_a_request_changes_its_identity() {
     let usual = RequestParts {
         caller: b"key a",
         method: "POST",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn three_endpoints_are_a_verdict_and_sends_are_not_counted() {
+fn crashes_of_three_endpoints_block_a_request_and_repeats_at_one_do_not() {
     let (mut register, crasher) = (Register::default(), request("c"));
     for _ in 0..9 {
         register.crashed(at(0), crasher, start(1));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_run_that_ends_clears_and_late_news_of_before_do_not_count() {
+fn a_completed_run_clears_a_request_and_late_reports_of_earlier_crashes_do_not_count() {
     let (mut register, harmless) = (Register::default(), request("i"));
     register.crashed(at(0), harmless, start(1));
     register.crashed(at(1), harmless, start(2));
@@ -139,13 +139,13 @@
 /// A link failure that resets connections looks like a crash to one instance, while others still
 /// reach the endpoint.
 #[test]
-fn an_answer_clears_the_endpoint_if_it_was_asked_for_after_the_news() {
+fn an_answer_clears_the_endpoint_only_if_its_request_was_sent_after_the_crash_became_known() {
     let (mut register, request) = (Register::default(), request("x"));
     for number in 1..=MAX_CRASHES {
         register.crashed(at(0), request, start(number));
     }
     assert!(is_blocked(&register, at(1), request));
-    // In flight when the endpoint crashed.
+    // This answer was in flight when the endpoint crashed.
     register.endpoint_answered(at(20), &start(1), at(10));
     assert!(is_blocked(&register, at(21), request));
     register.endpoint_answered(at(400), &start(1), at(300));
@@ -153,50 +153,50 @@
 }
 
 #[test]
-fn whoever_ran_beside_a_culprit_is_not_refused_for_it() {
+fn a_request_that_ran_beside_a_crasher_is_not_blocked_for_its_crashes() {
     let mut register = Register::default();
-    let (crasher, beside) = (request("c"), request("beside"));
+    let (crasher, concurrent) = (request("c"), request("beside"));
     for number in 1..=2 {
         register.crashed(at(0), crasher, start(number));
-        register.crashed(at(0), beside, start(number));
+        register.crashed(at(0), concurrent, start(number));
     }
     register.crashed(at(3), crasher, start(3));
     assert!(is_blocked(&register, at(4), crasher));
     // A third crash of its own: the other request explains the first two.
-    register.crashed(at(5), beside, start(9));
-    let status = register.status(at(6), &beside);
+    register.crashed(at(5), concurrent, start(9));
+    let status = register.status(at(6), &concurrent);
     assert!(matches!(status, RequestStatus::Suspected { .. }));
 }
 
 /// Three endpoints crash at once, before any request is suspected. The request that was at all of
 /// them is blocked until a late report shows that another one could equally be the cause.
 #[test]
-fn a_verdict_falls_when_another_may_be_to_blame_and_a_last_chance_decides() {
-    let (mut here, mut there) = (Register::default(), Register::default());
-    let (crasher, beside) = (request("c"), request("beside"));
+fn a_request_is_unblocked_when_another_may_explain_its_crashes_and_one_more_crash_blocks_it() {
+    let (mut local, mut remote) = (Register::default(), Register::default());
+    let (crasher, concurrent) = (request("c"), request("beside"));
     let crash = |number| Report {
         identity: crasher,
         starts: vec![(start(number), FIRST_CRASH)],
         ends: 0,
         age: Duration::ZERO,
     };
-    here.merge(at(0), (1..=3).map(crash));
-    assert!(is_blocked(&here, at(1), crasher));
+    local.merge(at(0), (1..=3).map(crash));
+    assert!(is_blocked(&local, at(1), crasher));
     for number in 1..=2 {
-        there.crashed(at(0), beside, start(number));
+        remote.crashed(at(0), concurrent, start(number));
     }
-    let reports = there.reports(at(2));
-    let changes = here.merge(at(2), reports);
+    let reports = remote.reports(at(2));
+    let changes = local.merge(at(2), reports);
     let is_unblocked = |c: &Change| c.identity == crasher && c.kind == ChangeKind::Unblocked;
     assert!(changes.iter().any(is_unblocked), "{changes:?}");
-    here.crashed(at(3), crasher, start(4));
-    assert!(is_blocked(&here, at(4), crasher));
-    assert!(!is_blocked(&here, at(4), beside));
+    local.crashed(at(3), crasher, start(4));
+    assert!(is_blocked(&local, at(4), crasher));
+    assert!(!is_blocked(&local, at(4), concurrent));
 }
 
 /// Two requests that always crash endpoints together must both be blocked.
 #[test]
-fn two_culprits_are_both_refused_soon() {
+fn two_requests_that_always_crash_endpoints_together_are_both_blocked() {
     let mut register = Register::default();
     let both = [request("c"), request("d")];
     for number in 1..=MAX_CRASHES {
@@ -204,19 +204,19 @@
             register.crashed(at(0), crasher, start(number));
         }
     }
-    let left = both.into_iter().find(|c| !is_blocked(&register, at(1), *c));
-    if let Some(left) = left {
+    let unblocked = both.into_iter().find(|c| !is_blocked(&register, at(1), *c));
+    if let Some(unblocked) = unblocked {
         for number in MAX_CRASHES + 1..=MAX_SHARED_CRASHES {
-            register.crashed(at(2), left, start(number));
+            register.crashed(at(2), unblocked, start(number));
         }
     }
-    let refused = |crasher| is_blocked(&register, at(3), crasher);
-    assert!(both.into_iter().all(refused));
+    let blocked = |crasher| is_blocked(&register, at(3), crasher);
+    assert!(both.into_iter().all(blocked));
 }
 
 /// Some endpoints crash under the request, and at others its runs complete.
 #[test]
-fn a_request_that_crashes_every_other_endpoint_is_refused_after_five() {
+fn a_request_that_crashes_every_other_endpoint_is_blocked_after_five_crashes() {
     let (mut register, crasher) = (Register::default(), request("c"));
     for number in 1..=MAX_SHARED_CRASHES {
         assert!(!is_blocked(&register, at(0), crasher), "{number}");
@@ -224,23 +224,22 @@
         register.completed(at(number as u64), crasher);
     }
     assert!(is_blocked(&register, at(10), crasher));
-    // Other instances receive it like any other report.
-    let mut there = Register::default();
-    there.merge(at(10), register.reports(at(10)));
-    assert!(is_blocked(&there, at(10), crasher));
+    // Other instances receive this like any other report.
+    let mut remote = Register::default();
+    remote.merge(at(10), register.reports(at(10)));
+    assert!(is_blocked(&remote, at(10), crasher));
     register.clear(at(11), crasher);
     assert!(!is_blocked(&register, at(11), crasher));
-    there.merge(at(12), register.take_pending(at(12), 9));
+    remote.merge(at(12), register.take_pending(at(12), 9));
     assert!(
-        !is_blocked(&there, at(12), crasher),
+        !is_blocked(&remote, at(12), crasher),
         "clearing by an operator is reported, too"
     );
 }
 
-/// Load pattern: a request that is sent all the time is present at each endpoint that crashes on
-/// its own.
+/// Load pattern: a request that is sent continuously runs at every endpoint that crashes on its own.
 #[test]
-fn a_request_that_runs_often_is_not_refused_for_endpoints_that_crash_by_themselves() {
+fn a_frequent_request_is_not_blocked_for_spontaneous_crashes() {
     let (mut register, popular) = (Register::default(), request("p"));
     for number in 1..=40 {
         for _ in 0..10 {
@@ -253,7 +252,7 @@
 }
 
 #[test]
-fn what_is_too_old_is_forgotten() {
+fn records_expire_after_their_ttl() {
     let (mut register, crasher) = (Register::default(), request("c"));
     for number in 1..=MAX_CRASHES {
         register.crashed(at(0), crasher, start(number));
@@ -264,14 +263,14 @@
     let sent = register.reports(almost);
     assert!(register.expire(at(0) + RECORD_TTL));
     assert!(register.is_empty());
-    // Another instance may report it again: the age stays the same.
+    // Another instance may report the crashes again: their age stays the same.
     register.merge(at(0) + RECORD_TTL, sent);
     assert!(register.expire(at(2) + RECORD_TTL));
 }
 
 /// A process that has just started receives a report of a crash that is older than its clock.
 #[test]
-fn what_is_older_than_the_clock_is_forgotten_in_time() {
+fn reports_older_than_the_clock_expire_on_time() {
     let crasher = request("c");
     let crash = |number| Report {
         identity: crasher,
@@ -308,7 +307,7 @@
         is_blocked(&register, at(6_000), crasher),
         "blocked requests are kept"
     );
-    // Each is reported once, in messages of bounded size.
+    // Each record is reported once, in messages of bounded size.
     let (mut sent, mut messages) = (0, 0);
     while register.has_pending() {
         let reports = register.take_pending(at(6_000), 128);
@@ -362,7 +361,7 @@
     #![proptest_config(Config::with_cases(400))]
 
     #[test]
-    fn instances_that_have_told_each_other_all_decide_the_same(steps in steps()) {
+    fn instances_that_have_exchanged_all_reports_agree(steps in steps()) {
         let mut instances = vec![Register::default(); 3];
         let mut in_flight: Vec<Vec<Report>> = Vec::new();
         let mut crashes = BTreeSet::new();
@@ -401,8 +400,8 @@
         }
         for number in 0..6 {
             let identity = request(&number.to_string());
-            let refused: BTreeSet<_> = instances.iter().map(|i| is_blocked(i, now, identity)).collect();
-            prop_assert_eq!(refused.len(), 1);
+            let blocked: BTreeSet<_> = instances.iter().map(|i| is_blocked(i, now, identity)).collect();
+            prop_assert_eq!(blocked.len(), 1);
         }
     }
 }
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn text_form_round_trips_and_any_damage_shows() {
+fn text_form_round_trips_and_any_corruption_is_detected() {
     let sets = prop::collection::btree_set(0..300_u32, 0..300);
     proptest!(config(5), |(set in sets, samples in 1..300_u32, at: prop::sample::Index)| {
         let mut token = Token::empty(lot(), 3, samples);
@@ -111,20 +111,20 @@
         let samples = found.iter().map(|(index, version)| sample(*index, *version));
         let answer = merge.deliver(samples);
         let fresh = found.iter().filter(|(_, version)| version + bound >= 8);
-        let wanted: BTreeSet<u32> = fresh
+        let expected: BTreeSet<u32> = fresh
             .map(|(index, _)| *index)
             .filter(|index| *index < 16 && !held.contains(index))
             .collect();
-        let given: BTreeSet<u32> = answer.samples.iter().map(|s| s.index).collect();
-        prop_assert_eq!(given.len(), answer.samples.len());
-        prop_assert!(given.is_subset(&wanted));
-        prop_assert_eq!(given.len(), wanted.len().min(max));
+        let delivered: BTreeSet<u32> = answer.samples.iter().map(|s| s.index).collect();
+        prop_assert_eq!(delivered.len(), answer.samples.len());
+        prop_assert!(delivered.is_subset(&expected));
+        prop_assert_eq!(delivered.len(), expected.len().min(max));
         prop_assert!(answer.samples.iter().all(|s| s.spans[0].version.0 + bound >= 8));
-        prop_assert_eq!(answer.remaining as usize, 16 - held.len() - given.len());
+        prop_assert_eq!(answer.remaining as usize, 16 - held.len() - delivered.len());
         let mut cursor = Cursor::new(token.clone());
-        prop_assert_eq!(cursor.accept(&token, &answer.token, given.clone()), Ok(()));
-        let again = cursor.accept(&token, &answer.token, given.clone());
-        prop_assert_eq!(again.is_err(), !given.is_empty());
+        prop_assert_eq!(cursor.accept(&token, &answer.token, delivered.clone()), Ok(()));
+        let again = cursor.accept(&token, &answer.token, delivered.clone());
+        prop_assert_eq!(again.is_err(), !delivered.is_empty());
     });
 }
 
--- a/crates/pinereel_core/tests/drain_machine.rs
+++ b/crates/pinereel_core/tests/drain_phases.rs
@@ -35,7 +35,7 @@
     })]
 
     #[test]
-    fn phases_come_in_order_and_in_time(steps in vec((0..9_000u64, event()), 1..60)) {
+    fn phases_follow_in_order_within_their_time_limits(steps in vec((0..9_000u64, event()), 1..60)) {
         let (mut now, mut machine) = (Time::ZERO, StateMachine::new(SETTINGS));
         let (mut stop_requested_at, mut in_flight, mut log) = (None, 0, Vec::new());
         for (millis, event) in steps {
@@ -48,10 +48,10 @@
             }
             let actions = machine.step(now, event);
             if actions.contains(&Action::HandOver) && in_flight > 0 {
-                let least = stop_requested_at.unwrap() + SETTINGS.balancer_lag + SETTINGS.max_finish;
-                prop_assert!(now >= least, "cut before the limit");
-                let left = Action::Report { phase: Phase::Finishing, left: in_flight };
-                prop_assert!(actions.contains(&left), "what is left is reported");
+                let earliest = stop_requested_at.unwrap() + SETTINGS.balancer_lag + SETTINGS.max_finish;
+                prop_assert!(now >= earliest, "interrupted before the limit");
+                let report = Action::Report { phase: Phase::Finishing, left: in_flight };
+                prop_assert!(actions.contains(&report), "unfinished requests are reported");
             }
             if actions.contains(&Action::StopAccepting) {
                 prop_assert!(now >= stop_requested_at.unwrap() + SETTINGS.balancer_lag);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_stop_with_a_stream_longer_than_the_limit() {
+fn a_stream_longer_than_the_limit_is_handed_over() {
     let mut machine = StateMachine::new(SETTINGS);
     let mut log = Vec::new();
     let steps = [
--- a/crates/pinereel_core/tests/endpoint_set.rs
+++ b/crates/pinereel_core/tests/endpoint_set.rs
@@ -56,8 +56,8 @@
     listed(&mut set, 3, "e1", 1);
     assert_eq!(set.get(key).unwrap().state, State::Leaving);
     set.step(Time::from_millis(4), Event::Unlisted { name: "e1".into() });
-    let back = listed(&mut set, 5, "e1", 1).unwrap();
-    assert_eq!(set.get(back).unwrap().state, State::Leaving);
+    let relisted = listed(&mut set, 5, "e1", 1).unwrap();
+    assert_eq!(set.get(relisted).unwrap().state, State::Leaving);
 }
 
 #[test]
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn one_incarnation_listed_again_in_flight_keeps_its_count_and_hears_its_evidence() {
+fn an_incarnation_listed_again_with_attempts_in_flight_keeps_its_count_and_takes_their_outcomes() {
     let mut set = Set::default();
     let key = listed(&mut set, 1, "e1", 1).unwrap();
     set.step(Time::ZERO, Event::Started { key, tokens: 1 });
     set.step(Time::ZERO, Event::Unlisted { name: "e1".into() });
-    let again = listed(&mut set, 2, "e1", 1).unwrap();
-    assert_eq!((again, set.get(again).unwrap().outstanding), (key, 1));
+    let relisted = listed(&mut set, 2, "e1", 1).unwrap();
+    assert_eq!((relisted, set.get(relisted).unwrap().outstanding), (key, 1));
     end(&mut set, 3, key, AttemptEnd::Leaving);
-    assert_eq!(set.get(again).unwrap().state, State::Leaving);
+    assert_eq!(set.get(relisted).unwrap().state, State::Leaving);
 }
 
 #[test]
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_late_report_is_corrected_by_own_work() {
+fn a_late_load_report_is_corrected_by_own_attempts() {
     let mut set = Set::default();
     let key = listed(&mut set, 0, "e1", 1).unwrap();
     let start = |set: &mut Set, at| {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_limit_falls_once_a_burst_and_grows_back_to_the_slots() {
+fn the_limit_drops_once_per_burst_and_recovers_to_the_slots() {
     let mut set = Set::default();
     let key = listed(&mut set, 0, "e1", 1).unwrap();
     for _ in 0..8 {
@@ -220,10 +220,10 @@
         let zone = &zones[i % 9];
         let holders = entries
             .iter()
-            .filter(|me| subset::contains(**me, &entries, &format!("e{i}"), zone, cover));
+            .filter(|entry| subset::contains(**entry, &entries, &format!("e{i}"), zone, cover));
         let mut count = 0;
-        for me in holders {
-            *held.entry(me.name).or_insert(0) += 1;
+        for entry in holders {
+            *held.entry(entry.name).or_insert(0) += 1;
             count += 1;
         }
         assert_eq!(count, cover.local + cover.remote);
--- a/crates/pinereel_core/tests/endpoint_yielding.rs
+++ b/crates/pinereel_core/tests/endpoint_yielding_attempts.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn live_requests_have_room_beside_bulk() {
+fn yielding_bulk_attempts_take_no_slots_from_live_requests() {
     let mut set = Set::default();
     let listing = Listing {
         name: "draft-llm-0".into(),
--- a/crates/pinereel_core/tests/fair_queue.rs
+++ b/crates/pinereel_core/tests/fair_queue.rs
@@ -4,7 +4,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 
 #[test]
-fn classes_go_before_weights() {
+fn classes_take_precedence_over_weights() {
     let mut queue = Queue::new(8);
     queue.push("heavy", Class::Bulk, 100, 1, "bulk").unwrap();
     queue
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_idle_flow_saves_up_nothing() {
+fn an_idle_flow_accumulates_no_credit() {
     let mut queue = Queue::new(1_000);
     for _ in 0..100 {
         queue.push("busy", Class::Bulk, 1, 1, "busy").unwrap();
@@ -52,15 +52,15 @@
             queue.push("a", Class::Bulk, wa, ca, (0, ca)).unwrap();
             queue.push("b", Class::Bulk, wb, cb, (1, cb)).unwrap();
         }
-        let mut got = [0_u64; 2];
+        let mut served = [0_u64; 2];
         for _ in 0..400 {
             let (flow, cost) = queue.pop().unwrap();
-            got[flow] += cost;
+            served[flow] += cost;
             // Weighted shares differ by at most the largest item of each flow.
-            let a = got[0] as f64 / f64::from(wa);
-            let b = got[1] as f64 / f64::from(wb);
-            let most = ca as f64 / f64::from(wa) + cb as f64 / f64::from(wb);
-            prop_assert!((a - b).abs() <= most + 0.5, "{a} {b}");
+            let a = served[0] as f64 / f64::from(wa);
+            let b = served[1] as f64 / f64::from(wb);
+            let max_difference = ca as f64 / f64::from(wa) + cb as f64 / f64::from(wb);
+            prop_assert!((a - b).abs() <= max_difference + 0.5, "{a} {b}");
         }
     });
 }
--- a/crates/pinereel_core/tests/lease_holder.rs
+++ b/crates/pinereel_core/tests/lease_exclusion.rs
@@ -1,7 +1,7 @@
 //! Property test of lease candidates: at most one acts at a time, under lost answers, late writes,
 //! outages, pauses and restarts.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on unexpected results")]
 
 use pinereel_core::{
     Time,
@@ -20,16 +20,16 @@
 /// Step of virtual time while the last candidate recovers.
 const RECOVERY_STEP_MS: u64 = 50;
 
-/// What becomes of a call to the store.
+/// Effect and answer of a call to the store.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
-    /// It takes effect and is answered.
+    /// The call takes effect and is answered.
     Done,
-    /// It takes effect, and the answer is lost.
+    /// The call takes effect, and the answer is lost.
     Lost,
     /// The answer is lost, and the call may take effect later.
     Late,
-    /// It takes no effect, and the answer is lost.
+    /// The call takes no effect, and the answer is lost.
     Refused,
 }
 
@@ -45,11 +45,11 @@
     Flush {
         at: usize,
     },
-    /// Asks for the fencing token and orders the engines at once.
+    /// Reads the fencing token and sends an order to the engines immediately.
     Order {
         at: usize,
     },
-    /// Asks for the fencing token now; the order arrives later.
+    /// Reads the fencing token now; the order arrives later.
     SlowOrder {
         at: usize,
     },
@@ -112,8 +112,8 @@
     late_calls: Vec<Action>,
     delayed_orders: Vec<u64>,
     nodes: Vec<Node>,
-    checking: Engine,
-    ignoring: Engine,
+    fenced_engine: Engine,
+    unfenced_engine: Engine,
     /// The last fence with which a candidate could act, and the id of that candidate.
     last_acting: (u64, String),
     counts: Counts,
@@ -136,11 +136,11 @@
             late_calls: Vec::new(),
             delayed_orders: Vec::new(),
             nodes: Vec::new(),
-            checking: Engine {
+            fenced_engine: Engine {
                 checks_fence: true,
                 ..Engine::default()
             },
-            ignoring: Engine::default(),
+            unfenced_engine: Engine::default(),
             last_acting: (0, String::new()),
             counts: Counts::default(),
         };
@@ -174,7 +174,7 @@
         let acting: Vec<_> = (0..NODE_COUNT)
             .filter_map(|at| Some((at, self.fencing_token(at)?)))
             .collect();
-        assert!(acting.len() <= 1, "two candidates act at once: {acting:?}");
+        assert!(acting.len() <= 1, "two candidates act at the same time: {acting:?}");
         let Some((at, fence)) = acting.first() else {
             return;
         };
@@ -195,7 +195,7 @@
         self.counts.steps += 1;
         let now = self.clock(at);
         for action in self.nodes[at].candidate.step(now, event) {
-            assert!(self.nodes[at].call.is_none(), "two calls open at once");
+            assert!(self.nodes[at].call.is_none(), "two calls open at the same time");
             self.nodes[at].call = Some(action);
         }
         self.check();
@@ -249,8 +249,8 @@
     }
 
     fn order(&mut self, fence: u64) {
-        self.checking.order(fence);
-        self.ignoring.order(fence);
+        self.fenced_engine.order(fence);
+        self.unfenced_engine.order(fence);
     }
 
     fn apply(&mut self, op: Op) {
@@ -269,10 +269,10 @@
                     let fence = self
                         .delayed_orders
                         .remove(index % self.delayed_orders.len());
-                    let highest = self.checking.highest_fence;
+                    let highest = self.fenced_engine.highest_fence;
                     self.order(fence);
                     assert!(
-                        self.checking.loaded_fence >= highest,
+                        self.fenced_engine.loaded_fence >= highest,
                         "an engine took an order with an older fence"
                     );
                 }
@@ -295,35 +295,36 @@
         self.check();
     }
 
-    /// All candidates but the last end for good; that one must hold the lease within the bound that
-    /// follows from the timing.
+    /// Stops all candidates but the last one, which must hold the lease within the bound that follows
+    /// from the timing.
     fn recover(&mut self) {
         let at = NODE_COUNT - 1;
         let starts = self.nodes[at].starts + 1;
         self.nodes[at] = self.start(at, starts);
-        let began = self.now;
+        let started_at = self.now;
         while self.fencing_token(at).is_none() {
             self.now += RECOVERY_STEP_MS;
             self.flush(at);
             let bound =
                 LEASE_DURATION_MS + CLOCK_MARGIN_MS + 2 * RETRY_INTERVAL_MS + 2 * RECOVERY_STEP_MS;
             assert!(
-                self.now - began <= bound,
+                self.now - started_at <= bound,
                 "no holder after {} ms",
-                self.now - began
+                self.now - started_at
             );
         }
-        self.counts.takeover_ms = self.now - began;
-        // Every delayed order arrives, then the holder repeats its order, which is level-triggered.
+        self.counts.takeover_ms = self.now - started_at;
+        // Every delayed order arrives. The holder then repeats its order, because orders state the
+        // desired version and are sent until it is reached.
         while !self.delayed_orders.is_empty() {
             self.apply(Op::DeliverOrder { index: 0 });
         }
         let fence = self.fencing_token(at).unwrap();
         self.counts.corrected_orders +=
-            u64::from(self.ignoring.loaded_fence < self.checking.loaded_fence);
+            u64::from(self.unfenced_engine.loaded_fence < self.fenced_engine.loaded_fence);
         self.order(fence);
         assert_eq!(
-            (self.checking.loaded_fence, self.ignoring.loaded_fence),
+            (self.fenced_engine.loaded_fence, self.unfenced_engine.loaded_fence),
             (fence, fence)
         );
     }
@@ -351,7 +352,7 @@
 }
 
 #[test]
-fn one_candidate_acts_at_a_time() {
+fn at_most_one_candidate_acts_at_a_time() {
     let config = ProptestConfig {
         cases: std::env::var("LEASE_CASES").map_or(1_000, |c| c.parse().unwrap()),
         rng_seed: RngSeed::Fixed(std::env::var("LEASE_SEED").map_or(72, |s| s.parse().unwrap())),
@@ -394,7 +395,7 @@
 }
 
 #[test]
-fn an_outage_ends_the_lease_and_a_drain_frees_it_at_once() {
+fn an_outage_ends_the_lease_and_a_drain_frees_it_immediately() {
     let mut sim = Simulation::new();
     sim.flush(0);
     assert_eq!(sim.fencing_token(0), Some(1));
@@ -423,7 +424,7 @@
 }
 
 #[test]
-fn a_follower_looks_seldom_until_a_lease_is_not_renewed() {
+fn a_follower_polls_rarely_while_leases_are_renewed() {
     use pinereel_core::lease::{PollSchedule, PolledLease};
     let wait = Duration::from_millis(2_200);
     let polled = |version| [("duty".into(), PolledLease { version, wait })];
@@ -447,7 +448,7 @@
 }
 
 #[test]
-fn an_instance_takes_its_own_earlier_lease_at_once() {
+fn an_instance_takes_its_own_earlier_lease_immediately() {
     use pinereel_core::lease::{Action, Candidate, Event, Lease, Timing};
     let now = Time::from_millis(1);
     let mut candidate =
--- a/crates/pinereel_core/tests/lease_place.rs
+++ b/crates/pinereel_core/tests/lease_rank.rs
@@ -11,28 +11,28 @@
     }
 }
 
-fn delays(duty: &str, of: u32) -> Vec<Duration> {
-    let mut delays: Vec<_> = (0..of)
-        .map(|number| rank(number, of, of).takeover_delay(duty))
+fn delays(duty: &str, total: u32) -> Vec<Duration> {
+    let mut delays: Vec<_> = (0..total)
+        .map(|number| rank(number, total, total).takeover_delay(duty))
         .collect();
     delays.sort();
     delays
 }
 
 #[test]
-fn one_follower_goes_first_and_few_soon_after() {
-    for of in [1, 2, 9, 55, 350] {
-        let delays = delays("lots-m", of);
+fn one_follower_has_no_takeover_delay_and_few_have_short_ones() {
+    for total in [1, 2, 9, 55, 350] {
+        let delays = delays("lots-m", total);
         assert_eq!(delays[0], Duration::ZERO);
-        let soon = delays.iter().filter(|d| d.as_millis() < 700).count();
-        assert!(soon <= 7, "{soon} of {of} write within one poll interval");
+        let early = delays.iter().filter(|d| d.as_millis() < 700).count();
+        assert!(early <= 7, "{early} of {total} write within one poll interval");
         let longest = delays.last().expect("there is at least one follower");
         assert!(*longest <= Duration::from_millis(800));
     }
 }
 
 #[test]
-fn the_first_differs_by_duty() {
+fn the_follower_without_a_delay_differs_by_duty() {
     let first = |duty: &str| {
         (0..55)
             .find(|number| rank(*number, 55, 55).takeover_delay(duty).is_zero())
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn a_place_among_none_goes_first() {
+fn a_rank_in_an_empty_group_has_no_takeover_delay() {
     assert_eq!(rank(0, 0, 0).takeover_delay("x"), Duration::ZERO);
 }
 
 /// Lots run badly on an instance with little CPU time, so preferred instances come first.
 #[test]
-fn those_that_should_rather_hold_duties_go_before_all_others() {
+fn preferred_instances_have_shorter_delays_than_all_others() {
     for preferred in [0, 1, 8, 54] {
         let delay = |number| rank(number, preferred, 55).takeover_delay("lots-m");
         let last_preferred = (0..preferred).map(delay).max().unwrap_or_default();
--- a/crates/pinereel_core/tests/lease_turn.rs
+++ b/crates/pinereel_core/tests/lease_takeover.rs
@@ -33,7 +33,7 @@
 }
 
 /// A follower that has just read the lease of another holder, and what it read.
-fn watching() -> (Candidate, Option<(u64, Lease)>) {
+fn follower_of_held_lease() -> (Candidate, Option<(u64, Lease)>) {
     let mut candidate = follower();
     let found = Some((3, lease("b", 1)));
     candidate.step(Time::ZERO, Event::Tick);
@@ -41,8 +41,8 @@
     (candidate, found)
 }
 
-/// Answers reads with `found` until the candidate writes; returns when it does.
-fn writes_at(candidate: &mut Candidate, found: Option<(u64, Lease)>) -> Option<Time> {
+/// Answers reads with `found` until the candidate writes; returns the time of the write.
+fn first_write_at(candidate: &mut Candidate, found: Option<(u64, Lease)>) -> Option<Time> {
     let mut now = Time::ZERO;
     for _ in 0..500 {
         let mut actions = candidate.step(now, Event::Tick);
@@ -63,24 +63,24 @@
 }
 
 #[test]
-fn a_free_lease_is_taken_when_the_turn_has_come() {
-    let absent = millis(writes_at(&mut follower(), None));
-    let released = millis(writes_at(&mut follower(), Some((3, lease("", 1)))));
-    let lapsed = millis(writes_at(&mut follower(), Some((3, lease("b", 1)))));
+fn a_free_lease_is_taken_after_the_takeover_delay() {
+    let absent = millis(first_write_at(&mut follower(), None));
+    let released = millis(first_write_at(&mut follower(), Some((3, lease("", 1)))));
+    let lapsed = millis(first_write_at(&mut follower(), Some((3, lease("b", 1)))));
     assert_eq!([absent, released, lapsed], [600, 600, 2_800]);
 }
 
 #[test]
-fn an_earlier_start_of_the_instance_is_succeeded_at_once() {
+fn a_lease_of_an_earlier_start_of_the_instance_is_taken_immediately() {
     let mut candidate = follower().with_previous_id_prefix("a/");
     assert_eq!(
-        millis(writes_at(&mut candidate, Some((3, lease("a/1", 1))))),
+        millis(first_write_at(&mut candidate, Some((3, lease("a/1", 1))))),
         0
     );
 }
 
 #[test]
-fn one_that_is_taken_meanwhile_is_left_alone() {
+fn a_lease_taken_by_another_during_the_takeover_delay_is_not_taken() {
     let mut candidate = follower();
     let now = Time::ZERO;
     candidate.step(now, Event::Tick);
@@ -97,35 +97,35 @@
 
 /// A renewal does not wait for the takeover delay: the lease would expire meanwhile.
 #[test]
-fn an_own_lease_is_renewed_without_a_turn() {
+fn an_own_lease_is_renewed_without_a_takeover_delay() {
     let mut candidate = follower();
     let mut now = Time::ZERO;
     let found = Some((3, lease("", 1)));
-    now = now + Duration::from_millis(millis(writes_at(&mut candidate, found)) as u64);
+    now = now + Duration::from_millis(millis(first_write_at(&mut candidate, found)) as u64);
     candidate.step(now, Event::Written(5));
     assert!(candidate.fencing_token(now).is_some());
-    let mut renewed = None;
-    while renewed.is_none() {
+    let mut renewal = None;
+    while renewal.is_none() {
         now = now + Duration::from_millis(10);
         assert!(
             candidate.fencing_token(now).is_some(),
             "the lease has expired"
         );
         let actions = candidate.step(now, Event::Tick);
-        renewed = actions
+        renewal = actions
             .into_iter()
             .find(|a| matches!(a, Action::Write { .. }));
     }
 }
 
-/// A live holder must not lose its duty through an outage of the store. Without the grace period a
+/// A live holder must not lose its lease through an outage of the store. Without the grace period a
 /// follower that reached the store first took the lease.
 #[test]
-fn a_holder_that_could_not_renew_in_an_outage_has_a_head_start() {
-    let (mut candidate, found) = watching();
-    let back = Time::from_millis(6_000);
-    candidate.expedite(back);
-    let mut now = back;
+fn a_holder_has_a_grace_period_to_renew_after_an_outage() {
+    let (mut candidate, found) = follower_of_held_lease();
+    let recovered_at = Time::from_millis(6_000);
+    candidate.expedite(recovered_at);
+    let mut now = recovered_at;
     loop {
         let actions = candidate.step(now, Event::Tick);
         match actions.first() {
@@ -136,7 +136,7 @@
         now = now + Duration::from_millis(10);
     }
     assert_eq!(
-        now.since(back).as_millis(),
+        now.since(recovered_at).as_millis(),
         1_800,
         "the grace period and the takeover delay"
     );
@@ -144,55 +144,55 @@
 
 /// The call that fails in the outage may be the follower's own, and so may the first that succeeds.
 #[test]
-fn the_first_answer_after_failures_is_a_return() {
-    let (mut candidate, found) = watching();
+fn the_first_answer_after_failures_starts_the_grace_period() {
+    let (mut candidate, found) = follower_of_held_lease();
     let later = Time::from_millis(2_900);
     let writes = candidate.step(later, Event::Tick);
     assert!(matches!(writes[..], [Action::Write { .. }]));
     candidate.step(later, Event::Unknown);
     candidate.step(later, Event::Failed);
-    let back = Time::from_millis(6_000);
-    assert_eq!(candidate.step(back, Event::Tick), vec![Action::Read]);
-    candidate.step(back, Event::Read(found.clone()));
-    let soon = back + Duration::from_millis(1_500);
+    let recovered_at = Time::from_millis(6_000);
+    assert_eq!(candidate.step(recovered_at, Event::Tick), vec![Action::Read]);
+    candidate.step(recovered_at, Event::Read(found.clone()));
+    let soon = recovered_at + Duration::from_millis(1_500);
     assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
     candidate.step(soon, Event::Read(found));
-    let then = back + Duration::from_millis(2_500);
+    let then = recovered_at + Duration::from_millis(2_500);
     let writes = candidate.step(then, Event::Tick);
     assert!(matches!(writes[..], [Action::Write { .. }]));
 }
 
 /// While the store is unreachable, nobody can renew, so a follower must not try to take the lease.
 #[test]
-fn nothing_is_taken_while_the_api_is_away() {
-    let (mut candidate, found) = watching();
+fn no_lease_is_taken_while_the_store_is_unreachable() {
+    let (mut candidate, found) = follower_of_held_lease();
     candidate.note_store_unreachable();
-    let back = Time::from_millis(6_000);
-    assert_eq!(candidate.step(back, Event::Tick), vec![Action::Read]);
-    candidate.step(back, Event::Read(found));
-    let soon = back + Duration::from_millis(1_100);
+    let recovered_at = Time::from_millis(6_000);
+    assert_eq!(candidate.step(recovered_at, Event::Tick), vec![Action::Read]);
+    candidate.step(recovered_at, Event::Read(found));
+    let soon = recovered_at + Duration::from_millis(1_100);
     assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
 }
 
 /// A read that was sent before the outage may be answered right after it.
 #[test]
-fn a_look_that_outlasts_an_outage_is_no_reason_to_take_the_lease() {
-    let (mut candidate, found) = watching();
-    let asked = Time::from_millis(900);
-    assert_eq!(candidate.step(asked, Event::Tick), vec![Action::Read]);
-    let back = Time::from_millis(6_000);
-    candidate.note_store_recovered(back, Duration::from_millis(10));
-    assert_eq!(candidate.step(back, Event::Read(found)), vec![]);
+fn a_read_that_outlasts_an_outage_does_not_lead_to_a_takeover() {
+    let (mut candidate, found) = follower_of_held_lease();
+    let read_at = Time::from_millis(900);
+    assert_eq!(candidate.step(read_at, Event::Tick), vec![Action::Read]);
+    let recovered_at = Time::from_millis(6_000);
+    candidate.note_store_recovered(recovered_at, Duration::from_millis(10));
+    assert_eq!(candidate.step(recovered_at, Event::Read(found)), vec![]);
 }
 
 /// The store's answers are lost from the middle of a renewal on, then it recovers. The lost write may
-/// still take effect, but a renewal after it makes it void. Waiting for it left each duty without a
-/// holder for 0.7 s.
+/// still take effect, but a later renewal invalidates it. Waiting for the outcome left each duty
+/// without a holder for 0.7 s.
 #[test]
-fn a_renewal_whose_answer_was_lost_is_sent_again_at_once() {
+fn a_renewal_whose_answer_was_lost_is_repeated_immediately() {
     let mut candidate = follower();
     let found = Some((3, lease("", 1)));
-    let taken = millis(writes_at(&mut candidate, found)) as u64;
+    let taken = millis(first_write_at(&mut candidate, found)) as u64;
     candidate.step(Time::from_millis(taken), Event::Written(5));
     let mut now = Time::from_millis(taken + 900);
     let actions = candidate.step(now, Event::Tick);
@@ -220,12 +220,12 @@
 }
 
 /// After a lost write, a lease that another candidate holds must not be taken before it is free,
-/// whatever became of the write.
+/// whatever the outcome of the write.
 #[test]
-fn a_lost_write_for_another_s_lease_gets_time_to_land() {
+fn a_lease_of_another_holder_is_not_written_again_right_after_a_lost_write() {
     let mut candidate = follower();
     let found = Some((3, lease("b", 1)));
-    let now = Time::from_millis(millis(writes_at(&mut candidate, found.clone())) as u64);
+    let now = Time::from_millis(millis(first_write_at(&mut candidate, found.clone())) as u64);
     assert_eq!(candidate.step(now, Event::Unknown), vec![Action::Read]);
     assert_eq!(candidate.step(now, Event::Read(found)), vec![]);
     let soon = now + Duration::from_millis(500);
@@ -233,9 +233,10 @@
 }
 
 /// Minimum time between the actions of two holders of a duty.
-const GAP: Duration = Duration::from_millis(3_000);
+const COOLDOWN: Duration = Duration::from_millis(3_000);
 
-/// Lets `taker` take the lease, which it finds as `found` from `now` on; returns when it does.
+/// Lets `taker` take the lease, which it reads as `found` from `now` on; returns the time of the
+/// write.
 fn take(taker: &mut Candidate, now: Time, found: &(u64, Lease)) -> Time {
     let mut at = now;
     loop {
@@ -262,34 +263,34 @@
     }
 }
 
-/// A holder freezes, its successor is stopped before it may act, and then the next one as well. When
-/// each waited for the whole gap, engines got no order for 8 s, and a version that a step needed
+/// A holder is suspended, its successor is stopped before it may act, and so is the next one. When
+/// each waited for the whole cooldown, engines got no order for 8 s, and a version that a step needed
 /// reached them 4 s late.
 #[test]
-fn one_that_never_acted_passes_on_what_is_left_of_its_wait() {
+fn a_holder_that_never_acted_passes_on_its_remaining_cooldown() {
     let mut second = Candidate::new(Time::ZERO, "b/1", TIMING);
     let taken = take(&mut second, Time::ZERO, &(3, lease("a/1", 1)));
-    // The frozen holder has not acted since its lease, first read at 0 s, ended by its own clock.
-    let idle = Time::from_millis(1_800);
-    assert_eq!(second.cooldown(), Some(Cooldown::IdleSince(idle)));
-    assert!(taken > idle);
-    let cooldown_end = taken + GAP;
+    // The suspended holder has not acted since its lease, first read at 0 s, expired by its own clock.
+    let idle_since = Time::from_millis(1_800);
+    assert_eq!(second.cooldown(), Some(Cooldown::IdleSince(idle_since)));
+    assert!(taken > idle_since);
+    let cooldown_end = taken + COOLDOWN;
     second.set_cooldown_ends(cooldown_end, cooldown_end);
     let stopped = taken + Duration::from_millis(1_500);
-    let left = released(&mut second, stopped);
+    let released = released(&mut second, stopped);
     let remaining = RemainingCooldown {
         own_ms: 1_500,
         other_ms: 1_500,
     };
-    assert_eq!(left.remaining_cooldown, Some(remaining));
+    assert_eq!(released.remaining_cooldown, Some(remaining));
     let mut third = Candidate::new(stopped, "c/1", TIMING);
-    let again = take(&mut third, stopped, &(4, left));
+    let taken_again = take(&mut third, stopped, &(4, released));
     assert_eq!(third.cooldown(), Some(Cooldown::EndsAt(cooldown_end)));
-    assert!(again < cooldown_end);
+    assert!(taken_again < cooldown_end);
 }
 
 #[test]
-fn a_restart_on_the_same_machine_need_not_wait_for_itself() {
+fn a_restart_on_the_same_machine_skips_its_own_cooldown() {
     let mut before = lease("a/1", 4);
     before.remaining_cooldown = Some(RemainingCooldown {
         own_ms: 0,
@@ -303,8 +304,8 @@
         take(&mut candidate, Time::ZERO, &(3, before.clone()));
         candidate.cooldown()
     };
-    let at_once = Some(Cooldown::EndsAt(Time::ZERO));
-    assert_eq!(restarted("10.0.0.1:7"), at_once);
+    let no_cooldown = Some(Cooldown::EndsAt(Time::ZERO));
+    assert_eq!(restarted("10.0.0.1:7"), no_cooldown);
     // An instance of the same name on another machine.
     assert!(matches!(
         restarted("10.0.0.2:7"),
@@ -313,7 +314,7 @@
 }
 
 #[test]
-fn a_lease_that_tells_nothing_is_followed_by_the_whole_wait() {
+fn a_lease_without_a_remaining_cooldown_is_followed_by_the_whole_cooldown() {
     let mut candidate = Candidate::new(Time::ZERO, "c/1", TIMING);
     let taken = take(&mut candidate, Time::ZERO, &(3, lease("", 1)));
     assert_eq!(candidate.cooldown(), Some(Cooldown::IdleSince(taken)));
@@ -325,10 +326,10 @@
     assert_eq!(first.cooldown(), Some(Cooldown::EndsAt(Time::ZERO)));
 }
 
-/// The holder is cut off from the store just after a renewal. When it might act for as long as the
-/// lease is valid, its successor acted only 4.8 s after that renewal.
+/// The holder is cut off from the store just after a renewal. When a holder could act for as long as
+/// its lease is valid, its successor acted only 4.8 s after that renewal.
 #[test]
-fn one_that_acts_for_a_part_of_the_lease_is_succeeded_sooner() {
+fn a_holder_that_acts_for_part_of_the_lease_is_succeeded_sooner() {
     let acts = Duration::from_millis(800);
     let mut first = Candidate::new(Time::ZERO, "b", TIMING).with_max_acting_time(acts);
     first.step(Time::ZERO, Event::Tick);
@@ -341,11 +342,11 @@
     assert!(first.fencing_token(Time::from_millis(800)).is_none());
     assert!(
         first.next_call_at() < Time::from_millis(700),
-        "the renewal comes before the end"
+        "the renewal is due before the end of the acting time"
     );
     assert!(
         first.is_presumed_holder(),
-        "it is still the presumed holder"
+        "the candidate is still the presumed holder"
     );
     let mut next = Candidate::new(Time::ZERO, "a", TIMING).with_max_acting_time(acts);
     let taken = take(&mut next, Time::ZERO, &(4, written));
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -363,7 +363,7 @@
         let mut found = Vec::new();
         for at in (0..RUNNERS).filter(|at| unreachable & (1 << at) == 0) {
             let is_placed = |group: &u32| (*group as usize + placement) % RUNNERS == at;
-            let ask = CollectRequest {
+            let request = CollectRequest {
                 call: 1,
                 lot: "lot".into(),
                 groups: (0..GROUPS).filter(is_placed).collect(),
@@ -372,7 +372,7 @@
                 bound: self.bound + extra_bound,
                 max: 5,
             };
-            found.extend(self.send(at, Event::Collect(ask)));
+            found.extend(self.send(at, Event::Collect(request)));
         }
         let (version, bound) = (self.version, self.bound);
         let merge = Merge {
@@ -655,7 +655,7 @@
 }
 
 #[test]
-fn every_sample_arrives_once_whole_true_and_fresh() {
+fn every_sample_is_delivered_once_complete_unaltered_and_fresh() {
     let config = ProptestConfig {
         rng_seed: RngSeed::Fixed(rng_seed()),
         failure_persistence: None,
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -135,7 +135,7 @@
     let actions = runner.step(NOW, Event::Assign(spec(9, &[(0, 8)])));
     let (attempt, endpoint) = (running[0].attempt, "a".into());
     assert!(actions.contains(&Action::Cancel { attempt, endpoint }));
-    assert_eq!(runner.in_flight(), 1, "the next lot has the slot");
+    assert_eq!(runner.in_flight(), 1, "a sample of the next lot uses the slot");
     let (lot, reason) = ("lot7".into(), Refusal::Superseded);
     assert!(actions.contains(&Action::Dropped { lot, reason }));
     let actions = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn finished_text_is_bounded_and_room_comes_back_with_the_collect() {
+fn finished_text_is_bounded_and_collects_free_its_space() {
     let limits = Limits {
         max_text_bytes: 3,
         ..Limits::default()
@@ -176,7 +176,7 @@
     let actions = runner.step(NOW, more.clone());
     assert_eq!(refusal(&actions), Some(Refusal::Full));
     let again = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    assert_eq!(refusal(&again), None, "known groups are no new work");
+    assert_eq!(refusal(&again), None, "known groups take no additional space");
     let token = Token::empty(digest(7), 7, 4).with_samples([0, 1]).unwrap();
     runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(refusal(&runner.step(NOW, more)), None);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_lot_that_its_trainer_asked_for_goes_first_and_on_all_slots() {
+fn a_lot_that_its_trainer_collects_goes_first_and_on_all_slots() {
     let started = |policy| {
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8), (1, 8)])));
@@ -201,15 +201,15 @@
         let started = started.iter().map(|s| (s.lot.to_string(), s.class));
         started.collect::<Vec<_>>()
     };
-    let wanted = ("lot8".into(), Class::Straggler);
-    assert_eq!(started(Policy::default()), [wanted.clone(), wanted]);
+    let expected = ("lot8".into(), Class::Straggler);
+    assert_eq!(started(Policy::default()), [expected.clone(), expected]);
     let order: Vec<_> = started(Policy::BASELINE);
     assert_eq!(order[0], ("lot7".into(), Class::Bulk));
     assert_eq!(order.len(), 6);
 }
 
 #[test]
-fn no_start_where_the_cached_prefix_is_too_old() {
+fn no_attempt_starts_at_an_endpoint_whose_cached_prefix_is_too_old() {
     let started = |policy| {
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn the_longest_are_started_first() {
+fn the_longest_samples_are_started_first() {
     let order = |policy| {
         let mut runner = runner(policy);
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8), (1, 90)])));
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_straggler_is_duplicated_and_the_first_whole_one_wins() {
+fn a_straggler_is_duplicated_and_the_first_complete_attempt_wins() {
     let mut runner = runner(Policy {
         speculative_attempts: true,
         ..Policy::default()
@@ -328,7 +328,7 @@
     assert_eq!(resumed[0].resume, " x");
     let (model, version) = ("m".into(), Version(7));
     runner.step(NOW, Event::Published { model, version });
-    // A publication does not tell the version of the trainer; its own collect does.
+    // A publication does not show which version the trainer is at; the trainer's own collect does.
     assert_eq!(runner.stats().aborted, 0);
     runner.step(NOW, collect(7, Token::empty(digest(7), 7, 2), 7, 1));
     assert_eq!(runner.stats().aborted, 1);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_tighter_bound_aborts_what_can_no_longer_fit() {
+fn a_tighter_bound_aborts_attempts_that_can_no_longer_meet_it() {
     let mut runner = runner(Policy::default());
     let mut lot = spec(7, &[(0, 8)]);
     lot.version = Version(6);
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn collects_tell_what_is_missing_and_refuse_foreign_tokens() {
+fn collects_report_what_is_missing_and_refuse_foreign_tokens() {
     let mut runner = runner(Policy::default());
     let token = Token::empty(digest(7), 7, 4);
     let none = runner.step(NOW, collect(7, token.clone(), 5, 1));
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_finished_sample_too_old_for_the_collect_is_made_again() {
+fn a_finished_sample_too_old_for_the_collect_is_generated_again() {
     let mut runner = runner(Policy::BASELINE);
     runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
     let first = starts(&runner.step(NOW, offer("a", 1)));
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn a_score_counts_only_for_the_text_it_was_asked_for() {
+fn a_score_counts_only_for_the_text_it_was_requested_for() {
     let mut runner = runner(Policy::default());
     let mut lot = spec(7, &[(0, 8)]);
     lot.scored = true;
@@ -503,14 +503,14 @@
 }
 
 #[test]
-fn an_engine_that_reuses_old_prefixes_is_asked_again_at_the_pace_of_the_budget() {
+fn an_engine_that_reuses_old_prefixes_is_retried_at_the_rate_of_the_budget() {
     for finish in [None, Some(Finish::Complete)] {
         let mut runner = runner(Policy::default());
         runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
         let mut waiting = starts(&runner.step(NOW, offer("a", 2)));
         let mut count = waiting.len();
-        // The engine answers at once for ten seconds. Without the retry budget the runner would start
-        // attempts without end.
+        // For ten seconds the engine answers each attempt immediately. Without the retry budget the
+        // runner would start attempts without limit.
         for tick in 0..100 {
             let now = NOW + std::time::Duration::from_millis(100 * tick);
             let ticked = starts(&runner.step(now, Event::Tick));
@@ -525,7 +525,7 @@
             }
         }
         let limits = Limits::default();
-        let most = limits.retry_burst + 10 * limits.retries_per_second + 2;
-        assert!(count <= most as usize, "{count} starts, at most {most}");
+        let max_starts = limits.retry_burst + 10 * limits.retries_per_second + 2;
+        assert!(count <= max_starts as usize, "{count} starts, at most {max_starts}");
     }
 }
--- a/crates/pinereel_core/tests/member_view.rs
+++ b/crates/pinereel_core/tests/member_view.rs
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn removal_needs_an_unbroken_grace() {
+fn removal_needs_an_uninterrupted_grace_period() {
     let mut view = view(2, 2);
     let both = BTreeMap::from([
         ("e0".into(), PlatformStatus::Live),
         ("e1".into(), PlatformStatus::Live),
     ]);
-    let lacks = BTreeMap::from([("e0".into(), PlatformStatus::Live)]);
-    view.apply_platform_list(Time::from_millis(0), &lacks);
+    let without_e1 = BTreeMap::from([("e0".into(), PlatformStatus::Live)]);
+    view.apply_platform_list(Time::from_millis(0), &without_e1);
     assert_eq!(view.removable(Time::from_millis(9_999)), []);
     view.apply_platform_list(Time::from_millis(9_000), &both);
-    view.apply_platform_list(Time::from_millis(9_500), &lacks);
+    view.apply_platform_list(Time::from_millis(9_500), &without_e1);
     assert_eq!(view.removable(Time::from_millis(19_499)), []);
     assert_eq!(
         view.removable(Time::from_millis(19_500)),
@@ -138,7 +138,7 @@
     }
 
     #[test]
-    fn a_new_entry_moves_only_what_it_takes(count in 1usize..40, key: u64, n in 1usize..6) {
+    fn a_new_entry_moves_only_the_keys_that_it_owns(count in 1usize..40, key: u64, n in 1usize..6) {
         let (small, large) = (view(count, 3), view(count + 1, 3));
         let name = format_compact!("e{count}");
         let owner = large.owner(key).cloned();
@@ -149,7 +149,7 @@
     }
 
     #[test]
-    fn branches_reach_each_once(count in 1usize..200, zones in 1usize..9, attempt: u64) {
+    fn relay_groups_reach_each_receiver_once(count in 1usize..200, zones in 1usize..9, attempt: u64) {
         let view = view(count, zones);
         let mut to: BTreeSet<CompactString> = view.members().keys().cloned().collect();
         to.insert("unknown".into());
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn owners_are_spread_and_leave_no_leaver() {
+fn keys_are_spread_evenly_over_entries_that_are_not_leaving() {
     let mut view = view(9, 3);
     view.mark_leaving("e4", 1);
     let mut owned = BTreeMap::<CompactString, usize>::new();
--- a/crates/pinereel_core/tests/provenance_record.rs
+++ b/crates/pinereel_core/tests/provenance_record.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn broken_stamps_are_typed_and_change_nothing() {
+fn invalid_stamps_give_typed_errors_and_change_nothing() {
     let mut record = Record::default();
     record.push(&stamp(0, 4, 9)).unwrap();
     let before = record.clone();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn nothing_is_reused_from_newer_weights_than_those_that_run() {
+fn a_prefix_from_newer_weights_than_the_running_ones_is_refused() {
     let mut record = Record::default();
     let error = record.push(&with_reused(stamp(0, 1, 8), 9, 4));
     assert_eq!(error, Err(Error::Contradictory));
--- a/crates/pinereel_core/tests/relay_attempts.rs
+++ b/crates/pinereel_core/tests/retry_attempts.rs
@@ -1,4 +1,4 @@
-//! Tests when a request is sent again, waited for or given up.
+//! When a request is sent again, waited for or given up.
 
 use pinereel_core::retry::{Attempts, Failure, Limits, Resolution, Step};
 use proptest::{prelude::*, test_runner::Config};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_may_run_once_is_sent_again_only_if_it_did_not_run() {
+fn a_request_that_must_not_run_twice_is_sent_again_only_if_it_did_not_run() {
     let mut request = attempts(false, 4);
     assert_eq!(request.next_step(ms(0)), Step::Send);
     request.record_send(ms(0));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn refused_everywhere_is_not_run() {
+fn a_request_that_every_endpoint_refused_is_reported_as_not_run() {
     let mut request = attempts(true, 3);
     for _ in 0..4 {
         assert_eq!(request.next_step(ms(0)), Step::Send);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_endpoints_failure_is_passed_on_only_if_no_other_does_better() {
+fn an_error_answer_is_returned_only_if_no_other_attempt_succeeds() {
     let mut request = attempts(true, 2);
     assert_eq!(request.next_step(ms(0)), Step::Send);
     request.record_send(ms(0));
@@ -86,7 +86,7 @@
     /// For any sequence of events: no more attempts run than allowed, a request that is not
     /// repeatable runs at most once, and `NotRun` is reported only if no attempt may have run.
     #[test]
-    fn promises_hold(repeatable in any::<bool>(), max in 1u32..5, events in prop::collection::vec(0u8..6, 0..40)) {
+    fn attempts_are_bounded_and_not_run_is_reported_only_if_none_may_have_run(repeatable in any::<bool>(), max in 1u32..5, events in prop::collection::vec(0u8..6, 0..40)) {
         let mut request = attempts(repeatable, max);
         let (mut in_flight, mut may_have_run, mut now) = (0u32, 0u32, 0);
         let mut events = events.into_iter();
--- a/crates/pinereel_core/tests/rollout_share.rs
+++ b/crates/pinereel_core/tests/rollout_assignment.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn models_share_alike() {
+fn models_without_demand_get_equal_shares() {
     assert_eq!(
         counts(&assign_models(engines(44), &models(4))),
         [11, 11, 11, 11]
@@ -50,44 +50,44 @@
 }
 
 #[test]
-fn an_engine_that_goes_changes_few_others() {
+fn an_engine_that_leaves_changes_few_others() {
     let (all, models) = (engines(44), models(4));
     let before = assign_models(all.clone(), &models);
-    for gone in &all {
-        let left = all.iter().filter(|engine| *engine != gone).cloned();
-        let after = assign_models(left, &models);
+    for removed in &all {
+        let remaining = all.iter().filter(|engine| *engine != removed).cloned();
+        let after = assign_models(remaining, &models);
         let moved = after
             .iter()
             .filter(|(engine, model)| before[*engine] != **model);
-        assert!(moved.count() <= 4, "without {gone}");
+        assert!(moved.count() <= 4, "without {removed}");
     }
 }
 
 /// Four models with the work of a larger site, in events per step: dispatch, jacket, invoice and
 /// delay texts. With equal shares, the steps of the two with long texts wait for slots.
 #[test]
-fn a_model_with_more_work_gets_more_engines() {
-    let asked = demands(&[1_024, 2_412, 2_363, 1_288]);
-    assert_eq!(counts(&assign_models(engines(44), &asked)), [6, 15, 15, 8]);
+fn a_model_with_higher_demand_gets_more_engines() {
+    let demand = demands(&[1_024, 2_412, 2_363, 1_288]);
+    assert_eq!(counts(&assign_models(engines(44), &demand)), [6, 15, 15, 8]);
 }
 
 #[test]
-fn a_model_that_asks_for_little_keeps_some_engines() {
-    let asked = demands(&[1, 1_000, 1_000, 1_000]);
-    assert_eq!(counts(&assign_models(engines(44), &asked)), [4, 14, 13, 13]);
+fn a_model_with_little_demand_keeps_some_engines() {
+    let demand = demands(&[1, 1_000, 1_000, 1_000]);
+    assert_eq!(counts(&assign_models(engines(44), &demand)), [4, 14, 13, 13]);
 }
 
 #[test]
-fn a_model_of_which_nothing_is_known_gets_an_equal_share() {
-    let asked = demands(&[0, 1_000, 1_000, 1_000]);
+fn a_model_of_unknown_demand_gets_an_equal_share() {
+    let demand = demands(&[0, 1_000, 1_000, 1_000]);
     assert_eq!(
-        counts(&assign_models(engines(44), &asked)),
+        counts(&assign_models(engines(44), &demand)),
         [11, 11, 11, 11]
     );
 }
 
 #[test]
-fn engines_change_hands_only_for_more_than_one() {
+fn engines_are_reassigned_only_for_more_than_one() {
     let old = demands(&[1_000, 1_000]);
     assert!(!should_reassign(20, &old, &demands(&[1_300, 1_000])));
     assert!(should_reassign(20, &old, &demands(&[3_000, 1_000])));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn loads_stay_within_what_the_store_bears() {
+fn concurrent_loads_stay_within_the_capacity_of_the_store() {
     assert_eq!(max_loads(8, 8, 8, 2), 2);
     assert_eq!(max_loads(44, 44, 11, 2), 2);
     assert_eq!(max_loads(44, 44, 44, 2), 9);
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -158,13 +158,13 @@
             return;
         }
         let (lost, answer_lost) = (self.fault(), self.fault());
-        let taken = if lost {
+        let accepted = if lost {
             None
         } else {
             Some(self.load(name, version, fence))
         };
         let name = name.into();
-        self.inbox.push(match taken {
+        self.inbox.push(match accepted {
             Some(Some(status)) if !answer_lost => Event::Accepted {
                 name,
                 fence,
@@ -233,10 +233,10 @@
     }
 
     fn check(&self) {
-        let needed = (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
+        let required = (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
         let out = self.engines.values().filter(|e| e.ordered_out).count();
         assert!(
-            self.engines.len() - out >= needed,
+            self.engines.len() - out >= required,
             "orders left fewer engines in service than required"
         );
         let loading = self
@@ -354,7 +354,7 @@
     })]
 
     #[test]
-    fn the_floor_holds_under_faults_and_all_get_there_after_them(
+    fn the_serving_minimum_holds_under_faults_and_all_engines_converge_after_them(
         seed in any::<u64>(),
         count in 2..14usize,
         max_loads in 1..8usize,
@@ -370,7 +370,7 @@
 /// must not exceed the maximum of concurrent loads. The parameters are a failing case of the
 /// property test.
 #[test]
-fn replacing_a_load_that_just_ended_stays_within_the_rate() {
+fn replacing_a_load_that_just_ended_stays_within_the_load_limit() {
     let (min_serving_share, fault_rate) = (0.587_348_348_446_138_5, 0.065_771_796_954_932_88);
     assert!(converges(
         5_820_213_897_200_143_410,
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn no_order_after_the_lease_and_none_without() {
+fn no_order_is_issued_without_a_valid_lease() {
     let mut simulation = Simulation::new(
         1,
         8,
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn a_broken_engine_goes_to_quarantine_and_is_tried_again() {
+fn a_failing_engine_is_quarantined_and_retried() {
     let mut simulation = Simulation::new(1, 4, Settings::default());
     simulation.failing = Some("engine-0002".into());
     simulation.send(Event::Published(Version(2)));
@@ -505,7 +505,7 @@
 }
 
 #[test]
-fn a_version_published_in_mid_rollout_is_gone_for_straight() {
+fn a_version_published_during_a_rollout_becomes_the_target_immediately() {
     let mut simulation = Simulation::new(1, 8, Settings::default());
     simulation.send(Event::Published(Version(2)));
     simulation.take_lease(1, LONG_LEASE);
@@ -564,7 +564,7 @@
 }
 
 #[test]
-fn a_dead_engine_that_stays_listed_holds_up_no_other() {
+fn an_unresponsive_listed_engine_does_not_delay_the_others() {
     let mut simulation = Simulation::new(1, 3, Settings::default());
     simulation.unreachable = Some("engine-0001".into());
     simulation.send(Event::Published(Version(2)));
@@ -598,7 +598,7 @@
 }
 
 #[test]
-fn an_engine_that_takes_no_order_while_it_loads_gets_none() {
+fn an_engine_that_rejects_orders_during_a_load_gets_none() {
     let settings = Settings {
         can_replace_load: false,
         ..Settings::default()
@@ -625,7 +625,7 @@
 /// The platform's list shows the end of a load, then a report from just before the end arrives. It
 /// must not be taken for a lost version.
 #[test]
-fn a_report_from_before_the_end_of_a_load_is_no_change() {
+fn a_report_from_before_the_end_of_a_load_changes_nothing() {
     let mut controller = Controller::new(Settings::default());
     let mut now = Time::from_millis(1_000);
     let status = |version| Status {
@@ -654,9 +654,9 @@
     }
     let actions = controller.step(now, Event::Tick);
     let Some(Action::Order { name, .. }) = actions.first() else {
-        panic!("one is ordered: {actions:?}");
+        panic!("expected an order: {actions:?}");
     };
-    let taken = Event::Accepted {
+    let accepted = Event::Accepted {
         name: name.clone(),
         fence: 1,
         status: Status {
@@ -664,7 +664,7 @@
             ..status(1)
         },
     };
-    controller.step(now, taken);
+    controller.step(now, accepted);
     now = now + Duration::from_millis(900);
     controller.step(now, seen(name, 2));
     now = now + Duration::from_millis(100);
@@ -674,9 +674,9 @@
     };
     assert!(
         !reported(controller.step(now, seen(name, 1))),
-        "it is outdated"
+        "the report is outdated"
     );
-    // The engine is read again soon, and that status is believed.
+    // The engine is read again soon, and the controller accepts that status.
     now = now + Duration::from_millis(1_000);
     let read = Action::Read { name: name.clone() };
     assert!(controller.step(now, Event::Tick).contains(&read));
@@ -686,7 +686,7 @@
 /// A holder of many engines renews its lease late. If it then reads all engines again, the next
 /// renewal is late as well, and the holder never issues an order.
 #[test]
-fn a_lease_that_lapsed_and_nobody_else_had_costs_no_reads() {
+fn a_lease_taken_again_without_another_holder_costs_no_reads() {
     let mut controller = Controller::new(Settings::default());
     let now = Time::from_millis(1_000);
     controller.step(now, Event::Published(Version(1)));
@@ -711,5 +711,5 @@
     assert_eq!(controller.step(now, Event::Lease(None)), []);
     assert_eq!(reads(&controller.step(now, lease(3))), 0);
     assert_eq!(controller.step(now, Event::Lease(None)), []);
-    assert_eq!(reads(&controller.step(now, lease(5))), 40, "another had it");
+    assert_eq!(reads(&controller.step(now, lease(5))), 40, "another instance held the lease meanwhile");
 }
--- a/crates/pinereel_core/tests/rollout_working_set.rs
+++ b/crates/pinereel_core/tests/rollout_working_set.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn it_grows_with_the_work_and_not_with_the_list() {
+fn the_working_set_grows_with_demand_and_not_with_the_number_of_listed_engines() {
     for listed in [1_000, 2_000, 4_000, 12_000] {
         assert_eq!(working_set_size(listed, 6, &trainer_steps()), 384);
     }
@@ -51,34 +51,34 @@
 }
 
 #[test]
-fn it_is_all_engines_where_there_are_few() {
+fn the_working_set_is_all_engines_if_few_are_listed() {
     assert_eq!(working_set_size(44, 6, &trainer_steps()), 44);
     assert_eq!(working_set_size(8, 8, &demands(&[80])), 8);
     assert_eq!(working_set_size(0, 6, &trainer_steps()), 0);
 }
 
 #[test]
-fn a_step_with_a_few_items_more_leaves_it_as_it_is() {
+fn a_slightly_larger_step_does_not_change_the_working_set() {
     assert_eq!(working_set_size(5_000, 6, &demands(&[200])), 96);
     assert_eq!(working_set_size(5_000, 6, &demands(&[210])), 96);
 }
 
 #[test]
-fn items_that_found_no_slot_make_it_larger() {
+fn items_without_a_slot_enlarge_the_working_set() {
     let mut demands = demands(&[200]);
     demands[0].short = 400;
     assert_eq!(working_set_size(5_000, 6, &demands), 256);
 }
 
 #[test]
-fn an_engine_that_goes_is_replaced_by_one() {
+fn an_engine_that_leaves_is_replaced_by_one_other() {
     let mut index = index(2_000);
     let before = members(&index, &trainer_steps());
-    for gone in before.iter().take(20) {
+    for removed in before.iter().take(20) {
         let with = members(&index, &trainer_steps());
-        index.remove(gone);
+        index.remove(removed);
         let without = members(&index, &trainer_steps());
-        assert_eq!(with.difference(&without).collect::<Vec<_>>(), [gone]);
+        assert_eq!(with.difference(&without).collect::<Vec<_>>(), [removed]);
         assert_eq!(without.difference(&with).count(), 1);
     }
 }
--- a/crates/pinereel_core/tests/route_choose.rs
+++ b/crates/pinereel_core/tests/route_choice.rs
@@ -124,7 +124,7 @@
                 let e = set.get(*key).expect("known");
                 let id = (e.name.to_string(), e.incarnation);
                 assert!(!self.leaving.contains(&id), "{id:?} is leaving");
-                assert_eq!(self.listed.get(&id.0), Some(&id.1), "{id:?} is gone");
+                assert_eq!(self.listed.get(&id.0), Some(&id.1), "{id:?} is not listed");
                 assert!(!self.excluded.contains(key), "excluded");
                 let in_flight = self.in_flight.iter().filter(|k| *k == key).count();
                 assert!(in_flight < SLOTS as usize, "beyond its slots");
@@ -249,12 +249,12 @@
     })]
 
     #[test]
-    fn choices_keep_the_rules(ops in vec(op(), 1..120)) {
+    fn every_choice_satisfies_the_routing_rules(ops in vec(op(), 1..120)) {
         check_operations(ops);
     }
 
     #[test]
-    fn affinity_keeps_the_bound(
+    fn affinity_respects_the_load_bound(
         count in 1..20usize,
         prefixes in vec(0..3u64, 1..60),
         factor in 1.0..2.0f64,
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn the_same_prefix_stays_home_until_its_bound() {
+fn a_prefix_stays_at_its_preferred_endpoint_until_the_load_bound() {
     let mut set = set_of(8);
     let mut request = request(0);
     request.prefix = Some(77);
@@ -286,13 +286,13 @@
         zone_local: false,
         ..Policy::FULL
     };
-    let home = choose(&set, &request, Time::ZERO, &policy).unwrap();
-    assert_eq!(home.reason, Reason::Affinity);
-    assert_eq!(home.runners_up.len(), 2);
-    start(&mut set, home.key);
+    let preferred = choose(&set, &request, Time::ZERO, &policy).unwrap();
+    assert_eq!(preferred.reason, Reason::Affinity);
+    assert_eq!(preferred.runners_up.len(), 2);
+    start(&mut set, preferred.key);
     let next = choose(&set, &request, Time::ZERO, &policy).unwrap();
     assert_eq!(next.reason, Reason::AffinityNext);
-    assert_eq!(next.key, home.runners_up[0]);
+    assert_eq!(next.key, preferred.runners_up[0]);
 }
 
 #[test]
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_own_zone_first_then_spill_over() {
+fn the_own_zone_is_preferred_until_it_is_full() {
     let mut set = set_of(4);
     let mut zones = Vec::new();
     for seed in 0..10 {
@@ -341,27 +341,27 @@
 }
 
 #[test]
-fn refusals_name_their_cause() {
+fn each_refusal_reports_its_cause() {
     let mut set = Set::default();
-    let ask = |set: &Set, request: &Request<'_>| {
+    let refusal = |set: &Set, request: &Request<'_>| {
         choose(set, request, Time::ZERO, &Policy::FULL).unwrap_err()
     };
-    assert_eq!(ask(&set, &request(0)), Refusal::UnknownPool);
+    assert_eq!(refusal(&set, &request(0)), Refusal::UnknownPool);
     set.step(Time::ZERO, listed(0, 1, false));
     let mut versioned = request(0);
     versioned.versions = Some(Version(1)..=Version(2));
-    assert_eq!(ask(&set, &versioned), Refusal::NoVersion);
+    assert_eq!(refusal(&set, &versioned), Refusal::NoVersion);
     let key = set.find("e0").unwrap().0;
     for _ in 0..SLOTS {
         start(&mut set, key);
     }
-    assert_eq!(ask(&set, &request(0)), Refusal::Full);
+    assert_eq!(refusal(&set, &request(0)), Refusal::Full);
     set.step(Time::ZERO, listed(0, 1, true));
-    assert_eq!(ask(&set, &request(0)), Refusal::NoEndpoint);
+    assert_eq!(refusal(&set, &request(0)), Refusal::NoEndpoint);
 }
 
 #[test]
-fn probes_are_rare_and_never_carry_what_may_not_run_twice() {
+fn probes_are_rare_and_never_carry_requests_that_must_not_run_twice() {
     let mut set = set_of(2);
     let ejected = set.find("e0").unwrap().0;
     for _ in 0..5 {
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn slow_start_gives_a_new_endpoint_less() {
+fn slow_start_gives_a_new_endpoint_fewer_requests() {
     let mut set = set_of(1);
     let now = Time::from_millis(60_000);
     set.step(now, listed(2, 1, false));
@@ -403,15 +403,14 @@
 }
 
 #[test]
-fn a_limit_that_lost_answers_have_cut_refuses_nobody_where_endpoints_say_themselves_that_they_are_full()
- {
+fn without_adaptive_limits_an_endpoint_is_full_only_at_its_slots() {
     let mut set = set_of(1);
     let without_adaptive_limits = Policy {
         adaptive_limits: false,
         ..Policy::FULL
     };
     let chosen = choose(&set, &request(0), Time::ZERO, &without_adaptive_limits)
-        .expect("it is idle")
+        .expect("the endpoint is idle")
         .key;
     for millis in 1..=4 {
         start(&mut set, chosen);
--- a/crates/pinereel_core/tests/table_access.rs
+++ b/crates/pinereel_core/tests/routing_table_access.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn any_key_of_a_workspace_stands_for_it() {
+fn any_key_of_a_workspace_authenticates_it() {
     let table = table(Some(vec![
         workspace("a", &["a1", "a2"]),
         workspace("b", &["b1"]),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_stands_for_nobody() {
+fn a_removed_key_is_unknown() {
     let before = table(Some(vec![workspace("a", &["a1", "a2"])]));
     let after = table(Some(vec![workspace("a", &["a2"])]));
     let caller = |table: &RoutingTable| table.authenticate(Some(&key_of("a1")), false);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_configuration_without_workspaces_lets_everybody_in() {
+fn a_configuration_without_workspaces_passes_all_callers_through() {
     let table = table(None);
     assert_eq!(table.authenticate(None, false), Ok(Caller::PassThrough));
     let with_key = table.authenticate(Some(&key_of("a1")), false);
--- a/crates/pinereel_core/tests/staleness_pace.rs
+++ b/crates/pinereel_core/tests/staleness_rate.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn expected_versions_follow_the_pace() {
+fn the_expected_version_follows_the_publication_rate() {
     let mut rate = PublicationRate::new(Version(1), Time::ZERO);
     assert_eq!(rate.expected_version(Time::from_millis(9_000)), Version(1));
     assert!(rate.record_publication(Version(2), Time::from_millis(1_000)));
--- a/crates/pinereel_core/tests/tree_fleet.rs
+++ b/crates/pinereel_core/tests/tree_fleet.rs
@@ -30,9 +30,9 @@
     children: BTreeMap<ChildKey, String>,
     without_parent_since: Option<Time>,
     alive: bool,
-    /// Whether it can reach the store.
+    /// Whether the instance can reach the store.
     reaches_store: bool,
-    /// Since when it reads the store.
+    /// Since when the instance has been reading the store.
     reads_since: Option<Time>,
     /// Earliest time of the next link attempt, after a rejection.
     retry_at: Time,
@@ -49,7 +49,7 @@
     reader_steps: BTreeMap<String, u32>,
     /// Time that it takes to read all data from the store.
     loading_time: Duration,
-    /// Time that the bound on the removal of an endpoint leaves beyond the usual age of the data.
+    /// Slack between the usual age of the data and the bound on the removal of an endpoint.
     slack: Duration,
 }
 
@@ -113,7 +113,7 @@
         node.reads_since.get_or_insert(now);
     }
 
-    /// Whether it has data for its children, or will have soon.
+    /// Whether the instance has data for its children, or will have them soon.
     fn sends_heartbeats(&self, name: &str) -> bool {
         let age = self.nodes[name]
             .uplink
@@ -121,7 +121,7 @@
         self.nodes[name].alive && age.is_some() || self.accepts_children(name)
     }
 
-    /// Whether it accepts newcomers.
+    /// Whether the instance accepts new children.
     fn accepts_children(&self, name: &str) -> bool {
         let node = &self.nodes[name];
         let is_recovering =
@@ -220,8 +220,8 @@
                 continue;
             }
             self.send_heartbeats(&child, ranks);
-            let below = &self.nodes[&child];
-            let size = below.branch.subtree_size(below.peer.preferred);
+            let child = &self.nodes[&child];
+            let size = child.branch.subtree_size(child.peer.preferred);
             let parent = self.nodes.get_mut(name).expect("known");
             parent.branch.set_size(key, size);
         }
@@ -267,15 +267,15 @@
 
     /// Tries a target and the instances to which it refers, until one accepts `name`.
     fn link(&mut self, name: &str, target: &str) -> bool {
-        let mut left = vec![target.to_owned()];
+        let mut targets = vec![target.to_owned()];
         for _ in 0..12 {
-            let Some(target) = left.pop() else {
+            let Some(target) = targets.pop() else {
                 return false;
             };
             *self.link_attempts.entry(target.clone()).or_default() += 1;
             let reads = self.nodes[name].uplink.reads_store();
-            let is_of_use = self.nodes[&target].alive && (!reads || self.is_fresh(&target));
-            if target == name || !is_of_use {
+            let is_candidate = self.nodes[&target].alive && (!reads || self.is_fresh(&target));
+            if target == name || !is_candidate {
                 continue;
             }
             if !self.accepts_children(&target) {
@@ -318,7 +318,7 @@
                     return true;
                 }
                 Admission::Referred(addresses) => {
-                    left.extend(addresses.iter().rev().map(ToString::to_string));
+                    targets.extend(addresses.iter().rev().map(ToString::to_string));
                 }
             }
         }
@@ -365,7 +365,7 @@
 const FLEET_SIZES: [usize; 5] = [9, 30, 165, 350, 1_000];
 
 #[test]
-fn all_are_told_with_few_links_each_whatever_the_size() {
+fn all_instances_get_fresh_data_with_few_links_each_at_any_fleet_size() {
     for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn each_has_a_place_of_its_own() {
+fn each_instance_has_a_unique_rank() {
     let mut fleet = Fleet::new(165);
     fleet.run(Duration::from_secs(3));
     let ranks = fleet.live_nodes().filter_map(|(name, node)| {
@@ -401,20 +401,20 @@
         assert_eq!(rank.number < 19, node.peer.preferred);
         Some(rank.number)
     });
-    // The root takes the remaining rank, the first one.
+    // The root has the remaining rank, which is the first one.
     assert_eq!(ranks.collect::<BTreeSet<_>>().len(), 164);
 }
 
 /// An instance that forwards data is killed or cut off. The instances below it must neither have stale
 /// data nor read the store.
 #[test]
-fn the_loss_of_a_relay_costs_links_alone() {
+fn the_loss_of_an_inner_node_leaves_no_stale_data_and_no_additional_reader() {
     for size in [165, 350, 1_000] {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
         fleet.take_readers();
-        let relay = fleet.nodes["i-0000"].children.values().next().cloned();
-        fleet.kill(&relay.expect("the root has children"));
+        let inner_node = fleet.nodes["i-0000"].children.values().next().cloned();
+        fleet.kill(&inner_node.expect("the root has children"));
         fleet.run(STEP * 4);
         assert_eq!(fleet.stale_nodes(), Vec::<&String>::new(), "of {size}");
         assert_eq!(fleet.take_readers().len(), 1);
@@ -424,7 +424,7 @@
 
 /// The root is killed. In a star, each of 165 instances would list and watch the store.
 #[test]
-fn the_loss_of_the_root_is_borne_by_its_deputies() {
+fn after_the_loss_of_the_root_only_its_standbys_read_the_store() {
     for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
@@ -435,7 +435,8 @@
         assert_eq!(stale, Vec::<&String>::new(), "of {size}");
         let readers = fleet.take_readers();
         assert!(readers.len() <= 3, "{readers:?} read the store, of {size}");
-        // Any instance may be the next holder. All get data again, and only one reads the store.
+        // Any instance may be the next holder. All instances get data again, and only one reads the
+        // store.
         fleet.holder = Some("i-0009".into())
             .filter(|_| size > 9)
             .or(Some("i-0004".into()));
@@ -451,7 +452,7 @@
 /// The root is cut off from the store and keeps its links. Its data become stale, and instances that
 /// reach the store take over within two seconds.
 #[test]
-fn a_root_that_the_store_does_not_answer_is_left() {
+fn a_root_cut_off_from_the_store_is_replaced() {
     for size in FLEET_SIZES {
         let mut fleet = Fleet::new(size);
         fleet.run(Duration::from_secs(3));
@@ -465,7 +466,7 @@
 
 /// Instances are stopped and started again one after another, as in a rolling restart.
 #[test]
-fn a_rolling_restart_leaves_nobody_behind() {
+fn a_rolling_restart_leaves_no_instance_stale() {
     let mut fleet = Fleet::new(165);
     fleet.run(Duration::from_secs(3));
     for number in 1..60 {
@@ -485,11 +486,11 @@
     assert!(fleet.max_level() <= 3, "{} levels", fleet.max_level());
 }
 
-/// A root that shuts down must know a parent to link to. Without one, it reported the crashes that it
-/// saw to nobody for up to 2.5 s, and the others started over with a request that had crashed three
-/// endpoints.
+/// A root that shuts down must know a parent to link to. Without one, the crashes that it observed
+/// reached no other instance for up to 2.5 s, and the others counted from zero for a request that had
+/// crashed three endpoints.
 #[test]
-fn a_root_that_leaves_turns_to_its_deputies() {
+fn a_root_that_shuts_down_links_to_its_standbys() {
     let mut uplink = Uplink::new("root".into());
     uplink.set_reads_store(true);
     assert_eq!(
@@ -507,7 +508,7 @@
 /// All instances start, and the root reads thousands of endpoints before it has data to send. When it
 /// rejected newcomers until then, each of them tried four times a second.
 #[test]
-fn a_start_costs_each_instance_two_links_however_long_the_root_reads() {
+fn link_attempts_at_startup_are_bounded_however_long_the_root_loads() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
         fleet.loading_time = Duration::from_millis(1_500);
@@ -531,7 +532,7 @@
 /// look for the successor. When all instances below them did as well, the number of link attempts grew
 /// with the fleet.
 #[test]
-fn the_loss_of_a_root_costs_the_links_of_its_children() {
+fn link_attempts_after_the_loss_of_a_root_do_not_grow_with_the_fleet() {
     for size in [420, 841, 1_682] {
         let mut fleet = Fleet::new(size);
         fleet.loading_time = Duration::from_millis(1_000);
@@ -552,28 +553,28 @@
 /// Hundreds of instances try to link to one that has no data yet. The attempts per second that it has
 /// to reject are bounded whatever their number.
 #[test]
-fn those_turned_away_return_in_turns() {
+fn rejected_children_get_distinct_retry_times() {
     for newcomers in [400, 800, 1_600] {
         let mut pacer = RetryPacer::default();
         let now = Time::ZERO + Duration::from_secs(1);
         let mut returns: Vec<_> = (0..newcomers).map(|_| pacer.retry_after(now)).collect();
         returns.dedup();
-        assert_eq!(returns.len(), newcomers, "each has its own retry time");
-        let most = (0..20)
+        assert_eq!(returns.len(), newcomers, "each has a distinct retry time");
+        let max_returns = (0..20)
             .map(|second| {
                 let second = Duration::from_secs(second);
                 let within = second..second + Duration::from_secs(1);
                 returns.iter().filter(|wait| within.contains(wait)).count()
             })
             .max();
-        assert!(most <= Some(501), "{most:?} of {newcomers}");
+        assert!(max_returns <= Some(501), "{max_returns:?} of {newcomers}");
     }
 }
 
-/// The store rejects half of the instances, the root among them, and serves the others. An instance
-/// that gets no answers cannot read, so nobody may wait for its data.
+/// The store rejects the calls of half of the instances, the root among them, and serves the others.
+/// An instance that gets no answers cannot read, so no child may wait for its data.
 #[test]
-fn an_instance_that_the_store_turns_away_takes_no_newcomer() {
+fn an_instance_without_answers_from_the_store_accepts_no_children() {
     let now = Time::ZERO + Duration::from_secs(10);
     let status = |is_answering| StoreStatus {
         age: None,
@@ -591,14 +592,14 @@
     assert!(heartbeat(true).is_loading());
     assert!(
         !heartbeat(true).is_fresh(),
-        "it gives no reason to stop reading the store"
+        "its data give a child no reason to stop reading the store"
     );
 }
 
-/// The data of a whole subtree become stale. A newcomer in that subtree would learn of a change later
+/// The data of a whole subtree become stale. A new child in that subtree would receive a change later
 /// than the bound allows.
 #[test]
-fn an_instance_with_old_news_takes_no_newcomer() {
+fn an_instance_with_stale_data_accepts_no_children() {
     let slack = Duration::from_millis(1_500);
     let status = StoreStatus::default();
     let mut uplink = Uplink::new("relay".into());
@@ -615,7 +616,7 @@
     uplink.observe(now, status);
     assert!(
         !uplink.remaining_grace(now, slack).is_zero(),
-        "it stays with its parent"
+        "the instance stays with its parent"
     );
     assert!(!uplink.is_recovering(now, status, slack));
 }
@@ -624,7 +625,7 @@
 /// data waited 1.6 s more for a parent that had begun to read, it got the change after 3.1 s, where
 /// 3 s are allowed.
 #[test]
-fn a_child_with_old_news_waits_for_a_reader_no_longer_than_the_bound_allows() {
+fn a_child_with_stale_data_waits_for_a_loading_parent_only_within_the_bound() {
     let now = Time::ZERO + Duration::from_secs(10);
     let slack = Duration::from_millis(500);
     let heartbeat = |age| Heartbeat {
@@ -640,7 +641,7 @@
     newcomer.observe(now, StoreStatus::default());
     assert!(
         newcomer.remaining_grace(now, slack) > slack,
-        "it has no data that become stale"
+        "the newcomer has no data that could become stale"
     );
     let mut child = Uplink::new("child".into());
     assert!(child.on_heartbeat(now, heartbeat(Some(ROOT_DATA_AGE))));
--- a/crates/pinereel_core/tests/tree_replay.rs
+++ b/crates/pinereel_core/tests/tree_replay.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_child_is_sent_what_it_has_missed() {
+fn a_child_is_sent_the_changes_that_it_missed() {
     let mut replay = ReplayBuffer::default();
     replay.reset(10);
     for revision in [12, 15, 17] {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn the_buffer_is_bounded_in_bytes_and_frames() {
     let mut replay = ReplayBuffer::default();
     for revision in 1..=1_000 {
         replay.push(revision, frame(10), 200);
--- a/crates/pinereel_core/tests/usage_count.rs
+++ b/crates/pinereel_core/tests/usage_metering.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_all_instances_counted_is_added_up() {
+fn the_counts_of_all_instances_are_summed() {
     let (mut a, mut b, mut root) = (Ledger::new("a"), Ledger::new("b"), Ledger::new("root"));
     a.add(WINDOW, "w", 2);
     b.add(WINDOW, "w", 1);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_window_without_requests_is_closed_too_and_a_late_one_goes_to_the_next() {
+fn an_empty_window_is_closed_and_a_late_request_counts_in_the_next() {
     let mut ledger = Ledger::new("a");
     ledger.close(Window(98));
     ledger.close(WINDOW);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_window_is_added_up_once_all_have_closed_it_or_after_some_patience() {
+fn a_window_is_due_when_all_instances_closed_it_or_after_the_maximum_delay() {
     let (mut ledger, mut other) = (Ledger::new("root"), Ledger::new("a"));
     let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
     ledger.add(WINDOW, "w", 1);
@@ -73,7 +73,7 @@
     assert_eq!(
         due(&mut aggregator, &ledger, END + 4_000),
         None,
-        "one is missing"
+        "one instance is missing"
     );
     let mut late = aggregator.clone();
     let after_max_delay = due(&mut late, &ledger, END + 5_001);
@@ -85,13 +85,13 @@
     let all_closed = due(&mut aggregator, &ledger, END + 800);
     assert_eq!(all_closed, Some((WINDOW, counts(&[("w", 2)]))));
     aggregator.mark_finalized(WINDOW);
-    assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "once");
+    assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "not due twice");
 }
 
 /// The lease holder stops after storing a sum and before sending it. Its successor reads the sum
 /// from the store and continues with the next window.
 #[test]
-fn a_successor_adds_nothing_up_again() {
+fn a_successor_does_not_sum_a_stored_window_again() {
     let finalized = BTreeMap::from([(WINDOW, counts(&[("w", 1)]))]);
     let mut aggregator = Aggregator::new(TIMING, WallTime(END + 2_000), &finalized);
     let mut ledger = Ledger::new("successor");
@@ -111,7 +111,7 @@
 /// The store is unavailable when the first sum is due. The window is summed up again when the store
 /// is back.
 #[test]
-fn a_sum_that_was_not_kept_is_made_again() {
+fn a_sum_that_was_not_stored_is_computed_again() {
     let mut ledger = Ledger::new("root");
     let mut aggregator = Aggregator::new(TIMING, WallTime(END - 1_000), &BTreeMap::new());
     ledger.add(WINDOW, "w", 1);
@@ -125,10 +125,10 @@
     assert_eq!(next, None);
 }
 
-/// The root of the tree stops. Its successor first counts only itself, then the others as they join
-/// it. A sum of the few that have joined would be final.
+/// The root of the tree stops. Its successor first counts only itself, then the others as they link
+/// to it. A sum over the few that have linked would be final.
 #[test]
-fn a_new_root_waits_for_those_that_have_not_come_to_it_yet() {
+fn a_new_root_expects_the_instances_that_have_not_joined_it_yet() {
     let mut instance_count = InstanceCount::default();
     instance_count.observe(Time::from_millis(1_000), 67);
     for (millis, count) in [(3_000, 1), (3_300, 9), (3_600, 40)] {
@@ -136,15 +136,15 @@
         assert_eq!(instance_count.expected(), 67);
     }
     instance_count.observe(Time::from_millis(16_000), 66);
-    assert_eq!(instance_count.expected(), 66, "one is gone for good");
+    assert_eq!(instance_count.expected(), 66, "one instance has left permanently");
 }
 
 #[test]
-fn what_a_dead_instance_and_a_dead_root_told_is_not_lost() {
+fn reports_of_a_stopped_instance_survive_the_loss_of_the_root() {
     let (mut dead, mut relay) = (Ledger::new("dead"), Ledger::new("relay"));
     dead.add(WINDOW, "w", 2);
     relay.merge(dead.take_unsent(9));
-    // These were sent to a root that has stopped; the next root gets all reports again.
+    // These reports were sent to a root that has stopped; the next root gets all reports again.
     relay.take_unsent(9);
     let mut root = Ledger::new("next root");
     root.merge(relay.all_reports());
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_time_of_day_that_jumps_and_goes_back_moves_no_window() {
+fn a_brief_jump_of_the_wall_clock_moves_no_window() {
     let at = |millis| Time::from_millis(millis);
     let mut clock = WallClock::new(at(1_000), 500_000);
     clock.observe(at(1_100), 500_105);
@@ -210,7 +210,7 @@
     /// Reports may be lost, duplicated and reordered. After all instances have exchanged all
     /// reports, each has the same correct sums.
     #[test]
-    fn all_instances_come_to_the_same_sums(events in prop::collection::vec(event(), 0..120)) {
+    fn all_instances_compute_the_same_sums(events in prop::collection::vec(event(), 0..120)) {
         let mut ledgers = ["a", "b", "c"].map(Ledger::new);
         let mut expected_counts: BTreeMap<(u64, u8), [i64; 3]> = BTreeMap::new();
         let mut late: Vec<Report> = Vec::new();
