--- a/crates/pinereel/tests/cli_calls.rs
+++ b/crates/pinereel/tests/cli_calls.rs
@@ -96,12 +96,12 @@
 fn run_against(line: &str, script: Vec<ScriptedResponse>) -> String {
     let (address, served) = start_entry(script);
     let (exit, text) = run(line, address);
-    let calls = served.join().expect("all calls came");
+    let calls = served.join().expect("all calls arrived");
     format!("{}\n{exit:?}\n{text}", calls.join("\n"))
 }
 
 #[test]
-fn show() {
+fn show_prints_the_configuration() {
     let answer = r#"{"number":7,"document":{"pools":{}}}"#;
     insta::assert_snapshot!(run_against("config show", vec![ScriptedResponse::Send(200, answer)]), @r#"
     GET /v1/config HTTP/1.1 [bearer operators-token-1] 
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn check() {
+fn check_prints_the_resulting_document() {
     let patch = file("check.json", r#"{"pools":{"a":null}}"#);
     let answer = r#"{"document":{"pools":{}}}"#;
     let line = format!("config check --base 7 --id mine {patch}");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_again_with_the_same_id() {
+fn a_call_without_an_answer_is_retried_with_the_same_id() {
     let patch = file("lost.json", r#"{"pools":{"a":null}}"#);
     let line = format!("config patch --base 7 {patch}");
     let script = vec![
@@ -155,10 +155,10 @@
 }
 
 #[test]
-fn answers_lost_to_the_end_are_unknown() {
+fn a_call_without_any_answer_has_an_unknown_outcome() {
     let patch = file("unknown.json", "{}");
     let line = format!("config patch --base 7 --id mine {patch}");
-    let lose = || {
+    let no_answers = || {
         vec![
             ScriptedResponse::Disconnect,
             ScriptedResponse::Disconnect,
@@ -166,15 +166,15 @@
             ScriptedResponse::Disconnect,
         ]
     };
-    assert!(run_against(&line, lose()).contains("Unknown"));
-    assert!(run_against("drain", lose()).contains("Unknown"));
+    assert!(run_against(&line, no_answers()).contains("Unknown"));
+    assert!(run_against("drain", no_answers()).contains("Unknown"));
     // The entry reads one request and stops listening: that request may have been executed.
     assert!(run_against("drain", vec![ScriptedResponse::Disconnect]).contains("Unknown"));
     assert!(run_against("status", vec![ScriptedResponse::Disconnect]).contains("Failed"));
 }
 
 #[test]
-fn refusals() {
+fn refusals_have_their_exit_codes() {
     let patch = file("refused.json", "{}");
     let line = format!("config patch --base 7 --id mine {patch}");
     let problem = |code: &str, ran: &str| -> &'static str {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn status() {
+fn status_prints_the_state_of_an_entry() {
     let answer = r#"{"entry":"entry-1","number":7,
         "entries":{"entry-1":{"zone":"erie-hall","number":7,"heard_ms":null,"lags":false},
                    "entry-2":{"zone":"toledo-hall","number":6,"heard_ms":40,"lags":true}},
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn drain() {
+fn drain_prints_the_entry() {
     insta::assert_snapshot!(run_against("drain", vec![ScriptedResponse::Send(202, "")]), @r#"
     POST /v1/drain HTTP/1.1 [bearer operators-token-1] 
     Done
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn nobody_listens() {
+fn a_call_to_a_closed_port_fails() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn faulty_files_are_usage() {
+fn invalid_files_are_usage_errors() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let patch = file("not-json.json", "pools:");
--- a/crates/pinereel/tests/cli_parse.rs
+++ b/crates/pinereel/tests/cli_parse.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn commands() {
+fn each_command_is_parsed() {
     let text = parse_all(&[
         "--version",
         "entry --config a.ini",
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn environment_stands_in_for_the_target() {
+fn environment_variables_provide_a_missing_target() {
     let env = |name: &str| match name {
         cli::OPERATORS_VAR => Some("127.0.0.1:1".into()),
         cli::TOKEN_FILE_VAR => Some("env-token".into()),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn faults() {
+fn usage_errors_are_reported() {
     let text = parse_all(&[
         "",
         "bake",
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn help_everywhere() {
+fn every_command_has_a_help_text() {
     insta::assert_snapshot!(parse_line("--help"), @r#"
     pinereel: rollout service for reinforcement learning
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn the_binary_exits_with_the_codes() {
+fn the_binary_exits_with_the_documented_codes() {
     let settings = Path::new(env!("CARGO_TARGET_TMPDIR")).join("faulty.ini");
     fs::write(&settings, "[entry]\nname = entry-1\n").unwrap();
     let run = |args: &[&str]| {
--- a/crates/pinereel/tests/hosting_logs.rs
+++ b/crates/pinereel/tests/hosted_log_messages.rs
@@ -34,8 +34,8 @@
         let begin = format!("log::{level}!(");
         for (at, _) in source.match_indices(&begin) {
             let text = message(call_arguments(&source[at + begin.len()..])).unwrap_or_default();
-            // A message that starts with a format argument has its text from elsewhere, such as
-            // an error.
+            // A message that starts with a format argument consists of another text, such as an
+            // error.
             if !text.is_empty() && !text.starts_with('{') {
                 found.push(text.to_owned());
             }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn every_message_stands_on_the_page() {
+fn every_log_message_is_on_the_operations_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/OPERATIONS.md")).expect("the page");
     let mut all = Vec::new();
--- a/crates/pinereel/tests/http_listener.rs
+++ b/crates/pinereel/tests/http_timeouts.rs
@@ -63,23 +63,23 @@
 }
 
 #[actix_rt::test]
-async fn second_head_that_never_ends_is_not_waited_for() {
+async fn an_incomplete_second_head_closes_the_connection() {
     let (server, codes) = start_server(Duration::ZERO).await;
     // The incomplete second head arrives together with the first request, or in its own write.
-    let together = [GET_LIVE, b"GET /li"].concat();
-    let mut together = connect_and_send(&server, &together).await;
-    let mut alone = connect_and_send(&server, GET_LIVE).await;
+    let one_write = [GET_LIVE, b"GET /li"].concat();
+    let mut one_write = connect_and_send(&server, &one_write).await;
+    let mut two_writes = connect_and_send(&server, GET_LIVE).await;
     let mut status_line = [0; 15];
-    alone.read_exact(&mut status_line).await.unwrap();
-    alone.write_all(b"GET /li").await.unwrap();
-    assert!(is_closed(&mut together).await);
-    assert!(is_closed(&mut alone).await);
+    two_writes.read_exact(&mut status_line).await.unwrap();
+    two_writes.write_all(b"GET /li").await.unwrap();
+    assert!(is_closed(&mut one_write).await);
+    assert!(is_closed(&mut two_writes).await);
     // `actix-http` closes the second connection itself, without an error that could be reported.
     assert!(codes.borrow().contains(&Code::SlowSender));
 }
 
 #[actix_rt::test]
-async fn second_head_that_trickles_is_not_waited_for() {
+async fn a_slowly_sent_second_head_closes_the_connection() {
     let (server, _) = start_server(Duration::ZERO).await;
     let mut stream = connect_and_send(&server, GET_LIVE).await;
     let trickle = async {
@@ -91,7 +91,7 @@
 }
 
 #[actix_rt::test]
-async fn idle_connection_ends_without_a_refusal() {
+async fn an_idle_connection_is_closed_without_a_refusal() {
     let (server, codes) = start_server(Duration::ZERO).await;
     let mut stream = connect_and_send(&server, GET_LIVE).await;
     assert!(is_closed(&mut stream).await);
@@ -99,7 +99,7 @@
 }
 
 #[actix_rt::test]
-async fn answer_that_takes_longer_than_all_waits_is_whole() {
+async fn a_response_slower_than_all_timeouts_is_complete() {
     let (server, codes) = start_server(2 * (HEAD_TIMEOUT + KEEP_ALIVE)).await;
     let mut stream = connect_and_send(&server, GET_LIVE).await;
     let mut status_line = [0; 15];
@@ -109,7 +109,7 @@
 }
 
 #[actix_rt::test]
-async fn stream_that_takes_longer_than_all_waits_is_whole() {
+async fn a_stream_slower_than_all_timeouts_is_complete() {
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let options = Options {
         head_timeout: HEAD_TIMEOUT,
@@ -134,9 +134,9 @@
 }
 
 /// The clock of `actix-http` lags by up to half a second, so without an allowance a short head
-/// timeout could end before it began.
+/// timeout could end before it started.
 #[actix_rt::test]
-async fn good_head_is_never_too_slow() {
+async fn a_complete_head_is_accepted_within_a_short_timeout() {
     let (server, codes) = start_server_with(Duration::from_millis(250), Duration::ZERO).await;
     for _ in 0..30 {
         let mut stream = connect_and_send(&server, b"GET /live HTTP/1.1\r\n").await;
--- a/crates/pinereel/tests/logging_lines.rs
+++ b/crates/pinereel/tests/logging_lines.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn ordinary_lines_carry_fields() {
+fn log_lines_carry_their_fields() {
     let settings = settings(log::LevelFilter::Info, true);
     let text = logged(&settings, |logger| {
         log::info!(logger: logger, target: "entry", entry = "entry-1", links = 3, ok = true, msg = "mine"; "line \"one\"\nand two");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn decisions_are_lines_of_their_own() {
+fn decisions_are_logged_at_any_level_unless_disabled() {
     let decision = Decision {
         entry: "entry-1",
         request: "r-17",
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn drops_are_exact_and_told() {
+fn dropped_lines_are_counted_and_reported() {
     let (write_started, on_write_started) = channel();
     let (unblock, unblocked) = channel();
     let kept = MemorySink::default();
@@ -186,14 +186,14 @@
 }
 
 #[test]
-fn a_pipe_that_nobody_reads_blocks_nobody() {
+fn a_pipe_without_a_reader_does_not_block_logging() {
     const LINES: u64 = 2_000;
     let (mut reader, writer) = io::pipe().unwrap();
     let queue = Queue::start(100, writer).unwrap();
-    let filling = "x".repeat(1_000);
+    let padding = "x".repeat(1_000);
     for n in 0..LINES {
         queue.push(format!(
-            r#"{{"ts":"123456789012345678901234","n":{n},"x":"{filling}"}}"#
+            r#"{{"ts":"123456789012345678901234","n":{n},"x":"{padding}"}}"#
         ));
     }
     // 2 MB were logged; a pipe holds 64 KiB, the queue 100 lines and the writer's batch 64.
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_broken_sink_counts_as_drops() {
+fn lines_of_a_failing_sink_count_as_dropped() {
     let queue = Queue::start(4, FailingSink).unwrap();
     queue.push("lost".into());
     assert!(queue.flush(FLUSH_TIMEOUT));
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn timestamps() {
+fn timestamps_are_utc_with_milliseconds() {
     let at = |millis| logging::timestamp(UNIX_EPOCH + Duration::from_millis(millis));
     assert_eq!(at(0), "1970-01-01T00:00:00.000Z");
     assert_eq!(at(951_782_399_999), "2000-02-28T23:59:59.999Z");
--- a/crates/pinereel/tests/objects_breaker.rs
+++ b/crates/pinereel/tests/objects_breaker.rs
@@ -44,16 +44,16 @@
 #[test]
 fn urgent_failures_do_not_extend_the_back_off_of_other_calls() {
     let (mut breaker, start) = after_failures(12);
-    let mut others = 0;
+    let mut other_calls = 0;
     for step in 1..=20 {
         let now = start + Duration::from_millis(200 * step);
         if breaker.allows(false, now) {
-            others += 1;
+            other_calls += 1;
         }
         if breaker.allows(true, now) {
             breaker.record_failure(now);
         }
     }
     // 4 s, with a maximum back-off of 1.25 s including jitter.
-    assert!(others >= 3, "{others} turns of other calls");
+    assert!(other_calls >= 3, "{other_calls} other calls allowed");
 }
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -14,8 +14,8 @@
     time::{sleep, timeout},
 };
 
-const WAIT: Duration = Duration::from_secs(10);
-const STEP: Duration = Duration::from_millis(5);
+const TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Starts the mesh of one entry that answers every call with `reply`, or never if it is `None`.
 async fn mesh(name: &str, secret: &str, reply: Option<Reply>) -> (Mesh, CompactString) {
@@ -47,10 +47,10 @@
 async fn linked(mesh: &Mesh, name: &str) -> bool {
     let wait = async {
         while !mesh.is_linked(name) {
-            sleep(STEP).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(WAIT, wait).await.is_ok()
+    timeout(TIMEOUT, wait).await.is_ok()
 }
 
 fn peer(name: &str, address: &CompactString) -> Peer {
@@ -68,18 +68,18 @@
     b.set_peers([peer("a", &a_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
     assert_eq!(
-        a.call("b", Call::FetchConfig, WAIT).await,
+        a.call("b", Call::FetchConfig, TIMEOUT).await,
         Ok(Reply::Granted)
     );
-    assert_eq!(b.call("a", Call::FetchConfig, WAIT).await, Ok(Reply::Done));
+    assert_eq!(b.call("a", Call::FetchConfig, TIMEOUT).await, Ok(Reply::Done));
     assert_eq!(
-        a.call("c", Call::FetchConfig, WAIT).await,
+        a.call("c", Call::FetchConfig, TIMEOUT).await,
         Err(Error::NoLink)
     );
 }
 
 #[actix_rt::test]
-async fn wrong_secret_gets_no_link() {
+async fn a_peer_with_another_secret_gets_no_link() {
     let (a, _) = mesh("a", "secret", None).await;
     let (b, b_address) = mesh("b", "other", None).await;
     a.set_peers([peer("b", &b_address)]);
@@ -88,7 +88,7 @@
 }
 
 #[actix_rt::test]
-async fn call_without_a_reply_times_out_and_a_frame_too_large_is_not_sent() {
+async fn a_call_without_a_reply_times_out_and_a_frame_too_large_is_not_sent() {
     let (a, _) = mesh("a", "secret", None).await;
     let (_b, b_address) = mesh("b", "secret", None).await;
     a.set_peers([peer("b", &b_address)]);
@@ -105,7 +105,7 @@
     assert_eq!(a.call("b", large, short).await, Err(Error::TooLarge));
     assert!(
         a.is_linked("b"),
-        "an unsendable frame must not cost the link"
+        "a frame that is too large must not end the link"
     );
 }
 
@@ -115,7 +115,7 @@
     let (b, b_address) = mesh("b", "secret", None).await;
     a.set_peers([peer("b", &b_address)]);
     assert!(linked(&a, "b").await && linked(&b, "a").await);
-    let call = a.call("b", Call::FetchConfig, WAIT);
+    let call = a.call("b", Call::FetchConfig, TIMEOUT);
     let close = async {
         b.close();
     };
@@ -124,26 +124,26 @@
 }
 
 #[actix_rt::test]
-async fn call_without_a_link_uses_a_connection_of_its_own() {
+async fn a_call_without_a_link_uses_its_own_connection() {
     let (a, _) = mesh("a", "secret", None).await;
     let (b, b_address) = mesh("b", "secret", Some(Reply::Granted)).await;
-    let at = peer("b", &b_address);
+    let target = peer("b", &b_address);
     assert_eq!(
-        a.call_once(&at, Call::FetchConfig, WAIT).await,
+        a.call_once(&target, Call::FetchConfig, TIMEOUT).await,
         Ok(Reply::Granted)
     );
     assert!(
         !a.is_linked("b") && !b.is_linked("a"),
-        "it must not become a link"
+        "the connection must not become a link"
     );
     let wrong = peer("c", &b_address);
-    let result = a.call_once(&wrong, Call::FetchConfig, WAIT).await;
+    let result = a.call_once(&wrong, Call::FetchConfig, TIMEOUT).await;
     assert_eq!(
         result,
         Err(Error::NoLink),
         "another entry took over the address"
     );
     b.close();
-    let result = a.call_once(&at, Call::FetchConfig, WAIT).await;
+    let result = a.call_once(&target, Call::FetchConfig, TIMEOUT).await;
     assert!(result.is_err(), "{result:?}");
 }
--- a/crates/pinereel/tests/settings_file.rs
+++ b/crates/pinereel/tests/settings_file.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn defaults() {
+fn missing_keys_have_defaults() {
     let folder = test_folder("defaults");
     let settings = Settings::parse(folder.join("pinereel.ini"), MINIMAL_SETTINGS).unwrap();
     assert_eq!(
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn every_key_is_taken() {
+fn every_key_is_parsed() {
     let text = MINIMAL_SETTINGS.to_owned()
         + "
 [drain]
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn empty_file_lists_all_that_is_required() {
+fn an_empty_file_reports_all_required_keys() {
     insta::assert_snapshot!(validation_errors("empty", ""), @r#"
     pinereel.ini:1: [entry] name: missing, expected 1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9
     pinereel.ini:1: [entry] zone: missing, expected 1 to 63 of a-z, 0-9, `-`, `.` and `_`, starting with a-z or 0-9
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn unknown_and_duplicate() {
+fn unknown_and_duplicate_keys_and_sections_are_reported() {
     let text = MINIMAL_SETTINGS.replace(
         "[object_api]",
         "colour = red\nzone = erie-hall\n[object_api]",
@@ -182,14 +182,14 @@
 }
 
 #[test]
-fn key_before_the_first_section() {
+fn a_key_before_the_first_section_is_reported() {
     insta::assert_snapshot!(validation_errors("general", &format!("name = a\n{MINIMAL_SETTINGS}")), @r#"
     pinereel.ini:1: [] name: given "a", expected a section before the first key
     "#);
 }
 
 #[test]
-fn bad_values() {
+fn invalid_values_are_reported_with_what_is_expected() {
     let text = MINIMAL_SETTINGS
         .replace("entry-1", "Entry 1")
         .replace("127.0.0.1:8081", "localhost:8081")
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn drain_shorter_than_the_lag() {
+fn a_drain_shorter_than_the_balancer_lag_is_reported() {
     let text = MINIMAL_SETTINGS.to_owned() + "[drain]\nbalancer_lag = 9s\nlongest = 8s\n";
     insta::assert_snapshot!(validation_errors("short_drain", &text), @r#"
     pinereel.ini:16: [drain] longest: given "8s", expected no shorter than balancer_lag
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn listeners_clash() {
+fn listeners_with_the_same_address_are_reported() {
     let text = MINIMAL_SETTINGS
         .replace("127.0.0.1:8081", "127.0.0.1:8080")
         .replace("127.0.0.1:8082", "0.0.0.0:8080");
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn unreachable_advertised_address() {
+fn an_advertised_address_must_be_connectable() {
     let text = MINIMAL_SETTINGS
         .replace("127.0.0.1:8080", "0.0.0.0:8080")
         .replace("[object_api]", "advertise_peers = 10.0.0.1:0\n[object_api]");
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn secrets_missing_short_or_open() {
+fn missing_short_and_readable_secrets_are_reported() {
     let name = "secrets";
     let folder = test_folder(name);
     write(&folder.join("open"), "operators-token-1", 0o644);
@@ -286,25 +286,25 @@
 }
 
 #[test]
-fn not_ini() {
+fn a_file_that_is_not_ini_is_reported() {
     insta::assert_snapshot!(validation_errors("not_ini", "[entry\nname = a\n"), @r#"
     pinereel.ini:3: []: given "", expected INI: expecting "[Some(']')]" but found EOF.
     "#);
 }
 
 #[test]
-fn load_names_the_file() {
+fn a_load_error_names_the_file() {
     let path = test_folder("load").join("nowhere.ini");
     let error = Settings::load(&path).unwrap_err();
-    assert!(matches!(error, Error::Read { path: named, .. } if named == path));
+    assert!(matches!(error, Error::Read { path: failed, .. } if failed == path));
 }
 
 #[test]
-fn debug_hides_secrets() {
+fn debug_output_hides_secrets() {
     let folder = test_folder("debug");
     let settings = Settings::parse(folder.join("pinereel.ini"), MINIMAL_SETTINGS).unwrap();
-    let shown = format!("{settings:?}");
-    assert!(!shown.contains("operators-token-1") && !shown.contains("peers-secret-0001"));
+    let debug_output = format!("{settings:?}");
+    assert!(!debug_output.contains("operators-token-1") && !debug_output.contains("peers-secret-0001"));
 }
 
 #[test]
--- a/crates/pinereel/tests/upstream_evidence.rs
+++ b/crates/pinereel/tests/upstream_client.rs
@@ -10,7 +10,7 @@
     net::{TcpListener, TcpStream},
 };
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 const REDIRECT: &[u8] =
     b"HTTP/1.1 307 Temporary Redirect\r\nlocation: /again\r\ncontent-length: 0\r\n\r\n";
 
@@ -46,9 +46,9 @@
     true
 }
 
-/// Starts a server that answers the first `whole` requests of each connection with `answer`, and
+/// Starts a server that answers the first `answered` requests of each connection with `answer`, and
 /// closes the connection after it has read the next one.
-async fn server(whole: u32, answer: &'static [u8]) -> (String, Counts) {
+async fn server(answered: u32, answer: &'static [u8]) -> (String, Counts) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let counts = Counts::default();
@@ -61,7 +61,7 @@
                 let mut served = 0;
                 while read_request(&mut stream).await {
                     seen.requests.set(seen.requests.get() + 1);
-                    if served == whole {
+                    if served == answered {
                         return;
                     }
                     served += 1;
@@ -74,7 +74,7 @@
 }
 
 #[actix_rt::test]
-async fn closed_port_is_not_opened() {
+async fn a_closed_port_is_reported_as_not_opened() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
@@ -83,16 +83,16 @@
 }
 
 #[actix_rt::test]
-async fn request_lost_on_a_new_connection_is_lost() {
-    let (address, counts) = server(0, ANSWER).await;
+async fn a_request_lost_on_a_new_connection_is_reported_as_lost() {
+    let (address, counts) = server(0, RESPONSE).await;
     let result = Client::new().send(attempt(&address, Reuse::Fresh)).await;
     assert!(matches!(result, Err(Error::Lost(_))), "{result:?}");
     assert_eq!(counts.requests.get(), 1);
 }
 
 #[actix_rt::test]
-async fn request_lost_on_a_reused_connection_is_lost_and_sent_once() {
-    let (address, counts) = server(1, ANSWER).await;
+async fn a_request_lost_on_a_reused_connection_is_reported_as_lost_and_sent_once() {
+    let (address, counts) = server(1, RESPONSE).await;
     let client = Client::new();
     let mut first = client
         .send(attempt(&address, Reuse::Allowed))
@@ -107,7 +107,7 @@
 
 #[actix_rt::test]
 async fn fresh_attempts_never_share_a_connection() {
-    let (address, counts) = server(9, ANSWER).await;
+    let (address, counts) = server(9, RESPONSE).await;
     let client = Client::new();
     for _ in 0..3 {
         let mut response = client.send(attempt(&address, Reuse::Fresh)).await.unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[actix_rt::test]
-async fn redirect_is_passed_on_and_not_followed() {
+async fn a_redirect_is_returned_and_not_followed() {
     let (address, counts) = server(9, REDIRECT).await;
     let response = Client::new()
         .send(attempt(&address, Reuse::Fresh))
--- a/crates/pinereel/tests/upstream_direct.rs
+++ b/crates/pinereel/tests/upstream_direct.rs
@@ -55,7 +55,7 @@
 }
 
 #[actix_rt::test]
-async fn only_an_answer_with_its_announced_end_is_whole() {
+async fn only_a_response_with_its_announced_end_is_complete() {
     let cases = [
         "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood",
         "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ngood",
@@ -84,7 +84,7 @@
 }
 
 #[actix_rt::test]
-async fn closed_port_is_not_opened() {
+async fn a_closed_port_is_reported_as_not_opened() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
--- a/crates/pinereel/tests/upstream_pool.rs
+++ b/crates/pinereel/tests/upstream_pool.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy)]
 enum Reaction {
     /// Sends these bytes.
-    Say(&'static str),
+    Send(&'static str),
     /// Sends these bytes and closes.
     Close(&'static str),
     /// Sends these bytes and resets the connection.
@@ -36,12 +36,12 @@
                     if stream.read(&mut buffer).await.is_err() {
                         return;
                     }
-                    let (Reaction::Say(text) | Reaction::Close(text) | Reaction::Reset(text)) =
+                    let (Reaction::Send(text) | Reaction::Close(text) | Reaction::Reset(text)) =
                         reaction;
                     let _ = stream.write_all(text.as_bytes()).await;
                     sleep(Duration::from_millis(20)).await;
                     match reaction {
-                        Reaction::Say(_) => {}
+                        Reaction::Send(_) => {}
                         Reaction::Close(_) => return,
                         Reaction::Reset(_) => {
                             let zero = Some(Duration::ZERO);
@@ -68,7 +68,7 @@
     }
 }
 
-async fn whole(pool: &Rc<Pool>, address: SocketAddr) -> Result<String, String> {
+async fn send_and_read(pool: &Rc<Pool>, address: SocketAddr) -> Result<String, String> {
     let response = pool.send(request(address)).await;
     let response = response.map_err(|error| error.to_string())?;
     let body = response.body.read_all().await;
@@ -76,49 +76,49 @@
     Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
-const GOOD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const COMPLETE_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 #[actix_rt::test]
-async fn a_connection_is_used_again_after_a_whole_answer() {
-    let address = server(vec![vec![Reaction::Say(GOOD), Reaction::Say(GOOD)]]).await;
+async fn a_connection_is_reused_after_a_complete_response() {
+    let address = server(vec![vec![Reaction::Send(COMPLETE_RESPONSE), Reaction::Send(COMPLETE_RESPONSE)]]).await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
-        assert_eq!(whole(&pool, address).await, Ok("ok".into()));
+        assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
     }
     assert_eq!(pool.opened_count(), 1);
 }
 
 #[actix_rt::test]
-async fn one_that_sent_more_than_its_answer_is_not() {
+async fn a_connection_with_excess_bytes_is_not_reused() {
     let extra = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
-    let address = server(vec![vec![Reaction::Say(extra)], vec![Reaction::Say(GOOD)]]).await;
+    let address = server(vec![vec![Reaction::Send(extra)], vec![Reaction::Send(COMPLETE_RESPONSE)]]).await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
-        assert_eq!(whole(&pool, address).await, Ok("ok".into()));
+        assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
         sleep(Duration::from_millis(30)).await;
     }
     assert_eq!(pool.opened_count(), 2);
 }
 
 #[actix_rt::test]
-async fn one_that_says_close_is_not() {
+async fn a_connection_with_a_close_header_is_not_reused() {
     let close = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok";
-    let address = server(vec![vec![Reaction::Say(close)], vec![Reaction::Say(GOOD)]]).await;
+    let address = server(vec![vec![Reaction::Send(close)], vec![Reaction::Send(COMPLETE_RESPONSE)]]).await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
-        assert_eq!(whole(&pool, address).await, Ok("ok".into()));
+        assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
     }
     assert_eq!(pool.opened_count(), 2);
 }
 
 #[actix_rt::test]
-async fn a_body_that_ends_before_its_length_is_cut() {
+async fn a_body_that_ends_before_its_length_is_truncated() {
     let short = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok";
     let chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n";
     for text in [short, chunked] {
         let address = server(vec![vec![Reaction::Close(text)]]).await;
-        let answer = whole(&Rc::new(Pool::default()), address).await;
-        assert!(answer.is_err_and(|why| why.starts_with("cut")));
+        let answer = send_and_read(&Rc::new(Pool::default()), address).await;
+        assert!(answer.is_err_and(|error| error.starts_with("cut")));
     }
 }
 
@@ -131,28 +131,28 @@
     ])
     .await;
     let pool = Rc::new(Pool::default());
-    assert_eq!(whole(&pool, address).await, Ok("hello".into()));
+    assert_eq!(send_and_read(&pool, address).await, Ok("hello".into()));
     assert!(
-        whole(&pool, address)
+        send_and_read(&pool, address)
             .await
-            .is_err_and(|why| why.starts_with("cut"))
+            .is_err_and(|error| error.starts_with("cut"))
     );
 }
 
 #[actix_rt::test]
-async fn a_break_on_an_idle_connection_is_told_from_one_on_a_fresh_connection() {
+async fn an_error_on_an_idle_connection_differs_from_one_on_a_new_connection() {
     let address = server(vec![
-        vec![Reaction::Say(GOOD), Reaction::Close("")],
+        vec![Reaction::Send(COMPLETE_RESPONSE), Reaction::Close("")],
         vec![Reaction::Close("")],
     ])
     .await;
     let pool = Rc::new(Pool::default());
-    assert_eq!(whole(&pool, address).await, Ok("ok".into()));
+    assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
     let stale = pool.send(request(address)).await.err();
     assert!(matches!(stale, Some(Error::Stale(_))), "{stale:?}");
     let lost = pool.send(request(address)).await.err();
     assert!(matches!(lost, Some(Error::Lost(_))), "{lost:?}");
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    let refused = pool.send(request(nobody)).await.err();
+    let closed_port = SocketAddr::from(([127, 0, 0, 1], 1));
+    let refused = pool.send(request(closed_port)).await.err();
     assert!(matches!(refused, Some(Error::NotOpened(_))), "{refused:?}");
 }
--- a/crates/pinereel/tests/upstream_probe.rs
+++ b/crates/pinereel/tests/upstream_probe.rs
@@ -42,13 +42,13 @@
 
 /// An exiting process closes its connections and its listener one after the other.
 #[actix_rt::test]
-async fn an_endpoint_that_is_just_ending_is_gone() {
+async fn an_endpoint_that_is_exiting_is_gone() {
     let (listener, address) = listener().await;
     let pool = Rc::new(Pool::default());
     let end = async move {
         // The connection was accepted, and is closed together with the listener.
-        let taken = listener.accept().await;
-        drop((taken, listener));
+        let accepted = listener.accept().await;
+        drop((accepted, listener));
     };
     let (gone, ()) = tokio::join!(pool.is_gone(address), end);
     assert!(gone);
@@ -56,13 +56,13 @@
 
 /// As above, and the listener accepts one more connection before it closes.
 #[actix_rt::test]
-async fn an_endpoint_that_takes_one_more_connection_while_it_ends_is_gone() {
+async fn an_exiting_endpoint_that_accepts_one_more_connection_is_gone() {
     let (listener, address) = listener().await;
     let pool = Rc::new(Pool::default());
     let end = async move {
         drop(listener.accept().await);
-        let taken = listener.accept().await;
-        drop((taken, listener));
+        let accepted = listener.accept().await;
+        drop((accepted, listener));
     };
     let (gone, ()) = tokio::join!(pool.is_gone(address), end);
     assert!(gone);
@@ -76,17 +76,17 @@
     let socket = socket.expect("a socket");
     let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&address.into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    socket.listen(0).expect("a listening socket");
     let address = socket
         .local_addr()
         .expect("an address")
         .as_socket()
-        .expect("an IP");
-    let mut held = Vec::new();
+        .expect("an IP address");
+    let mut streams = Vec::new();
     for _ in 0..3 {
         let stream = tokio::net::TcpStream::connect(address);
         let opened = tokio::time::timeout(Duration::from_millis(200), stream).await;
-        held.extend(opened.ok().and_then(Result::ok));
+        streams.extend(opened.ok().and_then(Result::ok));
     }
     assert!(!Rc::new(Pool::default()).is_gone(address).await);
 }
