--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -63,7 +63,7 @@
 /// Shortest sleep between two checks of what is due.
 const MIN_SLEEP: Duration = Duration::from_millis(10);
 
-/// What [`Duties`] needs from the other parts of the instance.
+/// Dependencies of [`Duties`].
 pub struct Dependencies {
     /// The object store.
     pub store: Store,
@@ -127,7 +127,7 @@
 
 impl Duties {
     /// Creates the state and starts to poll the leases; registers for no duty yet.
-    pub fn new(dependencies: Dependencies) -> Rc<Self> {
+    pub fn new(deps: Dependencies) -> Rc<Self> {
         let Dependencies {
             store,
             instance,
@@ -138,7 +138,7 @@
             feed,
             crashes,
             clock,
-        } = dependencies;
+        } = deps;
         let duties = Rc::new(Self {
             id: format_compact!("{instance}/{incarnation:x}"),
             store,
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -31,7 +31,7 @@
     /// Applies a whole list or changes of it. A whole list also removes the known entries within
     /// `scope` that it does not contain.
     pub(super) fn apply_update(self: &Rc<Self>, update: Update, scope: Scope) {
-        if scope == Scope::Others && !self.parts.feed.is_subscribed_to_engines() {
+        if scope == Scope::Others && !self.deps.feed.is_subscribed_to_engines() {
             self.remove_engines();
         }
         match update {
@@ -70,7 +70,7 @@
     /// Applies an entry and logs at `level` what is new in it. An entry of an earlier start of the
     /// endpoint is ignored.
     fn apply_entry(&self, object: &Object, level: Level) {
-        let entry = match (self.parts.adapter.decode_endpoint)(&object.name, &object.spec) {
+        let entry = match (self.deps.adapter.decode_endpoint)(&object.name, &object.spec) {
             Ok(entry) => entry,
             Err(fault) => {
                 self.reject_entry(object, &fault);
@@ -89,7 +89,7 @@
                 log::info!(endpoint = entry.id.as_str(); "endpoint entry of an earlier start ignored");
                 return;
             }
-            self.parts.pool.close_idle(before.address);
+            self.deps.pool.close_idle(before.address);
         }
         log_entry(before.as_ref(), &entry, object.revision, level);
         let listing = to_listing(&entry);
@@ -116,7 +116,7 @@
         let known = self.rejected.borrow().get(id) == Some(&object.revision);
         if !known {
             log::error!(endpoint = id.as_str(), revision = object.revision; "list entry refused: {fault}");
-            let metrics = &self.parts.metrics;
+            let metrics = &self.deps.metrics;
             metrics.count(&metrics.endpoint_entries, &["refused"]);
             let rejected = (id.clone(), object.revision);
             self.rejected.borrow_mut().extend([rejected]);
@@ -161,8 +161,8 @@
     /// only this instance was cut off, and waiting would send requests for 1.8 s more to an
     /// endpoint that left meanwhile.
     fn may_have_lapsed(&self) -> bool {
-        self.parts.store.has_failed_within(STORE_FAILURE_WINDOW)
-            && self.parts.feed.store_uptime() < ENTRY_RECOVERY_TIME
+        self.deps.store.has_failed_within(STORE_FAILURE_WINDOW)
+            && self.deps.feed.store_uptime() < ENTRY_RECOVERY_TIME
     }
 
     /// Removes engines, which came from a whole list read from the store, while no other instance
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -53,7 +53,7 @@
 };
 
 /// Dependencies of [`Endpoints`].
-pub struct Parts {
+pub struct Dependencies {
     /// Translates between the platform's protocol and the types of this process.
     pub adapter: Adapter,
     /// The object store.
@@ -70,7 +70,7 @@
 
 /// The endpoint list, and the load and health of each endpoint.
 pub struct Endpoints {
-    parts: Parts,
+    deps: Dependencies,
     zone: CompactString,
     /// Hash of the instance's name, used as routing prefix: an instance prefers the same endpoints,
     /// to which it has idle connections.
@@ -133,7 +133,7 @@
     /// Starts to watch the list. `needs_prompt_updates` returns whether this instance has duties
     /// that depend on recent changes; then changes are read after a shorter delay.
     pub fn start(
-        parts: Parts,
+        deps: Dependencies,
         instance: &Instance,
         settings: &settings::Store,
         needs_prompt_updates: impl Fn() -> bool + 'static,
@@ -142,10 +142,10 @@
             settings.watch,
             settings.leave_after.mul_f64(BATCH_DELAY_FRACTION),
         );
-        let (adapter, store) = (parts.adapter, parts.store.clone());
-        let feed_events = Some(parts.feed.subscribe(Topic::Endpoints));
+        let (adapter, store) = (deps.adapter, deps.store.clone());
+        let feed_events = Some(deps.feed.subscribe(Topic::Endpoints));
         let endpoints = Rc::new(Self {
-            parts,
+            deps,
             zone: instance.zone.clone(),
             affinity: hash::stable(instance.name.as_bytes()),
             entries: RefCell::default(),
@@ -182,9 +182,9 @@
         endpoints
     }
 
-    /// Also follows the engines from now on. Called by the parts that send requests to engines.
+    /// Also follows the engines from now on. Called by the modules that send requests to engines.
     pub fn subscribe_engines(&self) {
-        self.parts.feed.subscribe_to_engines();
+        self.deps.feed.subscribe_to_engines();
     }
 
     /// The endpoints that a list of this origin covers; it leaves the others unchanged.
@@ -198,7 +198,7 @@
     /// Applies the changes of engines that another instance forwards, once this instance has
     /// subscribed to them.
     async fn follow_engines(self: Rc<Self>) {
-        let feed = &self.parts.feed;
+        let feed = &self.deps.feed;
         let mut updates = feed.subscribe(Topic::Engines);
         loop {
             match updates.recv().await {
@@ -295,7 +295,7 @@
             seed,
         };
         let set = self.set.borrow();
-        let choice = route::choose(&set, &request, self.parts.clock.now(), &ROUTING_POLICY)?;
+        let choice = route::choose(&set, &request, self.deps.clock.now(), &ROUTING_POLICY)?;
         self.selected(&set, choice.key, choice.reason)
             .ok_or(Refusal::NoEndpoint)
     }
@@ -355,7 +355,7 @@
     /// Records the load that an endpoint reported with an answer.
     pub fn record_load(&self, key: Key, load: Load) {
         let report = endpoint::LoadReport {
-            at: self.parts.clock.now(),
+            at: self.deps.clock.now(),
             running: load.running,
             waiting: load.waiting,
             version: None,
@@ -378,7 +378,7 @@
 
     /// Applies an event to the set and logs the resulting changes at `level`.
     fn apply_event_at(&self, level: Level, event: Event) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let changes = self.set.borrow_mut().step(now, event);
         for change in changes {
             let endpoint = change.name.as_str();
--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -113,13 +113,13 @@
 
 /// Object name for this process. Slashes are replaced, because names are part of URL paths.
 fn object_name(runner: &Runner) -> String {
-    runner.parts.duties.id().replace('/', ".")
+    runner.deps.duties.id().replace('/', ".")
 }
 
 async fn try_write(runner: &Runner, lot: &str, checkpoint: &Checkpoint) -> Result<u64, Error> {
     let malformed = |error: serde_json::Error| Error::Malformed(error.to_string());
     let (kind, name) = (checkpoint_kind(lot), object_name(runner));
-    let store = &runner.parts.store;
+    let store = &runner.deps.store;
     let object = match checkpoint.revision {
         None => {
             let spec = serde_json::to_string(&checkpoint.outputs).map_err(malformed)?;
@@ -136,7 +136,7 @@
 
 async fn overwrite(runner: &Runner, lot: &str, checkpoint: &Checkpoint) -> Result<u64, Error> {
     let (kind, name) = (checkpoint_kind(lot), object_name(runner));
-    let store = &runner.parts.store;
+    let store = &runner.deps.store;
     let read = store.read(Purpose::Lots, &kind, &name, Consistency::Linearizable);
     let checkpoint = Checkpoint {
         revision: read.await?.map(|object| object.revision),
@@ -148,7 +148,7 @@
 /// Reads the checkpoints that all runners of a lot have written; the longest output of each item
 /// counts.
 pub(super) async fn read_all(runner: &Runner, lot: &str) -> Result<PartialOutputs, Error> {
-    let store = &runner.parts.store;
+    let store = &runner.deps.store;
     let (objects, _) = store
         .list(Purpose::Lots, &checkpoint_kind(lot), None)
         .await?;
--- a/crates/pinereel/src/hosted/lots/cleanup.rs
+++ b/crates/pinereel/src/hosted/lots/cleanup.rs
@@ -45,7 +45,7 @@
 
 /// Writes tombstones and deletes expired lots periodically, until dropped.
 pub(super) async fn clean_up(runner: &Rc<Runner>) {
-    let retention = runner.parts.retention + RETENTION_MARGIN;
+    let retention = runner.deps.retention + RETENTION_MARGIN;
     loop {
         sleep(CLEANUP_INTERVAL).await;
         write_tombstones(runner).await;
@@ -56,7 +56,7 @@
             match remove_lot(runner, &lot).await {
                 Ok(count) => {
                     log::info!(id = lot.as_str(), objects = count; "expired lot deleted");
-                    let metrics = &runner.parts.metrics;
+                    let metrics = &runner.deps.metrics;
                     metrics.count(&metrics.lot_events, &["removed"]);
                     runner.with_first_seen(|first_seen| first_seen.remove(&lot));
                 }
@@ -79,7 +79,7 @@
             .collect()
     };
     let updates = ended.iter().map(async |(lot, revision, tombstone)| {
-        let store = &runner.parts.store;
+        let store = &runner.deps.store;
         let update = store.update(Purpose::Lots, LOT_KIND, lot, *revision, tombstone);
         match update.await {
             Ok(object) => {
@@ -104,7 +104,7 @@
 /// Deletes a lot with its results and checkpoints. The lot object goes last: without it, nothing
 /// would refer to the remaining objects. Returns the number of results and checkpoints deleted.
 async fn remove_lot(runner: &Runner, lot: &str) -> Result<usize, Error> {
-    let store = &runner.parts.store;
+    let store = &runner.deps.store;
     let mut count = 0;
     for kind in dependent_kinds(lot) {
         let (objects, _) = store.list(Purpose::Lots, &kind, None).await?;
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -103,12 +103,12 @@
             return;
         }
     };
-    let store = &runner.parts.store;
+    let store = &runner.deps.store;
     match store.create(Purpose::Lots, &kind, &name, &spec).await {
         Ok(object) => {
             let count = segment.samples.len();
             log::info!(id = lot, from, count, revision = object.revision; "results committed");
-            let metrics = &runner.parts.metrics;
+            let metrics = &runner.deps.metrics;
             metrics.count(&metrics.committed_results, &["own"]);
             runner.segment_committed(lot, from, segment.samples);
         }
@@ -127,7 +127,7 @@
 async fn load_segment(runner: &Rc<Runner>, lot: &str, from: usize) {
     let (kind, name) = (results_kind(lot), segment_name(from));
     let read = runner
-        .parts
+        .deps
         .store
         .read(Purpose::Lots, &kind, &name, Consistency::Linearizable);
     match read.await {
@@ -138,7 +138,7 @@
                     id = lot, from, count, revision = object.revision;
                     "existing segment applied"
                 );
-                let metrics = &runner.parts.metrics;
+                let metrics = &runner.deps.metrics;
                 metrics.count(&metrics.committed_results, &["found"]);
                 runner.segment_committed(lot, from, segment.samples);
             }
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -27,9 +27,9 @@
 impl Runner {
     /// Starts items while engines have free slots, and waits for changes, until dropped.
     pub(super) async fn dispatch(self: &Rc<Self>) {
-        let mut endpoints = self.parts.endpoints.changes();
+        let mut endpoints = self.deps.endpoints.changes();
         loop {
-            self.parts.stall.wait_for_catch_up().await;
+            self.deps.stall.wait_for_catch_up().await;
             self.sync_fleets();
             self.expire_items();
             self.requeue_deferred();
@@ -52,14 +52,14 @@
             .filter_map(|open| self.fleet_key(open))
             .collect();
         for key in keys {
-            let parts = &self.parts;
+            let deps = &self.deps;
             let count = demand::working_set_size(
-                &parts.config,
-                &parts.duties,
-                &parts.endpoints,
+                &deps.config,
+                &deps.duties,
+                &deps.endpoints,
                 &key.service,
             );
-            let source = (parts.endpoints.change_count(), count);
+            let source = (deps.endpoints.change_count(), count);
             if state.fleet_sources.insert(key.clone(), source) == Some(source) {
                 continue;
             }
@@ -73,7 +73,7 @@
                 version: entry.models.get(&key.model).copied(),
             };
             // Engines with runs stay in the fleet after they leave the working set.
-            let listings = parts
+            let listings = deps
                 .endpoints
                 .ranked(&key.service, count, fleet.busy_ids(), read);
             restarted |= fleet.update(listings);
@@ -86,7 +86,7 @@
 
     /// The lot's route in the current configuration; `None` if there is none for lots.
     fn route(&self, open: &OpenLot) -> Option<Route> {
-        let table = self.parts.config.table()?;
+        let table = self.deps.config.table()?;
         let route = table.route_for(&open.host, &open.path)?;
         (route.kind == RouteKind::Lot).then(|| route.clone())
     }
@@ -113,7 +113,7 @@
     /// Number of engines that have crashed under an item; `None` if it must not run any more.
     fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
         let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
-        match self.parts.crashes.status(identity) {
+        match self.deps.crashes.status(identity) {
             RequestStatus::Unrestricted => Some(0),
             RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
             RequestStatus::Blocked { .. } => None,
@@ -127,7 +127,7 @@
         open: &mut OpenLot,
         fleet: &mut Fleet,
     ) -> Option<(usize, EngineKey, usize)> {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let oldest_version = open.submission.min_version;
         if !fleet.has_free_slot(now, oldest_version) {
             return None;
@@ -189,7 +189,7 @@
                 address: engine.listing.address,
                 crashes,
             };
-            fleet.run_started(self.parts.clock.now(), key, crashes);
+            fleet.run_started(self.deps.clock.now(), key, crashes);
             let task = ItemTask {
                 caller: open.caller.clone(),
                 item_id: open.submission.items[index].id.clone(),
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -1,7 +1,7 @@
 //! The task of one item: runs it on an engine, scores its output and records the result.
 
 use super::{
-    runner::{Parts, Runner},
+    runner::{Dependencies, Runner},
     score,
     state::{FleetKey, ItemTask},
     stream::{Placement, RunEnd, RunError, item_identity, run_on_engine},
@@ -70,7 +70,7 @@
         RunEnd::Broken(_) => RunOutcome::Failed,
     };
     drop(running);
-    let metrics = &runner.parts.metrics;
+    let metrics = &runner.deps.metrics;
     metrics.count(&metrics.item_runs, &[end.as_str()]);
     log_run(task, placement, end, started, runner.resume_point(task).0);
     record_crash_evidence(runner, task, item, placement, end, started);
@@ -100,9 +100,9 @@
     end: RunEnd,
     started: Instant,
 ) {
-    let Parts {
+    let Dependencies {
         crashes, endpoints, ..
-    } = &runner.parts;
+    } = &runner.deps;
     let identity = || item_identity(&task.caller, &task.host, item);
     match end {
         // An engine that is leaving, or is not listed any more, stops by itself.
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -59,7 +59,7 @@
         if !is_new {
             return;
         }
-        let lot = match parse_lot(&self.parts.adapter, &object) {
+        let lot = match parse_lot(&self.deps.adapter, &object) {
             Ok(lot) => lot,
             Err(fault) => {
                 log::error!(id = id.as_str(), revision = object.revision; "{fault}");
@@ -84,7 +84,7 @@
         if schema::parse_tombstone(&object).is_some() {
             return;
         }
-        match Tombstone::of(&self.parts.adapter, &object) {
+        match Tombstone::of(&self.deps.adapter, &object) {
             Ok(tombstone) => {
                 let ended = EndedLot {
                     revision: object.revision,
@@ -156,7 +156,7 @@
             texts_reused = reused;
             "lot opened"
         );
-        let metrics = &self.parts.metrics;
+        let metrics = &self.deps.metrics;
         metrics.count(&metrics.lot_events, &["opened"]);
         let commit_wakeup = Rc::new(Notify::new());
         let commits =
@@ -221,10 +221,10 @@
         model: &CompactString,
         add: impl FnOnce(&mut DemandWindow, Time),
     ) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let window = state.demand_by_model.entry(model.clone()).or_default();
         add(window, now);
-        let duties = &self.parts.duties;
+        let duties = &self.deps.duties;
         duties.set_lot_demand(runner::duty_name(model), window.demand(now));
     }
 
@@ -234,7 +234,7 @@
         id: &CompactString,
         has_predecessor: bool,
     ) -> Result<(Vec<Object>, PartialOutputs), Error> {
-        let store = &self.parts.store;
+        let store = &self.deps.store;
         let (objects, _) = store.list(Purpose::Lots, &results_kind(id), None).await?;
         let outputs = if has_predecessor {
             checkpoint::read_all(self, id).await?
@@ -267,7 +267,7 @@
             }
         }
         drop(state);
-        let metrics = &self.parts.metrics;
+        let metrics = &self.deps.metrics;
         metrics.count(&metrics.lot_events, &[reason]);
         metrics.observe(&metrics.lot_seconds, reason, open.opened_at.elapsed());
         log::info!(
--- a/crates/pinereel/src/hosted/lots/mod.rs
+++ b/crates/pinereel/src/hosted/lots/mod.rs
@@ -18,5 +18,5 @@
 mod task_state;
 mod trainer_api;
 
-pub use runner::{Parts, Runner, duty_name};
+pub use runner::{Dependencies, Runner, duty_name};
 pub use trainer_api::{Reply, TrainerApi};
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -34,8 +34,8 @@
 };
 use tokio::sync::{Notify, watch};
 
-/// Services and settings that a runner uses.
-pub struct Parts {
+/// Dependencies of a [`Runner`].
+pub struct Dependencies {
     /// Adapter for the formats on the wire and in the store.
     pub adapter: Adapter,
     /// The object store.
@@ -66,7 +66,7 @@
 
 /// Runs the lots of all models whose lease this instance holds.
 pub struct Runner {
-    pub(super) parts: Parts,
+    pub(super) deps: Dependencies,
     pub(super) state: RefCell<State>,
     /// Notified when an item may have become startable.
     pub(super) wake: Notify,
@@ -80,9 +80,9 @@
 
 impl Runner {
     /// Starts to compete for the lease of each model in the configuration, and to run its lots.
-    pub fn start(parts: Parts) -> Rc<Self> {
+    pub fn start(deps: Dependencies) -> Rc<Self> {
         let runner = Rc::new(Self {
-            parts,
+            deps,
             state: RefCell::default(),
             wake: Notify::new(),
             scoring_limiter: Rc::default(),
@@ -148,13 +148,13 @@
             let runner = Rc::clone(&self);
             actix_rt::spawn(async move { runner.serve_model(&model).await });
         };
-        self.parts.config.for_each_new(engine_models, start).await;
+        self.deps.config.for_each_new(engine_models, start).await;
     }
 
     /// Runs a model's lots whenever this instance holds its lease.
     async fn serve_model(self: Rc<Self>, model: &CompactString) {
         let duty = duty_name(model);
-        let (runner, duties) = (&self, Rc::clone(&self.parts.duties));
+        let (runner, duties) = (&self, Rc::clone(&self.deps.duties));
         let work = async || runner.run_lots(model).await;
         let continues = || {
             // While draining, runs in progress finish and their results are still committed.
@@ -184,10 +184,10 @@
 
     /// Follows the lots in the store, dispatches their items and cleans up, until dropped.
     async fn run_lots(self: &Rc<Self>, model: &CompactString) {
-        self.parts.endpoints.subscribe_engines();
-        let store = self.parts.store.clone();
+        self.deps.endpoints.subscribe_engines();
+        let store = self.deps.store.clone();
         let options = || WatchOptions {
-            max_wait: self.parts.max_watch_wait,
+            max_wait: self.deps.max_watch_wait,
             batch_delay: Duration::ZERO,
         };
         let lots = list_and_watch(
--- a/crates/pinereel/src/hosted/lots/score.rs
+++ b/crates/pinereel/src/hosted/lots/score.rs
@@ -70,7 +70,7 @@
         };
         // A scoring that crashes endpoints waits here until its item expires.
         if runner
-            .parts
+            .deps
             .crashes
             .wait_while_blocked(|| call.identity())
             .await
@@ -80,7 +80,7 @@
         let max_attempts = call.route.max_attempts;
         let max_permits = scoring_slots(runner, &call) / SLOTS_PER_SCORING;
         let permit = runner.scoring_limiter.acquire(max_permits).await;
-        let outcome = runner.parts.proxy.run(call).await;
+        let outcome = runner.deps.proxy.run(call).await;
         drop(permit);
         let failure = match outcome {
             Outcome::Answer(answer) if answer.status.is_success() => return answer.signature,
@@ -99,12 +99,12 @@
 /// Number of slots of the services that the scoring may be routed to.
 fn scoring_slots(runner: &Runner, call: &ProxyRequest) -> u32 {
     let targets = call.route.targets.iter();
-    let slots = targets.map(|target| runner.parts.endpoints.available_slots(&target.service));
+    let slots = targets.map(|target| runner.deps.endpoints.available_slots(&target.service));
     u32::try_from(slots.sum::<u64>()).unwrap_or(u32::MAX)
 }
 
 fn scoring_call(runner: &Runner, task: &ItemTask, scorer: &Scorer) -> Option<ProxyRequest> {
-    let table = runner.parts.config.table()?;
+    let table = runner.deps.config.table()?;
     let path = scorer.path.split('?').next().unwrap_or_default();
     let route = table.route_for(&scorer.host, path)?.clone();
     let mut headers = HeaderMap::new();
@@ -112,7 +112,7 @@
     Some(ProxyRequest {
         id: scorer.id.clone(),
         config_number: table.number(),
-        config_age: runner.parts.config.age().unwrap_or_default(),
+        config_age: runner.deps.config.age().unwrap_or_default(),
         deadline: Instant::now() + route.timeout,
         route,
         caller: table.internal_caller(),
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -130,7 +130,7 @@
     let RunEnd::Broken(RunError::Lost | RunError::Stale | RunError::Cut) = end else {
         return end;
     };
-    if runner.parts.pool.is_gone(placement.address).await {
+    if runner.deps.pool.is_gone(placement.address).await {
         return RunEnd::Broken(RunError::Crashed);
     }
     match end {
@@ -155,13 +155,13 @@
         // A run may be repeated, so a reused connection that turns out to be closed does no harm.
         reuse: true,
     };
-    let response = match timeout(RESPONSE_TIMEOUT, runner.parts.pool.send(exchange)).await {
+    let response = match timeout(RESPONSE_TIMEOUT, runner.deps.pool.send(exchange)).await {
         Ok(Ok(response)) => response,
         Ok(Err(Error::Stale(_))) => return RunEnd::Broken(RunError::Stale),
         Ok(Err(Error::Lost(_))) => return RunEnd::Broken(RunError::Lost),
         Ok(Err(Error::NotOpened(_))) | Err(_) => return RunEnd::Broken(RunError::NoAnswer),
     };
-    let answer = (runner.parts.adapter.headers.decode_response)(response.status, &response.headers);
+    let answer = (runner.deps.adapter.headers.decode_response)(response.status, &response.headers);
     if answer.not_executed {
         let _ = timeout(RESPONSE_TIMEOUT, response.body.read_all()).await;
         return RunEnd::Refused;
@@ -209,7 +209,7 @@
         last_event_id: after_event,
         caller: &task.caller,
     };
-    (runner.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
+    (runner.deps.adapter.headers.encode_attempt)(&mut head.headers, attempt);
     head
 }
 
@@ -290,7 +290,7 @@
     /// Validates an event and appends it to the partial output. Returns how the run ends if this
     /// event ends it.
     fn accept_event(&mut self, text: &str, interval: Option<Duration>) -> Option<RunEnd> {
-        let event = match (self.runner.parts.adapter.lot.decode_event)(text) {
+        let event = match (self.runner.deps.adapter.lot.decode_event)(text) {
             Ok(event) => event,
             Err(fault) => {
                 let (id, endpoint) = (
--- a/crates/pinereel/src/hosted/lots/task_state.rs
+++ b/crates/pinereel/src/hosted/lots/task_state.rs
@@ -74,7 +74,7 @@
         key: EngineKey,
         interval: Option<Duration>,
     ) -> bool {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let Some(fleet) = state.fleets.get_mut(&task.fleet) else {
@@ -129,7 +129,7 @@
 
     /// Records the end of a run for the health and load of its engine.
     pub(super) fn run_ended(&self, fleet: &FleetKey, key: EngineKey, outcome: RunOutcome) {
-        let now = self.parts.clock.now();
+        let now = self.deps.clock.now();
         let mut state = self.state.borrow_mut();
         if let Some(fleet) = state.fleets.get_mut(fleet) {
             fleet.run_ended(now, key, outcome);
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -5,7 +5,7 @@
 //! replaced or disconnected. One instance reads the store and publishes the changes to the others over
 //! the broadcast tree (`tree`); an instance without a link to the tree reads the store itself.
 //!
-//! Each part has its own state and uses only the parts that it is given:
+//! Each module has its own state and uses only what its `Dependencies` hold:
 //!
 //! ```text
 //! Store ─ list_and_watch ─ Config, Endpoints ─ Proxy ─ TrainerApi, Runner, Orders ─ Frontend (callers)
--- a/crates/pinereel/src/hosted/orders/assignment.rs
+++ b/crates/pinereel/src/hosted/orders/assignment.rs
@@ -51,8 +51,8 @@
     /// Updates the assignment of a service if the endpoint list has changed or a check of the demand is
     /// due.
     pub(super) fn update_assignment(&self, service: &CompactString) {
-        let parts = &self.parts;
-        let (now, change) = (parts.duties.now(), parts.endpoints.change_count());
+        let deps = &self.deps;
+        let (now, change) = (deps.duties.now(), deps.endpoints.change_count());
         let mut assignments = self.assignments.borrow_mut();
         let assignment = assignments.entry(service.clone()).or_default();
         let list_changed = assignment.checked_change != Some(change);
@@ -61,11 +61,11 @@
         }
         assignment.checked_at = now;
         assignment.checked_change = Some(change);
-        assignment.listed_count = parts.endpoints.available_count(service);
-        let demands = demand::model_demands(&parts.config, &parts.duties, service);
-        let slots = demand::slots_per_engine(&parts.config, service);
+        assignment.listed_count = deps.endpoints.available_count(service);
+        let demands = demand::model_demands(&deps.config, &deps.duties, service);
+        let slots = demand::slots_per_engine(&deps.config, service);
         let count = working_set_size(assignment.listed_count, slots, &demands);
-        let engines = parts
+        let engines = deps
             .endpoints
             .ranked(service, count, [], |entry| entry.id.clone());
         let reassign = should_reassign(engines.len(), &assignment.demands, &demands);
--- a/crates/pinereel/src/hosted/orders/engine_call.rs
+++ b/crates/pinereel/src/hosted/orders/engine_call.rs
@@ -64,7 +64,7 @@
             last_event_id: None,
             caller: &Caller::Anonymous,
         };
-        (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
+        (self.deps.adapter.headers.encode_attempt)(&mut head.headers, attempt);
         let exchange = PooledRequest {
             address: entry.address,
             head,
@@ -72,7 +72,7 @@
             reuse: true,
         };
         let exchange = async {
-            let response = self.parts.pool.send(exchange).await;
+            let response = self.deps.pool.send(exchange).await;
             let response = response.map_err(|error| match error {
                 Error::NotOpened(_) => NoAnswer::NotOpened,
                 Error::Lost(_) | Error::Stale(_) => NoAnswer::Lost,
@@ -87,7 +87,7 @@
     }
 
     pub(super) async fn read_status_report(&self, entry: &Entry) -> Result<StatusReport, NoAnswer> {
-        let engine = self.parts.adapter.engine;
+        let engine = self.deps.adapter.engine;
         let answer = self.call_engine(entry, Method::GET, engine.status_report_path, Bytes::new());
         let (status, body) = answer.await?;
         if status != StatusCode::OK {
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -57,8 +57,8 @@
 /// 0.7 s.
 const DEMAND_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What [`Orders`] needs from the other parts of the instance.
-pub struct Parts {
+/// Dependencies of [`Orders`].
+pub struct Dependencies {
     /// Message formats of the platform and the engines.
     pub adapter: Adapter,
     /// The object store.
@@ -83,7 +83,7 @@
 
 /// Sends the orders of all services whose lease this instance holds.
 pub struct Orders {
-    parts: Parts,
+    deps: Dependencies,
     /// Newest published weight version, by model.
     published_versions: RefCell<BTreeMap<CompactString, u64>>,
     /// Time of the last order or request of this instance, by service.
@@ -97,9 +97,9 @@
 
 impl Orders {
     /// Registers for the lease of each service of engines, now and when the configuration adds one.
-    pub fn start(parts: Parts) -> Rc<Self> {
+    pub fn start(deps: Dependencies) -> Rc<Self> {
         let orders = Rc::new(Self {
-            parts,
+            deps,
             published_versions: RefCell::default(),
             last_order_times: RefCell::default(),
             cooled_down_fences: RefCell::default(),
@@ -115,7 +115,7 @@
             let orders = Rc::clone(&self);
             actix_rt::spawn(async move { orders.run_service(&service).await });
         };
-        self.parts.config.for_each_new(engine_services, start).await;
+        self.deps.config.for_each_new(engine_services, start).await;
     }
 
     /// The time from which orders may be sent under a lease.
@@ -129,12 +129,12 @@
 
     /// Minimum time between the last order of one holder and the first order of the next.
     fn min_gap(&self) -> Duration {
-        self.parts.settings.gap + MAX_DELIVERY_TIME
+        self.deps.settings.gap + MAX_DELIVERY_TIME
     }
 
     /// Records that an order is about to be sent: the gap before the next holder's orders starts now.
     fn note_order(&self, service: &CompactString) {
-        let now = self.parts.duties.now();
+        let now = self.deps.duties.now();
         self.last_order_times
             .borrow_mut()
             .insert(service.clone(), now);
@@ -147,7 +147,7 @@
     }
 
     fn models_of(&self, service: &str) -> Vec<CompactString> {
-        let table = self.parts.config.table();
+        let table = self.deps.config.table();
         let engine = table.and_then(|table| table.service(service)?.engine.clone());
         engine.map(|engine| engine.models).unwrap_or_default()
     }
@@ -155,7 +155,7 @@
     /// Sends the orders of a service whenever this instance holds its lease.
     async fn run_service(self: Rc<Self>, service: &CompactString) {
         let duty = format_compact!("orders-{service}");
-        let (orders, duties) = (&self, Rc::clone(&self.parts.duties));
+        let (orders, duties) = (&self, Rc::clone(&self.deps.duties));
         let control = async || orders.control_service(service, &duty).await;
         duties.set_max_acting_time(&duty, MAX_ACTING_TIME);
         // The known status of the engines is kept while a renewal is late: the lease is checked again
@@ -166,11 +166,11 @@
     /// Runs the work of the lease holder of a service, until dropped: the rollouts of its models, the
     /// requests for endpoints, and the answers to retirement requests.
     async fn control_service(self: &Rc<Self>, service: &CompactString, duty: &CompactString) {
-        self.parts.endpoints.subscribe_engines();
-        let store = self.parts.store.clone();
+        self.deps.endpoints.subscribe_engines();
+        let store = self.deps.store.clone();
         let (kind, watch_time) = (
-            self.parts.adapter.object_kinds.versions,
-            self.parts.max_watch_time,
+            self.deps.adapter.object_kinds.versions,
+            self.deps.max_watch_time,
         );
         let watch_options = || WatchOptions {
             max_wait: watch_time,
@@ -197,8 +197,8 @@
             Rc::new(rollout).run()
         });
         // One instance suffices to answer retirement requests, so the lease holder does it.
-        let retirements = retirement::answer_requests(&store, self.parts.adapter, watch_time);
-        let scaler = self.parts.platform_address.map(|address| {
+        let retirements = retirement::answer_requests(&store, self.deps.adapter, watch_time);
+        let scaler = self.deps.platform_address.map(|address| {
             let scaler = ServiceScaler {
                 orders: Rc::clone(self),
                 service: service.clone(),
@@ -217,7 +217,7 @@
 
     fn controller_settings(&self) -> Settings {
         Settings {
-            max_loads: self.parts.settings.loads,
+            max_loads: self.deps.settings.loads,
             initial_load_time: INITIAL_LOAD_TIME,
             load_timeout: LOAD_TIMEOUT,
             answer_timeout: ANSWER_TIMEOUT + TICK_INTERVAL,
@@ -234,7 +234,7 @@
             Update::Changes(changes) => changes.into_iter().map(|c| c.object).collect(),
         };
         for object in objects {
-            match (self.parts.adapter.decode_named_version)(&object.spec) {
+            match (self.deps.adapter.decode_named_version)(&object.spec) {
                 Ok((model, version)) => {
                     let revision = object.revision;
                     log::info!(model = model.as_str(), version, revision; "version named");
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -55,11 +55,11 @@
     }
 
     fn held_lease(&self) -> Option<HeldLease> {
-        self.orders.parts.duties.held_lease(&self.duty)
+        self.orders.deps.duties.held_lease(&self.duty)
     }
 
     fn now(&self) -> Time {
-        self.orders.parts.duties.now()
+        self.orders.deps.duties.now()
     }
 
     /// The lease, if the gap after the last possible order of the previous holder has passed.
@@ -88,7 +88,7 @@
             .copied();
         let others = last.map_or(own, |last| own.max(last + self.orders.min_gap()));
         self.orders
-            .parts
+            .deps
             .duties
             .set_cooldown_ends(&self.duty, own, others);
     }
@@ -111,7 +111,7 @@
             return;
         };
         let assigned = assignment.engines_of(&self.model);
-        let min_loads = self.orders.parts.settings.loads;
+        let min_loads = self.orders.deps.settings.loads;
         let limit = max_loads(
             assignment.listed_count,
             assignment.engine_count(),
@@ -119,7 +119,7 @@
             min_loads,
         );
         self.controller.borrow_mut().set_max_loads(limit);
-        let change = self.orders.parts.endpoints.change_count();
+        let change = self.orders.deps.endpoints.change_count();
         if snapshot.change == Some(change) && snapshot.assigned == assigned {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     fn entry(&self, name: &str) -> Option<Entry> {
-        self.orders.parts.endpoints.entry(name)
+        self.orders.deps.endpoints.entry(name)
     }
 
     async fn read_status(self: Rc<Self>, name: CompactString) {
@@ -271,14 +271,14 @@
         fence: u64,
     ) -> Result<Event, NoAnswer> {
         let entry = self.entry(name).ok_or(NoAnswer::Lost)?;
-        let engine = self.orders.parts.adapter.engine;
+        let engine = self.orders.deps.adapter.engine;
         let before = self.orders.read_status_report(&entry).await?;
         let needs_single_version = self.needs_single_version();
         let body = (engine.encode_load_request)(LoadRequest {
             model: &self.model,
             version: version.0,
             finish_running_first: needs_single_version,
-            lease_holder: self.orders.parts.duties.instance(),
+            lease_holder: self.orders.deps.duties.instance(),
             fencing_token: fence,
             expected_accepted_loads: before.accepted_loads,
         });
@@ -302,7 +302,7 @@
             outcome:? = outcome;
             "order given"
         );
-        let metrics = &self.orders.parts.metrics;
+        let metrics = &self.orders.deps.metrics;
         metrics.count(
             &metrics.orders,
             &[outcome.map_or("no answer", LoadOutcome::as_str)],
@@ -336,7 +336,7 @@
 
     /// Whether a route to the service needs each sample from a single version.
     fn needs_single_version(&self) -> bool {
-        let Some(table) = self.orders.parts.config.table() else {
+        let Some(table) = self.orders.deps.config.table() else {
             return false;
         };
         let mut routes = table.document().routes.iter();
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -31,7 +31,7 @@
         loop {
             sleep(CHECK_INTERVAL).await;
             let Some(lease) = self.lease() else { continue };
-            let table = self.orders.parts.config.table();
+            let table = self.orders.deps.config.table();
             let service = table.and_then(|table| table.service(&self.service).cloned());
             let Some((service, scale)) = service.and_then(with_scale) else {
                 continue;
@@ -42,12 +42,12 @@
                 startup_time: scale.startup_time,
                 use_spot: scale.spot_price.is_some(),
             };
-            let now = self.orders.parts.duties.now();
+            let now = self.orders.deps.duties.now();
             for request in autoscaler.due_requests(now, settings, shortage, &zones) {
                 let succeeded = self
                     .send_request(&lease, &request, (shortage, &zones))
                     .await;
-                let now = self.orders.parts.duties.now();
+                let now = self.orders.deps.duties.now();
                 autoscaler.note_result(now, &request.zone, succeeded);
             }
         }
@@ -55,7 +55,7 @@
 
     /// The lease, if a request may be sent under it now.
     fn lease(&self) -> Option<HeldLease> {
-        let duties = &self.orders.parts.duties;
+        let duties = &self.orders.deps.duties;
         let lease = duties.held_lease(&self.duty)?;
         let may_order_from = self.orders.may_order_from(&self.service, &lease);
         (duties.now() >= may_order_from).then_some(lease)
@@ -66,7 +66,7 @@
         let Some(engine) = &service.engine else {
             return 0;
         };
-        let duties = &self.orders.parts.duties;
+        let duties = &self.orders.deps.duties;
         let unplaced = |model| duties.lot_demand(&lots::duty_name(model)).unplaced_items;
         let items = engine.models.iter().map(|model| unplaced(model));
         let endpoint_count = items.sum::<u64>().div_ceil(u64::from(engine.slots.max(1)));
@@ -78,7 +78,7 @@
         for (name, price) in &scale.zone_prices {
             zones.entry(name.clone()).or_default().price = *price;
         }
-        for entry in self.orders.parts.endpoints.of_service(&self.service) {
+        for entry in self.orders.deps.endpoints.of_service(&self.service) {
             let zone = zones.entry(entry.zone).or_default();
             match (entry.draining, entry.spot) {
                 (true, _) => {}
@@ -95,9 +95,9 @@
         request: &Request,
         (shortage, zones): (u32, &BTreeMap<CompactString, Zone>),
     ) -> bool {
-        let parts = &self.orders.parts;
+        let deps = &self.orders.deps;
         let holder = LeaseHolder {
-            instance: parts.duties.instance(),
+            instance: deps.duties.instance(),
             fencing_token: lease.fence,
         };
         let target = ScaleTarget {
@@ -111,9 +111,9 @@
             return false;
         }
         self.orders.note_order(&self.service);
-        let call = (parts.adapter.leader.set_endpoint_count)(holder, target);
-        let status = platform::call(&parts.pool, self.address, call).await;
-        let outcome = status.map(parts.adapter.leader.outcome);
+        let call = (deps.adapter.leader.set_endpoint_count)(holder, target);
+        let status = platform::call(&deps.pool, self.address, call).await;
+        let outcome = status.map(deps.adapter.leader.outcome);
         let listed = zones.get(&request.zone).copied().unwrap_or_default();
         log::info!(
             service = self.service.as_str(),
@@ -128,9 +128,9 @@
             "endpoints ordered"
         );
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
-        parts
+        deps
             .metrics
-            .count(&parts.metrics.platform_calls, &["size", &label]);
+            .count(&deps.metrics.platform_calls, &["size", &label]);
         outcome == Some(Outcome::Done)
     }
 }
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -42,7 +42,7 @@
         let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         Box::pin(async move {
             let started = Instant::now();
-            let guard = InFlightGuard::new(&proxy.parts.endpoints, selected.key, started);
+            let guard = InFlightGuard::new(&proxy.deps.endpoints, selected.key, started);
             let wait = request.deadline.saturating_duration_since(started);
             let exchange = proxy.exchange(&request, &selected, wait);
             let result = timeout(wait, exchange).await;
@@ -78,7 +78,7 @@
                 body: request.body.clone(),
                 reuse,
             };
-            match self.parts.pool.send(exchange).await {
+            match self.deps.pool.send(exchange).await {
                 Ok(response) => {
                     let classified = self.classify_response(request, selected, response).await;
                     return match classified {
@@ -106,7 +106,7 @@
     /// Tells a crash of the endpoint from a lost connection: an endpoint that still accepts
     /// connections has not crashed.
     async fn loss_cause(&self, selected: &SelectedEndpoint) -> Failure {
-        match self.parts.pool.is_gone(selected.address).await {
+        match self.deps.pool.is_gone(selected.address).await {
             true => Failure::Crashed,
             false => Failure::Lost,
         }
@@ -133,7 +133,7 @@
                 last_event_id: None,
                 caller: &request.caller,
             };
-            (self.parts.adapter.headers.encode_attempt)(&mut head.headers, attempt);
+            (self.deps.adapter.headers.encode_attempt)(&mut head.headers, attempt);
             head
         }
     }
@@ -147,9 +147,9 @@
         response: Response,
     ) -> Result<Answer, Failure> {
         let parsed =
-            (self.parts.adapter.headers.decode_response)(response.status, &response.headers);
+            (self.deps.adapter.headers.decode_response)(response.status, &response.headers);
         if let Some(load) = parsed.load {
-            self.parts.endpoints.record_load(selected.key, load);
+            self.deps.endpoints.record_load(selected.key, load);
         }
         let foreign = parsed.id.as_ref().is_some_and(|id| *id != request.id);
         if foreign || parsed.content_encoded {
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -45,7 +45,7 @@
 const LOSER_GRACE_PERIOD: Duration = Duration::from_millis(400);
 
 /// Dependencies of a [`Proxy`].
-pub struct Parts {
+pub struct Dependencies {
     /// Translates between the platform's protocol and the types of this process.
     pub adapter: Adapter,
     /// The endpoint list.
@@ -64,7 +64,7 @@
 
 /// Forwards requests to endpoints.
 pub struct Proxy {
-    parts: Parts,
+    deps: Dependencies,
     /// Sequence number of the next request. It is part of the seed, so that requests with the same
     /// id are routed independently.
     next_number: Cell<u64>,
@@ -88,9 +88,9 @@
 
 impl Proxy {
     /// Returns a proxy in its initial state.
-    pub fn new(parts: Parts) -> Rc<Self> {
+    pub fn new(deps: Dependencies) -> Rc<Self> {
         Rc::new(Self {
-            parts,
+            deps,
             next_number: Cell::new(0),
         })
     }
@@ -101,8 +101,8 @@
         let started = Instant::now();
         let seed = self.next_seed(&request);
         let request = Rc::new(request);
-        let list_age = self.parts.endpoints.age().unwrap_or_default();
-        let mut crash_changes = self.parts.crashes.changes();
+        let list_age = self.deps.endpoints.age().unwrap_or_default();
+        let mut crash_changes = self.deps.crashes.changes();
         let Some(service) = routing_table::pick_service(&request.route, seed) else {
             return self.refuse(&request, "", ("no service", RETRY_AFTER), started);
         };
@@ -121,12 +121,12 @@
             // Checked before each attempt: a retry after a crash reaches the next endpoint within 1
             // ms, and a hedge reaches a second one at the same time. Without the check one request
             // that was sent repeatedly crashed five endpoints 20 times within 8 s.
-            let status = self.parts.crashes.status(|| request.identity());
+            let status = self.deps.crashes.status(|| request.identity());
             match status {
                 RequestStatus::Unrestricted => {}
                 RequestStatus::Suspected { .. } => state.attempts.disable_hedging(),
                 RequestStatus::Blocked { forgotten_in, .. } => {
-                    self.parts.crashes.count_event("refusal");
+                    self.deps.crashes.count_event("refusal");
                     log_blocked(&request, status);
                     break blocked_outcome(&state.attempts, forgotten_in);
                 }
@@ -184,14 +184,14 @@
         if matches!(outcome, Outcome::NotRun { .. })
             && let Some(usage_record) = state.usage_record
         {
-            self.parts.usage.retract(usage_record);
+            self.deps.usage.retract(usage_record);
         }
         let in_flight = state.in_flight;
         if !in_flight.is_empty() && matches!(outcome, Outcome::Answer(_)) {
             self.drain_losers(&request, in_flight);
         }
         self.count_outcome(service, &outcome, started);
-        let metrics = &self.parts.metrics;
+        let metrics = &self.deps.metrics;
         metrics.observe(&metrics.input_ages, "config", request.config_age);
         metrics.observe(&metrics.input_ages, "endpoints", list_age);
         log_request(&request, &outcome, started, list_age, &attempt_log);
@@ -205,7 +205,7 @@
         state: &mut RequestState<'_>,
         status: RequestStatus,
     ) -> Option<(&'static str, Duration)> {
-        self.parts.stall.wait_for_catch_up().await;
+        self.deps.stall.wait_for_catch_up().await;
         let next = match status {
             RequestStatus::Suspected { .. } => self.select_for_suspected(state, status).await,
             RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.select(state),
@@ -213,9 +213,9 @@
         match next {
             Selection::Endpoint(selected) => {
                 let suspected = matches!(status, RequestStatus::Suspected { .. });
-                let occupancy = suspected.then(|| self.parts.crashes.occupy(&selected.start));
+                let occupancy = suspected.then(|| self.deps.crashes.occupy(&selected.start));
                 if state.used_endpoints.is_empty() {
-                    state.usage_record = self.parts.usage.count(&state.request.caller);
+                    state.usage_record = self.deps.usage.count(&state.request.caller);
                 }
                 state.used_endpoints.push(selected.key);
                 state.attempts.record_send(state.started.elapsed());
@@ -246,7 +246,7 @@
     fn select(&self, state: &RequestState<'_>) -> Selection {
         let repeatable = state.request.route.kind == RouteKind::Idempotent;
         let choose = |excluded: &[Key]| {
-            let endpoints = &self.parts.endpoints;
+            let endpoints = &self.deps.endpoints;
             endpoints.choose(state.service, excluded, repeatable, state.seed)
         };
         let reserved = self.reserved_endpoints(state.service);
@@ -261,9 +261,9 @@
 
     /// Endpoints of a service that are reserved for isolated requests now.
     fn reserved_endpoints(&self, service: &str) -> Vec<Key> {
-        let Parts {
+        let Dependencies {
             crashes, endpoints, ..
-        } = &self.parts;
+        } = &self.deps;
         let starts = || {
             let open = endpoints.open(service);
             open.into_iter().map(|(_, start)| start).collect()
@@ -290,7 +290,7 @@
                 timed_out: false, ..
             } => "unknown",
         };
-        let metrics = &self.parts.metrics;
+        let metrics = &self.deps.metrics;
         metrics.count(&metrics.requests, &[service, label]);
         metrics.observe(&metrics.request_seconds, service, started.elapsed());
     }
@@ -312,10 +312,10 @@
             reason: reason.into(),
             retry_after,
         };
-        let list_age = self.parts.endpoints.age().unwrap_or_default();
-        self.parts
+        let list_age = self.deps.endpoints.age().unwrap_or_default();
+        self.deps
             .metrics
-            .count(&self.parts.metrics.refusals, &[reason]);
+            .count(&self.deps.metrics.refusals, &[reason]);
         self.count_outcome(service, &outcome, started);
         log_request(request, &outcome, started, list_age, &[]);
         outcome
@@ -348,12 +348,12 @@
             Ok(answer) => status_class(answer.status),
             Err(failure) => failure.as_str(),
         };
-        let Parts {
+        let Dependencies {
             metrics,
             endpoints,
             crashes,
             ..
-        } = &self.parts;
+        } = &self.deps;
         metrics.count(&metrics.attempts, &[result]);
         let selected = &attempt.selected;
         match &attempt.result {
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -41,10 +41,10 @@
         let RequestState {
             request, started, ..
         } = state;
-        let endpoints = &self.parts.endpoints;
+        let endpoints = &self.deps.endpoints;
         let open = endpoints.open(state.service);
         let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
-        match self.parts.crashes.place(&request.identity(), &starts) {
+        match self.deps.crashes.place(&request.identity(), &starts) {
             Placement::Endpoint(chosen) => {
                 let key = open.iter().find(|(_, start)| *start == chosen);
                 let key = key.map(|(key, _)| *key);
--- a/crates/pinereel/src/hosted/readiness.rs
+++ b/crates/pinereel/src/hosted/readiness.rs
@@ -10,7 +10,7 @@
 /// then go to an instance that can accept lots and has the newest configuration.
 const MAX_STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// The parts of the instance that decide whether it is ready.
+/// The components of the instance that decide whether it is ready.
 pub struct Readiness {
     /// The object store, with the time since which it is unreachable.
     pub store: Store,
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -1,5 +1,5 @@
-//! Startup and shutdown of the process: creates the parts of an instance, connects them, and stops them
-//! in order.
+//! Startup and shutdown of the process: creates the components of an instance, connects them, and
+//! stops them in order.
 
 use super::{
     config::Config,
@@ -182,7 +182,7 @@
         let usage = Meter::start(usage_settings.as_ref(), duties.id(), boot_time);
         let mut tree_node = None;
         if let Some(peers) = instance.peers {
-            let parts = tree::Parts {
+            let deps = tree::Dependencies {
                 store: store.clone(),
                 adapter,
                 duties: Rc::clone(&duties),
@@ -198,12 +198,12 @@
                     preferred: duties.is_preferred(),
                 },
             };
-            tree_node = Some(Node::start(parts, listen(peers).await?));
+            tree_node = Some(Node::start(deps, listen(peers).await?));
         }
         let pool = Rc::new(Pool::default());
         let lease_duties = Rc::clone(&duties);
         let holds_leases = move || lease_duties.held_count() > 0;
-        let parts = endpoints::Parts {
+        let deps = endpoints::Dependencies {
             adapter,
             store: store.clone(),
             feed,
@@ -211,9 +211,9 @@
             metrics: metrics.clone(),
             clock,
         };
-        let endpoints = Endpoints::start(parts, instance, &settings.store, holds_leases);
+        let endpoints = Endpoints::start(deps, instance, &settings.store, holds_leases);
         let stall = StallDetector::start(boot_time);
-        let proxy = Proxy::new(proxy::Parts {
+        let proxy = Proxy::new(proxy::Dependencies {
             adapter,
             endpoints: Rc::clone(&endpoints),
             pool: Rc::clone(&pool),
@@ -223,7 +223,7 @@
             metrics: metrics.clone(),
         });
         if let (Some(platform), Some(usage_settings)) = (platform, usage_settings) {
-            let parts = usage::Parts {
+            let deps = usage::Dependencies {
                 adapter,
                 store: store.clone(),
                 duties: Rc::clone(&duties),
@@ -234,9 +234,9 @@
                 gap: settings.orders.gap,
                 usage,
             };
-            actix_rt::spawn(usage::report(parts));
+            actix_rt::spawn(usage::report(deps));
         }
-        let runner = Runner::start(lots::Parts {
+        let runner = Runner::start(lots::Dependencies {
             adapter,
             store: store.clone(),
             config: Rc::clone(&config),
@@ -251,7 +251,7 @@
             max_watch_wait: watch,
             retention: settings.lots.kept,
         });
-        Orders::start(orders::Parts {
+        Orders::start(orders::Dependencies {
             adapter,
             store: store.clone(),
             config: Rc::clone(&config),
--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -123,7 +123,7 @@
             Some(Frame::SubtreeSize(size)) => self.state.borrow_mut().children.set_size(key, size),
             Some(Frame::Subscribe { topic, revision }) => self.on_subscribe(key, topic, revision),
             Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
-            Some(Frame::Usage(reports)) => self.parts.usage.merge(reports),
+            Some(Frame::Usage(reports)) => self.deps.usage.merge(reports),
             _ => {}
         }
     }
--- a/crates/pinereel/src/hosted/tree/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -32,7 +32,7 @@
 
 pub use feed::{Feed, FeedEvent};
 pub use frame::{Frame, Hello, Topic};
-pub use node::{Node, Parts};
+pub use node::{Dependencies, Node};
 
 use std::time::Duration;
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -26,8 +26,8 @@
     time::sleep,
 };
 
-/// What a [`Node`] works with.
-pub struct Parts {
+/// Dependencies of a [`Node`].
+pub struct Dependencies {
     /// The object store.
     pub store: Store,
     /// Names and parses the objects of the platform.
@@ -52,7 +52,7 @@
 
 /// This instance as a node of the broadcast tree.
 pub struct Node {
-    pub(super) parts: Parts,
+    pub(super) deps: Dependencies,
     pub(super) state: RefCell<State>,
     pub(super) uplink: RefCell<Uplink>,
     /// Whether this instance is shutting down and accepts no children any more.
@@ -88,10 +88,10 @@
 
 impl Node {
     /// Joins the tree and spawns the tasks of the node. Children connect to `listener`.
-    pub fn start(parts: Parts, listener: TcpListener) -> Rc<Self> {
-        let own_address = parts.peer.address.clone();
+    pub fn start(deps: Dependencies, listener: TcpListener) -> Rc<Self> {
+        let own_address = deps.peer.address.clone();
         let node = Rc::new(Self {
-            parts,
+            deps,
             state: RefCell::default(),
             uplink: RefCell::new(Uplink::new(own_address)),
             shutting_down: watch::channel(false).0,
@@ -107,7 +107,7 @@
         actix_rt::spawn(async move { usage_task.send_usage_reports().await });
         let engines_task = Rc::clone(&node);
         actix_rt::spawn(async move {
-            engines_task.parts.feed.until_subscribed_to_engines().await;
+            engines_task.deps.feed.until_subscribed_to_engines().await;
             engines_task.subscribe(Topic::Engines);
             engines_task.publish_missing();
         });
@@ -134,14 +134,14 @@
     }
 
     pub(super) fn now(&self) -> Time {
-        self.parts.duties.now()
+        self.deps.duties.now()
     }
 
     /// What this instance knows about the store from its own calls. There is no age before every topic has
     /// been listed.
     pub(super) fn store_status(&self) -> StoreStatus {
         let listed = self.state.borrow().listed.len() == Topic::ALL.len();
-        let store = &self.parts.store;
+        let store = &self.deps.store;
         let answered_ago = store.last_answer_ago();
         StoreStatus {
             age: answered_ago.filter(|_| listed),
@@ -176,7 +176,7 @@
     /// Half of the time that the bound on a change leaves beyond the usual age of the data. The other half
     /// is for finding another parent.
     fn slack(&self) -> Duration {
-        self.parts
+        self.deps
             .max_propagation_time
             .saturating_sub(MAX_AGE + MAX_AGE_PER_LEVEL)
             / 2
@@ -230,14 +230,14 @@
 
     /// Sends a heartbeat with the ranks of its subtree to each child, and publishes the own rank.
     pub(super) fn send_heartbeat(&self) {
-        let preferred = self.parts.peer.preferred;
+        let preferred = self.deps.peer.preferred;
         let ranks = self.update_ranks();
         if let Some(ranks) = ranks {
-            self.parts.feed.publish_rank(ranks.rank(preferred));
+            self.deps.feed.publish_rank(ranks.rank(preferred));
         }
         let ranks = ranks.unwrap_or_default();
         if self.uplink.borrow().reads_store() {
-            self.parts
+            self.deps
                 .feed
                 .set_store_uptime(self.store_status().store_uptime);
         }
@@ -282,14 +282,14 @@
     /// Addresses of the children that take over if this root fails.
     fn standbys(&self) -> Vec<CompactString> {
         let state = self.state.borrow();
-        state.children.standbys(&self.parts.peer.zone)
+        state.children.standbys(&self.deps.peer.zone)
     }
 
     /// The ranks of this instance and all below it, with the number of instances passed to `usage`; `None`
     /// without data.
     fn update_ranks(&self) -> Option<RankRange> {
         let ranks = self.ranks()?;
-        self.parts
+        self.deps
             .usage
             .observe_instance_count(ranks.total.count() as usize);
         Some(ranks)
@@ -300,7 +300,7 @@
         if !uplink.reads_store() {
             return uplink.ranks();
         }
-        let preferred = self.parts.peer.preferred;
+        let preferred = self.deps.peer.preferred;
         Some(RankRange {
             total: self.state.borrow().children.subtree_size(preferred),
             ..RankRange::default()
@@ -309,7 +309,7 @@
 
     /// Addresses to try for a parent, in this order.
     pub(super) fn link_targets(&self) -> Vec<CompactString> {
-        let holder = self.parts.duties.holder_address(super::ROOT_DUTY);
+        let holder = self.deps.duties.holder_address(super::ROOT_DUTY);
         self.uplink.borrow().link_targets(holder)
     }
 }
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -60,7 +60,7 @@
 impl Node {
     /// Searches in rounds until a parent is found.
     pub(super) async fn search(&self, requirement: Requirement) -> ParentLink {
-        let mut lease_updates = self.parts.duties.subscribe_polls();
+        let mut lease_updates = self.deps.duties.subscribe_polls();
         let mut rounds = 0;
         loop {
             lease_updates.mark_unchanged();
@@ -154,7 +154,7 @@
                 .await
                 .ok()?;
         let hello = Frame::Hello(Hello {
-            peer: self.parts.peer.clone(),
+            peer: self.deps.peer.clone(),
             topics: self.subscriptions(),
         });
         let hello = hello.encode()?;
--- a/crates/pinereel/src/hosted/tree/reports.rs
+++ b/crates/pinereel/src/hosted/tree/reports.rs
@@ -14,7 +14,7 @@
     /// it again, but does not forward what it has already.
     pub(super) async fn send_crash_reports(&self) {
         loop {
-            let reports = self.parts.crashes.next_pending().await;
+            let reports = self.deps.crashes.next_pending().await;
             if let Some(bytes) = Frame::Crashes(reports).encode() {
                 let bytes = Bytes::from(bytes);
                 self.broadcast_encoded(&bytes);
@@ -27,23 +27,23 @@
 
     /// All crash reports, for a new link; `None` if there are none.
     pub(super) fn crash_snapshot(&self) -> Option<Frame> {
-        let reports = self.parts.crashes.reports();
+        let reports = self.deps.crashes.reports();
         (!reports.is_empty()).then_some(Frame::Crashes(reports))
     }
 
     /// Handles crash reports of the parent or a child.
     pub(super) fn on_crash_reports(&self, reports: Vec<Report>) {
-        self.parts.crashes.merge(Source::Peer, reports);
+        self.deps.crashes.merge(Source::Peer, reports);
     }
 
     /// Sends new usage reports to the parent. A root sends its own to the children instead.
     pub(super) async fn send_usage_reports(&self) {
-        let usage = &self.parts.usage;
+        let usage = &self.deps.usage;
         loop {
             let mut reports = usage.next_unsent().await;
             let is_root = self.uplink.borrow().reads_store();
             if is_root {
-                reports.retain(|report| report.source == self.parts.duties.id());
+                reports.retain(|report| report.source == self.deps.duties.id());
             }
             let frame = Frame::Usage(reports).encode().map(Bytes::from);
             match frame {
@@ -58,7 +58,7 @@
 
     /// What a new parent is sent first: all reports, and the subscriptions.
     pub(super) fn initial_frames(&self) -> Vec<Bytes> {
-        let usage = self.parts.usage.all_reports();
+        let usage = self.deps.usage.all_reports();
         let usage = (!usage.is_empty()).then_some(Frame::Usage(usage));
         let frames = self.crash_snapshot().into_iter().chain(usage);
         // Includes subscriptions that were made while the link was set up.
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -20,7 +20,7 @@
 impl Node {
     /// Follows all topics in the store and publishes their changes. Ends only when dropped.
     pub(super) async fn read_store(&self) {
-        let places = self.parts.adapter.object_kinds;
+        let places = self.deps.adapter.object_kinds;
         let config = self.follow_topic(Topic::Config, Purpose::Config, places.config);
         let endpoints = self.follow_topic(Topic::Endpoints, Purpose::Instances, places.endpoints);
         tokio::join!(config, endpoints, self.follow_leases());
@@ -33,21 +33,21 @@
             Topic::Config | Topic::Engines | Topic::Leases => Duration::ZERO,
         };
         let options = || WatchOptions {
-            max_wait: self.parts.max_watch_time,
+            max_wait: self.deps.max_watch_time,
             batch_delay,
         };
         let publish = |update, revision| self.publish_update(topic, update, revision);
-        list_and_watch(&self.parts.store, purpose, kind, options, None, publish).await;
+        list_and_watch(&self.deps.store, purpose, kind, options, None, publish).await;
     }
 
     /// Lists the leases periodically. The listing contains the stored crash reports as well, which are
     /// exchanged with the register of this instance.
     async fn follow_leases(&self) {
-        let crashes = &self.parts.crashes;
+        let crashes = &self.deps.crashes;
         let stored = StoredReports::default();
         let mut changes = crashes.changes();
         loop {
-            let store = &self.parts.store;
+            let store = &self.deps.store;
             changes.mark_unchanged();
             match store.list(Purpose::Leases, duty::LEASE_KIND, None).await {
                 Ok((mut objects, revision)) => {
@@ -71,8 +71,8 @@
 
     /// Stores the crash reports that the store does not have yet.
     async fn store_crashes(&self, stored: &StoredReports) {
-        let parts = &self.parts;
-        if let Err(error) = stored.save(&parts.store, &parts.crashes).await {
+        let deps = &self.deps;
+        if let Err(error) = stored.save(&deps.store, &deps.crashes).await {
             log::info!(error:% = error; "requests that crash endpoints: not kept yet");
         }
     }
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -83,7 +83,7 @@
 impl Node {
     /// Publishes what was read from the store, as of a revision.
     pub(super) fn publish_update(&self, topic: Topic, update: Update, revision: u64) {
-        let store_uptime = self.parts.store.uptime();
+        let store_uptime = self.deps.store.uptime();
         for (topic, update) in self.split_engines(topic, update) {
             if matches!(update, Update::All(_)) {
                 self.state.borrow_mut().listed.insert(topic);
@@ -124,7 +124,7 @@
     fn apply(&self, publication: Publication, header: Header, frame: Bytes) {
         let topic = publication.topic;
         self.send_to_subscribers(topic, &frame);
-        let feed = &self.parts.feed;
+        let feed = &self.deps.feed;
         feed.set_store_uptime(header.store_uptime);
         // Changes are of no use to a subscriber without the objects before them.
         let publishes_locally =
@@ -147,7 +147,7 @@
 
     /// Publishes in this process all objects of the topics that it has subscribed to and does not have.
     pub(super) fn publish_missing(&self) {
-        let feed = &self.parts.feed;
+        let feed = &self.deps.feed;
         let state = self.state.borrow();
         for (topic, cache) in &state.caches {
             if feed.is_subscribed(*topic) && !feed.is_current(*topic) {
@@ -201,7 +201,7 @@
 
     /// Whether an entry of the endpoint list belongs to an engine, which is an endpoint with models.
     fn is_engine(&self, object: &Object) -> bool {
-        let entry = (self.parts.adapter.decode_endpoint)(&object.name, &object.spec);
+        let entry = (self.deps.adapter.decode_endpoint)(&object.name, &object.spec);
         entry.is_ok_and(|entry| !entry.models.is_empty())
     }
 
@@ -268,7 +268,7 @@
         if !self.is_fresh() {
             return;
         }
-        let store_uptime = self.parts.feed.store_uptime();
+        let store_uptime = self.deps.feed.store_uptime();
         let State {
             child_links,
             caches,
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -46,7 +46,7 @@
 impl Node {
     /// Reads the store while this instance holds the root duty, and follows a parent otherwise. Never ends.
     pub(super) async fn run_uplink(self: Rc<Self>) {
-        let mut status = self.parts.duties.register_candidate(&ROOT_DUTY.into());
+        let mut status = self.deps.duties.register_candidate(&ROOT_DUTY.into());
         let mut next = None;
         loop {
             let is_root = status.borrow_and_update().lease.is_some();
@@ -97,7 +97,7 @@
         if is_needed && !self.is_shutting_down() {
             return self.replace_root(status).await;
         }
-        self.parts.feed.publish_lost();
+        self.deps.feed.publish_lost();
         tokio::select! {
             link = self.search(Requirement::Any) => Some(link),
             () = self.until_duty_acquired(status) => None,
@@ -199,7 +199,7 @@
                 () = self.until_duty_acquired(status) => break LinkEnd::DutyAcquired,
             }
             let is_fresh = self.is_fresh();
-            self.parts.feed.set_has_parent(is_fresh);
+            self.deps.feed.set_has_parent(is_fresh);
             if is_fresh {
                 fresher_source = OptionFuture::from(None);
                 is_stale = false;
@@ -208,7 +208,7 @@
             }
             let grace = self.remaining_grace();
             if !grace.is_zero() {
-                self.parts.feed.publish_expected(grace);
+                self.deps.feed.publish_expected(grace);
                 continue;
             }
             if !is_stale {
@@ -217,7 +217,7 @@
                     OptionFuture::from(Some(self.search_fresher_source().boxed_local()));
             }
         };
-        self.parts.feed.set_has_parent(false);
+        self.deps.feed.set_has_parent(false);
         self.uplink.borrow_mut().on_parent_lost();
         let reason_text = end.as_str();
         log::info!(address = address.as_str(), why = reason_text; "bulletin: link lost");
@@ -256,9 +256,9 @@
         } else {
             PROBE_INTERVAL
         };
-        let places = self.parts.adapter.object_kinds;
+        let places = self.deps.adapter.object_kinds;
         let (kind, name) = (places.config, places.config_object_name);
-        while !self.parts.store.probe(kind, name, Consistency::Stale).await {
+        while !self.deps.store.probe(kind, name, Consistency::Stale).await {
             sleep(pause).await;
         }
     }
@@ -275,7 +275,7 @@
     /// Size of the subtree of this instance, for the parent.
     fn subtree_size(&self) -> SubtreeSize {
         let state = self.state.borrow();
-        state.children.subtree_size(self.parts.peer.preferred)
+        state.children.subtree_size(self.deps.peer.preferred)
     }
 
     /// Handles a message of the parent. Returns whether to keep the link.
@@ -326,18 +326,18 @@
                 );
             }
             Some(Frame::Heartbeat(heartbeat)) => {
-                let metrics = &self.parts.metrics;
+                let metrics = &self.deps.metrics;
                 if let Some(age) = heartbeat.age {
                     metrics.observe(&metrics.input_ages, "news", age);
                 }
-                self.parts.feed.set_store_uptime(heartbeat.store_uptime);
+                self.deps.feed.set_store_uptime(heartbeat.store_uptime);
                 if !self.uplink.borrow_mut().on_heartbeat(self.now(), heartbeat) {
                     return false;
                 }
                 self.send_heartbeat();
             }
             Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
-            Some(Frame::Usage(reports)) => self.parts.usage.merge(reports),
+            Some(Frame::Usage(reports)) => self.deps.usage.merge(reports),
             Some(Frame::Referral(_) | Frame::RetryAfter(_)) | None => return false,
             Some(Frame::Hello(_) | Frame::SubtreeSize(_) | Frame::Subscribe { .. }) => {}
         }
--- a/crates/pinereel/src/hosted/usage/mod.rs
+++ b/crates/pinereel/src/hosted/usage/mod.rs
@@ -8,7 +8,7 @@
 
 mod report;
 
-pub use report::{Parts, report};
+pub use report::{Dependencies, report};
 
 use super::pending;
 use crate::settings;
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -49,8 +49,8 @@
 /// reserved for the next lease holder, if this instance fails, and for a slow platform.
 const MAX_DELAY_SHARE: f64 = 0.5;
 
-/// What [`report`] needs from the other parts of the instance.
-pub struct Parts {
+/// Dependencies of [`report`].
+pub struct Dependencies {
     /// Message formats of the platform.
     pub adapter: Adapter,
     /// The object store.
@@ -85,15 +85,15 @@
 }
 
 /// Reports usage whenever this instance holds the lease of the tree's root.
-pub async fn report(parts: Parts) {
-    let parts = Rc::new(parts);
-    let duties = Rc::clone(&parts.duties);
-    let run = async || parts.run_as_holder().await;
+pub async fn report(deps: Dependencies) {
+    let deps = Rc::new(deps);
+    let duties = Rc::clone(&deps.duties);
+    let run = async || deps.run_as_holder().await;
     let duty = tree::ROOT_DUTY.into();
     duties.run_while_held(&duty, run, || true).await;
 }
 
-impl Parts {
+impl Dependencies {
     async fn run_as_holder(&self) {
         let mut sums = self.read_sums().await;
         let mut aggregator =
