--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -52,27 +52,27 @@
 }
 
 async fn complete(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
-    let pin = pin::pin(shared)?;
-    let call: engine::Request = read_body(shared, &pin, request).await?;
+    let snapshot = pin::pin(shared)?;
+    let call: engine::Request = read_body(shared, &snapshot, request).await?;
     if call.max_tokens == 0 {
         return Err(not_run(Code::BadRequest, "max_tokens is 0"));
     }
-    let context = admit::read_context(shared, request, pin, call.model.clone())?;
+    let context = admit::read_context(shared, request, snapshot, call.model.clone())?;
     Ok(completion::serve(shared, context, call).await)
 }
 
 /// Maximum body size: the smaller limit of the settings and of the pinned configuration.
-fn max_body_bytes(shared: &Shared, pin: &Snapshot) -> usize {
-    let asked = pin.document.limits.max_body as usize;
-    asked.min(shared.settings.limits.body)
+fn max_body_bytes(shared: &Shared, snapshot: &Snapshot) -> usize {
+    let configured = snapshot.document.limits.max_body as usize;
+    configured.min(shared.settings.limits.body)
 }
 
 async fn read_body<T: serde::de::DeserializeOwned>(
     shared: &Shared,
-    pin: &Snapshot,
+    snapshot: &Snapshot,
     request: &mut Request,
 ) -> Result<T, Problem> {
-    let max = max_body_bytes(shared, pin);
+    let max = max_body_bytes(shared, snapshot);
     Ok(http::read_json(request, max, shared.settings.limits.read_timeout).await?)
 }
 
@@ -81,15 +81,15 @@
     request: &mut Request,
     pool: &str,
 ) -> Result<Response, Problem> {
-    let pin = pin::pin(shared)?;
-    let max = max_body_bytes(shared, &pin);
+    let snapshot = pin::pin(shared)?;
+    let max = max_body_bytes(shared, &snapshot);
     let timeout = shared.settings.limits.read_timeout;
-    let context = admit::read_context(shared, request, pin, CompactString::from(pool))?;
+    let context = admit::read_context(shared, request, snapshot, CompactString::from(pool))?;
     let uri = request.uri().clone();
-    let whole = uri.path_and_query().map_or("/", |p| p.as_str());
-    let prefix = "/services/".len() + pool.len();
-    let path = whole
-        .get(prefix..)
+    let path_and_query = uri.path_and_query().map_or("/", |p| p.as_str());
+    let prefix_len = "/services/".len() + pool.len();
+    let path = path_and_query
+        .get(prefix_len..)
         .filter(|rest| rest.starts_with('/'))
         .unwrap_or("/");
     let call = service::ServiceRequest {
@@ -124,11 +124,11 @@
 }
 
 async fn submit(shared: &Rc<Shared>, request: &mut Request) -> Result<Response, Problem> {
-    let pin = pin::pin(shared)?;
+    let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let lot: trainer::Lot = http::read_json(request, MAX_LOT_BYTES, timeout).await?;
     let owner = Rc::clone(shared);
-    let work = async move { trainer_api::submit(&owner, &pin, lot).await };
+    let work = async move { trainer_api::submit(&owner, &snapshot, lot).await };
     json_response(run_detached(shared, work).await)
 }
 
@@ -137,11 +137,11 @@
     request: &mut Request,
     id: &str,
 ) -> Result<Response, Problem> {
-    let pin = pin::pin(shared)?;
+    let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let collect: trainer::Collect = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
     let (owner, id) = (Rc::clone(shared), id.to_owned());
-    let work = async move { trainer_api::collect(&owner, &pin, &id, collect).await };
+    let work = async move { trainer_api::collect(&owner, &snapshot, &id, collect).await };
     json_response(run_detached(shared, work).await)
 }
 
@@ -150,11 +150,11 @@
     request: &mut Request,
     name: &str,
 ) -> Result<Response, Problem> {
-    let pin = pin::pin(shared)?;
+    let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let publish: trainer::Publish = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
     let (owner, name) = (Rc::clone(shared), name.to_owned());
-    let work = async move { trainer_api::publish(&owner, &pin, &name, publish).await };
+    let work = async move { trainer_api::publish(&owner, &snapshot, &name, publish).await };
     json_response(run_detached(shared, work).await)
 }
 
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -17,7 +17,7 @@
 pub async fn handle_call(shared: Rc<Shared>, _from: CompactString, call: Call) -> Reply {
     match call {
         Call::Assign(assignment) => done_reply(runner::assign(&shared, assignment)),
-        Call::Collect(ask) => runner::collect(&shared, ask).await,
+        Call::Collect(request) => runner::collect(&shared, request).await,
         Call::Handover { lot, samples } => {
             done_reply(runner::accept_handover(&shared, lot, samples))
         }
@@ -116,11 +116,11 @@
     /// Reads the current state and decides whether the next summary carries it. Call once per
     /// summary period.
     pub fn refresh(&mut self, shared: &Shared) {
-        let untold = crashes::take_pending_reports(shared);
-        let has_new_crashes = !untold.is_empty();
+        let pending_reports = crashes::take_pending_reports(shared);
+        let has_new_crashes = !pending_reports.is_empty();
         let now = Self {
             crashes: match has_new_crashes {
-                true => untold,
+                true => pending_reports,
                 false => crashes::known_reports(shared),
             },
             versions: shared.lots.versions(),
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -109,8 +109,8 @@
     request: &ServiceRequest,
     claim_request: ClaimRequest,
 ) -> Result<Response, Problem> {
-    let (claim_request, asked) = request_verdict(shared, context, claim_request).await;
-    match asked {
+    let (claim_request, result) = request_verdict(shared, context, claim_request).await;
+    match result {
         ClaimResult::Verdict(Verdict::Granted) => {
             run_granted(shared, context, request, claim_request).await
         }
@@ -134,29 +134,29 @@
     }
 }
 
-/// Asks the key's owner for a verdict. If the link to the owner closes, gives up what it may have
-/// claimed and asks the next owner, under another request id since the first claim request must
-/// never be granted.
+/// Requests a verdict from the key's owner. If the link to the owner closes, releases what it may have
+/// claimed and sends the claim to the next owner, under another request id since the first claim
+/// request must never be granted.
 async fn request_verdict(
     shared: &Rc<Shared>,
     context: &RequestContext,
     claim_request: ClaimRequest,
 ) -> (ClaimRequest, ClaimResult) {
-    let asked = claims::claim(shared, &claim_request, context.remaining(shared.now())).await;
-    log_verdict(shared, context, &asked);
-    if asked != ClaimResult::Closed {
-        return (claim_request, asked);
+    let result = claims::claim(shared, &claim_request, context.remaining(shared.now())).await;
+    log_verdict(shared, context, &result);
+    if result != ClaimResult::Closed {
+        return (claim_request, result);
     }
-    let again = ClaimRequest {
+    let second_request = ClaimRequest {
         request: format_compact!("{}.2", claim_request.request),
         ..claim_request.clone()
     };
     if !claims::settle_not_run(shared, &claim_request).await {
-        return (claim_request, asked);
+        return (claim_request, result);
     }
-    let asked = claims::claim(shared, &again, context.remaining(shared.now())).await;
-    log_verdict(shared, context, &asked);
-    (again, asked)
+    let result = claims::claim(shared, &second_request, context.remaining(shared.now())).await;
+    log_verdict(shared, context, &result);
+    (second_request, result)
 }
 
 async fn run_granted(
@@ -198,8 +198,8 @@
     });
 }
 
-fn log_verdict(shared: &Shared, context: &RequestContext, asked: &ClaimResult) {
-    let verdict = match asked {
+fn log_verdict(shared: &Shared, context: &RequestContext, result: &ClaimResult) {
+    let verdict = match result {
         ClaimResult::Verdict(Verdict::Granted) => "granted",
         ClaimResult::Verdict(Verdict::Repeat(_)) => "repeat",
         ClaimResult::Verdict(Verdict::InProgress) => "in_progress",
--- a/crates/pinereel/src/operators/mod.rs
+++ b/crates/pinereel/src/operators/mod.rs
@@ -62,10 +62,10 @@
 }
 
 fn get_config(shared: &Shared) -> Result<Response, Problem> {
-    let pin = pin::last_known(shared)?;
-    let document = serde_json::to_value(&*pin.document).unwrap_or_default();
+    let snapshot = pin::last_known(shared)?;
+    let document = serde_json::to_value(&*snapshot.document).unwrap_or_default();
     Ok(json(&Config {
-        number: pin.number,
+        number: snapshot.number,
         document,
     }))
 }
@@ -90,6 +90,6 @@
 
 fn is_authorized(shared: &Shared, request: &Request) -> bool {
     let token = &shared.settings.secrets.operator_token;
-    let given = request.headers().get(header::AUTHORIZATION);
-    given.is_some_and(|given| token.matches("Bearer ", given.as_bytes()))
+    let authorization = request.headers().get(header::AUTHORIZATION);
+    authorization.is_some_and(|value| token.matches("Bearer ", value.as_bytes()))
 }
