--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -40,14 +40,14 @@
 
 /// Guard of an attempt at an engine: cancels the attempt there if it is dropped before
 /// [`ended`](Self::ended) was called.
-pub struct AttemptGuard {
+pub struct CancelGuard {
     shared: Rc<Shared>,
     address: CompactString,
     id: CompactString,
     ended: bool,
 }
 
-impl AttemptGuard {
+impl CancelGuard {
     /// Creates the guard; call it before the attempt is sent.
     pub fn new(shared: &Rc<Shared>, address: &str, id: CompactString) -> Self {
         Self {
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for AttemptGuard {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if self.ended {
             return;
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -3,7 +3,7 @@
 
 use super::{
     RequestContext, admit,
-    attempt::{self, AttemptGuard},
+    attempt::{self, CancelGuard},
     format::{self, CompletionResponse},
     may_have_run, not_run, respond,
     route::{self, Criteria},
@@ -282,7 +282,7 @@
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
         let before = self.ran.replace(true);
-        let guard = AttemptGuard::new(self.shared, address, id.clone());
+        let guard = CancelGuard::new(self.shared, address, id.clone());
         let request = Request {
             stream: true,
             priority: ENGINE_PRIORITY,
