--- a/crates/pinereel/src/hosted/orders/assignment.rs
+++ b/crates/pinereel/src/hosted/orders/assignment.rs
@@ -75,7 +75,7 @@
                 demands:? = demands,
                 engines = engines.len(),
                 listed = assignment.listed_count;
-                "engines shared anew"
+                "engines reassigned to models"
             );
             assignment.assign(engines, demands);
         } else if engines != assignment.engines {
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -237,7 +237,7 @@
             match (self.deps.adapter.decode_named_version)(&object.spec) {
                 Ok((model, version)) => {
                     let revision = object.revision;
-                    log::info!(model = model.as_str(), version, revision; "version named");
+                    log::info!(model = model.as_str(), version, revision; "version published");
                     let mut published_versions = self.published_versions.borrow_mut();
                     let known = published_versions.entry(model).or_default();
                     *known = version.max(*known);
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -206,10 +206,10 @@
                 until,
             } => {
                 let until = until.to_string();
-                log::warn!(service, endpoint = name.as_str(), failures, until = until.as_str(); "engine's loads fail");
+                log::warn!(service, endpoint = name.as_str(), failures, until = until.as_str(); "engine quarantined after failed loads");
             }
             Action::UnexpectedVersion { name, version } => {
-                log::warn!(service, endpoint = name.as_str(), version:serde = version; "engine strayed");
+                log::warn!(service, endpoint = name.as_str(), version:serde = version; "engine serves an unexpected version");
             }
             Action::LeaseLost { fence } => {
                 log::warn!(service, fence; "an engine has seen a newer fencing token");
@@ -300,7 +300,7 @@
             fence,
             orders_before = before.accepted_loads,
             outcome:? = outcome;
-            "order given"
+            "load order sent"
         );
         let metrics = &self.orders.deps.metrics;
         metrics.count(
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -125,7 +125,7 @@
             listed_spot = listed.spot,
             fence = lease.fence,
             outcome = outcome.map_or("no answer", Outcome::as_str);
-            "endpoints ordered"
+            "endpoint count requested"
         );
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
         deps
--- a/crates/pinereel/src/hosted/retirement.rs
+++ b/crates/pinereel/src/hosted/retirement.rs
@@ -67,12 +67,12 @@
         match written.await {
             Ok(()) => {
                 let instance = object.name.as_str();
-                log::info!(instance, revision = object.revision; "instance may be taken away");
+                log::info!(instance, revision = object.revision; "instance may be removed");
                 return;
             }
             Err(crate::objects::Error::NotFound) => return,
             Err(error) => {
-                log::warn!(instance = object.name.as_str(), error:% = error; "retirement not answered");
+                log::warn!(instance = object.name.as_str(), error:% = error; "answering the retirement request failed");
                 sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/pinereel/src/hosted/shutdown.rs
+++ b/crates/pinereel/src/hosted/shutdown.rs
@@ -53,7 +53,7 @@
     /// Initiates the shutdown. Further calls have no effect.
     pub fn initiate(&self) {
         if !self.is_initiated.replace(true) {
-            log::info!(in_flight = self.in_flight.get(); "stopping: asked to");
+            log::info!(in_flight = self.in_flight.get(); "stopping: shutdown requested");
         }
         self.initiated_notify.notify_waiters();
     }
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -347,7 +347,7 @@
         self.last_failure_at.set(Some(now));
         if self.unreachable_since.get().is_none() {
             self.unreachable_since.set(Some(now));
-            log::warn!("object store: contact lost");
+            log::warn!("object store: unreachable");
         }
     }
 
@@ -356,7 +356,7 @@
         self.last_answer_at.set(Some(Instant::now()));
         if let Some(since) = self.unreachable_since.take() {
             let outage_ms = since.elapsed().as_millis() as u64;
-            log::info!(away_ms = outage_ms; "object store: contact regained");
+            log::info!(away_ms = outage_ms; "object store: reachable again");
             self.recovered_at.set(Some(Instant::now()));
             self.recoveries.send_modify(|count| *count += 1);
         }
--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -61,10 +61,10 @@
         let admission = self.state.borrow_mut().children.admit(peer);
         match admission {
             Admission::Child(key) => {
-                log::info!(child = address.as_str(); "bulletin: child linked");
+                log::info!(child = address.as_str(); "broadcast tree: child linked");
                 let why = self.serve_child(socket, key, topics).await;
                 self.remove_child(key);
-                log::info!(child = address.as_str(), why; "bulletin: child lost");
+                log::info!(child = address.as_str(), why; "broadcast tree: child lost");
             }
             Admission::Referred(addresses) => reject(socket, &Frame::Referral(addresses)).await,
         }
--- a/crates/pinereel/src/hosted/tree/encoded_object.rs
+++ b/crates/pinereel/src/hosted/tree/encoded_object.rs
@@ -28,7 +28,7 @@
                 object: bytes.into(),
             }),
             Err(error) => {
-                log::error!(object = object.name.as_str(), error:% = error; "bulletin: object not kept");
+                log::error!(object = object.name.as_str(), error:% = error; "broadcast tree: object not serialized");
                 None
             }
         }
@@ -51,7 +51,7 @@
     match ciborium::from_reader(bytes) {
         Ok(object) => Some(object),
         Err(error) => {
-            log::error!(object = name, error:% = error; "bulletin: object not kept");
+            log::error!(object = name, error:% = error; "broadcast tree: malformed object");
             None
         }
     }
--- a/crates/pinereel/src/hosted/tree/feed.rs
+++ b/crates/pinereel/src/hosted/tree/feed.rs
@@ -145,7 +145,7 @@
         if std::mem::take(&mut *self.current.borrow_mut()).is_empty() {
             return;
         }
-        log::info!("bulletin: no news");
+        log::info!("broadcast tree: no source of updates");
         self.store_uptime.set(Duration::ZERO);
         for topic in Topic::ALL {
             self.send(topic, FeedEvent::Lost);
--- a/crates/pinereel/src/hosted/tree/frame.rs
+++ b/crates/pinereel/src/hosted/tree/frame.rs
@@ -105,7 +105,7 @@
         match ciborium::into_writer(self, &mut bytes) {
             Ok(()) => Some(bytes),
             Err(error) => {
-                log::error!(error:% = error; "bulletin: frame not written");
+                log::error!(error:% = error; "broadcast tree: frame not serialized");
                 None
             }
         }
@@ -116,7 +116,7 @@
         match ciborium::from_reader(bytes) {
             Ok(frame) => Some(frame),
             Err(error) => {
-                log::warn!(error:% = error; "bulletin: frame not read");
+                log::warn!(error:% = error; "broadcast tree: malformed frame");
                 None
             }
         }
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -152,7 +152,7 @@
         for (topic, cache) in &state.caches {
             if feed.is_subscribed(*topic) && !feed.is_current(*topic) {
                 feed.publish(*topic, Update::All(cache.objects()), cache.revision);
-                log::info!(topic:serde = topic, revision = cache.revision; "bulletin: updates resumed");
+                log::info!(topic:serde = topic, revision = cache.revision; "broadcast tree: updates resumed");
             }
         }
     }
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -116,7 +116,7 @@
     /// Reads the store in place of the root until a parent with fresh data is found. `None` once this instance
     /// has the root duty.
     async fn replace_root(&self, status: &mut watch::Receiver<Status>) -> Option<ParentLink> {
-        log::info!("bulletin: standing in");
+        log::info!("broadcast tree: reading the store in place of the root");
         let end = async {
             tokio::select! {
                 link = self.search(Requirement::Fresh) => Some(link),
@@ -152,7 +152,7 @@
             return LinkEnd::ParentLost;
         }
         let level = self.uplink.borrow().level();
-        log::info!(address = address.as_str(), level; "bulletin: linked");
+        log::info!(address = address.as_str(), level; "broadcast tree: linked to a parent");
         let mut reported_size = SubtreeSize::default();
         let mut fresher_source = OptionFuture::from(None);
         let mut is_stale = false;
@@ -220,7 +220,7 @@
         self.deps.feed.set_has_parent(false);
         self.uplink.borrow_mut().on_parent_lost();
         let reason_text = end.as_str();
-        log::info!(address = address.as_str(), why = reason_text; "bulletin: link lost");
+        log::info!(address = address.as_str(), why = reason_text; "broadcast tree: link to the parent lost");
         end
     }
 
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -105,7 +105,7 @@
                 match self.store_sum(&mut sums, window, counts).await {
                     Ok(()) => aggregator.mark_finalized(window),
                     Err(error) => {
-                        log::info!(window = window.0, error:% = error; "usage: sum not kept yet");
+                        log::info!(window = window.0, error:% = error; "usage: storing the sum failed; retrying");
                         // The write may have succeeded, or another holder may have stored a sum.
                         sums = self.read_sums().await;
                         aggregator.resume(&sums.by_window);
@@ -149,9 +149,9 @@
                             by_window: stored.sums,
                         };
                     }
-                    Err(error) => log::error!(error:% = error; "usage: sums unreadable"),
+                    Err(error) => log::error!(error:% = error; "usage: malformed sums"),
                 },
-                Err(error) => log::debug!(error:% = error; "usage: sums not read"),
+                Err(error) => log::debug!(error:% = error; "usage: reading the sums failed"),
             }
             sleep(RETRY_DELAY).await;
         }
@@ -185,7 +185,7 @@
             closed = ledger.closed_count(window),
             after_ms = self.usage.wall_time().0.saturating_sub(window.end(self.settings.window).0),
             revision = object.revision;
-            "usage: window added up"
+            "usage: sum of the window stored"
         );
         *sums = Sums {
             revision: Some(object.revision),
@@ -209,7 +209,7 @@
                 window = window.0,
                 fence = lease.fence,
                 outcome = outcome.map_or("no answer", Outcome::as_str);
-                "usage: window sent"
+                "usage: report of the window sent"
             );
             match outcome {
                 // A call is rejected under an old fencing token; then the newer holder sends the sum.
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -28,8 +28,8 @@
 /// Current number of children of each instance, by its name.
 fn child_counts(site: &Site) -> BTreeMap<&str, usize> {
     let child_counts = site.instances.iter().map(|instance| {
-        let linked = count_log_lines(instance, "bulletin: child linked");
-        let lost = count_log_lines(instance, "bulletin: child lost");
+        let linked = count_log_lines(instance, "broadcast tree: child linked");
+        let lost = count_log_lines(instance, "broadcast tree: child lost");
         (instance.name.as_str(), linked - lost)
     });
     child_counts.collect()
@@ -104,7 +104,7 @@
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_millis(600)).await;
     assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
-    assert_eq!(total_log_lines(&site, "bulletin: no news"), 0);
+    assert_eq!(total_log_lines(&site, "broadcast tree: no source of updates"), 0);
 
     let calls = site.store.calls();
     site.instances[root].signal(Signal::KILL);
@@ -112,8 +112,11 @@
     site.configure("other", Duration::from_secs(2));
     sleep(Duration::from_millis(900)).await;
     assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
-    assert_eq!(total_log_lines(&site, "bulletin: no news"), 0);
-    let taken_over = total_log_lines(&site, "bulletin: standing in");
+    assert_eq!(total_log_lines(&site, "broadcast tree: no source of updates"), 0);
+    let taken_over = total_log_lines(
+        &site,
+        "broadcast tree: reading the store in place of the root",
+    );
     assert!(
         (1..=3).contains(&taken_over),
         "{taken_over} instances replaced the root"
