--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -2,7 +2,7 @@
 //!
 //! Feeds the [`Register`] with crashes and answers, and decides by it where a suspected request may
 //! run. Reports spread by gossip: they go to the linked entries with the periodic summary, which is
-//! sent at once when there are any, and each entry forwards those that are new to it.
+//! sent immediately when there are any, and each entry forwards those that are new to it.
 
 use crate::{filters::not_run, state::Shared, upstream::probe};
 use pinereel_api::{Problem, problem::Code};
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -74,7 +74,8 @@
         };
         let delivery = merge.deliver(collected);
         record_delivery(shared, id, &delivery, collect.version);
-        // A draining entry answers at once; the trainer continues at another with the same token.
+        // A draining entry answers immediately; the trainer continues at another with the same
+        // token.
         let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses_requests();
         if !delivery.samples.is_empty() || delivery.remaining == 0 || stop {
             return Ok(Collected {
--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -34,7 +34,7 @@
     rollout::working_set_size(endpoints.available_count(service), slots, &demands)
 }
 
-/// Number of requests that each engine of `service` runs at once.
+/// Number of requests that each engine of `service` runs concurrently.
 pub fn slots_per_engine(config: &Config, service: &str) -> u32 {
     engine_config(config, service).map_or(1, |engine| engine.slots)
 }
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Handles an entry's removal from the list. The endpoint is removed at once, or after
+    /// Handles an entry's removal from the list. The endpoint is removed immediately, or after
     /// [`MISSING_ENTRY_GRACE`] if the entry may have lapsed because of a store outage.
     fn handle_removed(self: &Rc<Self>, id: &CompactString) {
         let now = Instant::now();
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -15,7 +15,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Longest wait for the first update of the broadcast tree after a start, before the store is
-/// asked. Instances that start together find the root within about 0.4 s, or 0.9 s if they have
+/// read. Instances that start together find the root within about 0.4 s, or 0.9 s if they have
 /// little processor time.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
@@ -48,7 +48,7 @@
 
 /// Keeps up with the objects of `kind` until dropped, and calls `on_update` with each update and
 /// its revision. `options` is called before each watch. While `feed` delivers updates, the store is
-/// not asked.
+/// not read.
 pub async fn list_and_watch(
     store: &Store,
     purpose: Purpose,
@@ -145,9 +145,9 @@
 enum FeedState {
     /// The first update may arrive until this time.
     Awaited(Instant),
-    /// It delivers all changes.
+    /// The tree delivers all changes.
     Active,
-    /// It delivers nothing: the store must be asked.
+    /// The tree delivers nothing: the store must be read.
     Inactive,
 }
 
@@ -170,7 +170,7 @@
         self.receiver.is_some()
     }
 
-    /// Whether the store must be asked.
+    /// Whether the store must be read.
     fn is_inactive(&self) -> bool {
         self.state == FeedState::Inactive
     }
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -66,7 +66,7 @@
     pub(super) total: usize,
     /// The samples that fit into the segment.
     pub(super) samples: Vec<Sample>,
-    /// Whether it is committed at once rather than after [`COMMIT_DELAY`].
+    /// Whether it is committed immediately rather than after [`COMMIT_DELAY`].
     pub(super) urgent: bool,
 }
 
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -111,7 +111,7 @@
         let mut aborted_tasks = Vec::new();
         for (id, open) in &mut self.state.borrow_mut().open_lots {
             aborted_tasks.append(&mut std::mem::take(&mut open.tasks).into_values().collect());
-            // Finished samples are committed at once.
+            // Finished samples are committed immediately.
             open.commit_wakeup.notify_one();
             let checkpoint = open.checkpoint(0);
             if !checkpoint.outputs.is_empty() {
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -204,8 +204,8 @@
                 let changes = self.store.watch(Purpose::Lots, &kind, revision, wait).await;
                 let changes = match changes {
                     Ok(changes) => changes.changes,
-                    // The revision is no longer watchable, or the watch broke off: the trainer
-                    // asks again.
+                    // The revision is no longer watchable, or the watch failed: the trainer
+                    // calls again.
                     Err(Error::Gone | Error::Unknown(_)) => Vec::new(),
                     Err(error) => return Err(error),
                 };
--- a/crates/pinereel/src/hosted/pending.rs
+++ b/crates/pinereel/src/hosted/pending.rs
@@ -1,9 +1,9 @@
-//! Waits for pending updates that are to be sent to other instances.
+//! Waits until there are reports to send to other instances.
 
 use tokio::sync::watch;
 
-/// The first batch of `take_pending` that is not empty. It is called at once, and again after each
-/// change.
+/// The first batch of `take_pending` that is not empty. `take_pending` is called immediately, and again
+/// after each change.
 pub async fn next_batch<T>(
     mut changes: watch::Receiver<u64>,
     mut take_pending: impl FnMut() -> Vec<T>,
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Tells a crash of the endpoint from a lost connection: an endpoint that still accepts
+    /// Distinguishes a crash of the endpoint from a lost connection: an endpoint that still accepts
     /// connections has not crashed.
     async fn loss_cause(&self, selected: &SelectedEndpoint) -> Failure {
         match self.deps.pool.is_gone(selected.address).await {
@@ -113,7 +113,7 @@
     }
 
     /// Returns a closure that builds the request head for each send of one attempt, with the time
-    /// that is left then.
+    /// that remains at that send.
     fn head_builder<'a>(
         &'a self,
         request: &'a ProxyRequest,
--- a/crates/pinereel/src/hosted/retirement.rs
+++ b/crates/pinereel/src/hosted/retirement.rs
@@ -1,7 +1,7 @@
 //! Answers the platform's requests to drain instances before their removal.
 //!
-//! An instance has no state outside the object store, so each request is answered at once: the instance
-//! may be removed.
+//! An instance has no state outside the object store, so each request is answered immediately: the
+//! instance may be removed.
 
 use super::{
     list_watch::{Update, WatchOptions, list_and_watch},
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -114,7 +114,8 @@
                 .drain_on_shutdown(&settings)
                 .await;
         }
-        // An instance without a listener for callers is a standby. It has no work and stops at once.
+        // An instance without a listener for callers is a standby. It has no work and stops
+        // immediately.
         None => shutdown.wait_until_initiated().await,
     }
     log::info!(instance = settings.instance.name.as_str(); "stopped");
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -179,7 +179,7 @@
     }
 
     /// Returns the active routing table once it and the endpoint list have been read; after
-    /// [`INITIAL_STATE_TIMEOUT`], or at once during a store outage, what there is.
+    /// [`INITIAL_STATE_TIMEOUT`], or immediately during a store outage, the newest known table.
     async fn wait_for_table(&self) -> Option<Rc<RoutingTable>> {
         let end = Instant::now() + INITIAL_STATE_TIMEOUT;
         loop {
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -52,7 +52,7 @@
     last_answer_at: Cell<Option<Instant>>,
     /// When the store last became reachable again.
     recovered_at: Cell<Option<Instant>>,
-    /// Number of recoveries. Waiting readers ask anew at each.
+    /// Number of recoveries. Waiting readers repeat their calls at each.
     recoveries: watch::Sender<u64>,
     /// Whether probes are sent while the store is unreachable.
     is_probing: Cell<bool>,
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -1,4 +1,4 @@
-//! Search for a parent: connects to the addresses in question at once, and follows referrals.
+//! Search for a parent: connects to all candidate addresses in parallel, and follows referrals.
 
 use super::{Frame, Hello, LINK_OPEN_TIMEOUT, Node, link_config};
 use compact_str::CompactString;
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -58,8 +58,8 @@
                 Err(error) => log::debug!(error:% = error; "listing leases failed"),
             }
             let next = Instant::now() + LEASE_LIST_INTERVAL;
-            // A change of the crash reports is stored at once. Further ones within the interval are stored
-            // with the next listing.
+            // A change of the crash reports is stored immediately, further ones within the interval with
+            // the next listing.
             tokio::select! {
                 () = sleep_until(next) => continue,
                 _ = changes.changed() => {}
--- a/crates/pinereel/src/hosted/tree/topic_cache.rs
+++ b/crates/pinereel/src/hosted/tree/topic_cache.rs
@@ -11,7 +11,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Least ratio of the size of the snapshot to that of the changes kept beside it. With more changes, the
-/// snapshot is encoded anew.
+/// snapshot is encoded again.
 const MIN_SNAPSHOT_REPLAY_RATIO: usize = 4;
 /// Changes up to this size are kept also beside a small snapshot.
 const MIN_REPLAY_LIMIT_BYTES: usize = 64 * 1024;
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -18,7 +18,7 @@
 use tokio_tungstenite::tungstenite::Message;
 
 /// How long an instance that has lost its parent searches for another one before it reads the store itself
-/// or goes without data. Enough for a few attempts.
+/// or has no data. Enough for a few attempts.
 const PARENT_SEARCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest silence of a parent before the link is dropped: four missing heartbeats.
 const PARENT_TIMEOUT: Duration = Duration::from_millis(1_200);
@@ -89,7 +89,7 @@
         self.run_without_parent(status).await
     }
 
-    /// Reads the store if other instances need its data, and goes without data otherwise, until a parent is
+    /// Reads the store if other instances need its data, and has no data otherwise, until a parent is
     /// found. `None` once this instance has the root duty.
     async fn run_without_parent(&self, status: &mut watch::Receiver<Status>) -> Option<ParentLink> {
         let has_children = !self.state.borrow().children.is_empty();
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Probes the store until it answers this instance. The first standby begins at once and all others on the
+    /// Probes the store until it answers this instance. The first standby begins immediately, all others on the
     /// first level after a delay; standbys probe more often.
     async fn until_store_answers(&self) {
         let (is_first_standby, is_standby, is_below_root) = {
--- a/crates/pinereel/src/http/server.rs
+++ b/crates/pinereel/src/http/server.rs
@@ -40,7 +40,7 @@
     pub head_timeout: Duration,
     /// How long a connection may be idle between requests.
     pub keep_alive: Duration,
-    /// Maximum number of open connections; further ones are closed at once and counted.
+    /// Maximum number of open connections; further ones are closed immediately and counted.
     pub max_connections: usize,
     /// Whether a client that has closed its sending side still gets a response. If not, the future
     /// of its request handler is dropped.
--- a/crates/pinereel_core/src/admit/mod.rs
+++ b/crates/pinereel_core/src/admit/mod.rs
@@ -1,4 +1,5 @@
-//! Admission control: decides which requests wait for an endpoint, and which are refused at once.
+//! Admission control: decides which requests wait for an endpoint, and which are refused
+//! immediately.
 //!
 //! Each pool has one [`Queue`]. A request that is predicted to miss its deadline is refused on
 //! arrival, with the time after which it would be admitted. The queue is work-conserving: a waiting
--- a/crates/pinereel_core/src/batch/demand.rs
+++ b/crates/pinereel_core/src/batch/demand.rs
@@ -44,7 +44,7 @@
         push(&mut self.unplaced, now, items);
     }
 
-    /// Demand within the window before `now`. A trainer submits all items of a step at once, so the
+    /// Demand within the window before `now`. A trainer submits all items of a step together, so the
     /// size of a lot predicts the slots that it needs better than the rate of its trainer does.
     pub fn demand(&self, now: Time) -> LotDemand {
         LotDemand {
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -240,7 +240,7 @@
     }
 
     /// Whether the trainer has all that it waits for once the uncommitted samples are committed. If
-    /// so, they are committed at once rather than held back for a larger segment.
+    /// so, they are committed immediately rather than held back for a larger segment.
     pub fn will_satisfy_trainer(&self) -> bool {
         let mut done: Vec<_> = self
             .groups
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A lot holds the samples that one trainer wants for one step. Its results have fixed positions
 //! and are committed as segments, each written with a create-if-absent call: the first writer of
-//! a segment fixes its positions, even if several instances run the same lot at once.
+//! a segment fixes its positions, even if several instances run the same lot concurrently.
 //! [`CommitLog`] holds the committed results, [`Lot`] the state of each item, [`Fleet`] selects
 //! the engines, and [`DemandWindow`] reports recent demand to the autoscaler.
 
--- a/crates/pinereel_core/src/claim/message.rs
+++ b/crates/pinereel_core/src/claim/message.rs
@@ -25,7 +25,7 @@
     /// Interval at which an idle log is read again.
     pub refresh_interval: Duration,
     /// Time that settlements with an outcome wait to share a segment with claims, which saves
-    /// writes: no caller waits for them. A settlement that frees a key is written at once.
+    /// writes: no caller waits for them. A settlement that frees a key is written immediately.
     pub linger: Duration,
     /// Maximum age of the last read for a verdict on a key that is held without an outcome. If it
     /// is older, the log is read again first, since another writer may have settled the key.
--- a/crates/pinereel_core/src/claim/next_call.rs
+++ b/crates/pinereel_core/src/claim/next_call.rs
@@ -9,7 +9,7 @@
 use std::{collections::BTreeSet, mem};
 
 /// Maximum number of trims per retention time, so that one trim deletes the segments of a sixteenth
-/// of it at once.
+/// of it.
 const TRIMS_PER_RETENTION: u32 = 16;
 
 impl Log {
--- a/crates/pinereel_core/src/claim/response.rs
+++ b/crates/pinereel_core/src/claim/response.rs
@@ -34,8 +34,8 @@
     }
 
     /// The create had no effect, so the object API is unavailable. If no earlier create of the
-    /// batch may have taken effect, the batch is in no segment and its claims are refused at once.
-    /// Otherwise only the same segment may be sent again under this number.
+    /// batch may have taken effect, the batch is in no segment and its claims are refused
+    /// immediately. Otherwise only the same segment may be sent again under this number.
     pub(super) fn on_not_created(&mut self, now: Time, out: &mut Vec<Action>) {
         match mem::replace(&mut self.phase, Phase::Idle) {
             Phase::Creating(batch) if batch.maybe_stored => self.retry(now, Phase::Creating(batch)),
@@ -111,7 +111,7 @@
     }
 
     /// A read or trim failed, so the object API is unavailable. Queued claims are in no segment and
-    /// are refused at once.
+    /// are refused immediately.
     pub(super) fn on_failed(&mut self, now: Time, out: &mut Vec<Action>) {
         self.refuse_pending(now, out);
         self.phase = match mem::replace(&mut self.phase, Phase::Idle) {
--- a/crates/pinereel_core/src/config/document.rs
+++ b/crates/pinereel_core/src/config/document.rs
@@ -48,7 +48,7 @@
     /// loaded.
     #[serde(default = "default_floor")]
     pub floor: f64,
-    /// Maximum number of engines that load weights at once: the throughput of the weight store
+    /// Maximum number of engines that load weights at the same time: the throughput of the weight store
     /// divided by the throughput of one load.
     #[serde(default = "default_loads")]
     pub loads: u32,
--- a/crates/pinereel_core/src/crash/placement.rs
+++ b/crates/pinereel_core/src/crash/placement.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Number of endpoints that isolated requests use at once.
+/// Number of endpoints that isolated requests use at the same time.
 fn reserved_count(candidates: &[&EndpointStart]) -> usize {
     (candidates.len() / ENDPOINTS_PER_RESERVATION).max(1)
 }
--- a/crates/pinereel_core/src/crash/record.rs
+++ b/crates/pinereel_core/src/crash/record.rs
@@ -18,7 +18,7 @@
     pub before: usize,
 }
 
-/// What an instance tells other instances about one request.
+/// The crashes and completed runs of one request, as one instance reports them to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The request that the report is about.
--- a/crates/pinereel_core/src/endpoint/event.rs
+++ b/crates/pinereel_core/src/endpoint/event.rs
@@ -45,7 +45,7 @@
     },
     /// A load report arrived.
     Reported {
-        /// Incarnation named by the report. A new one replaces the old one at once.
+        /// Incarnation named by the report. A new one replaces the old one immediately.
         incarnation: u64,
         /// Endpoint that was polled.
         key: Key,
--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -161,7 +161,7 @@
         endpoint.address = listing.address;
         endpoint.zone = listing.zone;
         endpoint.slots = listing.slots.max(1);
-        // A lower bound applies at once; the adaptive limit grows back on its own.
+        // A lower bound applies immediately; the adaptive limit grows back on its own.
         endpoint.limit = endpoint.limit.min(f64::from(endpoint.slots));
         if endpoint.pool != listing.pool {
             let old = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -106,8 +106,8 @@
     /// than that. For duties with a [`Cooldown`].
     ///
     /// If the holder is cut off from the store, its successor takes the lease when it expires, and the
-    /// cooldown counts from the last time at which the holder can have acted. Each second less of that
-    /// time is a second less in which nobody acts.
+    /// cooldown counts from the last time at which the holder can have acted. Shortening the acting time
+    /// by a second shortens the gap without an acting holder by a second.
     #[must_use]
     pub fn with_max_acting_time(mut self, span: Duration) -> Self {
         self.max_acting_time = Some(span.min(self.acting_time(self.timing.duration)));
--- a/crates/pinereel_core/src/lease/rank.rs
+++ b/crates/pinereel_core/src/lease/rank.rs
@@ -13,7 +13,7 @@
 /// without a holder for longer when the first followers have died.
 const TAKEOVER_STEP: Duration = Duration::from_millis(100);
 /// Most steps that a follower waits; all that come later share the last step. A duty must not wait
-/// long for followers that have died, and eight dead ones at once are rare.
+/// long for followers that have failed, and eight failed ones at the same time are rare.
 const MAX_TAKEOVER_STEPS: u32 = 8;
 
 /// The rank of an instance among all instances.
--- a/crates/pinereel_core/src/rollout/working_set.rs
+++ b/crates/pinereel_core/src/rollout/working_set.rs
@@ -1,6 +1,6 @@
 //! Sizes the working set of a service: the engines that are kept up to date and get requests.
 //!
-//! Each trainer sends the items of a step at once, and a service may list many times the engines
+//! Each trainer sends the items of a step together, and a service may list many times the engines
 //! that the steps fill. Every engine in use costs a load, an order and a read for each version,
 //! connections, and an entry in each runner's view, so only a working set that grows with the work
 //! is used. Its members are the first engines in a stable order by id ([`rank`]): instances that
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -1,6 +1,6 @@
 //! Autoscaling: decides how many endpoints of a service each availability zone should have.
 //!
-//! Each trainer requests the items of a step at once and waits for nearly all of them. If items
+//! Each trainer requests the items of a step together and waits for nearly all of them. If items
 //! wait for a slot longer than most texts take, the step is late although more engines are
 //! available. So the [`Autoscaler`] adds as many endpoints as give those items a slot, within the
 //! operator's limits. Spot endpoints are preferred: the loss of one at short notice only costs the
--- a/crates/pinereel_core/src/usage/instance_count.rs
+++ b/crates/pinereel_core/src/usage/instance_count.rs
@@ -1,4 +1,4 @@
-//! Number of instances whose reports a window needs.
+//! Number of instances whose reports are required before a window is summed up.
 
 use crate::Time;
 use std::time::Duration;
