--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -53,12 +53,8 @@
             .collect();
         for key in keys {
             let deps = &self.deps;
-            let count = demand::working_set_size(
-                &deps.config,
-                &deps.duties,
-                &deps.endpoints,
-                &key.service,
-            );
+            let count =
+                demand::working_set_size(&deps.config, &deps.duties, &deps.endpoints, &key.service);
             let source = (deps.endpoints.change_count(), count);
             if state.fleet_sources.insert(key.clone(), source) == Some(source) {
                 continue;
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -128,8 +128,7 @@
             "endpoint count requested"
         );
         let label = status.map_or("none".into(), |status| status.as_str().to_owned());
-        deps
-            .metrics
+        deps.metrics
             .count(&deps.metrics.platform_calls, &["size", &label]);
         outcome == Some(Outcome::Done)
     }
--- a/crates/pinereel/tests/peer_links.rs
+++ b/crates/pinereel/tests/peer_links.rs
@@ -71,7 +71,10 @@
         a.call("b", Call::FetchConfig, TIMEOUT).await,
         Ok(Reply::Granted)
     );
-    assert_eq!(b.call("a", Call::FetchConfig, TIMEOUT).await, Ok(Reply::Done));
+    assert_eq!(
+        b.call("a", Call::FetchConfig, TIMEOUT).await,
+        Ok(Reply::Done)
+    );
     assert_eq!(
         a.call("c", Call::FetchConfig, TIMEOUT).await,
         Err(Error::NoLink)
--- a/crates/pinereel/tests/settings_file.rs
+++ b/crates/pinereel/tests/settings_file.rs
@@ -304,7 +304,9 @@
     let folder = test_folder("debug");
     let settings = Settings::parse(folder.join("pinereel.ini"), MINIMAL_SETTINGS).unwrap();
     let debug_output = format!("{settings:?}");
-    assert!(!debug_output.contains("operators-token-1") && !debug_output.contains("peers-secret-0001"));
+    assert!(
+        !debug_output.contains("operators-token-1") && !debug_output.contains("peers-secret-0001")
+    );
 }
 
 #[test]
--- a/crates/pinereel/tests/upstream_pool.rs
+++ b/crates/pinereel/tests/upstream_pool.rs
@@ -80,7 +80,11 @@
 
 #[actix_rt::test]
 async fn a_connection_is_reused_after_a_complete_response() {
-    let address = server(vec![vec![Reaction::Send(COMPLETE_RESPONSE), Reaction::Send(COMPLETE_RESPONSE)]]).await;
+    let address = server(vec![vec![
+        Reaction::Send(COMPLETE_RESPONSE),
+        Reaction::Send(COMPLETE_RESPONSE),
+    ]])
+    .await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
         assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
@@ -91,7 +95,11 @@
 #[actix_rt::test]
 async fn a_connection_with_excess_bytes_is_not_reused() {
     let extra = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
-    let address = server(vec![vec![Reaction::Send(extra)], vec![Reaction::Send(COMPLETE_RESPONSE)]]).await;
+    let address = server(vec![
+        vec![Reaction::Send(extra)],
+        vec![Reaction::Send(COMPLETE_RESPONSE)],
+    ])
+    .await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
         assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
@@ -103,7 +111,11 @@
 #[actix_rt::test]
 async fn a_connection_with_a_close_header_is_not_reused() {
     let close = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok";
-    let address = server(vec![vec![Reaction::Send(close)], vec![Reaction::Send(COMPLETE_RESPONSE)]]).await;
+    let address = server(vec![
+        vec![Reaction::Send(close)],
+        vec![Reaction::Send(COMPLETE_RESPONSE)],
+    ])
+    .await;
     let pool = Rc::new(Pool::default());
     for _ in 0..2 {
         assert_eq!(send_and_read(&pool, address).await, Ok("ok".into()));
--- a/crates/pinereel_core/tests/admit_queue.rs
+++ b/crates/pinereel_core/tests/admit_queue.rs
@@ -36,7 +36,8 @@
         for action in actions {
             match *action {
                 Action::Start { key } => {
-                    let (priority, deadline) = self.waiting.remove(&key).expect("the request waits");
+                    let (priority, deadline) =
+                        self.waiting.remove(&key).expect("the request waits");
                     assert!(deadline > now, "started after its deadline");
                     let first = self.waiting.values().all(|(p, _)| *p <= priority);
                     assert!(first, "started before a request of higher priority");
@@ -49,7 +50,9 @@
                 Action::Refuse {
                     key, retry_after, ..
                 } => {
-                    self.waiting.remove(&key).expect("it waits or has just arrived");
+                    self.waiting
+                        .remove(&key)
+                        .expect("it waits or has just arrived");
                     assert!(retry_after <= LIMITS.max_retry_after);
                 }
             }
--- a/crates/pinereel_core/tests/batch_demand.rs
+++ b/crates/pinereel_core/tests/batch_demand.rs
@@ -14,6 +14,10 @@
     assert_eq!(window.demand(at(8)).tokens, 200);
     assert_eq!(window.demand(at(9)).unplaced_items, 20);
     assert_eq!(window.demand(at(8)).items, 60, "the largest lot counts");
-    assert_eq!(window.demand(at(16)).tokens, 250, "the first lot is outside the window");
+    assert_eq!(
+        window.demand(at(16)).tokens,
+        250,
+        "the first lot is outside the window"
+    );
     assert_eq!(window.demand(at(60)).tokens, 0);
 }
--- a/crates/pinereel_core/tests/batch_fleet.rs
+++ b/crates/pinereel_core/tests/batch_fleet.rs
@@ -97,7 +97,11 @@
     );
     assert_eq!(fleet.move_target(NOW, fast, 5, 30), None);
     set_interval(&mut fleet, "engine-0", 160);
-    assert_eq!(fleet.move_target(NOW, slow, 5, 3), Some(fast), "the engine is far slower");
+    assert_eq!(
+        fleet.move_target(NOW, slow, 5, 3),
+        Some(fast),
+        "the engine is far slower"
+    );
 }
 
 #[test]
@@ -195,7 +199,10 @@
     assert_ne!(first, second);
     fleet.run_started(NOW, second, 1);
     assert_eq!(fleet.pick_for_item(NOW, 5, 1), None);
-    assert!(fleet.pick(NOW, 5, None).is_some(), "other items run beside it");
+    assert!(
+        fleet.pick(NOW, 5, None).is_some(),
+        "other items run beside it"
+    );
     fleet.suspect_run_ended(first);
     assert_eq!(fleet.pick_for_item(NOW, 5, 1), Some(first));
 }
--- a/crates/pinereel_core/tests/claim_log.rs
+++ b/crates/pinereel_core/tests/claim_log.rs
@@ -237,7 +237,8 @@
         };
         match &verdict {
             Verdict::Repeat(replayed) => assert!(
-                others().any(|(i, r)| r.finished && *replayed == record(i) && r.digest == own.digest),
+                others()
+                    .any(|(i, r)| r.finished && *replayed == record(i) && r.digest == own.digest),
                 "replayed a response of a request that did not run: {replayed:?}"
             ),
             Verdict::KeyConflict => assert!(others().any(|(_, r)| r.digest != own.digest)),
--- a/crates/pinereel_core/tests/config_coordinator.rs
+++ b/crates/pinereel_core/tests/config_coordinator.rs
@@ -194,10 +194,7 @@
         [&Answer::NotConfirmed(vec!["e2".into()])]
     );
     let stored = pending.without_pending();
-    assert!(actions.contains(&CoordinatorAction::Write {
-        version: 1,
-        stored
-    }));
+    assert!(actions.contains(&CoordinatorAction::Write { version: 1, stored }));
 }
 
 #[test]
--- a/crates/pinereel_core/tests/config_invariants.rs
+++ b/crates/pinereel_core/tests/config_invariants.rs
@@ -41,14 +41,15 @@
         Just(vec![Op::ApiOutage(true)]),
         Just(vec![Op::Join]),
     ];
-    let patch_then_fault = (patch(), 1u64..150, fault, 2_000u64..9_000).prop_map(|(patch, gap, fault, t)| {
-        [
-            vec![Op::EndFaults, Op::Run(500), patch, Op::Run(gap)],
-            fault,
-            vec![Op::Run(t)],
-        ]
-        .concat()
-    });
+    let patch_then_fault =
+        (patch(), 1u64..150, fault, 2_000u64..9_000).prop_map(|(patch, gap, fault, t)| {
+            [
+                vec![Op::EndFaults, Op::Run(500), patch, Op::Run(gap)],
+                fault,
+                vec![Op::Run(t)],
+            ]
+            .concat()
+        });
     let patch_after_removal = (0usize..9, patch(), 1u64..3_000).prop_map(|(instance, patch, t)| {
         vec![
             Op::EndFaults,
--- a/crates/pinereel_core/tests/crash_attribution.rs
+++ b/crates/pinereel_core/tests/crash_attribution.rs
@@ -215,7 +215,7 @@
             (0..scenario.crashers).map(|c| (request(&format!("culprit {c} of {seed}")), Some(c)));
         let mut arrivals: Vec<_> = waiting.iter().copied().chain(crashers).collect();
         // Varies the order of arrival from round to round.
-        let offset = simulation.rng.random_range(0..wanted.len());
+        let offset = simulation.rng.random_range(0..arrivals.len());
         arrivals.rotate_left(offset);
         let done = simulation.run_round(number, &arrivals, scenario, &mut outcome);
         waiting.retain(|(identity, _)| !done.contains(identity));
--- a/crates/pinereel_core/tests/lease_exclusion.rs
+++ b/crates/pinereel_core/tests/lease_exclusion.rs
@@ -174,7 +174,10 @@
         let acting: Vec<_> = (0..NODE_COUNT)
             .filter_map(|at| Some((at, self.fencing_token(at)?)))
             .collect();
-        assert!(acting.len() <= 1, "two candidates act at the same time: {acting:?}");
+        assert!(
+            acting.len() <= 1,
+            "two candidates act at the same time: {acting:?}"
+        );
         let Some((at, fence)) = acting.first() else {
             return;
         };
@@ -195,7 +198,10 @@
         self.counts.steps += 1;
         let now = self.clock(at);
         for action in self.nodes[at].candidate.step(now, event) {
-            assert!(self.nodes[at].call.is_none(), "two calls open at the same time");
+            assert!(
+                self.nodes[at].call.is_none(),
+                "two calls open at the same time"
+            );
             self.nodes[at].call = Some(action);
         }
         self.check();
@@ -324,7 +330,10 @@
             u64::from(self.unfenced_engine.loaded_fence < self.fenced_engine.loaded_fence);
         self.order(fence);
         assert_eq!(
-            (self.fenced_engine.loaded_fence, self.unfenced_engine.loaded_fence),
+            (
+                self.fenced_engine.loaded_fence,
+                self.unfenced_engine.loaded_fence
+            ),
             (fence, fence)
         );
     }
--- a/crates/pinereel_core/tests/lease_rank.rs
+++ b/crates/pinereel_core/tests/lease_rank.rs
@@ -25,7 +25,10 @@
         let delays = delays("lots-m", total);
         assert_eq!(delays[0], Duration::ZERO);
         let early = delays.iter().filter(|d| d.as_millis() < 700).count();
-        assert!(early <= 7, "{early} of {total} write within one poll interval");
+        assert!(
+            early <= 7,
+            "{early} of {total} write within one poll interval"
+        );
         let longest = delays.last().expect("there is at least one follower");
         assert!(*longest <= Duration::from_millis(800));
     }
--- a/crates/pinereel_core/tests/lease_takeover.rs
+++ b/crates/pinereel_core/tests/lease_takeover.rs
@@ -152,7 +152,10 @@
     candidate.step(later, Event::Unknown);
     candidate.step(later, Event::Failed);
     let recovered_at = Time::from_millis(6_000);
-    assert_eq!(candidate.step(recovered_at, Event::Tick), vec![Action::Read]);
+    assert_eq!(
+        candidate.step(recovered_at, Event::Tick),
+        vec![Action::Read]
+    );
     candidate.step(recovered_at, Event::Read(found.clone()));
     let soon = recovered_at + Duration::from_millis(1_500);
     assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
@@ -168,7 +171,10 @@
     let (mut candidate, found) = follower_of_held_lease();
     candidate.note_store_unreachable();
     let recovered_at = Time::from_millis(6_000);
-    assert_eq!(candidate.step(recovered_at, Event::Tick), vec![Action::Read]);
+    assert_eq!(
+        candidate.step(recovered_at, Event::Tick),
+        vec![Action::Read]
+    );
     candidate.step(recovered_at, Event::Read(found));
     let soon = recovered_at + Duration::from_millis(1_100);
     assert_eq!(candidate.step(soon, Event::Tick), vec![Action::Read]);
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -135,7 +135,11 @@
     let actions = runner.step(NOW, Event::Assign(spec(9, &[(0, 8)])));
     let (attempt, endpoint) = (running[0].attempt, "a".into());
     assert!(actions.contains(&Action::Cancel { attempt, endpoint }));
-    assert_eq!(runner.in_flight(), 1, "a sample of the next lot uses the slot");
+    assert_eq!(
+        runner.in_flight(),
+        1,
+        "a sample of the next lot uses the slot"
+    );
     let (lot, reason) = ("lot7".into(), Refusal::Superseded);
     assert!(actions.contains(&Action::Dropped { lot, reason }));
     let actions = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
@@ -176,7 +180,11 @@
     let actions = runner.step(NOW, more.clone());
     assert_eq!(refusal(&actions), Some(Refusal::Full));
     let again = runner.step(NOW, Event::Assign(spec(7, &[(0, 8)])));
-    assert_eq!(refusal(&again), None, "known groups take no additional space");
+    assert_eq!(
+        refusal(&again),
+        None,
+        "known groups take no additional space"
+    );
     let token = Token::empty(digest(7), 7, 4).with_samples([0, 1]).unwrap();
     runner.step(NOW, collect(7, token, 5, 1));
     assert_eq!(refusal(&runner.step(NOW, more)), None);
@@ -526,6 +534,9 @@
         }
         let limits = Limits::default();
         let max_starts = limits.retry_burst + 10 * limits.retries_per_second + 2;
-        assert!(count <= max_starts as usize, "{count} starts, at most {max_starts}");
+        assert!(
+            count <= max_starts as usize,
+            "{count} starts, at most {max_starts}"
+        );
     }
 }
--- a/crates/pinereel_core/tests/rollout_assignment.rs
+++ b/crates/pinereel_core/tests/rollout_assignment.rs
@@ -74,7 +74,10 @@
 #[test]
 fn a_model_with_little_demand_keeps_some_engines() {
     let demand = demands(&[1, 1_000, 1_000, 1_000]);
-    assert_eq!(counts(&assign_models(engines(44), &demand)), [4, 14, 13, 13]);
+    assert_eq!(
+        counts(&assign_models(engines(44), &demand)),
+        [4, 14, 13, 13]
+    );
 }
 
 #[test]
--- a/crates/pinereel_core/tests/rollout_controller.rs
+++ b/crates/pinereel_core/tests/rollout_controller.rs
@@ -233,7 +233,8 @@
     }
 
     fn check(&self) {
-        let required = (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
+        let required =
+            (self.engines.len() as f64 * self.settings.min_serving_share).ceil() as usize;
         let out = self.engines.values().filter(|e| e.ordered_out).count();
         assert!(
             self.engines.len() - out >= required,
@@ -711,5 +712,9 @@
     assert_eq!(controller.step(now, Event::Lease(None)), []);
     assert_eq!(reads(&controller.step(now, lease(3))), 0);
     assert_eq!(controller.step(now, Event::Lease(None)), []);
-    assert_eq!(reads(&controller.step(now, lease(5))), 40, "another instance held the lease meanwhile");
+    assert_eq!(
+        reads(&controller.step(now, lease(5))),
+        40,
+        "another instance held the lease meanwhile"
+    );
 }
--- a/crates/pinereel_core/tests/scale_autoscaler.rs
+++ b/crates/pinereel_core/tests/scale_autoscaler.rs
@@ -118,7 +118,11 @@
     let mut reclaimed = zones(6);
     reclaimed.get_mut("b").expect("listed").spot = 0;
     let repeated = autoscaler.due_requests(at(8_000), SETTINGS, 24, &reclaimed);
-    assert_eq!(summary(&repeated), [("b", 6, true)], "replaces the reclaimed endpoints");
+    assert_eq!(
+        summary(&repeated),
+        [("b", 6, true)],
+        "replaces the reclaimed endpoints"
+    );
     autoscaler.note_result(at(8_000), "b", false);
     let others = request(&mut autoscaler, at(8_300), 24, &reclaimed);
     assert_eq!(
--- a/crates/pinereel_core/tests/usage_metering.rs
+++ b/crates/pinereel_core/tests/usage_metering.rs
@@ -85,7 +85,11 @@
     let all_closed = due(&mut aggregator, &ledger, END + 800);
     assert_eq!(all_closed, Some((WINDOW, counts(&[("w", 2)]))));
     aggregator.mark_finalized(WINDOW);
-    assert_eq!(due(&mut aggregator, &ledger, END + 800), None, "not due twice");
+    assert_eq!(
+        due(&mut aggregator, &ledger, END + 800),
+        None,
+        "not due twice"
+    );
 }
 
 /// The lease holder stops after storing a sum and before sending it. Its successor reads the sum
@@ -136,7 +140,11 @@
         assert_eq!(instance_count.expected(), 67);
     }
     instance_count.observe(Time::from_millis(16_000), 66);
-    assert_eq!(instance_count.expected(), 66, "one instance has left permanently");
+    assert_eq!(
+        instance_count.expected(),
+        66,
+        "one instance has left permanently"
+    );
 }
 
 #[test]
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -104,7 +104,10 @@
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_millis(600)).await;
     assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
-    assert_eq!(total_log_lines(&site, "broadcast tree: no source of updates"), 0);
+    assert_eq!(
+        total_log_lines(&site, "broadcast tree: no source of updates"),
+        0
+    );
 
     let calls = site.store.calls();
     site.instances[root].signal(Signal::KILL);
@@ -112,7 +115,10 @@
     site.configure("other", Duration::from_secs(2));
     sleep(Duration::from_millis(900)).await;
     assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
-    assert_eq!(total_log_lines(&site, "broadcast tree: no source of updates"), 0);
+    assert_eq!(
+        total_log_lines(&site, "broadcast tree: no source of updates"),
+        0
+    );
     let taken_over = total_log_lines(
         &site,
         "broadcast tree: reading the store in place of the root",
