--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -125,7 +125,7 @@
             }
             Err(error) => {
                 if !matches!(error, Error::NotSent(_)) {
-                    log::info!(kind, error:% = error; "watch: call failed; listing again");
+                    log::info!(kind, error:% = error; "watch: call failed, listing again");
                 }
                 must_list = true;
                 if error != Error::Gone {
--- a/crates/pinereel/src/hosted/reload.rs
+++ b/crates/pinereel/src/hosted/reload.rs
@@ -16,7 +16,7 @@
 /// Checks the settings file at each SIGHUP and at each interval, and logs a change or an error in it.
 pub async fn watch_settings_file(settings: Hosted, path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        log::error!("settings: cannot listen for SIGHUP; changes are not detected");
+        log::error!("settings: cannot listen for SIGHUP, changes are not detected");
         return;
     };
     let mut last_valid = settings;
@@ -33,11 +33,11 @@
     match Hosted::load(path) {
         Ok(settings) if settings == last_valid => last_valid,
         Ok(settings) => {
-            log::info!(settings:? = settings; "settings changed; the changes take effect at the next start");
+            log::info!(settings:? = settings; "settings changed, with effect from the next start");
             settings
         }
         Err(error) => {
-            log::error!(error:% = error; "settings changed and are invalid; the last valid ones are kept");
+            log::error!(error:% = error; "settings changed and are invalid, the last valid ones are kept");
             last_valid
         }
     }
--- a/crates/pinereel/src/hosted/stall.rs
+++ b/crates/pinereel/src/hosted/stall.rs
@@ -69,7 +69,7 @@
         let pause = now.since(self.checked_at.replace(now));
         if pause >= MIN_STALL {
             self.catch_up_until.set(now + CATCH_UP_TIME);
-            log::warn!(ms = pause.as_millis() as u64; "process stalled; waiting for updates");
+            log::warn!(ms = pause.as_millis() as u64; "process stalled, waiting for updates");
         }
     }
 }
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -73,7 +73,7 @@
     async fn store_crashes(&self, stored: &StoredReports) {
         let deps = &self.deps;
         if let Err(error) = stored.save(&deps.store, &deps.crashes).await {
-            log::info!(error:% = error; "requests that crash endpoints: storing the reports failed; retrying");
+            log::info!(error:% = error; "requests that crash endpoints: storing the reports failed, retrying");
         }
     }
 }
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -105,7 +105,7 @@
                 match self.store_sum(&mut sums, window, counts).await {
                     Ok(()) => aggregator.mark_finalized(window),
                     Err(error) => {
-                        log::info!(window = window.0, error:% = error; "usage: storing the sum failed; retrying");
+                        log::info!(window = window.0, error:% = error; "usage: storing the sum failed, retrying");
                         // The write may have succeeded, or another holder may have stored a sum.
                         sums = self.read_sums().await;
                         aggregator.resume(&sums.by_window);
