--- a/crates/pinereel_core/tests/crash_attribution.rs
+++ b/crates/pinereel_core/tests/crash_attribution.rs
@@ -1,5 +1,5 @@
-//! A request that ran beside one that crashes endpoints is not blocked, also with several such
-//! requests at once and with full endpoints.
+//! A request that ran concurrently with one that crashes endpoints is not blocked, also with several
+//! such requests and with full endpoints.
 //!
 //! Simulates a service in virtual time, in rounds of one run each. Requests go where the register
 //! places them. An endpoint that runs a crasher crashes at the end of the round, ends all its runs
--- a/crates/pinereel_core/tests/crash_propagation.rs
+++ b/crates/pinereel_core/tests/crash_propagation.rs
@@ -22,7 +22,7 @@
 const MAX_BATCH_REPORTS: usize = 128;
 /// Bound for instances that are connected.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(500);
-/// Time after which an instance whose parent is gone has a new one.
+/// Time after which an instance that has lost its parent has a new one.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn request(number: usize) -> Identity {
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -168,7 +168,7 @@
     assert!(matches!(status, RequestStatus::Suspected { .. }));
 }
 
-/// Three endpoints crash at once, before any request is suspected. The request that was at all of
+/// Three endpoints crash together, before any request is suspected. The request that was at all of
 /// them is blocked until a late report shows that another one could equally be the cause.
 #[test]
 fn a_request_is_unblocked_when_another_may_explain_its_crashes_and_one_more_crash_blocks_it() {
--- a/crates/pinereel_core/tests/usage_metering.rs
+++ b/crates/pinereel_core/tests/usage_metering.rs
@@ -149,13 +149,13 @@
 
 #[test]
 fn reports_of_a_stopped_instance_survive_the_loss_of_the_root() {
-    let (mut dead, mut relay) = (Ledger::new("dead"), Ledger::new("relay"));
-    dead.add(WINDOW, "w", 2);
-    relay.merge(dead.take_unsent(9));
+    let (mut stopped, mut inner_node) = (Ledger::new("dead"), Ledger::new("relay"));
+    stopped.add(WINDOW, "w", 2);
+    inner_node.merge(stopped.take_unsent(9));
     // These reports were sent to a root that has stopped; the next root gets all reports again.
-    relay.take_unsent(9);
+    inner_node.take_unsent(9);
     let mut root = Ledger::new("next root");
-    root.merge(relay.all_reports());
+    root.merge(inner_node.all_reports());
     assert_eq!(root.total(WINDOW), counts(&[("w", 2)]));
 }
 
