--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -61,10 +61,10 @@
         let admission = self.state.borrow_mut().children.admit(peer);
         match admission {
             Admission::Child(key) => {
-                log::info!(child = address.as_str(); "bulletin: child linked");
+                log::info!(child = address.as_str(); "broadcast tree: child linked");
                 let why = self.serve_child(socket, key, topics).await;
                 self.remove_child(key);
-                log::info!(child = address.as_str(), why; "bulletin: child lost");
+                log::info!(child = address.as_str(), why; "broadcast tree: child lost");
             }
             Admission::Referred(addresses) => reject(socket, &Frame::Referral(addresses)).await,
         }
@@ -123,7 +123,7 @@
             Some(Frame::SubtreeSize(size)) => self.state.borrow_mut().children.set_size(key, size),
             Some(Frame::Subscribe { topic, revision }) => self.on_subscribe(key, topic, revision),
             Some(Frame::Crashes(reports)) => self.on_crash_reports(reports),
-            Some(Frame::Usage(reports)) => self.parts.usage.merge(reports),
+            Some(Frame::Usage(reports)) => self.deps.usage.merge(reports),
             _ => {}
         }
     }
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -49,8 +49,8 @@
 /// reserved for the next lease holder, if this instance fails, and for a slow platform.
 const MAX_DELAY_SHARE: f64 = 0.5;
 
-/// What [`report`] needs from the other parts of the instance.
-pub struct Parts {
+/// Dependencies of [`report`].
+pub struct Dependencies {
     /// Message formats of the platform.
     pub adapter: Adapter,
     /// The object store.
@@ -85,15 +85,15 @@
 }
 
 /// Reports usage whenever this instance holds the lease of the tree's root.
-pub async fn report(parts: Parts) {
-    let parts = Rc::new(parts);
-    let duties = Rc::clone(&parts.duties);
-    let run = async || parts.run_as_holder().await;
+pub async fn report(deps: Dependencies) {
+    let deps = Rc::new(deps);
+    let duties = Rc::clone(&deps.duties);
+    let run = async || deps.run_as_holder().await;
     let duty = tree::ROOT_DUTY.into();
     duties.run_while_held(&duty, run, || true).await;
 }
 
-impl Parts {
+impl Dependencies {
     async fn run_as_holder(&self) {
         let mut sums = self.read_sums().await;
         let mut aggregator =
@@ -105,7 +105,7 @@
                 match self.store_sum(&mut sums, window, counts).await {
                     Ok(()) => aggregator.mark_finalized(window),
                     Err(error) => {
-                        log::info!(window = window.0, error:% = error; "usage: sum not kept yet");
+                        log::info!(window = window.0, error:% = error; "usage: storing the sum failed, retrying");
                         // The write may have succeeded, or another holder may have stored a sum.
                         sums = self.read_sums().await;
                         aggregator.resume(&sums.by_window);
@@ -149,9 +149,9 @@
                             by_window: stored.sums,
                         };
                     }
-                    Err(error) => log::error!(error:% = error; "usage: sums unreadable"),
+                    Err(error) => log::error!(error:% = error; "usage: malformed sums"),
                 },
-                Err(error) => log::debug!(error:% = error; "usage: sums not read"),
+                Err(error) => log::debug!(error:% = error; "usage: reading the sums failed"),
             }
             sleep(RETRY_DELAY).await;
         }
@@ -185,7 +185,7 @@
             closed = ledger.closed_count(window),
             after_ms = self.usage.wall_time().0.saturating_sub(window.end(self.settings.window).0),
             revision = object.revision;
-            "usage: window added up"
+            "usage: sum of the window stored"
         );
         *sums = Sums {
             revision: Some(object.revision),
@@ -209,7 +209,7 @@
                 window = window.0,
                 fence = lease.fence,
                 outcome = outcome.map_or("no answer", Outcome::as_str);
-                "usage: window sent"
+                "usage: report of the window sent"
             );
             match outcome {
                 // A call is rejected under an old fencing token; then the newer holder sends the sum.
