--- a/crates/pinereel_fakes/src/experiment/cli.rs
+++ b/crates/pinereel_fakes/src/experiment/cli.rs
@@ -1,19 +1,19 @@
-//! The command line of the tool.
+//! Command line of the experiment tool.
 
 use super::{
     plot,
     policy::Policy,
     scenario::{self, Scenario},
+    simulation::Simulation,
     table::{self, Row},
-    world::World,
 };
 use lexopt::{Arg::Long, Parser, ValueExt as _};
 use std::{path::PathBuf, process::ExitCode, thread};
 
-/// Threads that runs are spread over.
-const THREADS: usize = 4;
+/// Most threads that run simulations.
+const MAX_THREADS: usize = 4;
 
-/// Help on the flags.
+/// Help text of the flags.
 pub const HELP: &str = "  --scenario NAME|FILE  one scenario (default: the four built in)
   --policy NAME,...     these policies (default: all)
   --seeds N             seeds for each policy (default 2)
@@ -22,7 +22,7 @@
   --svg FILE            write a plot there
   --help                print this";
 
-/// Why the tool ended early.
+/// Why the tool failed.
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error("{0}; see --help")]
@@ -37,7 +37,7 @@
     Plot(#[from] plot::Error),
 }
 
-/// What to run.
+/// Parsed command line.
 struct Options {
     scenarios: Vec<String>,
     policies: Vec<Policy>,
@@ -47,7 +47,7 @@
     svg: Option<PathBuf>,
 }
 
-/// Runs the tool.
+/// Runs the tool. The exit code is 2 for a wrong command line and 1 for any other error.
 pub fn main(parser: Parser) -> ExitCode {
     match run(parser) {
         Ok(()) => ExitCode::SUCCESS,
@@ -85,23 +85,24 @@
     Ok(())
 }
 
-/// Runs each policy with the same seeds. The runs share nothing, so they take turns on some
-/// threads.
+/// Runs each policy with the seeds 1 to `seeds`; the rows are in the order of the policies. The
+/// policies are divided between threads, since the runs share no state.
 pub fn compare(scenario: &Scenario, policies: &[Policy], seeds: u64, steps: u32) -> Vec<Row> {
-    let share = policies.len().div_ceil(THREADS).max(1);
-    let row = |policy: &Policy| Row {
+    let per_thread = policies.len().div_ceil(MAX_THREADS).max(1);
+    let run_policy = |policy: &Policy| Row {
         scenario: scenario.name.clone(),
         policy: policy.name.into(),
         runs: (1..=seeds)
-            .map(|seed| World::new(scenario, *policy, seed, steps).run())
+            .map(|seed| Simulation::new(scenario, *policy, seed, steps).run())
             .collect(),
     };
     thread::scope(|scope| {
-        let parts = policies.chunks(share);
-        let parts = parts.map(|part| scope.spawn(move || part.iter().map(row).collect::<Vec<_>>()));
-        let parts: Vec<_> = parts.collect();
-        let rows = parts.into_iter().map(|part| part.join());
-        rows.flat_map(|rows| rows.expect("a run has no reason to panic"))
+        let chunks = policies.chunks(per_thread);
+        let threads = chunks
+            .map(|chunk| scope.spawn(move || chunk.iter().map(run_policy).collect::<Vec<_>>()));
+        let threads: Vec<_> = threads.collect();
+        let rows = threads.into_iter().map(|thread| thread.join());
+        rows.flat_map(|rows| rows.expect("simulations should not panic"))
             .collect()
     })
 }
@@ -118,7 +119,7 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Long("scenario") => options.scenarios = vec![parser.value()?.string()?],
-            Long("policy") => options.policies = policies(&parser.value()?.string()?)?,
+            Long("policy") => options.policies = parse_policies(&parser.value()?.string()?)?,
             Long("seeds") => options.seeds = parser.value()?.parse::<u64>()?.max(1),
             Long("steps") => options.steps = parser.value()?.parse::<u32>()?.max(1),
             Long("csv") => options.csv = Some(parser.value()?.into()),
@@ -129,7 +130,7 @@
     Ok(options)
 }
 
-fn policies(names: &str) -> Result<Vec<Policy>, Error> {
+fn parse_policies(names: &str) -> Result<Vec<Policy>, Error> {
     let known = || {
         Policy::all()
             .iter()
--- a/crates/pinereel_fakes/src/experiment/entry.rs
+++ b/crates/pinereel_fakes/src/experiment/entry.rs
@@ -1,10 +1,11 @@
-//! One entry of a run: its runner and its view of the endpoints, driven as the daemon does.
+//! Entries of a run: each has a runner and a view of the endpoints, both driven as in the daemon.
 
 use super::{
-    job::{Job, Life, Origin},
-    policy::{Ahead, Policy},
+    event::{EntryId, Event, Origin},
+    policy::{Lookahead, Policy},
+    recorder::SampleId,
     scenario::Scenario,
-    world::World,
+    simulation::Simulation,
 };
 use compact_str::{CompactString, format_compact};
 use pinereel::engines;
@@ -12,112 +13,118 @@
 use pinereel_core::{
     Time, Version, cursor,
     endpoint::{self, AttemptEnd, Key, LoadReport, Set, State},
-    lot::{self, Action, AttemptKey, Event, Failure, Limits, Offer, Runner, Start},
+    lot::{self, Action, AttemptKey, Failure, Limits, Offer, Runner, Start},
 };
 use std::{
     collections::{BTreeMap, VecDeque},
     time::Duration,
 };
 
-/// Pause between load reports of one engine.
-const REPORT_PAUSE: Duration = Duration::from_millis(250);
-/// The same for an engine that serves older weights than the newest.
-const EAGER_PAUSE: Duration = Duration::from_millis(25);
-/// Pause between ticks of the runner.
-const TICK: Duration = Duration::from_millis(100);
-/// Pause between lists of the weights, and of the instances, at the object API.
-pub(super) const LIST_PAUSE: Duration = Duration::from_millis(500);
-/// Tokens of one chunk of bulk work.
-const CHUNK_TOKENS: u32 = 32;
+/// Interval between an entry's polls of the load report of one engine.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The same for an engine with outdated weights, under [`Policy::eager_propagation`].
+const OUTDATED_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval between ticks of a runner.
+const RUNNER_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between an entry's lists of the weights and the instances at the object API.
+pub(super) const OBJECT_LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Tokens per chunk that are requested for samples.
+const TOKENS_PER_CHUNK: u32 = 32;
 
-/// An attempt at an engine.
-pub(super) struct Sent {
+/// An attempt of a sample that is running on an engine.
+pub(super) struct SampleAttempt {
+    /// Index of the engine.
     engine: usize,
+    /// Key of the engine in the entry's endpoint set.
     key: Key,
-    id: CompactString,
-    tokens: u32,
-    started: Time,
-    sample: (CompactString, u32),
+    request_id: CompactString,
+    max_tokens: u32,
+    started_at: Time,
+    sample: SampleId,
 }
 
-/// A question of a front that waits for samples.
-pub(super) struct Waiting {
+/// A collect's query of a runner that waits for samples.
+pub(super) struct WaitingQuery {
+    /// Number of the collect.
     pub(super) collect: u64,
-    pub(super) ask: lot::CollectRequest,
+    pub(super) request: lot::CollectRequest,
 }
 
-/// One entry.
+/// An incarnation of an entry.
 pub(super) struct Entry {
     pub(super) name: CompactString,
+    /// Index of its availability zone.
     pub(super) zone: usize,
-    pub(super) life: Life,
+    pub(super) id: EntryId,
     pub(super) up: bool,
     pub(super) runner: Runner,
-    pub(super) set: Set,
-    pub(super) known: Version,
-    pub(super) waits: BTreeMap<u64, Waiting>,
-    /// Lots submitted here.
-    pub(super) fronts: BTreeMap<CompactString, (usize, u64)>,
-    /// Live requests that found no room.
-    pub(super) waiting: VecDeque<u64>,
-    sent: BTreeMap<AttemptKey, Sent>,
-    requests: u64,
+    pub(super) endpoints: Set,
+    /// Newest published version that it has learned.
+    pub(super) known_version: Version,
+    /// Queries of its runner that wait for samples, by number.
+    pub(super) waiting_queries: BTreeMap<u64, WaitingQuery>,
+    /// Trainer and step of each lot that was submitted to this entry, by the lot's id.
+    pub(super) submitted_lots: BTreeMap<CompactString, (usize, u64)>,
+    /// Live requests that wait for a free slot, by number.
+    pub(super) waiting_requests: VecDeque<u64>,
+    sample_attempts: BTreeMap<AttemptKey, SampleAttempt>,
+    /// Number of request ids handed out.
+    request_ids: u64,
 }
 
 impl Entry {
-    pub(super) fn new(index: usize, number: u32, zones: usize, policy: &Policy) -> Self {
+    pub(super) fn new(index: usize, incarnation: u32, zones: usize, policy: &Policy) -> Self {
         Self {
             name: format_compact!("entry-{index}"),
             zone: index % zones,
-            life: Life {
-                entry: index,
-                number,
-            },
+            id: EntryId { index, incarnation },
             up: true,
-            runner: Runner::new(policy.lot, limits(policy)),
-            set: Set::default(),
-            known: Version(0),
-            waits: BTreeMap::new(),
-            fronts: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            sent: BTreeMap::new(),
-            requests: 0,
+            runner: Runner::new(policy.lot, runner_limits(policy)),
+            endpoints: Set::default(),
+            known_version: Version(0),
+            waiting_queries: BTreeMap::new(),
+            submitted_lots: BTreeMap::new(),
+            waiting_requests: VecDeque::new(),
+            sample_attempts: BTreeMap::new(),
+            request_ids: 0,
         }
     }
 
-    /// A new id of a request.
-    pub(super) fn request_id(&mut self) -> CompactString {
-        self.requests += 1;
-        let Life { entry, number } = self.life;
-        format_compact!("{entry}.{number}.{}", self.requests)
+    /// Returns a request id that is unique within the run.
+    pub(super) fn next_request_id(&mut self) -> CompactString {
+        self.request_ids += 1;
+        let EntryId { index, incarnation } = self.id;
+        format_compact!("{index}.{incarnation}.{}", self.request_ids)
     }
 }
 
-impl World {
-    /// Whether this life of an entry goes on.
-    pub(super) fn lives(&self, life: Life) -> bool {
-        let entry = &self.entries[life.entry];
-        entry.up && entry.life == life
+impl Simulation {
+    /// Whether this incarnation of the entry is running.
+    pub(super) fn is_running(&self, entry_id: EntryId) -> bool {
+        let entry = &self.entries[entry_id.index];
+        entry.up && entry.id == entry_id
     }
 
-    /// Starts an entry's regular work.
+    /// Lists the engines as endpoints of an entry and schedules the entry's periodic events.
     pub(super) fn start_entry(&mut self, index: usize) {
-        let life = self.entries[index].life;
+        let entry_id = self.entries[index].id;
         for engine in 0..self.engines.len() {
-            let instance = self.instance(engine);
-            let event = endpoint::Event::Listed(instance);
-            self.entries[index].set.step(self.now, event);
-            // Spread, so that entries don't read an engine all at once.
-            let spread = REPORT_PAUSE * ((index * 7 + engine * 3) % 64) as u32 / 64;
-            self.queue.send(self.now, spread, Job::Poll(life, engine));
+            let event = endpoint::Event::Listed(self.listing(engine));
+            self.entries[index].endpoints.step(self.now, event);
+            // Staggered, so that the entries do not poll an engine all at the same time.
+            let delay = POLL_INTERVAL * ((index * 7 + engine * 3) % 64) as u32 / 64;
+            self.queue
+                .schedule(self.now, delay, Event::PollEngine(entry_id, engine));
         }
-        let spread = TICK * index as u32 / self.entries.len() as u32;
-        self.queue.send(self.now, spread, Job::Tick(life));
-        let spread = LIST_PAUSE * index as u32 / self.entries.len() as u32;
-        self.queue.send(self.now, spread, Job::List(life));
+        let delay = RUNNER_TICK_INTERVAL * index as u32 / self.entries.len() as u32;
+        self.queue
+            .schedule(self.now, delay, Event::RunnerTick(entry_id));
+        let delay = OBJECT_LIST_INTERVAL * index as u32 / self.entries.len() as u32;
+        self.queue
+            .schedule(self.now, delay, Event::ListObjects(entry_id));
     }
 
-    fn instance(&self, engine: usize) -> endpoint::Listing {
+    fn listing(&self, engine: usize) -> endpoint::Listing {
         let Scenario {
             model,
             zones,
@@ -136,71 +143,77 @@
         }
     }
 
-    pub(super) fn tick(&mut self, life: Life) {
-        if self.lives(life) {
-            self.step(life, Event::Tick);
-            self.queue.send(self.now, TICK, Job::Tick(life));
-            self.queue.send(self.now, Duration::ZERO, Job::Room(life));
+    /// Periodic tick of an entry's runner; also routes the entry's waiting live requests again.
+    pub(super) fn runner_tick(&mut self, entry_id: EntryId) {
+        if self.is_running(entry_id) {
+            self.step_runner(entry_id, lot::Event::Tick);
+            self.queue
+                .schedule(self.now, RUNNER_TICK_INTERVAL, Event::RunnerTick(entry_id));
+            self.queue
+                .schedule(self.now, Duration::ZERO, Event::RouteWaiting(entry_id));
         }
     }
 
-    /// Reads one engine's state.
-    pub(super) fn poll(&mut self, life: Life, index: usize) {
-        if !self.lives(life) {
+    /// Requests an engine's load report for an entry, and schedules the next poll.
+    pub(super) fn poll_engine(&mut self, entry_id: EntryId, index: usize) {
+        if !self.is_running(entry_id) {
             return;
         }
         let engine = &self.engines[index];
-        let trip = 2 * self.between(self.entries[life.entry].zone, engine.zone);
+        let round_trip = 2 * self.latency(self.entries[entry_id.index].zone, engine.zone);
         if engine.up {
-            let report = engine.report(self.now, self.lag);
-            let job = Job::Report(life, index, engine.incarnation, report);
-            self.queue.send(self.now, trip, job);
+            let report = engine.load_report(self.now, self.report_lag);
+            let event = Event::Report(entry_id, index, engine.incarnation, report);
+            self.queue.schedule(self.now, round_trip, event);
         } else {
-            self.offer(life, index);
+            self.offer_engine(entry_id, index);
         }
-        let pause = self.report_pause(life, index) + trip;
-        self.queue.send(self.now, pause, Job::Poll(life, index));
+        let delay = self.poll_interval(entry_id, index) + round_trip;
+        self.queue
+            .schedule(self.now, delay, Event::PollEngine(entry_id, index));
     }
 
-    /// An engine on old weights is about to get new ones: it is read more often.
-    fn report_pause(&self, life: Life, index: usize) -> Duration {
-        let entry = &self.entries[life.entry];
-        let found = entry.set.find(&self.engines[index].name);
-        let old = found.is_some_and(|(_, e)| e.version.is_some_and(|v| v < entry.known));
-        if self.policy.eager && old {
-            EAGER_PAUSE
+    /// An engine with outdated weights is polled more often, since it will soon load new ones.
+    fn poll_interval(&self, entry_id: EntryId, index: usize) -> Duration {
+        let entry = &self.entries[entry_id.index];
+        let found = entry.endpoints.find(&self.engines[index].name);
+        let outdated =
+            found.is_some_and(|(_, e)| e.version.is_some_and(|v| v < entry.known_version));
+        if self.policy.eager_propagation && outdated {
+            OUTDATED_POLL_INTERVAL
         } else {
-            REPORT_PAUSE
+            POLL_INTERVAL
         }
     }
 
-    pub(super) fn report(
+    /// Handles the arrival of an engine's load report at an entry.
+    pub(super) fn receive_report(
         &mut self,
-        life: Life,
+        entry_id: EntryId,
         index: usize,
         incarnation: u64,
         report: LoadReport,
     ) {
-        if !self.lives(life) {
+        if !self.is_running(entry_id) {
             return;
         }
         let name = self.engines[index].name.clone();
-        let set = &mut self.entries[life.entry].set;
-        if let Some((key, _)) = set.find(&name) {
+        let endpoints = &mut self.entries[entry_id.index].endpoints;
+        if let Some((key, _)) = endpoints.find(&name) {
             let event = endpoint::Event::Reported {
                 incarnation,
                 key,
                 report,
             };
-            set.step(self.now, event);
+            endpoints.step(self.now, event);
         }
-        self.offer(life, index);
+        self.offer_engine(entry_id, index);
     }
 
-    /// Tells the runner what an engine has to offer.
-    fn offer(&mut self, life: Life, index: usize) {
-        let set = &self.entries[life.entry].set;
-        let Some((_, endpoint)) = set.find(&self.engines[index].name) else {
+    /// Offers an engine's version and slots to the entry's runner.
+    fn offer_engine(&mut self, entry_id: EntryId, index: usize) {
+        let endpoints = &self.entries[entry_id.index].endpoints;
+        let Some((_, endpoint)) = endpoints.find(&self.engines[index].name) else {
             return;
         };
         let Some(version) = endpoint.version else {
@@ -213,31 +226,31 @@
             version,
             slots: if live { endpoint.limit() } else { 0 },
         };
-        self.step(life, Event::Offer(offer));
+        self.step_runner(entry_id, lot::Event::Offer(offer));
     }
 
-    /// Tells a runner an event and carries out what it wants.
-    pub(super) fn step(&mut self, life: Life, event: Event) {
-        let actions = self.entries[life.entry].runner.step(self.now, event);
+    /// Feeds an event to an entry's runner and carries out the resulting actions.
+    pub(super) fn step_runner(&mut self, entry_id: EntryId, event: lot::Event) {
+        let actions = self.entries[entry_id.index].runner.step(self.now, event);
         for action in actions {
-            self.act(life, action);
+            self.execute(entry_id, action);
         }
     }
 
-    fn act(&mut self, life: Life, action: Action) {
+    fn execute(&mut self, entry_id: EntryId, action: Action) {
         match action {
-            Action::Start(start) => self.start(life, start),
-            Action::Cancel { attempt, .. } => self.cancel_attempt(life, attempt),
+            Action::Start(start) => self.start_sample_attempt(entry_id, start),
+            Action::Cancel { attempt, .. } => self.cancel_sample_attempt(entry_id, attempt),
             Action::Answer {
                 call,
                 samples,
                 missing,
-            } => self.answer(life, call, samples, missing),
+            } => self.answer_query(entry_id, call, samples, missing),
             Action::Rejected { error, .. } => {
-                // A trainer's own token is never of another lot, nor behind.
+                // Every token comes from a trainer's own cursor.
                 debug_assert!(error != cursor::Error::Malformed);
             }
-            Action::Ready { lot } => self.ready(life, &lot),
+            Action::Ready { lot } => self.repeat_queries(entry_id, &lot),
             Action::Refused { .. }
             | Action::Assigned { .. }
             | Action::Dropped { .. }
@@ -246,32 +259,35 @@
         }
     }
 
-    fn start(&mut self, life: Life, start: Start) {
+    fn start_sample_attempt(&mut self, entry_id: EntryId, start: Start) {
         let now = self.now;
-        let entry = &mut self.entries[life.entry];
-        let origin = Origin::Attempt(life, start.attempt);
-        let Some((key, endpoint)) = entry.set.find(&start.endpoint) else {
-            let job = Job::Broken(origin, AttemptEnd::Cancelled, Failure::NotRun);
-            self.queue.send(now, Duration::ZERO, job);
+        let entry = &mut self.entries[entry_id.index];
+        let origin = Origin::Sample(entry_id, start.attempt);
+        let Some((key, endpoint)) = entry.endpoints.find(&start.endpoint) else {
+            let event = Event::AttemptFailed(origin, AttemptEnd::Cancelled, Failure::NotRun);
+            self.queue.schedule(now, Duration::ZERO, event);
             return;
         };
         let version = endpoint.version.unwrap_or_default();
-        let id = entry.request_id();
-        let tokens = start.max_tokens;
-        let event = endpoint::Event::Started { key, tokens };
-        entry.set.step(now, event);
+        let request_id = entry.next_request_id();
+        let max_tokens = start.max_tokens;
+        let event = endpoint::Event::Started {
+            key,
+            tokens: max_tokens,
+        };
+        entry.endpoints.step(now, event);
         let engines = &self.engines;
         let engine = engines.iter().position(|e| e.name == start.endpoint);
-        let engine = engine.expect("only engines are offered");
-        let sent = Sent {
+        let engine = engine.expect("every offered endpoint should be an engine");
+        let attempt = SampleAttempt {
             engine,
             key,
-            id: id.clone(),
-            tokens,
-            started: now,
+            request_id: request_id.clone(),
+            max_tokens,
+            started_at: now,
             sample: (start.lot, start.index),
         };
-        entry.sent.insert(start.attempt, sent);
+        entry.sample_attempts.insert(start.attempt, attempt);
         let request = Request {
             model: self.scenario.model.clone(),
             prompt: start.prompt,
@@ -279,88 +295,106 @@
             stream: true,
             seed: start.seed,
             priority: start.class.number(),
-            request_id: id,
-            chunk_tokens: CHUNK_TOKENS,
+            request_id,
+            chunk_tokens: TOKENS_PER_CHUNK,
             cache_salt: format_compact!("{version}"),
             resume: start.resume,
             resume_tokens: start.resume_tokens,
         };
-        let after = self.to_origin(engine, origin);
+        let latency = self.latency_to_origin(engine, origin);
         self.queue
-            .send(now, after, Job::Request(engine, origin, request));
+            .schedule(now, latency, Event::Request(engine, origin, request));
     }
 
-    fn cancel_attempt(&mut self, life: Life, attempt: AttemptKey) {
-        let Some(sent) = self.end(life, attempt, AttemptEnd::Cancelled) else {
+    fn cancel_sample_attempt(&mut self, entry_id: EntryId, key: AttemptKey) {
+        let Some(attempt) = self.finish_sample_attempt(entry_id, key, AttemptEnd::Cancelled) else {
             return;
         };
-        let after = self.to_origin(sent.engine, Origin::Attempt(life, attempt));
-        let job = Job::Cancel(sent.engine, sent.id);
-        self.queue.send(self.now, after, job);
+        let latency = self.latency_to_origin(attempt.engine, Origin::Sample(entry_id, key));
+        let event = Event::Cancel(attempt.engine, attempt.request_id);
+        self.queue.schedule(self.now, latency, event);
     }
 
-    /// Takes an attempt off the books of its endpoint.
-    fn end(&mut self, life: Life, attempt: AttemptKey, end: AttemptEnd) -> Option<Sent> {
-        let entry = &mut self.entries[life.entry];
-        let sent = entry.sent.remove(&attempt)?;
+    /// Removes a running attempt and reports its end to the endpoint set.
+    fn finish_sample_attempt(
+        &mut self,
+        entry_id: EntryId,
+        key: AttemptKey,
+        end: AttemptEnd,
+    ) -> Option<SampleAttempt> {
+        let entry = &mut self.entries[entry_id.index];
+        let attempt = entry.sample_attempts.remove(&key)?;
         let event = endpoint::Event::Finished {
-            key: sent.key,
-            tokens: sent.tokens,
-            took: self.now.since(sent.started),
+            key: attempt.key,
+            tokens: attempt.max_tokens,
+            took: self.now.since(attempt.started_at),
             end,
         };
-        entry.set.step(self.now, event);
-        if !entry.waiting.is_empty() {
-            self.queue.send(self.now, Duration::ZERO, Job::Room(life));
+        entry.endpoints.step(self.now, event);
+        if !entry.waiting_requests.is_empty() {
+            self.queue
+                .schedule(self.now, Duration::ZERO, Event::RouteWaiting(entry_id));
         }
-        Some(sent)
+        Some(attempt)
     }
 
-    /// A chunk of an attempt arrives.
-    pub(super) fn attempt_chunk(&mut self, life: Life, attempt: AttemptKey, chunk: engine::Chunk) {
-        if !self.lives(life) {
+    /// Handles the arrival of a chunk of a sample's attempt.
+    pub(super) fn receive_sample_chunk(
+        &mut self,
+        entry_id: EntryId,
+        key: AttemptKey,
+        chunk: engine::Chunk,
+    ) {
+        if !self.is_running(entry_id) {
             return;
         }
-        if let Some(sent) = self.entries[life.entry].sent.get(&attempt) {
-            let made = chunk.offset + chunk.tokens;
-            self.tally.made(sent.sample.clone(), made);
+        let attempts = &self.entries[entry_id.index].sample_attempts;
+        if let Some(attempt) = attempts.get(&key) {
+            let tokens = chunk.offset + chunk.tokens;
+            self.recorder
+                .record_progress(attempt.sample.clone(), tokens);
         }
         if chunk.finish.is_some() {
-            self.end(life, attempt, AttemptEnd::Completed);
+            self.finish_sample_attempt(entry_id, key, AttemptEnd::Completed);
         }
-        self.step(life, Event::Chunk(engines::lot_chunk(attempt, chunk)));
+        let chunk = engines::lot_chunk(key, chunk);
+        self.step_runner(entry_id, lot::Event::Chunk(chunk));
     }
 
-    /// An attempt broke off.
-    pub(super) fn attempt_broken(
+    /// Handles the failure of a sample's attempt.
+    pub(super) fn sample_attempt_failed(
         &mut self,
-        life: Life,
-        attempt: AttemptKey,
+        entry_id: EntryId,
+        key: AttemptKey,
         end: AttemptEnd,
         failure: Failure,
     ) {
-        if self.lives(life) {
-            self.end(life, attempt, end);
-            self.step(life, Event::Failed { attempt, failure });
+        if self.is_running(entry_id) {
+            self.finish_sample_attempt(entry_id, key, end);
+            let event = lot::Event::Failed {
+                attempt: key,
+                failure,
+            };
+            self.step_runner(entry_id, event);
         }
     }
 
-    /// A published version becomes known.
-    pub(super) fn known(&mut self, life: Life, version: Version) {
-        if !self.lives(life) || version <= self.entries[life.entry].known {
+    /// Handles a published version that an entry learns of; one that is not newer is ignored.
+    pub(super) fn learn_version(&mut self, entry_id: EntryId, version: Version) {
+        if !self.is_running(entry_id) || version <= self.entries[entry_id.index].known_version {
             return;
         }
-        self.entries[life.entry].known = version;
+        self.entries[entry_id.index].known_version = version;
         let model = self.scenario.model.clone();
-        self.step(life, Event::Published { model, version });
-        self.target(life, version);
+        self.step_runner(entry_id, lot::Event::Published { model, version });
+        self.set_rollout_target(entry_id, version);
     }
 }
 
-fn limits(policy: &Policy) -> Limits {
-    let max_steps_ahead = match policy.ahead {
-        Ahead::Collect(steps) => steps,
-        Ahead::None | Ahead::Train => 1,
+fn runner_limits(policy: &Policy) -> Limits {
+    let max_steps_ahead = match policy.lookahead {
+        Lookahead::Collect(steps) => steps,
+        Lookahead::None | Lookahead::Train => 1,
     };
     Limits {
         max_steps_ahead,
--- a/crates/pinereel_fakes/src/experiment/live.rs
+++ b/crates/pinereel_fakes/src/experiment/live.rs
@@ -1,9 +1,9 @@
-//! Live callers of a run, and how an entry routes and retries their requests.
+//! Live requests of a run: their arrival, and how an entry routes and retries them.
 
 use super::{
-    job::{Job, Life, Origin},
+    event::{EntryId, Event, Origin},
     scenario::Scenario,
-    world::World,
+    simulation::Simulation,
 };
 use pinereel_api::engine::{self, Request};
 use pinereel_core::{
@@ -17,45 +17,52 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Most attempts of one request.
-const ATTEMPTS: usize = 3;
+/// A live request that has failed at this many endpoints is refused instead of retried.
+const MAX_EXCLUDED_ENDPOINTS: usize = 3;
 
-/// An attempt at an engine.
-struct Running {
+/// An attempt of a live request that is running on an engine.
+struct LiveAttempt {
+    /// Key of the engine in the entry's endpoint set.
     key: Key,
-    started: Time,
-    attempt: u32,
+    started_at: Time,
+    /// Number of the attempt, counted from 1 for each request.
+    number: u32,
 }
 
-/// One request.
-struct Call {
-    at: Time,
+/// A live request.
+struct LiveRequest {
+    arrival: Time,
+    /// Index of the entry that handles it.
     entry: usize,
+    /// Endpoints at which it failed.
     excluded: Vec<Key>,
+    /// Number of attempts started.
     attempts: u32,
-    running: Option<Running>,
+    running: Option<LiveAttempt>,
+    /// Whether it was answered or refused.
     done: bool,
 }
 
-/// All requests of the live callers, in order of arrival.
-pub(super) struct Live {
-    calls: Vec<Call>,
+/// All live requests of a run, in order of arrival; a request's number is its index.
+pub(super) struct LiveRequests {
+    requests: Vec<LiveRequest>,
 }
 
-impl Live {
-    /// Arrivals over `length`, by the seed alone.
-    pub(super) fn new(scenario: &Scenario, seed: u64, length: Duration) -> Self {
+impl LiveRequests {
+    /// Generates the requests that arrive within `duration`. Arrival times and entries depend on
+    /// the scenario and the seed alone.
+    pub(super) fn new(scenario: &Scenario, seed: u64, duration: Duration) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x11fe);
-        let mut calls = Vec::new();
+        let mut requests = Vec::new();
         let mut at = 0.0;
         loop {
-            at += -(1.0 - random.random::<f64>()).ln() / scenario.live.per_second;
-            if at >= length.as_secs_f64() {
-                return Self { calls };
+            at += -(1.0 - random.random::<f64>()).ln() / scenario.live.requests_per_second;
+            if at >= duration.as_secs_f64() {
+                return Self { requests };
             }
-            calls.push(Call {
-                at: Time::ZERO + Duration::from_secs_f64(at),
-                entry: random.random_range(0..scenario.entries),
+            requests.push(LiveRequest {
+                arrival: Time::ZERO + Duration::from_secs_f64(at),
+                entry: random.random_range(0..scenario.entry_count),
                 excluded: Vec::new(),
                 attempts: 0,
                 running: None,
@@ -64,42 +71,43 @@
         }
     }
 
-    /// Arrivals with their numbers.
+    /// Numbers and arrival times of the requests.
     pub(super) fn arrivals(&self) -> impl Iterator<Item = (u64, Time)> {
-        let calls = self.calls.iter().enumerate();
-        calls.map(|(number, call)| (number as u64, call.at))
+        let requests = self.requests.iter().enumerate();
+        requests.map(|(number, request)| (number as u64, request.arrival))
     }
 
-    /// The entry that a request came to.
+    /// Index of the entry that handles a request.
     pub(super) fn entry(&self, number: u64) -> usize {
-        self.calls[number as usize].entry
+        self.requests[number as usize].entry
     }
 }
 
-impl World {
-    /// A request arrives at its entry, or at the next that is up.
-    pub(super) fn live_arrived(&mut self, number: u64) {
+impl Simulation {
+    /// Handles the arrival of a live request at its entry, or at the next one that is running.
+    pub(super) fn receive_live_request(&mut self, number: u64) {
         let entries = self.entries.len();
-        let call = &mut self.live.calls[number as usize];
-        while !self.entries[call.entry].up {
-            call.entry = (call.entry + 1) % entries;
+        let live = &mut self.live.requests[number as usize];
+        while !self.entries[live.entry].up {
+            live.entry = (live.entry + 1) % entries;
         }
-        self.try_live(number);
+        self.route_live_request(number);
     }
 
-    /// Routes a request; one that finds no room waits.
-    fn try_live(&mut self, number: u64) {
-        let call = &self.live.calls[number as usize];
-        let index = call.entry;
-        if self.now.since(call.at) >= self.scenario.live.deadline {
-            self.refuse(number);
+    /// Routes a live request to an engine. Without a free slot the request waits; it is refused
+    /// after its deadline, or if no endpoint can run it.
+    fn route_live_request(&mut self, number: u64) {
+        let live = &self.live.requests[number as usize];
+        let index = live.entry;
+        if self.now.since(live.arrival) >= self.scenario.live.deadline {
+            self.refuse_live_request(number);
             return;
         }
         let entry = &self.entries[index];
-        let mut excluded = call.excluded.clone();
-        if self.policy.shun_slow {
+        let mut excluded = live.excluded.clone();
+        if self.policy.live_avoids_slow {
             let slow = entry.runner.slow_endpoints(self.now);
-            let keys = slow.iter().filter_map(|name| entry.set.find(name));
+            let keys = slow.iter().filter_map(|name| entry.endpoints.find(name));
             excluded.extend(keys.map(|(key, _)| key));
         }
         let request = route::Request {
@@ -112,35 +120,36 @@
             repeatable: true,
             seed: hash::mix(number ^ self.seed),
         };
-        match route::choose(&entry.set, &request, self.now, &self.policy.route) {
-            Ok(choice) => self.start_live(number, choice.key),
-            Err(Refusal::Full) => self.entries[index].waiting.push_back(number),
-            Err(_) if call.excluded.is_empty() => self.refuse(number),
+        match route::choose(&entry.endpoints, &request, self.now, &self.policy.route) {
+            Ok(choice) => self.start_live_attempt(number, choice.key),
+            Err(Refusal::Full) => self.entries[index].waiting_requests.push_back(number),
+            Err(_) if live.excluded.is_empty() => self.refuse_live_request(number),
             Err(_) => {
-                self.live.calls[number as usize].excluded.clear();
-                self.entries[index].waiting.push_back(number);
+                // The endpoints at which it failed may be tried again.
+                self.live.requests[number as usize].excluded.clear();
+                self.entries[index].waiting_requests.push_back(number);
             }
         }
     }
 
-    fn start_live(&mut self, number: u64, key: Key) {
+    fn start_live_attempt(&mut self, number: u64, key: Key) {
         let now = self.now;
         let tokens = self.scenario.live.max_tokens;
-        let call = &mut self.live.calls[number as usize];
-        let entry = &mut self.entries[call.entry];
-        let name = entry.set.get(key).map(|e| e.name.clone());
+        let live = &mut self.live.requests[number as usize];
+        let entry = &mut self.entries[live.entry];
+        let name = entry.endpoints.get(key).map(|e| e.name.clone());
         let name = name.unwrap_or_default();
-        let id = entry.request_id();
+        let request_id = entry.next_request_id();
         let event = endpoint::Event::Started { key, tokens };
-        entry.set.step(now, event);
+        entry.endpoints.step(now, event);
         let engine = self.engines.iter().position(|e| e.name == name);
-        let engine = engine.expect("only engines are listed");
-        call.attempts += 1;
-        let attempt = call.attempts;
-        call.running = Some(Running {
+        let engine = engine.expect("every listed endpoint should be an engine");
+        live.attempts += 1;
+        let attempt = live.attempts;
+        live.running = Some(LiveAttempt {
             key,
-            started: now,
-            attempt,
+            started_at: now,
+            number: attempt,
         });
         let request = Request {
             model: self.scenario.model.clone(),
@@ -149,97 +158,102 @@
             stream: true,
             seed: hash::mix(self.seed ^ number),
             priority: Class::Live.number(),
-            request_id: id,
+            request_id,
             chunk_tokens: 1,
             ..Request::default()
         };
         let origin = Origin::Live(number, attempt);
-        let after = self.to_origin(engine, origin);
+        let latency = self.latency_to_origin(engine, origin);
         self.queue
-            .send(now, after, Job::Request(engine, origin, request));
+            .schedule(now, latency, Event::Request(engine, origin, request));
     }
 
-    /// Ends the attempt under way, if it is the one meant.
-    fn end_live(&mut self, number: u64, attempt: u32, end: AttemptEnd) -> bool {
-        let call = &mut self.live.calls[number as usize];
-        if call.running.as_ref().is_none_or(|r| r.attempt != attempt) {
+    /// Ends the running attempt of a live request and reports its end to the endpoint set. Returns
+    /// `false` if this attempt is not the running one.
+    fn finish_live_attempt(&mut self, number: u64, attempt: u32, end: AttemptEnd) -> bool {
+        let live = &mut self.live.requests[number as usize];
+        if live.running.as_ref().is_none_or(|r| r.number != attempt) {
             return false;
         }
-        let Some(running) = call.running.take() else {
+        let Some(running) = live.running.take() else {
             return false;
         };
         if end != AttemptEnd::Completed {
-            call.excluded.push(running.key);
+            live.excluded.push(running.key);
         }
-        let entry = &mut self.entries[call.entry];
+        let entry = &mut self.entries[live.entry];
         let event = endpoint::Event::Finished {
             key: running.key,
             tokens: self.scenario.live.max_tokens,
-            took: self.now.since(running.started),
+            took: self.now.since(running.started_at),
             end,
         };
-        entry.set.step(self.now, event);
-        let job = Job::Room(entry.life);
-        self.queue.send(self.now, Duration::ZERO, job);
+        entry.endpoints.step(self.now, event);
+        let event = Event::RouteWaiting(entry.id);
+        self.queue.schedule(self.now, Duration::ZERO, event);
         true
     }
 
-    /// A chunk of a live request arrives at its entry.
-    pub(super) fn live_chunk(&mut self, number: u64, attempt: u32, chunk: &engine::Chunk) {
+    /// Handles the arrival of a live request's chunk at its entry.
+    pub(super) fn receive_live_chunk(&mut self, number: u64, attempt: u32, chunk: &engine::Chunk) {
         let Some(finish) = chunk.finish else { return };
         if finish == engine::FinishReason::Cancelled {
-            self.live_broken(number, attempt, AttemptEnd::Failed);
+            self.live_attempt_failed(number, attempt, AttemptEnd::Failed);
             return;
         }
-        if !self.end_live(number, attempt, AttemptEnd::Completed) {
+        if !self.finish_live_attempt(number, attempt, AttemptEnd::Completed) {
             return;
         }
-        let call = &mut self.live.calls[number as usize];
-        if std::mem::replace(&mut call.done, true) {
+        let live = &mut self.live.requests[number as usize];
+        if std::mem::replace(&mut live.done, true) {
             return;
         }
-        let took = self.now.since(call.at);
+        let took = self.now.since(live.arrival);
         let late = took > self.scenario.live.deadline;
-        self.tally.live_tokens += u64::from(chunk.offset + chunk.tokens);
-        self.tally.refused += u64::from(late);
-        self.tally.live.push(took + 2 * self.scenario.client);
+        self.recorder.live_tokens += u64::from(chunk.offset + chunk.tokens);
+        self.recorder.live_refused += u64::from(late);
+        self.recorder
+            .live_times
+            .push(took + 2 * self.scenario.client_latency);
     }
 
-    /// An attempt broke off: the next one goes elsewhere.
-    pub(super) fn live_broken(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
-        if !self.end_live(number, attempt, end) {
+    /// Handles the failure of a live request's attempt: retries the request elsewhere, or refuses
+    /// it after too many failures.
+    pub(super) fn live_attempt_failed(&mut self, number: u64, attempt: u32, end: AttemptEnd) {
+        if !self.finish_live_attempt(number, attempt, end) {
             return;
         }
-        if self.live.calls[number as usize].excluded.len() >= ATTEMPTS {
-            self.refuse(number);
+        if self.live.requests[number as usize].excluded.len() >= MAX_EXCLUDED_ENDPOINTS {
+            self.refuse_live_request(number);
         } else {
-            self.try_live(number);
+            self.route_live_request(number);
         }
     }
 
-    /// Requests that wait look for room.
-    pub(super) fn room(&mut self, life: Life) {
-        if self.lives(life) {
-            for number in std::mem::take(&mut self.entries[life.entry].waiting) {
-                self.try_live(number);
+    /// Routes the waiting live requests of an entry again.
+    pub(super) fn route_waiting(&mut self, entry_id: EntryId) {
+        if self.is_running(entry_id) {
+            for number in std::mem::take(&mut self.entries[entry_id.index].waiting_requests) {
+                self.route_live_request(number);
             }
         }
     }
 
-    fn refuse(&mut self, number: u64) {
-        let call = &mut self.live.calls[number as usize];
-        if !std::mem::replace(&mut call.done, true) {
-            self.tally.refused += 1;
+    fn refuse_live_request(&mut self, number: u64) {
+        let live = &mut self.live.requests[number as usize];
+        if !std::mem::replace(&mut live.done, true) {
+            self.recorder.live_refused += 1;
         }
     }
 
-    /// The requests of an entry that dies get no answer.
-    pub(super) fn lose_live(&mut self, index: usize) {
-        let calls = self.live.calls.iter().enumerate();
-        let open = calls.filter(|(_, c)| c.entry == index && !c.done && c.at <= self.now);
-        for number in open.map(|(n, _)| n as u64).collect::<Vec<_>>() {
-            self.live.calls[number as usize].running = None;
-            self.refuse(number);
+    /// Counts the unanswered live requests of an entry that crashed as refused.
+    pub(super) fn drop_live_requests(&mut self, index: usize) {
+        let requests = self.live.requests.iter().enumerate();
+        let lost = requests.filter(|(_, r)| r.entry == index && !r.done && r.arrival <= self.now);
+        let lost: Vec<_> = lost.map(|(number, _)| number as u64).collect();
+        for number in lost {
+            self.live.requests[number as usize].running = None;
+            self.refuse_live_request(number);
         }
     }
 }
--- a/crates/pinereel_fakes/src/experiment/mod.rs
+++ b/crates/pinereel_fakes/src/experiment/mod.rs
@@ -1,35 +1,34 @@
-//! Policies against a baseline, in virtual time: one process, no sockets, the same figures for
-//! the same seed.
+//! Compares scheduling, routing and rollout policies with a baseline by discrete-event simulation.
 //!
-//! This is no model of a cluster. The decisions are those of `pinereel_core` itself: a
-//! [`Runner`](pinereel_core::lot::Runner) and an endpoint set for each entry, routing of live
-//! requests, merging of collects, rollout of weights. What stands around them is small: the
-//! batching model of the engine stand-in, a fixed latency between parties, and trainers and live
-//! callers that do what theirs do.
+//! A run takes place in one process and in virtual time, without sockets, and the same seed gives
+//! the same metrics. All decisions are made by the code of `pinereel_core`: each simulated entry
+//! has a [`Runner`](pinereel_core::lot::Runner) and an endpoint set, and live requests are routed,
+//! collects merged and weights rolled out as in the daemon. Only the environment is a model: the
+//! batching model of the engine stand-in, fixed latencies, trainers and live callers.
 //!
-//! - [`scenario`]: sizes, latencies, trainers and faults, from INI.
-//! - [`policy`]: what is compared.
-//! - [`world`]: one run: the queue of events and who handles which.
-//! - [`bound`]: the least idle share that any policy could reach.
-//! - [`figure`]: the measures of a run, and their mean and spread over seeds.
+//! - [`scenario`]: sizes, latencies, trainers and faults, read from INI.
+//! - [`policy`]: the policies that are compared.
+//! - [`simulation`]: state of one run, and the dispatch of its events.
+//! - [`idle_bound`]: lower bound of the idle share over all policies.
+//! - [`metrics`]: metrics of a run, and their summary over seeds.
 //! - [`table`], [`plot`]: output.
-//! - [`cli`]: the command line.
+//! - [`cli`]: command line.
 
-pub mod bound;
 pub mod cli;
-pub mod figure;
+pub mod idle_bound;
+pub mod metrics;
 pub mod plot;
 pub mod policy;
 pub mod scenario;
+pub mod simulation;
 pub mod table;
-pub mod world;
 
-mod collect;
-mod engines;
+mod engine;
 mod entry;
+mod event;
 mod fault;
-mod job;
 mod live;
-mod tally;
+mod lots;
+mod recorder;
 mod trainer;
 mod weights;
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -1,69 +1,76 @@
-//! The policies that are compared, by name.
+//! The policies that are compared.
 
 use pinereel_core::{lot, route};
 use std::time::Duration;
 
-/// When a trainer submits its next step's lot.
+/// When a trainer submits the lots of later steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ahead {
-    /// When it needs it.
+pub enum Lookahead {
+    /// Each lot when its step begins.
     None,
-    /// When it begins to train on the present one.
+    /// The next step's lot when the trainer begins to train on the samples of the present step.
     Train,
-    /// When it begins to wait for the present one; so many steps ahead.
+    /// The lots of this many further steps when the trainer begins to collect the samples of the
+    /// present step.
     Collect(u64),
 }
 
-/// Everything that differs between two runs of one scenario and seed.
+/// A combination of policies for trainers, entries and the rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Name in tables.
+    /// Name on the command line and in tables.
     pub name: &'static str,
-    /// The runners' policy.
+    /// Scheduling policy of the runners.
     pub lot: lot::Policy,
-    /// Routing of live requests.
+    /// Routing policy for live requests.
     pub route: route::Policy,
-    /// Look-ahead.
-    pub ahead: Ahead,
-    /// Whether weights are rolled out in waves instead of on all engines at once.
-    pub waves: bool,
-    /// Whether entries tell each other of published versions at once, and read an engine more
-    /// often while it serves an older one; else both wait for the next regular read.
-    pub eager: bool,
-    /// Whether live requests avoid the endpoints that the entry's runner finds slow.
-    pub shun_slow: bool,
-    /// Whether groups that moved to another runner stay there when theirs comes back.
-    pub sticky: bool,
-    /// Whether the trainers run; without them only live callers load the engines.
-    pub bulk: bool,
+    /// When trainers submit lots ahead.
+    pub lookahead: Lookahead,
+    /// Whether weights are rolled out in waves instead of to all engines at once.
+    pub rollout_in_waves: bool,
+    /// Whether entries notify each other of a published version at once, and poll an engine more
+    /// often while it serves an older one. Otherwise they learn both at their usual intervals.
+    pub eager_propagation: bool,
+    /// Whether live requests avoid the endpoints that the entry's runner considers slow.
+    pub live_avoids_slow: bool,
+    /// Whether groups that were moved to another runner stay there when the first runner is
+    /// reachable again.
+    pub sticky_groups: bool,
+    /// Whether the trainers submit lots. Otherwise the engines have only the load of the live
+    /// callers, and the trainers publish at their usual interval.
+    pub run_trainers: bool,
 }
 
 impl Policy {
-    /// The plain baseline.
+    /// The baseline: each policy is off, and the trainers run.
     pub const BASELINE: Self = Self {
         name: "baseline",
         lot: lot::Policy::BASELINE,
         route: route::Policy::BASELINE,
-        ahead: Ahead::None,
-        waves: false,
-        eager: false,
-        shun_slow: false,
-        sticky: false,
-        bulk: true,
+        lookahead: Lookahead::None,
+        rollout_in_waves: false,
+        eager_propagation: false,
+        live_avoids_slow: false,
+        sticky_groups: false,
+        run_trainers: true,
     };
 
-    /// All policies, the baseline first.
+    /// Returns all policies, the baseline first.
     pub fn all() -> Vec<Self> {
-        let base = Self::BASELINE;
-        let lots = lot::Policy::BASELINE;
-        let routes = route::Policy::BASELINE;
-        let lot = |name, lot| Self { name, lot, ..base };
-        let route = |name, route| Self {
+        let baseline = Self::BASELINE;
+        let lot_baseline = lot::Policy::BASELINE;
+        let route_baseline = route::Policy::BASELINE;
+        let with_lot = |name, lot| Self {
+            name,
+            lot,
+            ..baseline
+        };
+        let with_route = |name, route| Self {
             name,
             route,
-            ..base
+            ..baseline
         };
-        let full_without = |name, change: fn(&mut Self)| {
+        let full_with = |name, change: fn(&mut Self)| {
             let mut policy = Self {
                 name,
                 ..Self::full()
@@ -72,127 +79,127 @@
             policy
         };
         vec![
-            base,
-            lot(
+            baseline,
+            with_lot(
                 "long-first",
                 lot::Policy {
                     longest_first: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "duplicates",
                 lot::Policy {
                     speculative_attempts: true,
                     speculate_after: Duration::from_millis(200),
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "resume",
                 lot::Policy {
                     resume: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "early-abort",
                 lot::Policy {
                     early_abort: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "fresh-start",
                 lot::Policy {
                     staleness_aware_start: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "spread",
                 lot::Policy {
                     hash_tie_break: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "fair",
                 lot::Policy {
                     fair_share: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "wanted-first",
                 lot::Policy {
                     requested_first: true,
                     prefetch_slots: 2,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            lot(
+            with_lot(
                 "avoid-slow",
                 lot::Policy {
                     avoid_slow: true,
                     resume: true,
-                    ..lots
+                    ..lot_baseline
                 },
             ),
-            route(
+            with_route(
                 "affinity",
                 route::Policy {
                     affinity: true,
-                    ..routes
+                    ..route_baseline
                 },
             ),
-            route(
+            with_route(
                 "two-choices",
                 route::Policy {
                     two_choices: true,
-                    ..routes
+                    ..route_baseline
                 },
             ),
-            route(
+            with_route(
                 "reports",
                 route::Policy {
                     load_reports: true,
-                    ..routes
+                    ..route_baseline
                 },
             ),
-            route(
+            with_route(
                 "zone-local",
                 route::Policy {
                     zone_local: true,
-                    ..routes
+                    ..route_baseline
                 },
             ),
-            route(
+            with_route(
                 "slow-start",
                 route::Policy {
                     slow_start: true,
-                    ..routes
+                    ..route_baseline
                 },
             ),
             Self {
                 name: "waves",
-                waves: true,
-                ..base
+                rollout_in_waves: true,
+                ..baseline
             },
             Self {
                 name: "eager",
-                eager: true,
-                ..base
+                eager_propagation: true,
+                ..baseline
             },
             Self {
                 name: "ahead-train",
-                ahead: Ahead::Train,
-                ..base
+                lookahead: Lookahead::Train,
+                ..baseline
             },
             Self {
                 name: "ahead-collect",
-                ahead: Ahead::Collect(1),
-                ..base
+                lookahead: Lookahead::Collect(1),
+                ..baseline
             },
             Self {
                 name: "full",
@@ -208,47 +215,48 @@
             },
             Self {
                 name: "full-no-ahead",
-                ahead: Ahead::None,
+                lookahead: Lookahead::None,
                 ..Self::full()
             },
             Self {
                 name: "full-waves",
-                waves: true,
+                rollout_in_waves: true,
                 ..Self::full()
             },
-            full_without("full-no-shun-slow", |p| p.shun_slow = false),
-            full_without("full-no-sticky", |p| p.sticky = false),
-            full_without("full-no-avoid-slow", |p| p.lot.avoid_slow = false),
-            full_without("full-no-spread", |p| p.lot.hash_tie_break = false),
-            full_without("full-no-wanted-first", |p| p.lot.requested_first = false),
-            full_without("full-ahead-2", |p| p.ahead = Ahead::Collect(2)),
-            full_without("full-ahead-train", |p| p.ahead = Ahead::Train),
-            full_without("full-no-ahead-slots", |p| p.lot.prefetch_slots = u32::MAX),
-            full_without("full-no-eager", |p| p.eager = false),
+            full_with("full-no-shun-slow", |p| p.live_avoids_slow = false),
+            full_with("full-no-sticky", |p| p.sticky_groups = false),
+            full_with("full-no-avoid-slow", |p| p.lot.avoid_slow = false),
+            full_with("full-no-spread", |p| p.lot.hash_tie_break = false),
+            full_with("full-no-wanted-first", |p| p.lot.requested_first = false),
+            full_with("full-ahead-2", |p| p.lookahead = Lookahead::Collect(2)),
+            full_with("full-ahead-train", |p| p.lookahead = Lookahead::Train),
+            full_with("full-no-ahead-slots", |p| p.lot.prefetch_slots = u32::MAX),
+            full_with("full-no-eager", |p| p.eager_propagation = false),
             Self {
                 name: "live-only",
-                bulk: false,
+                run_trainers: false,
                 ..Self::full()
             },
         ]
     }
 
-    /// Everything on that pays.
+    /// Combines all policies that are worth their cost; rollout in waves and speculative attempts
+    /// stay off.
     fn full() -> Self {
         Self {
             name: "full",
             lot: lot::Policy::default(),
             route: route::Policy::FULL,
-            ahead: Ahead::Collect(1),
-            waves: false,
-            eager: true,
-            shun_slow: true,
-            sticky: true,
-            bulk: true,
+            lookahead: Lookahead::Collect(1),
+            rollout_in_waves: false,
+            eager_propagation: true,
+            live_avoids_slow: true,
+            sticky_groups: true,
+            run_trainers: true,
         }
     }
 
-    /// The policy of this name.
+    /// Returns the policy with this name.
     pub fn find(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|policy| policy.name == name)
     }
--- a/crates/pinereel_fakes/src/experiment/scenario.rs
+++ b/crates/pinereel_fakes/src/experiment/scenario.rs
@@ -1,11 +1,11 @@
-//! What is simulated: sizes, speeds, latencies, trainers, live callers and faults, from INI.
+//! Scenarios: sizes, speeds, latencies, trainers, live load and faults of a site, read from INI.
 
 use crate::engine::batch;
 use compact_str::CompactString;
 use ini::{Ini, Properties};
 use std::{fs, str::FromStr, time::Duration};
 
-/// The scenarios that come with the tool.
+/// Name and INI text of the built-in scenarios.
 const BUILT_IN: [(&str, &str); 4] = [
     ("maumee", include_str!("../../scenarios/maumee.ini")),
     ("prairie", include_str!("../../scenarios/prairie.ini")),
@@ -19,116 +19,116 @@
     ),
 ];
 
-/// Why a scenario can't be used.
+/// Why a scenario cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Neither a name nor a readable file.
+    /// The name is neither that of a built-in scenario nor that of a readable file.
     #[error("scenario {0}: neither built in nor a readable file")]
     Unknown(String),
-    /// Not INI.
+    /// The text is not INI.
     #[error("scenario is not INI: {0}")]
     Malformed(String),
-    /// A value is missing or wrong.
+    /// A section or a value is missing, or a value cannot be parsed.
     #[error("scenario: [{section}] {key}: missing or malformed")]
-    Value {
-        /// Section of the file.
+    InvalidValue {
+        /// Name of the section.
         section: CompactString,
-        /// Key in it.
+        /// Key in the section; `*` if the section is missing.
         key: &'static str,
     },
 }
 
-/// One trainer.
+/// A trainer.
 #[derive(Clone, Debug)]
 pub struct Trainer {
-    /// Its name.
+    /// Unique name.
     pub name: CompactString,
-    /// Groups of a step.
+    /// Number of groups in the lot of a step.
     pub groups: u32,
-    /// Samples of a group.
-    pub samples: u32,
+    /// Number of samples in a group.
+    pub samples_per_group: u32,
     /// Most output tokens of a sample.
     pub max_tokens: u32,
-    /// Time to train on a step's samples.
-    pub train: Duration,
+    /// Time to train on the samples of a step.
+    pub train_time: Duration,
     /// Staleness bound, in versions.
-    pub bound: u64,
-    /// Steps between its publications; 0 publishes none.
+    pub staleness_bound: u64,
+    /// Number of steps from one publication to the next; 0 if the trainer publishes no weights.
     pub publish_every: u64,
 }
 
-/// Callers that wait.
+/// Load from callers that wait for the answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Live {
-    /// Mean arrivals a second (Poisson).
-    pub per_second: f64,
-    /// Most output tokens.
+pub struct LiveLoad {
+    /// Mean arrival rate of the Poisson process.
+    pub requests_per_second: f64,
+    /// Most output tokens of a request.
     pub max_tokens: u32,
-    /// From arrival at an entry to when the answer is worth nothing.
+    /// Time from the arrival at an entry after which the caller no longer needs the answer.
     pub deadline: Duration,
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// An engine dies and comes back empty at the end.
+pub enum FaultKind {
+    /// An engine crashes. It restarts without weights at the end of the fault.
     Crash,
-    /// An engine's swaps fail partway.
+    /// Weight swaps of an engine fail halfway and leave no usable weights.
     PartialSwap,
-    /// An engine computes four times slower.
+    /// The steps of an engine take four times as long.
     Slow,
-    /// Load reports are older: the target is their age in milliseconds.
+    /// Load reports are older than usual; the target is their age in milliseconds.
     Lag,
-    /// The object API answers nothing.
+    /// The object API does not answer.
     Outage,
-    /// An entry dies with its memory; an empty one comes back.
+    /// An entry crashes. It restarts without its former state at the end of the fault.
     Entry,
 }
 
-/// A fault over some time of the run.
+/// A fault that lasts for a part of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// What.
-    pub kind: Kind,
-    /// Begin, as a share (0 to 1) of the run.
-    pub at: f64,
-    /// Length, as a share of the run.
-    pub length: f64,
-    /// Index of the engine or entry.
+    /// Kind of the fault.
+    pub kind: FaultKind,
+    /// Begin, as a share (0 to 1) of the run's duration.
+    pub begin_share: f64,
+    /// Duration, as a share (0 to 1) of the run's duration.
+    pub duration_share: f64,
+    /// Index of the engine or entry; see [`FaultKind::Lag`] for its other meaning.
     pub target: usize,
 }
 
-/// A whole scenario.
+/// Description of a site, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of a built-in scenario, or the file name.
     pub name: CompactString,
-    /// The model of all engines.
+    /// The model that all engines serve.
     pub model: CompactString,
-    /// Availability zones; entries and engines are spread over them in turn.
+    /// Availability zones; entries and engines are distributed over them round-robin.
     pub zones: Vec<CompactString>,
-    /// One-way latency between zones.
-    pub zone: Duration,
+    /// One-way latency between two zones.
+    pub cross_zone_latency: Duration,
     /// One-way latency within a zone.
-    pub local: Duration,
-    /// One-way latency between clients and entries.
-    pub client: Duration,
-    /// Entries.
-    pub entries: usize,
-    /// Engines.
-    pub engines: usize,
-    /// Nominal time of a step: the run lasts so long for each step asked for.
-    pub pace: Duration,
-    /// Size and speed of an engine.
-    pub engine: batch::Options,
-    /// Age of load reports.
-    pub lag: Duration,
-    /// The pool's `slots`: most attempts of one entry at one engine.
+    pub local_latency: Duration,
+    /// One-way latency between clients (trainers and live callers) and entries.
+    pub client_latency: Duration,
+    /// Number of entries.
+    pub entry_count: usize,
+    /// Number of engines.
+    pub engine_count: usize,
+    /// Nominal time of a training step, by which the number of steps of a run gives its duration.
+    pub step_time: Duration,
+    /// Size and speed of each engine.
+    pub engine_options: batch::Options,
+    /// Age of the figures in load reports.
+    pub report_lag: Duration,
+    /// Most concurrent attempts of one entry at one engine: the pool's `slots`.
     pub entry_slots: u32,
     /// The trainers.
     pub trainers: Vec<Trainer>,
-    /// The live callers.
-    pub live: Live,
+    /// The load from live callers.
+    pub live: LiveLoad,
     /// The faults.
     pub faults: Vec<Fault>,
 }
@@ -139,7 +139,7 @@
         BUILT_IN.iter().map(|(name, _)| *name)
     }
 
-    /// The built-in scenario of this name, else the one in this file.
+    /// Loads the built-in scenario with this name, or else the file with this name.
     ///
     /// # Errors
     /// See [`Error`].
@@ -152,43 +152,43 @@
         Self::parse(name, &text)
     }
 
-    /// Reads INI text.
+    /// Parses a scenario from INI text.
     ///
     /// # Errors
     /// See [`Error`].
     pub fn parse(name: &str, text: &str) -> Result<Self, Error> {
         let ini = Ini::load_from_str(text).map_err(|e| Error::Malformed(e.to_string()))?;
-        let site = Section::of(&ini, "site")?;
+        let site = Section::find(&ini, "site")?;
         let zones: String = site.get("zones")?;
         Ok(Self {
             name: name.into(),
             model: site.get("model")?,
             zones: zones.split(',').map(|zone| zone.trim().into()).collect(),
-            zone: site.micros("zone_us")?,
-            local: site.micros("local_us")?,
-            client: site.micros("client_us")?,
-            entries: site.get("entries")?,
-            engines: site.get("engines")?,
-            pace: site.millis("pace_ms")?,
-            engine: engine(&Section::of(&ini, "engine")?)?,
-            lag: Section::of(&ini, "engine")?.millis("lag_ms")?,
-            entry_slots: Section::of(&ini, "engine")?.get("entry_slots")?,
-            trainers: each(&ini, "trainer ", trainer)?,
-            live: live(&Section::of(&ini, "live")?)?,
-            faults: each(&ini, "fault ", fault)?,
+            cross_zone_latency: site.micros("zone_us")?,
+            local_latency: site.micros("local_us")?,
+            client_latency: site.micros("client_us")?,
+            entry_count: site.get("entries")?,
+            engine_count: site.get("engines")?,
+            step_time: site.millis("pace_ms")?,
+            engine_options: parse_engine(&Section::find(&ini, "engine")?)?,
+            report_lag: Section::find(&ini, "engine")?.millis("lag_ms")?,
+            entry_slots: Section::find(&ini, "engine")?.get("entry_slots")?,
+            trainers: parse_all(&ini, "trainer ", parse_trainer)?,
+            live: parse_live(&Section::find(&ini, "live")?)?,
+            faults: parse_all(&ini, "fault ", parse_fault)?,
         })
     }
 }
 
-/// One section of the file.
+/// A section of the INI text.
 struct Section<'a> {
     name: CompactString,
     values: &'a Properties,
 }
 
 impl<'a> Section<'a> {
-    fn of(ini: &'a Ini, name: &str) -> Result<Self, Error> {
-        let values = ini.section(Some(name)).ok_or(Error::Value {
+    fn find(ini: &'a Ini, name: &str) -> Result<Self, Error> {
+        let values = ini.section(Some(name)).ok_or(Error::InvalidValue {
             section: name.into(),
             key: "*",
         })?;
@@ -198,7 +198,7 @@
 
     fn get<T: FromStr>(&self, key: &'static str) -> Result<T, Error> {
         let found = self.values.get(key).and_then(|text| text.parse().ok());
-        found.ok_or_else(|| Error::Value {
+        found.ok_or_else(|| Error::InvalidValue {
             section: self.name.clone(),
             key,
         })
@@ -213,64 +213,64 @@
     }
 }
 
-/// All sections whose name begins with `prefix`, in the order of the file.
-fn each<T>(
+/// Parses all sections whose name begins with `prefix`, in the order of the file.
+fn parse_all<T>(
     ini: &Ini,
     prefix: &str,
-    read: impl Fn(&Section<'_>) -> Result<T, Error>,
+    parse: impl Fn(&Section<'_>) -> Result<T, Error>,
 ) -> Result<Vec<T>, Error> {
     let names = ini.sections().flatten();
     names
         .filter(|name| name.starts_with(prefix))
-        .map(|name| read(&Section::of(ini, name)?))
+        .map(|name| parse(&Section::find(ini, name)?))
         .collect()
 }
 
-fn engine(section: &Section<'_>) -> Result<batch::Options, Error> {
+fn parse_engine(section: &Section<'_>) -> Result<batch::Options, Error> {
     Ok(batch::Options {
         slots: section.get("slots")?,
         tokens_per_second: section.get("tokens_per_second")?,
         batch_cost: section.get("batch_cost")?,
         swap: section.millis("swap_ms")?,
         warm_up: section.millis("warm_up_ms")?,
-        // Nothing is loaded after a crash, until an order comes.
+        // Engines start, and restart after a crash, without weights.
         version: None,
         ..batch::Options::default()
     })
 }
 
-fn trainer(section: &Section<'_>) -> Result<Trainer, Error> {
+fn parse_trainer(section: &Section<'_>) -> Result<Trainer, Error> {
     let name = section.name.trim_start_matches("trainer ");
     Ok(Trainer {
         name: name.into(),
         groups: section.get("groups")?,
-        samples: section.get("samples")?,
+        samples_per_group: section.get("samples")?,
         max_tokens: section.get("max_tokens")?,
-        train: section.millis("train_ms")?,
-        bound: section.get("bound")?,
+        train_time: section.millis("train_ms")?,
+        staleness_bound: section.get("bound")?,
         publish_every: section.get("publish_every")?,
     })
 }
 
-fn live(section: &Section<'_>) -> Result<Live, Error> {
-    Ok(Live {
-        per_second: section.get("per_second")?,
+fn parse_live(section: &Section<'_>) -> Result<LiveLoad, Error> {
+    Ok(LiveLoad {
+        requests_per_second: section.get("per_second")?,
         max_tokens: section.get("max_tokens")?,
         deadline: section.millis("deadline_ms")?,
     })
 }
 
-fn fault(section: &Section<'_>) -> Result<Fault, Error> {
+fn parse_fault(section: &Section<'_>) -> Result<Fault, Error> {
     let kind: String = section.get("kind")?;
     let kind = match kind.as_str() {
-        "crash" => Kind::Crash,
-        "partial-swap" => Kind::PartialSwap,
-        "slow" => Kind::Slow,
-        "lag" => Kind::Lag,
-        "outage" => Kind::Outage,
-        "entry" => Kind::Entry,
+        "crash" => FaultKind::Crash,
+        "partial-swap" => FaultKind::PartialSwap,
+        "slow" => FaultKind::Slow,
+        "lag" => FaultKind::Lag,
+        "outage" => FaultKind::Outage,
+        "entry" => FaultKind::Entry,
         _ => {
-            return Err(Error::Value {
+            return Err(Error::InvalidValue {
                 section: section.name.clone(),
                 key: "kind",
             });
@@ -278,8 +278,8 @@
     };
     Ok(Fault {
         kind,
-        at: section.get::<f64>("at")? / 100.0,
-        length: section.get::<f64>("length")? / 100.0,
+        begin_share: section.get::<f64>("at")? / 100.0,
+        duration_share: section.get::<f64>("length")? / 100.0,
         target: section.get("target")?,
     })
 }
--- a/crates/pinereel_fakes/src/experiment/table.rs
+++ b/crates/pinereel_fakes/src/experiment/table.rs
@@ -1,11 +1,11 @@
-//! Results as text table and as CSV.
+//! Results as a text table and as CSV.
 
-use super::figure::{COLUMNS, Figures, Spread};
+use super::metrics::{COLUMNS, Metrics, Summary};
 use compact_str::CompactString;
 use std::fmt::Write as _;
 
-/// Measures that the text table shows; the CSV has all.
-const SHOWN: &[&str] = &[
+/// Names of the columns in the text table; the CSV has all columns.
+const TEXT_COLUMNS: &[&str] = &[
     "steps",
     "idle",
     "bound",
@@ -22,58 +22,67 @@
     "beyond",
 ];
 
-/// The runs of one policy in one scenario, one for each seed.
+/// The runs of one policy in one scenario.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: CompactString,
-    /// The policy.
+    /// Name of the policy.
     pub policy: CompactString,
-    /// A run's figures for each seed.
-    pub runs: Vec<Figures>,
+    /// Metrics of the runs, one run per seed; at least one.
+    pub runs: Vec<Metrics>,
 }
 
-/// A text table: mean over seeds, and the spread of the idle share.
+/// Formats a text table of the means over the seeds, or maxima for `stale-max` and `beyond`.
+/// The last column shows the range of the idle share.
 pub fn text(rows: &[Row]) -> String {
-    let shown: Vec<_> = COLUMNS.iter().filter(|c| SHOWN.contains(&c.name)).collect();
+    let columns: Vec<_> = COLUMNS
+        .iter()
+        .filter(|column| TEXT_COLUMNS.contains(&column.name))
+        .collect();
     let mut out = format!("{:<15} {:<21}", "scenario", "policy");
-    for column in &shown {
-        let _ = write!(out, " {:>width$}", column.name, width = width(column.name));
+    for column in &columns {
+        let _ = write!(
+            out,
+            " {:>width$}",
+            column.name,
+            width = column_width(column.name)
+        );
     }
     out.push_str("  idle least..most\n");
     for row in rows {
         let _ = write!(out, "{:<15} {:<21}", row.scenario, row.policy);
-        for column in &shown {
-            let spread = Spread::of(&row.runs, column.get);
+        for column in &columns {
+            let summary = Summary::of(&row.runs, column.get);
             let value = if column.name == "stale-max" || column.name == "beyond" {
-                spread.most
+                summary.max
             } else {
-                spread.mean
+                summary.mean
             };
-            let (width, digits) = (width(column.name), column.digits);
+            let (width, digits) = (column_width(column.name), column.digits);
             let _ = write!(out, " {value:>width$.digits$}");
         }
-        let idle = Spread::of(&row.runs, |f| f.idle);
-        let _ = writeln!(out, "  {:.3}..{:.3}", idle.least, idle.most);
+        let idle = Summary::of(&row.runs, |m| m.idle_share);
+        let _ = writeln!(out, "  {:.3}..{:.3}", idle.min, idle.max);
     }
     out
 }
 
-fn width(name: &str) -> usize {
+fn column_width(name: &str) -> usize {
     name.len().max(6)
 }
 
-/// One line for each policy and measure: mean, least and most over seeds.
+/// Formats CSV with one line per policy and metric: mean, minimum and maximum over the seeds.
 pub fn csv(rows: &[Row]) -> String {
     let mut out = String::from("scenario,policy,seeds,measure,mean,least,most\n");
     for row in rows {
         for column in COLUMNS {
-            let Spread { mean, least, most } = Spread::of(&row.runs, column.get);
+            let Summary { mean, min, max } = Summary::of(&row.runs, column.get);
             let (scenario, policy, seeds) = (&row.scenario, &row.policy, row.runs.len());
             let name = column.name;
             let _ = writeln!(
                 out,
-                "{scenario},{policy},{seeds},{name},{mean:.5},{least:.5},{most:.5}"
+                "{scenario},{policy},{seeds},{name},{mean:.5},{min:.5},{max:.5}"
             );
         }
     }
--- a/crates/pinereel_fakes/src/experiment/trainer.rs
+++ b/crates/pinereel_fakes/src/experiment/trainer.rs
@@ -1,10 +1,11 @@
-//! The trainers of a run: submit, collect, train, publish.
+//! Trainers of a run. For each step, a trainer submits a lot, collects its samples, trains on them
+//! and publishes new weights.
 
 use super::{
-    job::Job,
-    policy::Ahead,
+    event::Event,
+    policy::Lookahead,
     scenario::{self, Scenario},
-    world::World,
+    simulation::Simulation,
 };
 use compact_str::{CompactString, format_compact};
 use pinereel_core::{
@@ -16,283 +17,319 @@
 };
 use std::{collections::BTreeMap, time::Duration};
 
-/// Spans of steps from which a trainer learns how fast others publish.
-const RECENT: usize = 2;
+/// Number of recent spans of steps from which a trainer predicts how many versions are published.
+const RECENT_SPANS: usize = 2;
 
 /// A collect as its trainer sent it.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct CollectCall {
+    /// Index of the trainer.
     pub(super) trainer: usize,
     pub(super) step: u64,
+    /// Id of the lot.
     pub(super) lot: CompactString,
-    pub(super) front: usize,
+    /// Index of the entry that is called.
+    pub(super) entry: usize,
     pub(super) token: Token,
+    /// The version that the trainer states.
     pub(super) version: Version,
 }
 
-/// A lot that a trainer submitted.
-pub(super) struct Held {
+/// A lot that a trainer has submitted.
+pub(super) struct SubmittedLot {
     pub(super) id: CompactString,
     pub(super) digest: Digest,
     pub(super) groups: Vec<Group>,
     pub(super) cursor: Cursor,
+    /// The version that the trainer was predicted to be at when it collects the lot.
     pub(super) version: Version,
-    pub(super) submitted: Time,
-    /// Samples of each group that are missing.
-    missing: Vec<u32>,
+    pub(super) submitted_at: Time,
+    /// Number of undelivered samples of each group.
+    missing_samples: Vec<u32>,
+    /// Output tokens of the delivered samples.
     tokens: u64,
-    longest: u32,
+    /// Output tokens of the longest delivered sample.
+    longest_sample: u32,
 }
 
-/// What the samples of one step were.
+/// Sizes of the samples that a trainer collected for one step.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Step {
+pub(super) struct StepSamples {
+    /// Output tokens of all samples.
     pub(super) tokens: u64,
-    pub(super) longest: u32,
+    /// Output tokens of the longest sample.
+    pub(super) longest_sample: u32,
 }
 
-/// One trainer.
+/// A trainer.
 pub(super) struct Trainer {
     pub(super) options: scenario::Trainer,
-    pub(super) held: BTreeMap<u64, Held>,
-    pub(super) steps: Vec<Step>,
-    pub(super) trained: Duration,
-    /// When the training under way began.
-    pub(super) training: Option<Time>,
+    /// By step: the lots of the present step and of the steps ahead.
+    pub(super) submitted_lots: BTreeMap<u64, SubmittedLot>,
+    /// The steps whose samples are all collected.
+    pub(super) collected_steps: Vec<StepSamples>,
+    /// Total time of the finished training.
+    pub(super) trained_time: Duration,
+    /// Time when the running training began.
+    pub(super) training_since: Option<Time>,
+    /// The present step, counted from 1.
     step: u64,
+    /// The version that it states in collects of this step.
     version: Version,
     /// The newest version at the begin of each step.
-    seen: Vec<Version>,
-    front: usize,
+    versions_at_begin: Vec<Version>,
+    /// Index of the entry that it calls.
+    entry: usize,
 }
 
 impl Trainer {
     pub(super) fn new(index: usize, options: &scenario::Trainer) -> Self {
         Self {
             options: options.clone(),
-            held: BTreeMap::new(),
-            steps: Vec::new(),
-            trained: Duration::ZERO,
-            training: None,
+            submitted_lots: BTreeMap::new(),
+            collected_steps: Vec::new(),
+            trained_time: Duration::ZERO,
+            training_since: None,
             step: 1,
             version: Version(1),
-            seen: Vec::new(),
-            front: index,
+            versions_at_begin: Vec::new(),
+            entry: index,
         }
     }
 
-    /// The version that it will have when it collects this step's lot.
-    fn expected(&self, step: u64) -> Version {
-        let ahead = step - self.step;
-        let own = |step: u64| (step - 1).checked_div(self.options.publish_every);
-        let more = match (own(step), own(self.step)) {
+    /// Predicts the version that the trainer will be at when it collects the lot of this step.
+    fn predict_version(&self, step: u64) -> Version {
+        let steps_ahead = step - self.step;
+        let own_publications = |step: u64| (step - 1).checked_div(self.options.publish_every);
+        let published = match (own_publications(step), own_publications(self.step)) {
             (Some(then), Some(now)) => then - now,
-            _ if ahead == 0 => 0,
-            _ => self.most_seen(ahead as usize),
+            _ if steps_ahead == 0 => 0,
+            _ => self.max_recent_publications(steps_ahead as usize),
         };
-        Version(self.version.0 + more)
+        Version(self.version.0 + published)
     }
 
-    /// Most versions that others published during so many of its last steps, at least one:
-    /// better to start late than to be too old.
-    fn most_seen(&self, steps: usize) -> u64 {
-        let last = &self.seen[self.seen.len().saturating_sub(steps + RECENT)..];
-        let pairs = last.iter().zip(last.iter().skip(steps));
-        let most = pairs.map(|(old, new)| new.0 - old.0).max();
+    /// Most versions, at least 1, that other trainers published during any of the last spans of
+    /// this many steps. Too high a prediction only delays the start of samples; too low a one makes
+    /// them too old.
+    fn max_recent_publications(&self, steps: usize) -> u64 {
+        let first = self
+            .versions_at_begin
+            .len()
+            .saturating_sub(steps + RECENT_SPANS);
+        let recent = &self.versions_at_begin[first..];
+        let spans = recent.iter().zip(recent.iter().skip(steps));
+        let most = spans.map(|(begin, end)| end.0 - begin.0).max();
         most.unwrap_or(1).max(1)
     }
 
-    fn lot(&self, step: u64, seed: u64, now: Time, version: Version) -> Held {
+    fn build_lot(&self, step: u64, seed: u64, now: Time, version: Version) -> SubmittedLot {
         let scenario::Trainer {
             name,
             groups,
-            samples,
+            samples_per_group,
             max_tokens,
             ..
         } = &self.options;
         let group = |index| Group {
             index,
-            first: index * samples,
-            // The step comes first: no prefix is shared with other steps, so that no cached
-            // prefix drags old versions along.
+            first: index * samples_per_group,
+            // The step comes first, so that no step reuses the cached prefix of an earlier one:
+            // that would add the older version that computed the prefix to the sample.
             prompt: format!("step-{step}-{name} of run {seed} asks for case number {index}"),
-            samples: *samples,
+            samples: *samples_per_group,
             max_tokens: *max_tokens,
         };
         let id = format_compact!("{name}-{seed}-{step}");
         let digest = Digest::of(id.as_bytes());
-        Held {
+        SubmittedLot {
             id,
             digest,
             groups: (0..*groups).map(group).collect(),
-            cursor: Cursor::new(Token::empty(digest, step, groups * samples)),
+            cursor: Cursor::new(Token::empty(digest, step, groups * samples_per_group)),
             version,
-            submitted: now,
-            missing: vec![*samples; *groups as usize],
+            submitted_at: now,
+            missing_samples: vec![*samples_per_group; *groups as usize],
             tokens: 0,
-            longest: 0,
+            longest_sample: 0,
         }
     }
 }
 
-impl World {
-    /// A trainer needs its next step's samples.
-    pub(super) fn want(&mut self, index: usize) {
-        let newest = self.newest;
+impl Simulation {
+    /// Begins a trainer's next step: submits the lot, if that has not been done ahead, and the lots
+    /// of later steps as the policy says, and starts to collect.
+    pub(super) fn begin_step(&mut self, index: usize) {
+        let newest_version = self.newest_version;
         let trainer = &mut self.trainers[index];
-        trainer.seen.push(newest);
+        trainer.versions_at_begin.push(newest_version);
         let step = trainer.step;
-        // It takes no newer weights than it declared for a lot sent ahead: those samples would
-        // be too old for them.
-        let declared = trainer.held.get(&step).map(|held| held.version);
-        trainer.version = declared.map_or(newest, |declared| declared.min(newest));
-        trainer.held.retain(|held, _| *held >= step);
-        let fresh = !trainer.held.contains_key(&step);
-        if fresh {
-            self.send_lot(index, step);
+        // The trainer takes no weights newer than the version predicted for a lot submitted ahead:
+        // the lot's samples may be too old for them.
+        let predicted = trainer.submitted_lots.get(&step).map(|lot| lot.version);
+        trainer.version = predicted.map_or(newest_version, |version| version.min(newest_version));
+        trainer.submitted_lots.retain(|other, _| *other >= step);
+        let is_new = !trainer.submitted_lots.contains_key(&step);
+        if is_new {
+            self.submit_lot(index, step);
         }
-        if let Ahead::Collect(steps) = self.policy.ahead {
+        if let Lookahead::Collect(steps) = self.policy.lookahead {
             for ahead in 1..=steps {
-                self.send_lot(index, step + ahead);
+                self.submit_lot(index, step + ahead);
             }
         }
-        let reply = if fresh {
-            self.submit_time()
+        let delay = if is_new {
+            self.submit_round_trip()
         } else {
             Duration::ZERO
         };
-        self.send_collect(index, reply);
+        self.send_collect(index, delay);
     }
 
-    /// From sending a lot to the answer.
-    fn submit_time(&self) -> Duration {
-        let Scenario { client, zone, .. } = &self.scenario;
-        2 * (*client + *zone)
+    /// Time from the submission of a lot until the trainer has the answer.
+    fn submit_round_trip(&self) -> Duration {
+        let Scenario {
+            client_latency,
+            cross_zone_latency,
+            ..
+        } = &self.scenario;
+        2 * (*client_latency + *cross_zone_latency)
     }
 
-    fn send_lot(&mut self, index: usize, step: u64) {
+    /// Submits the lot of a step, or submits it again with unchanged content.
+    fn submit_lot(&mut self, index: usize, step: u64) {
         let (now, seed) = (self.now, self.seed);
         let trainer = &mut self.trainers[index];
-        if !trainer.held.contains_key(&step) {
-            let version = trainer.expected(step);
-            let lot = trainer.lot(step, seed, now, version);
-            trainer.held.insert(step, lot);
+        if !trainer.submitted_lots.contains_key(&step) {
+            let version = trainer.predict_version(step);
+            let lot = trainer.build_lot(step, seed, now, version);
+            trainer.submitted_lots.insert(step, lot);
         }
-        let job = Job::Submit(index, step, trainer.front);
-        self.queue.send(now, self.scenario.client, job);
+        let event = Event::Submit(index, step, trainer.entry);
+        self.queue
+            .schedule(now, self.scenario.client_latency, event);
     }
 
-    fn send_collect(&mut self, index: usize, after: Duration) {
+    fn send_collect(&mut self, index: usize, delay: Duration) {
         let trainer = &self.trainers[index];
-        let Some(held) = trainer.held.get(&trainer.step) else {
+        let Some(lot) = trainer.submitted_lots.get(&trainer.step) else {
             return;
         };
-        let asked = Asked {
+        let call = CollectCall {
             trainer: index,
             step: trainer.step,
-            lot: held.id.clone(),
-            front: trainer.front,
-            token: held.cursor.token().clone(),
+            lot: lot.id.clone(),
+            entry: trainer.entry,
+            token: lot.cursor.token().clone(),
             version: trainer.version,
         };
-        let after = after + self.scenario.client;
-        self.queue.send(self.now, after, Job::Collect(asked));
+        let delay = delay + self.scenario.client_latency;
+        self.queue.schedule(self.now, delay, Event::Collect(call));
     }
 
-    /// The answer to a collect arrives.
-    pub(super) fn collected(&mut self, asked: Asked, answer: Option<(Token, Vec<Sample>)>) {
-        let index = asked.trainer;
+    /// Handles the answer to a collect; `None` if the call failed.
+    pub(super) fn receive_collected(
+        &mut self,
+        call: CollectCall,
+        answer: Option<(Token, Vec<Sample>)>,
+    ) {
+        let index = call.trainer;
         let Some((token, samples)) = answer else {
-            self.next_front(index);
+            self.switch_entry(index);
             return;
         };
-        self.take(&asked, &token, samples);
+        self.accept_samples(&call, &token, samples);
         let trainer = &self.trainers[index];
-        let held = trainer.held.get(&trainer.step);
-        if held.is_some_and(|held| held.cursor.token().remaining() == 0) {
-            self.train(index);
+        let lot = trainer.submitted_lots.get(&trainer.step);
+        if lot.is_some_and(|lot| lot.cursor.token().remaining() == 0) {
+            self.begin_training(index);
         } else {
             self.send_collect(index, Duration::ZERO);
         }
     }
 
-    /// The front is gone or lost the lot: the next one gets all of it again.
-    fn next_front(&mut self, index: usize) {
+    /// Has a trainer call the next entry and submit all its lots there, since its former entry
+    /// cannot be reached or has lost the lot.
+    fn switch_entry(&mut self, index: usize) {
         let entries = self.entries.len();
         let trainer = &mut self.trainers[index];
-        trainer.front = (trainer.front + 1) % entries;
-        let steps: Vec<_> = trainer.held.keys().copied().collect();
+        trainer.entry = (trainer.entry + 1) % entries;
+        let steps: Vec<_> = trainer.submitted_lots.keys().copied().collect();
         for step in steps {
-            self.send_lot(index, step);
+            self.submit_lot(index, step);
         }
-        let reply = self.submit_time();
-        self.send_collect(index, reply);
+        let delay = self.submit_round_trip();
+        self.send_collect(index, delay);
     }
 
-    fn take(&mut self, asked: &Asked, token: &Token, samples: Vec<Sample>) {
+    /// Accepts the samples of an answer, unless it is not based on the trainer's current token.
+    fn accept_samples(&mut self, call: &CollectCall, token: &Token, samples: Vec<Sample>) {
         let now = self.now;
-        let trainer = &mut self.trainers[asked.trainer];
-        let Some(held) = trainer.held.get_mut(&asked.step) else {
+        let trainer = &mut self.trainers[call.trainer];
+        let Some(lot) = trainer.submitted_lots.get_mut(&call.step) else {
             return;
         };
         let indexes = samples.iter().map(|sample| sample.index);
-        if held.cursor.accept(&asked.token, token, indexes).is_err() {
-            self.tally.repeats += 1;
+        if lot.cursor.accept(&call.token, token, indexes).is_err() {
+            self.recorder.rejected_answers += 1;
             return;
         }
         for sample in samples {
             let oldest = provenance::oldest_version(&sample.spans).unwrap_or_default();
-            let behind = oldest.versions_behind(asked.version);
-            self.tally.delivered(&held.id, &sample, behind);
-            if behind > trainer.options.bound {
-                self.tally.beyond += 1;
+            let staleness = oldest.versions_behind(call.version);
+            self.recorder.record_delivery(&lot.id, &sample, staleness);
+            if staleness > trainer.options.staleness_bound {
+                self.recorder.over_bound += 1;
             }
-            held.tokens += u64::from(sample.tokens);
-            held.longest = held.longest.max(sample.tokens);
-            let missing = &mut held.missing[sample.group as usize];
+            lot.tokens += u64::from(sample.tokens);
+            lot.longest_sample = lot.longest_sample.max(sample.tokens);
+            let missing = &mut lot.missing_samples[sample.group as usize];
             *missing -= 1;
             if *missing == 0 {
-                self.tally.groups.push(now.since(held.submitted));
+                let group_time = now.since(lot.submitted_at);
+                self.recorder.group_times.push(group_time);
             }
         }
     }
 
-    fn train(&mut self, index: usize) {
+    fn begin_training(&mut self, index: usize) {
         let trainer = &mut self.trainers[index];
         let step = trainer.step;
-        if let Some(held) = trainer.held.get(&step) {
-            trainer.steps.push(Step {
-                tokens: held.tokens,
-                longest: held.longest,
+        if let Some(lot) = trainer.submitted_lots.get(&step) {
+            trainer.collected_steps.push(StepSamples {
+                tokens: lot.tokens,
+                longest_sample: lot.longest_sample,
             });
         }
-        trainer.training = Some(self.now);
-        let time = trainer.options.train;
-        self.queue.send(self.now, time, Job::Trained(index));
-        if self.policy.ahead == Ahead::Train {
-            self.send_lot(index, step + 1);
+        trainer.training_since = Some(self.now);
+        let train_time = trainer.options.train_time;
+        self.queue
+            .schedule(self.now, train_time, Event::TrainingDone(index));
+        if self.policy.lookahead == Lookahead::Train {
+            self.submit_lot(index, step + 1);
         }
     }
 
-    /// A trainer finished training: it publishes, or goes on at once.
-    pub(super) fn trained(&mut self, index: usize) {
+    /// Ends a trainer's training: it publishes a version, or begins its next step at once.
+    pub(super) fn training_done(&mut self, index: usize) {
         let trainer = &mut self.trainers[index];
-        trainer.training = None;
-        trainer.trained += trainer.options.train;
-        let every = trainer.options.publish_every;
+        trainer.training_since = None;
+        trainer.trained_time += trainer.options.train_time;
+        let publish_every = trainer.options.publish_every;
         let step = trainer.step;
         trainer.step += 1;
-        if every > 0 && step.is_multiple_of(every) {
-            let version = Version(self.newest.0 + 1);
+        if publish_every > 0 && step.is_multiple_of(publish_every) {
+            let version = Version(self.newest_version.0 + 1);
+            let event = Event::Publish(index, version);
             self.queue
-                .send(self.now, self.scenario.client, Job::Publish(index, version));
+                .schedule(self.now, self.scenario.client_latency, event);
         } else {
-            self.want(index);
+            self.begin_step(index);
         }
     }
 
-    /// The entry through which a trainer calls.
-    pub(super) fn front(&self, index: usize) -> usize {
-        self.trainers[index].front
+    /// Index of the entry that a trainer calls.
+    pub(super) fn entry_of_trainer(&self, index: usize) -> usize {
+        self.trainers[index].entry
     }
 }
--- a/crates/pinereel_fakes/src/experiment/weights.rs
+++ b/crates/pinereel_fakes/src/experiment/weights.rs
@@ -1,37 +1,40 @@
-//! Weights of a run: publication at the object API, entries that list it, and the rollout.
+//! Weights of a run: publication at the object API, its propagation to the entries, and the rollout
+//! to the engines.
 
 use super::{
-    entry::LIST_PAUSE,
-    job::{Job, Life},
-    world::World,
+    entry::OBJECT_LIST_INTERVAL,
+    event::{EntryId, Event},
+    simulation::Simulation,
 };
 use pinereel_core::{
     Version,
-    rollout::{Action, Event, Lease, Settings, Status},
+    rollout::{self, Action, Lease, Settings, Status},
 };
 use std::time::Duration;
 
-/// Fencing token of the only holder.
-pub(super) const FENCE: u64 = 1;
-/// The entry that holds the rollout's lease; no trainer calls it at first, and no fault hits it.
-pub(super) const HOLDER: usize = 8;
-/// Pause between ticks of the rollout.
-const TICK: Duration = Duration::from_millis(50);
-/// Time for which the lease is held after each renewal.
-const LEASE: Duration = Duration::from_millis(1_000);
-/// Pause between renewals.
-const RENEWAL: Duration = Duration::from_millis(300);
-/// Time that a call of the object API takes, there and back.
-const CALL: Duration = Duration::from_millis(4);
-/// Pause of a trainer whose publication was refused.
-const RETRY: Duration = Duration::from_millis(500);
+/// Fencing token of the rollout's lease. It never changes, since the lease has a single holder.
+pub(super) const FENCING_TOKEN: u64 = 1;
+/// Index of the entry that holds the rollout's lease. No trainer calls it at first, and no fault of
+/// the built-in scenarios hits it.
+pub(super) const ROLLOUT_ENTRY: usize = 8;
+/// Interval between ticks of the rollout.
+const ROLLOUT_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time from a renewal of the lease to its expiry.
+const LEASE_TTL: Duration = Duration::from_millis(1_000);
+/// Interval between renewals of the lease.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// Round-trip time of a call to the object API.
+const OBJECT_API_ROUND_TRIP: Duration = Duration::from_millis(4);
+/// Delay before a publication that failed is repeated.
+const PUBLISH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The rollout's settings, scaled to steps of about a second.
-pub(super) fn settings(waves: bool, swap: Duration) -> Settings {
-    let all = Settings {
+/// Settings of the rollout, with times scaled to training steps of about a second. Without waves,
+/// all engines may load at the same time.
+pub(super) fn rollout_settings(in_waves: bool, initial_load_time: Duration) -> Settings {
+    let all_at_once = Settings {
         max_loads: usize::MAX,
         min_serving_share: 0.0,
-        initial_load_time: swap,
+        initial_load_time,
         load_timeout: Duration::from_secs(2),
         answer_timeout: Duration::from_millis(300),
         poll_interval: Duration::from_millis(25),
@@ -41,122 +44,143 @@
         max_quarantine: Duration::from_secs(4),
         ..Settings::default()
     };
-    if waves {
+    if in_waves {
         return Settings {
             max_loads: 4,
             min_serving_share: 0.5,
-            ..all
+            ..all_at_once
         };
     }
-    all
+    all_at_once
 }
 
-impl World {
-    /// A trainer's publication arrives at its entry.
-    pub(super) fn publish(&mut self, index: usize, version: Version) {
-        self.tally.calls.weights += 1;
-        if self.outage || !self.entries[self.front(index)].up {
-            self.queue
-                .send(self.now, RETRY, Job::Publish(index, version));
+impl Simulation {
+    /// Handles a trainer's publication at the entry that the trainer calls.
+    pub(super) fn publish(&mut self, trainer: usize, version: Version) {
+        self.recorder.object_api_calls.weights += 1;
+        if self.object_api_down || !self.entries[self.entry_of_trainer(trainer)].up {
+            self.queue.schedule(
+                self.now,
+                PUBLISH_RETRY_DELAY,
+                Event::Publish(trainer, version),
+            );
             return;
         }
-        self.tally.calls.weights += 1;
-        self.newest = self.newest.max(version);
-        let life = self.entries[self.front(index)].life;
-        // A read and a conditional update.
-        self.queue
-            .send(self.now, 2 * CALL, Job::Known(life, version));
-        if self.policy.eager {
-            self.tell(life, version);
+        self.recorder.object_api_calls.weights += 1;
+        self.newest_version = self.newest_version.max(version);
+        let entry_id = self.entries[self.entry_of_trainer(trainer)].id;
+        // A publication reads the object and then updates it conditionally.
+        self.queue.schedule(
+            self.now,
+            2 * OBJECT_API_ROUND_TRIP,
+            Event::VersionKnown(entry_id, version),
+        );
+        if self.policy.eager_propagation {
+            self.announce_version(entry_id, version);
         }
-        if self.policy.bulk {
-            // The trainer goes on when its call is answered.
-            self.resume(index, 2 * CALL + self.scenario.client);
+        if self.policy.run_trainers {
+            // The trainer begins its next step when it has the answer.
+            let delay = 2 * OBJECT_API_ROUND_TRIP + self.scenario.client_latency;
+            self.schedule_next_step(trainer, delay);
         }
     }
 
-    /// Tells all other entries of a version.
-    fn tell(&mut self, life: Life, version: Version) {
-        let from = self.entries[life.entry].zone;
+    /// Sends a published version from one entry to all entries.
+    fn announce_version(&mut self, sender: EntryId, version: Version) {
+        let sender_zone = self.entries[sender.index].zone;
         for index in 0..self.entries.len() {
             let entry = &self.entries[index];
-            let after = 2 * CALL + self.between(from, entry.zone);
-            let job = Job::Known(entry.life, version);
-            self.queue.send(self.now, after, job);
+            let delay = 2 * OBJECT_API_ROUND_TRIP + self.latency(sender_zone, entry.zone);
+            let event = Event::VersionKnown(entry.id, version);
+            self.queue.schedule(self.now, delay, event);
         }
     }
 
-    /// Tells the rollout of a version that its entry learned.
-    pub(super) fn target(&mut self, life: Life, version: Version) {
-        if life.entry == HOLDER {
-            self.rollout_step(Event::Published(version));
+    /// Passes a version that an entry has learned to the rollout, if that entry holds its lease.
+    pub(super) fn set_rollout_target(&mut self, entry_id: EntryId, version: Version) {
+        if entry_id.index == ROLLOUT_ENTRY {
+            self.step_rollout(rollout::Event::Published(version));
         }
     }
 
-    /// An entry lists the weights; the same again later.
-    pub(super) fn list(&mut self, life: Life) {
-        if !self.lives(life) {
+    /// Lists the weights and the instances for an entry, and schedules the next list.
+    pub(super) fn list_objects(&mut self, entry_id: EntryId) {
+        if !self.is_running(entry_id) {
             return;
         }
-        self.tally.calls.weights += 1;
-        self.tally.calls.instances += 1;
-        if !self.outage {
-            let job = Job::Known(life, self.newest);
-            self.queue.send(self.now, CALL, job);
+        self.recorder.object_api_calls.weights += 1;
+        self.recorder.object_api_calls.instances += 1;
+        if !self.object_api_down {
+            let event = Event::VersionKnown(entry_id, self.newest_version);
+            self.queue.schedule(self.now, OBJECT_API_ROUND_TRIP, event);
         }
-        self.queue
-            .send(self.now, LIST_PAUSE + CALL, Job::List(life));
+        self.queue.schedule(
+            self.now,
+            OBJECT_LIST_INTERVAL + OBJECT_API_ROUND_TRIP,
+            Event::ListObjects(entry_id),
+        );
     }
 
-    /// The rollout's regular tick: the lease is renewed while the object API answers.
+    /// Periodic tick of the rollout: renews its lease if that is due, and updates its engines and
+    /// its target.
     pub(super) fn rollout_tick(&mut self) {
-        let due = self.renewed.is_none_or(|at| self.now.since(at) >= RENEWAL);
-        if due {
-            self.tally.calls.lease += 1;
-            self.renewed = Some(self.now);
-            if !self.outage {
+        let renewal_due = self
+            .lease_renewal_tried_at
+            .is_none_or(|at| self.now.since(at) >= LEASE_RENEWAL_INTERVAL);
+        if renewal_due {
+            self.recorder.object_api_calls.lease += 1;
+            self.lease_renewal_tried_at = Some(self.now);
+            if !self.object_api_down {
                 let lease = Lease {
-                    fence: FENCE,
-                    expires_at: self.now + LEASE,
+                    fence: FENCING_TOKEN,
+                    expires_at: self.now + LEASE_TTL,
                 };
-                self.rollout_step(Event::Lease(Some(lease)));
+                self.step_rollout(rollout::Event::Lease(Some(lease)));
             }
         }
         for index in 0..self.engines.len() {
             let engine = &self.engines[index];
-            let found = self.entries[HOLDER].set.find(&engine.name);
-            let event = Event::Listed {
+            let found = self.entries[ROLLOUT_ENTRY].endpoints.find(&engine.name);
+            let event = rollout::Event::Listed {
                 name: engine.name.clone(),
                 zone: self.scenario.zones[engine.zone].clone(),
                 outstanding: found.map_or(0, |(_, e)| e.load(self.now) as u32),
                 leaving: false,
             };
-            self.rollout_step(event);
+            self.step_rollout(event);
         }
-        let known = self.entries[HOLDER].known;
-        if known > Version(0) {
-            self.rollout_step(Event::Published(known));
+        let known_version = self.entries[ROLLOUT_ENTRY].known_version;
+        if known_version > Version(0) {
+            self.step_rollout(rollout::Event::Published(known_version));
         }
-        self.rollout_step(Event::Tick);
-        self.queue.send(self.now, TICK, Job::Rollout);
+        self.step_rollout(rollout::Event::Tick);
+        self.queue
+            .schedule(self.now, ROLLOUT_TICK_INTERVAL, Event::RolloutTick);
     }
 
-    /// What an engine shows arrives at the rollout.
-    pub(super) fn status(&mut self, index: usize, fence: Option<u64>, status: Option<Status>) {
-        let name = self.engines[index].name.clone();
+    /// Handles an engine's answer to the rollout. `fence` is the fencing token of the order that it
+    /// answers, or `None` if it answers a read.
+    pub(super) fn receive_status(
+        &mut self,
+        engine: usize,
+        fence: Option<u64>,
+        status: Option<Status>,
+    ) {
+        let name = self.engines[engine].name.clone();
         let event = match (status, fence) {
-            (None, _) => Event::NoAnswer { name },
-            (Some(status), None) => Event::Observed { name, status },
-            (Some(status), Some(fence)) => Event::Accepted {
+            (None, _) => rollout::Event::NoAnswer { name },
+            (Some(status), None) => rollout::Event::Observed { name, status },
+            (Some(status), Some(fence)) => rollout::Event::Accepted {
                 name,
                 fence,
                 status,
             },
         };
-        self.rollout_step(event);
+        self.step_rollout(event);
     }
 
-    fn rollout_step(&mut self, event: Event) {
+    /// Feeds an event to the rollout and sends the resulting orders and reads.
+    fn step_rollout(&mut self, event: rollout::Event) {
         for action in self.rollout.step(self.now, event) {
             let (name, version) = match action {
                 Action::Read { name } => (name, None),
@@ -165,12 +189,12 @@
             };
             let found = self.engines.iter().position(|e| e.name == name);
             let Some(index) = found else { continue };
-            let after = self.between(self.entries[HOLDER].zone, self.engines[index].zone);
-            let job = match version {
-                Some(version) => Job::Order(index, version),
-                None => Job::Read(index),
+            let latency = self.latency(self.entries[ROLLOUT_ENTRY].zone, self.engines[index].zone);
+            let event = match version {
+                Some(version) => Event::Order(index, version),
+                None => Event::ReadStatus(index),
             };
-            self.queue.send(self.now, after, job);
+            self.queue.schedule(self.now, latency, event);
         }
     }
 }
--- a/crates/pinereel_fakes/tests/experiment_runs.rs
+++ b/crates/pinereel_fakes/tests/experiment_runs.rs
@@ -1,48 +1,51 @@
-//! Experiment runs: the same figures for a seed, nothing beyond the bound, everything once.
+//! Experiment runs: the same seed gives the same metrics, and each sample is delivered once and
+//! within its staleness bound.
 
 #![allow(clippy::unwrap_used)]
 
 use pinereel_fakes::experiment::{
-    cli::compare, figure::Figures, policy::Policy, scenario::Scenario, table, world::World,
+    cli::compare, metrics::Metrics, policy::Policy, scenario::Scenario, simulation::Simulation,
+    table,
 };
 
-/// Steps of a run; enough for each fault to begin and end.
+/// Nominal number of steps of a run; long enough that each fault begins and ends.
 const STEPS: u32 = 8;
 
-fn run(scenario: &str, policy: &str, seed: u64) -> Figures {
-    let scenario = Scenario::load(scenario).expect("a scenario");
-    let policy = Policy::find(policy).expect("a policy");
-    World::new(&scenario, policy, seed, STEPS).run()
+fn run(scenario: &str, policy: &str, seed: u64) -> Metrics {
+    let scenario = Scenario::load(scenario).expect("scenario should be built in");
+    let policy = Policy::find(policy).expect("policy should exist");
+    Simulation::new(&scenario, policy, seed, STEPS).run()
 }
 
 #[test]
-fn a_seed_gives_the_same_figures_each_time() {
+fn metrics_repeat_exactly_with_the_same_seed_and_differ_with_another() {
     let first = run("maumee-faults", "full", 7);
     assert_eq!(first, run("maumee-faults", "full", 7));
     assert_ne!(first, run("maumee-faults", "full", 8));
 }
 
 #[test]
-fn no_sample_is_too_old_or_delivered_twice() {
+fn samples_are_delivered_once_and_fresh_and_the_idle_bound_holds() {
     for scenario in Scenario::names() {
-        // The first sends lots ahead without any care for versions.
+        // Under `ahead-collect`, lots are submitted ahead, but runners ignore versions when they
+        // start samples.
         for policy in ["ahead-collect", "full"] {
-            let figures = run(scenario, policy, 3);
-            let place = format!("{scenario} {policy}");
-            assert!(figures.steps > 0.0, "{place}: no step was finished");
-            assert_eq!(figures.beyond, 0.0, "{place}: beyond the bound");
-            assert_eq!(figures.twice, 0.0, "{place}: delivered twice");
-            let (bound, idle) = (figures.bound, figures.idle);
+            let metrics = run(scenario, policy, 3);
+            let case = format!("{scenario} {policy}");
+            assert!(metrics.steps > 0.0, "{case}: no step has all its samples");
+            assert_eq!(metrics.over_bound, 0.0, "{case}: samples too old");
+            assert_eq!(metrics.repeated, 0.0, "{case}: samples delivered twice");
+            let (bound, idle) = (metrics.idle_bound, metrics.idle_share);
             assert!(
                 bound <= idle,
-                "{place}: idle {idle} below its bound {bound}"
+                "{case}: idle share {idle} is below its lower bound {bound}"
             );
         }
     }
 }
 
 #[test]
-fn the_table_of_a_small_run() {
+fn table_shows_the_metrics_of_each_policy() {
     let scenario = Scenario::load("prairie").unwrap();
     let policies = ["baseline", "live-only"].map(|name| Policy::find(name).unwrap());
     let rows = compare(&scenario, &policies, 1, STEPS);
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn a_faulty_scenario_is_refused_with_the_place() {
+fn scenario_errors_name_the_malformed_key_or_the_unknown_scenario() {
     let text = "[site]\nmodel = m\nzones = a, b\nzone_us = soon\n";
     let error = Scenario::parse("x", text).unwrap_err();
     insta::assert_snapshot!(error, @"scenario: [site] zone_us: missing or malformed");
