--- a/crates/pinereel_fakes/src/experiment/engine.rs
+++ b/crates/pinereel_fakes/src/experiment/engine.rs
@@ -149,7 +149,7 @@
     pub(super) fn latency_to_origin(&self, engine: usize, origin: Origin) -> Duration {
         let entry = match origin {
             Origin::Sample(entry_id, _) => entry_id.index,
-            Origin::Live(number, _) => self.live.entry(number),
+            Origin::Live(number, _) => self.live_requests.entry(number),
         };
         self.latency(self.engines[engine].zone, self.entries[entry].zone)
     }
@@ -189,7 +189,7 @@
             let origins = self.engines[index].origins.iter();
             let closed = origins.filter(|(_, origin)| match origin {
                 Origin::Sample(id, _) => *id == entry_id,
-                Origin::Live(number, _) => self.live.entry(*number) == entry_id.index,
+                Origin::Live(number, _) => self.live_requests.entry(*number) == entry_id.index,
             });
             let closed: Vec<_> = closed.map(|(id, _)| id.clone()).collect();
             for request_id in closed {
--- a/crates/pinereel_fakes/src/experiment/live.rs
+++ b/crates/pinereel_fakes/src/experiment/live.rs
@@ -56,7 +56,7 @@
         let mut requests = Vec::new();
         let mut at = 0.0;
         loop {
-            at += -(1.0 - random.random::<f64>()).ln() / scenario.live.requests_per_second;
+            at += -(1.0 - random.random::<f64>()).ln() / scenario.live_load.requests_per_second;
             if at >= duration.as_secs_f64() {
                 return Self { requests };
             }
@@ -87,9 +87,9 @@
     /// Handles the arrival of a live request at its entry, or at the next one that is running.
     pub(super) fn receive_live_request(&mut self, number: u64) {
         let entries = self.entries.len();
-        let live = &mut self.live.requests[number as usize];
-        while !self.entries[live.entry].up {
-            live.entry = (live.entry + 1) % entries;
+        let request = &mut self.live_requests.requests[number as usize];
+        while !self.entries[request.entry].up {
+            request.entry = (request.entry + 1) % entries;
         }
         self.route_live_request(number);
     }
@@ -97,20 +97,20 @@
     /// Routes a live request to an engine. Without a free slot the request waits; it is refused
     /// after its deadline, or if no endpoint can run it.
     fn route_live_request(&mut self, number: u64) {
-        let live = &self.live.requests[number as usize];
-        let index = live.entry;
-        if self.now.since(live.arrival) >= self.scenario.live.deadline {
+        let request = &self.live_requests.requests[number as usize];
+        let index = request.entry;
+        if self.now.since(request.arrival) >= self.scenario.live_load.deadline {
             self.refuse_live_request(number);
             return;
         }
         let entry = &self.entries[index];
-        let mut excluded = live.excluded.clone();
+        let mut excluded = request.excluded.clone();
         if self.policy.live_avoids_slow {
             let slow = entry.runner.slow_endpoints(self.now);
             let keys = slow.iter().filter_map(|name| entry.endpoints.find(name));
             excluded.extend(keys.map(|(key, _)| key));
         }
-        let request = route::Request {
+        let route_request = route::Request {
             pool: &self.scenario.model,
             prefix: Some(hash::stable(&(number % 8).to_le_bytes())),
             priority: Priority::Live,
@@ -120,13 +120,20 @@
             repeatable: true,
             seed: hash::mix(number ^ self.seed),
         };
-        match route::choose(&entry.endpoints, &request, self.now, &self.policy.route) {
+        match route::choose(
+            &entry.endpoints,
+            &route_request,
+            self.now,
+            &self.policy.route,
+        ) {
             Ok(choice) => self.start_live_attempt(number, choice.key),
             Err(Refusal::Full) => self.entries[index].waiting_requests.push_back(number),
-            Err(_) if live.excluded.is_empty() => self.refuse_live_request(number),
+            Err(_) if request.excluded.is_empty() => self.refuse_live_request(number),
             Err(_) => {
                 // The endpoints at which it failed may be tried again.
-                self.live.requests[number as usize].excluded.clear();
+                self.live_requests.requests[number as usize]
+                    .excluded
+                    .clear();
                 self.entries[index].waiting_requests.push_back(number);
             }
         }
@@ -134,9 +141,9 @@
 
     fn start_live_attempt(&mut self, number: u64, key: Key) {
         let now = self.now;
-        let tokens = self.scenario.live.max_tokens;
-        let live = &mut self.live.requests[number as usize];
-        let entry = &mut self.entries[live.entry];
+        let tokens = self.scenario.live_load.max_tokens;
+        let request = &mut self.live_requests.requests[number as usize];
+        let entry = &mut self.entries[request.entry];
         let name = entry.endpoints.get(key).map(|e| e.name.clone());
         let name = name.unwrap_or_default();
         let request_id = entry.next_request_id();
@@ -144,14 +151,14 @@
         entry.endpoints.step(now, event);
         let engine = self.engines.iter().position(|e| e.name == name);
         let engine = engine.expect("every listed endpoint should be an engine");
-        live.attempts += 1;
-        let attempt = live.attempts;
-        live.running = Some(LiveAttempt {
+        request.attempts += 1;
+        let attempt = request.attempts;
+        request.running = Some(LiveAttempt {
             key,
             started_at: now,
             number: attempt,
         });
-        let request = Request {
+        let engine_request = Request {
             model: self.scenario.model.clone(),
             prompt: format!("caller {number} asks"),
             max_tokens: tokens,
@@ -165,26 +172,26 @@
         let origin = Origin::Live(number, attempt);
         let latency = self.latency_to_origin(engine, origin);
         self.queue
-            .schedule(now, latency, Event::Request(engine, origin, request));
+            .schedule(now, latency, Event::Request(engine, origin, engine_request));
     }
 
     /// Ends the running attempt of a live request and reports its end to the endpoint set. Returns
     /// `false` if this attempt is not the running one.
     fn finish_live_attempt(&mut self, number: u64, attempt: u32, end: AttemptEnd) -> bool {
-        let live = &mut self.live.requests[number as usize];
-        if live.running.as_ref().is_none_or(|r| r.number != attempt) {
+        let request = &mut self.live_requests.requests[number as usize];
+        if request.running.as_ref().is_none_or(|r| r.number != attempt) {
             return false;
         }
-        let Some(running) = live.running.take() else {
+        let Some(running) = request.running.take() else {
             return false;
         };
         if end != AttemptEnd::Completed {
-            live.excluded.push(running.key);
+            request.excluded.push(running.key);
         }
-        let entry = &mut self.entries[live.entry];
+        let entry = &mut self.entries[request.entry];
         let event = endpoint::Event::Finished {
             key: running.key,
-            tokens: self.scenario.live.max_tokens,
+            tokens: self.scenario.live_load.max_tokens,
             took: self.now.since(running.started_at),
             end,
         };
@@ -204,12 +211,12 @@
         if !self.finish_live_attempt(number, attempt, AttemptEnd::Completed) {
             return;
         }
-        let live = &mut self.live.requests[number as usize];
-        if std::mem::replace(&mut live.done, true) {
+        let request = &mut self.live_requests.requests[number as usize];
+        if std::mem::replace(&mut request.done, true) {
             return;
         }
-        let took = self.now.since(live.arrival);
-        let late = took > self.scenario.live.deadline;
+        let took = self.now.since(request.arrival);
+        let late = took > self.scenario.live_load.deadline;
         self.recorder.live_tokens += u64::from(chunk.offset + chunk.tokens);
         self.recorder.live_refused += u64::from(late);
         self.recorder
@@ -223,7 +230,7 @@
         if !self.finish_live_attempt(number, attempt, end) {
             return;
         }
-        if self.live.requests[number as usize].excluded.len() >= MAX_EXCLUDED_ENDPOINTS {
+        if self.live_requests.requests[number as usize].excluded.len() >= MAX_EXCLUDED_ENDPOINTS {
             self.refuse_live_request(number);
         } else {
             self.route_live_request(number);
@@ -240,19 +247,19 @@
     }
 
     fn refuse_live_request(&mut self, number: u64) {
-        let live = &mut self.live.requests[number as usize];
-        if !std::mem::replace(&mut live.done, true) {
+        let request = &mut self.live_requests.requests[number as usize];
+        if !std::mem::replace(&mut request.done, true) {
             self.recorder.live_refused += 1;
         }
     }
 
     /// Counts the unanswered live requests of an entry that crashed as refused.
     pub(super) fn drop_live_requests(&mut self, index: usize) {
-        let requests = self.live.requests.iter().enumerate();
+        let requests = self.live_requests.requests.iter().enumerate();
         let lost = requests.filter(|(_, r)| r.entry == index && !r.done && r.arrival <= self.now);
         let lost: Vec<_> = lost.map(|(number, _)| number as u64).collect();
         for number in lost {
-            self.live.requests[number as usize].running = None;
+            self.live_requests.requests[number as usize].running = None;
             self.refuse_live_request(number);
         }
     }
--- a/crates/pinereel_fakes/src/experiment/lots.rs
+++ b/crates/pinereel_fakes/src/experiment/lots.rs
@@ -57,10 +57,10 @@
         let lots = &self.trainers[trainer].submitted_lots;
         let Some(lot) = lots.get(&step) else { return };
         let (id, token) = (lot.id.clone(), lot.cursor.token().clone());
-        let known = self.entries[entry]
+        let previous = self.entries[entry]
             .submitted_lots
             .insert(id, (trainer, step));
-        if known.is_none() {
+        if previous.is_none() {
             let placed = self.place_missing_groups(trainer, step, &token, &BTreeSet::new());
             self.assign_groups(trainer, step, entry, placed);
         }
@@ -87,17 +87,17 @@
                 continue;
             }
             let key = lot_key ^ u64::from(group.index);
-            let best = runners
+            let preferred = runners
                 .iter()
                 .max_by_key(|(_, e)| hash::rendezvous(key, &e.name));
-            let best = best.map(|(runner, _)| *runner);
+            let preferred = preferred.map(|(runner, _)| *runner);
             let moved = self
                 .moved_groups
                 .get(&(trainer, step, group.index))
                 .copied();
             let moved =
                 moved.filter(|runner| self.policy.sticky_groups && !excluded.contains(runner));
-            if let Some(runner) = moved.or(best) {
+            if let Some(runner) = moved.or(preferred) {
                 placed.entry(runner).or_default().push(group.index);
             }
         }
--- a/crates/pinereel_fakes/src/experiment/metrics.rs
+++ b/crates/pinereel_fakes/src/experiment/metrics.rs
@@ -126,11 +126,12 @@
             .map(|e| e.runner.stats())
             .collect();
         let stale = recorder.stale_samples + stats.iter().map(|s| s.stale_samples).sum::<u64>();
-        let computed: u64 = simulation.engines.iter().map(|e| e.total_tokens()).sum();
-        let used = recorder.delivered_tokens + recorder.live_tokens + recorder.undelivered_tokens();
+        let computed_tokens: u64 = simulation.engines.iter().map(|e| e.total_tokens()).sum();
+        let used_tokens =
+            recorder.delivered_tokens + recorder.live_tokens + recorder.undelivered_tokens();
         let answered = recorder.live_times.len() as f64;
         let calls = &recorder.object_api_calls;
-        let sum =
+        let sum_of =
             |get: fn(&pinereel_core::lot::Stats) -> u64| stats.iter().map(get).sum::<u64>() as f64;
         let steps = simulation.trainers.iter().map(|t| t.collected_steps.len());
         let metrics = Self {
@@ -143,7 +144,7 @@
             staleness_p99: quantile(&staleness, 0.99),
             staleness_max: quantile(&staleness, 1.0),
             dropped_share: ratio(stale, stale + recorder.staleness.len() as u64),
-            wasted_share: ratio(computed.saturating_sub(used), computed),
+            wasted_share: ratio(computed_tokens.saturating_sub(used_tokens), computed_tokens),
             group_p99_ms: quantile(&group_times, 0.99),
             live_p50_ms: quantile(&live_times, 0.5),
             live_p99_ms: quantile(&live_times, 0.99),
@@ -154,10 +155,10 @@
             over_bound: recorder.over_bound as f64,
             repeated: (recorder.repeated_samples + recorder.rejected_answers) as f64,
             attempts: [
-                sum(|s| s.started),
-                sum(|s| s.aborted),
-                sum(|s| s.speculative),
-                sum(|s| s.lost),
+                sum_of(|s| s.started),
+                sum_of(|s| s.aborted),
+                sum_of(|s| s.speculative),
+                sum_of(|s| s.lost),
             ],
             ..Self::default()
         };
--- a/crates/pinereel_fakes/src/experiment/scenario.rs
+++ b/crates/pinereel_fakes/src/experiment/scenario.rs
@@ -128,7 +128,7 @@
     /// The trainers.
     pub trainers: Vec<Trainer>,
     /// The load from live callers.
-    pub live: LiveLoad,
+    pub live_load: LiveLoad,
     /// The faults.
     pub faults: Vec<Fault>,
 }
@@ -174,7 +174,7 @@
             report_lag: Section::find(&ini, "engine")?.millis("lag_ms")?,
             entry_slots: Section::find(&ini, "engine")?.get("entry_slots")?,
             trainers: parse_all(&ini, "trainer ", parse_trainer)?,
-            live: parse_live(&Section::find(&ini, "live")?)?,
+            live_load: parse_live_load(&Section::find(&ini, "live")?)?,
             faults: parse_all(&ini, "fault ", parse_fault)?,
         })
     }
@@ -252,7 +252,7 @@
     })
 }
 
-fn parse_live(section: &Section<'_>) -> Result<LiveLoad, Error> {
+fn parse_live_load(section: &Section<'_>) -> Result<LiveLoad, Error> {
     Ok(LiveLoad {
         requests_per_second: section.get("per_second")?,
         max_tokens: section.get("max_tokens")?,
--- a/crates/pinereel_fakes/src/experiment/simulation.rs
+++ b/crates/pinereel_fakes/src/experiment/simulation.rs
@@ -28,7 +28,7 @@
     pub(super) engines: Vec<Engine>,
     pub(super) entries: Vec<Entry>,
     pub(super) trainers: Vec<Trainer>,
-    pub(super) live: LiveRequests,
+    pub(super) live_requests: LiveRequests,
     /// Collects that entries are handling, by number.
     pub(super) pending_collects: BTreeMap<u64, PendingCollect>,
     /// Runner of each group whose first runner could not be reached; the key is trainer, step and
@@ -65,7 +65,7 @@
             trainers: trainers
                 .map(|(index, options)| Trainer::new(index, options))
                 .collect(),
-            live: LiveRequests::new(scenario, seed, duration),
+            live_requests: LiveRequests::new(scenario, seed, duration),
             rollout: rollout::Controller::new(weights::rollout_settings(
                 policy.rollout_in_waves,
                 scenario.engine_options.swap,
@@ -121,7 +121,7 @@
             self.queue
                 .schedule(self.now, delay, Event::FaultBegin(index));
         }
-        for (number, arrival) in self.live.arrivals().collect::<Vec<_>>() {
+        for (number, arrival) in self.live_requests.arrivals().collect::<Vec<_>>() {
             self.queue.schedule(
                 Time::ZERO,
                 arrival.since(Time::ZERO),
--- a/crates/pinereel_fakes/src/experiment/trainer.rs
+++ b/crates/pinereel_fakes/src/experiment/trainer.rs
@@ -1,5 +1,5 @@
-//! Trainers of a run. For each step, a trainer submits a lot, collects its samples, trains on them
-//! and publishes new weights.
+//! Trainers of a run. For each step, a trainer submits a lot, collects its samples and trains on
+//! them. Some trainers then publish new weights.
 
 use super::{
     event::Event,
