--- /dev/null
+++ b/crates/pinereel_fakes/src/child_process.rs
@@ -0,0 +1,175 @@
+//! Starts child processes, captures the lines that they print, and sends them signals.
+//!
+//! All waits block the calling thread and take a timeout.
+
+pub use rustix::process::Signal;
+
+use rustix::process::{Pid, kill_process};
+use std::{
+    io::{self, BufRead as _, BufReader, Read, Write as _},
+    net::{SocketAddr, TcpStream},
+    process::{self, Command, ExitStatus, Stdio},
+    sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError},
+    thread,
+    time::{Duration, Instant},
+};
+
+/// Interval at which a condition is polled that sends no notification.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// What a process has printed on standard output and standard error.
+#[derive(Debug, Default)]
+struct Output {
+    lines: Vec<String>,
+    /// How many of the two streams are still open.
+    open_streams: usize,
+}
+
+/// A child process. Dropping the value kills the process.
+#[derive(Debug)]
+pub struct Child {
+    process: process::Child,
+    output: Arc<(Mutex<Output>, Condvar)>,
+}
+
+impl Child {
+    /// Starts `command` and captures the lines that it prints.
+    ///
+    /// # Errors
+    /// If the command can't be started.
+    pub fn spawn(command: &mut Command) -> io::Result<Self> {
+        let mut process = command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()?;
+        let output = Arc::<(Mutex<Output>, Condvar)>::default();
+        capture(process.stdout.take(), &output);
+        capture(process.stderr.take(), &output);
+        Ok(Self { process, output })
+    }
+
+    /// The process id.
+    pub fn id(&self) -> u32 {
+        self.process.id()
+    }
+
+    /// The lines printed so far on both streams, in the order of arrival.
+    pub fn lines(&self) -> Vec<String> {
+        lock(&self.output.0).lines.clone()
+    }
+
+    /// Returns the first line that contains `text`, or `None` after `timeout` or when both streams
+    /// have closed without such a line.
+    pub fn wait_for_line(&self, text: &str, timeout: Duration) -> Option<String> {
+        let deadline = Instant::now() + timeout;
+        let mut output = lock(&self.output.0);
+        loop {
+            if let Some(line) = output.lines.iter().find(|line| line.contains(text)) {
+                return Some(line.clone());
+            }
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || output.open_streams == 0 {
+                return None;
+            }
+            let guard = self.output.1.wait_timeout(output, remaining);
+            output = guard.unwrap_or_else(PoisonError::into_inner).0;
+        }
+    }
+
+    /// Returns the socket address at the end of the first line that contains `text`, such as
+    /// `listening 127.0.0.1:4000`. Returns `None` where [`Self::wait_for_line`] does, and if the
+    /// line does not end with an address.
+    pub fn wait_for_address(&self, text: &str, timeout: Duration) -> Option<SocketAddr> {
+        let line = self.wait_for_line(text, timeout)?;
+        line.split_whitespace().next_back()?.parse().ok()
+    }
+
+    /// Sends a signal to the process.
+    ///
+    /// # Errors
+    /// If the process has exited.
+    pub fn signal(&mut self, signal: Signal) -> io::Result<()> {
+        if self.process.try_wait()?.is_some() {
+            // The system may have assigned the process id to another process since.
+            return Err(io::Error::other("the process has exited"));
+        }
+        Ok(kill_process(Pid::from_child(&self.process), signal)?)
+    }
+
+    /// Closes the standard input of the process.
+    pub fn close_stdin(&mut self) {
+        drop(self.process.stdin.take());
+    }
+
+    /// Waits until the process exits; `None` if it is still running after `timeout`.
+    ///
+    /// # Errors
+    /// If the exit status can't be read.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> io::Result<Option<ExitStatus>> {
+        let deadline = Instant::now() + timeout;
+        loop {
+            let status = self.process.try_wait()?;
+            if status.is_some() || Instant::now() >= deadline {
+                return Ok(status);
+            }
+            thread::sleep(POLL_INTERVAL);
+        }
+    }
+}
+
+impl Drop for Child {
+    fn drop(&mut self) {
+        // These calls fail only if the process has exited already.
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+/// Waits until `GET path`, for example `/ready`, is answered with 200. Returns false after `timeout`.
+pub fn wait_for_ok(address: SocketAddr, path: &str, timeout: Duration) -> bool {
+    let deadline = Instant::now() + timeout;
+    loop {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
+            return false;
+        }
+        if matches!(get_status(address, path, remaining), Ok(200)) {
+            return true;
+        }
+        thread::sleep(POLL_INTERVAL.min(remaining));
+    }
+}
+
+/// Sends one `GET` and returns the status code of the response.
+fn get_status(address: SocketAddr, path: &str, timeout: Duration) -> io::Result<u16> {
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes())?;
+    let mut line = String::new();
+    BufReader::new(stream).read_line(&mut line)?;
+    let status = line.split(' ').nth(1).and_then(|code| code.parse().ok());
+    status.ok_or_else(|| io::Error::other("response has no HTTP status line"))
+}
+
+/// Captures the lines of one stream on a thread, so that the process never blocks on a full pipe.
+fn capture(stream: Option<impl Read + Send + 'static>, output: &Arc<(Mutex<Output>, Condvar)>) {
+    let Some(stream) = stream else { return };
+    let output = Arc::clone(output);
+    lock(&output.0).open_streams += 1;
+    thread::spawn(move || {
+        for line in BufReader::new(stream).lines().map_while(Result::ok) {
+            lock(&output.0).lines.push(line);
+            output.1.notify_all();
+        }
+        lock(&output.0).open_streams -= 1;
+        output.1.notify_all();
+    });
+}
+
+/// Locks the output. A poisoned lock is safe to use, because each change is a single step and leaves
+/// the output consistent even if the thread panics afterwards.
+fn lock(output: &Mutex<Output>) -> MutexGuard<'_, Output> {
+    output.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -2,7 +2,7 @@
 //! killed, paused and started again.
 
 use crate::{
-    engine::batch, launch::Child, object_api::Record, service::Execution, site,
+    engine::batch, child_process::Child, object_api::Record, service::Execution, site,
     trainer::step::Taken,
 };
 use awc::http::StatusCode;
@@ -250,7 +250,7 @@
         ];
         let program = self.options.daemon.as_ref();
         let program = program.unwrap_or(&self.options.program);
-        let child = Child::start(Command::new(program).args(flags))?;
+        let child = Child::spawn(Command::new(program).args(flags))?;
         Ok(Entry {
             callers: address(&child, "callers 127.0.0.1:")?,
             peers: address(&child, "peers 127.0.0.1:")?,
@@ -291,7 +291,7 @@
         for entry in &self.entries {
             command.arg("--entry").arg(entry.callers.to_string());
         }
-        Child::start(command.args(flags))
+        Child::spawn(command.args(flags))
     }
 
     /// Sets faults of the object API.
@@ -355,7 +355,7 @@
     let mut status = None;
     let deadline = tokio::time::Instant::now() + LONG;
     while status.is_none() {
-        status = child.wait(Duration::ZERO)?;
+        status = child.wait_for_exit(Duration::ZERO)?;
         if tokio::time::Instant::now() > deadline {
             return Err(io::ErrorKind::TimedOut.into());
         }
@@ -414,7 +414,7 @@
 }
 
 fn process(program: &Path, name: &str, args: &[&str]) -> io::Result<Process> {
-    let child = Child::start(Command::new(program).args(args))?;
+    let child = Child::spawn(Command::new(program).args(args))?;
     Ok(Process {
         name: name.into(),
         address: address(&child, "listening 127.0.0.1:")?,
@@ -424,6 +424,6 @@
 
 fn address(child: &Child, text: &str) -> io::Result<SocketAddr> {
     child
-        .address(text, LONG)
+        .wait_for_address(text, LONG)
         .ok_or_else(|| io::Error::other(format!("no line {text:?}: {:?}", child.lines())))
 }
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/fragile.rs
@@ -11,7 +11,7 @@
     store::Store,
 };
 use crate::{
-    launch::Child,
+    child_process::Child,
     process::{Common, Error, value},
 };
 use actix_http::{
@@ -182,7 +182,7 @@
     pub fn crash(&self) {
         if let Some(child) = &mut *self.state.child.borrow_mut() {
             // It may just have ended.
-            let _ = child.signal(crate::launch::Signal::KILL);
+            let _ = child.signal(crate::child_process::Signal::KILL);
         }
     }
 
@@ -213,8 +213,8 @@
         if self.mode == Mode::Engine {
             command.arg("--engine");
         }
-        let child = Child::start(&mut command)?;
-        if child.line("listening", Duration::from_secs(5)).is_none() {
+        let child = Child::spawn(&mut command)?;
+        if child.wait_for_line("listening", Duration::from_secs(5)).is_none() {
             let lines = child.lines().join("\n");
             return Err(io::Error::other(format!("no endpoint: {lines}")));
         }
@@ -231,7 +231,7 @@
         loop {
             sleep(LOOK).await;
             let ended = match &mut *self.child.borrow_mut() {
-                Some(child) => !matches!(child.wait(Duration::ZERO), Ok(None)),
+                Some(child) => !matches!(child.wait_for_exit(Duration::ZERO), Ok(None)),
                 None => return,
             };
             if !ended {
@@ -259,7 +259,7 @@
         let child = self.child.borrow();
         let line = child
             .as_ref()
-            .and_then(|child| child.line("crash under ", Duration::from_millis(200)));
+            .and_then(|child| child.wait_for_line("crash under ", Duration::from_millis(200)));
         let under = line.unwrap_or_default().replace("crash under ", "");
         self.crashes.borrow_mut().push(Crash {
             endpoint: self.id(),
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -1,7 +1,7 @@
 //! One instance of pinereel as a real process, behind its proxies.
 
 use super::{http::call, proxy::Proxy, site::beside};
-use crate::launch::{Child, Signal};
+use crate::child_process::{Child, Signal};
 use actix_http::Method;
 use bytes::Bytes;
 use std::{fs, io, net::SocketAddr, path::PathBuf, process::Command, time::Duration};
@@ -61,14 +61,14 @@
         self.mend_settings();
         let mut command = Command::new(binary()?);
         command.arg("hosted").arg("--config").arg(&self.settings);
-        self.child = Some(Child::start(&mut command)?);
+        self.child = Some(Child::spawn(&mut command)?);
         self.paused = false;
         Ok(())
     }
 
     /// Whether the process runs.
     pub fn is_running(&mut self) -> bool {
-        let ended = self.child.as_mut().map(|child| child.wait(Duration::ZERO));
+        let ended = self.child.as_mut().map(|child| child.wait_for_exit(Duration::ZERO));
         matches!(ended, Some(Ok(None)))
     }
 
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -3,7 +3,7 @@
 use super::{RECOVERY, STEPS_AFTER, Soak, Span, start};
 use crate::{
     hosting::{caller::Tally, engine, proxy, service, store, trainer::Trainer},
-    launch::Signal,
+    child_process::Signal,
 };
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -10,7 +10,7 @@
         site::{KEY, Site, WORKSPACE},
         store,
     },
-    launch::Signal,
+    child_process::Signal,
 };
 use rand::Rng as _;
 use serde_json::json;
--- a/crates/pinereel_fakes/src/lib.rs
+++ b/crates/pinereel_fakes/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`demo`]: everything on loopback in one command.
 //! - [`load`]: load generation and latency measurement.
 //! - [`cluster`]: a site of real processes, for tests of failures.
-//! - [`launch`]: starting and signalling processes in tests.
+//! - [`child_process`]: starting and signalling processes in tests.
 //! - [`process`]: what the stand-ins' processes have in common.
 //! - [`hosting`]: the platform that hosts pinereel, with the real processes, and the soak.
 //! - [`fault`]: what the stand-ins' faults have in common.
@@ -22,7 +22,7 @@
 pub mod experiment;
 pub mod fault;
 pub mod hosting;
-pub mod launch;
+pub mod child_process;
 pub mod load;
 pub mod object_api;
 pub mod process;
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -21,7 +21,7 @@
         site::{HOST, Instance, METRICS_PORT, Site, Size},
         store,
     },
-    launch::Signal,
+    child_process::Signal,
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -295,7 +295,7 @@
     let stop = async {
         sleep(Duration::from_millis(900)).await;
         let index = runner(&site).expect("a lot was opened");
-        site.instances[index].signal(pinereel_fakes::launch::Signal::TERM);
+        site.instances[index].signal(pinereel_fakes::child_process::Signal::TERM);
     };
     tokio::join!(stopped.step(0), stop);
     assert_eq!(stopped.done, 1);
@@ -329,7 +329,7 @@
         // After the second write, which replaces the first.
         sleep(Duration::from_millis(4_400)).await;
         let index = runner(&site).expect("a lot was opened");
-        site.instances[index].signal(pinereel_fakes::launch::Signal::KILL);
+        site.instances[index].signal(pinereel_fakes::child_process::Signal::KILL);
         index
     };
     let (_, killed) = tokio::join!(trainer.step(0), kill);
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -7,7 +7,7 @@
         http::call,
         site::{HOST, Instance, Site, Size},
     },
-    launch::Signal,
+    child_process::Signal,
 };
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -13,7 +13,7 @@
         site::{HOST, Instance, Site, Size},
         store,
     },
-    launch::Signal,
+    child_process::Signal,
 };
 use serde_json::json;
 use std::time::Duration;
--- a/crates/pinereel_fakes/tests/process_claims.rs
+++ b/crates/pinereel_fakes/tests/process_claims.rs
@@ -11,7 +11,7 @@
 };
 use pinereel_fakes::{
     cluster::{self, Cluster, until},
-    launch::Signal,
+    child_process::Signal,
 };
 use process_support::{SERVICES, measured, options, order};
 use serde_json::{Value, json};
--- a/crates/pinereel_fakes/tests/process_config.rs
+++ b/crates/pinereel_fakes/tests/process_config.rs
@@ -12,7 +12,7 @@
 };
 use pinereel_fakes::{
     cluster::{self, Cluster, Entry, until},
-    launch::Signal,
+    child_process::Signal,
     site::TOKEN,
 };
 use process_support::{ENGINES, LONG, measured, options};
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -9,7 +9,7 @@
 use pinereel_fakes::{
     cluster::{Cluster, samples, until},
     engine::text,
-    launch::Signal,
+    child_process::Signal,
     trainer::Client,
 };
 use process_support::{
--- a/crates/pinereel_fakes/tests/process_pause.rs
+++ b/crates/pinereel_fakes/tests/process_pause.rs
@@ -8,7 +8,7 @@
 use pinereel_core::Version;
 use pinereel_fakes::{
     cluster::{self, Cluster, until},
-    launch::Signal,
+    child_process::Signal,
 };
 use process_support::{
     TRAINER, all_once, all_serve, complete, lease, measured, options, publish, served, taken,
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -8,7 +8,7 @@
 use pinereel_fakes::{
     cluster::{self, Cluster, until},
     engine::text,
-    launch::Signal,
+    child_process::Signal,
 };
 use process_support::{
     LONG, SERVICES, TRAINER, all_once, complete, decisions, long_prompt, measured, options, order,
@@ -128,7 +128,7 @@
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     cluster.entries[0].child.signal(Signal::INT).unwrap();
     let entry = &cluster.entries[0].child;
-    until(async || entry.line("no new requests", Duration::ZERO).is_some())
+    until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
         .await
         .unwrap();
     assert!(
@@ -183,11 +183,11 @@
     let mut response = cluster::client().get(url).send().await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     let entry = &cluster.entries[0].child;
-    until(async || entry.line("no new requests", Duration::ZERO).is_some())
+    until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
         .await
         .unwrap();
     // An entry that forgets the body is done long before this.
-    let done = entry.line("drain: done", Duration::from_millis(500));
+    let done = entry.wait_for_line("drain: done", Duration::from_millis(500));
     assert_eq!(done, None, "it ended while an answer was on its way");
     go_on.send(()).unwrap();
     let body = response.body().await.map_err(|e| e.to_string());
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -10,7 +10,7 @@
 use pinereel_fakes::{
     cluster::{self, Cluster, until},
     engine::text,
-    launch::Signal,
+    child_process::Signal,
 };
 use process_support::{
     TRAINER, all_once, complete, decisions, measured, options, order, remade, report, stream,
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -8,7 +8,7 @@
 use pinereel_fakes::{
     cluster::{self, Cluster, Options, samples, until},
     engine::{batch, text},
-    launch::Child,
+    child_process::Child,
     trainer::{Report, step::Taken},
 };
 use serde_json::{Value, json};
