--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -4,26 +4,27 @@
 use pinereel::settings::Settings;
 use pinereel_fakes::{
     capacity, demo, engine, experiment, hosting, load, object_api,
-    process::{self, Common, Error, value},
+    cli::{self, CommonFlags, Error, parse_value},
     service, trainer, weight_store,
 };
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
-/// One row of the table of tools.
+/// A subcommand.
 struct Tool {
     name: &'static str,
+    /// One line for the list of tools.
     summary: &'static str,
-    /// Help on its flags.
-    flags: &'static [&'static str],
+    /// Help text for its flags, in blocks that are printed one after the other.
+    flags_help: &'static [&'static str],
     run: fn(Parser) -> ExitCode,
 }
 
-/// A new tool is a new row here.
+/// All subcommands, in the order in which they are listed.
 const TOOLS: &[Tool] = &[
     Tool {
         name: "engine",
         summary: "a model engine",
-        flags: &[
+        flags_help: &[
             "  --address IP:PORT      listen there (default 127.0.0.1:0: any free port)
   --name NAME            its name
   --slots N              sequences it runs at once
@@ -43,31 +44,31 @@
     Tool {
         name: "object-api",
         summary: "the platform's object API",
-        flags: &[
+        flags_help: &[
             "  --reads-per-second N   limit of reads, lists and begun watches (default 2000)
   --writes-per-second N  limit of creates, updates and deletes (default 400)
   --lag-ms N             lag of the list of instances (default 1000)
   --history N            changes of each kind kept for watches (default 10000)
   --records N            accepted writes kept for GET /history (default 100000)",
-            process::HELP,
+            cli::COMMON_FLAGS_HELP,
         ],
-        run: |parser| finish(run_object_api(parser)),
+        run: |parser| block_on(run_object_api(parser)),
     },
     Tool {
         name: "weight-store",
         summary: "the rate-limited weight store",
-        flags: &[
+        flags_help: &[
             "  --bytes N              size of the weights of each version (default 1048576)
   --bytes-per-second N   rate of all loads together (default 104857600)
   --loads N              most loads at once (default 8)",
-            process::HELP,
+            cli::COMMON_FLAGS_HELP,
         ],
-        run: |parser| finish(run_weight_store(parser)),
+        run: |parser| block_on(run_weight_store(parser)),
     },
     Tool {
         name: "trainer",
         summary: "a trainer; prints its report",
-        flags: &["  --entry HOST:PORT      an entry to talk to; once or more
+        flags_help: &["  --entry HOST:PORT      an entry to talk to; once or more
   --name NAME            its name in the configuration
   --steps N              steps to run
   --groups N             groups a step
@@ -88,54 +89,54 @@
     Tool {
         name: "entry",
         summary: "an entry, as `pinereel entry` runs it",
-        flags: &["  --config FILE          its settings
+        flags_help: &["  --config FILE          its settings
   --help                 print this"],
         run: run_entry,
     },
     Tool {
         name: "service",
         summary: "a plain service",
-        flags: &[
+        flags_help: &[
             "  --incarnation N        incarnation to name on each answer (default 1)
   --records N            executions kept for GET /record (default 100000)",
-            process::HELP,
+            cli::COMMON_FLAGS_HELP,
         ],
-        run: |parser| finish(run_service(parser)),
+        run: |parser| block_on(run_service(parser)),
     },
     Tool {
         name: "experiment",
         summary: "policies against a baseline, in virtual time",
-        flags: &[experiment::cli::HELP],
+        flags_help: &[experiment::cli::HELP],
         run: experiment::cli::main,
     },
     Tool {
         name: "demo",
         summary: "everything on loopback, with a short summary",
-        flags: &[demo::HELP],
+        flags_help: &[demo::HELP],
         run: demo::main,
     },
     Tool {
         name: "load",
         summary: "open-loop load, and the latency that an entry adds",
-        flags: &[load::HELP],
+        flags_help: &[load::HELP],
         run: load::main,
     },
     Tool {
         name: "soak",
         summary: "the hosted instances as real processes, under seeded faults",
-        flags: &[hosting::cli::HELP],
+        flags_help: &[hosting::cli::HELP],
         run: hosting::cli::main,
     },
     Tool {
         name: "fragile",
         summary: "an endpoint that crashes when a request tells it to",
-        flags: &[hosting::fragile::HELP],
+        flags_help: &[hosting::fragile::HELP],
         run: hosting::fragile::main,
     },
     Tool {
         name: "capacity",
         summary: "slopes of state, messages, time and memory, and the two-year size",
-        flags: &[capacity::HELP],
+        flags_help: &[capacity::HELP],
         run: capacity::main,
     },
 ];
@@ -144,19 +145,19 @@
     let mut args = std::env::args_os().skip(1);
     let name = args.next().unwrap_or_default();
     let Some(tool) = TOOLS.iter().find(|tool| name == tool.name) else {
-        println!("{}", overview());
+        println!("{}", usage());
         return ExitCode::from(if name == "--help" { 0 } else { 2 });
     };
     let args: Vec<_> = args.collect();
     if args.iter().any(|arg| arg == "--help") {
-        println!("{}", help(tool));
+        println!("{}", tool_help(tool));
         return ExitCode::SUCCESS;
     }
     (tool.run)(Parser::from_args(args))
 }
 
-/// Runs a stand-in to its end, on this thread.
-fn finish(run: impl Future<Output = Result<(), Error>>) -> ExitCode {
+/// Runs a stand-in on this thread until it exits.
+fn block_on(run: impl Future<Output = Result<(), Error>>) -> ExitCode {
     match actix_rt::System::new().block_on(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -170,7 +171,7 @@
     }
 }
 
-fn overview() -> String {
+fn usage() -> String {
     let mut text = String::from("pinereel-fakes NAME [flags]; NAME --help prints the flags\n");
     for tool in TOOLS {
         text += &format!("\n  {:<14}{}", tool.name, tool.summary);
@@ -178,8 +179,8 @@
     text
 }
 
-fn help(tool: &Tool) -> String {
-    let flags = tool.flags.join("\n");
+fn tool_help(tool: &Tool) -> String {
+    let flags = tool.flags_help.join("\n");
     format!(
         "pinereel-fakes {} [flags]: {}\n\n{flags}",
         tool.name, tool.summary
@@ -188,55 +189,55 @@
 
 async fn run_object_api(mut parser: Parser) -> Result<(), Error> {
     let mut options = object_api::Options::default();
-    let common = Common::parse(&mut parser, |name, parser| {
+    let flags = CommonFlags::parse(&mut parser, |name, parser| {
         match name {
-            "reads-per-second" => options.reads_per_second = value(parser)?,
-            "writes-per-second" => options.writes_per_second = value(parser)?,
-            "lag-ms" => options.lag = Duration::from_millis(value(parser)?),
-            "history" => options.history = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "reads-per-second" => options.reads_per_second = parse_value(parser)?,
+            "writes-per-second" => options.writes_per_second = parse_value(parser)?,
+            "lag-ms" => options.lag = Duration::from_millis(parse_value(parser)?),
+            "history" => options.history = parse_value(parser)?,
+            "records" => options.records = parse_value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
     })?;
-    options.port = common.port;
+    options.port = flags.port;
     let api = object_api::Api::start(options).await?;
-    common.serve(api.address).await
+    flags.run_until_stopped(api.address).await
 }
 
 async fn run_weight_store(mut parser: Parser) -> Result<(), Error> {
     let mut options = weight_store::Options::default();
-    let common = Common::parse(&mut parser, |name, parser| {
+    let flags = CommonFlags::parse(&mut parser, |name, parser| {
         match name {
-            "bytes" => options.bytes = value(parser)?,
-            "bytes-per-second" => options.bytes_per_second = value(parser)?,
-            "loads" => options.loads = value(parser)?,
+            "bytes" => options.bytes = parse_value(parser)?,
+            "bytes-per-second" => options.bytes_per_second = parse_value(parser)?,
+            "loads" => options.loads = parse_value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
     })?;
-    options.port = common.port;
+    options.port = flags.port;
     let store = weight_store::Store::start(options).await?;
-    common.serve(store.address).await
+    flags.run_until_stopped(store.address).await
 }
 
 async fn run_service(mut parser: Parser) -> Result<(), Error> {
     let mut options = service::Options::default();
-    let common = Common::parse(&mut parser, |name, parser| {
+    let flags = CommonFlags::parse(&mut parser, |name, parser| {
         match name {
-            "incarnation" => options.incarnation = value(parser)?,
-            "records" => options.records = value(parser)?,
+            "incarnation" => options.incarnation = parse_value(parser)?,
+            "records" => options.records = parse_value(parser)?,
             _ => return Ok(false),
         }
         Ok(true)
     })?;
-    options.port = common.port;
+    options.port = flags.port;
     let service = service::Service::start(options).await?;
-    common.serve(service.address).await
+    flags.run_until_stopped(service.address).await
 }
 
 fn run_entry(parser: Parser) -> ExitCode {
-    let result = entry_config(parser)
+    let result = parse_config_path(parser)
         .map_err(|e| e.to_string())
         .and_then(|path| Settings::load(path).map_err(|e| e.to_string()))
         .and_then(|settings| pinereel::entry::run(settings).map_err(|e| e.to_string()));
@@ -249,7 +250,7 @@
     }
 }
 
-fn entry_config(mut parser: Parser) -> Result<PathBuf, lexopt::Error> {
+fn parse_config_path(mut parser: Parser) -> Result<PathBuf, lexopt::Error> {
     let mut path = None;
     while let Some(arg) = parser.next()? {
         match arg {
--- a/crates/pinereel_fakes/src/capacity/mod.rs
+++ b/crates/pinereel_fakes/src/capacity/mod.rs
@@ -18,7 +18,7 @@
 mod routing;
 pub mod target;
 
-use crate::process::{Error, value};
+use crate::cli::{Error, parse_value};
 use fit::Slope;
 use lexopt::{Arg::Long, Parser};
 use serde::Serialize;
@@ -63,12 +63,12 @@
     let (mut bytes, mut site, mut count) = (None, None, 0);
     while let Some(arg) = parser.next().map_err(Error::Usage)? {
         match arg {
-            Long("part") => only = Some(value::<String>(&mut parser)?),
+            Long("part") => only = Some(parse_value::<String>(&mut parser)?),
             Long("json") => json = true,
             // What this tool runs itself with, to measure in a fresh process.
-            Long("site") => site = Some(value::<usize>(&mut parser)?),
-            Long("bytes") => bytes = Some(value::<String>(&mut parser)?),
-            Long("count") => count = value(&mut parser)?,
+            Long("site") => site = Some(parse_value::<usize>(&mut parser)?),
+            Long("bytes") => bytes = Some(parse_value::<String>(&mut parser)?),
+            Long("count") => count = parse_value(&mut parser)?,
             _ => return Err(Error::Usage(arg.unexpected())),
         }
     }
--- a/crates/pinereel_fakes/src/hosting/cli.rs
+++ b/crates/pinereel_fakes/src/hosting/cli.rs
@@ -90,7 +90,7 @@
             options.crashing = true;
             continue;
         }
-        let number: u64 = crate::process::value(&mut parser)?;
+        let number: u64 = crate::cli::parse_value(&mut parser)?;
         let count = usize::try_from(number).unwrap_or(usize::MAX);
         match name.as_str() {
             "seed" => options.seed = number,
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/fragile.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     child_process::Child,
-    process::{Common, Error, value},
+    cli::{CommonFlags, Error, parse_value},
 };
 use actix_http::{
     HttpMessage as _, Method, StatusCode,
@@ -306,10 +306,10 @@
 async fn run(mut parser: Parser) -> Result<(), Error> {
     let mut address: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
     let (mut id, mut mode) = (String::new(), Mode::Plain);
-    let common = Common::parse(&mut parser, |name, parser| {
+    let flags = CommonFlags::parse(&mut parser, |name, parser| {
         match name {
-            "address" => address = value(parser)?,
-            "id" => id = value(parser)?,
+            "address" => address = parse_value(parser)?,
+            "id" => id = parse_value(parser)?,
             "engine" => mode = Mode::Engine,
             _ => return Ok(false),
         }
@@ -323,7 +323,7 @@
         async move { serve(&options, request).await }
     })
     .await?;
-    common.serve(address).await
+    flags.run_until_stopped(address).await
 }
 
 async fn serve(options: &Options, mut request: Request) -> Response {
--- a/crates/pinereel_fakes/src/lib.rs
+++ b/crates/pinereel_fakes/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`load`]: load generation and latency measurement.
 //! - [`cluster`]: a site of real processes, for tests of failures.
 //! - [`child_process`]: starting and signalling processes in tests.
-//! - [`process`]: what the stand-ins' processes have in common.
+//! - [`cli`]: what the stand-ins' processes have in common.
 //! - [`hosting`]: the platform that hosts pinereel, with the real processes, and the soak.
 //! - [`fault`]: what the stand-ins' faults have in common.
 //! - [`capacity`]: slopes of state, messages, processor time and memory.
@@ -25,7 +25,7 @@
 pub mod child_process;
 pub mod load;
 pub mod object_api;
-pub mod process;
+pub mod cli;
 pub mod service;
 pub mod site;
 pub mod trainer;
