--- a/crates/pinereel_fakes/src/capacity/daemon.rs
+++ b/crates/pinereel_fakes/src/capacity/daemon.rs
@@ -5,7 +5,7 @@
     meter::{again, cpu, resident},
     platform::{Options, Platform, Reported, zone},
 };
-use crate::site::{self, until};
+use crate::site::{self, wait_until};
 use compact_str::format_compact;
 use pinereel::{entry::Entry, settings::Settings};
 use pinereel_api::object::{Instance, InstanceState};
@@ -45,7 +45,7 @@
     /// # Errors
     /// A listener or a file could not be opened, or they were not ready in time.
     pub async fn start(platform: &Platform, count: usize, endpoints: usize) -> io::Result<Self> {
-        let folder = site::folder()?;
+        let folder = site::create_config_dir()?;
         let mut entries = Self {
             all: Vec::new(),
             folder,
@@ -56,7 +56,7 @@
             list(platform, &entry, i).await?;
             entries.all.push(entry);
         }
-        until(|| {
+        wait_until(|| {
             entries.all.iter().all(|entry| {
                 let known = &entry.shared.endpoints;
                 let all = known.list.endpoints().len() >= endpoints;
--- a/crates/pinereel_fakes/src/capacity/platform.rs
+++ b/crates/pinereel_fakes/src/capacity/platform.rs
@@ -124,7 +124,7 @@
         ..object_api::Options::default()
     })
     .await?;
-    site::seed(api.address, &document()?).await?;
+    site::write_initial_config(api.address, &document()?).await?;
     let light = light(reported).await?;
     for i in 0..options.light {
         put(&api, options, ENGINES, i, light);
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -91,7 +91,7 @@
 
     /// One figure of its metrics by its whole name; none while it can't be read.
     pub async fn metric(&self, name: &str) -> Option<f64> {
-        let bearer = format!("Bearer {}", site::TOKEN);
+        let bearer = format!("Bearer {}", site::OPERATOR_TOKEN);
         let url = format!("http://{}/metrics", self.operators);
         let request = client().get(url).insert_header(("authorization", bearer));
         let body = request.send().await.ok()?.body().await.ok()?;
@@ -131,11 +131,11 @@
     /// # Errors
     /// A process did not come up in time.
     pub async fn start(options: Options) -> io::Result<Self> {
-        let folder = site::folder()?;
+        let folder = site::create_config_dir()?;
         let lag = options.lag.as_millis().to_string();
         let flags = ["object-api", "--lag-ms", &lag, "--max-seconds", MAX_SECONDS];
         let api = process(&options.program, "object-api", &flags)?;
-        site::seed(api.address, &options.document).await?;
+        site::write_initial_config(api.address, &options.document).await?;
         let mut cluster = Self {
             api,
             engines: Vec::new(),
@@ -268,7 +268,7 @@
         let endpoints = self.engines.len() + self.services.len();
         let others = self.entries.len() - 1;
         for entry in &self.entries {
-            until(async || {
+            wait_until(async || {
                 let links = entry.metric("pinereel_peer_links_up").await;
                 let known = entry.metric("pinereel_endpoints_known").await;
                 links >= Some(others as f64)
@@ -359,7 +359,7 @@
         if tokio::time::Instant::now() > deadline {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        tokio::time::sleep(site::LOOK).await;
+        tokio::time::sleep(site::POLL_INTERVAL).await;
     }
     Ok(status.is_some_and(|status| status.success()))
 }
@@ -368,10 +368,10 @@
 ///
 /// # Errors
 /// It did not hold within 30 seconds.
-pub async fn until(mut condition: impl AsyncFnMut() -> bool) -> io::Result<()> {
+pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) -> io::Result<()> {
     let wait = async {
         while !condition().await {
-            tokio::time::sleep(site::LOOK).await;
+            tokio::time::sleep(site::POLL_INTERVAL).await;
         }
     };
     tokio::time::timeout(LONG, wait)
--- a/crates/pinereel_fakes/src/demo/operator.rs
+++ b/crates/pinereel_fakes/src/demo/operator.rs
@@ -1,6 +1,6 @@
 //! Calls to the operators' listeners.
 
-use crate::site::TOKEN;
+use crate::site::OPERATOR_TOKEN;
 use awc::http::StatusCode;
 use pinereel_api::operator::{Config, Patch, Patched};
 use std::{io, net::SocketAddr, time::Duration};
@@ -17,7 +17,7 @@
 /// The entry gave no such answer.
 pub async fn config(address: SocketAddr) -> Result<Option<Config>> {
     let url = format!("http://{address}/v1/config");
-    let call = client().get(url).bearer_auth(TOKEN).send();
+    let call = client().get(url).bearer_auth(OPERATOR_TOKEN).send();
     let mut answer = call.await.map_err(lost)?;
     match answer.status() {
         StatusCode::NOT_FOUND => Ok(None),
@@ -32,7 +32,7 @@
 /// It was refused, or its fate is not known.
 pub async fn patch(address: SocketAddr, patch: &Patch) -> Result<Patched> {
     let url = format!("http://{address}/v1/config");
-    let call = client().post(url).bearer_auth(TOKEN).send_json(patch);
+    let call = client().post(url).bearer_auth(OPERATOR_TOKEN).send_json(patch);
     let mut answer = call.await.map_err(lost)?;
     if answer.status() == StatusCode::OK {
         return answer.json().await.map_err(lost);
@@ -48,7 +48,7 @@
 /// The entry did not take the call.
 pub async fn drain(address: SocketAddr) -> Result<()> {
     let url = format!("http://{address}/v1/drain");
-    let call = client().post(url).bearer_auth(TOKEN).send();
+    let call = client().post(url).bearer_auth(OPERATOR_TOKEN).send();
     let status = call.await.map_err(lost)?.status();
     if status.is_success() {
         Ok(())
--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -7,7 +7,7 @@
     traffic::{Seen, Traffic},
 };
 use crate::{
-    site::{self, Site, until},
+    site::{self, Site, wait_until},
     trainer,
 };
 use pinereel_api::operator::Patch as Submitted;
@@ -39,7 +39,7 @@
     let start = Instant::now();
     let options = deployment.site();
     let mut site = Site::start(options.clone()).await?;
-    let traffic = Traffic::new(site.callers());
+    let traffic = Traffic::new(site.caller_addresses());
     let callers = traffic.start(*deployment);
     let trainer = actix_rt::spawn(trainer(deployment, &site).run());
     let mut summary = Summary {
@@ -79,7 +79,7 @@
 fn trainer(deployment: &Deployment, site: &Site) -> trainer::Trainer {
     trainer::Trainer::new(trainer::Options {
         name: deployment.trainer.into(),
-        entries: site.callers(),
+        entries: site.caller_addresses(),
         steps: STEPS,
         groups: GROUPS,
         samples: SAMPLES,
@@ -137,8 +137,8 @@
 async fn replace(site: &mut Site, options: &site::Options, traffic: &Traffic) -> io::Result<u64> {
     let start = Instant::now();
     site.start_entry(options, options.entries).await?;
-    site.ready().await?;
-    *traffic.entries.borrow_mut() = site.callers();
+    site.wait_until_ready().await?;
+    *traffic.entries.borrow_mut() = site.caller_addresses();
     Ok(millis(start))
 }
 
@@ -151,7 +151,7 @@
         let there = set.iter().filter(|(_, e)| e.version == newest);
         there.count() == site.engines.len()
     };
-    until(loaded).await.is_ok()
+    wait_until(loaded).await.is_ok()
 }
 
 fn check_trainer(summary: &mut Summary, deployment: &Deployment) {
--- a/crates/pinereel_fakes/src/load/stage.rs
+++ b/crates/pinereel_fakes/src/load/stage.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     engine::batch,
-    site::{self, Site, until},
+    site::{self, Site, wait_until},
 };
 use pinereel::{entry::Entry, logging, settings::Settings};
 use pinereel_core::config::{Document, Pool, PoolKind};
@@ -160,7 +160,7 @@
 async fn ready_entry(settings: Settings) -> io::Result<Entry> {
     let entry = Entry::start(settings).await.map_err(io::Error::other)?;
     let shared = &entry.shared;
-    until(|| {
+    wait_until(|| {
         let known = shared.endpoints.set().iter().count();
         known == 2 && pinereel::filters::pin::ready(shared).is_ok()
     })
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -18,11 +18,11 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause between looks at whether something has come about.
-pub(crate) const LOOK: Duration = Duration::from_millis(5);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Token of the operators' listeners.
-pub const TOKEN: &str = "operators-of-the-demo";
+pub const OPERATOR_TOKEN: &str = "operators-of-the-demo";
 /// Secret of the links between entries.
-pub const SECRET: &str = "entries-of-the-demo-only";
+pub const PEER_SECRET: &str = "entries-of-the-demo-only";
 
 /// What a site is made of.
 #[derive(Clone, Debug)]
@@ -89,9 +89,9 @@
         })
         .await?;
         if options.document != Document::default() {
-            seed(api.address, &options.document).await?;
+            write_initial_config(api.address, &options.document).await?;
         }
-        let folder = folder()?;
+        let folder = create_config_dir()?;
         let mut site = Self {
             api,
             engines: Vec::new(),
@@ -105,7 +105,7 @@
         for index in 0..options.entries {
             site.start_entry(&options, index).await?;
         }
-        site.ready().await?;
+        site.wait_until_ready().await?;
         Ok(site)
     }
 
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// It did not come about in time.
-    pub async fn ready(&self) -> io::Result<()> {
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
         let count = self.entries.len();
         let ready = || {
             self.entries.iter().all(|entry| {
@@ -210,17 +210,17 @@
                 linked && met && known && pinereel::filters::pin::ready(shared).is_ok()
             })
         };
-        until(ready).await
+        wait_until(ready).await
     }
 
     /// `IP:PORT` of each entry's operators' listener.
-    pub fn operators(&self) -> Vec<String> {
+    pub fn operator_addresses(&self) -> Vec<String> {
         let addresses = self.entries.iter().map(|entry| entry.operators.address);
         addresses.map(|address| address.to_string()).collect()
     }
 
     /// `IP:PORT` of each entry's callers' listener.
-    pub fn callers(&self) -> Vec<String> {
+    pub fn caller_addresses(&self) -> Vec<String> {
         let addresses = self.entries.iter().map(|entry| entry.callers.address);
         addresses.map(|address| address.to_string()).collect()
     }
@@ -230,10 +230,10 @@
 ///
 /// # Errors
 /// It did not hold within 30 seconds.
-pub async fn until(condition: impl Fn() -> bool) -> io::Result<()> {
+pub async fn wait_until(condition: impl Fn() -> bool) -> io::Result<()> {
     let wait = async {
         while !condition() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     timeout(Duration::from_secs(30), wait)
@@ -256,7 +256,7 @@
 }
 
 /// Writes configuration 1 as the operators' first patch would.
-pub(crate) async fn seed(api: SocketAddr, document: &Document) -> io::Result<()> {
+pub(crate) async fn write_initial_config(api: SocketAddr, document: &Document) -> io::Result<()> {
     let url = format!("http://{api}/objects/{CONFIG}/{CONFIG_NAME}");
     let stored = pinereel_core::config::StoredConfig {
         number: 1,
@@ -281,15 +281,15 @@
 }
 
 /// A folder of this process's own, with the secrets in it.
-pub(crate) fn folder() -> io::Result<PathBuf> {
+pub(crate) fn create_config_dir() -> io::Result<PathBuf> {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("pinereel-site-{}-{number}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     fs::create_dir_all(&folder)?;
-    write_secret(&folder.join("token"), TOKEN)?;
-    write_secret(&folder.join("secret"), SECRET)?;
+    write_secret(&folder.join("token"), OPERATOR_TOKEN)?;
+    write_secret(&folder.join("secret"), PEER_SECRET)?;
     Ok(folder)
 }
 
--- a/crates/pinereel_fakes/tests/claim_calls.rs
+++ b/crates/pinereel_fakes/tests/claim_calls.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use pinereel_api::object::Faults;
 use pinereel_core::claim::SHARD_COUNT;
-use pinereel_fakes::site::{Site, until};
+use pinereel_fakes::site::{Site, wait_until};
 use std::{
     collections::BTreeSet,
     time::{Duration, Instant},
@@ -42,7 +42,7 @@
         times.extend(join_all(calls).await);
     }
     let expected = keys + prefix.map_or(0, |_| CALLS);
-    until(|| settled_keys(site) >= expected).await.unwrap();
+    wait_until(|| settled_keys(site) >= expected).await.unwrap();
     let after = calls(site);
     times.sort();
     Cost {
@@ -74,7 +74,7 @@
     for key in keys.filter(one_each).take(SHARD_COUNT as usize) {
         assert_eq!(order(&site, 0, Some(&key), "lacquer").await.status, 200);
     }
-    until(|| settled_keys(&site) >= SHARD_COUNT as usize)
+    wait_until(|| settled_keys(&site) >= SHARD_COUNT as usize)
         .await
         .unwrap();
     for delay in [0, 5] {
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -11,7 +11,7 @@
 use pinereel_api::object;
 use pinereel_fakes::{
     service::{self, Faults},
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::Instant;
@@ -59,7 +59,7 @@
     // The outage begins between the create's effect and the loss of its answer, so that no read can
     // resolve it.
     let begins = async {
-        until(|| segments(&site) > 0).await.unwrap();
+        wait_until(|| segments(&site) > 0).await.unwrap();
         outage(&site, 60_000);
     };
     let call = order(&site, 0, Some(SLOT), "lacquer");
@@ -189,7 +189,7 @@
         ..Faults::default()
     });
     let running = async {
-        until(|| ran(site, key) > 0).await.unwrap();
+        wait_until(|| ran(site, key) > 0).await.unwrap();
         meanwhile();
     };
     let call = claims::try_order(site, index, Some(key), "lacquer", 10_000);
@@ -222,7 +222,7 @@
     };
     delay(200);
     let dies = async {
-        until(|| segments(&site) > 0).await.unwrap();
+        wait_until(|| segments(&site) > 0).await.unwrap();
         kill(&site, 0);
         delay(0);
     };
@@ -248,7 +248,7 @@
     });
     let call = claims::try_order(&site, 1, Some(&key), "lacquer", 1_000);
     let dies = async {
-        until(|| ran(&site, &key) > 0).await.unwrap();
+        wait_until(|| ran(&site, &key) > 0).await.unwrap();
         kill(&site, 1);
     };
     let (lost, ()) = futures_util::future::join(call, dies).await;
@@ -317,7 +317,7 @@
         ..Faults::default()
     });
     let call = order(&site, 0, Some(SLOT), "lacquer");
-    let gone = until(|| ran(&site, SLOT) > 0);
+    let gone = wait_until(|| ran(&site, SLOT) > 0);
     // Dropping the call closes its connection.
     tokio::select! {
         answer = call => panic!("{answer:?}"),
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -11,7 +11,7 @@
 use pinereel_core::claim::Limits;
 use pinereel_fakes::{
     service::Faults,
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 use std::time::Duration;
 
@@ -132,7 +132,7 @@
     assert_eq!(short().await.unwrap().short(), "200");
     settled(&site, "slot-june").await;
     let base = format!("{}.base", shard_of("slot-june"));
-    until(|| {
+    wait_until(|| {
         let objects = site.api.objects("claims").items;
         objects.len() == 1 && objects[0].name == base && objects[0].value == 2
     })
--- a/crates/pinereel_fakes/tests/claims/mod.rs
+++ b/crates/pinereel_fakes/tests/claims/mod.rs
@@ -4,7 +4,7 @@
 
 use pinereel_api::object::Faults;
 use pinereel_core::{claim, hash};
-use pinereel_fakes::site::{Options, Site, until};
+use pinereel_fakes::site::{Options, Site, wait_until};
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::{sleep, timeout};
@@ -239,7 +239,7 @@
             settles.is_some_and(|all| all.iter().any(|s| s["key"] == scoped.as_str()))
         })
     };
-    until(stored).await.unwrap();
+    wait_until(stored).await.unwrap();
 }
 
 /// Number of settlements in the object API.
@@ -289,7 +289,7 @@
         let mut entries = site.entries.iter();
         entries.all(|entry| entry.shared.members.view().members().len() == count)
     };
-    until(known).await.unwrap();
+    wait_until(known).await.unwrap();
 }
 
 /// Cuts entry `index` off from everything, as if its process had died.
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -9,7 +9,7 @@
     uncut,
 };
 use pinereel_api::object::Faults;
-use pinereel_fakes::site::{Site, until};
+use pinereel_fakes::site::{Site, wait_until};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -55,7 +55,7 @@
     lose(&site, 1);
     let answer = patch(&site.entries[0], 1, "a", bound(3)).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -64,7 +64,7 @@
     lose(&site, 2);
     let answer = patch(&site.entries[0], 1, "a", bound(3)).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -72,13 +72,13 @@
     let site = site(3).await;
     delay(&site, 100);
     let lose_next = async {
-        until(|| pending(&site)).await.unwrap();
+        wait_until(|| pending(&site)).await.unwrap();
         lose(&site, 1);
     };
     let sent = patch(&site.entries[0], 1, "a", bound(3));
     let (answer, ()) = futures_util::future::join(sent, lose_next).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
 }
 
 /// With every answer of a write lost nothing but reading back tells what came of it.
@@ -94,7 +94,7 @@
         let again = patch(from, base, &id, bound(10 + base)).await;
         assert_eq!(again, answer);
     }
-    until(|| in_force(&site, 5)).await.unwrap();
+    wait_until(|| in_force(&site, 5)).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -113,7 +113,7 @@
     assert_eq!(problem["ran"], "not_run");
     let message = problem["message"].as_str().unwrap();
     assert!(message.ends_with("by entry-8"), "{message}");
-    until(|| !pending(&site)).await.unwrap();
+    wait_until(|| !pending(&site)).await.unwrap();
     // Longer than any doubt lasts.
     sleep(LONG).await;
     assert_eq!(highest.get(), 1);
@@ -157,7 +157,7 @@
     // Until the client's back-off is over.
     let accepted = patch_until(&site, 3, "a", "object_api").await;
     assert_eq!(accepted, (200, json!({ "number": 2 })));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
 }
 
 /// A repeat through an entry that can read nothing must not end as refused: it was accepted.
@@ -201,7 +201,7 @@
         let views = entries.map(|e| e.shared.members.view().removable(e.shared.now()));
         views.into_iter().all(|list| !list.is_empty())
     };
-    until(removable).await.unwrap();
+    wait_until(removable).await.unwrap();
     sleep(Duration::from_secs(3)).await;
     assert_eq!(member(), Some(before));
 }
@@ -220,7 +220,7 @@
     let request = awc::Client::default().delete(url);
     let response = request.insert_header(("if-match", version)).send().await;
     assert_eq!(response.unwrap().status(), 204);
-    until(|| member().is_some()).await.unwrap();
+    wait_until(|| member().is_some()).await.unwrap();
     assert_eq!(member().unwrap().value, before.value);
 }
 
@@ -230,7 +230,7 @@
     let lonely = &site.entries[2];
     let start = Instant::now();
     cut(&site, lonely);
-    until(|| admits(lonely).is_err()).await.unwrap();
+    wait_until(|| admits(lonely).is_err()).await.unwrap();
     assert!(start.elapsed() < LONG, "{:?}", start.elapsed());
     let (code, body) = get(lonely, "/ready").await;
     let body = String::from_utf8(body).unwrap();
@@ -240,7 +240,7 @@
     assert!(status(lonely).await.entries["entry-2"].lags);
     assert!(admits(&site.entries[0]).is_ok());
     uncut(&site);
-    until(|| admits(lonely) == Ok(1)).await.unwrap();
+    wait_until(|| admits(lonely) == Ok(1)).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -263,9 +263,9 @@
     sleep(Duration::from_secs(1)).await;
     assert_eq!(admits(&new).unwrap_err(), refusal, "the object API is cut");
     uncut(&site);
-    until(|| admits(&new).is_ok()).await.unwrap();
+    wait_until(|| admits(&new).is_ok()).await.unwrap();
     assert_eq!(admits(&new), Ok(2));
-    site.ready().await.unwrap();
+    site.wait_until_ready().await.unwrap();
     let answer = patch(&new, 2, "b", bound(4)).await;
     assert_eq!(answer, (200, json!({ "number": 3 })));
 }
@@ -278,9 +278,9 @@
     let leaving = site.entries.remove(0);
     delay(&site, 100);
     let stop = async {
-        until(|| pending(&site)).await.unwrap();
+        wait_until(|| pending(&site)).await.unwrap();
         leaving.shared.drain.request_stop();
-        until(|| leaving.shared.drain.refuses_requests())
+        wait_until(|| leaving.shared.drain.refuses_requests())
             .await
             .unwrap();
         patch(&leaving, 1, "late", bound(4)).await
@@ -290,7 +290,7 @@
         futures_util::future::join3(sent, stop, leaving.run_until_drained()).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
     assert_eq!((late.0, &late.1["code"]), (503, &json!("unavailable")));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -301,7 +301,7 @@
     // Slow answers, so that the proposer vanishes before it hears that its patch is pending.
     delay(&site, 200);
     let lost = actix_rt::spawn(async move { patch(&dead, 1, "lost", bound(4)).await });
-    until(|| pending(&site)).await.unwrap();
+    wait_until(|| pending(&site)).await.unwrap();
     cut(&site, &site.entries[0]);
     delay(&site, 0);
     site.api.remove_instance("entry-0");
@@ -309,7 +309,7 @@
     let next = patch_until(&site, 1, "next", "not_confirmed").await;
     assert_eq!(next, (200, json!({ "number": 2 })));
     let alive = &site.entries[1..];
-    until(|| alive.iter().all(|e| admits(e) == Ok(2)))
+    wait_until(|| alive.iter().all(|e| admits(e) == Ok(2)))
         .await
         .unwrap();
     let pin = alive[0].shared.config.snapshot().unwrap();
--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_help/mod.rs
@@ -6,7 +6,7 @@
 use pinereel::{entry::Entry, filters::pin};
 use pinereel_api::operator::Status;
 use pinereel_core::config::Document;
-use pinereel_fakes::site::{Options, Site, TOKEN};
+use pinereel_fakes::site::{Options, Site, OPERATOR_TOKEN};
 use serde_json::{Value, json};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -52,7 +52,7 @@
 
 pub async fn post(entry: &Entry, path: &str, body: &Value) -> (u16, Value) {
     let url = format!("http://{}{path}", entry.operators.address);
-    let request = client().post(url).bearer_auth(TOKEN);
+    let request = client().post(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send_json(body).await.unwrap();
     let body = response.body().await.unwrap();
     let body = serde_json::from_slice(&body).unwrap_or_default();
@@ -61,7 +61,7 @@
 
 pub async fn get(entry: &Entry, path: &str) -> (u16, Vec<u8>) {
     let url = format!("http://{}{path}", entry.operators.address);
-    let request = client().get(url).bearer_auth(TOKEN);
+    let request = client().get(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send().await.unwrap();
     let body = response.body().await.unwrap();
     (response.status().as_u16(), body.to_vec())
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -14,7 +14,7 @@
     wire::{Call, Reply},
 };
 use pinereel_core::config::{Document, Prepare};
-use pinereel_fakes::site::{Site, until};
+use pinereel_fakes::site::{Site, wait_until};
 use serde_json::{Value, json};
 use std::{
     collections::BTreeSet,
@@ -51,7 +51,7 @@
             }
         });
         let force = async {
-            until(|| in_force(&site, base + 1)).await.unwrap();
+            wait_until(|| in_force(&site, base + 1)).await.unwrap();
             start.elapsed()
         };
         let (answers, force) = futures_util::future::join(join_all(patches), force).await;
@@ -109,7 +109,7 @@
     let merge = serde_json::to_value(config_help::document()).unwrap();
     let answer = patch(&site.entries[2], 0, "first", merge).await;
     assert_eq!(answer, (200, json!({ "number": 1 })));
-    until(|| in_force(&site, 1)).await.unwrap();
+    wait_until(|| in_force(&site, 1)).await.unwrap();
     let (code, body) = get(&site.entries[0], "/v1/config").await;
     let shown: Config = serde_json::from_slice(&body).unwrap();
     assert_eq!((code, shown.number), (200, 1));
@@ -152,7 +152,7 @@
 #[actix_rt::test]
 async fn operators_need_their_token() {
     let site = site(1).await;
-    let address = site.operators()[0].clone();
+    let address = site.operator_addresses()[0].clone();
     for path in ["/v1/config", "/v1/status", "/metrics"] {
         let url = format!("http://{address}{path}");
         let response = awc::Client::default().get(url).send().await.unwrap();
@@ -179,7 +179,7 @@
         let set = entry.shared.endpoints.set();
         set.iter().map(|(_, e)| e.slots).collect::<Vec<_>>()
     };
-    until(|| site.entries.iter().all(|e| slots(e) == [3]))
+    wait_until(|| site.entries.iter().all(|e| slots(e) == [3]))
         .await
         .unwrap();
 }
@@ -189,7 +189,7 @@
     let site = site(3).await;
     patch(&site.entries[0], 1, "more", bound(3)).await;
     // Before the next summaries of the others, which still told of 1.
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
     let status = status(&site.entries[1]).await;
     assert_eq!((status.entry.as_str(), status.number), ("entry-1", 2));
     assert_eq!(status.entries.len(), 3);
@@ -205,7 +205,7 @@
 async fn few_entries_of_each_zone_watch() {
     let site = site(9).await;
     let watching = || site.api.stats().waiting_by_kind.get(CONFIG).copied();
-    until(|| watching() == Some(6)).await.unwrap();
+    wait_until(|| watching() == Some(6)).await.unwrap();
 }
 
 /// What an entry spends on its peers and on the object API while nothing happens.
@@ -255,7 +255,7 @@
     assert!(proposer.shared.mesh.linked_peers().len() < 19);
     let answer = patch(proposer, 1, "far", bound(3)).await;
     assert_eq!(answer, (200, json!({ "number": 2 })));
-    until(|| in_force(&site, 2)).await.unwrap();
+    wait_until(|| in_force(&site, 2)).await.unwrap();
     let status = status(proposer).await;
     assert_eq!(status.entries.len(), 20);
     assert!(
@@ -300,7 +300,7 @@
         leaves: leaves.clone(),
     };
     assert_eq!(send(abort).await, Some(Reply::Done));
-    until(|| vouch() == branch.len()).await.unwrap();
+    wait_until(|| vouch() == branch.len()).await.unwrap();
     assert_eq!(send(prepare(1_001, "second")).await, confirmed);
     let commit = Call::Commit {
         number: 2,
@@ -308,7 +308,7 @@
         leaves: leaves.clone(),
     };
     assert_eq!(send(commit).await, Some(Reply::Done));
-    until(|| branch.iter().all(|e| admits(e) == Ok(2)))
+    wait_until(|| branch.iter().all(|e| admits(e) == Ok(2)))
         .await
         .unwrap();
 }
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -84,7 +84,7 @@
     let end = Instant::now() + Duration::from_secs(7);
     let (mut good, mut bad) = (0, 0);
     while Instant::now() < end {
-        for entry in site.callers() {
+        for entry in site.caller_addresses() {
             call(&entry, &body).await;
             match call(&entry, "other").await {
                 (200, _) => good += 1,
@@ -99,7 +99,7 @@
         .map(|crash| crash.under.clone())
         .collect();
     assert!((1..=MOST).contains(&under.len()), "{under:?}");
-    for entry in site.callers() {
+    for entry in site.caller_addresses() {
         let (status, answer) = call(&entry, &body).await;
         let problem: Value = serde_json::from_slice(&answer).unwrap();
         assert_eq!(status, 503, "{problem}");
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -6,7 +6,7 @@
 use pinereel_core::{Version, config::Document};
 use pinereel_fakes::{
     engine::batch,
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
     trainer::{Client, Collection},
 };
 use serde_json::json;
@@ -61,7 +61,7 @@
 /// Submits the lot through the last entry and waits until every sample is made somewhere.
 async fn submit(site: &Site, client: &mut Client) -> Collection {
     let collection = client.submit(lot()).await.unwrap();
-    until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
+    wait_until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
         .await
         .unwrap();
     collection
@@ -87,7 +87,7 @@
 }
 
 fn client(site: &Site) -> Client {
-    Client::new(vec![site.callers().pop().unwrap()], WAIT)
+    Client::new(vec![site.caller_addresses().pop().unwrap()], WAIT)
 }
 
 #[actix_rt::test]
--- a/crates/pinereel_fakes/tests/input/mod.rs
+++ b/crates/pinereel_fakes/tests/input/mod.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, dead_code)]
 
 use pinereel_core::config::Document;
-use pinereel_fakes::site::{Options, Site, until};
+use pinereel_fakes::site::{Options, Site, wait_until};
 use serde_json::{Value, json};
 use std::{net::SocketAddr, time::Duration};
 use tokio::{
@@ -116,6 +116,6 @@
     let count = |line: &String| line.rsplit(' ').next()?.parse::<u64>().ok();
     // A connection's refusal is counted when it ends, which its client may see first.
     let all_told = || lines().iter().filter_map(count).sum::<u64>() == total;
-    until(all_told).await.expect("as many refusals are counted");
+    wait_until(all_told).await.expect("as many refusals are counted");
     lines().join("\n")
 }
--- a/crates/pinereel_fakes/tests/input_peers.rs
+++ b/crates/pinereel_fakes/tests/input_peers.rs
@@ -7,7 +7,7 @@
 use futures_util::{SinkExt as _, StreamExt as _};
 use input::{answer, post, refusals, request, rest, send, site, summary, undisturbed};
 use pinereel_api::wire::{Frame, Hello, MAX_FRAME_BYTES, PROTOCOL};
-use pinereel_fakes::site::{SECRET, Site};
+use pinereel_fakes::site::{PEER_SECRET, Site};
 use std::{net::SocketAddr, time::Duration};
 use tokio::{net::TcpStream, time::timeout};
 use tokio_tungstenite::{
@@ -38,7 +38,7 @@
     let mut request = format!("ws://{address}/peer")
         .into_client_request()
         .unwrap();
-    let secret = SECRET.parse().unwrap();
+    let secret = PEER_SECRET.parse().unwrap();
     request.headers_mut().insert("authorization", secret);
     let stream = TcpStream::connect(address).await.unwrap();
     client_async(request, stream).await.unwrap().0
--- a/crates/pinereel_fakes/tests/input_requests.rs
+++ b/crates/pinereel_fakes/tests/input_requests.rs
@@ -6,7 +6,7 @@
 
 use input::{MAX_BODY, answer, callers, post, refusals, request, site, undisturbed};
 use pinereel_api::trainer::Submitted;
-use pinereel_fakes::site::{Site, TOKEN};
+use pinereel_fakes::site::{Site, OPERATOR_TOKEN};
 use serde_json::json;
 use std::net::SocketAddr;
 
@@ -175,18 +175,18 @@
         let header = format!("authorization: {token}");
         request(&format!("GET {path} HTTP/1.1"), &[&header], "")
     };
-    let bearer = format!("authorization: Bearer {TOKEN}");
+    let bearer = format!("authorization: Bearer {OPERATOR_TOKEN}");
     let drain = request("POST /v1/drain HTTP/1.1", &[], "");
     let patch = request("POST /v1/config HTTP/1.1", &[&bearer], "{\"base\": }");
     let cases = [
         ("no token", drain),
         ("empty", with("", "/metrics")),
         ("wrong", with("Bearer someone-else", "/v1/config")),
-        ("no scheme", with(TOKEN, "/v1/status")),
+        ("no scheme", with(OPERATOR_TOKEN, "/v1/status")),
         ("malformed patch", patch),
         (
             "unknown path",
-            with(&format!("Bearer {TOKEN}"), "/v1/nothing"),
+            with(&format!("Bearer {OPERATOR_TOKEN}"), "/v1/nothing"),
         ),
     ];
     let table = table(site.entries[0].operators.address, &cases).await;
--- a/crates/pinereel_fakes/tests/input_senders.rs
+++ b/crates/pinereel_fakes/tests/input_senders.rs
@@ -6,7 +6,7 @@
 
 use input::{callers, post, refusals, rest, send, site, site_with, summary, undisturbed};
 use pinereel_api::engine::FinishReason;
-use pinereel_fakes::site::until;
+use pinereel_fakes::site::wait_until;
 use std::time::Duration;
 use tokio::{
     io::AsyncWriteExt as _,
@@ -65,11 +65,11 @@
     let body = "{\"model\": \"draft-llm\", \"prompt\": \"slot\", \"max_tokens\": 5000}";
     let mut stream = send(callers(&site), &post("/v1/completions", body)).await;
     let record = || site.engines[0].handle.record();
-    until(|| record().len() == 1).await.unwrap();
+    wait_until(|| record().len() == 1).await.unwrap();
     stream.shutdown().await.unwrap();
     assert_eq!(rest(&mut stream).await, "");
     let cancelled = |finish| finish == Some(FinishReason::Cancelled);
-    until(|| record().values().all(|r| cancelled(r.finished)))
+    wait_until(|| record().values().all(|r| cancelled(r.finished)))
         .await
         .unwrap();
     undisturbed(&site).await;
@@ -96,12 +96,12 @@
     for _ in 0..8 {
         held.push(send(callers(&site), b"GET /live").await);
     }
-    until(|| listener.open_connections() == 8).await.unwrap();
+    wait_until(|| listener.open_connections() == 8).await.unwrap();
     let mut one_more = send(callers(&site), &post("/v1/completions", "{}")).await;
     assert_eq!(summary(&rest(&mut one_more).await), "closed");
     assert_eq!(listener.refused_connections(), 1);
     drop(held);
-    until(|| listener.open_connections() == 0).await.unwrap();
+    wait_until(|| listener.open_connections() == 0).await.unwrap();
     undisturbed(&site).await;
     insta::assert_snapshot!(refusals(&site, 1).await, @r#"pinereel_refused_total{code="overloaded"} 1"#);
 }
--- a/crates/pinereel_fakes/tests/overload/mod.rs
+++ b/crates/pinereel_fakes/tests/overload/mod.rs
@@ -6,7 +6,7 @@
 use pinereel_core::hash::Digest;
 use pinereel_fakes::{
     engine::{batch, batch::Record, fault::Faults},
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
 };
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -174,7 +174,7 @@
 pub async fn queued(site: &Site, pool: &str, running: usize, waiting: usize) {
     let queues = &site.entries[0].shared.queues;
     let there = || queues.running(pool) == running && queues.waiting(pool) == waiting;
-    if until(there).await.is_err() {
+    if wait_until(there).await.is_err() {
         let now = (queues.running(pool), queues.waiting(pool));
         panic!("expected {running} running and {waiting} waiting, found {now:?}");
     }
--- a/crates/pinereel_fakes/tests/overload_admit.rs
+++ b/crates/pinereel_fakes/tests/overload_admit.rs
@@ -11,7 +11,7 @@
 use pinereel_fakes::{
     engine::{batch, fault::Faults, text},
     service,
-    site::until,
+    site::wait_until,
 };
 use std::time::Duration;
 use tokio::time::Instant;
@@ -21,7 +21,7 @@
 #[actix_rt::test]
 async fn full_queue_is_refused_at_once_and_the_rest_is_served() {
     let site = site(Size::default()).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     site.engines[0].handle.set_faults(STALL);
     let prompts = ["a", "b", "c", "d"];
     let held = prompts.map(|prompt| complete(&address, prompt, 5, LONG));
@@ -46,7 +46,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     site.engines[0].handle.set_faults(STALL);
     let body = completion("first", 5, false);
     let _first = open(&address, "/v1/completions", &body, LONG).await;
@@ -63,7 +63,7 @@
 #[actix_rt::test]
 async fn deadline_that_passes_after_the_send_is_unknown() {
     let site = site(Size::default()).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     site.engines[0].handle.set_faults(STALL);
     let answer = complete(&address, "silent", 5, Duration::from_millis(300)).await;
     assert_eq!(answer.status, 504, "{answer:?}");
@@ -80,7 +80,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     site.engines[0].handle.set_faults(STALL);
     let prompts: Vec<String> = (0..8).map(|n| format!("prompt {n}")).collect();
     let calls = prompts
@@ -97,7 +97,7 @@
             .values()
             .all(|r| r.finished == Some(FinishReason::Cancelled))
     };
-    until(cancelled).await.unwrap();
+    wait_until(cancelled).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -107,7 +107,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let cut = Faults {
         cut_streams: true,
         ..Faults::default()
@@ -143,7 +143,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let cut = Faults {
         cut_streams: true,
         ..Faults::default()
@@ -176,7 +176,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let enough = |prompt: &String| text::length(prompt, 7, 40) == 40;
     let prompt = (0..).map(|n| n.to_string()).find(enough).unwrap();
     let answer = complete(&address, &prompt, 40, LONG).await;
@@ -200,7 +200,7 @@
 async fn caller_that_goes_away_frees_its_place_and_its_engine() {
     for stream in [false, true] {
         let site = site(Size::default()).await;
-        let address = site.callers().remove(0);
+        let address = site.caller_addresses().remove(0);
         site.engines[0].handle.set_faults(STALL);
         let body = completion("gone", 5, stream);
         let path = "/v1/completions";
@@ -211,7 +211,7 @@
         queued(&site, POOL, 2, 0).await;
         let waiting = open(&address, path, &body, LONG).await;
         queued(&site, POOL, 2, 1).await;
-        until(|| attempts(&site, "gone").len() == 2).await.unwrap();
+        wait_until(|| attempts(&site, "gone").len() == 2).await.unwrap();
         drop(waiting);
         queued(&site, POOL, 2, 0).await;
         drop(running);
@@ -221,7 +221,7 @@
             let cancelled = |r: &_| matches!(r, Some(FinishReason::Cancelled));
             records.len() == 2 && records.iter().all(|r| cancelled(&r.finished))
         };
-        until(cancelled).await.unwrap();
+        wait_until(cancelled).await.unwrap();
         site.engines[0].handle.set_faults(Faults::default());
         let next = complete(&address, "next", 5, LONG).await;
         assert_eq!(next.text(), text::whole("next", 7, 5), "{next:?}");
@@ -237,7 +237,7 @@
         ..Size::default()
     };
     let site = site(size).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let service = &site.services[0].handle;
     let slow = |delay_ms| service::Faults {
         delay_ms: Some(delay_ms),
--- a/crates/pinereel_fakes/tests/overload_load.rs
+++ b/crates/pinereel_fakes/tests/overload_load.rs
@@ -12,7 +12,7 @@
 use pinereel_core::{Version, route::Priority};
 use pinereel_fakes::{
     engine::{batch, text},
-    site::{Site, until},
+    site::{Site, wait_until},
     trainer,
 };
 use std::{cell::RefCell, rc::Rc, time::Duration};
@@ -79,7 +79,7 @@
 /// Live latency alone, then beside a lot that its trainer collects and that keeps every slot of
 /// every engine busy.
 async fn beside(site: &Site) -> [Duration; 2] {
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let pause = Duration::from_millis(40);
     let busy = || {
         let set = site.entries[0].shared.endpoints.set();
@@ -94,7 +94,7 @@
         groups: (0..64).map(group).collect(),
         deadline_ms: 60_000,
     };
-    let mut client = trainer::Client::new(site.callers(), Duration::from_secs(5));
+    let mut client = trainer::Client::new(site.caller_addresses(), Duration::from_secs(5));
     let mut collection = client.submit(lot).await.unwrap();
     let collecting = actix_rt::spawn(async move {
         loop {
@@ -103,7 +103,7 @@
             samples.unwrap();
         }
     });
-    until(busy).await.unwrap();
+    wait_until(busy).await.unwrap();
     let beside = load(&address, 100, pause, Duration::from_secs(10)).await;
     assert!(busy(), "the lot ended before the measurement");
     collecting.abort();
@@ -148,7 +148,7 @@
 #[actix_rt::test]
 async fn twice_the_capacity_is_served_in_time_or_refused_at_once() {
     let site = small().await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let deadline = Duration::from_millis(800);
     // A full batch: 10 tokens of 11.5 ms each at a time in 8 slots, 70 a second.
     let pause = Duration::from_millis(7);
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -13,7 +13,7 @@
 use pinereel_core::Version;
 use pinereel_fakes::{
     engine::{batch, fault::Faults, text},
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::{
@@ -58,7 +58,7 @@
 /// Streams several completions through a site whose first engine has the faults.
 async fn resumed(site: &Site, faults: Faults) {
     site.engines[0].handle.set_faults(faults);
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let prompts: Vec<String> = (0..8).map(|n| format!("prompt {n}")).collect();
     let streams = prompts.iter().map(|prompt| stream(&address, prompt));
     for ((text, problem, done), prompt) in join_all(streams).await.iter().zip(&prompts) {
@@ -99,7 +99,7 @@
         ..Faults::default()
     };
     resumed(&site, twice.clone()).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let whole = complete(&address, "whole", TOKENS, LONG).await;
     assert_eq!(whole.text(), text::whole("whole", 7, TOKENS));
     assert!(site.entries[0].shared.metrics.late_chunks.get() > 0);
@@ -108,7 +108,7 @@
 #[actix_rt::test]
 async fn resumed_answer_counts_the_tokens_of_both_parts() {
     let site = site(size(2)).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     // Long enough that the engine that goes on reuses blocks of its prefix cache.
     let prompts: Vec<String> = (0..8).map(|n| format!("{n} words ").repeat(60)).collect();
     for engine in &site.engines {
@@ -148,7 +148,7 @@
     for engine in &site.engines {
         engine.handle.set_faults(cut.clone());
     }
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let (text, problem, done) = stream(&address, "cut").await;
     let whole = text::whole("cut", 7, TOKENS);
     assert!(
@@ -169,7 +169,7 @@
         ..size(1)
     };
     let site = site(slow).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let entry = site.entries[0].clone();
     let stop = async {
         queued(&site, POOL, 1, 0).await;
@@ -243,7 +243,7 @@
 #[actix_rt::test]
 async fn caller_that_does_not_read_holds_little_and_no_longer_than_its_deadline() {
     let site = site(size(1)).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let endless = Endless::start().await;
     let instance = Instance {
         incarnation: 1,
@@ -253,7 +253,7 @@
         state: InstanceState::Live,
     };
     site.api.put_instance("endless", instance);
-    until(|| {
+    wait_until(|| {
         site.entries[0]
             .shared
             .endpoints
@@ -273,7 +273,7 @@
         assert_eq!(answer.text(), text::whole(&prompt, 7, 5));
     }
     queued(&site, "orders-app", 0, 0).await;
-    until(|| endless.closed.get() == 1).await.unwrap();
+    wait_until(|| endless.closed.get() == 1).await.unwrap();
     let sent = endless.sent.get();
     println!("a caller that does not read: {sent} bytes left the engine");
     // Socket buffers on both sides, and 64 chunks of 1 KiB in the entry.
@@ -293,7 +293,7 @@
         ..size(1)
     };
     let site = site(slow).await;
-    let address = site.callers().remove(0);
+    let address = site.caller_addresses().remove(0);
     let answer = complete(&address, "slow", 4_000, Duration::from_millis(300)).await;
     assert_eq!(
         (answer.status, answer.ran.as_deref()),
@@ -305,5 +305,5 @@
             .iter()
             .all(|r| r.finished == Some(FinishReason::Cancelled))
     };
-    until(cancelled).await.unwrap();
+    wait_until(cancelled).await.unwrap();
 }
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -54,7 +54,7 @@
 #[actix_rt::test]
 async fn completion_is_whole_and_names_its_versions() {
     let site = site().await;
-    for address in site.callers() {
+    for address in site.caller_addresses() {
         let request =
             json!({ "model": "draft-llm", "prompt": "slot for June", "max_tokens": 20, "seed": 7 });
         let url = format!("http://{address}/v1/completions");
@@ -72,7 +72,7 @@
     let site = site().await;
     let request =
         json!({ "model": "draft-llm", "prompt": "slot", "max_tokens": 9, "stream": true });
-    let url = format!("http://{}/v1/completions", site.callers()[0]);
+    let url = format!("http://{}/v1/completions", site.caller_addresses()[0]);
     let mut response = client().post(url).send_json(&request).await.unwrap();
     let body = response.body().await.unwrap();
     let body = String::from_utf8(body.to_vec()).unwrap();
@@ -82,7 +82,7 @@
 #[actix_rt::test]
 async fn service_call_runs_once() {
     let site = site().await;
-    let url = format!("http://{}/services/orders-app/orders", site.callers()[1]);
+    let url = format!("http://{}/services/orders-app/orders", site.caller_addresses()[1]);
     let response = client().post(url).send_body("lacquer").await.unwrap();
     assert!(response.status().is_success(), "{}", response.status());
     let executions: usize = site
@@ -98,7 +98,7 @@
     let site = site().await;
     let report = trainer::Trainer::new(trainer::Options {
         name: "dispatch".into(),
-        entries: site.callers(),
+        entries: site.caller_addresses(),
         steps: 3,
         groups: 4,
         samples: 4,
@@ -128,7 +128,7 @@
 #[actix_rt::test]
 async fn a_drain_cuts_neither_a_long_stream_nor_a_slow_body() {
     let mut site = site().await;
-    let address = site.callers()[0].clone();
+    let address = site.caller_addresses()[0].clone();
     let entry = site.entries.remove(0);
     let request =
         json!({ "model": "draft-llm", "prompt": "a long one", "max_tokens": 400, "stream": true });
@@ -139,13 +139,13 @@
     let head =
         "POST /services/orders-app/echo HTTP/1.1\r\nhost: x\r\ncontent-length: 12\r\n\r\nfirst ";
     upload.write_all(head.as_bytes()).await.unwrap();
-    pinereel_fakes::site::until(|| entry.shared.drain.in_flight() == 2)
+    pinereel_fakes::site::wait_until(|| entry.shared.drain.in_flight() == 2)
         .await
         .unwrap();
     entry.shared.drain.request_stop();
     let shared = std::rc::Rc::clone(&entry.shared);
     let finished = actix_rt::spawn(async move { entry.run_until_drained().await });
-    pinereel_fakes::site::until(|| shared.drain.refuses_requests())
+    pinereel_fakes::site::wait_until(|| shared.drain.refuses_requests())
         .await
         .unwrap();
     upload.write_all(b"second").await.unwrap();
--- a/crates/pinereel_fakes/tests/process_claims.rs
+++ b/crates/pinereel_fakes/tests/process_claims.rs
@@ -10,7 +10,7 @@
     problem::{Code, Problem, Ran},
 };
 use pinereel_fakes::{
-    cluster::{self, Cluster, until},
+    cluster::{self, Cluster, wait_until},
     child_process::Signal,
 };
 use process_support::{SERVICES, measured, options, order};
@@ -78,7 +78,7 @@
             Outcome::Booked(_) | Outcome::Problem(Code::Unknown, Ran::Unknown)
         )
     };
-    until(done)
+    wait_until(done)
         .await
         .unwrap_or_else(|_| panic!("{key}: {last:?}"));
     last
@@ -188,7 +188,7 @@
             actix_rt::spawn(async move { book(entry, &key).await })
         })
         .collect();
-    until(async || ran(&cluster).await.len() >= 10)
+    wait_until(async || ran(&cluster).await.len() >= 10)
         .await
         .unwrap();
     cluster.entries[1].child.signal(Signal::KILL).unwrap();
--- a/crates/pinereel_fakes/tests/process_config.rs
+++ b/crates/pinereel_fakes/tests/process_config.rs
@@ -11,9 +11,9 @@
     problem::{Code, Problem, Ran},
 };
 use pinereel_fakes::{
-    cluster::{self, Cluster, Entry, until},
+    cluster::{self, Cluster, Entry, wait_until},
     child_process::Signal,
-    site::TOKEN,
+    site::OPERATOR_TOKEN,
 };
 use process_support::{ENGINES, LONG, measured, options};
 use serde_json::json;
@@ -42,7 +42,7 @@
         merge: json!({ "limits": { "default_deadline_ms": millis } }),
     };
     let url = format!("http://{operators}/v1/config");
-    let request = cluster::client().post(url).bearer_auth(TOKEN);
+    let request = cluster::client().post(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send_json(&patch).await.unwrap();
     if response.status() == StatusCode::OK {
         return Ok(response.json::<Patched>().await.unwrap().number);
@@ -53,7 +53,7 @@
 
 async fn config(entry: &Entry) -> Option<Config> {
     let url = format!("http://{}/v1/config", entry.operators);
-    let request = cluster::client().get(url).bearer_auth(TOKEN);
+    let request = cluster::client().get(url).bearer_auth(OPERATOR_TOKEN);
     request.send().await.ok()?.json().await.ok()
 }
 
@@ -70,7 +70,7 @@
 async fn in_force(cluster: &Cluster, number: u64) {
     for entry in &cluster.entries {
         let there = async || served_under(entry).await >= Some(number);
-        until(there).await.unwrap();
+        wait_until(there).await.unwrap();
     }
 }
 
@@ -212,12 +212,12 @@
         later = answer.ok();
         later.is_some()
     };
-    until(accepted).await.unwrap();
+    wait_until(accepted).await.unwrap();
     measured("patch accepted after the kill of an entry", killed);
     let callers = cluster.entries[1].callers;
     cluster.entries[1] = cluster.start_entry(1, Some(callers)).unwrap();
     let entry = &cluster.entries[1];
-    until(async || entry.ready().await).await.unwrap();
+    wait_until(async || entry.ready().await).await.unwrap();
     measured("an entry that was killed is ready again", killed);
     assert_eq!(config(entry).await.map(|c| c.number), later);
     assert!(served_under(entry).await >= later);
@@ -242,7 +242,7 @@
         number = answer.unwrap_or(0);
         number > 0
     };
-    until(accepted).await.unwrap();
+    wait_until(accepted).await.unwrap();
     measured("patch accepted with an entry paused", paused);
     // Requests that wait in its sockets are the first thing that it sees when it wakes up.
     let callers = cluster.entries[2].callers;
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -7,7 +7,7 @@
 use pinereel_api::trainer::{Group, Lot};
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
-    cluster::{Cluster, samples, until},
+    cluster::{Cluster, samples, wait_until},
     engine::text,
     child_process::Signal,
     trainer::Client,
@@ -44,7 +44,7 @@
     taken(&trainer, 1, LOT as usize / 5).await;
     let runs = ["\"place\"", "assigned", "-1\""];
     let ran = async || decisions(&cluster.entries[victim], &runs) > 0;
-    until(ran)
+    wait_until(ran)
         .await
         .expect("the victim runs groups of the step");
     // Duplicates of stragglers are made on purpose.
@@ -112,7 +112,7 @@
         }
         victim.is_some()
     };
-    until(begun).await.unwrap();
+    wait_until(begun).await.unwrap();
     let mut attempts = cluster.attempts().await.unwrap();
     let mut engine = cluster.engines.remove(victim.unwrap());
     let killed = Instant::now();
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -5,7 +5,7 @@
 mod process_support;
 
 use pinereel_fakes::{
-    cluster::{Cluster, samples, until},
+    cluster::{Cluster, samples, wait_until},
     engine::text,
 };
 use process_support::{
@@ -35,7 +35,7 @@
 #[actix_rt::test]
 async fn live_requests_and_a_lot_go_on_while_the_object_api_is_down_for_long() {
     let cluster = Cluster::start(options(2, 2, 1)).await.unwrap();
-    until(async || lease(&cluster).await.is_some())
+    wait_until(async || lease(&cluster).await.is_some())
         .await
         .unwrap();
     let flags = [
@@ -64,7 +64,7 @@
             .iter()
             .any(|e| decisions(e, &["\"lease\"", "lost"]) > 0)
     };
-    until(lost).await.unwrap();
+    wait_until(lost).await.unwrap();
     measured("lease given up in the outage", down);
     live(&cluster, "outage").await;
     assert!(
@@ -85,7 +85,7 @@
 #[actix_rt::test]
 async fn everything_goes_on_while_the_object_api_is_slow() {
     let cluster = Cluster::start(options(2, 2, 1)).await.unwrap();
-    until(async || lease(&cluster).await.is_some())
+    wait_until(async || lease(&cluster).await.is_some())
         .await
         .unwrap();
     cluster
@@ -122,7 +122,7 @@
 #[actix_rt::test]
 async fn an_entry_that_alone_cannot_reach_the_object_api_goes_on() {
     let cluster = Cluster::start(options(3, 2, 1)).await.unwrap();
-    until(async || lease(&cluster).await.is_some())
+    wait_until(async || lease(&cluster).await.is_some())
         .await
         .unwrap();
     let (holder, fence) = lease(&cluster).await.unwrap();
@@ -154,7 +154,7 @@
         let (next, higher) = lease(&cluster).await.unwrap_or((holder, fence));
         next != holder && higher > fence
     };
-    until(moved).await.unwrap();
+    wait_until(moved).await.unwrap();
     true_versions(&taken, &cluster.attempts().await.unwrap());
     // It refuses what it cannot do, and serves the rest.
     assert!(publish(cut.callers, 4).await.is_err());
@@ -164,7 +164,7 @@
         .await
         .unwrap();
     let back = Instant::now();
-    until(async || publish(cut.callers, 4).await.is_ok())
+    wait_until(async || publish(cut.callers, 4).await.is_ok())
         .await
         .unwrap();
     measured("publish through the entry that was cut off", back);
@@ -174,7 +174,7 @@
 #[actix_rt::test]
 async fn a_lost_answer_to_a_lease_or_a_publish_changes_nothing() {
     let cluster = Cluster::start(options(2, 2, 0)).await.unwrap();
-    until(async || lease(&cluster).await.is_some())
+    wait_until(async || lease(&cluster).await.is_some())
         .await
         .unwrap();
     let (holder, fence) = lease(&cluster).await.unwrap();
@@ -182,7 +182,7 @@
     let written = cluster.history("leases").await.unwrap().len();
     cluster.api_faults(faults).await.unwrap();
     // The lost one and the renewal after it.
-    until(async || cluster.history("leases").await.unwrap().len() >= written + 2)
+    wait_until(async || cluster.history("leases").await.unwrap().len() >= written + 2)
         .await
         .unwrap();
     assert_eq!(lease(&cluster).await, Some((holder, fence)));
--- a/crates/pinereel_fakes/tests/process_pause.rs
+++ b/crates/pinereel_fakes/tests/process_pause.rs
@@ -7,7 +7,7 @@
 use awc::http::StatusCode;
 use pinereel_core::Version;
 use pinereel_fakes::{
-    cluster::{self, Cluster, until},
+    cluster::{self, Cluster, wait_until},
     child_process::Signal,
 };
 use process_support::{
@@ -73,7 +73,7 @@
         options.engine_flags.push("--ignore-fencing");
     }
     let mut cluster = Cluster::start(options).await.unwrap();
-    until(async || lease(&cluster).await.is_some())
+    wait_until(async || lease(&cluster).await.is_some())
         .await
         .unwrap();
     publish(cluster.entries[0].callers, 2).await.unwrap();
@@ -131,7 +131,7 @@
     assert!(longest.get() <= allowed, "{:?}", longest.get());
     // The one that woke up takes part as before.
     let entry = &cluster.entries[holder];
-    until(async || entry.ready().await).await.unwrap();
+    wait_until(async || entry.ready().await).await.unwrap();
     complete(entry.callers, "awake").await.unwrap();
     let fences: Vec<_> = cluster.history("leases").await.unwrap();
     let fences: Vec<_> = fences
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -6,7 +6,7 @@
 
 use awc::http::StatusCode;
 use pinereel_fakes::{
-    cluster::{self, Cluster, until},
+    cluster::{self, Cluster, wait_until},
     engine::text,
     child_process::Signal,
 };
@@ -46,13 +46,13 @@
         let (id, _) = stream(entry.callers, &prompt, 30).await.unwrap();
         let line = format!("\"request\":\"{id}\"");
         // Lines come by way of the log's own thread.
-        until(async || decisions(entry, &[&line, "\"route\""]) == 1)
+        wait_until(async || decisions(entry, &[&line, "\"route\""]) == 1)
             .await
             .unwrap();
         let before = decisions(entry, &["\"route\"", SERVICES]);
         order(entry.callers, entry.name.to_string()).await.unwrap();
         let lines = async || decisions(entry, &["\"route\"", SERVICES]) == before + 1;
-        until(lines).await.unwrap();
+        wait_until(lines).await.unwrap();
     }
     let ran = cluster.executions().await.unwrap();
     assert_eq!(ran.iter().filter(|e| e.path == "/orders").count(), 2);
@@ -109,7 +109,7 @@
             .values()
             .any(|r| r.tokens > 0)
     };
-    until(begun).await.unwrap();
+    wait_until(begun).await.unwrap();
     let kept = cluster::client();
     let warm = kept
         .get(format!("http://{callers}/ready"))
@@ -119,7 +119,7 @@
     assert_eq!(warm.status(), StatusCode::OK);
     let start = Instant::now();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
-    until(async || !cluster.entries[0].ready().await)
+    wait_until(async || !cluster.entries[0].ready().await)
         .await
         .unwrap();
     measured("readiness off after SIGTERM", start);
@@ -128,7 +128,7 @@
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     cluster.entries[0].child.signal(Signal::INT).unwrap();
     let entry = &cluster.entries[0].child;
-    until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
+    wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
         .await
         .unwrap();
     assert!(
@@ -178,12 +178,12 @@
         .unwrap();
     let entry = &cluster.entries[0];
     let known = async || entry.metric("pinereel_endpoints_known").await == Some(1.0);
-    until(known).await.unwrap();
+    wait_until(known).await.unwrap();
     let url = format!("http://{}/services/{SERVICES}/report", entry.callers);
     let mut response = cluster::client().get(url).send().await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     let entry = &cluster.entries[0].child;
-    until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
+    wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
         .await
         .unwrap();
     // An entry that forgets the body is done long before this.
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -8,7 +8,7 @@
 use pinereel_api::object::InstanceState;
 use pinereel_core::hash::Digest;
 use pinereel_fakes::{
-    cluster::{self, Cluster, until},
+    cluster::{self, Cluster, wait_until},
     engine::text,
     child_process::Signal,
 };
@@ -131,9 +131,9 @@
         measured("exit after SIGTERM", stopped);
         cluster.entries[index] = cluster.start_entry(index, Some(callers)).unwrap();
         let entry = &cluster.entries[index];
-        until(async || entry.ready().await).await.unwrap();
+        wait_until(async || entry.ready().await).await.unwrap();
         let back = async || balancer.ready.borrow().len() == 3;
-        until(back).await.unwrap();
+        wait_until(back).await.unwrap();
     }
     measured("rolling restart of three entries", start);
     balancer.stop.set(true);
@@ -230,7 +230,7 @@
             .unwrap();
         sent() > 0
     };
-    until(before).await.unwrap();
+    wait_until(before).await.unwrap();
     let said = Instant::now();
     cluster::post(engine.address, "/faults", &json!({ "leaving": true }))
         .await
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -6,7 +6,7 @@
 use futures_util::TryStreamExt as _;
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
-    cluster::{self, Cluster, Options, samples, until},
+    cluster::{self, Cluster, Options, samples, wait_until},
     engine::{batch, text},
     child_process::Child,
     trainer::{Report, step::Taken},
@@ -150,7 +150,7 @@
         let all = samples(trainer);
         all.iter().filter(|t| t.step == step).count() >= count
     };
-    until(there)
+    wait_until(there)
         .await
         .unwrap_or_else(|_| panic!("step {step}: {:?}", trainer.lines().last()));
 }
@@ -233,7 +233,7 @@
             .iter()
             .all(|v| *v == Some(Version(version)))
     };
-    if until(there).await.is_err() {
+    if wait_until(there).await.is_err() {
         panic!("{version} wanted, {:?}", served(cluster).await);
     }
 }
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -6,7 +6,7 @@
 use pinereel_core::{Version, config::Document};
 use pinereel_fakes::{
     engine::batch,
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
     trainer,
 };
 use serde_json::json;
@@ -39,7 +39,7 @@
 }
 
 async fn publish(site: &Site, version: u64) {
-    let url = format!("http://{}/v1/trainers/rewind/versions", site.callers()[0]);
+    let url = format!("http://{}/v1/trainers/rewind/versions", site.caller_addresses()[0]);
     let body = Publish {
         version: Version(version),
     };
@@ -55,7 +55,7 @@
 async fn served(site: &Site, version: u64) {
     let shared = &site.entries[0].shared;
     let engines = site.engines.len();
-    until(|| {
+    wait_until(|| {
         let set = shared.endpoints.set();
         let there = set
             .iter()
@@ -113,7 +113,7 @@
     let site = Site::start(options(3, 4)).await.unwrap();
     let report = trainer::Trainer::new(trainer::Options {
         name: "rewind".into(),
-        entries: site.callers(),
+        entries: site.caller_addresses(),
         steps: 6,
         groups: 6,
         samples: 4,
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -10,7 +10,7 @@
 use pinereel_core::{Version, config::Document};
 use pinereel_fakes::{
     engine::batch,
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
 };
 use serde_json::json;
 use std::{collections::BTreeMap, time::Duration};
@@ -54,18 +54,18 @@
     // Eight entries for eight engines, four engines each: two of the own zone, two of the other.
     let mut site = Site::start(options(8, 8, 4)).await.unwrap();
     let even = |site: &Site| covered(site).len() == 8 && covered(site).values().all(|n| *n == 4);
-    until(|| even(&site)).await.unwrap();
+    wait_until(|| even(&site)).await.unwrap();
     // A leaving entry's engines go to others.
     let leaving = site.entries.remove(0);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    until(|| even(&site)).await.unwrap();
+    wait_until(|| even(&site)).await.unwrap();
 }
 
 #[actix_rt::test]
 async fn rollout_reaches_engines_beyond_the_holders_subset() {
     let site = Site::start(options(8, 8, 4)).await.unwrap();
-    let url = format!("http://{}/v1/trainers/rewind/versions", site.callers()[0]);
+    let url = format!("http://{}/v1/trainers/rewind/versions", site.caller_addresses()[0]);
     let body = Publish {
         version: Version(2),
     };
@@ -81,7 +81,7 @@
         let versions: Vec<_> = views.collect();
         versions.len() == 32 && versions.iter().all(|v| *v == Some(Version(2)))
     };
-    until(served).await.unwrap();
+    wait_until(served).await.unwrap();
 }
 
 #[actix_rt::test]
@@ -99,14 +99,14 @@
             state: InstanceState::Live,
         },
     );
-    until(|| known() == 2).await.unwrap();
+    wait_until(|| known() == 2).await.unwrap();
     site.api.remove_instance("winder-lm-late");
-    until(|| known() == 1).await.unwrap();
+    wait_until(|| known() == 1).await.unwrap();
     // Also after the watch's history was lost.
     site.api.faults(Faults {
         end_watches: Some(true),
         ..Default::default()
     });
     site.api.remove_instance(&first.name);
-    until(|| known() == 0).await.unwrap();
+    wait_until(|| known() == 0).await.unwrap();
 }
