--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -1,9 +1,11 @@
-//! A site of real processes on loopback, for tests of failures: stand-ins, and entries that can be
-//! killed, paused and started again.
+//! A site whose stand-ins and entries are processes of their own on loopback, for tests that kill,
+//! pause and restart them.
+//!
+//! [`crate::site`] runs the same site inside the calling process.
 
 use crate::{
     engine::batch, child_process::Child, object_api::Record, service::Execution, site,
-    trainer::step::Taken,
+    trainer::step::TakenSample,
 };
 use awc::http::StatusCode;
 use compact_str::{CompactString, format_compact};
@@ -23,77 +25,77 @@
     time::Duration,
 };
 
-/// Longest wait for a process to come up or end, and for one answer.
-const LONG: Duration = Duration::from_secs(30);
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
-/// Longest life of a stand-in whose test died, in seconds.
-const MAX_SECONDS: &str = "120";
+/// Timeout for a process to start or exit, and for one HTTP response.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Run time after which a stand-in exits by itself, in case its test died without killing it.
+const MAX_RUN_SECONDS: &str = "120";
 
-/// What a cluster is made of.
+/// The components of a cluster.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program `pinereel-fakes`.
-    pub program: PathBuf,
-    /// The program `pinereel`; without it the entries run in `pinereel-fakes entry`.
-    pub daemon: Option<PathBuf>,
-    /// Availability zones; instances are spread over them in turn.
+    /// Path of the binary `pinereel-fakes`.
+    pub fakes_binary: PathBuf,
+    /// Path of the binary `pinereel`. Without it the entries run as `pinereel-fakes entry`.
+    pub entry_binary: Option<PathBuf>,
+    /// Availability zones. Instances are assigned to them round-robin.
     pub zones: Vec<CompactString>,
-    /// Entries.
-    pub entries: usize,
-    /// The pool of engines, and how many.
-    pub engines: (CompactString, usize),
-    /// Flags of each engine.
+    /// Number of entries.
+    pub entry_count: usize,
+    /// The pool of engines: name of the pool and number of engines.
+    pub engine_pool: (CompactString, usize),
+    /// Command-line flags of each engine.
     pub engine_flags: Vec<&'static str>,
-    /// The pool of plain services, and how many.
-    pub services: (CompactString, usize),
-    /// Lag of the platform's list of instances.
-    pub lag: Duration,
+    /// The pool of plain services: name of the pool and number of services.
+    pub service_pool: (CompactString, usize),
+    /// Time after which a change shows in the platform's list of instances.
+    pub instance_list_lag: Duration,
     /// Document of configuration 1.
     pub document: Document,
-    /// Further settings of the entries, as lines of an INI file with their sections.
-    pub settings: String,
+    /// Further settings of the entries, as INI text with section headers.
+    pub extra_settings: String,
 }
 
-/// A process that listens.
+/// A stand-in process with one listener.
 #[derive(Debug)]
-pub struct Process {
-    /// Its name.
+pub struct Server {
+    /// Name in the platform's list of instances.
     pub name: CompactString,
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     /// The process.
     pub child: Child,
 }
 
-/// An entry.
+/// An entry process.
 #[derive(Debug)]
 pub struct Entry {
-    /// Its name.
+    /// Name in the entry's settings.
     pub name: CompactString,
-    /// The callers' listener.
+    /// Address of the callers' listener.
     pub callers: SocketAddr,
-    /// The peers' listener.
+    /// Address of the peers' listener.
     pub peers: SocketAddr,
-    /// The operators' listener.
+    /// Address of the operators' listener.
     pub operators: SocketAddr,
     /// The process.
     pub child: Child,
 }
 
 impl Entry {
-    /// Whether the balancer may send connections here.
-    pub async fn ready(&self) -> bool {
+    /// Whether the entry reports to load balancers that it is ready.
+    pub async fn is_ready(&self) -> bool {
         let url = format!("http://{}/ready", self.callers);
-        let sent = client().get(url).send().await;
-        sent.is_ok_and(|response| response.status() == StatusCode::OK)
+        let response = http_client().get(url).send().await;
+        response.is_ok_and(|response| response.status() == StatusCode::OK)
     }
 
-    /// One figure of its metrics by its whole name; none while it can't be read.
+    /// Value of the first metric whose line begins with `name`; `None` if it can't be read.
     pub async fn metric(&self, name: &str) -> Option<f64> {
         let bearer = format!("Bearer {}", site::OPERATOR_TOKEN);
         let url = format!("http://{}/metrics", self.operators);
-        let request = client().get(url).insert_header(("authorization", bearer));
+        let request = http_client().get(url).insert_header(("authorization", bearer));
         let body = request.send().await.ok()?.body().await.ok()?;
         let text = String::from_utf8(body.to_vec()).ok()?;
         let line = text.lines().find(|line| line.starts_with(name))?;
@@ -101,70 +103,71 @@
     }
 }
 
-/// Real processes; all are killed when it is dropped.
+/// A running cluster. Dropping the value kills all processes.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What it was started with.
+    /// The options that the cluster was started with.
     pub options: Options,
     /// The object API.
-    pub api: Process,
+    pub object_api: Server,
     /// The engines.
-    pub engines: Vec<Process>,
+    pub engines: Vec<Server>,
     /// The plain services.
-    pub services: Vec<Process>,
+    pub services: Vec<Server>,
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Folder of settings and secrets; removed with the cluster.
-    folder: PathBuf,
+    /// Directory of the settings and secrets; removed when the cluster is dropped.
+    config_dir: PathBuf,
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // What is left behind in the folder for temporary files harms nobody.
-        let _ = fs::remove_dir_all(&self.folder);
+        // A failure only leaves files behind in the system's directory for temporary files.
+        let _ = fs::remove_dir_all(&self.config_dir);
     }
 }
 
 impl Cluster {
-    /// Starts all processes and waits until every entry is ready and linked to every other one.
+    /// Starts all processes and waits until every entry is ready, as [`Self::wait_until_ready`] does.
     ///
     /// # Errors
-    /// A process did not come up in time.
+    /// A process did not start listening, or an entry was not ready, within 30 seconds.
     pub async fn start(options: Options) -> io::Result<Self> {
-        let folder = site::create_config_dir()?;
-        let lag = options.lag.as_millis().to_string();
-        let flags = ["object-api", "--lag-ms", &lag, "--max-seconds", MAX_SECONDS];
-        let api = process(&options.program, "object-api", &flags)?;
-        site::write_initial_config(api.address, &options.document).await?;
+        let config_dir = site::create_config_dir()?;
+        let lag_ms = options.instance_list_lag.as_millis().to_string();
+        let flags = ["object-api", "--lag-ms", &lag_ms, "--max-seconds", MAX_RUN_SECONDS];
+        let object_api = start_server(&options.fakes_binary, "object-api", &flags)?;
+        site::write_initial_config(object_api.address, &options.document).await?;
         let mut cluster = Self {
-            api,
+            object_api,
             engines: Vec::new(),
             services: Vec::new(),
             entries: Vec::new(),
-            folder,
+            config_dir,
             options,
         };
         cluster.start_endpoints().await?;
-        for index in 0..cluster.options.entries {
+        for index in 0..cluster.options.entry_count {
             let entry = cluster.start_entry(index, None)?;
             cluster.entries.push(entry);
         }
-        cluster.settled().await?;
+        cluster.wait_until_ready().await?;
         Ok(cluster)
     }
 
+    /// Starts the engines and services and registers them with the platform.
     async fn start_endpoints(&mut self) -> io::Result<()> {
-        for index in 0..self.options.engines.1 {
+        for index in 0..self.options.engine_pool.1 {
             let engine = self.start_engine(index)?;
-            self.list_engine(index, &engine, InstanceState::Live)
+            self.register_engine(index, &engine, InstanceState::Live)
                 .await?;
             self.engines.push(engine);
         }
-        for index in 0..self.options.services.1 {
-            let name = format_compact!("{}-{index}", self.options.services.0);
-            let flags = ["service", "--max-seconds", MAX_SECONDS];
-            let service = process(&self.options.program, &name, &flags)?;
-            let pool = self.options.services.0.clone();
+        for index in 0..self.options.service_pool.1 {
+            let name = format_compact!("{}-{index}", self.options.service_pool.0);
+            let flags = ["service", "--max-seconds", MAX_RUN_SECONDS];
+            let service = start_server(&self.options.fakes_binary, &name, &flags)?;
+            let pool = self.options.service_pool.0.clone();
             let instance = self.instance(index, &pool, service.address, 1, InstanceState::Live);
             self.put_instance(&name, &instance).await?;
             self.services.push(service);
@@ -172,39 +175,42 @@
         Ok(())
     }
 
-    /// Starts the engine of this index; nothing lists it yet.
+    /// Starts the engine with this index without registering it with the platform.
     ///
     /// # Errors
-    /// It did not come up in time.
-    pub fn start_engine(&self, index: usize) -> io::Result<Process> {
-        let name = format_compact!("{}-{index}", self.options.engines.0);
-        let mut flags = vec!["engine", "--name", &name, "--max-seconds", MAX_SECONDS];
+    /// The process did not start listening within 30 seconds.
+    pub fn start_engine(&self, index: usize) -> io::Result<Server> {
+        let name = format_compact!("{}-{index}", self.options.engine_pool.0);
+        let mut flags = vec!["engine", "--name", &name, "--max-seconds", MAX_RUN_SECONDS];
         flags.extend(&self.options.engine_flags);
-        process(&self.options.program, &name, &flags)
+        start_server(&self.options.fakes_binary, &name, &flags)
     }
 
-    /// Tells the platform's list of an engine; the list shows it after its lag.
+    /// Sets the state of an engine in the platform's list of instances, which shows the change after
+    /// its lag.
     ///
     /// # Errors
-    /// The object API does not answer.
-    pub async fn list_engine(
+    /// The engine or the object API did not answer.
+    pub async fn register_engine(
         &self,
         index: usize,
-        engine: &Process,
+        engine: &Server,
         state: InstanceState,
     ) -> io::Result<()> {
-        let pool = self.options.engines.0.clone();
-        // The platform and the engine name one incarnation alike.
-        let incarnation = get::<engine::State>(engine.address, "/v1/state").await?;
-        let incarnation = incarnation.incarnation;
+        let pool = self.options.engine_pool.0.clone();
+        // The platform lists the same incarnation number that the engine reports.
+        let engine_state = get_json::<engine::State>(engine.address, "/v1/state").await?;
+        let incarnation = engine_state.incarnation;
         let instance = self.instance(index, &pool, engine.address, incarnation, state);
         self.put_instance(&engine.name, &instance).await
     }
 
     async fn put_instance(&self, name: &str, instance: &Instance) -> io::Result<()> {
-        post(self.api.address, &format!("/instances/{name}"), instance).await
+        let path = format!("/instances/{name}");
+        post_json(self.object_api.address, &path, instance).await
     }
 
+    /// The platform's list entry of the instance with this index.
     fn instance(
         &self,
         index: usize,
@@ -222,25 +228,28 @@
         }
     }
 
+    /// The zone of the instance with this index.
     fn zone(&self, index: usize) -> CompactString {
         self.options.zones[index % self.options.zones.len()].clone()
     }
 
-    /// Starts the entry of this index, at the callers' address of an earlier one if it is given.
+    /// Starts the entry with this index. Its callers' listener is bound to `callers`, if given, as
+    /// for a restart at the address of an earlier process, else to any free port.
     ///
     /// # Errors
-    /// It did not come up in time.
+    /// The settings file could not be written, or the process did not start listening within 30
+    /// seconds.
     pub fn start_entry(&self, index: usize, callers: Option<SocketAddr>) -> io::Result<Entry> {
         let name = format_compact!("entry-{index}");
-        let path = self.folder.join(format!("{name}.ini"));
+        let path = self.config_dir.join(format!("{name}.ini"));
         let callers = callers.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
         let text = format!(
             "[entry]\nname = {name}\nzone = {}\ncallers = {callers}\npeers = 127.0.0.1:0\n\
              operators = 127.0.0.1:0\n[object_api]\nurl = http://{}\n\
              [secrets]\noperator_token_file = token\npeer_secret_file = secret\n{}",
             self.zone(index),
-            self.api.address,
-            self.options.settings
+            self.object_api.address,
+            self.options.extra_settings
         );
         fs::write(&path, text)?;
         let flags = [
@@ -248,45 +257,46 @@
             OsStr::new("--config"),
             path.as_os_str(),
         ];
-        let program = self.options.daemon.as_ref();
-        let program = program.unwrap_or(&self.options.program);
-        let child = Child::spawn(Command::new(program).args(flags))?;
+        let binary = self.options.entry_binary.as_ref();
+        let binary = binary.unwrap_or(&self.options.fakes_binary);
+        let child = Child::spawn(Command::new(binary).args(flags))?;
         Ok(Entry {
-            callers: address(&child, "callers 127.0.0.1:")?,
-            peers: address(&child, "peers 127.0.0.1:")?,
-            operators: address(&child, "operators 127.0.0.1:")?,
+            callers: printed_address(&child, "callers 127.0.0.1:")?,
+            peers: printed_address(&child, "peers 127.0.0.1:")?,
+            operators: printed_address(&child, "operators 127.0.0.1:")?,
             child,
             name,
         })
     }
 
-    /// Waits until every entry is ready, knows every endpoint and is linked to every other entry.
+    /// Waits until every entry is ready, knows all endpoints and is linked to all other entries.
     ///
     /// # Errors
-    /// It did not come about in time.
-    pub async fn settled(&self) -> io::Result<()> {
-        let endpoints = self.engines.len() + self.services.len();
-        let others = self.entries.len() - 1;
+    /// The condition did not hold for an entry within 30 seconds.
+    pub async fn wait_until_ready(&self) -> io::Result<()> {
+        let endpoint_count = self.engines.len() + self.services.len();
+        let peer_count = self.entries.len() - 1;
         for entry in &self.entries {
             wait_until(async || {
                 let links = entry.metric("pinereel_peer_links_up").await;
-                let known = entry.metric("pinereel_endpoints_known").await;
-                links >= Some(others as f64)
-                    && known >= Some(endpoints as f64)
-                    && entry.ready().await
+                let endpoints = entry.metric("pinereel_endpoints_known").await;
+                links >= Some(peer_count as f64)
+                    && endpoints >= Some(endpoint_count as f64)
+                    && entry.is_ready().await
             })
             .await?;
         }
         Ok(())
     }
 
-    /// Starts a trainer that prints every sample it takes and then its report.
+    /// Starts a trainer process that calls the entries. It prints every sample that it takes (see
+    /// [`taken_samples`]) and, at the end, its report.
     ///
     /// # Errors
-    /// It can't be started.
-    pub fn trainer(&self, name: &str, flags: &[&str]) -> io::Result<Child> {
-        let mut command = Command::new(&self.options.program);
-        command.args(["trainer", "--print-samples", "--max-seconds", MAX_SECONDS]);
+    /// The process can't be started.
+    pub fn start_trainer(&self, name: &str, flags: &[&str]) -> io::Result<Child> {
+        let mut command = Command::new(&self.options.fakes_binary);
+        command.args(["trainer", "--print-samples", "--max-seconds", MAX_RUN_SECONDS]);
         command.args(["--name", name]);
         for entry in &self.entries {
             command.arg("--entry").arg(entry.callers.to_string());
@@ -294,66 +304,67 @@
         Child::spawn(command.args(flags))
     }
 
-    /// Sets faults of the object API.
+    /// Sets faults that the object API injects.
     ///
     /// # Errors
-    /// It does not answer.
-    pub async fn api_faults(&self, faults: impl Serialize) -> io::Result<()> {
-        post(self.api.address, "/faults", &faults).await
+    /// The object API did not answer.
+    pub async fn set_object_api_faults(&self, faults: impl Serialize) -> io::Result<()> {
+        post_json(self.object_api.address, "/faults", &faults).await
     }
 
-    /// Accepted writes of a kind, oldest first.
+    /// The writes to objects of this kind that the object API accepted, oldest first.
     ///
     /// # Errors
-    /// The object API does not answer.
+    /// The object API did not answer.
     pub async fn history(&self, kind: &str) -> io::Result<Vec<Record>> {
         let path = format!("/history?kind={kind}");
-        get(self.api.address, &path).await
+        get_json(self.object_api.address, &path).await
     }
 
-    /// What truly happened at the engines that still run, by attempt id.
+    /// The attempts that the engines still running have recorded, by attempt id. Tests compare the
+    /// answers of the entries with them.
     ///
     /// # Errors
-    /// An engine does not answer.
+    /// An engine did not answer.
     pub async fn attempts(&self) -> io::Result<BTreeMap<CompactString, batch::Record>> {
-        let mut all = BTreeMap::new();
+        let mut attempts = BTreeMap::new();
         for engine in &self.engines {
-            let records: BTreeMap<_, _> = get(engine.address, "/record").await?;
-            all.extend(records);
+            let records: BTreeMap<_, _> = get_json(engine.address, "/record").await?;
+            attempts.extend(records);
         }
-        Ok(all)
+        Ok(attempts)
     }
 
-    /// What ran at the plain services.
+    /// The executions that the plain services have recorded.
     ///
     /// # Errors
-    /// A service does not answer.
+    /// A service did not answer.
     pub async fn executions(&self) -> io::Result<Vec<Execution>> {
-        let mut all = Vec::new();
+        let mut executions = Vec::new();
         for service in &self.services {
-            let record: Vec<_> = get(service.address, "/record").await?;
-            all.extend(record);
+            let records: Vec<_> = get_json(service.address, "/record").await?;
+            executions.extend(records);
         }
-        Ok(all)
+        Ok(executions)
     }
 }
 
-/// The samples that a trainer's process has printed so far, in order.
-pub fn samples(trainer: &Child) -> Vec<Taken> {
+/// The samples that a trainer process has printed so far, in order.
+pub fn taken_samples(trainer: &Child) -> Vec<TakenSample> {
     let lines = trainer.lines();
-    let taken = lines.iter().filter_map(|line| line.strip_prefix("sample "));
-    taken
+    let samples = lines.iter().filter_map(|line| line.strip_prefix("sample "));
+    samples
         .filter_map(|json| serde_json::from_str(json).ok())
         .collect()
 }
 
-/// Waits for a process to end, without holding up the thread; whether it ended well.
+/// Waits until a process exits, without blocking the thread. Returns whether it exited with success.
 ///
 /// # Errors
-/// It did not end in time.
-pub async fn ended(child: &mut Child) -> io::Result<bool> {
+/// The process did not exit within 30 seconds.
+pub async fn wait_for_exit(child: &mut Child) -> io::Result<bool> {
     let mut status = None;
-    let deadline = tokio::time::Instant::now() + LONG;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while status.is_none() {
         status = child.wait_for_exit(Duration::ZERO)?;
         if tokio::time::Instant::now() > deadline {
@@ -367,45 +378,47 @@
 /// Waits until `condition` holds.
 ///
 /// # Errors
-/// It did not hold within 30 seconds.
+/// The condition did not hold within 30 seconds.
 pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) -> io::Result<()> {
     let wait = async {
         while !condition().await {
             tokio::time::sleep(site::POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(LONG, wait)
+    tokio::time::timeout(TIMEOUT, wait)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))
 }
 
-/// A client that neither reuses a process's closed connections nor follows redirects.
-pub fn client() -> awc::Client {
+/// Builds a client with a connection pool of its own, so that a call through a new client never meets
+/// a connection of a process that has exited. The client does not follow redirects.
+pub fn http_client() -> awc::Client {
     awc::Client::builder()
-        .timeout(LONG)
+        .timeout(TIMEOUT)
         .disable_redirects()
         .finish()
 }
 
-/// Reads JSON from a stand-in.
+/// Sends `GET path` and parses the JSON body of the response.
 ///
 /// # Errors
-/// No answer, or no JSON of this type.
-pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> io::Result<T> {
-    let sent = client().get(format!("http://{address}{path}")).send().await;
-    let mut response = sent.map_err(|e| io::Error::other(e.to_string()))?;
-    let read = response.json().limit(MAX_ANSWER).await;
-    read.map_err(|e| io::Error::other(e.to_string()))
+/// There was no response, or its body is not JSON of this type.
+pub async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> io::Result<T> {
+    let url = format!("http://{address}{path}");
+    let response = http_client().get(url).send().await;
+    let mut response = response.map_err(|e| io::Error::other(e.to_string()))?;
+    let body = response.json().limit(MAX_RESPONSE_BYTES).await;
+    body.map_err(|e| io::Error::other(e.to_string()))
 }
 
-/// Posts JSON to a stand-in's own path.
+/// Sends `POST path` with a JSON body.
 ///
 /// # Errors
-/// No answer, or a status that is no success.
-pub async fn post(address: SocketAddr, path: &str, body: &impl Serialize) -> io::Result<()> {
+/// There was no response, or its status is not a success.
+pub async fn post_json(address: SocketAddr, path: &str, body: &impl Serialize) -> io::Result<()> {
     let url = format!("http://{address}{path}");
-    let sent = client().post(url).send_json(body).await;
-    let response = sent.map_err(|e| io::Error::other(e.to_string()))?;
+    let response = http_client().post(url).send_json(body).await;
+    let response = response.map_err(|e| io::Error::other(e.to_string()))?;
     if response.status().is_success() {
         Ok(())
     } else {
@@ -413,17 +426,20 @@
     }
 }
 
-fn process(program: &Path, name: &str, args: &[&str]) -> io::Result<Process> {
-    let child = Child::spawn(Command::new(program).args(args))?;
-    Ok(Process {
+/// Starts a stand-in and waits until it listens.
+fn start_server(binary: &Path, name: &str, args: &[&str]) -> io::Result<Server> {
+    let child = Child::spawn(Command::new(binary).args(args))?;
+    Ok(Server {
         name: name.into(),
-        address: address(&child, "listening 127.0.0.1:")?,
+        address: printed_address(&child, "listening 127.0.0.1:")?,
         child,
     })
 }
 
-fn address(child: &Child, text: &str) -> io::Result<SocketAddr> {
-    child
-        .wait_for_address(text, LONG)
-        .ok_or_else(|| io::Error::other(format!("no line {text:?}: {:?}", child.lines())))
+/// Waits for a line that contains `text` and returns the address at its end.
+fn printed_address(child: &Child, text: &str) -> io::Result<SocketAddr> {
+    child.wait_for_address(text, TIMEOUT).ok_or_else(|| {
+        let lines = child.lines();
+        io::Error::other(format!("process printed no address after {text:?}: {lines:?}"))
+    })
 }
--- a/crates/pinereel_fakes/src/demo/deployment.rs
+++ b/crates/pinereel_fakes/src/demo/deployment.rs
@@ -64,18 +64,18 @@
     pub fn site(&self) -> site::Options {
         site::Options {
             zones: self.zones.iter().copied().map(Into::into).collect(),
-            entries: self.entries,
-            engines: vec![(self.engines.0.into(), self.engines.1)],
+            entry_count: self.entries,
+            engine_pools: vec![(self.engines.0.into(), self.engines.1)],
             batch: batch::Options {
                 tokens_per_second: 500.0,
                 swap: Duration::from_millis(150),
                 warm_up: Duration::from_millis(50),
                 ..batch::Options::default()
             },
-            services: vec![(self.services.0.into(), self.services.1)],
+            service_pools: vec![(self.services.0.into(), self.services.1)],
             document: self.document(),
-            lag: LIST_LAG,
-            settings: SETTINGS.into(),
+            instance_list_lag: LIST_LAG,
+            extra_settings: SETTINGS.into(),
         }
     }
 
--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -136,7 +136,7 @@
 /// Starts one more entry in place of the one that left.
 async fn replace(site: &mut Site, options: &site::Options, traffic: &Traffic) -> io::Result<u64> {
     let start = Instant::now();
-    site.start_entry(options, options.entries).await?;
+    site.start_entry(options, options.entry_count).await?;
     site.wait_until_ready().await?;
     *traffic.entries.borrow_mut() = site.caller_addresses();
     Ok(millis(start))
--- a/crates/pinereel_fakes/src/lib.rs
+++ b/crates/pinereel_fakes/src/lib.rs
@@ -1,31 +1,32 @@
-//! Small stand-ins for everything outside pinereel, and the tools that drive it.
+//! Stand-ins for everything outside pinereel, and the tools that drive pinereel.
 //!
 //! The stand-ins speak the published protocols of `pinereel_api` and inject faults on request.
-//! They run embedded (the demo, tests) or as processes of their own (`pinereel-fakes NAME`).
+//! They run inside the calling process (the demo, tests) or as processes (`pinereel-fakes NAME`).
 //!
 //! - [`object_api`], [`weight_store`], [`engine`], [`service`]: the platform and the endpoints.
 //! - [`trainer`]: a trainer client and the stand-in that drives it.
+//! - [`site`]: object API, endpoints and entries inside the calling process.
+//! - [`cluster`]: the same as a process each, for tests of failures.
+//! - [`hosting`]: the platform that hosts pinereel, with real processes, and the soak test.
 //! - [`demo`]: everything on loopback in one command.
 //! - [`load`]: load generation and latency measurement.
-//! - [`cluster`]: a site of real processes, for tests of failures.
-//! - [`child_process`]: starting and signalling processes in tests.
-//! - [`cli`]: what the stand-ins' processes have in common.
-//! - [`hosting`]: the platform that hosts pinereel, with the real processes, and the soak.
-//! - [`fault`]: what the stand-ins' faults have in common.
-//! - [`capacity`]: slopes of state, messages, processor time and memory.
-//! - [`experiment`]: policies against a baseline on the paused clock.
+//! - [`capacity`]: how state, messages, processor time and memory grow with the size of a site.
+//! - [`experiment`]: simulations that compare policies with a baseline in virtual time.
+//! - [`fault`]: helpers for injecting faults, such as lost and delayed responses.
+//! - [`child_process`]: starts and signals processes, and captures what they print.
+//! - [`cli`]: the flags and exit conditions that the stand-in processes share.
 
 pub mod capacity;
+pub mod child_process;
+pub mod cli;
 pub mod cluster;
 pub mod demo;
 pub mod engine;
 pub mod experiment;
 pub mod fault;
 pub mod hosting;
-pub mod child_process;
 pub mod load;
 pub mod object_api;
-pub mod cli;
 pub mod service;
 pub mod site;
 pub mod trainer;
--- a/crates/pinereel_fakes/src/load/stage.rs
+++ b/crates/pinereel_fakes/src/load/stage.rs
@@ -152,7 +152,7 @@
     let told = Endpoints {
         engine: site.engines[0].handle.address,
         service: site.services[0].handle.address,
-        settings: site.settings(&options, 0)?,
+        settings: site.entry_settings(&options, 0)?,
     };
     Ok((site, told))
 }
@@ -171,8 +171,8 @@
 fn options(decisions: bool) -> site::Options {
     site::Options {
         zones: vec!["bench-hall".into()],
-        entries: 0,
-        engines: vec![(ENGINES.into(), 1)],
+        entry_count: 0,
+        engine_pools: vec![(ENGINES.into(), 1)],
         batch: batch::Options {
             slots: 256,
             // A step of 10 microseconds: what is measured is not the engine.
@@ -181,10 +181,10 @@
             prefill_per_second: 1e9,
             ..batch::Options::default()
         },
-        services: vec![(SERVICES.into(), 1)],
+        service_pools: vec![(SERVICES.into(), 1)],
         document: document(),
-        lag: Duration::from_millis(50),
-        settings: format!("[log]\nfile = entry.log\ndecisions = {decisions}\n"),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: format!("[log]\nfile = entry.log\ndecisions = {decisions}\n"),
     }
 }
 
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -1,4 +1,7 @@
-//! A whole site in one process, on one thread: platform, endpoints and entries on loopback.
+//! A site embedded in the calling process: the object API, the endpoints and the entries, all on
+//! one thread and on loopback.
+//!
+//! [`crate::cluster`] runs the same site as processes that can be killed and paused.
 
 use crate::{
     engine::{self, batch},
@@ -17,63 +20,64 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// Pause between looks at whether something has come about.
+/// Interval at which [`wait_until`] checks its condition.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Token of the operators' listeners.
+/// Bearer token that the operators' listeners accept.
 pub const OPERATOR_TOKEN: &str = "operators-of-the-demo";
-/// Secret of the links between entries.
+/// Secret shared by the entries, with which they authenticate to each other.
 pub const PEER_SECRET: &str = "entries-of-the-demo-only";
 
-/// What a site is made of.
+/// The components of a site.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Availability zones; instances are spread over them in turn.
+    /// Availability zones. Instances are assigned to them round-robin.
     pub zones: Vec<CompactString>,
-    /// Entries.
-    pub entries: usize,
-    /// Pools of engines: name, count.
-    pub engines: Vec<(CompactString, usize)>,
+    /// Number of entries.
+    pub entry_count: usize,
+    /// Pools of engines: name of the pool and number of engines.
+    pub engine_pools: Vec<(CompactString, usize)>,
     /// Size and speed of each engine.
     pub batch: batch::Options,
-    /// Pools of plain services: name, count.
-    pub services: Vec<(CompactString, usize)>,
-    /// Document of configuration 1; an empty one is not written, so that 0 is in force.
+    /// Pools of plain services: name of the pool and number of services.
+    pub service_pools: Vec<(CompactString, usize)>,
+    /// Document of configuration 1. An empty document is not written, so that configuration 0 is in
+    /// force.
     pub document: Document,
-    /// Lag of the platform's list of instances.
-    pub lag: Duration,
-    /// Further settings, as lines of an INI file with their sections. Lines before the first section
-    /// belong to `[object_api]`.
-    pub settings: String,
+    /// Time after which a change shows in the platform's list of instances.
+    pub instance_list_lag: Duration,
+    /// Further settings of the entries, as INI text with section headers. Lines before the first
+    /// header belong to `[object_api]`.
+    pub extra_settings: String,
 }
 
-/// A plain service or an engine, by pool and name.
+/// A running engine or plain service.
 pub struct Endpoint<T> {
-    /// The pool.
+    /// Name of the pool.
     pub pool: CompactString,
-    /// Its name in the platform's list.
+    /// Name in the platform's list of instances.
     pub name: CompactString,
-    /// The stand-in.
+    /// Handle of the stand-in.
     pub handle: T,
 }
 
 /// A running site.
 pub struct Site {
     /// The object API.
-    pub api: object_api::Handle,
-    /// The engines.
+    pub object_api: object_api::Handle,
+    /// The engines of all pools.
     pub engines: Vec<Endpoint<engine::server::Handle>>,
-    /// The plain services.
+    /// The plain services of all pools.
     pub services: Vec<Endpoint<service::Handle>>,
     /// The entries.
     pub entries: Vec<Entry>,
-    /// Folder of settings and secrets; removed with the site.
-    folder: PathBuf,
+    /// Directory of the settings and secrets; removed when the site is dropped.
+    config_dir: PathBuf,
 }
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // What is left behind in the folder for temporary files harms nobody.
-        let _ = fs::remove_dir_all(&self.folder);
+        // A failure only leaves files behind in the system's directory for temporary files.
+        let _ = fs::remove_dir_all(&self.config_dir);
     }
 }
 
@@ -83,26 +87,26 @@
     /// # Errors
     /// A listener or a file could not be opened, or an entry was not ready in time.
     pub async fn start(options: Options) -> io::Result<Self> {
-        let api = object_api::Api::start(object_api::Options {
-            lag: options.lag,
+        let object_api = object_api::Api::start(object_api::Options {
+            lag: options.instance_list_lag,
             ..object_api::Options::default()
         })
         .await?;
         if options.document != Document::default() {
-            write_initial_config(api.address, &options.document).await?;
+            write_initial_config(object_api.address, &options.document).await?;
         }
-        let folder = create_config_dir()?;
+        let config_dir = create_config_dir()?;
         let mut site = Self {
-            api,
+            object_api,
             engines: Vec::new(),
             services: Vec::new(),
             entries: Vec::new(),
-            folder,
+            config_dir,
         };
         site.start_engines(&options).await?;
         site.start_services(&options).await?;
-        site.api.settle_instances();
-        for index in 0..options.entries {
+        site.object_api.settle_instances();
+        for index in 0..options.entry_count {
             site.start_entry(&options, index).await?;
         }
         site.wait_until_ready().await?;
@@ -110,7 +114,7 @@
     }
 
     async fn start_engines(&mut self, options: &Options) -> io::Result<()> {
-        for (pool, count) in &options.engines {
+        for (pool, count) in &options.engine_pools {
             for index in 0..*count {
                 let name = format_compact!("{pool}-{index}");
                 let handle = engine::server::Handle::start(engine::server::Options {
@@ -121,7 +125,7 @@
                 })
                 .await?;
                 let instance = instance(options, pool, index, handle.address.to_string());
-                self.api.put_instance(&name, instance);
+                self.object_api.put_instance(&name, instance);
                 self.engines.push(Endpoint {
                     pool: pool.clone(),
                     name,
@@ -133,12 +137,12 @@
     }
 
     async fn start_services(&mut self, options: &Options) -> io::Result<()> {
-        for (pool, count) in &options.services {
+        for (pool, count) in &options.service_pools {
             for index in 0..*count {
                 let name = format_compact!("{pool}-{index}");
                 let handle = service::Service::start(service::Options::default()).await?;
                 let instance = instance(options, pool, index, handle.address.to_string());
-                self.api.put_instance(&name, instance);
+                self.object_api.put_instance(&name, instance);
                 self.services.push(Endpoint {
                     pool: pool.clone(),
                     name,
@@ -149,35 +153,35 @@
         Ok(())
     }
 
-    /// Settings of an entry of this site, read back from their file.
+    /// Writes the settings file of the entry with this index and loads it.
     ///
     /// # Errors
-    /// They are at fault, or the file could not be written.
-    pub fn settings(&self, options: &Options, index: usize) -> io::Result<Settings> {
+    /// The file could not be written, or the settings are invalid.
+    pub fn entry_settings(&self, options: &Options, index: usize) -> io::Result<Settings> {
         let name = format_compact!("entry-{index}");
         let zone = zone(options, index);
-        let path = self.folder.join(format!("{name}.ini"));
-        let address = self.api.address;
+        let path = self.config_dir.join(format!("{name}.ini"));
+        let object_api = self.object_api.address;
         let text = format!(
             "[entry]\nname = {name}\nzone = {zone}\ncallers = 127.0.0.1:0\npeers = 127.0.0.1:0\n\
              operators = 127.0.0.1:0\n[secrets]\noperator_token_file = token\n\
-             peer_secret_file = secret\n[object_api]\nurl = http://{address}\n{}",
-            options.settings
+             peer_secret_file = secret\n[object_api]\nurl = http://{object_api}\n{}",
+            options.extra_settings
         );
         fs::write(&path, &text)?;
         Settings::load(&path).map_err(io::Error::other)
     }
 
-    /// Starts one more entry; it is not ready yet.
+    /// Starts the entry with this index and adds it to the site, without waiting until it is ready.
     ///
     /// # Errors
-    /// Its settings are at fault or a listener could not be opened.
+    /// The settings are invalid, or a listener could not be opened.
     pub async fn start_entry(&mut self, options: &Options, index: usize) -> io::Result<()> {
-        let settings = self.settings(options, index)?;
+        let settings = self.entry_settings(options, index)?;
         let name = settings.entry.name.clone();
         let entry = Entry::start(settings).await.map_err(io::Error::other)?;
-        // The platform lists the system's own instances too; one that it lacks counts as gone.
-        let listed = Instance {
+        // The platform lists entries too, and the other entries treat one without a listing as gone.
+        let instance = Instance {
             incarnation: entry.shared.incarnation,
             ..instance(
                 options,
@@ -186,31 +190,33 @@
                 entry.callers.address.to_string(),
             )
         };
-        self.api.put_instance(&name, listed);
+        self.object_api.put_instance(&name, instance);
         self.entries.push(entry);
         Ok(())
     }
 
-    /// Waits until every entry is ready, knows every other one, and is linked to all of them (to
-    /// some, if they are too many for that).
+    /// Waits until every entry is ready, knows all endpoints and all other entries, and is linked to
+    /// all of the latter. Above [`MAX_FULL_MESH_SIZE`] entries one link is enough.
     ///
     /// # Errors
-    /// It did not come about in time.
+    /// The condition did not hold within 30 seconds.
     pub async fn wait_until_ready(&self) -> io::Result<()> {
-        let count = self.entries.len();
-        let ready = || {
+        let entry_count = self.entries.len();
+        let endpoint_count = self.engines.len() + self.services.len();
+        let all_ready = || {
             self.entries.iter().all(|entry| {
                 let shared = &entry.shared;
-                let links = shared.mesh.linked_peers().len() + 1;
-                let linked = links >= count || (count > MAX_FULL_MESH_SIZE && links > 1);
-                let met = shared.members.view().members().len() >= count;
-                let endpoints = shared.endpoints.list.endpoints().len();
-                let all = endpoints >= self.engines.len() + self.services.len();
-                let known = all && shared.endpoints.is_synced();
-                linked && met && known && pinereel::filters::pin::ready(shared).is_ok()
+                let linked = shared.mesh.linked_peers().len() + 1;
+                let is_linked =
+                    linked >= entry_count || (entry_count > MAX_FULL_MESH_SIZE && linked > 1);
+                let knows_members = shared.members.view().members().len() >= entry_count;
+                let listed = shared.endpoints.list.endpoints().len();
+                let knows_endpoints = listed >= endpoint_count && shared.endpoints.is_synced();
+                let knows_all = knows_members && knows_endpoints;
+                is_linked && knows_all && pinereel::filters::pin::ready(shared).is_ok()
             })
         };
-        wait_until(ready).await
+        wait_until(all_ready).await
     }
 
     /// `IP:PORT` of each entry's operators' listener.
@@ -229,7 +235,7 @@
 /// Waits until `condition` holds.
 ///
 /// # Errors
-/// It did not hold within 30 seconds.
+/// The condition did not hold within 30 seconds.
 pub async fn wait_until(condition: impl Fn() -> bool) -> io::Result<()> {
     let wait = async {
         while !condition() {
@@ -241,10 +247,12 @@
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))
 }
 
+/// The zone of the instance with this index.
 fn zone(options: &Options, index: usize) -> CompactString {
     options.zones[index % options.zones.len()].clone()
 }
 
+/// The platform's list entry of a live instance in its first incarnation.
 fn instance(options: &Options, pool: &CompactString, index: usize, address: String) -> Instance {
     Instance {
         incarnation: 1,
@@ -255,44 +263,55 @@
     }
 }
 
-/// Writes configuration 1 as the operators' first patch would.
-pub(crate) async fn write_initial_config(api: SocketAddr, document: &Document) -> io::Result<()> {
-    let url = format!("http://{api}/objects/{CONFIG}/{CONFIG_NAME}");
+/// Writes configuration 1 to the object API, as the operators' first patch does.
+///
+/// # Errors
+/// The object API did not answer or refused the write.
+pub(crate) async fn write_initial_config(
+    object_api: SocketAddr,
+    document: &Document,
+) -> io::Result<()> {
+    let url = format!("http://{object_api}/objects/{CONFIG}/{CONFIG_NAME}");
     let stored = pinereel_core::config::StoredConfig {
         number: 1,
         document: document.clone(),
         ..Default::default()
     };
     let body = serde_json::json!({ "value": stored });
-    let sent = awc::Client::default()
+    let response = awc::Client::default()
         .put(url)
         .insert_header(("if-none-match", "*"))
         .send_json(&body)
         .await
         .map_err(|e| io::Error::other(e.to_string()))?;
-    if sent.status().is_success() {
+    if response.status().is_success() {
         Ok(())
     } else {
         Err(io::Error::other(format!(
-            "configuration refused: {}",
-            sent.status()
+            "object API refused the initial configuration: {}",
+            response.status()
         )))
     }
 }
 
-/// A folder of this process's own, with the secrets in it.
+/// Creates a directory for the settings of one site and writes the token and the secret into it.
+/// The path is unique within this process and among running processes.
+///
+/// # Errors
+/// The directory or a file could not be written.
 pub(crate) fn create_config_dir() -> io::Result<PathBuf> {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let name = format!("pinereel-site-{}-{number}", std::process::id());
-    let folder = std::env::temp_dir().join(name);
-    fs::create_dir_all(&folder)?;
-    write_secret(&folder.join("token"), OPERATOR_TOKEN)?;
-    write_secret(&folder.join("secret"), PEER_SECRET)?;
-    Ok(folder)
+    let dir = std::env::temp_dir().join(name);
+    fs::create_dir_all(&dir)?;
+    write_secret(&dir.join("token"), OPERATOR_TOKEN)?;
+    write_secret(&dir.join("secret"), PEER_SECRET)?;
+    Ok(dir)
 }
 
+/// Writes a file that only its owner may read.
 fn write_secret(path: &Path, secret: &str) -> io::Result<()> {
     fs::write(path, secret)?;
     fs::set_permissions(path, fs::Permissions::from_mode(0o600))
--- a/crates/pinereel_fakes/src/trainer/step.rs
+++ b/crates/pinereel_fakes/src/trainer/step.rs
@@ -42,7 +42,7 @@
     pub patience: Duration,
     /// Makes lot ids and prompts differ between runs.
     pub seed: u64,
-    /// Whether each sample that is taken is printed as `sample JSON`, see [`Taken`].
+    /// Whether each sample that is taken is printed as `sample JSON`, see [`TakenSample`].
     pub print: bool,
 }
 
@@ -69,7 +69,7 @@
 
 /// One sample that was taken, as it is printed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct TakenSample {
     /// The step.
     pub step: u64,
     /// The trainer's version.
@@ -141,7 +141,7 @@
         };
         let Options { bound, whole, .. } = self.options;
         if self.options.print {
-            print(&Taken {
+            print(&TakenSample {
                 step: lot.step,
                 version: self.version,
                 prompt: group.prompt.clone(),
@@ -181,7 +181,7 @@
     }
 }
 
-fn print(taken: &Taken) {
+fn print(taken: &TakenSample) {
     if let Ok(json) = serde_json::to_string(taken) {
         println!("sample {json}");
     }
--- a/crates/pinereel_fakes/tests/claim_calls.rs
+++ b/crates/pinereel_fakes/tests/claim_calls.rs
@@ -55,7 +55,7 @@
 
 /// Reads and writes of claims so far.
 fn calls(site: &Site) -> (u64, u64) {
-    let stats = site.api.stats();
+    let stats = site.object_api.stats();
     let of = |counts: &std::collections::BTreeMap<_, u64>| counts.get("claims").copied();
     (
         of(&stats.reads).unwrap_or(0),
@@ -78,7 +78,7 @@
         .await
         .unwrap();
     for delay in [0, 5] {
-        site.api.faults(Faults {
+        site.object_api.faults(Faults {
             delay_ms: Some(delay),
             ..Faults::default()
         });
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -20,7 +20,7 @@
 const AT_ONCE: Duration = Duration::from_millis(1_500);
 
 fn lose(site: &Site, answers: u32) {
-    site.api.faults(object::Faults {
+    site.object_api.faults(object::Faults {
         lose_write_answers: Some(answers),
         lose_kind: Some("claims".into()),
         ..object::Faults::default()
@@ -28,7 +28,7 @@
 }
 
 fn outage(site: &Site, millis: u64) {
-    site.api.faults(object::Faults {
+    site.object_api.faults(object::Faults {
         outage_ms: Some(millis),
         ..object::Faults::default()
     });
@@ -52,7 +52,7 @@
     let site = site(3).await;
     joined(&site).await;
     lose(&site, 1);
-    site.api.faults(object::Faults {
+    site.object_api.faults(object::Faults {
         delay_ms: Some(200),
         ..object::Faults::default()
     });
@@ -64,7 +64,7 @@
     };
     let call = order(&site, 0, Some(SLOT), "lacquer");
     let (refused, ()) = futures_util::future::join(call, begins).await;
-    site.api.faults(object::Faults {
+    site.object_api.faults(object::Faults {
         delay_ms: Some(0),
         ..object::Faults::default()
     });
@@ -121,7 +121,7 @@
     joined(&site).await;
     order(&site, 0, Some(&claims::same_shard(SLOT)), "lacquer").await;
     let delay = |millis| {
-        site.api.faults(object::Faults {
+        site.object_api.faults(object::Faults {
             delay_ms: Some(millis),
             ..object::Faults::default()
         });
@@ -175,7 +175,7 @@
         pool: "orders-app".into(),
         state: object::InstanceState::Live,
     };
-    site.api.put_instance("orders-app-0", instance);
+    site.object_api.put_instance("orders-app-0", instance);
     site.services[0].handle = handle;
     let again = order_until(&site, 1, SLOT, "lacquer", |answer| answer.status == 200).await;
     assert!(!again.replay);
@@ -215,7 +215,7 @@
     joined(&site).await;
     let key = key_of(&site, 0);
     let delay = |millis| {
-        site.api.faults(object::Faults {
+        site.object_api.faults(object::Faults {
             delay_ms: Some(millis),
             ..object::Faults::default()
         });
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -98,7 +98,7 @@
         assert_eq!(answer.short(), "200");
     }
     assert_eq!(ran(&site, "slot-june"), 2);
-    assert_eq!(site.api.objects("claims").items.len(), 0);
+    assert_eq!(site.object_api.objects("claims").items.len(), 0);
 }
 
 #[actix_rt::test]
@@ -133,7 +133,7 @@
     settled(&site, "slot-june").await;
     let base = format!("{}.base", shard_of("slot-june"));
     wait_until(|| {
-        let objects = site.api.objects("claims").items;
+        let objects = site.object_api.objects("claims").items;
         objects.len() == 1 && objects[0].name == base && objects[0].value == 2
     })
     .await
@@ -173,7 +173,7 @@
 #[actix_rt::test]
 async fn a_refusal_after_a_lost_attempt_does_not_say_that_nothing_ran() {
     let mut options = claims::options(1);
-    options.services[0].1 = 2;
+    options.service_pools[0].1 = 2;
     let site = Site::start(options).await.unwrap();
     site.services[0].handle.faults(Faults {
         drop_after_run: Some(u32::MAX),
--- a/crates/pinereel_fakes/tests/claim_random.rs
+++ b/crates/pinereel_fakes/tests/claim_random.rs
@@ -42,7 +42,7 @@
         if !self.alive.contains(&DIES) {
             cut_agents.push(self.site.entries[DIES].shared.name().clone());
         }
-        self.site.api.faults(object::Faults {
+        self.site.object_api.faults(object::Faults {
             outage_ms: rng.random_bool(0.05).then(|| rng.random_range(20..100)),
             delay_ms: Some(rng.random_range(0..10)),
             lose_write_answers: Some(u32::from(rng.random_bool(0.4))),
@@ -114,7 +114,7 @@
 
     async fn heal(&mut self) {
         let dead = self.site.entries[DIES].shared.name().clone();
-        self.site.api.faults(object::Faults {
+        self.site.object_api.faults(object::Faults {
             outage_ms: Some(0),
             delay_ms: Some(0),
             lose_write_answers: Some(0),
--- a/crates/pinereel_fakes/tests/claims/mod.rs
+++ b/crates/pinereel_fakes/tests/claims/mod.rs
@@ -68,13 +68,13 @@
             "erie-hall".into(),
             "detroit-hall".into(),
         ],
-        entries,
-        engines: Vec::new(),
+        entry_count: entries,
+        engine_pools: Vec::new(),
         batch: Default::default(),
-        services: vec![("orders-app".into(), 1)],
+        service_pools: vec![("orders-app".into(), 1)],
         document: serde_json::from_value(document).unwrap(),
-        lag: Duration::from_millis(50),
-        settings: SETTINGS.into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: SETTINGS.into(),
     }
 }
 
@@ -233,7 +233,7 @@
 pub async fn settled(site: &Site, key: &str) {
     let scoped = format!("orders-app/{key}");
     let stored = || {
-        let segments = site.api.objects("claims").items;
+        let segments = site.object_api.objects("claims").items;
         segments.iter().any(|object| {
             let settles = object.value.get("settles").and_then(Value::as_array);
             settles.is_some_and(|all| all.iter().any(|s| s["key"] == scoped.as_str()))
@@ -244,7 +244,7 @@
 
 /// Number of settlements in the object API.
 pub fn settled_keys(site: &Site) -> usize {
-    let segments = site.api.objects("claims").items;
+    let segments = site.object_api.objects("claims").items;
     let settles = segments.iter().filter_map(|object| {
         let settles = object.value.get("settles")?;
         Some(settles.as_array()?.len())
@@ -273,7 +273,7 @@
 
 /// Segments in the object API.
 pub fn segments(site: &Site) -> usize {
-    site.api.objects("claims").items.len()
+    site.object_api.objects("claims").items.len()
 }
 
 /// A key whose shard entry `index` owns.
@@ -297,7 +297,7 @@
     let entry = &site.entries[index];
     entry.shared.mesh.close();
     entry.callers.close();
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Faults::default()
     });
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -20,7 +20,7 @@
 const MAX_TRIES: u32 = 40;
 
 fn lose(site: &Site, count: u32) {
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         lose_write_answers: Some(count),
         lose_kind: Some("config".into()),
         ..Faults::default()
@@ -28,7 +28,7 @@
 }
 
 fn delay(site: &Site, millis: u64) {
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         delay_ms: Some(millis),
         ..Faults::default()
     });
@@ -41,7 +41,7 @@
         if answer.1["code"] != code {
             return answer;
         }
-        let stands = &site.api.objects("config").items[0].value["number"];
+        let stands = &site.object_api.objects("config").items[0].value["number"];
         let refused = answer.1["ran"] == "not_run";
         assert!(!refused || *stands == 1, "refused, and yet accepted");
         sleep(Duration::from_millis(100)).await;
@@ -118,7 +118,7 @@
     sleep(LONG).await;
     assert_eq!(highest.get(), 1);
     assert!(in_force(&site, 1));
-    let written = site.api.history(Some("config"));
+    let written = site.object_api.history(Some("config"));
     let numbers = written.iter().filter_map(|r| r.change.value.as_ref());
     assert!(numbers.map(|v| &v["number"]).all(|n| *n == 1));
     let status = status(&site.entries[0]).await;
@@ -130,7 +130,7 @@
 #[actix_rt::test]
 async fn with_the_object_api_down_entries_serve_on_and_patches_are_unknown_at_once() {
     let site = site(9).await;
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         outage_ms: Some(60_000),
         ..Faults::default()
     });
@@ -150,7 +150,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         outage_ms: Some(0),
         ..Faults::default()
     });
@@ -191,11 +191,11 @@
 async fn entry_that_the_platform_lacks_stays_a_member_while_it_answers() {
     let site = site(3).await;
     let member = || {
-        let items = site.api.objects("members").items;
+        let items = site.object_api.objects("members").items;
         items.into_iter().find(|object| object.name == "entry-2")
     };
     let before = member().unwrap();
-    site.api.remove_instance("entry-2");
+    site.object_api.remove_instance("entry-2");
     let removable = || {
         let entries = site.entries[..2].iter();
         let views = entries.map(|e| e.shared.members.view().removable(e.shared.now()));
@@ -211,11 +211,11 @@
 async fn entry_whose_member_object_was_removed_writes_it_again() {
     let site = site(3).await;
     let member = || {
-        let items = site.api.objects("members").items;
+        let items = site.object_api.objects("members").items;
         items.into_iter().find(|object| object.name == "entry-2")
     };
     let before = member().unwrap();
-    let url = format!("http://{}/objects/members/entry-2", site.api.address);
+    let url = format!("http://{}/objects/members/entry-2", site.object_api.address);
     let version = before.version.to_string();
     let request = awc::Client::default().delete(url);
     let response = request.insert_header(("if-match", version)).send().await;
@@ -304,7 +304,7 @@
     wait_until(|| pending(&site)).await.unwrap();
     cut(&site, &site.entries[0]);
     delay(&site, 0);
-    site.api.remove_instance("entry-0");
+    site.object_api.remove_instance("entry-0");
     // Until the platform has said "gone" for long enough, the dead entry is missing.
     let next = patch_until(&site, 1, "next", "not_confirmed").await;
     assert_eq!(next, (200, json!({ "number": 2 })));
--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_help/mod.rs
@@ -25,13 +25,13 @@
 pub fn options(entries: usize) -> Options {
     Options {
         zones: vec!["toledo-hall".into(), "erie-hall".into(), "monroe".into()],
-        entries,
-        engines: vec![],
+        entry_count: entries,
+        engine_pools: vec![],
         batch: Default::default(),
-        services: vec![],
+        service_pools: vec![],
         document: document(),
-        lag: Duration::from_millis(50),
-        settings: "[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[log]\ndecisions = false\n".into(),
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// Whether a patch is pending in the object API.
 pub fn pending(site: &Site) -> bool {
-    let objects = site.api.objects("config").items;
+    let objects = site.object_api.objects("config").items;
     objects
         .first()
         .is_some_and(|o| !o.value["pending"].is_null())
@@ -119,7 +119,7 @@
 
 /// Cuts an entry off from the object API alone.
 pub fn cut_api(site: &Site, entry: &Entry) {
-    site.api.faults(pinereel_api::object::Faults {
+    site.object_api.faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Default::default()
     });
@@ -127,7 +127,7 @@
 
 /// Ends all cuts from the object API.
 pub fn uncut(site: &Site) {
-    site.api.faults(pinereel_api::object::Faults {
+    site.object_api.faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![]),
         ..Default::default()
     });
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -168,7 +168,7 @@
 #[actix_rt::test]
 async fn accepted_slots_reach_the_endpoints() {
     let with_engine = pinereel_fakes::site::Options {
-        engines: vec![("draft-llm".into(), 1)],
+        engine_pools: vec![("draft-llm".into(), 1)],
         ..options(2)
     };
     let site = Site::start(with_engine).await.unwrap();
@@ -204,7 +204,7 @@
 #[actix_rt::test]
 async fn few_entries_of_each_zone_watch() {
     let site = site(9).await;
-    let watching = || site.api.stats().waiting_by_kind.get(CONFIG).copied();
+    let watching = || site.object_api.stats().waiting_by_kind.get(CONFIG).copied();
     wait_until(|| watching() == Some(6)).await.unwrap();
 }
 
@@ -340,7 +340,7 @@
 async fn drain_by_the_operators_takes_the_entry_out_of_later_patches() {
     let quick = "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n";
     let quick = pinereel_fakes::site::Options {
-        settings: quick.into(),
+        extra_settings: quick.into(),
         ..options(3)
     };
     let mut site = Site::start(quick).await.unwrap();
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -30,13 +30,13 @@
 async fn site() -> Site {
     let options = Options {
         zones: vec!["toledo-hall".into()],
-        entries: 2,
-        engines: Vec::new(),
+        entry_count: 2,
+        engine_pools: Vec::new(),
         batch: Default::default(),
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document: document(),
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n".into(),
     };
     Site::start(options).await.unwrap()
 }
@@ -53,9 +53,9 @@
                     pool: POOL.into(),
                     state: InstanceState::Live,
                 };
-                site.api.put_instance(&id, instance);
+                site.object_api.put_instance(&id, instance);
             }
-            Listed::Gone { id } => site.api.remove_instance(&id),
+            Listed::Gone { id } => site.object_api.remove_instance(&id),
         };
         Fragile::listed(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
     };
@@ -78,7 +78,7 @@
     let site = Rc::new(site().await);
     let crashes = Crashes::default();
     let _endpoints = endpoints(&site, &crashes);
-    site.api.settle_instances();
+    site.object_api.settle_instances();
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH} g");
     let end = Instant::now() + Duration::from_secs(7);
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -28,16 +28,16 @@
             "erie-hall".into(),
             "detroit-hall".into(),
         ],
-        entries: 3,
-        engines: vec![("draft-llm".into(), 3)],
+        entry_count: 3,
+        engine_pools: vec![("draft-llm".into(), 3)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
             ..batch::Options::default()
         },
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document,
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
     };
     Site::start(options).await.unwrap()
 }
--- a/crates/pinereel_fakes/tests/input/mod.rs
+++ b/crates/pinereel_fakes/tests/input/mod.rs
@@ -37,13 +37,13 @@
     .unwrap();
     let options = Options {
         zones: vec!["toledo-hall".into()],
-        entries: 1,
-        engines: vec![("draft-llm".into(), 1)],
+        entry_count: 1,
+        engine_pools: vec![("draft-llm".into(), 1)],
         batch: Default::default(),
-        services: vec![("orders-app".into(), 1)],
+        service_pools: vec![("orders-app".into(), 1)],
         document,
-        lag: Duration::from_millis(50),
-        settings: format!("[limits]\n{limits}\n[log]\ndecisions = false\n"),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: format!("[limits]\n{limits}\n[log]\ndecisions = false\n"),
     };
     Site::start(options).await.unwrap()
 }
--- a/crates/pinereel_fakes/tests/overload/mod.rs
+++ b/crates/pinereel_fakes/tests/overload/mod.rs
@@ -71,13 +71,13 @@
     });
     let options = Options {
         zones: vec!["toledo-hall".into()],
-        entries: 1,
-        engines: vec![(POOL.into(), size.engines)],
+        entry_count: 1,
+        engine_pools: vec![(POOL.into(), size.engines)],
         batch: size.batch,
-        services: vec![(ORDERS.into(), size.services)],
+        service_pools: vec![(ORDERS.into(), size.services)],
         document: serde_json::from_value(document).unwrap(),
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
     };
     Site::start(options).await.unwrap()
 }
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -252,7 +252,7 @@
         pool: "orders-app".into(),
         state: InstanceState::Live,
     };
-    site.api.put_instance("endless", instance);
+    site.object_api.put_instance("endless", instance);
     wait_until(|| {
         site.entries[0]
             .shared
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -31,16 +31,16 @@
 async fn site() -> Site {
     let options = Options {
         zones: vec!["toledo-hall".into(), "erie-hall".into()],
-        entries: 2,
-        engines: vec![("draft-llm".into(), 2)],
+        entry_count: 2,
+        engine_pools: vec![("draft-llm".into(), 2)],
         batch: pinereel_fakes::engine::batch::Options {
             tokens_per_second: 2_000.0,
             ..Default::default()
         },
-        services: vec![("orders-app".into(), 2)],
+        service_pools: vec![("orders-app".into(), 2)],
         document: document(),
-        lag: Duration::from_millis(50),
-        settings: DRAIN.into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: DRAIN.into(),
     };
     Site::start(options).await.unwrap()
 }
@@ -121,7 +121,7 @@
     let entry = site.entries.remove(0);
     entry.shared.drain.request_stop();
     entry.run_until_drained().await;
-    let members = site.api.objects("members").items;
+    let members = site.object_api.objects("members").items;
     assert_eq!(members.len(), 1);
 }
 
--- a/crates/pinereel_fakes/tests/process_claims.rs
+++ b/crates/pinereel_fakes/tests/process_claims.rs
@@ -37,7 +37,7 @@
 
 async fn book(entry: SocketAddr, key: &str) -> Outcome {
     let url = format!("http://{entry}/services/{SERVICES}/orders");
-    let request = cluster::client()
+    let request = cluster::http_client()
         .post(url)
         .insert_header((IDEMPOTENCY_KEY, key))
         .insert_header((DEADLINE_MS, DEADLINE));
@@ -114,7 +114,7 @@
     let mut outcomes = BTreeMap::new();
     for number in 0..6 {
         let faults = json!({ "lose_write_answers": 1, "lose_kind": CLAIMS });
-        cluster.api_faults(faults).await.unwrap();
+        cluster.set_object_api_faults(faults).await.unwrap();
         let key = format!("quote-{number}");
         let start = Instant::now();
         outcomes.insert(
@@ -144,7 +144,7 @@
         Outcome::Booked(_)
     ));
     cluster
-        .api_faults(json!({ "outage_ms": 100_000 }))
+        .set_object_api_faults(json!({ "outage_ms": 100_000 }))
         .await
         .unwrap();
     for number in 0..4 {
@@ -159,7 +159,7 @@
         assert!(took < Duration::from_secs(3), "{took:?}");
     }
     assert_eq!(ran(&cluster).await.len(), 1);
-    cluster.api_faults(json!({ "outage_ms": 0 })).await.unwrap();
+    cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
     let back = Instant::now();
     assert!(matches!(
         settle(&cluster, "down-0").await,
@@ -175,7 +175,7 @@
     let addresses: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
     // Long enough that some run while the entry dies.
     for service in &cluster.services {
-        cluster::post(service.address, "/faults", &json!({ "delay_ms": 50 }))
+        cluster::post_json(service.address, "/faults", &json!({ "delay_ms": 50 }))
             .await
             .unwrap();
     }
@@ -217,7 +217,7 @@
     let cluster = Cluster::start(options(2, 0, 2)).await.unwrap();
     for (fault, runs) in [("drop_after_run", 1), ("drop_before_run", 0)] {
         for service in &cluster.services {
-            cluster::post(service.address, "/faults", &json!({ fault: 1 }))
+            cluster::post_json(service.address, "/faults", &json!({ fault: 1 }))
                 .await
                 .unwrap();
         }
@@ -244,7 +244,7 @@
 async fn clear(cluster: &Cluster) {
     let none = json!({ "drop_after_run": 0, "drop_before_run": 0 });
     for service in &cluster.services {
-        cluster::post(service.address, "/faults", &none)
+        cluster::post_json(service.address, "/faults", &none)
             .await
             .unwrap();
     }
--- a/crates/pinereel_fakes/tests/process_config.rs
+++ b/crates/pinereel_fakes/tests/process_config.rs
@@ -42,7 +42,7 @@
         merge: json!({ "limits": { "default_deadline_ms": millis } }),
     };
     let url = format!("http://{operators}/v1/config");
-    let request = cluster::client().post(url).bearer_auth(OPERATOR_TOKEN);
+    let request = cluster::http_client().post(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send_json(&patch).await.unwrap();
     if response.status() == StatusCode::OK {
         return Ok(response.json::<Patched>().await.unwrap().number);
@@ -53,7 +53,7 @@
 
 async fn config(entry: &Entry) -> Option<Config> {
     let url = format!("http://{}/v1/config", entry.operators);
-    let request = cluster::client().get(url).bearer_auth(OPERATOR_TOKEN);
+    let request = cluster::http_client().get(url).bearer_auth(OPERATOR_TOKEN);
     request.send().await.ok()?.json().await.ok()
 }
 
@@ -61,7 +61,7 @@
 async fn served_under(entry: &Entry) -> Option<u64> {
     let request = json!({ "model": ENGINES, "prompt": "number", "max_tokens": 2 });
     let url = format!("http://{}/v1/completions", entry.callers);
-    let response = cluster::client().post(url).send_json(&request).await.ok()?;
+    let response = cluster::http_client().post(url).send_json(&request).await.ok()?;
     let number = response.headers().get(CONFIG_NUMBER)?.to_str().ok()?;
     number.parse().ok()
 }
@@ -85,7 +85,7 @@
             for callers in &entries {
                 let request = json!({ "model": ENGINES, "prompt": "watch", "max_tokens": 1 });
                 let url = format!("http://{callers}/v1/completions");
-                let Ok(response) = cluster::client().post(url).send_json(&request).await else {
+                let Ok(response) = cluster::http_client().post(url).send_json(&request).await else {
                     continue;
                 };
                 let Some(number) = response.headers().get(CONFIG_NUMBER) else {
@@ -165,7 +165,7 @@
         // The write of the pending patch, that of its acceptance, or both.
         let lost = 1 + round % 2;
         let faults = json!({ "lose_write_answers": lost, "lose_kind": "config" });
-        cluster.api_faults(faults).await.unwrap();
+        cluster.set_object_api_faults(faults).await.unwrap();
         let (id, entry) = (
             format!("lost-{round}"),
             &cluster.entries[round as usize % 2],
@@ -175,7 +175,7 @@
         assert_eq!(number, Ok(round + 1));
         measured("patch with lost answers", start);
         cluster
-            .api_faults(json!({ "lose_write_answers": 0 }))
+            .set_object_api_faults(json!({ "lose_write_answers": 0 }))
             .await
             .unwrap();
         // A repeat at the other entry gets the first answer.
@@ -217,7 +217,7 @@
     let callers = cluster.entries[1].callers;
     cluster.entries[1] = cluster.start_entry(1, Some(callers)).unwrap();
     let entry = &cluster.entries[1];
-    wait_until(async || entry.ready().await).await.unwrap();
+    wait_until(async || entry.is_ready().await).await.unwrap();
     measured("an entry that was killed is ready again", killed);
     assert_eq!(config(entry).await.map(|c| c.number), later);
     assert!(served_under(entry).await >= later);
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -7,7 +7,7 @@
 use pinereel_api::trainer::{Group, Lot};
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
-    cluster::{Cluster, samples, wait_until},
+    cluster::{Cluster, taken_samples, wait_until},
     engine::text,
     child_process::Signal,
     trainer::Client,
@@ -38,7 +38,7 @@
 /// Kills an entry when a fifth of the second step is there, and lets the trainer finish.
 async fn kill_entry(victim: usize) {
     let mut cluster = Cluster::start(options(3, 3, 1)).await.unwrap();
-    let mut trainer = cluster.trainer(TRAINER, &FLAGS).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &FLAGS).unwrap();
     taken(&trainer, 0, LOT as usize).await;
     let first = Instant::now();
     taken(&trainer, 1, LOT as usize / 5).await;
@@ -50,7 +50,7 @@
     // Duplicates of stragglers are made on purpose.
     let before = remade(&cluster.attempts().await.unwrap());
     let killed = Instant::now();
-    let had = samples(&trainer).iter().filter(|t| t.step == 1).count();
+    let had = taken_samples(&trainer).iter().filter(|t| t.step == 1).count();
     cluster.entries[victim].child.signal(Signal::KILL).unwrap();
     taken(&trainer, 1, had + 1).await;
     measured(
@@ -87,7 +87,7 @@
 #[actix_rt::test]
 async fn samples_and_streams_are_whole_when_their_engine_is_killed() {
     let mut cluster = Cluster::start(options(2, 3, 1)).await.unwrap();
-    let mut trainer = cluster.trainer(TRAINER, &FLAGS).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &FLAGS).unwrap();
     taken(&trainer, 0, LOT as usize / 5).await;
     let prompt = long_prompt(600);
     let callers = cluster.entries[0].callers;
@@ -100,7 +100,7 @@
             let path = "/record";
             type Records =
                 std::collections::BTreeMap<String, pinereel_fakes::engine::model::Record>;
-            let records: Records = pinereel_fakes::cluster::get(engine.address, path)
+            let records: Records = pinereel_fakes::cluster::get_json(engine.address, path)
                 .await
                 .unwrap();
             if records
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -5,7 +5,7 @@
 mod process_support;
 
 use pinereel_fakes::{
-    cluster::{Cluster, samples, wait_until},
+    cluster::{Cluster, taken_samples, wait_until},
     engine::text,
 };
 use process_support::{
@@ -48,11 +48,11 @@
         "--max-tokens",
         "200",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     taken(&trainer, 0, 32).await;
     taken(&trainer, 1, 4).await;
     cluster
-        .api_faults(json!({ "outage_ms": 100_000 }))
+        .set_object_api_faults(json!({ "outage_ms": 100_000 }))
         .await
         .unwrap();
     let down = Instant::now();
@@ -68,11 +68,11 @@
     measured("lease given up in the outage", down);
     live(&cluster, "outage").await;
     assert!(
-        samples(&trainer).iter().all(|t| t.step < 2),
+        taken_samples(&trainer).iter().all(|t| t.step < 2),
         "a step began without its publish"
     );
     assert!(publish(cluster.entries[0].callers, 9).await.is_err());
-    cluster.api_faults(json!({ "outage_ms": 0 })).await.unwrap();
+    cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
     let back = Instant::now();
     let taken = all_once(&mut trainer, 3, 32).await;
     measured("end of the run after the outage", back);
@@ -89,7 +89,7 @@
         .await
         .unwrap();
     cluster
-        .api_faults(json!({ "delay_ms": 1_000 }))
+        .set_object_api_faults(json!({ "delay_ms": 1_000 }))
         .await
         .unwrap();
     let start = Instant::now();
@@ -105,7 +105,7 @@
         "--train-ms",
         "50",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     live(&cluster, "slow").await;
     let taken = all_once(&mut trainer, 2, 16).await;
     measured("two steps, object API slow by 1 s", start);
@@ -128,7 +128,7 @@
     let (holder, fence) = lease(&cluster).await.unwrap();
     let cut = &cluster.entries[holder];
     cluster
-        .api_faults(json!({ "cut_agents": [cut.name] }))
+        .set_object_api_faults(json!({ "cut_agents": [cut.name] }))
         .await
         .unwrap();
     let start = Instant::now();
@@ -144,7 +144,7 @@
         "--train-ms",
         "50",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     live(&cluster, "cut").await;
     let taken = all_once(&mut trainer, 2, 32).await;
     all_serve(&cluster, 3).await;
@@ -160,7 +160,7 @@
     assert!(publish(cut.callers, 4).await.is_err());
     live(&cluster, "still cut").await;
     cluster
-        .api_faults(json!({ "cut_agents": [] }))
+        .set_object_api_faults(json!({ "cut_agents": [] }))
         .await
         .unwrap();
     let back = Instant::now();
@@ -180,7 +180,7 @@
     let (holder, fence) = lease(&cluster).await.unwrap();
     let faults = json!({ "lose_write_answers": 1, "lose_kind": "leases" });
     let written = cluster.history("leases").await.unwrap().len();
-    cluster.api_faults(faults).await.unwrap();
+    cluster.set_object_api_faults(faults).await.unwrap();
     // The lost one and the renewal after it.
     wait_until(async || cluster.history("leases").await.unwrap().len() >= written + 2)
         .await
@@ -192,7 +192,7 @@
     );
     for version in 2..=4 {
         let faults = json!({ "lose_write_answers": 1, "lose_kind": "weights" });
-        cluster.api_faults(faults).await.unwrap();
+        cluster.set_object_api_faults(faults).await.unwrap();
         let entry = &cluster.entries[version as usize % 2];
         publish(entry.callers, version).await.unwrap();
         all_serve(&cluster, version).await;
--- a/crates/pinereel_fakes/tests/process_pause.rs
+++ b/crates/pinereel_fakes/tests/process_pause.rs
@@ -35,7 +35,7 @@
         loop {
             for (index, address) in addresses.iter().enumerate() {
                 type State = pinereel_api::engine::State;
-                let Ok(state) = cluster::get::<State>(*address, "/v1/state").await else {
+                let Ok(state) = cluster::get_json::<State>(*address, "/v1/state").await else {
                     continue;
                 };
                 let Some(version) = state.version else {
@@ -61,7 +61,7 @@
     for engine in &cluster.engines {
         let url = format!("http://{}/v1/orders", engine.address);
         let order = json!({ "fence": fence, "model": "wording", "version": version });
-        let sent = cluster::client().post(url).send_json(&order).await.unwrap();
+        let sent = cluster::http_client().post(url).send_json(&order).await.unwrap();
         answers.push(sent.status());
     }
     answers
@@ -102,7 +102,7 @@
         "--version",
         "3",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     let (watch, longest) = watch(&cluster);
     cluster.entries[holder].child.signal(Signal::CONT).unwrap();
     taken(&trainer, 0, 4).await;
@@ -131,7 +131,7 @@
     assert!(longest.get() <= allowed, "{:?}", longest.get());
     // The one that woke up takes part as before.
     let entry = &cluster.entries[holder];
-    wait_until(async || entry.ready().await).await.unwrap();
+    wait_until(async || entry.is_ready().await).await.unwrap();
     complete(entry.callers, "awake").await.unwrap();
     let fences: Vec<_> = cluster.history("leases").await.unwrap();
     let fences: Vec<_> = fences
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -29,10 +29,10 @@
     let mut options = options(2, 2, 2);
     let daemon = Path::new(env!("CARGO_BIN_EXE_pinereel-fakes")).with_file_name("pinereel");
     // A build of this crate alone does not make it; `pinereel-fakes entry` runs the same code.
-    options.daemon = daemon.exists().then_some(daemon);
+    options.entry_binary = daemon.exists().then_some(daemon);
     println!(
         "measured: shipped binary used: {}",
-        options.daemon.is_some()
+        options.entry_binary.is_some()
     );
     let mut cluster = Cluster::start(options).await.unwrap();
     let prompt = long_prompt(40);
@@ -66,7 +66,7 @@
         "--max-tokens",
         "60",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     let taken = all_once(&mut trainer, 2, 16).await;
     assert!(taken.iter().all(|t| t.sample.score.is_some()));
     true_versions(&taken, &cluster.attempts().await.unwrap());
@@ -78,7 +78,7 @@
     assert!(placed >= 2, "no line for where a lot went");
     for entry in &mut cluster.entries {
         entry.child.signal(Signal::TERM).unwrap();
-        assert!(cluster::ended(&mut entry.child).await.unwrap());
+        assert!(cluster::wait_for_exit(&mut entry.child).await.unwrap());
     }
     assert_eq!(
         cluster
@@ -110,7 +110,7 @@
             .any(|r| r.tokens > 0)
     };
     wait_until(begun).await.unwrap();
-    let kept = cluster::client();
+    let kept = cluster::http_client();
     let warm = kept
         .get(format!("http://{callers}/ready"))
         .send()
@@ -119,7 +119,7 @@
     assert_eq!(warm.status(), StatusCode::OK);
     let start = Instant::now();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
-    wait_until(async || !cluster.entries[0].ready().await)
+    wait_until(async || !cluster.entries[0].is_ready().await)
         .await
         .unwrap();
     measured("readiness off after SIGTERM", start);
@@ -142,7 +142,7 @@
     );
     let (_, text) = running.await.unwrap().unwrap();
     assert_eq!(text, text::whole(&prompt, 0, 400));
-    assert!(cluster::ended(&mut cluster.entries[0].child).await.unwrap());
+    assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
     measured("exit after SIGTERM, stream of 4 s", start);
     let attempts = cluster.attempts().await.unwrap();
     assert_eq!(attempts.len(), 2, "the stream and the one in the lag");
@@ -168,19 +168,19 @@
 #[actix_rt::test]
 async fn a_planned_stop_ends_an_answer_whose_body_is_on_its_way() {
     let mut options = options(1, 0, 0);
-    options.settings = "[drain]\nbalancer_lag = 50ms\nlongest = 20s\n".into();
+    options.extra_settings = "[drain]\nbalancer_lag = 50ms\nlongest = 20s\n".into();
     let mut cluster = Cluster::start(options).await.unwrap();
     let (address, go_on) = slow_service();
     let instance = json!({ "incarnation": 1, "address": address.to_string(), "zone": "toledo-hall",
         "pool": SERVICES, "state": "live" });
-    cluster::post(cluster.api.address, "/instances/orders-app-0", &instance)
+    cluster::post_json(cluster.object_api.address, "/instances/orders-app-0", &instance)
         .await
         .unwrap();
     let entry = &cluster.entries[0];
     let known = async || entry.metric("pinereel_endpoints_known").await == Some(1.0);
     wait_until(known).await.unwrap();
     let url = format!("http://{}/services/{SERVICES}/report", entry.callers);
-    let mut response = cluster::client().get(url).send().await.unwrap();
+    let mut response = cluster::http_client().get(url).send().await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     let entry = &cluster.entries[0].child;
     wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
@@ -192,5 +192,5 @@
     go_on.send(()).unwrap();
     let body = response.body().await.map_err(|e| e.to_string());
     assert_eq!(body.as_deref(), Ok(&b"first-last"[..]));
-    assert!(cluster::ended(&mut cluster.entries[0].child).await.unwrap());
+    assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
 }
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -47,7 +47,7 @@
                 let mut ready = Vec::new();
                 for address in &entries {
                     let url = format!("http://{address}/ready");
-                    let sent = cluster::client().get(url).send().await;
+                    let sent = cluster::http_client().get(url).send().await;
                     if sent.is_ok_and(|response| response.status() == StatusCode::OK) {
                         ready.push(*address);
                     }
@@ -89,7 +89,7 @@
 async fn a_rolling_restart_cuts_no_request_and_doubles_none() {
     let mut options = options(3, 3, 2);
     // The first step of a trainer finds no lease yet in the way of its weights.
-    options.settings = "[drain]\nbalancer_lag = 500ms\nlongest = 20s\n".into();
+    options.extra_settings = "[drain]\nbalancer_lag = 500ms\nlongest = 20s\n".into();
     let mut cluster = Cluster::start(options).await.unwrap();
     let entries: Vec<_> = cluster.entries.iter().map(|e| e.callers).collect();
     let balancer = Balancer::start(entries);
@@ -116,7 +116,7 @@
         "--train-ms",
         "200",
     ];
-    let mut trainer = cluster.trainer(TRAINER, &flags).unwrap();
+    let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
     process_support::taken(&trainer, 0, 4).await;
     let start = Instant::now();
     for index in 0..3 {
@@ -124,14 +124,14 @@
         cluster.entries[index].child.signal(Signal::TERM).unwrap();
         let stopped = Instant::now();
         assert!(
-            cluster::ended(&mut cluster.entries[index].child)
+            cluster::wait_for_exit(&mut cluster.entries[index].child)
                 .await
                 .unwrap()
         );
         measured("exit after SIGTERM", stopped);
         cluster.entries[index] = cluster.start_entry(index, Some(callers)).unwrap();
         let entry = &cluster.entries[index];
-        wait_until(async || entry.ready().await).await.unwrap();
+        wait_until(async || entry.is_ready().await).await.unwrap();
         let back = async || balancer.ready.borrow().len() == 3;
         wait_until(back).await.unwrap();
     }
@@ -168,7 +168,7 @@
     let engine = &cluster.engines[index];
     let begun = async || {
         type Records = std::collections::BTreeMap<String, pinereel_fakes::engine::model::Record>;
-        let records: Records = cluster::get(engine.address, "/record").await.unwrap();
+        let records: Records = cluster::get_json(engine.address, "/record").await.unwrap();
         records.len()
     };
     let (mut last, mut count, mut number) = (Duration::ZERO, begun().await, 0);
@@ -189,14 +189,14 @@
 #[actix_rt::test]
 async fn a_leaving_engine_gets_nothing_new_although_the_list_lags() {
     let mut options = options(2, 2, 0);
-    options.lag = LIST_LAG;
+    options.instance_list_lag = LIST_LAG;
     options.engine_flags[1] = "2000";
     let cluster = Cluster::start(options).await.unwrap();
     // Said by the platform alone.
     let engine = &cluster.engines[0];
     let told = Instant::now();
     cluster
-        .list_engine(0, engine, InstanceState::Leaving)
+        .register_engine(0, engine, InstanceState::Leaving)
         .await
         .unwrap();
     let last = last_new(&cluster, 0, told, LIST_LAG + 2 * SLACK).await;
@@ -211,7 +211,7 @@
 #[actix_rt::test]
 async fn a_leaving_engine_that_says_so_is_left_alone_long_before_the_list_does() {
     let mut options = options(2, 2, 0);
-    options.lag = LIST_LAG;
+    options.instance_list_lag = LIST_LAG;
     options.engine_flags[1] = "2000";
     let cluster = Cluster::start(options).await.unwrap();
     let engine = &cluster.engines[0];
@@ -232,7 +232,7 @@
     };
     wait_until(before).await.unwrap();
     let said = Instant::now();
-    cluster::post(engine.address, "/faults", &json!({ "leaving": true }))
+    cluster::post_json(engine.address, "/faults", &json!({ "leaving": true }))
         .await
         .unwrap();
     let (mut last, mut count) = (Duration::ZERO, sent());
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -6,10 +6,10 @@
 use futures_util::TryStreamExt as _;
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
-    cluster::{self, Cluster, Options, samples, wait_until},
+    cluster::{self, Cluster, Options, taken_samples, wait_until},
     engine::{batch, text},
     child_process::Child,
-    trainer::{Report, step::Taken},
+    trainer::{Report, step::TakenSample},
 };
 use serde_json::{Value, json};
 use std::{
@@ -37,11 +37,11 @@
         "trainers": { TRAINER: { "pool": ENGINES, "bound": 1, "scorer": SERVICES } },
     });
     Options {
-        program: env!("CARGO_BIN_EXE_pinereel-fakes").into(),
-        daemon: None,
+        fakes_binary: env!("CARGO_BIN_EXE_pinereel-fakes").into(),
+        entry_binary: None,
         zones: vec!["toledo-hall".into(), "erie-hall".into()],
-        entries,
-        engines: (ENGINES.into(), engines),
+        entry_count: entries,
+        engine_pool: (ENGINES.into(), engines),
         engine_flags: vec![
             "--tokens-per-second",
             "300",
@@ -50,10 +50,10 @@
             "--warm-up-ms",
             "50",
         ],
-        services: (SERVICES.into(), services),
-        lag: Duration::from_millis(50),
+        service_pool: (SERVICES.into(), services),
+        instance_list_lag: Duration::from_millis(50),
         document: serde_json::from_value(document).unwrap(),
-        settings: "[drain]\nbalancer_lag = 1s\nlongest = 20s\n".into(),
+        extra_settings: "[drain]\nbalancer_lag = 1s\nlongest = 20s\n".into(),
     }
 }
 
@@ -68,7 +68,7 @@
 pub async fn complete(entry: SocketAddr, prompt: &str) -> Result<(String, Value), String> {
     let request = json!({ "model": ENGINES, "prompt": prompt, "max_tokens": 40 });
     let url = format!("http://{entry}/v1/completions");
-    let sent = cluster::client().post(url).send_json(&request).await;
+    let sent = cluster::http_client().post(url).send_json(&request).await;
     let mut response = sent.map_err(|e| e.to_string())?;
     let status = response.status();
     let answer: Value = response.json().await.map_err(|e| e.to_string())?;
@@ -83,7 +83,7 @@
 pub async fn stream(entry: SocketAddr, prompt: &str, max: u32) -> Result<(String, String), String> {
     let request = json!({ "model": ENGINES, "prompt": prompt, "max_tokens": max, "stream": true });
     let url = format!("http://{entry}/v1/completions");
-    let sent = cluster::client().post(url).send_json(&request).await;
+    let sent = cluster::http_client().post(url).send_json(&request).await;
     let mut response = sent.map_err(|e| e.to_string())?;
     if response.status() != StatusCode::OK {
         let problem = response.body().await.map_err(|e| e.to_string())?;
@@ -114,7 +114,7 @@
 /// Books an order; the problem if it was not booked.
 pub async fn order(entry: SocketAddr, body: String) -> Result<(), String> {
     let url = format!("http://{entry}/services/{SERVICES}/orders");
-    let sent = cluster::client().post(url).send_body(body).await;
+    let sent = cluster::http_client().post(url).send_body(body).await;
     let mut response = sent.map_err(|e| e.to_string())?;
     let answer = response.body().await.map_err(|e| e.to_string())?;
     if response.status() == StatusCode::OK {
@@ -132,11 +132,11 @@
 
 /// Waits for the trainer's end and checks it: every sample of every step once, whole and within
 /// the bound. Gives the samples.
-pub async fn all_once(trainer: &mut Child, steps: u64, lot: u32) -> Vec<Taken> {
-    let well = cluster::ended(trainer).await.unwrap();
+pub async fn all_once(trainer: &mut Child, steps: u64, lot: u32) -> Vec<TakenSample> {
+    let well = cluster::wait_for_exit(trainer).await.unwrap();
     let report = report(trainer);
     assert!(well && report.clean(), "{report:?}");
-    let taken = samples(trainer);
+    let taken = taken_samples(trainer);
     let places: BTreeSet<_> = taken.iter().map(|t| (t.step, t.sample.index)).collect();
     assert_eq!(places.len(), taken.len(), "a sample came twice");
     let expected = (0..steps).flat_map(|step| (0..lot).map(move |index| (step, index)));
@@ -147,7 +147,7 @@
 /// Waits until the trainer took `count` samples of `step`.
 pub async fn taken(trainer: &Child, step: u64, count: usize) {
     let there = async || {
-        let all = samples(trainer);
+        let all = taken_samples(trainer);
         all.iter().filter(|t| t.step == step).count() >= count
     };
     wait_until(there)
@@ -160,7 +160,7 @@
 /// A sample made in one attempt names just the versions of that attempt. One that was resumed
 /// names all versions of its last attempt, and none that took no part in any.
 pub fn true_versions(
-    taken: &[Taken],
+    taken: &[TakenSample],
     attempts: &BTreeMap<compact_str::CompactString, batch::Record>,
 ) -> usize {
     let mut by_sample: BTreeMap<(&str, u64), Vec<&batch::Record>> = BTreeMap::new();
@@ -219,7 +219,7 @@
 pub async fn served(cluster: &Cluster) -> Vec<Option<Version>> {
     let mut all = Vec::new();
     for engine in &cluster.engines {
-        let state = cluster::get::<pinereel_api::engine::State>(engine.address, "/v1/state").await;
+        let state = cluster::get_json::<pinereel_api::engine::State>(engine.address, "/v1/state").await;
         all.push(state.ok().and_then(|state| state.version));
     }
     all
@@ -241,7 +241,7 @@
 /// Announces new weights through an entry.
 pub async fn publish(entry: SocketAddr, version: u64) -> std::io::Result<()> {
     let path = format!("/v1/trainers/{TRAINER}/versions");
-    cluster::post(entry, &path, &json!({ "version": version })).await
+    cluster::post_json(entry, &path, &json!({ "version": version })).await
 }
 
 /// Decision lines of an entry with these texts.
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -24,17 +24,17 @@
             "saskatoon-hall".into(),
             "moosejaw-hall".into(),
         ],
-        entries,
-        engines: vec![("winder-lm".into(), engines)],
+        entry_count: entries,
+        engine_pools: vec![("winder-lm".into(), engines)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
             swap: Duration::from_millis(100),
             ..batch::Options::default()
         },
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document,
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
     }
 }
 
@@ -73,7 +73,7 @@
     served(&site, 2).await;
     publish(&site, 5).await;
     served(&site, 5).await;
-    let leases = site.api.objects("leases").items;
+    let leases = site.object_api.objects("leases").items;
     assert_eq!(leases.len(), 1);
 }
 
@@ -91,7 +91,7 @@
     let leaving = site.entries.remove(holder);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    let lease = &site.api.objects("leases").items[0];
+    let lease = &site.object_api.objects("leases").items[0];
     let own = leaving.shared.name().as_str();
     let held = lease.value["holder"].as_str().unwrap();
     assert!(
@@ -100,7 +100,7 @@
     );
     publish(&site, 3).await;
     served(&site, 3).await;
-    let fence = |site: &Site| site.api.objects("leases").items[0].value["fence"].as_u64();
+    let fence = |site: &Site| site.object_api.objects("leases").items[0].value["fence"].as_u64();
     assert_eq!(
         fence(&site),
         Some(2),
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -24,17 +24,17 @@
     let settings = "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n";
     Options {
         zones: vec!["regina-hall".into(), "saskatoon-hall".into()],
-        entries,
-        engines: vec![("winder-lm".into(), engines)],
+        entry_count: entries,
+        engine_pools: vec![("winder-lm".into(), engines)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
             swap: Duration::from_millis(50),
             ..batch::Options::default()
         },
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document,
-        lag: Duration::from_millis(50),
-        settings: format!("{settings}[policy]\nsubset = {subset}\n"),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: format!("{settings}[policy]\nsubset = {subset}\n"),
     }
 }
 
@@ -89,7 +89,7 @@
     let site = Site::start(options(1, 1, 64)).await.unwrap();
     let known = || site.entries[0].shared.endpoints.set().iter().count();
     let first = &site.engines[0];
-    site.api.put_instance(
+    site.object_api.put_instance(
         "winder-lm-late",
         Instance {
             incarnation: 1,
@@ -100,13 +100,13 @@
         },
     );
     wait_until(|| known() == 2).await.unwrap();
-    site.api.remove_instance("winder-lm-late");
+    site.object_api.remove_instance("winder-lm-late");
     wait_until(|| known() == 1).await.unwrap();
     // Also after the watch's history was lost.
-    site.api.faults(Faults {
+    site.object_api.faults(Faults {
         end_watches: Some(true),
         ..Default::default()
     });
-    site.api.remove_instance(&first.name);
+    site.object_api.remove_instance(&first.name);
     wait_until(|| known() == 0).await.unwrap();
 }
