--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -84,7 +84,7 @@
   --print-samples        print each sample that is taken
   --max-seconds N        end by itself after N seconds (default 600)
   --help                 print this"],
-        run: trainer::process::main,
+        run: trainer::cli::main,
     },
     Tool {
         name: "entry",
--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -81,11 +81,11 @@
         name: deployment.trainer.into(),
         entries: site.caller_addresses(),
         steps: STEPS,
-        groups: GROUPS,
-        samples: SAMPLES,
+        groups_per_step: GROUPS,
+        samples_per_group: SAMPLES,
         max_tokens: TOKENS,
-        train: TRAIN,
-        bound: deployment.bound,
+        train_time: TRAIN,
+        staleness_bound: deployment.bound,
         ..trainer::Options::default()
     })
 }
@@ -159,13 +159,13 @@
     let wanted = STEPS * u64::from(GROUPS * SAMPLES);
     summary.check(
         "every sample comes once",
-        t.repeats == 0 && t.samples == wanted,
+        t.duplicates == 0 && t.samples == wanted,
         t.samples,
     );
     let fresh = t.stale == 0 && t.staleness.max <= deployment.bound;
     summary.check("no sample is older than the bound", fresh, t.staleness.max);
-    summary.check("every sample names its weights", t.void == 0, t.void);
-    summary.check("every sample's text is whole", t.broken == 0, t.broken);
+    summary.check("every sample names its weights", t.invalid_versions == 0, t.invalid_versions);
+    summary.check("every sample's text is whole", t.invalid_texts == 0, t.invalid_texts);
 }
 
 fn check_live(summary: &mut Summary, deployment: &Deployment, site: &Site, seen: &Seen) {
--- a/crates/pinereel_fakes/src/trainer/client.rs
+++ b/crates/pinereel_fakes/src/trainer/client.rs
@@ -1,9 +1,9 @@
-//! The trainers' client: talks to whichever entry answers.
+//! The trainers' client, which fails over between entries.
 //!
-//! Submit, collect and publish are all safe to repeat, so a lost answer is asked for again at the
-//! next entry. A refusal's `Retry-After` is honoured.
+//! Submit, collect and publish are idempotent, so the client repeats a failed call at the next entry
+//! until the retry timeout. It honours the retry delay of a refusal.
 
-use super::Collection;
+use super::PartialLot;
 use awc::{
     ClientResponse,
     error::{JsonPayloadError, SendRequestError},
@@ -19,37 +19,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for a connection.
+/// Timeout for connecting to an entry.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for an answer, beyond the wait that a collect asks for.
+/// Timeout for a response, in addition to the wait that a collect call asks for.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before the next entry is tried when nothing says how long.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause, whatever an answer says.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Delay before a retry if the response names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Upper bound on the delay that a response names.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Why a call failed for good.
+/// Why a call failed, after retries where they can help.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There is no entry to talk to.
+    /// The client was built without entries.
     #[error("no entry address is given")]
     NoEntry,
-    /// No entry answered in time; the last reason.
-    #[error("no entry answered within the patience: {0}")]
-    Patience(String),
-    /// An entry refused; repeating does not help.
+    /// No entry answered within the retry timeout. Holds the last failure.
+    #[error("no entry answered within the retry timeout: {0}")]
+    RetryTimeout(String),
+    /// An entry refused the call for a reason that a retry can't change.
     #[error("refused: {0:?}")]
     Refused(Problem),
 }
 
 /// Why one attempt failed.
 enum Failure {
-    /// Refused for good.
-    Final(Problem),
-    /// Worth another try after the pause.
-    Again(Duration, String),
+    /// The entry refused the call for a reason that a retry can't change.
+    Permanent(Problem),
+    /// A retry may succeed after the delay. The text names the reason.
+    Temporary(Duration, String),
 }
 
 /// A client of a list of entries.
@@ -57,17 +57,17 @@
 pub struct Client {
     http: awc::Client,
     entries: Vec<String>,
-    /// Index of the entry that is asked next.
-    at: usize,
-    /// How long a call is repeated before it fails.
-    patience: Duration,
-    /// Attempts that were repeated.
+    /// Index of the entry that gets the next attempt.
+    entry_index: usize,
+    /// How long a call is retried before it fails.
+    retry_timeout: Duration,
+    /// Number of retries over all calls.
     pub retries: u64,
 }
 
 impl Client {
-    /// A client of `entries` (`HOST:PORT` each) that repeats a call for up to `patience`.
-    pub fn new(entries: Vec<String>, patience: Duration) -> Self {
+    /// Builds a client of `entries` (`HOST:PORT` each) that retries each call for `retry_timeout`.
+    pub fn new(entries: Vec<String>, retry_timeout: Duration) -> Self {
         let connector = awc::Connector::new().timeout(CONNECT_TIMEOUT);
         let http = awc::Client::builder()
             .connector(connector)
@@ -76,89 +76,93 @@
         Self {
             http,
             entries,
-            at: 0,
-            patience,
+            entry_index: 0,
+            retry_timeout,
             retries: 0,
         }
     }
 
-    /// Submits a lot. Safe to repeat.
+    /// Submits a lot. The call is idempotent.
     ///
     /// # Errors
-    /// Refused for good, or no entry answered in time.
-    pub async fn submit(&mut self, lot: Lot) -> Result<Collection, Error> {
+    /// An entry refused the lot, or no entry answered within the retry timeout.
+    pub async fn submit(&mut self, lot: Lot) -> Result<PartialLot, Error> {
         let submitted: Submitted = self.call("/v1/lots", &lot, CALL_TIMEOUT).await?;
-        Ok(Collection::new(lot, submitted.token))
+        Ok(PartialLot::new(lot, submitted.token))
     }
 
-    /// Asks for samples that `collection` lacks, for a trainer at `version`. May return none.
+    /// Collects up to `max` missing samples of `partial_lot` for a trainer at `version`. The entry
+    /// waits up to `wait` for samples, and the result may be empty.
     ///
-    /// An entry that lacks the lot gets it again; the token held stays.
+    /// An entry that does not know the lot gets it again, and the collection token is kept.
     ///
     /// # Errors
-    /// Refused for good, or no entry answered in time.
+    /// An entry refused the call, or no entry answered within the retry timeout.
     pub async fn collect(
         &mut self,
-        collection: &mut Collection,
+        partial_lot: &mut PartialLot,
         version: Version,
         max: u32,
         wait: Duration,
     ) -> Result<Vec<Sample>, Error> {
-        let path = format!("/v1/lots/{}/collect", collection.lot.id);
-        let ask = Collect {
-            token: collection.token.clone(),
+        let path = format!("/v1/lots/{}/collect", partial_lot.lot.id);
+        let request = Collect {
+            token: partial_lot.token.clone(),
             version,
             max,
             wait_ms: wait.as_millis() as u64,
         };
-        let answer: Collected = match self.call(&path, &ask, wait + CALL_TIMEOUT).await {
+        let response: Collected = match self.call(&path, &request, wait + CALL_TIMEOUT).await {
             Err(Error::Refused(problem)) if problem.code == Code::LotUnknown => {
-                collection.resubmits += 1;
-                let lot = &collection.lot;
+                partial_lot.resubmits += 1;
+                let lot = &partial_lot.lot;
                 let _: Submitted = self.call("/v1/lots", lot, CALL_TIMEOUT).await?;
-                // An entry that forgets lots at once must not make the two calls spin.
-                tokio::time::sleep(PAUSE).await;
+                // Prevents a busy loop of collect and submit at an entry that keeps losing the lot.
+                tokio::time::sleep(DEFAULT_RETRY_DELAY).await;
                 return Ok(Vec::new());
             }
-            answer => answer?,
+            response => response?,
         };
-        Ok(collection.take(answer))
+        Ok(partial_lot.accept(response))
     }
 
-    /// Announces new weights. Safe to repeat.
+    /// Announces a new version of the trainer's weights. The call is idempotent.
     ///
     /// # Errors
-    /// Refused for good, or no entry answered in time.
+    /// An entry refused the version, or no entry answered within the retry timeout.
     pub async fn publish(&mut self, trainer: &str, version: Version) -> Result<Published, Error> {
         let path = format!("/v1/trainers/{trainer}/versions");
         self.call(&path, &Publish { version }, CALL_TIMEOUT).await
     }
 
-    /// Repeats a call, at the next entry each time, until it is answered or patience ends.
+    /// Sends a call, and after a temporary failure sends it again to the next entry, until an entry
+    /// answers or the retry timeout would pass.
     async fn call<T: DeserializeOwned>(
         &mut self,
         path: &str,
         body: &impl Serialize,
         timeout: Duration,
     ) -> Result<T, Error> {
-        let end = Instant::now() + self.patience;
+        let deadline = Instant::now() + self.retry_timeout;
         loop {
-            let entry = self.entries.get(self.at).ok_or(Error::NoEntry)?;
+            let entry = self.entries.get(self.entry_index).ok_or(Error::NoEntry)?;
             let url = format!("http://{entry}{path}");
-            let (pause, reason) = match self.attempt(&url, body, timeout).await {
-                Ok(answer) => return Ok(answer),
-                Err(Failure::Final(problem)) => return Err(Error::Refused(problem)),
-                Err(Failure::Again(pause, reason)) => (pause, reason),
+            let (delay, reason) = match self.attempt(&url, body, timeout).await {
+                Ok(response) => return Ok(response),
+                Err(Failure::Permanent(problem)) => return Err(Error::Refused(problem)),
+                Err(Failure::Temporary(delay, reason)) => (delay, reason),
             };
-            if Instant::now() + pause >= end {
-                return Err(Error::Patience(reason));
+            if Instant::now() + delay >= deadline {
+                return Err(Error::RetryTimeout(reason));
             }
             self.retries += 1;
-            self.at = (self.at + 1) % self.entries.len();
-            tokio::time::sleep(pause).await;
+            self.entry_index = (self.entry_index + 1) % self.entries.len();
+            tokio::time::sleep(delay).await;
         }
     }
 
+    /// Sends a call once. `timeout` bounds the wait for the head of the response and then, once more,
+    /// the wait for its body.
     async fn attempt<T: DeserializeOwned>(
         &self,
         url: &str,
@@ -166,24 +170,32 @@
         timeout: Duration,
     ) -> Result<T, Failure> {
         let call = self.http.post(url).timeout(timeout).send_json(body);
-        let mut answer = call.await.map_err(lost)?;
+        let mut response = call.await.map_err(send_failure)?;
         let read = async {
-            if answer.status() == StatusCode::OK {
-                // A body that was cut is not JSON, so it is never taken for an answer.
-                return answer.json().limit(MAX_ANSWER).await.map_err(broken);
+            if response.status() == StatusCode::OK {
+                // A truncated body is not valid JSON, so it counts as a failure.
+                let json = response.json().limit(MAX_RESPONSE_BYTES);
+                return json.await.map_err(body_failure);
             }
-            let header = retry_after(&answer);
-            let problem = answer.json().limit(MAX_ANSWER).await.map_err(broken)?;
-            Err(judge(problem, header))
+            let retry_after = retry_after(&response);
+            let json = response.json().limit(MAX_RESPONSE_BYTES);
+            let problem = json.await.map_err(body_failure)?;
+            Err(refusal_failure(problem, retry_after))
         };
-        let late = |_| Failure::Again(PAUSE, "answer was not complete in time".into());
-        tokio::time::timeout(timeout, read).await.map_err(late)?
+        let timed_out = |_| {
+            let reason = "timeout while reading the response body";
+            Failure::Temporary(DEFAULT_RETRY_DELAY, reason.into())
+        };
+        tokio::time::timeout(timeout, read)
+            .await
+            .map_err(timed_out)?
     }
 }
 
-/// Which refusals are worth another try.
-fn judge(problem: Problem, header: Option<Duration>) -> Failure {
-    let pause = match problem.code {
+/// Decides by the code of a refusal whether a retry can help, and after which delay. The delay of the
+/// problem has precedence over that of the `Retry-After` header.
+fn refusal_failure(problem: Problem, retry_after: Option<Duration>) -> Failure {
+    let delay = match problem.code {
         Code::Unavailable
         | Code::Overloaded
         | Code::NoEndpoint
@@ -192,21 +204,22 @@
         | Code::SlowSender
         | Code::Unknown
         | Code::Deadline => problem.retry_after_ms.map(Duration::from_millis),
-        _ => return Failure::Final(problem),
+        _ => return Failure::Permanent(problem),
     };
-    let pause = pause.or(header).unwrap_or(PAUSE).min(MAX_PAUSE);
-    Failure::Again(pause, problem.message.into())
+    let delay = delay.or(retry_after).unwrap_or(DEFAULT_RETRY_DELAY);
+    Failure::Temporary(delay.min(MAX_RETRY_DELAY), problem.message.into())
 }
 
-fn retry_after<S>(answer: &ClientResponse<S>) -> Option<Duration> {
-    let value = answer.headers().get(RETRY_AFTER)?.to_str().ok()?;
+/// The `Retry-After` header, if it gives a number of seconds.
+fn retry_after<S>(response: &ClientResponse<S>) -> Option<Duration> {
+    let value = response.headers().get(RETRY_AFTER)?.to_str().ok()?;
     value.parse().ok().map(Duration::from_secs)
 }
 
-fn lost(error: SendRequestError) -> Failure {
-    Failure::Again(PAUSE, error.to_string())
+fn send_failure(error: SendRequestError) -> Failure {
+    Failure::Temporary(DEFAULT_RETRY_DELAY, error.to_string())
 }
 
-fn broken(error: JsonPayloadError) -> Failure {
-    Failure::Again(PAUSE, error.to_string())
+fn body_failure(error: JsonPayloadError) -> Failure {
+    Failure::Temporary(DEFAULT_RETRY_DELAY, error.to_string())
 }
--- a/crates/pinereel_fakes/src/trainer/mod.rs
+++ b/crates/pinereel_fakes/src/trainer/mod.rs
@@ -1,17 +1,17 @@
-//! A trainer: the client library, and a stand-in that drives steps with it.
+//! A client library for trainers, and a stand-in trainer that runs steps with it.
 //!
-//! - [`Client`]: submit, collect and publish against a list of entries.
-//! - [`Collection`]: what a trainer holds of one lot; takes each sample once.
-//! - [`Trainer`]: runs steps and tells how long it stood idle and how stale its samples were.
+//! - [`Client`]: submits and collects lots and publishes versions, at any of a list of entries.
+//! - [`PartialLot`]: the received samples of one lot; takes each sample once.
+//! - [`Trainer`]: runs steps and reports its idle time and the staleness of its samples.
 
+pub mod cli;
 pub mod client;
-pub mod collection;
-pub mod process;
+pub mod partial_lot;
 pub mod report;
 pub mod step;
 
+pub use cli::{main, run};
 pub use client::Client;
-pub use collection::Collection;
-pub use process::{main, run};
+pub use partial_lot::PartialLot;
 pub use report::Report;
 pub use step::{Options, Trainer};
--- a/crates/pinereel_fakes/src/trainer/report.rs
+++ b/crates/pinereel_fakes/src/trainer/report.rs
@@ -1,14 +1,15 @@
-//! What a trainer saw of its samples.
+//! The report of a trainer run: checks of its samples, and figures on idle time and staleness.
 
 use crate::engine::text;
 use pinereel_api::trainer::{Group, Sample};
 use pinereel_core::Version;
 use serde::{Deserialize, Serialize};
 
-/// How far behind the trainer its samples were, in versions, by their oldest span.
+/// Staleness of the samples: the number of versions by which the oldest version span of a sample is
+/// behind the trainer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Staleness {
-    /// Mean.
+    /// Mean over all samples.
     pub mean: f64,
     /// 99th percentile.
     pub p99: u64,
@@ -16,90 +17,97 @@
     pub max: u64,
 }
 
-/// The result of a run. All of `repeats`, `stale`, `void` and `broken` must be zero.
+/// The result of a run, which is printed as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Steps trained.
+    /// Steps completed.
     pub steps: u64,
     /// Samples taken.
     pub samples: u64,
-    /// Output tokens taken.
+    /// Output tokens of the samples taken.
     pub tokens: u64,
-    /// Milliseconds with nothing to train on.
+    /// Milliseconds spent waiting for the samples of a step.
     pub idle_ms: u64,
-    /// Milliseconds of training.
+    /// Milliseconds spent training.
     pub train_ms: u64,
-    /// Share of the run that was idle.
+    /// Idle time as a share of idle and training time, from 0 to 1.
     pub idle_share: f64,
-    /// How stale the samples were.
+    /// Staleness of the samples.
     pub staleness: Staleness,
-    /// Samples that came twice or belong to no group of the lot.
-    pub repeats: u64,
-    /// Samples older than the bound.
+    /// Samples that were received before, or whose index or group is not in the lot.
+    #[serde(rename = "repeats")]
+    pub duplicates: u64,
+    /// Samples whose staleness exceeds the bound.
     pub stale: u64,
     /// Samples without version spans, or with a span newer than the trainer.
-    pub void: u64,
-    /// Samples whose text is not whole.
-    pub broken: u64,
-    /// Answers dropped because they were made for another token.
-    pub strays: u64,
-    /// Times a lot was submitted again.
+    #[serde(rename = "void")]
+    pub invalid_versions: u64,
+    /// Samples whose text or token count is wrong.
+    #[serde(rename = "broken")]
+    pub invalid_texts: u64,
+    /// Responses dropped because they answer a call with another collection token.
+    #[serde(rename = "strays")]
+    pub rejected_responses: u64,
+    /// Times that a lot was submitted again.
     pub resubmits: u64,
-    /// Attempts that were repeated.
+    /// Calls that were sent again after a temporary failure.
     pub retries: u64,
     /// Staleness of each sample.
     #[serde(skip)]
-    behind: Vec<u64>,
+    staleness_of_samples: Vec<u64>,
 }
 
 impl Report {
-    /// Whether nothing came that must never come.
-    pub const fn clean(&self) -> bool {
-        self.repeats == 0 && self.stale == 0 && self.void == 0 && self.broken == 0
+    /// Whether no sample was a duplicate, too stale, or invalid in its versions or text.
+    pub const fn is_valid(&self) -> bool {
+        self.duplicates == 0
+            && self.stale == 0
+            && self.invalid_versions == 0
+            && self.invalid_texts == 0
     }
 
-    /// Checks and counts one sample of `group`, for a trainer at `version` with a staleness
-    /// `bound`. `whole` also checks the text, which only the engine stand-in's texts pass.
-    pub fn check(
+    /// Checks and counts one sample of `group`, for a trainer at `version` with a staleness bound of
+    /// `bound` versions. With `check_text` the text must be one that the engine stand-in generates.
+    pub fn record(
         &mut self,
         sample: &Sample,
         group: &Group,
         version: Version,
         bound: u64,
-        whole: bool,
+        check_text: bool,
     ) {
         self.samples += 1;
         self.tokens += u64::from(sample.tokens);
         let newest = sample.spans.iter().map(|span| span.version).max();
         let oldest = sample.spans.iter().map(|span| span.version).min();
         let (Some(oldest), Some(newest)) = (oldest, newest) else {
-            self.void += 1;
+            self.invalid_versions += 1;
             return;
         };
-        self.void += u64::from(newest > version);
-        let behind = oldest.versions_behind(version);
-        self.behind.push(behind);
-        self.stale += u64::from(behind > bound);
+        self.invalid_versions += u64::from(newest > version);
+        let staleness = oldest.versions_behind(version);
+        self.staleness_of_samples.push(staleness);
+        self.stale += u64::from(staleness > bound);
         let words = sample.text.split_whitespace().count() as u32;
-        let flawed = text::check(&group.prompt, group.max_tokens, &sample.text).is_err();
-        self.broken += u64::from(whole && (flawed || words != sample.tokens));
+        let is_wrong = text::check(&group.prompt, group.max_tokens, &sample.text).is_err();
+        self.invalid_texts += u64::from(check_text && (is_wrong || words != sample.tokens));
     }
 
-    /// Works out the figures over the whole run.
+    /// Computes the figures over the whole run, after the last sample.
     pub fn finish(&mut self) {
-        let total = self.idle_ms + self.train_ms;
-        self.idle_share = self.idle_ms as f64 / total.max(1) as f64;
-        self.behind.sort_unstable();
-        let count = self.behind.len();
-        let sum: u64 = self.behind.iter().sum();
+        let total_ms = self.idle_ms + self.train_ms;
+        self.idle_share = self.idle_ms as f64 / total_ms.max(1) as f64;
+        let sorted = &mut self.staleness_of_samples;
+        sorted.sort_unstable();
+        let count = sorted.len();
+        let sum: u64 = sorted.iter().sum();
         self.staleness = Staleness {
             mean: sum as f64 / count.max(1) as f64,
-            p99: self
-                .behind
+            p99: sorted
                 .get((count * 99).div_ceil(100).saturating_sub(1))
                 .copied()
                 .unwrap_or(0),
-            max: self.behind.last().copied().unwrap_or(0),
+            max: sorted.last().copied().unwrap_or(0),
         };
     }
 }
--- a/crates/pinereel_fakes/src/trainer/step.rs
+++ b/crates/pinereel_fakes/src/trainer/step.rs
@@ -1,4 +1,5 @@
-//! The stand-in for a trainer: submit a step's lot, collect it, train, publish, again.
+//! The stand-in trainer. Each step submits a lot, collects its samples, waits for the training time
+//! and publishes the next version.
 
 use super::{Client, Report, client::Error};
 use compact_str::{CompactString, format_compact};
@@ -8,42 +9,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most samples in one answer.
-const COLLECT_MAX: u32 = 256;
-/// Longest wait of one collect.
+/// Maximum number of samples that one collect call asks for.
+const COLLECT_MAX_SAMPLES: u32 = 256;
+/// Time that one collect call waits for samples.
 const COLLECT_WAIT: Duration = Duration::from_secs(1);
 
-/// What the stand-in trains.
+/// Options of the stand-in trainer.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the configuration.
+    /// Name of the trainer in the configuration.
     pub name: CompactString,
     /// Addresses of the entries, `HOST:PORT` each.
     pub entries: Vec<String>,
-    /// Steps to run.
+    /// Number of steps to run.
     pub steps: u64,
-    /// Groups a step.
-    pub groups: u32,
-    /// Samples a group.
-    pub samples: u32,
-    /// Most tokens a sample.
+    /// Number of groups in the lot of a step.
+    pub groups_per_step: u32,
+    /// Number of samples in a group.
+    pub samples_per_group: u32,
+    /// Maximum number of output tokens of a sample.
     pub max_tokens: u32,
-    /// Time that training on a step's samples takes.
-    pub train: Duration,
-    /// Its staleness bound, in versions.
-    pub bound: u64,
-    /// The version it starts with, which the engines serve.
-    pub version: Version,
-    /// Whether texts are checked, which only the engine stand-in's texts pass.
-    pub whole: bool,
-    /// Time within which a step's samples are wanted.
-    pub deadline: Duration,
-    /// How long a call is repeated before the run fails.
-    pub patience: Duration,
-    /// Makes lot ids and prompts differ between runs.
+    /// Time that a step's training takes.
+    pub train_time: Duration,
+    /// Staleness bound by which the samples are checked, in versions.
+    pub staleness_bound: u64,
+    /// The trainer's version in the first step. The engines already serve it.
+    pub initial_version: Version,
+    /// Whether texts are checked. Only texts of the engine stand-in pass.
+    pub check_texts: bool,
+    /// Time within which the samples of a lot are wanted.
+    pub lot_deadline: Duration,
+    /// How long a call is retried before the run fails.
+    pub retry_timeout: Duration,
+    /// Number that makes lot ids and prompts differ between runs.
     pub seed: u64,
-    /// Whether each sample that is taken is printed as `sample JSON`, see [`TakenSample`].
-    pub print: bool,
+    /// Whether each sample taken is printed as `sample JSON`, see [`TakenSample`].
+    pub print_samples: bool,
 }
 
 impl Default for Options {
@@ -52,35 +53,35 @@
             name: "trainer".into(),
             entries: Vec::new(),
             steps: 3,
-            groups: 4,
-            samples: 4,
+            groups_per_step: 4,
+            samples_per_group: 4,
             max_tokens: 256,
-            train: Duration::from_millis(200),
-            bound: 1,
-            version: Version(1),
-            whole: true,
-            deadline: Duration::from_secs(60),
-            patience: Duration::from_secs(60),
+            train_time: Duration::from_millis(200),
+            staleness_bound: 1,
+            initial_version: Version(1),
+            check_texts: true,
+            lot_deadline: Duration::from_secs(60),
+            retry_timeout: Duration::from_secs(60),
             seed: 0,
-            print: false,
+            print_samples: false,
         }
     }
 }
 
-/// One sample that was taken, as it is printed.
+/// A sample that the trainer took, as it is printed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakenSample {
-    /// The step.
+    /// Step of the sample's lot.
     pub step: u64,
-    /// The trainer's version.
+    /// The trainer's version when it took the sample.
     pub version: Version,
-    /// The prompt.
+    /// Prompt of the sample's group.
     pub prompt: String,
-    /// The sample.
+    /// The sample as collected.
     pub sample: Sample,
 }
 
-/// A trainer between steps.
+/// A stand-in trainer.
 pub struct Trainer {
     options: Options,
     client: Client,
@@ -89,11 +90,11 @@
 }
 
 impl Trainer {
-    /// A trainer that has not begun.
+    /// A trainer before its first step.
     pub fn new(options: Options) -> Self {
         Self {
-            client: Client::new(options.entries.clone(), options.patience),
-            version: options.version,
+            client: Client::new(options.entries.clone(), options.retry_timeout),
+            version: options.initial_version,
             report: Report::default(),
             options,
         }
@@ -102,45 +103,55 @@
     /// Runs all steps.
     ///
     /// # Errors
-    /// A call was refused for good, or no entry answered in time.
+    /// An entry refused a call, or no entry answered within the retry timeout.
     pub async fn run(mut self) -> Result<Report, Error> {
         for step in 0..self.options.steps {
-            let wanted = Instant::now();
-            self.gather(step).await?;
-            self.report.idle_ms += wanted.elapsed().as_millis() as u64;
-            self.train().await?;
+            let start = Instant::now();
+            self.collect_step(step).await?;
+            self.report.idle_ms += start.elapsed().as_millis() as u64;
+            self.train_step().await?;
         }
         self.report.retries = self.client.retries;
         self.report.finish();
         Ok(self.report)
     }
 
-    /// Collects all samples of one step.
-    async fn gather(&mut self, step: u64) -> Result<(), Error> {
+    /// Submits the lot of a step and collects all its samples.
+    async fn collect_step(&mut self, step: u64) -> Result<(), Error> {
         let lot = self.lot(step);
-        let mut collection = self.client.submit(lot).await?;
-        while collection.missing() > 0 {
+        let mut partial_lot = self.client.submit(lot).await?;
+        while partial_lot.missing() > 0 {
             let samples = self
                 .client
-                .collect(&mut collection, self.version, COLLECT_MAX, COLLECT_WAIT)
+                .collect(
+                    &mut partial_lot,
+                    self.version,
+                    COLLECT_MAX_SAMPLES,
+                    COLLECT_WAIT,
+                )
                 .await?;
             for sample in &samples {
-                self.check(sample, &collection.lot);
+                self.record(sample, &partial_lot.lot);
             }
         }
-        self.report.repeats += collection.repeats;
-        self.report.strays += collection.strays;
-        self.report.resubmits += collection.resubmits;
+        self.report.duplicates += partial_lot.duplicates;
+        self.report.rejected_responses += partial_lot.rejected_responses;
+        self.report.resubmits += partial_lot.resubmits;
         Ok(())
     }
 
-    fn check(&mut self, sample: &Sample, lot: &Lot) {
+    /// Checks and counts a sample, and prints it if the options say so.
+    fn record(&mut self, sample: &Sample, lot: &Lot) {
         let Some(group) = lot.groups.get(sample.group as usize) else {
-            self.report.repeats += 1;
+            self.report.duplicates += 1;
             return;
         };
-        let Options { bound, whole, .. } = self.options;
-        if self.options.print {
+        let Options {
+            staleness_bound,
+            check_texts,
+            ..
+        } = self.options;
+        if self.options.print_samples {
             print(&TakenSample {
                 step: lot.step,
                 version: self.version,
@@ -148,13 +159,14 @@
                 sample: sample.clone(),
             });
         }
-        self.report.check(sample, group, self.version, bound, whole);
+        self.report
+            .record(sample, group, self.version, staleness_bound, check_texts);
     }
 
-    /// Trains on what was gathered and publishes the new weights.
-    async fn train(&mut self) -> Result<(), Error> {
+    /// Waits for the training time and publishes the next version.
+    async fn train_step(&mut self) -> Result<(), Error> {
         let start = Instant::now();
-        tokio::time::sleep(self.options.train).await;
+        tokio::time::sleep(self.options.train_time).await;
         self.report.train_ms += start.elapsed().as_millis() as u64;
         let version = Version(self.version.0 + 1);
         self.client.publish(&self.options.name, version).await?;
@@ -163,11 +175,12 @@
         Ok(())
     }
 
+    /// Builds the lot of a step.
     fn lot(&self, step: u64) -> Lot {
         let Options { name, seed, .. } = &self.options;
         let group = |number| Group {
             prompt: format!("{name} asks in run {seed} at step {step} for case {number}"),
-            samples: self.options.samples,
+            samples: self.options.samples_per_group,
             max_tokens: self.options.max_tokens,
         };
         Lot {
@@ -175,14 +188,14 @@
             trainer: name.clone(),
             step,
             version: self.version,
-            groups: (0..self.options.groups).map(group).collect(),
-            deadline_ms: self.options.deadline.as_millis() as u64,
+            groups: (0..self.options.groups_per_step).map(group).collect(),
+            deadline_ms: self.options.lot_deadline.as_millis() as u64,
         }
     }
 }
 
-fn print(taken: &TakenSample) {
-    if let Ok(json) = serde_json::to_string(taken) {
+fn print(sample: &TakenSample) {
+    if let Ok(json) = serde_json::to_string(sample) {
         println!("sample {json}");
     }
 }
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -7,7 +7,7 @@
 use pinereel_fakes::{
     engine::batch,
     site::{Options, Site, wait_until},
-    trainer::{Client, Collection},
+    trainer::{Client, PartialLot},
 };
 use serde_json::json;
 use std::time::Duration;
@@ -59,12 +59,12 @@
 }
 
 /// Submits the lot through the last entry and waits until every sample is made somewhere.
-async fn submit(site: &Site, client: &mut Client) -> Collection {
-    let collection = client.submit(lot()).await.unwrap();
+async fn submit(site: &Site, client: &mut Client) -> PartialLot {
+    let partial_lot = client.submit(lot()).await.unwrap();
     wait_until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
         .await
         .unwrap();
-    collection
+    partial_lot
 }
 
 /// Attempts that the engines ran to their end.
@@ -75,11 +75,11 @@
         .sum()
 }
 
-async fn collect(client: &mut Client, collection: &mut Collection) -> usize {
+async fn collect(client: &mut Client, partial_lot: &mut PartialLot) -> usize {
     let mut taken = 0;
-    while collection.missing() > 0 {
+    while partial_lot.missing() > 0 {
         let samples = client
-            .collect(collection, Version(1), 16, Duration::from_secs(2))
+            .collect(partial_lot, Version(1), 16, Duration::from_secs(2))
             .await;
         taken += samples.unwrap().len();
     }
@@ -94,11 +94,11 @@
 async fn nothing_is_made_again_when_a_runner_drains() {
     let mut site = site().await;
     let mut client = client(&site);
-    let mut collection = submit(&site, &mut client).await;
+    let mut partial_lot = submit(&site, &mut client).await;
     let leaving = site.entries.remove(0);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    let taken = collect(&mut client, &mut collection).await;
+    let taken = collect(&mut client, &mut partial_lot).await;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
     assert_eq!(finished(&site), taken, "no sample was made twice");
 }
@@ -107,11 +107,11 @@
 async fn a_dead_runner_costs_only_its_own_groups() {
     let mut site = site().await;
     let mut client = client(&site);
-    let mut collection = submit(&site, &mut client).await;
+    let mut partial_lot = submit(&site, &mut client).await;
     let dead = site.entries.remove(0);
     dead.callers.close();
     dead.shared.mesh.close();
-    let taken = collect(&mut client, &mut collection).await;
+    let taken = collect(&mut client, &mut partial_lot).await;
     let made_again = finished(&site) - taken;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
     assert!(
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -100,18 +100,18 @@
         name: "dispatch".into(),
         entries: site.caller_addresses(),
         steps: 3,
-        groups: 4,
-        samples: 4,
+        groups_per_step: 4,
+        samples_per_group: 4,
         max_tokens: 40,
-        train: Duration::from_millis(20),
-        bound: 2,
-        whole: true,
+        train_time: Duration::from_millis(20),
+        staleness_bound: 2,
+        check_texts: true,
         ..trainer::Options::default()
     })
     .run()
     .await
     .unwrap();
-    assert!(report.clean(), "{report:?}");
+    assert!(report.is_valid(), "{report:?}");
     assert_eq!((report.steps, report.samples), (3, 48));
 }
 
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -178,5 +178,5 @@
         let some = second.collect(&mut kept, Version(1), 8, wait).await;
         taken += some.unwrap().len();
     }
-    assert_eq!((taken, kept.repeats, kept.strays), (32, 0, 0));
+    assert_eq!((taken, kept.duplicates, kept.rejected_responses), (32, 0, 0));
 }
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -135,7 +135,7 @@
 pub async fn all_once(trainer: &mut Child, steps: u64, lot: u32) -> Vec<TakenSample> {
     let well = cluster::wait_for_exit(trainer).await.unwrap();
     let report = report(trainer);
-    assert!(well && report.clean(), "{report:?}");
+    assert!(well && report.is_valid(), "{report:?}");
     let taken = taken_samples(trainer);
     let places: BTreeSet<_> = taken.iter().map(|t| (t.step, t.sample.index)).collect();
     assert_eq!(places.len(), taken.len(), "a sample came twice");
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -115,18 +115,18 @@
         name: "rewind".into(),
         entries: site.caller_addresses(),
         steps: 6,
-        groups: 6,
-        samples: 4,
+        groups_per_step: 6,
+        samples_per_group: 4,
         max_tokens: 60,
-        train: Duration::from_millis(50),
-        bound: 1,
-        whole: true,
+        train_time: Duration::from_millis(50),
+        staleness_bound: 1,
+        check_texts: true,
         ..trainer::Options::default()
     })
     .run()
     .await
     .unwrap();
-    assert!(report.clean(), "{report:?}");
+    assert!(report.is_valid(), "{report:?}");
     assert!(report.staleness.max <= 1, "{report:?}");
     assert_eq!(report.samples, 144);
 }
--- a/crates/pinereel_fakes/tests/trainer_client.rs
+++ b/crates/pinereel_fakes/tests/trainer_client.rs
@@ -16,7 +16,7 @@
 use pinereel_core::{Span, Version};
 use pinereel_fakes::{
     engine::text,
-    trainer::{Client, Collection, Options, Trainer, client::Error},
+    trainer::{Client, Options, PartialLot, Trainer, client::Error},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use std::{
@@ -163,12 +163,12 @@
     listener.local_addr().unwrap().to_string()
 }
 
-async fn collect_all(client: &mut Client, collection: &mut Collection) -> Vec<u32> {
+async fn collect_all(client: &mut Client, partial_lot: &mut PartialLot) -> Vec<u32> {
     let mut taken = Vec::new();
-    while collection.missing() > 0 {
+    while partial_lot.missing() > 0 {
         let wait = Duration::from_millis(10);
         let samples = client
-            .collect(collection, Version(5), 8, wait)
+            .collect(partial_lot, Version(5), 8, wait)
             .await
             .unwrap();
         taken.extend(samples.iter().map(|sample| sample.index));
@@ -184,10 +184,10 @@
     let server = start(Rc::clone(&entry)).await;
     let mut client = Client::new(vec![nobody().await, server.address.to_string()], PATIENCE);
     let begin = Instant::now();
-    let mut collection = client.submit(lot()).await.unwrap();
+    let mut partial_lot = client.submit(lot()).await.unwrap();
     assert!(begin.elapsed() >= Duration::from_millis(120));
     assert_eq!(
-        collect_all(&mut client, &mut collection).await,
+        collect_all(&mut client, &mut partial_lot).await,
         [0, 1, 2, 3]
     );
     // Dead, refused, dead again.
@@ -200,16 +200,16 @@
     let entry = Rc::new(RefCell::new(Entry::default()));
     let server = start(Rc::clone(&entry)).await;
     let mut client = Client::new(vec![server.address.to_string()], PATIENCE);
-    let mut collection = client.submit(lot()).await.unwrap();
+    let mut partial_lot = client.submit(lot()).await.unwrap();
     let wait = Duration::from_millis(10);
     let first = client
-        .collect(&mut collection, Version(5), 8, wait)
+        .collect(&mut partial_lot, Version(5), 8, wait)
         .await
         .unwrap();
     entry.borrow_mut().forgets = 1;
-    let rest = collect_all(&mut client, &mut collection).await;
+    let rest = collect_all(&mut client, &mut partial_lot).await;
     assert_eq!((first.len(), rest), (2, vec![2, 3]));
-    assert_eq!((collection.resubmits, collection.repeats), (1, 0));
+    assert_eq!((partial_lot.resubmits, partial_lot.duplicates), (1, 0));
     insta::assert_snapshot!(entry.borrow().calls.join("\n"), @r"
     /v1/lots
     /v1/lots/lot/collect
@@ -252,18 +252,18 @@
         let server = start(Rc::new(RefCell::new(entry))).await;
         let options = Options {
             entries: vec![server.address.to_string()],
-            version: Version(7),
+            initial_version: Version(7),
             steps: 2,
-            groups: 2,
-            train: Duration::from_millis(5),
+            groups_per_step: 2,
+            train_time: Duration::from_millis(5),
             ..Options::default()
         };
         let report = Trainer::new(options).run().await.unwrap();
         assert_eq!((report.steps, report.samples), (2, 16));
-        assert_eq!(report.clean(), clean, "{report:?}");
+        assert_eq!(report.is_valid(), clean, "{report:?}");
         let (over, cut) = if clean { (0, 0) } else { (16, 16) };
         assert_eq!(report.stale, if stale > 1 { over } else { 0 });
-        assert_eq!(report.broken, if cut_text { cut } else { 0 });
+        assert_eq!(report.invalid_texts, if cut_text { cut } else { 0 });
         assert_eq!((report.staleness.max, report.staleness.p99), (stale, stale));
         server.close();
     }
@@ -297,10 +297,10 @@
     fn each_sample_is_taken_once(
         answers in proptest::collection::vec((any::<bool>(), 0_u8..6, proptest::collection::vec(0_u32..6, 0..4)), 0..40)
     ) {
-        let mut collection = Collection::new(lot(), "start".into());
+        let mut partial_lot = PartialLot::new(lot(), "start".into());
         let mut held = BTreeSet::new();
         for (number, (current, old, indices)) in answers.into_iter().enumerate() {
-            let token = collection.token.clone();
+            let token = partial_lot.token.clone();
             let basis = if current { token.clone() } else { format!("old{old}") };
             let sample = |index: &u32| Sample {
                 group: 0,
@@ -316,16 +316,16 @@
                 samples: indices.iter().map(sample).collect(),
                 remaining: 0,
             };
-            let fresh = collection.take(answer);
+            let fresh = partial_lot.accept(answer);
             for sample in &fresh {
                 prop_assert!(current && sample.index < 4 && held.insert(sample.index));
             }
             let expected = if current { format!("next{number}") } else { token };
-            prop_assert_eq!(&collection.token, &expected);
+            prop_assert_eq!(&partial_lot.token, &expected);
             if current {
                 prop_assert!(indices.iter().all(|index| *index >= 4 || held.contains(index)));
             }
-            prop_assert_eq!(collection.missing() as usize, 4 - held.len());
+            prop_assert_eq!(partial_lot.missing() as usize, 4 - held.len());
         }
     }
 }
