--- a/crates/pinereel_fakes/tests/trainer_client.rs
+++ b/crates/pinereel_fakes/tests/trainer_client.rs
@@ -1,4 +1,5 @@
-//! The trainer's client and stand-in: exactly once at its edge, entries that fail, checks.
+//! The trainer's client and stand-in: each sample is taken once, calls fail over between entries, and
+//! the stand-in's checks find wrong samples.
 
 #![allow(clippy::unwrap_used)]
 
@@ -27,23 +28,27 @@
 };
 use tokio::net::TcpListener;
 
-const BODY: usize = 1 << 20;
-const PATIENCE: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// Retry timeout of the client, and the mock's timeout for reading a request.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An entry of a few lines; a token is the number of samples handed out in order.
+/// A mock entry. It hands out the samples of a lot in order, and the collection token is the number of
+/// samples handed out.
 #[derive(Default)]
-struct Entry {
+struct MockEntry {
     lots: BTreeMap<CompactString, Lot>,
+    /// Paths of the requests received.
     calls: Vec<String>,
-    /// Answers given before anything else, first one first.
+    /// Responses to the first requests, in this order.
     refusals: Vec<Problem>,
-    /// Refusals say when to come back, in whole seconds, in the head only.
-    header_only: bool,
-    /// Lots are forgotten before these many collects.
-    forgets: u32,
-    /// How the samples are wrong.
-    stale: u64,
-    cut_text: bool,
+    /// Whether refusals have a `Retry-After` header of one second.
+    retry_after_header: bool,
+    /// Number of collect calls before which all lots are forgotten.
+    forgetful_collects: u32,
+    /// Number of versions by which the samples are behind the trainer.
+    staleness: u64,
+    /// Whether the last word of each sample's text is missing.
+    truncate_texts: bool,
 }
 
 fn problem(code: Code, retry_after_ms: Option<u64>) -> Problem {
@@ -55,24 +60,25 @@
     }
 }
 
-async fn start(entry: Rc<RefCell<Entry>>) -> Server {
+async fn start(entry: Rc<RefCell<MockEntry>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let handler = move |request| answer(Rc::clone(&entry), request);
+    let handler = move |request| respond(Rc::clone(&entry), request);
     Server::start(listener, http::Options::default(), handler)
         .await
         .unwrap()
 }
 
-async fn answer(entry: Rc<RefCell<Entry>>, mut request: Request) -> Response {
+async fn respond(entry: Rc<RefCell<MockEntry>>, mut request: Request) -> Response {
     let path = request.path().to_owned();
-    let body: serde_json::Value = http::read_json(&mut request, BODY, PATIENCE).await.unwrap();
+    let body = http::read_json(&mut request, MAX_BODY_BYTES, TIMEOUT).await;
+    let body: serde_json::Value = body.unwrap();
     let mut entry = entry.borrow_mut();
     entry.calls.push(path.clone());
     if !entry.refusals.is_empty() {
         let mut refusal = http::problem(&entry.refusals.remove(0));
-        if entry.header_only {
-            let second = HeaderValue::from_static("1");
-            refusal.headers_mut().insert(RETRY_AFTER, second);
+        if entry.retry_after_header {
+            let one_second = HeaderValue::from_static("1");
+            refusal.headers_mut().insert(RETRY_AFTER, one_second);
         }
         return refusal;
     }
@@ -92,8 +98,8 @@
         let Publish { version } = serde_json::from_value(body).unwrap();
         return http::json(StatusCode::OK, &Published { version });
     }
-    if entry.forgets > 0 {
-        entry.forgets -= 1;
+    if entry.forgetful_collects > 0 {
+        entry.forgetful_collects -= 1;
         entry.lots.clear();
     }
     let id = path
@@ -110,22 +116,22 @@
     )
 }
 
-/// Two samples an answer.
-fn collect(entry: &Entry, lot: &Lot, ask: Collect) -> Collected {
-    let size: u32 = lot.groups.iter().map(|group| group.samples).sum();
-    let from: u32 = ask.token.parse().unwrap();
-    let to = (from + 2).min(size);
+/// The response to a collect call, with the next two samples.
+fn collect(entry: &MockEntry, lot: &Lot, request: Collect) -> Collected {
+    let sample_count: u32 = lot.groups.iter().map(|group| group.samples).sum();
+    let from: u32 = request.token.parse().unwrap();
+    let to = (from + 2).min(sample_count);
     let samples = (from..to).map(|index| {
-        let group = index / lot.groups[0].samples;
-        let asked = &lot.groups[group as usize];
-        let mut text = text::whole(&asked.prompt, u64::from(index), asked.max_tokens);
-        if entry.cut_text {
+        let group_index = index / lot.groups[0].samples;
+        let group = &lot.groups[group_index as usize];
+        let mut text = text::whole(&group.prompt, u64::from(index), group.max_tokens);
+        if entry.truncate_texts {
             text.truncate(text.rfind(' ').unwrap());
         }
         let tokens = text.split_whitespace().count() as u32;
-        let version = Version(ask.version.0 - entry.stale);
+        let version = Version(request.version.0 - entry.staleness);
         Sample {
-            group,
+            group: group_index,
             index,
             text,
             tokens,
@@ -134,13 +140,14 @@
         }
     });
     Collected {
-        basis: ask.token.clone(),
+        basis: request.token.clone(),
         token: to.to_string(),
         samples: samples.collect(),
-        remaining: size - to,
+        remaining: sample_count - to,
     }
 }
 
+/// A lot of one group with four samples.
 fn lot() -> Lot {
     let group = Group {
         prompt: "p".into(),
@@ -157,56 +164,58 @@
     }
 }
 
-/// An address where nothing listens.
-async fn nobody() -> String {
+/// An address at which nothing listens.
+async fn unused_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap().to_string()
 }
 
+/// Collects the missing samples and returns their indices.
 async fn collect_all(client: &mut Client, partial_lot: &mut PartialLot) -> Vec<u32> {
-    let mut taken = Vec::new();
+    let mut indices = Vec::new();
     while partial_lot.missing() > 0 {
         let wait = Duration::from_millis(10);
         let samples = client
             .collect(partial_lot, Version(5), 8, wait)
             .await
             .unwrap();
-        taken.extend(samples.iter().map(|sample| sample.index));
+        indices.extend(samples.iter().map(|sample| sample.index));
     }
-    taken
+    indices
 }
 
 #[actix_rt::test]
-async fn dead_entries_are_passed_over_and_retry_after_is_honoured() {
-    let entry = Rc::new(RefCell::new(Entry::default()));
+async fn the_client_skips_dead_entries_and_waits_for_the_retry_delay_of_a_refusal() {
+    let entry = Rc::new(RefCell::new(MockEntry::default()));
     let refusal = problem(Code::Unavailable, Some(120));
     entry.borrow_mut().refusals.push(refusal);
     let server = start(Rc::clone(&entry)).await;
-    let mut client = Client::new(vec![nobody().await, server.address.to_string()], PATIENCE);
-    let begin = Instant::now();
+    let entries = vec![unused_address().await, server.address.to_string()];
+    let mut client = Client::new(entries, TIMEOUT);
+    let start = Instant::now();
     let mut partial_lot = client.submit(lot()).await.unwrap();
-    assert!(begin.elapsed() >= Duration::from_millis(120));
+    assert!(start.elapsed() >= Duration::from_millis(120));
     assert_eq!(
         collect_all(&mut client, &mut partial_lot).await,
         [0, 1, 2, 3]
     );
-    // Dead, refused, dead again.
+    // Retries after the dead entry, after the refusal, and after the dead entry again.
     assert_eq!(client.retries, 3);
     server.close();
 }
 
 #[actix_rt::test]
-async fn a_lot_that_is_unknown_is_submitted_again_and_the_token_kept() {
-    let entry = Rc::new(RefCell::new(Entry::default()));
+async fn an_unknown_lot_is_submitted_again_and_the_token_is_kept() {
+    let entry = Rc::new(RefCell::new(MockEntry::default()));
     let server = start(Rc::clone(&entry)).await;
-    let mut client = Client::new(vec![server.address.to_string()], PATIENCE);
+    let mut client = Client::new(vec![server.address.to_string()], TIMEOUT);
     let mut partial_lot = client.submit(lot()).await.unwrap();
     let wait = Duration::from_millis(10);
     let first = client
         .collect(&mut partial_lot, Version(5), 8, wait)
         .await
         .unwrap();
-    entry.borrow_mut().forgets = 1;
+    entry.borrow_mut().forgetful_collects = 1;
     let rest = collect_all(&mut client, &mut partial_lot).await;
     assert_eq!((first.len(), rest), (2, vec![2, 3]));
     assert_eq!((partial_lot.resubmits, partial_lot.duplicates), (1, 0));
@@ -221,33 +230,33 @@
 }
 
 #[actix_rt::test]
-async fn final_refusals_are_not_repeated() {
-    let entry = Rc::new(RefCell::new(Entry::default()));
+async fn a_permanent_refusal_is_not_retried() {
+    let entry = Rc::new(RefCell::new(MockEntry::default()));
     entry
         .borrow_mut()
         .refusals
         .push(problem(Code::LotConflict, None));
     let server = start(Rc::clone(&entry)).await;
-    let mut client = Client::new(vec![server.address.to_string()], PATIENCE);
-    let refused = client.submit(lot()).await;
-    assert!(matches!(refused, Err(Error::Refused(p)) if p.code == Code::LotConflict));
+    let mut client = Client::new(vec![server.address.to_string()], TIMEOUT);
+    let result = client.submit(lot()).await;
+    assert!(matches!(result, Err(Error::Refused(p)) if p.code == Code::LotConflict));
     assert_eq!(entry.borrow().calls.len(), 1);
     server.close();
 }
 
 #[actix_rt::test]
-async fn the_stand_in_counts_what_must_never_come() {
+async fn the_report_counts_stale_samples_and_truncated_texts() {
     let cases = [
         (0, false, true),
         (1, false, true),
         (2, false, false),
         (0, true, false),
     ];
-    for (stale, cut_text, clean) in cases {
-        let entry = Entry {
-            stale,
-            cut_text,
-            ..Entry::default()
+    for (staleness, truncate_texts, is_valid) in cases {
+        let entry = MockEntry {
+            staleness,
+            truncate_texts,
+            ..MockEntry::default()
         };
         let server = start(Rc::new(RefCell::new(entry))).await;
         let options = Options {
@@ -260,26 +269,28 @@
         };
         let report = Trainer::new(options).run().await.unwrap();
         assert_eq!((report.steps, report.samples), (2, 16));
-        assert_eq!(report.is_valid(), clean, "{report:?}");
-        let (over, cut) = if clean { (0, 0) } else { (16, 16) };
-        assert_eq!(report.stale, if stale > 1 { over } else { 0 });
-        assert_eq!(report.invalid_texts, if cut_text { cut } else { 0 });
-        assert_eq!((report.staleness.max, report.staleness.p99), (stale, stale));
+        assert_eq!(report.is_valid(), is_valid, "{report:?}");
+        let (stale, truncated) = if is_valid { (0, 0) } else { (16, 16) };
+        assert_eq!(report.stale, if staleness > 1 { stale } else { 0 });
+        let expected = if truncate_texts { truncated } else { 0 };
+        assert_eq!(report.invalid_texts, expected);
+        let measured = (report.staleness.max, report.staleness.p99);
+        assert_eq!(measured, (staleness, staleness));
         server.close();
     }
 }
 
 #[actix_rt::test]
-async fn retry_after_in_the_head_alone_is_honoured() {
-    let entry = Rc::new(RefCell::new(Entry::default()));
+async fn the_retry_after_header_is_honoured_if_the_body_gives_no_delay() {
+    let entry = Rc::new(RefCell::new(MockEntry::default()));
     let refusal = problem(Code::Overloaded, None);
     entry.borrow_mut().refusals.push(refusal);
-    entry.borrow_mut().header_only = true;
+    entry.borrow_mut().retry_after_header = true;
     let server = start(Rc::clone(&entry)).await;
-    let mut client = Client::new(vec![server.address.to_string()], PATIENCE);
-    let begin = Instant::now();
+    let mut client = Client::new(vec![server.address.to_string()], TIMEOUT);
+    let start = Instant::now();
     client.submit(lot()).await.unwrap();
-    assert!(begin.elapsed() >= Duration::from_secs(1));
+    assert!(start.elapsed() >= Duration::from_secs(1));
     server.close();
 }
 
@@ -291,17 +302,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Answers lost, late, replayed, or with samples held already: each index is taken once, and
-    /// only from answers for the token held.
+    /// Responses are lost, delayed or replayed, or contain samples received before. Each index is
+    /// taken once, and only from a response for the current token.
     #[test]
     fn each_sample_is_taken_once(
-        answers in proptest::collection::vec((any::<bool>(), 0_u8..6, proptest::collection::vec(0_u32..6, 0..4)), 0..40)
+        responses in proptest::collection::vec((any::<bool>(), 0_u8..6, proptest::collection::vec(0_u32..6, 0..4)), 0..40)
     ) {
         let mut partial_lot = PartialLot::new(lot(), "start".into());
-        let mut held = BTreeSet::new();
-        for (number, (current, old, indices)) in answers.into_iter().enumerate() {
+        let mut received = BTreeSet::new();
+        for (number, (is_current, old, indices)) in responses.into_iter().enumerate() {
             let token = partial_lot.token.clone();
-            let basis = if current { token.clone() } else { format!("old{old}") };
+            let basis = if is_current { token.clone() } else { format!("old{old}") };
             let sample = |index: &u32| Sample {
                 group: 0,
                 index: *index,
@@ -310,22 +321,22 @@
                 spans: Vec::new(),
                 score: None,
             };
-            let answer = Collected {
+            let response = Collected {
                 basis,
                 token: format!("next{number}"),
                 samples: indices.iter().map(sample).collect(),
                 remaining: 0,
             };
-            let fresh = partial_lot.accept(answer);
-            for sample in &fresh {
-                prop_assert!(current && sample.index < 4 && held.insert(sample.index));
+            let new_samples = partial_lot.accept(response);
+            for sample in &new_samples {
+                prop_assert!(is_current && sample.index < 4 && received.insert(sample.index));
             }
-            let expected = if current { format!("next{number}") } else { token };
+            let expected = if is_current { format!("next{number}") } else { token };
             prop_assert_eq!(&partial_lot.token, &expected);
-            if current {
-                prop_assert!(indices.iter().all(|index| *index >= 4 || held.contains(index)));
+            if is_current {
+                prop_assert!(indices.iter().all(|index| *index >= 4 || received.contains(index)));
             }
-            prop_assert_eq!(partial_lot.missing() as usize, 4 - held.len());
+            prop_assert_eq!(partial_lot.missing() as usize, 4 - received.len());
         }
     }
 }
