--- a/crates/pinereel_fakes/tests/process_claims.rs
+++ b/crates/pinereel_fakes/tests/process_claims.rs
@@ -1,4 +1,5 @@
-//! Real processes: calls with idempotency keys, when entries are killed and answers are lost.
+//! Real processes: calls with idempotency keys run at most once while entries are killed and
+//! responses are lost.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +14,7 @@
     cluster::{self, Cluster, wait_until},
     child_process::Signal,
 };
-use process_support::{SERVICES, measured, options, order};
+use process_support::{SERVICES, book_order, options, print_elapsed};
 use serde_json::{Value, json};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,26 +22,27 @@
     time::{Duration, Instant},
 };
 
-/// Deadline of each call, in milliseconds.
-const DEADLINE: &str = "4000";
+/// Value of the deadline header of each call, in milliseconds.
+const CALL_DEADLINE_MS: &str = "4000";
 
-/// What became of a keyed order.
+/// The result of an order with an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 enum Outcome {
-    /// The service's answer: the order's id.
+    /// The service booked the order under this id.
     Booked(u64),
-    /// A problem.
+    /// The entry or the service returned a problem.
     Problem(Code, Ran),
-    /// No answer.
+    /// No complete response arrived.
     Lost,
 }
 
-async fn book(entry: SocketAddr, key: &str) -> Outcome {
+/// Books an order with an idempotency key.
+async fn book_keyed_order(entry: SocketAddr, key: &str) -> Outcome {
     let url = format!("http://{entry}/services/{SERVICES}/orders");
     let request = cluster::http_client()
         .post(url)
         .insert_header((IDEMPOTENCY_KEY, key))
-        .insert_header((DEADLINE_MS, DEADLINE));
+        .insert_header((DEADLINE_MS, CALL_DEADLINE_MS));
     let Ok(mut response) = request.send_body(format!("order of {key}")).await else {
         return Outcome::Lost;
     };
@@ -56,32 +58,33 @@
     Outcome::Problem(problem.code, problem.ran)
 }
 
-/// How often each key ran, by the service's own record.
-async fn ran(cluster: &Cluster) -> BTreeMap<String, usize> {
-    let mut times = BTreeMap::new();
+/// Number of executions of each key, by the records of the services.
+async fn count_executions(cluster: &Cluster) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
     for execution in cluster.executions().await.unwrap() {
-        *times.entry(execution.key.unwrap().to_string()).or_default() += 1;
+        let key = execution.key.unwrap().to_string();
+        *counts.entry(key).or_default() += 1;
     }
-    times
+    counts
 }
 
-/// Repeats a key at all entries in turn until its outcome is final.
-async fn settle(cluster: &Cluster, key: &str) -> Outcome {
-    let mut last = Outcome::Lost;
-    let mut turn = 0;
-    let done = async || {
-        let entry = &cluster.entries[turn % cluster.entries.len()];
-        turn += 1;
-        last = book(entry.callers, key).await;
+/// Repeats the order with this key at each entry in turn until the outcome is final.
+async fn retry_until_final(cluster: &Cluster, key: &str) -> Outcome {
+    let mut outcome = Outcome::Lost;
+    let mut attempt = 0;
+    let is_final = async || {
+        let entry = &cluster.entries[attempt % cluster.entries.len()];
+        attempt += 1;
+        outcome = book_keyed_order(entry.callers, key).await;
         matches!(
-            last,
+            outcome,
             Outcome::Booked(_) | Outcome::Problem(Code::Unknown, Ran::Unknown)
         )
     };
-    wait_until(done)
+    wait_until(is_final)
         .await
-        .unwrap_or_else(|_| panic!("{key}: {last:?}"));
-    last
+        .unwrap_or_else(|_| panic!("{key}: {outcome:?}"));
+    outcome
 }
 
 #[actix_rt::test]
@@ -89,12 +92,12 @@
     let cluster = Cluster::start(options(3, 0, 2)).await.unwrap();
     for number in 0..5 {
         let key = format!("pressing-{number}");
-        let entries = cluster
+        let orders = cluster
             .entries
             .iter()
-            .map(|entry| book(entry.callers, &key));
-        let outcomes = futures_util::future::join_all(entries).await;
-        let Outcome::Booked(id) = settle(&cluster, &key).await else {
+            .map(|entry| book_keyed_order(entry.callers, &key));
+        let outcomes = futures_util::future::join_all(orders).await;
+        let Outcome::Booked(id) = retry_until_final(&cluster, &key).await else {
             panic!("{outcomes:?}")
         };
         for outcome in outcomes {
@@ -105,11 +108,12 @@
             );
         }
     }
-    assert!(ran(&cluster).await.values().all(|times| *times == 1));
+    let executions = count_executions(&cluster).await;
+    assert!(executions.values().all(|count| *count == 1));
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_to_a_claim_neither_doubles_nor_loses_an_order() {
+async fn an_order_runs_at_most_once_when_the_response_to_its_claim_is_lost() {
     let cluster = Cluster::start(options(2, 0, 1)).await.unwrap();
     let mut outcomes = BTreeMap::new();
     for number in 0..6 {
@@ -117,21 +121,19 @@
         cluster.set_object_api_faults(faults).await.unwrap();
         let key = format!("quote-{number}");
         let start = Instant::now();
-        outcomes.insert(
-            key.clone(),
-            book(cluster.entries[number % 2].callers, &key).await,
-        );
-        measured("keyed call with a lost answer to its claim", start);
+        let entry = cluster.entries[number % 2].callers;
+        outcomes.insert(key.clone(), book_keyed_order(entry, &key).await);
+        print_elapsed("keyed call with a lost response to its claim", start);
     }
-    let ran = ran(&cluster).await;
+    let executions = count_executions(&cluster).await;
     for (key, outcome) in &outcomes {
-        let times = ran.get(key).copied().unwrap_or(0);
-        let fits = match outcome {
-            Outcome::Booked(_) => times == 1,
-            Outcome::Problem(_, Ran::NotRun) => times == 0,
-            Outcome::Problem(_, Ran::Unknown) | Outcome::Lost => times <= 1,
+        let count = executions.get(key).copied().unwrap_or(0);
+        let is_consistent = match outcome {
+            Outcome::Booked(_) => count == 1,
+            Outcome::Problem(_, Ran::NotRun) => count == 0,
+            Outcome::Problem(_, Ran::Unknown) | Outcome::Lost => count <= 1,
         };
-        assert!(fits, "{key}: {outcome:?}, ran {times}");
+        assert!(is_consistent, "{key}: {outcome:?}, {count} executions");
     }
     println!("measured: {outcomes:?}");
 }
@@ -140,7 +142,7 @@
 async fn keyed_calls_are_refused_as_not_run_while_the_object_api_is_down() {
     let cluster = Cluster::start(options(2, 0, 1)).await.unwrap();
     assert!(matches!(
-        book(cluster.entries[0].callers, "before").await,
+        book_keyed_order(cluster.entries[0].callers, "before").await,
         Outcome::Booked(_)
     ));
     cluster
@@ -150,72 +152,75 @@
     for number in 0..4 {
         let key = format!("down-{number}");
         let start = Instant::now();
-        let outcome = book(cluster.entries[number % 2].callers, &key).await;
-        let took = measured("refusal of a keyed call, object API down", start);
+        let outcome = book_keyed_order(cluster.entries[number % 2].callers, &key).await;
+        let elapsed = print_elapsed("refusal of a keyed call, object API down", start);
         assert!(
             matches!(outcome, Outcome::Problem(_, Ran::NotRun)),
             "{outcome:?}"
         );
-        assert!(took < Duration::from_secs(3), "{took:?}");
+        assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
     }
-    assert_eq!(ran(&cluster).await.len(), 1);
+    assert_eq!(count_executions(&cluster).await.len(), 1);
     cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
-    let back = Instant::now();
+    let outage_end = Instant::now();
     assert!(matches!(
-        settle(&cluster, "down-0").await,
+        retry_until_final(&cluster, "down-0").await,
         Outcome::Booked(_)
     ));
-    measured("keyed call after the outage", back);
-    assert!(ran(&cluster).await.values().all(|times| *times == 1));
+    print_elapsed("keyed call after the outage", outage_end);
+    let executions = count_executions(&cluster).await;
+    assert!(executions.values().all(|count| *count == 1));
 }
 
 #[actix_rt::test]
-async fn no_order_runs_twice_when_entries_are_killed_under_keyed_load() {
+async fn no_keyed_order_runs_twice_when_an_entry_is_killed() {
     let mut cluster = Cluster::start(options(3, 0, 2)).await.unwrap();
-    let addresses: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
-    // Long enough that some run while the entry dies.
+    let entries: Vec<_> = cluster.entries.iter().map(|entry| entry.callers).collect();
+    // The delay is long enough that some orders are executing when the entry is killed.
     for service in &cluster.services {
         cluster::post_json(service.address, "/faults", &json!({ "delay_ms": 50 }))
             .await
             .unwrap();
     }
     let keys: Vec<_> = (0..60).map(|number| format!("order-{number}")).collect();
-    let work: Vec<_> = keys
+    let orders: Vec<_> = keys
         .iter()
         .enumerate()
         .map(|(number, key)| {
-            let (entry, key) = (addresses[number % 3], key.clone());
-            actix_rt::spawn(async move { book(entry, &key).await })
+            let (entry, key) = (entries[number % 3], key.clone());
+            actix_rt::spawn(async move { book_keyed_order(entry, &key).await })
         })
         .collect();
-    wait_until(async || ran(&cluster).await.len() >= 10)
+    wait_until(async || count_executions(&cluster).await.len() >= 10)
         .await
         .unwrap();
     cluster.entries[1].child.signal(Signal::KILL).unwrap();
-    let killed = Instant::now();
+    let kill_time = Instant::now();
     let mut lost = 0;
-    for task in work {
-        lost += usize::from(task.await.unwrap() == Outcome::Lost);
+    for order in orders {
+        lost += usize::from(order.await.unwrap() == Outcome::Lost);
     }
     cluster.entries.remove(1);
     let mut booked = 0;
     for key in &keys {
-        booked += usize::from(matches!(settle(&cluster, key).await, Outcome::Booked(_)));
+        let outcome = retry_until_final(&cluster, key).await;
+        booked += usize::from(matches!(outcome, Outcome::Booked(_)));
     }
-    measured("every key settled after the kill", killed);
-    let ran = ran(&cluster).await;
+    print_elapsed("final outcome of every key after the kill", kill_time);
+    let executions = count_executions(&cluster).await;
     println!(
-        "measured: {lost} answers lost, {booked} of {} booked in the end",
+        "measured: {lost} responses lost, {booked} of {} booked in the end",
         keys.len()
     );
-    assert!(ran.values().all(|times| *times == 1), "{ran:?}");
-    assert!(booked <= ran.len());
+    let run_once = executions.values().all(|count| *count == 1);
+    assert!(run_once, "{executions:?}");
+    assert!(booked <= executions.len());
 }
 
 #[actix_rt::test]
-async fn an_order_whose_answer_was_lost_is_unknown_and_never_sent_again() {
+async fn an_order_whose_response_is_lost_is_reported_as_unknown_and_not_resent() {
     let cluster = Cluster::start(options(2, 0, 2)).await.unwrap();
-    for (fault, runs) in [("drop_after_run", 1), ("drop_before_run", 0)] {
+    for (fault, min_executions) in [("drop_after_run", 1), ("drop_before_run", 0)] {
         for service in &cluster.services {
             cluster::post_json(service.address, "/faults", &json!({ fault: 1 }))
                 .await
@@ -224,27 +229,28 @@
         let before = cluster.executions().await.unwrap().len();
         let mut lost = 0;
         for entry in &cluster.entries {
-            let problem = order(entry.callers, format!("{fault} at {}", entry.name)).await;
-            // A booked one came to a service whose fault was used up by the other.
-            if let Err(problem) = problem {
+            let result = book_order(entry.callers, format!("{fault} at {}", entry.name)).await;
+            // A booked order reached a service whose one fault the other order had used up.
+            if let Err(problem) = result {
                 let problem: Problem = serde_json::from_str(&problem).unwrap();
                 assert_eq!((problem.code, problem.ran), (Code::Unknown, Ran::Unknown));
                 lost += 1;
             }
         }
-        let all = cluster.executions().await.unwrap();
-        assert!(lost > 0 && all.len() - before >= runs, "{fault}: {lost}");
-        let bodies: BTreeSet<_> = all.iter().map(|e| format!("{:?}", e.body)).collect();
-        assert_eq!(bodies.len(), all.len(), "an order ran twice");
-        clear(&cluster).await;
+        let executions = cluster.executions().await.unwrap();
+        let new_executions = executions.len() - before;
+        assert!(lost > 0 && new_executions >= min_executions, "{fault}: {lost}");
+        let bodies: BTreeSet<_> = executions.iter().map(|e| format!("{:?}", e.body)).collect();
+        assert_eq!(bodies.len(), executions.len(), "an order ran twice");
+        clear_faults(&cluster).await;
     }
 }
 
-/// Ends the faults that were not used up.
-async fn clear(cluster: &Cluster) {
-    let none = json!({ "drop_after_run": 0, "drop_before_run": 0 });
+/// Clears the faults that have not been used up.
+async fn clear_faults(cluster: &Cluster) {
+    let no_faults = json!({ "drop_after_run": 0, "drop_before_run": 0 });
     for service in &cluster.services {
-        cluster::post_json(service.address, "/faults", &none)
+        cluster::post_json(service.address, "/faults", &no_faults)
             .await
             .unwrap();
     }
--- a/crates/pinereel_fakes/tests/process_config.rs
+++ b/crates/pinereel_fakes/tests/process_config.rs
@@ -1,4 +1,5 @@
-//! Real processes: patches that race, lose answers, and meet dead or paused entries.
+//! Real processes: configuration patches that compete, whose responses are lost, or during which an
+//! entry is dead or paused.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +16,7 @@
     child_process::Signal,
     site::OPERATOR_TOKEN,
 };
-use process_support::{ENGINES, LONG, measured, options};
+use process_support::{ENGINES, TIMEOUT, options, print_elapsed};
 use serde_json::json;
 use std::{
     cell::Cell,
@@ -26,20 +27,21 @@
     time::{Duration, Instant},
 };
 
-/// Within which an accepted patch is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// Maximum time from the submission of a patch until it is in force at all entries.
+const MAX_PATCH_TIME: Duration = Duration::from_secs(5);
 
-/// Submits a patch that sets the deadline of live requests.
+/// Submits a patch that sets the default deadline of requests; returns the number of the resulting
+/// configuration.
 async fn patch(
     operators: SocketAddr,
     id: &str,
     base: u64,
-    millis: u64,
+    deadline_ms: u64,
 ) -> Result<u64, (Code, Ran)> {
     let patch = Patch {
         base,
         id: id.into(),
-        merge: json!({ "limits": { "default_deadline_ms": millis } }),
+        merge: json!({ "limits": { "default_deadline_ms": deadline_ms } }),
     };
     let url = format!("http://{operators}/v1/config");
     let request = cluster::http_client().post(url).bearer_auth(OPERATOR_TOKEN);
@@ -51,14 +53,16 @@
     Err((problem.code, problem.ran))
 }
 
+/// The configuration that an entry shows to operators.
 async fn config(entry: &Entry) -> Option<Config> {
     let url = format!("http://{}/v1/config", entry.operators);
     let request = cluster::http_client().get(url).bearer_auth(OPERATOR_TOKEN);
     request.send().await.ok()?.json().await.ok()
 }
 
-/// The number that a live request is served under; none if it is refused.
-async fn served_under(entry: &Entry) -> Option<u64> {
+/// The number of the configuration under which an entry serves a live request; `None` if the request
+/// fails or the response names no number.
+async fn serving_config(entry: &Entry) -> Option<u64> {
     let request = json!({ "model": ENGINES, "prompt": "number", "max_tokens": 2 });
     let url = format!("http://{}/v1/completions", entry.callers);
     let response = cluster::http_client().post(url).send_json(&request).await.ok()?;
@@ -66,21 +70,22 @@
     number.parse().ok()
 }
 
-/// Waits until all entries serve live requests under `number` or a later one.
-async fn in_force(cluster: &Cluster, number: u64) {
+/// Waits until all entries serve live requests under configuration `number` or a later one.
+async fn wait_until_in_force(cluster: &Cluster, number: u64) {
     for entry in &cluster.entries {
-        let there = async || served_under(entry).await >= Some(number);
-        wait_until(there).await.unwrap();
+        let in_force = async || serving_config(entry).await >= Some(number);
+        wait_until(in_force).await.unwrap();
     }
 }
 
-/// Watches the numbers that entries serve under; panics in the task if one goes back.
-fn watch(cluster: &Cluster, stop: &Rc<Cell<bool>>) -> actix_rt::task::JoinHandle<u32> {
+/// Starts a task that checks until `stop` that the configuration number of no entry decreases, and
+/// that returns how many numbers it has read.
+fn watch_numbers(cluster: &Cluster, stop: &Rc<Cell<bool>>) -> actix_rt::task::JoinHandle<u32> {
     let entries: Vec<_> = cluster.entries.iter().map(|e| e.callers).collect();
     let stop = Rc::clone(stop);
     actix_rt::spawn(async move {
         let mut newest = BTreeMap::new();
-        let mut seen = 0;
+        let mut count = 0;
         while !stop.get() {
             for callers in &entries {
                 let request = json!({ "model": ENGINES, "prompt": "watch", "max_tokens": 1 });
@@ -97,18 +102,18 @@
                     before <= Some(number),
                     "{callers}: {number} after {before:?}"
                 );
-                seen += 1;
+                count += 1;
             }
         }
-        seen
+        count
     })
 }
 
 #[actix_rt::test]
-async fn of_racing_patches_one_takes_effect_everywhere() {
+async fn at_most_one_of_competing_patches_is_accepted_and_then_in_force_at_all_entries() {
     let cluster = Cluster::start(options(3, 1, 0)).await.unwrap();
     let stop = Rc::new(Cell::new(false));
-    let watch = watch(&cluster, &stop);
+    let watch = watch_numbers(&cluster, &stop);
     let mut times = Vec::new();
     let mut base = 1;
     for round in 0..6 {
@@ -116,7 +121,7 @@
         let ids: Vec<_> = (0..3)
             .map(|index| format!("race-{round}-{index}"))
             .collect();
-        let races = cluster.entries.iter().enumerate().map(|(index, entry)| {
+        let patches = cluster.entries.iter().enumerate().map(|(index, entry)| {
             patch(
                 entry.operators,
                 &ids[index],
@@ -124,25 +129,25 @@
                 20_000 + 10 * round + index as u64,
             )
         });
-        let answers = futures_util::future::join_all(races).await;
-        let accepted: Vec<_> = answers.iter().flatten().copied().collect();
-        assert!(accepted.len() <= 1, "{answers:?}");
+        let results = futures_util::future::join_all(patches).await;
+        let accepted: Vec<_> = results.iter().flatten().copied().collect();
+        assert!(accepted.len() <= 1, "{results:?}");
         let Some(number) = accepted.first().copied() else {
-            // Each may be taken back by another; nothing changed then.
+            // Competing patches may all abort each other. Then none of them has taken effect.
             assert!(
-                answers
+                results
                     .iter()
-                    .all(|a| a.is_err_and(|(_, ran)| ran == Ran::NotRun)),
-                "{answers:?}"
+                    .all(|r| r.is_err_and(|(_, ran)| ran == Ran::NotRun)),
+                "{results:?}"
             );
             continue;
         };
-        // Accepted means in force: every entry serves under it at once.
+        // An accepted patch is in force: every entry serves the next request under it.
         for entry in &cluster.entries {
-            assert!(served_under(entry).await >= Some(number));
+            assert!(serving_config(entry).await >= Some(number));
         }
         times.push(start.elapsed());
-        assert!(start.elapsed() < IN_FORCE, "{:?}", start.elapsed());
+        assert!(start.elapsed() < MAX_PATCH_TIME, "{:?}", start.elapsed());
         base = number;
     }
     times.sort();
@@ -153,16 +158,17 @@
     assert!(times.len() >= 3, "too few rounds accepted a patch");
     stop.set(true);
     println!(
-        "measured: {} numbers seen, none went back",
+        "measured: {} numbers read, none decreased",
         watch.await.unwrap()
     );
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_to_a_patch_is_no_false_refusal() {
+async fn a_patch_is_accepted_although_responses_to_its_writes_are_lost() {
     let cluster = Cluster::start(options(2, 1, 0)).await.unwrap();
     for round in 1..=4 {
-        // The write of the pending patch, that of its acceptance, or both.
+        // Loses one response or two: that to the write of the pending patch, and that to the write of
+        // its acceptance.
         let lost = 1 + round % 2;
         let faults = json!({ "lose_write_answers": lost, "lose_kind": "config" });
         cluster.set_object_api_faults(faults).await.unwrap();
@@ -173,96 +179,97 @@
         let start = Instant::now();
         let number = patch(entry.operators, &id, round, 10_000 + round).await;
         assert_eq!(number, Ok(round + 1));
-        measured("patch with lost answers", start);
+        print_elapsed("patch with lost responses", start);
         cluster
             .set_object_api_faults(json!({ "lose_write_answers": 0 }))
             .await
             .unwrap();
-        // A repeat at the other entry gets the first answer.
+        // The same patch sent to the other entry gets the first response again.
         let other = &cluster.entries[(round as usize + 1) % 2];
-        let again = patch(other.operators, &id, round, 10_000 + round).await;
-        assert_eq!(again, Ok(round + 1));
-        in_force(&cluster, round + 1).await;
+        let repeated = patch(other.operators, &id, round, 10_000 + round).await;
+        assert_eq!(repeated, Ok(round + 1));
+        wait_until_in_force(&cluster, round + 1).await;
     }
-    let shown = config(&cluster.entries[0]).await.unwrap();
-    assert_eq!(shown.number, 5);
-    assert_eq!(shown.document["limits"]["default_deadline_ms"], 10_004);
+    let config = config(&cluster.entries[0]).await.unwrap();
+    assert_eq!(config.number, 5);
+    assert_eq!(config.document["limits"]["default_deadline_ms"], 10_004);
 }
 
 #[actix_rt::test]
-async fn an_entry_that_starts_again_shows_no_lower_number() {
+async fn a_restarted_entry_serves_under_the_latest_configuration() {
     let mut cluster = Cluster::start(options(2, 1, 0)).await.unwrap();
     let number = patch(cluster.entries[0].operators, "before", 1, 9_000)
         .await
         .unwrap();
     cluster.entries[1].child.signal(Signal::KILL).unwrap();
-    let killed = Instant::now();
-    // A dead entry confirms nothing; the patch is in force or refused for now, never half.
-    let mut turn = 0;
-    let mut later = None;
+    let kill_time = Instant::now();
+    // The dead entry confirms no patch. Until the others go on without it, each patch is refused and
+    // takes no effect.
+    let mut attempt = 0;
+    let mut latest = None;
     let accepted = async || {
-        turn += 1;
-        let answer = patch(
+        attempt += 1;
+        let result = patch(
             cluster.entries[0].operators,
-            &format!("after-{turn}"),
+            &format!("after-{attempt}"),
             number,
             9_001,
         )
         .await;
-        later = answer.ok();
-        later.is_some()
+        latest = result.ok();
+        latest.is_some()
     };
     wait_until(accepted).await.unwrap();
-    measured("patch accepted after the kill of an entry", killed);
+    print_elapsed("patch accepted after the kill of an entry", kill_time);
     let callers = cluster.entries[1].callers;
     cluster.entries[1] = cluster.start_entry(1, Some(callers)).unwrap();
     let entry = &cluster.entries[1];
     wait_until(async || entry.is_ready().await).await.unwrap();
-    measured("an entry that was killed is ready again", killed);
-    assert_eq!(config(entry).await.map(|c| c.number), later);
-    assert!(served_under(entry).await >= later);
+    print_elapsed("killed entry restarted and ready", kill_time);
+    assert_eq!(config(entry).await.map(|c| c.number), latest);
+    assert!(serving_config(entry).await >= latest);
 }
 
 #[actix_rt::test]
-async fn a_paused_entry_serves_nothing_under_an_old_number() {
+async fn a_resumed_entry_serves_no_request_under_an_old_configuration() {
     let mut cluster = Cluster::start(options(3, 1, 0)).await.unwrap();
     cluster.entries[2].child.signal(Signal::STOP).unwrap();
-    let paused = Instant::now();
-    let mut turn = 0;
+    let pause_time = Instant::now();
+    let mut attempt = 0;
     let mut number = 0;
     let accepted = async || {
-        turn += 1;
-        let answer = patch(
+        attempt += 1;
+        let result = patch(
             cluster.entries[0].operators,
-            &format!("paused-{turn}"),
+            &format!("paused-{attempt}"),
             1,
             8_000,
         )
         .await;
-        number = answer.unwrap_or(0);
+        number = result.unwrap_or(0);
         number > 0
     };
     wait_until(accepted).await.unwrap();
-    measured("patch accepted with an entry paused", paused);
-    // Requests that wait in its sockets are the first thing that it sees when it wakes up.
+    print_elapsed("patch accepted with an entry paused", pause_time);
+    // Requests that wait in the sockets are the first that the entry reads when it resumes.
     let callers = cluster.entries[2].callers;
-    let waiting: Vec<_> = (0..8).map(|_| ask(callers)).collect();
+    let waiting: Vec<_> = (0..8).map(|_| send_request(callers)).collect();
     cluster.entries[2].child.signal(Signal::CONT).unwrap();
-    let woken = Instant::now();
+    let resume_time = Instant::now();
     for socket in waiting {
-        let (status, shown) = answer(socket);
-        let fits = shown.map_or(status == 503, |shown| shown >= number);
-        assert!(fits, "{status} under {shown:?}, {number} is in force");
+        let (status, served_under) = read_response(socket);
+        let is_current = served_under.map_or(status == 503, |served| served >= number);
+        assert!(
+            is_current,
+            "{status} under {served_under:?}, {number} is in force"
+        );
     }
-    in_force(&cluster, number).await;
-    measured(
-        "paused entry serves under the new number after it wakes up",
-        woken,
-    );
+    wait_until_in_force(&cluster, number).await;
+    print_elapsed("new configuration in force at the resumed entry", resume_time);
 }
 
-/// Sends a live request and leaves it in the socket.
-fn ask(callers: SocketAddr) -> TcpStream {
+/// Sends a live request without reading the response.
+fn send_request(callers: SocketAddr) -> TcpStream {
     let body = json!({ "model": ENGINES, "prompt": "p", "max_tokens": 2 }).to_string();
     let length = body.len();
     let mut socket = TcpStream::connect(callers).unwrap();
@@ -271,12 +278,12 @@
          content-type: application/json\r\ncontent-length: {length}\r\n\r\n{body}"
     );
     socket.write_all(request.as_bytes()).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     socket
 }
 
-/// The status of the answer and the number that it names.
-fn answer(mut socket: TcpStream) -> (u16, Option<u64>) {
+/// Reads a response; returns its status and the configuration number in its headers.
+fn read_response(mut socket: TcpStream) -> (u16, Option<u64>) {
     let mut text = String::new();
     socket.read_to_string(&mut text).unwrap();
     let status = text.split(' ').nth(1).unwrap().parse().unwrap();
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -1,4 +1,4 @@
-//! Real processes: the object API is down, slow, cut off from one entry, or loses answers.
+//! Real processes: the object API is down or slow, is unreachable for one entry, or loses responses.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,8 +9,8 @@
     engine::text,
 };
 use process_support::{
-    TRAINER, all_once, all_serve, complete, decisions, lease, measured, options, publish, taken,
-    true_versions,
+    TRAINER, check_versions, complete, count_decisions, finish_trainer, options, print_elapsed,
+    publish, rollout_lease, wait_for_samples, wait_until_all_serve,
 };
 use serde_json::json;
 use std::{
@@ -18,24 +18,26 @@
     time::{Duration, Instant},
 };
 
-/// Longest time of a live request in an outage; the same as without one.
-const PROMPT: Duration = Duration::from_secs(2);
+/// Maximum time of a live request, the same during an outage as without one.
+const MAX_LIVE_TIME: Duration = Duration::from_secs(2);
 
-/// A live request at each entry, each whole and in time.
-async fn live(cluster: &Cluster, word: &str) {
+/// Sends a live request to each entry and checks that the text is whole and in time. `label` makes
+/// the prompts differ between calls.
+async fn check_live_requests(cluster: &Cluster, label: &str) {
     for entry in &cluster.entries {
-        let prompt = format!("{word} {}", entry.name);
+        let prompt = format!("{label} {}", entry.name);
         let start = Instant::now();
         let (answer, _) = complete(entry.callers, &prompt).await.unwrap();
         assert_eq!(answer, text::whole(&prompt, 0, 40));
-        assert!(start.elapsed() < PROMPT, "{word}: {:?}", start.elapsed());
+        let elapsed = start.elapsed();
+        assert!(elapsed < MAX_LIVE_TIME, "{label}: {elapsed:?}");
     }
 }
 
 #[actix_rt::test]
-async fn live_requests_and_a_lot_go_on_while_the_object_api_is_down_for_long() {
+async fn live_requests_and_the_current_lot_continue_during_a_long_object_api_outage() {
     let cluster = Cluster::start(options(2, 2, 1)).await.unwrap();
-    wait_until(async || lease(&cluster).await.is_some())
+    wait_until(async || rollout_lease(&cluster).await.is_some())
         .await
         .unwrap();
     let flags = [
@@ -49,43 +51,43 @@
         "200",
     ];
     let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
-    taken(&trainer, 0, 32).await;
-    taken(&trainer, 1, 4).await;
+    wait_for_samples(&trainer, 0, 32).await;
+    wait_for_samples(&trainer, 1, 4).await;
     cluster
         .set_object_api_faults(json!({ "outage_ms": 100_000 }))
         .await
         .unwrap();
-    let down = Instant::now();
-    // The lot that runs is delivered whole; the publish after it has to wait.
-    taken(&trainer, 1, 32).await;
-    let lost = async || {
+    let outage_start = Instant::now();
+    // The current lot is delivered whole. Publishing the next version has to wait for the outage's end.
+    wait_for_samples(&trainer, 1, 32).await;
+    let lease_lost = async || {
         cluster
             .entries
             .iter()
-            .any(|e| decisions(e, &["\"lease\"", "lost"]) > 0)
+            .any(|e| count_decisions(e, &["\"lease\"", "lost"]) > 0)
     };
-    wait_until(lost).await.unwrap();
-    measured("lease given up in the outage", down);
-    live(&cluster, "outage").await;
+    wait_until(lease_lost).await.unwrap();
+    print_elapsed("lease given up in the outage", outage_start);
+    check_live_requests(&cluster, "outage").await;
     assert!(
-        taken_samples(&trainer).iter().all(|t| t.step < 2),
-        "a step began without its publish"
+        taken_samples(&trainer).iter().all(|s| s.step < 2),
+        "a step began before its version was published"
     );
     assert!(publish(cluster.entries[0].callers, 9).await.is_err());
     cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
-    let back = Instant::now();
-    let taken = all_once(&mut trainer, 3, 32).await;
-    measured("end of the run after the outage", back);
-    all_serve(&cluster, 4).await;
-    measured("newest weights everywhere after the outage", back);
-    true_versions(&taken, &cluster.attempts().await.unwrap());
-    live(&cluster, "after").await;
+    let outage_end = Instant::now();
+    let samples = finish_trainer(&mut trainer, 3, 32).await;
+    print_elapsed("end of the run after the outage", outage_end);
+    wait_until_all_serve(&cluster, 4).await;
+    print_elapsed("newest weights at all engines after the outage", outage_end);
+    check_versions(&samples, &cluster.attempts().await.unwrap());
+    check_live_requests(&cluster, "after").await;
 }
 
 #[actix_rt::test]
-async fn everything_goes_on_while_the_object_api_is_slow() {
+async fn steps_and_live_requests_continue_and_the_lease_is_kept_while_the_object_api_is_slow() {
     let cluster = Cluster::start(options(2, 2, 1)).await.unwrap();
-    wait_until(async || lease(&cluster).await.is_some())
+    wait_until(async || rollout_lease(&cluster).await.is_some())
         .await
         .unwrap();
     cluster
@@ -106,29 +108,29 @@
         "50",
     ];
     let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
-    live(&cluster, "slow").await;
-    let taken = all_once(&mut trainer, 2, 16).await;
-    measured("two steps, object API slow by 1 s", start);
-    true_versions(&taken, &cluster.attempts().await.unwrap());
-    all_serve(&cluster, 3).await;
-    let holders = cluster.history("leases").await.unwrap();
-    let fences: BTreeSet<_> = holders
+    check_live_requests(&cluster, "slow").await;
+    let samples = finish_trainer(&mut trainer, 2, 16).await;
+    print_elapsed("two steps, object API slow by 1 s", start);
+    check_versions(&samples, &cluster.attempts().await.unwrap());
+    wait_until_all_serve(&cluster, 3).await;
+    let lease_writes = cluster.history("leases").await.unwrap();
+    let fences: BTreeSet<_> = lease_writes
         .iter()
         .map(|r| r.change.value.as_ref().unwrap()["fence"].as_u64())
         .collect();
-    assert_eq!(fences.len(), 1, "slowness alone cost the lease");
+    assert_eq!(fences.len(), 1, "the lease was lost through slowness alone");
 }
 
 #[actix_rt::test]
-async fn an_entry_that_alone_cannot_reach_the_object_api_goes_on() {
+async fn a_lease_holder_cut_off_from_the_object_api_is_replaced_and_serves_live_requests() {
     let cluster = Cluster::start(options(3, 2, 1)).await.unwrap();
-    wait_until(async || lease(&cluster).await.is_some())
+    wait_until(async || rollout_lease(&cluster).await.is_some())
         .await
         .unwrap();
-    let (holder, fence) = lease(&cluster).await.unwrap();
-    let cut = &cluster.entries[holder];
+    let (holder, fence) = rollout_lease(&cluster).await.unwrap();
+    let cut_off = &cluster.entries[holder];
     cluster
-        .set_object_api_faults(json!({ "cut_agents": [cut.name] }))
+        .set_object_api_faults(json!({ "cut_agents": [cut_off.name] }))
         .await
         .unwrap();
     let start = Instant::now();
@@ -145,49 +147,49 @@
         "50",
     ];
     let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
-    live(&cluster, "cut").await;
-    let taken = all_once(&mut trainer, 2, 32).await;
-    all_serve(&cluster, 3).await;
-    measured("newest weights everywhere, holder cut off", start);
-    // The cut holder may roll out until its lease lapses; then the next one has it.
+    check_live_requests(&cluster, "cut").await;
+    let samples = finish_trainer(&mut trainer, 2, 32).await;
+    wait_until_all_serve(&cluster, 3).await;
+    print_elapsed("newest weights at all engines, holder cut off", start);
+    // The holder may roll out weights until its lease expires. Then another entry acquires the lease.
     let moved = async || {
-        let (next, higher) = lease(&cluster).await.unwrap_or((holder, fence));
-        next != holder && higher > fence
+        let (new_holder, new_fence) = rollout_lease(&cluster).await.unwrap_or((holder, fence));
+        new_holder != holder && new_fence > fence
     };
     wait_until(moved).await.unwrap();
-    true_versions(&taken, &cluster.attempts().await.unwrap());
-    // It refuses what it cannot do, and serves the rest.
-    assert!(publish(cut.callers, 4).await.is_err());
-    live(&cluster, "still cut").await;
+    check_versions(&samples, &cluster.attempts().await.unwrap());
+    // The entry refuses a publish, which needs the object API, and serves live requests.
+    assert!(publish(cut_off.callers, 4).await.is_err());
+    check_live_requests(&cluster, "still cut").await;
     cluster
         .set_object_api_faults(json!({ "cut_agents": [] }))
         .await
         .unwrap();
-    let back = Instant::now();
-    wait_until(async || publish(cut.callers, 4).await.is_ok())
+    let fault_end = Instant::now();
+    wait_until(async || publish(cut_off.callers, 4).await.is_ok())
         .await
         .unwrap();
-    measured("publish through the entry that was cut off", back);
-    all_serve(&cluster, 4).await;
+    print_elapsed("publish through the entry that was cut off", fault_end);
+    wait_until_all_serve(&cluster, 4).await;
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_to_a_lease_or_a_publish_changes_nothing() {
+async fn leases_and_publishes_survive_a_lost_response_to_their_write() {
     let cluster = Cluster::start(options(2, 2, 0)).await.unwrap();
-    wait_until(async || lease(&cluster).await.is_some())
+    wait_until(async || rollout_lease(&cluster).await.is_some())
         .await
         .unwrap();
-    let (holder, fence) = lease(&cluster).await.unwrap();
+    let (holder, fence) = rollout_lease(&cluster).await.unwrap();
     let faults = json!({ "lose_write_answers": 1, "lose_kind": "leases" });
-    let written = cluster.history("leases").await.unwrap().len();
+    let write_count = cluster.history("leases").await.unwrap().len();
     cluster.set_object_api_faults(faults).await.unwrap();
-    // The lost one and the renewal after it.
-    wait_until(async || cluster.history("leases").await.unwrap().len() >= written + 2)
+    // Waits for the renewal whose response is lost and for the next one.
+    wait_until(async || cluster.history("leases").await.unwrap().len() >= write_count + 2)
         .await
         .unwrap();
-    assert_eq!(lease(&cluster).await, Some((holder, fence)));
+    assert_eq!(rollout_lease(&cluster).await, Some((holder, fence)));
     assert_eq!(
-        decisions(&cluster.entries[holder], &["\"lease\"", "lost"]),
+        count_decisions(&cluster.entries[holder], &["\"lease\"", "lost"]),
         0
     );
     for version in 2..=4 {
@@ -195,7 +197,7 @@
         cluster.set_object_api_faults(faults).await.unwrap();
         let entry = &cluster.entries[version as usize % 2];
         publish(entry.callers, version).await.unwrap();
-        all_serve(&cluster, version).await;
+        wait_until_all_serve(&cluster, version).await;
     }
     let history = cluster.history("weights").await.unwrap();
     let versions = history.iter().map(|r| {
--- a/crates/pinereel_fakes/tests/process_pause.rs
+++ b/crates/pinereel_fakes/tests/process_pause.rs
@@ -1,4 +1,5 @@
-//! Real processes: the holder of the rollout lease is paused past its lease, and wakes up.
+//! Real processes: the holder of the rollout lease is paused until the lease has expired, and then
+//! resumes. An order that it sends late must not change the engines' weights for long.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,8 +12,8 @@
     child_process::Signal,
 };
 use process_support::{
-    TRAINER, all_once, all_serve, complete, lease, measured, options, publish, served, taken,
-    true_versions,
+    TRAINER, check_versions, complete, finish_trainer, options, print_elapsed, publish,
+    rollout_lease, served_versions, wait_for_samples, wait_until_all_serve,
 };
 use serde_json::json;
 use std::{
@@ -21,17 +22,19 @@
     time::{Duration, Instant},
 };
 
-/// Longest time that an engine which ignores fencing may serve what a late order made it load.
-const CORRECTION: Duration = Duration::from_secs(3);
+/// Maximum time for which an engine that ignores fencing may serve an older version after a late
+/// order.
+const MAX_CORRECTION_TIME: Duration = Duration::from_secs(3);
 
-/// Watches the engines' versions; notes when one goes back and until when.
-fn watch(cluster: &Cluster) -> (actix_rt::task::JoinHandle<()>, Rc<Cell<Duration>>) {
+/// Starts a task that watches the engines' versions. The cell holds the longest time for which an
+/// engine has served an older version than before.
+fn watch_versions(cluster: &Cluster) -> (actix_rt::task::JoinHandle<()>, Rc<Cell<Duration>>) {
     let addresses: Vec<_> = cluster.engines.iter().map(|e| e.address).collect();
     let longest = Rc::new(Cell::new(Duration::ZERO));
-    let found = Rc::clone(&longest);
+    let task_longest = Rc::clone(&longest);
     let task = actix_rt::spawn(async move {
         let mut newest = vec![Version(0); addresses.len()];
-        let mut back = vec![None; addresses.len()];
+        let mut older_since = vec![None; addresses.len()];
         loop {
             for (index, address) in addresses.iter().enumerate() {
                 type State = pinereel_api::engine::State;
@@ -43,11 +46,11 @@
                 };
                 if version >= newest[index] {
                     newest[index] = version;
-                    back[index] = None;
+                    older_since[index] = None;
                     continue;
                 }
-                let since = *back[index].get_or_insert_with(Instant::now);
-                found.set(found.get().max(since.elapsed()));
+                let since = *older_since[index].get_or_insert_with(Instant::now);
+                task_longest.set(task_longest.get().max(since.elapsed()));
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -55,39 +58,44 @@
     (task, longest)
 }
 
-/// The order that the paused holder still had in hand, with its fencing token.
-async fn late_order(cluster: &Cluster, fence: u64, version: u64) -> Vec<StatusCode> {
-    let mut answers = Vec::new();
+/// Sends all engines an order with an old fencing token, as the former holder would have sent it.
+/// Returns the status codes of the responses.
+async fn send_late_order(cluster: &Cluster, fence: u64, version: u64) -> Vec<StatusCode> {
+    let mut statuses = Vec::new();
     for engine in &cluster.engines {
         let url = format!("http://{}/v1/orders", engine.address);
         let order = json!({ "fence": fence, "model": "wording", "version": version });
-        let sent = cluster::http_client().post(url).send_json(&order).await.unwrap();
-        answers.push(sent.status());
+        let response = cluster::http_client().post(url).send_json(&order).await;
+        statuses.push(response.unwrap().status());
     }
-    answers
+    statuses
 }
 
-async fn pause_the_holder(fenced: bool) {
+/// Pauses the lease holder until another entry holds the lease, resumes it, and sends a late order.
+async fn check_paused_holder(engines_check_fencing: bool) {
     let mut options = options(3, 3, 1);
-    if !fenced {
+    if !engines_check_fencing {
         options.engine_flags.push("--ignore-fencing");
     }
     let mut cluster = Cluster::start(options).await.unwrap();
-    wait_until(async || lease(&cluster).await.is_some())
+    wait_until(async || rollout_lease(&cluster).await.is_some())
         .await
         .unwrap();
     publish(cluster.entries[0].callers, 2).await.unwrap();
-    all_serve(&cluster, 2).await;
-    let (holder, fence) = lease(&cluster).await.unwrap();
+    wait_until_all_serve(&cluster, 2).await;
+    let (holder, fence) = rollout_lease(&cluster).await.unwrap();
     cluster.entries[holder].child.signal(Signal::STOP).unwrap();
-    let paused = Instant::now();
+    let pause_time = Instant::now();
     let other = cluster.entries[(holder + 1) % 3].callers;
     publish(other, 3).await.unwrap();
-    all_serve(&cluster, 3).await;
-    measured("new weights everywhere, holder paused", paused);
-    let (next, higher) = lease(&cluster).await.unwrap();
-    assert!(next != holder && higher > fence, "{next} {higher}");
-    // Live and lots go on while the paused one wakes up and acts late.
+    wait_until_all_serve(&cluster, 3).await;
+    print_elapsed("new weights at all engines, holder paused", pause_time);
+    let (new_holder, new_fence) = rollout_lease(&cluster).await.unwrap();
+    assert!(
+        new_holder != holder && new_fence > fence,
+        "{new_holder} {new_fence}"
+    );
+    // A trainer runs steps while the former holder resumes and the late order arrives.
     let flags = [
         "--steps",
         "4",
@@ -103,38 +111,42 @@
         "3",
     ];
     let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
-    let (watch, longest) = watch(&cluster);
+    let (watch, longest) = watch_versions(&cluster);
     cluster.entries[holder].child.signal(Signal::CONT).unwrap();
-    taken(&trainer, 0, 4).await;
-    let answers = late_order(&cluster, fence, 2).await;
-    let expected = if fenced {
+    wait_for_samples(&trainer, 0, 4).await;
+    let statuses = send_late_order(&cluster, fence, 2).await;
+    let expected = if engines_check_fencing {
         StatusCode::CONFLICT
     } else {
         StatusCode::OK
     };
     assert!(
-        answers.iter().all(|answer| *answer == expected),
-        "{answers:?}"
+        statuses.iter().all(|status| *status == expected),
+        "{statuses:?}"
     );
-    let taken = all_once(&mut trainer, 4, 32).await;
-    let single = true_versions(&taken, &cluster.attempts().await.unwrap());
-    all_serve(&cluster, 7).await;
+    let samples = finish_trainer(&mut trainer, 4, 32).await;
+    let single_attempt = check_versions(&samples, &cluster.attempts().await.unwrap());
+    wait_until_all_serve(&cluster, 7).await;
     watch.abort();
     println!(
-        "measured: fenced {fenced}: longest time back {:?}, {single} of {} samples in one \
-        attempt, {:?}",
+        "measured: engines check fencing: {engines_check_fencing}; longest time with an older \
+        version {:?}, {single_attempt} of {} samples in one attempt, {:?}",
         longest.get(),
-        taken.len(),
-        served(&cluster).await
+        samples.len(),
+        served_versions(&cluster).await
     );
-    let allowed = if fenced { Duration::ZERO } else { CORRECTION };
+    let allowed = if engines_check_fencing {
+        Duration::ZERO
+    } else {
+        MAX_CORRECTION_TIME
+    };
     assert!(longest.get() <= allowed, "{:?}", longest.get());
-    // The one that woke up takes part as before.
+    // The former holder serves live requests as before.
     let entry = &cluster.entries[holder];
     wait_until(async || entry.is_ready().await).await.unwrap();
     complete(entry.callers, "awake").await.unwrap();
-    let fences: Vec<_> = cluster.history("leases").await.unwrap();
-    let fences: Vec<_> = fences
+    let lease_writes: Vec<_> = cluster.history("leases").await.unwrap();
+    let fences: Vec<_> = lease_writes
         .iter()
         .map(|r| r.change.value.as_ref().unwrap()["fence"].as_u64())
         .collect();
@@ -142,11 +154,11 @@
 }
 
 #[actix_rt::test]
-async fn a_paused_holder_is_replaced_where_engines_check_fencing() {
-    pause_the_holder(true).await;
+async fn a_paused_lease_holder_is_replaced_and_engines_that_check_fencing_refuse_its_late_order() {
+    check_paused_holder(true).await;
 }
 
 #[actix_rt::test]
-async fn a_late_order_is_corrected_where_engines_ignore_fencing() {
-    pause_the_holder(false).await;
+async fn a_late_order_of_a_replaced_holder_is_corrected_at_engines_that_ignore_fencing() {
+    check_paused_holder(false).await;
 }
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -1,4 +1,4 @@
-//! Real processes: each kind of request, and the graceful stop.
+//! Real processes: each kind of request, and the graceful shutdown.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,8 +11,8 @@
     child_process::Signal,
 };
 use process_support::{
-    LONG, SERVICES, TRAINER, all_once, complete, decisions, long_prompt, measured, options, order,
-    stream, true_versions,
+    SERVICES, TIMEOUT, TRAINER, book_order, check_versions, complete, count_decisions,
+    finish_trainer, long_prompt, options, print_elapsed, stream,
 };
 use serde_json::json;
 use std::{
@@ -25,11 +25,12 @@
 };
 
 #[actix_rt::test]
-async fn each_kind_of_request_passes_through_the_shipped_binary() {
+async fn each_kind_of_request_succeeds_through_the_shipped_binary() {
     let mut options = options(2, 2, 2);
-    let daemon = Path::new(env!("CARGO_BIN_EXE_pinereel-fakes")).with_file_name("pinereel");
-    // A build of this crate alone does not make it; `pinereel-fakes entry` runs the same code.
-    options.entry_binary = daemon.exists().then_some(daemon);
+    let binary = Path::new(env!("CARGO_BIN_EXE_pinereel-fakes")).with_file_name("pinereel");
+    // A build of this crate alone does not create the binary. Then the test runs `pinereel-fakes
+    // entry`, which runs the same code.
+    options.entry_binary = binary.exists().then_some(binary);
     println!(
         "measured: shipped binary used: {}",
         options.entry_binary.is_some()
@@ -44,18 +45,19 @@
             json!([{ "version": 1, "tokens": versions[0]["tokens"] }])
         );
         let (id, _) = stream(entry.callers, &prompt, 30).await.unwrap();
-        let line = format!("\"request\":\"{id}\"");
-        // Lines come by way of the log's own thread.
-        wait_until(async || decisions(entry, &[&line, "\"route\""]) == 1)
+        let request = format!("\"request\":\"{id}\"");
+        // The log is written by a thread of its own, so the line may appear after the response.
+        wait_until(async || count_decisions(entry, &[&request, "\"route\""]) == 1)
             .await
             .unwrap();
-        let before = decisions(entry, &["\"route\"", SERVICES]);
-        order(entry.callers, entry.name.to_string()).await.unwrap();
-        let lines = async || decisions(entry, &["\"route\"", SERVICES]) == before + 1;
-        wait_until(lines).await.unwrap();
+        let before = count_decisions(entry, &["\"route\"", SERVICES]);
+        book_order(entry.callers, entry.name.to_string()).await.unwrap();
+        let logged = async || count_decisions(entry, &["\"route\"", SERVICES]) == before + 1;
+        wait_until(logged).await.unwrap();
     }
-    let ran = cluster.executions().await.unwrap();
-    assert_eq!(ran.iter().filter(|e| e.path == "/orders").count(), 2);
+    let executions = cluster.executions().await.unwrap();
+    let orders = executions.iter().filter(|e| e.path == "/orders");
+    assert_eq!(orders.count(), 2);
     let flags = [
         "--steps",
         "2",
@@ -67,15 +69,15 @@
         "60",
     ];
     let mut trainer = cluster.start_trainer(TRAINER, &flags).unwrap();
-    let taken = all_once(&mut trainer, 2, 16).await;
-    assert!(taken.iter().all(|t| t.sample.score.is_some()));
-    true_versions(&taken, &cluster.attempts().await.unwrap());
-    let placed: usize = cluster
+    let samples = finish_trainer(&mut trainer, 2, 16).await;
+    assert!(samples.iter().all(|s| s.sample.score.is_some()));
+    check_versions(&samples, &cluster.attempts().await.unwrap());
+    let placements: usize = cluster
         .entries
         .iter()
-        .map(|e| decisions(e, &["\"place\""]))
+        .map(|e| count_decisions(e, &["\"place\""]))
         .sum();
-    assert!(placed >= 2, "no line for where a lot went");
+    assert!(placements >= 2, "the placement of a lot was not logged");
     for entry in &mut cluster.entries {
         entry.child.signal(Signal::TERM).unwrap();
         assert!(cluster::wait_for_exit(&mut entry.child).await.unwrap());
@@ -93,15 +95,15 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_ends_a_long_stream_and_takes_nothing_new() {
+async fn a_graceful_shutdown_finishes_a_long_stream_and_then_refuses_new_requests() {
     let mut options = options(1, 1, 0);
     options.engine_flags = vec!["--tokens-per-second", "100"];
     let mut cluster = Cluster::start(options).await.unwrap();
     let callers = cluster.entries[0].callers;
     let prompt = long_prompt(400);
-    let long = prompt.clone();
-    let running = actix_rt::spawn(async move { stream(callers, &long, 400).await });
-    let begun = async || {
+    let stream_prompt = prompt.clone();
+    let streaming = actix_rt::spawn(async move { stream(callers, &stream_prompt, 400).await });
+    let stream_started = async || {
         cluster
             .attempts()
             .await
@@ -109,21 +111,22 @@
             .values()
             .any(|r| r.tokens > 0)
     };
-    wait_until(begun).await.unwrap();
-    let kept = cluster::http_client();
-    let warm = kept
+    wait_until(stream_started).await.unwrap();
+    // Keeps an idle connection to the entry open.
+    let client = cluster::http_client();
+    let readiness = client
         .get(format!("http://{callers}/ready"))
         .send()
         .await
         .unwrap();
-    assert_eq!(warm.status(), StatusCode::OK);
+    assert_eq!(readiness.status(), StatusCode::OK);
     let start = Instant::now();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     wait_until(async || !cluster.entries[0].is_ready().await)
         .await
         .unwrap();
-    measured("readiness off after SIGTERM", start);
-    // The balancer has not noticed yet.
+    print_elapsed("readiness off after SIGTERM", start);
+    // The load balancer may still send requests, since it polls readiness.
     complete(callers, "in the lag").await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     cluster.entries[0].child.signal(Signal::INT).unwrap();
@@ -133,52 +136,57 @@
         .unwrap();
     assert!(
         start.elapsed() >= Duration::from_secs(1),
-        "the lag was cut short"
+        "new requests were refused before the balancer lag had passed"
     );
     assert!(complete(callers, "too late").await.is_err());
     assert!(
-        !running.is_finished(),
-        "the stream was meant to be longer than the lag"
+        !streaming.is_finished(),
+        "the stream ended before the balancer lag had passed"
     );
-    let (_, text) = running.await.unwrap().unwrap();
+    let (_, text) = streaming.await.unwrap().unwrap();
     assert_eq!(text, text::whole(&prompt, 0, 400));
     assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
-    measured("exit after SIGTERM, stream of 4 s", start);
+    print_elapsed("exit after SIGTERM, stream of 4 s", start);
     let attempts = cluster.attempts().await.unwrap();
-    assert_eq!(attempts.len(), 2, "the stream and the one in the lag");
+    assert_eq!(
+        attempts.len(),
+        2,
+        "the stream and the request during the balancer lag"
+    );
 }
 
-/// A service whose answer's body comes in two parts, the second one on request.
-fn slow_service() -> (SocketAddr, mpsc::Sender<()>) {
+/// Starts a mock service that sends the body of its only response in two parts, the second one after
+/// a message on the channel.
+fn start_slow_service() -> (SocketAddr, mpsc::Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (go_on, wait) = mpsc::channel();
+    let (send_rest, receiver) = mpsc::channel();
     thread::spawn(move || {
         let (mut socket, _) = listener.accept().unwrap();
         let _ = socket.read(&mut [0; 4096]);
         socket
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfirst")
             .unwrap();
-        let _ = wait.recv_timeout(LONG);
+        let _ = receiver.recv_timeout(TIMEOUT);
         let _ = socket.write_all(b"-last");
     });
-    (address, go_on)
+    (address, send_rest)
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_ends_an_answer_whose_body_is_on_its_way() {
+async fn a_graceful_shutdown_waits_until_a_response_body_is_complete() {
     let mut options = options(1, 0, 0);
     options.extra_settings = "[drain]\nbalancer_lag = 50ms\nlongest = 20s\n".into();
     let mut cluster = Cluster::start(options).await.unwrap();
-    let (address, go_on) = slow_service();
+    let (address, send_rest) = start_slow_service();
     let instance = json!({ "incarnation": 1, "address": address.to_string(), "zone": "toledo-hall",
         "pool": SERVICES, "state": "live" });
     cluster::post_json(cluster.object_api.address, "/instances/orders-app-0", &instance)
         .await
         .unwrap();
     let entry = &cluster.entries[0];
-    let known = async || entry.metric("pinereel_endpoints_known").await == Some(1.0);
-    wait_until(known).await.unwrap();
+    let is_known = async || entry.metric("pinereel_endpoints_known").await == Some(1.0);
+    wait_until(is_known).await.unwrap();
     let url = format!("http://{}/services/{SERVICES}/report", entry.callers);
     let mut response = cluster::http_client().get(url).send().await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
@@ -186,10 +194,10 @@
     wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
         .await
         .unwrap();
-    // An entry that forgets the body is done long before this.
+    // An entry that does not count the body as in flight is done within far less time.
     let done = entry.wait_for_line("drain: done", Duration::from_millis(500));
-    assert_eq!(done, None, "it ended while an answer was on its way");
-    go_on.send(()).unwrap();
+    assert_eq!(done, None, "the drain ended during a response");
+    send_rest.send(()).unwrap();
     let body = response.body().await.map_err(|e| e.to_string());
     assert_eq!(body.as_deref(), Ok(&b"first-last"[..]));
     assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests with real processes have in common: the site, callers, oracles.
+//! Helpers of the tests with real processes: the cluster, callers, and checks against the records of
+//! the stand-ins.
 
 #![allow(clippy::unwrap_used, dead_code)]
 
@@ -24,10 +25,10 @@
 pub const SERVICES: &str = "orders-app";
 /// The trainer.
 pub const TRAINER: &str = "dispatch";
-/// Longest wait for a process's line.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Timeout for a read from a socket and for the mock service.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A site of so many entries, engines and services.
+/// Options of a cluster with these numbers of entries, engines and services.
 pub fn options(entries: usize, engines: usize, services: usize) -> Options {
     let document = json!({
         "pools": {
@@ -57,14 +58,14 @@
     }
 }
 
-/// A prompt whose completion with seed 0 is of just `tokens` tokens or more.
-pub fn long_prompt(tokens: u32) -> String {
+/// A prompt whose completion with seed 0 has `min_tokens` tokens or more.
+pub fn long_prompt(min_tokens: u32) -> String {
     let prompts = (0..).map(|number| format!("status of lacquer slot {number}"));
-    let mut long = prompts.filter(|prompt| text::natural_length(prompt, 0) >= tokens);
+    let mut long = prompts.filter(|prompt| text::natural_length(prompt, 0) >= min_tokens);
     long.next().unwrap()
 }
 
-/// One completion; its text and the versions that it names.
+/// Requests a completion; returns its text and the weight versions in the response.
 pub async fn complete(entry: SocketAddr, prompt: &str) -> Result<(String, Value), String> {
     let request = json!({ "model": ENGINES, "prompt": prompt, "max_tokens": 40 });
     let url = format!("http://{entry}/v1/completions");
@@ -79,9 +80,16 @@
     Ok((text, answer["versions"].clone()))
 }
 
-/// One streamed completion, read to its end; the request id and the text, if it is whole.
-pub async fn stream(entry: SocketAddr, prompt: &str, max: u32) -> Result<(String, String), String> {
-    let request = json!({ "model": ENGINES, "prompt": prompt, "max_tokens": max, "stream": true });
+/// Requests a streamed completion and reads it to its end; returns the request id and the text, or an
+/// error if the text is not the whole one that the engine stand-in generates.
+pub async fn stream(
+    entry: SocketAddr,
+    prompt: &str,
+    max_tokens: u32,
+) -> Result<(String, String), String> {
+    let request = json!({
+        "model": ENGINES, "prompt": prompt, "max_tokens": max_tokens, "stream": true,
+    });
     let url = format!("http://{entry}/v1/completions");
     let sent = cluster::http_client().post(url).send_json(&request).await;
     let mut response = sent.map_err(|e| e.to_string())?;
@@ -91,11 +99,11 @@
     }
     let id = response.headers().get("x-request-id").unwrap();
     let id = id.to_str().unwrap().to_owned();
-    let parts = response.into_stream().map_err(|e| e.to_string());
-    let body: Vec<u8> = parts.map_ok(|part| part.to_vec()).try_concat().await?;
+    let chunks = response.into_stream().map_err(|e| e.to_string());
+    let body: Vec<u8> = chunks.map_ok(|chunk| chunk.to_vec()).try_concat().await?;
     let body = String::from_utf8(body).unwrap();
     let Some(events) = body.strip_suffix("data: [DONE]\n\n") else {
-        return Err(format!("no end: {}", body.len()));
+        return Err(format!("stream of {} bytes has no end marker", body.len()));
     };
     let events = events
         .lines()
@@ -104,110 +112,113 @@
         .map(|event| serde_json::from_str::<Value>(event).unwrap())
         .map(|event| event["choices"][0]["text"].as_str().unwrap().to_owned())
         .collect();
-    if text == text::whole(prompt, 0, max) {
+    if text == text::whole(prompt, 0, max_tokens) {
         Ok((id, text))
     } else {
-        Err("not the whole text".into())
+        Err("the text is not the whole one".into())
     }
 }
 
-/// Books an order; the problem if it was not booked.
-pub async fn order(entry: SocketAddr, body: String) -> Result<(), String> {
+/// Books an order at the plain services. The error is the body of the refusal, if there is one.
+pub async fn book_order(entry: SocketAddr, body: String) -> Result<(), String> {
     let url = format!("http://{entry}/services/{SERVICES}/orders");
     let sent = cluster::http_client().post(url).send_body(body).await;
     let mut response = sent.map_err(|e| e.to_string())?;
-    let answer = response.body().await.map_err(|e| e.to_string())?;
+    let body = response.body().await.map_err(|e| e.to_string())?;
     if response.status() == StatusCode::OK {
         return Ok(());
     }
-    Err(String::from_utf8_lossy(&answer).into_owned())
+    Err(String::from_utf8_lossy(&body).into_owned())
 }
 
-/// The report that a trainer prints at its end.
-pub fn report(trainer: &Child) -> Report {
+/// The report that a trainer prints as its last line.
+pub fn printed_report(trainer: &Child) -> Report {
     let lines = trainer.lines();
     let last = lines.last().expect("a trainer prints its report");
     serde_json::from_str(last).unwrap_or_else(|_| panic!("{last}"))
 }
 
-/// Waits for the trainer's end and checks it: every sample of every step once, whole and within
-/// the bound. Gives the samples.
-pub async fn all_once(trainer: &mut Child, steps: u64, lot: u32) -> Vec<TakenSample> {
-    let well = cluster::wait_for_exit(trainer).await.unwrap();
-    let report = report(trainer);
-    assert!(well && report.is_valid(), "{report:?}");
-    let taken = taken_samples(trainer);
-    let places: BTreeSet<_> = taken.iter().map(|t| (t.step, t.sample.index)).collect();
-    assert_eq!(places.len(), taken.len(), "a sample came twice");
-    let expected = (0..steps).flat_map(|step| (0..lot).map(move |index| (step, index)));
-    assert!(places.into_iter().eq(expected), "samples are missing");
-    taken
+/// Waits until the trainer exits and checks that it took every sample of every step exactly once,
+/// with the whole text and within the staleness bound. Returns the samples.
+pub async fn finish_trainer(trainer: &mut Child, steps: u64, lot_size: u32) -> Vec<TakenSample> {
+    let is_success = cluster::wait_for_exit(trainer).await.unwrap();
+    let report = printed_report(trainer);
+    assert!(is_success && report.is_valid(), "{report:?}");
+    let samples = taken_samples(trainer);
+    let positions: BTreeSet<_> = samples.iter().map(|s| (s.step, s.sample.index)).collect();
+    assert_eq!(positions.len(), samples.len(), "a sample was taken twice");
+    let expected = (0..steps).flat_map(|step| (0..lot_size).map(move |index| (step, index)));
+    assert!(positions.into_iter().eq(expected), "samples are missing");
+    samples
 }
 
-/// Waits until the trainer took `count` samples of `step`.
-pub async fn taken(trainer: &Child, step: u64, count: usize) {
-    let there = async || {
-        let all = taken_samples(trainer);
-        all.iter().filter(|t| t.step == step).count() >= count
+/// Waits until the trainer has taken `count` samples of `step`.
+pub async fn wait_for_samples(trainer: &Child, step: u64, count: usize) {
+    let enough = async || {
+        let samples = taken_samples(trainer);
+        samples.iter().filter(|s| s.step == step).count() >= count
     };
-    wait_until(there)
+    wait_until(enough)
         .await
         .unwrap_or_else(|_| panic!("step {step}: {:?}", trainer.lines().last()));
 }
 
-/// Checks each sample's versions against what truly ran; gives how many were made in one attempt.
+/// Checks the versions of each sample against the engines' records of attempts; returns the number of
+/// samples that were generated in a single attempt.
 ///
-/// A sample made in one attempt names just the versions of that attempt. One that was resumed
-/// names all versions of its last attempt, and none that took no part in any.
-pub fn true_versions(
-    taken: &[TakenSample],
+/// A sample of a single attempt names exactly the versions of that attempt. A resumed sample names
+/// all versions of its last attempt, and no version that took part in none of its attempts.
+pub fn check_versions(
+    samples: &[TakenSample],
     attempts: &BTreeMap<compact_str::CompactString, batch::Record>,
 ) -> usize {
-    let mut by_sample: BTreeMap<(&str, u64), Vec<&batch::Record>> = BTreeMap::new();
+    let mut attempts_of: BTreeMap<(&str, u64), Vec<&batch::Record>> = BTreeMap::new();
     for record in attempts.values() {
         let key = (record.prompt.as_str(), record.seed);
-        by_sample.entry(key).or_default().push(record);
+        attempts_of.entry(key).or_default().push(record);
     }
     let versions = |record: &batch::Record| -> BTreeSet<Version> {
         let spans = record.prompt_spans.iter().chain(&record.output_spans);
         spans.map(|span| span.version).collect()
     };
-    let mut single = 0;
-    for one in taken {
-        let prompt = Digest::of(one.prompt.as_bytes()).to_string();
-        let records = &by_sample[&(prompt.as_str(), seed(&one.sample.text))];
-        let named: BTreeSet<_> = one.sample.spans.iter().map(|s| s.version).collect();
-        let whole = |r: &&&batch::Record| r.finished.is_some() && r.tokens == one.sample.tokens;
-        if records.iter().filter(whole).any(|r| versions(r) == named) {
-            single += 1;
+    let mut single_attempt_count = 0;
+    for taken in samples {
+        let sample = &taken.sample;
+        let prompt = Digest::of(taken.prompt.as_bytes()).to_string();
+        let records = &attempts_of[&(prompt.as_str(), text_seed(&sample.text))];
+        let named: BTreeSet<_> = sample.spans.iter().map(|s| s.version).collect();
+        let is_whole = |r: &&&batch::Record| r.finished.is_some() && r.tokens == sample.tokens;
+        if records.iter().filter(is_whole).any(|r| versions(r) == named) {
+            single_attempt_count += 1;
             continue;
         }
-        let any: BTreeSet<_> = records.iter().flat_map(|r| versions(r)).collect();
-        let ended = records.iter().filter(|r| r.finished.is_some());
-        let covered = ended.into_iter().any(|r| versions(r).is_subset(&named));
-        assert!(named.is_subset(&any) && covered, "{one:?} {records:?}");
+        let of_any: BTreeSet<_> = records.iter().flat_map(|r| versions(r)).collect();
+        let finished = records.iter().filter(|r| r.finished.is_some());
+        let names_last = finished.into_iter().any(|r| versions(r).is_subset(&named));
+        assert!(named.is_subset(&of_any) && names_last, "{taken:?} {records:?}");
     }
-    single
+    single_attempt_count
 }
 
-/// The seed that a text of the engine stand-in names.
-fn seed(text: &str) -> u64 {
-    let head = text.split_whitespace().next().unwrap();
-    u64::from_str_radix(head.split_once('.').unwrap().1, 16).unwrap()
+/// The seed in the first word of a text of the engine stand-in.
+fn text_seed(text: &str) -> u64 {
+    let first_word = text.split_whitespace().next().unwrap();
+    u64::from_str_radix(first_word.split_once('.').unwrap().1, 16).unwrap()
 }
 
-/// Samples that were made to the end more than once, by what the engines still know.
-pub fn remade(attempts: &BTreeMap<compact_str::CompactString, batch::Record>) -> usize {
-    let mut made: BTreeMap<(&str, u64), usize> = BTreeMap::new();
-    for record in attempts.values().filter(|r| ended_whole(r)) {
-        *made
+/// Number of completed attempts beyond the first one of each sample, by the engines' records.
+pub fn count_regenerated(attempts: &BTreeMap<compact_str::CompactString, batch::Record>) -> usize {
+    let mut completed: BTreeMap<(&str, u64), usize> = BTreeMap::new();
+    for record in attempts.values().filter(|r| is_completed(r)) {
+        *completed
             .entry((record.prompt.as_str(), record.seed))
             .or_default() += 1;
     }
-    made.values().map(|count| count - 1).sum()
+    completed.values().map(|count| count - 1).sum()
 }
 
-fn ended_whole(record: &batch::Record) -> bool {
+/// Whether an attempt generated the whole text.
+fn is_completed(record: &batch::Record) -> bool {
     use pinereel_api::engine::FinishReason;
     matches!(
         record.finished,
@@ -215,37 +226,39 @@
     )
 }
 
-/// Versions of all engines now; none for one that does not answer or has none.
-pub async fn served(cluster: &Cluster) -> Vec<Option<Version>> {
-    let mut all = Vec::new();
+/// The version that each engine serves; `None` for an engine that does not answer or has no weights.
+pub async fn served_versions(cluster: &Cluster) -> Vec<Option<Version>> {
+    use pinereel_api::engine::State;
+    let mut versions = Vec::new();
     for engine in &cluster.engines {
-        let state = cluster::get_json::<pinereel_api::engine::State>(engine.address, "/v1/state").await;
-        all.push(state.ok().and_then(|state| state.version));
+        let state = cluster::get_json::<State>(engine.address, "/v1/state").await;
+        versions.push(state.ok().and_then(|state| state.version));
     }
-    all
+    versions
 }
 
 /// Waits until all engines serve `version`.
-pub async fn all_serve(cluster: &Cluster, version: u64) {
-    let there = async || {
-        served(cluster)
+pub async fn wait_until_all_serve(cluster: &Cluster, version: u64) {
+    let all_serve = async || {
+        served_versions(cluster)
             .await
             .iter()
             .all(|v| *v == Some(Version(version)))
     };
-    if wait_until(there).await.is_err() {
-        panic!("{version} wanted, {:?}", served(cluster).await);
+    if wait_until(all_serve).await.is_err() {
+        let served = served_versions(cluster).await;
+        panic!("expected {version} at all engines, got {served:?}");
     }
 }
 
-/// Announces new weights through an entry.
+/// Publishes a version of the trainer's weights through an entry.
 pub async fn publish(entry: SocketAddr, version: u64) -> std::io::Result<()> {
     let path = format!("/v1/trainers/{TRAINER}/versions");
     cluster::post_json(entry, &path, &json!({ "version": version })).await
 }
 
-/// Decision lines of an entry with these texts.
-pub fn decisions(entry: &cluster::Entry, texts: &[&str]) -> usize {
+/// Number of decision log lines of an entry that contain all of these texts.
+pub fn count_decisions(entry: &cluster::Entry, texts: &[&str]) -> usize {
     let lines = entry.child.lines();
     let mut decisions: Vec<_> = lines
         .iter()
@@ -255,19 +268,20 @@
     decisions.len()
 }
 
-/// The newest lease on rollouts: the holder's index among the entries, and the fencing token.
-pub async fn lease(cluster: &Cluster) -> Option<(usize, u64)> {
+/// The latest write of the rollout lease: the index of the holder among the entries, and the fencing
+/// token.
+pub async fn rollout_lease(cluster: &Cluster) -> Option<(usize, u64)> {
     let history = cluster.history("leases").await.ok()?;
     let value = history.last()?.change.value.clone()?;
     let holder = value["holder"].as_str()?;
-    let holds = |entry: &cluster::Entry| holder.starts_with(&format!("{}-", entry.name));
-    let index = cluster.entries.iter().position(holds)?;
+    let is_holder = |entry: &cluster::Entry| holder.starts_with(&format!("{}-", entry.name));
+    let index = cluster.entries.iter().position(is_holder)?;
     Some((index, value["fence"].as_u64()?))
 }
 
-/// Prints a measured time, for the notes.
-pub fn measured(what: &str, since: Instant) -> Duration {
-    let took = since.elapsed();
-    println!("measured: {what}: {} ms", took.as_millis());
-    took
+/// Prints the time since `start` and returns it.
+pub fn print_elapsed(what: &str, start: Instant) -> Duration {
+    let elapsed = start.elapsed();
+    println!("measured: {what}: {} ms", elapsed.as_millis());
+    elapsed
 }
