--- a/crates/pinereel_fakes/src/child_process.rs
+++ b/crates/pinereel_fakes/src/child_process.rs
@@ -14,7 +14,7 @@
     time::{Duration, Instant},
 };
 
-/// Interval at which a condition is polled that sends no notification.
+/// Interval at which process exits and HTTP readiness are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a process has printed on standard output and standard error.
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -210,7 +210,7 @@
         post_json(self.object_api.address, &path, instance).await
     }
 
-    /// The platform's list entry of the instance with this index.
+    /// The instance with this index, as the platform lists it.
     fn instance(
         &self,
         index: usize,
@@ -358,7 +358,7 @@
         .collect()
 }
 
-/// Waits until a process exits, without blocking the thread. Returns whether it exited with success.
+/// Waits until a process exits, without blocking the thread. Returns whether it succeeded.
 ///
 /// # Errors
 /// The process did not exit within 30 seconds.
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -180,7 +180,7 @@
         let settings = self.entry_settings(options, index)?;
         let name = settings.entry.name.clone();
         let entry = Entry::start(settings).await.map_err(io::Error::other)?;
-        // The platform lists entries too, and the other entries treat one without a listing as gone.
+        // The platform lists entries too, and the other entries treat one that is not listed as gone.
         let instance = Instance {
             incarnation: entry.shared.incarnation,
             ..instance(
@@ -252,7 +252,7 @@
     options.zones[index % options.zones.len()].clone()
 }
 
-/// The platform's list entry of a live instance in its first incarnation.
+/// A live instance in its first incarnation, as the platform lists it.
 fn instance(options: &Options, pool: &CompactString, index: usize, address: String) -> Instance {
     Instance {
         incarnation: 1,
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -27,8 +27,8 @@
     for entry in &cluster.entries {
         let prompt = format!("{label} {}", entry.name);
         let start = Instant::now();
-        let (answer, _) = complete(entry.callers, &prompt).await.unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        let (text, _) = complete(entry.callers, &prompt).await.unwrap();
+        assert_eq!(text, text::whole(&prompt, 0, 40));
         let elapsed = start.elapsed();
         assert!(elapsed < MAX_LIVE_TIME, "{label}: {elapsed:?}");
     }
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -183,8 +183,8 @@
     while start.elapsed() < duration {
         let prompt = format!("request {number} {duration:?}");
         let entry = &cluster.entries[number % cluster.entries.len()];
-        let (answer, _) = complete(entry.callers, &prompt).await.unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        let (text, _) = complete(entry.callers, &prompt).await.unwrap();
+        assert_eq!(text, text::whole(&prompt, 0, 40));
         number += 1;
         let new_count = count_attempts().await;
         if new_count > count {
@@ -251,10 +251,10 @@
     let mut number = 0;
     while leave_time.elapsed() < LIST_LAG {
         let prompt = format!("request {number}");
-        let (answer, _) = complete(cluster.entries[number % 2].callers, &prompt)
+        let (text, _) = complete(cluster.entries[number % 2].callers, &prompt)
             .await
             .unwrap();
-        assert_eq!(answer, text::whole(&prompt, 0, 40));
+        assert_eq!(text, text::whole(&prompt, 0, 40));
         number += 1;
         if count_routed() > count {
             (last, count) = (leave_time.elapsed(), count_routed());
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -72,16 +72,16 @@
     let sent = cluster::http_client().post(url).send_json(&request).await;
     let mut response = sent.map_err(|e| e.to_string())?;
     let status = response.status();
-    let answer: Value = response.json().await.map_err(|e| e.to_string())?;
+    let body: Value = response.json().await.map_err(|e| e.to_string())?;
     if status != StatusCode::OK {
-        return Err(format!("{status}: {answer}"));
+        return Err(format!("{status}: {body}"));
     }
-    let text = answer["choices"][0]["text"].as_str().unwrap().to_owned();
-    Ok((text, answer["versions"].clone()))
+    let text = body["choices"][0]["text"].as_str().unwrap().to_owned();
+    Ok((text, body["versions"].clone()))
 }
 
 /// Requests a streamed completion and reads it to its end; returns the request id and the text, or an
-/// error if the text is not the whole one that the engine stand-in generates.
+/// error if the text is not the whole text that the engine stand-in generates.
 pub async fn stream(
     entry: SocketAddr,
     prompt: &str,
@@ -115,7 +115,7 @@
     if text == text::whole(prompt, 0, max_tokens) {
         Ok((id, text))
     } else {
-        Err("the text is not the whole one".into())
+        Err("the text is incomplete or wrong".into())
     }
 }
 
