--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -3,9 +3,9 @@
 use lexopt::{Arg::Long, Parser};
 use pinereel::settings::Settings;
 use pinereel_fakes::{
-    capacity, demo, engine, experiment, hosting, load, object_api,
+    capacity,
     cli::{self, CommonFlags, Error, parse_value},
-    service, trainer, weight_store,
+    demo, engine, experiment, hosting, load, object_api, service, trainer, weight_store,
 };
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
--- a/crates/pinereel_fakes/src/cli.rs
+++ b/crates/pinereel_fakes/src/cli.rs
@@ -12,7 +12,8 @@
 };
 
 /// Help text for the flags of [`CommonFlags`].
-pub const COMMON_FLAGS_HELP: &str = "  --port N               listen on 127.0.0.1:N (default 0: any free port)
+pub const COMMON_FLAGS_HELP: &str =
+    "  --port N               listen on 127.0.0.1:N (default 0: any free port)
   --max-seconds N        end by itself after N seconds (default 600)
   --until-stdin-closes   end when standard input closes
   --help                 print this";
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -4,7 +4,7 @@
 //! [`crate::site`] runs the same site inside the calling process.
 
 use crate::{
-    engine::batch, child_process::Child, object_api::Record, service::Execution, site,
+    child_process::Child, engine::batch, object_api::Record, service::Execution, site,
     trainer::step::TakenSample,
 };
 use awc::http::StatusCode;
@@ -95,7 +95,9 @@
     pub async fn metric(&self, name: &str) -> Option<f64> {
         let bearer = format!("Bearer {}", site::OPERATOR_TOKEN);
         let url = format!("http://{}/metrics", self.operators);
-        let request = http_client().get(url).insert_header(("authorization", bearer));
+        let request = http_client()
+            .get(url)
+            .insert_header(("authorization", bearer));
         let body = request.send().await.ok()?.body().await.ok()?;
         let text = String::from_utf8(body.to_vec()).ok()?;
         let line = text.lines().find(|line| line.starts_with(name))?;
@@ -135,7 +137,13 @@
     pub async fn start(options: Options) -> io::Result<Self> {
         let config_dir = site::create_config_dir()?;
         let lag_ms = options.instance_list_lag.as_millis().to_string();
-        let flags = ["object-api", "--lag-ms", &lag_ms, "--max-seconds", MAX_RUN_SECONDS];
+        let flags = [
+            "object-api",
+            "--lag-ms",
+            &lag_ms,
+            "--max-seconds",
+            MAX_RUN_SECONDS,
+        ];
         let object_api = start_server(&options.fakes_binary, "object-api", &flags)?;
         site::write_initial_config(object_api.address, &options.document).await?;
         let mut cluster = Self {
@@ -296,7 +304,12 @@
     /// The process can't be started.
     pub fn start_trainer(&self, name: &str, flags: &[&str]) -> io::Result<Child> {
         let mut command = Command::new(&self.options.fakes_binary);
-        command.args(["trainer", "--print-samples", "--max-seconds", MAX_RUN_SECONDS]);
+        command.args([
+            "trainer",
+            "--print-samples",
+            "--max-seconds",
+            MAX_RUN_SECONDS,
+        ]);
         command.args(["--name", name]);
         for entry in &self.entries {
             command.arg("--entry").arg(entry.callers.to_string());
@@ -440,6 +453,8 @@
 fn printed_address(child: &Child, text: &str) -> io::Result<SocketAddr> {
     child.wait_for_address(text, TIMEOUT).ok_or_else(|| {
         let lines = child.lines();
-        io::Error::other(format!("process printed no address after {text:?}: {lines:?}"))
+        io::Error::other(format!(
+            "process printed no address after {text:?}: {lines:?}"
+        ))
     })
 }
--- a/crates/pinereel_fakes/src/demo/operator.rs
+++ b/crates/pinereel_fakes/src/demo/operator.rs
@@ -32,7 +32,10 @@
 /// It was refused, or its fate is not known.
 pub async fn patch(address: SocketAddr, patch: &Patch) -> Result<Patched> {
     let url = format!("http://{address}/v1/config");
-    let call = client().post(url).bearer_auth(OPERATOR_TOKEN).send_json(patch);
+    let call = client()
+        .post(url)
+        .bearer_auth(OPERATOR_TOKEN)
+        .send_json(patch);
     let mut answer = call.await.map_err(lost)?;
     if answer.status() == StatusCode::OK {
         return answer.json().await.map_err(lost);
--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -164,8 +164,16 @@
     );
     let fresh = t.stale == 0 && t.staleness.max <= deployment.bound;
     summary.check("no sample is older than the bound", fresh, t.staleness.max);
-    summary.check("every sample names its weights", t.invalid_versions == 0, t.invalid_versions);
-    summary.check("every sample's text is whole", t.invalid_texts == 0, t.invalid_texts);
+    summary.check(
+        "every sample names its weights",
+        t.invalid_versions == 0,
+        t.invalid_versions,
+    );
+    summary.check(
+        "every sample's text is whole",
+        t.invalid_texts == 0,
+        t.invalid_texts,
+    );
 }
 
 fn check_live(summary: &mut Summary, deployment: &Deployment, site: &Site, seen: &Seen) {
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/fragile.rs
@@ -214,7 +214,10 @@
             command.arg("--engine");
         }
         let child = Child::spawn(&mut command)?;
-        if child.wait_for_line("listening", Duration::from_secs(5)).is_none() {
+        if child
+            .wait_for_line("listening", Duration::from_secs(5))
+            .is_none()
+        {
             let lines = child.lines().join("\n");
             return Err(io::Error::other(format!("no endpoint: {lines}")));
         }
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -68,7 +68,10 @@
 
     /// Whether the process runs.
     pub fn is_running(&mut self) -> bool {
-        let ended = self.child.as_mut().map(|child| child.wait_for_exit(Duration::ZERO));
+        let ended = self
+            .child
+            .as_mut()
+            .map(|child| child.wait_for_exit(Duration::ZERO));
         matches!(ended, Some(Ok(None)))
     }
 
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -2,8 +2,8 @@
 
 use super::{RECOVERY, STEPS_AFTER, Soak, Span, start};
 use crate::{
-    hosting::{caller::Tally, engine, proxy, service, store, trainer::Trainer},
     child_process::Signal,
+    hosting::{caller::Tally, engine, proxy, service, store, trainer::Trainer},
 };
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -5,12 +5,12 @@
     trouble::{Trouble, engine_fault, service_fault},
 };
 use crate::{
+    child_process::Signal,
     hosting::{
         engine, proxy, service,
         site::{KEY, Site, WORKSPACE},
         store,
     },
-    child_process::Signal,
 };
 use rand::Rng as _;
 use serde_json::json;
--- a/crates/pinereel_fakes/tests/child_process.rs
+++ b/crates/pinereel_fakes/tests/child_process.rs
@@ -24,7 +24,10 @@
         let address = child.wait_for_address("listening", TIMEOUT).unwrap();
         assert!(wait_for_ok(address, path, TIMEOUT), "{tool}");
         child.signal(Signal::TERM).unwrap();
-        assert!(child.wait_for_exit(TIMEOUT).unwrap().unwrap().success(), "{tool}");
+        assert!(
+            child.wait_for_exit(TIMEOUT).unwrap().unwrap().success(),
+            "{tool}"
+        );
         assert!(child.signal(Signal::TERM).is_err());
     }
 }
@@ -48,16 +51,33 @@
     child.signal(Signal::CONT).unwrap();
     assert!(wait_for_ok(address, "/record", TIMEOUT));
     child.signal(Signal::KILL).unwrap();
-    assert_eq!(child.wait_for_exit(TIMEOUT).unwrap().unwrap().signal(), Some(9));
+    assert_eq!(
+        child.wait_for_exit(TIMEOUT).unwrap().unwrap().signal(),
+        Some(9)
+    );
 }
 
 #[test]
 fn help_exits_with_0_and_an_unknown_flag_with_2() {
     let mut child = start(&["object-api", "--help"]);
-    assert!(child.wait_for_line("--writes-per-second N", TIMEOUT).is_some());
-    assert_eq!(child.wait_for_exit(TIMEOUT).unwrap().unwrap().code(), Some(0));
+    assert!(
+        child
+            .wait_for_line("--writes-per-second N", TIMEOUT)
+            .is_some()
+    );
+    assert_eq!(
+        child.wait_for_exit(TIMEOUT).unwrap().unwrap().code(),
+        Some(0)
+    );
     let mut child = start(&["service", "--lag-ms", "1"]);
-    assert!(child.wait_for_line("invalid option '--lag-ms'", TIMEOUT).is_some());
-    assert_eq!(child.wait_for_exit(TIMEOUT).unwrap().unwrap().code(), Some(2));
+    assert!(
+        child
+            .wait_for_line("invalid option '--lag-ms'", TIMEOUT)
+            .is_some()
+    );
+    assert_eq!(
+        child.wait_for_exit(TIMEOUT).unwrap().unwrap().code(),
+        Some(2)
+    );
     assert_eq!(child.wait_for_line("never printed", TIMEOUT), None);
 }
--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -273,7 +273,7 @@
 #[actix_rt::test]
 async fn draining_proposer_finishes_its_patch_and_takes_no_more() {
     let mut quick = options(3);
-    quick.settings = "[drain]\nbalancer_lag = 1ms\nlongest = 6s\n".into();
+    quick.extra_settings = "[drain]\nbalancer_lag = 1ms\nlongest = 6s\n".into();
     let mut site = Site::start(quick).await.unwrap();
     let leaving = site.entries.remove(0);
     delay(&site, 100);
--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_help/mod.rs
@@ -6,7 +6,7 @@
 use pinereel::{entry::Entry, filters::pin};
 use pinereel_api::operator::Status;
 use pinereel_core::config::Document;
-use pinereel_fakes::site::{Options, Site, OPERATOR_TOKEN};
+use pinereel_fakes::site::{OPERATOR_TOKEN, Options, Site};
 use serde_json::{Value, json};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -37,7 +37,8 @@
         service_pools: Vec::new(),
         document,
         instance_list_lag: Duration::from_millis(50),
-        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     };
     Site::start(options).await.unwrap()
 }
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -14,6 +14,7 @@
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
 use bytes::Bytes;
 use pinereel_fakes::{
+    child_process::Signal,
     hosting::{
         caller::{self, Kind, Tally},
         fragile::{CRASH, Crashes, Fragile, Mode},
@@ -21,7 +22,6 @@
         site::{HOST, Instance, METRICS_PORT, Site, Size},
         store,
     },
-    child_process::Signal,
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -3,11 +3,11 @@
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
 use pinereel_fakes::{
+    child_process::Signal,
     hosting::{
         http::call,
         site::{HOST, Instance, Site, Size},
     },
-    child_process::Signal,
 };
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -7,13 +7,13 @@
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
 use pinereel_fakes::{
+    child_process::Signal,
     hosting::{
         http::call,
         platform,
         site::{HOST, Instance, Site, Size},
         store,
     },
-    child_process::Signal,
 };
 use serde_json::json;
 use std::time::Duration;
--- a/crates/pinereel_fakes/tests/input/mod.rs
+++ b/crates/pinereel_fakes/tests/input/mod.rs
@@ -116,6 +116,8 @@
     let count = |line: &String| line.rsplit(' ').next()?.parse::<u64>().ok();
     // A connection's refusal is counted when it ends, which its client may see first.
     let all_told = || lines().iter().filter_map(count).sum::<u64>() == total;
-    wait_until(all_told).await.expect("as many refusals are counted");
+    wait_until(all_told)
+        .await
+        .expect("as many refusals are counted");
     lines().join("\n")
 }
--- a/crates/pinereel_fakes/tests/input_requests.rs
+++ b/crates/pinereel_fakes/tests/input_requests.rs
@@ -6,7 +6,7 @@
 
 use input::{MAX_BODY, answer, callers, post, refusals, request, site, undisturbed};
 use pinereel_api::trainer::Submitted;
-use pinereel_fakes::site::{Site, OPERATOR_TOKEN};
+use pinereel_fakes::site::{OPERATOR_TOKEN, Site};
 use serde_json::json;
 use std::net::SocketAddr;
 
--- a/crates/pinereel_fakes/tests/input_senders.rs
+++ b/crates/pinereel_fakes/tests/input_senders.rs
@@ -96,12 +96,16 @@
     for _ in 0..8 {
         held.push(send(callers(&site), b"GET /live").await);
     }
-    wait_until(|| listener.open_connections() == 8).await.unwrap();
+    wait_until(|| listener.open_connections() == 8)
+        .await
+        .unwrap();
     let mut one_more = send(callers(&site), &post("/v1/completions", "{}")).await;
     assert_eq!(summary(&rest(&mut one_more).await), "closed");
     assert_eq!(listener.refused_connections(), 1);
     drop(held);
-    wait_until(|| listener.open_connections() == 0).await.unwrap();
+    wait_until(|| listener.open_connections() == 0)
+        .await
+        .unwrap();
     undisturbed(&site).await;
     insta::assert_snapshot!(refusals(&site, 1).await, @r#"pinereel_refused_total{code="overloaded"} 1"#);
 }
--- a/crates/pinereel_fakes/tests/overload/mod.rs
+++ b/crates/pinereel_fakes/tests/overload/mod.rs
@@ -77,7 +77,8 @@
         service_pools: vec![(ORDERS.into(), size.services)],
         document: serde_json::from_value(document).unwrap(),
         instance_list_lag: Duration::from_millis(50),
-        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     };
     Site::start(options).await.unwrap()
 }
--- a/crates/pinereel_fakes/tests/overload_admit.rs
+++ b/crates/pinereel_fakes/tests/overload_admit.rs
@@ -211,7 +211,9 @@
         queued(&site, POOL, 2, 0).await;
         let waiting = open(&address, path, &body, LONG).await;
         queued(&site, POOL, 2, 1).await;
-        wait_until(|| attempts(&site, "gone").len() == 2).await.unwrap();
+        wait_until(|| attempts(&site, "gone").len() == 2)
+            .await
+            .unwrap();
         drop(waiting);
         queued(&site, POOL, 2, 0).await;
         drop(running);
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/path_whole.rs
@@ -82,7 +82,10 @@
 #[actix_rt::test]
 async fn service_call_runs_once() {
     let site = site().await;
-    let url = format!("http://{}/services/orders-app/orders", site.caller_addresses()[1]);
+    let url = format!(
+        "http://{}/services/orders-app/orders",
+        site.caller_addresses()[1]
+    );
     let response = client().post(url).send_body("lacquer").await.unwrap();
     assert!(response.status().is_success(), "{}", response.status());
     let executions: usize = site
--- a/crates/pinereel_fakes/tests/process_claims.rs
+++ b/crates/pinereel_fakes/tests/process_claims.rs
@@ -11,8 +11,8 @@
     problem::{Code, Problem, Ran},
 };
 use pinereel_fakes::{
-    cluster::{self, Cluster, wait_until},
     child_process::Signal,
+    cluster::{self, Cluster, wait_until},
 };
 use process_support::{SERVICES, book_order, options, print_elapsed};
 use serde_json::{Value, json};
@@ -161,7 +161,10 @@
         assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
     }
     assert_eq!(count_executions(&cluster).await.len(), 1);
-    cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
+    cluster
+        .set_object_api_faults(json!({ "outage_ms": 0 }))
+        .await
+        .unwrap();
     let outage_end = Instant::now();
     assert!(matches!(
         retry_until_final(&cluster, "down-0").await,
@@ -239,7 +242,10 @@
         }
         let executions = cluster.executions().await.unwrap();
         let new_executions = executions.len() - before;
-        assert!(lost > 0 && new_executions >= min_executions, "{fault}: {lost}");
+        assert!(
+            lost > 0 && new_executions >= min_executions,
+            "{fault}: {lost}"
+        );
         let bodies: BTreeSet<_> = executions.iter().map(|e| format!("{:?}", e.body)).collect();
         assert_eq!(bodies.len(), executions.len(), "an order ran twice");
         clear_faults(&cluster).await;
--- a/crates/pinereel_fakes/tests/process_config.rs
+++ b/crates/pinereel_fakes/tests/process_config.rs
@@ -12,8 +12,8 @@
     problem::{Code, Problem, Ran},
 };
 use pinereel_fakes::{
-    cluster::{self, Cluster, Entry, wait_until},
     child_process::Signal,
+    cluster::{self, Cluster, Entry, wait_until},
     site::OPERATOR_TOKEN,
 };
 use process_support::{ENGINES, TIMEOUT, options, print_elapsed};
@@ -65,7 +65,11 @@
 async fn serving_config(entry: &Entry) -> Option<u64> {
     let request = json!({ "model": ENGINES, "prompt": "number", "max_tokens": 2 });
     let url = format!("http://{}/v1/completions", entry.callers);
-    let response = cluster::http_client().post(url).send_json(&request).await.ok()?;
+    let response = cluster::http_client()
+        .post(url)
+        .send_json(&request)
+        .await
+        .ok()?;
     let number = response.headers().get(CONFIG_NUMBER)?.to_str().ok()?;
     number.parse().ok()
 }
@@ -90,7 +94,8 @@
             for callers in &entries {
                 let request = json!({ "model": ENGINES, "prompt": "watch", "max_tokens": 1 });
                 let url = format!("http://{callers}/v1/completions");
-                let Ok(response) = cluster::http_client().post(url).send_json(&request).await else {
+                let Ok(response) = cluster::http_client().post(url).send_json(&request).await
+                else {
                     continue;
                 };
                 let Some(number) = response.headers().get(CONFIG_NUMBER) else {
@@ -265,7 +270,10 @@
         );
     }
     wait_until_in_force(&cluster, number).await;
-    print_elapsed("new configuration in force at the resumed entry", resume_time);
+    print_elapsed(
+        "new configuration in force at the resumed entry",
+        resume_time,
+    );
 }
 
 /// Sends a live request without reading the response.
--- a/crates/pinereel_fakes/tests/process_kills.rs
+++ b/crates/pinereel_fakes/tests/process_kills.rs
@@ -7,9 +7,9 @@
 use pinereel_api::trainer::{Group, Lot};
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
+    child_process::Signal,
     cluster::{Cluster, taken_samples, wait_until},
     engine::text,
-    child_process::Signal,
     trainer::Client,
 };
 use process_support::{
@@ -50,7 +50,10 @@
     // Slow samples are generated twice on purpose, so the count may not be 0.
     let before = count_regenerated(&cluster.attempts().await.unwrap());
     let kill_time = Instant::now();
-    let taken = taken_samples(&trainer).iter().filter(|t| t.step == 1).count();
+    let taken = taken_samples(&trainer)
+        .iter()
+        .filter(|t| t.step == 1)
+        .count();
     cluster.entries[victim].child.signal(Signal::KILL).unwrap();
     wait_for_samples(&trainer, 1, taken + 1).await;
     print_elapsed(
--- a/crates/pinereel_fakes/tests/process_outage.rs
+++ b/crates/pinereel_fakes/tests/process_outage.rs
@@ -74,7 +74,10 @@
         "a step began before its version was published"
     );
     assert!(publish(cluster.entries[0].callers, 9).await.is_err());
-    cluster.set_object_api_faults(json!({ "outage_ms": 0 })).await.unwrap();
+    cluster
+        .set_object_api_faults(json!({ "outage_ms": 0 }))
+        .await
+        .unwrap();
     let outage_end = Instant::now();
     let samples = finish_trainer(&mut trainer, 3, 32).await;
     print_elapsed("end of the run after the outage", outage_end);
--- a/crates/pinereel_fakes/tests/process_pause.rs
+++ b/crates/pinereel_fakes/tests/process_pause.rs
@@ -8,8 +8,8 @@
 use awc::http::StatusCode;
 use pinereel_core::Version;
 use pinereel_fakes::{
-    cluster::{self, Cluster, wait_until},
     child_process::Signal,
+    cluster::{self, Cluster, wait_until},
 };
 use process_support::{
     TRAINER, check_versions, complete, finish_trainer, options, print_elapsed, publish,
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -6,9 +6,9 @@
 
 use awc::http::StatusCode;
 use pinereel_fakes::{
+    child_process::Signal,
     cluster::{self, Cluster, wait_until},
     engine::text,
-    child_process::Signal,
 };
 use process_support::{
     SERVICES, TIMEOUT, TRAINER, book_order, check_versions, complete, count_decisions,
@@ -51,7 +51,9 @@
             .await
             .unwrap();
         let before = count_decisions(entry, &["\"route\"", SERVICES]);
-        book_order(entry.callers, entry.name.to_string()).await.unwrap();
+        book_order(entry.callers, entry.name.to_string())
+            .await
+            .unwrap();
         let logged = async || count_decisions(entry, &["\"route\"", SERVICES]) == before + 1;
         wait_until(logged).await.unwrap();
     }
@@ -131,9 +133,13 @@
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     cluster.entries[0].child.signal(Signal::INT).unwrap();
     let entry = &cluster.entries[0].child;
-    wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
-        .await
-        .unwrap();
+    wait_until(async || {
+        entry
+            .wait_for_line("no new requests", Duration::ZERO)
+            .is_some()
+    })
+    .await
+    .unwrap();
     assert!(
         start.elapsed() >= Duration::from_secs(1),
         "new requests were refused before the balancer lag had passed"
@@ -145,7 +151,11 @@
     );
     let (_, text) = streaming.await.unwrap().unwrap();
     assert_eq!(text, text::whole(&prompt, 0, 400));
-    assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
+    assert!(
+        cluster::wait_for_exit(&mut cluster.entries[0].child)
+            .await
+            .unwrap()
+    );
     print_elapsed("exit after SIGTERM, stream of 4 s", start);
     let attempts = cluster.attempts().await.unwrap();
     assert_eq!(
@@ -181,9 +191,13 @@
     let (address, send_rest) = start_slow_service();
     let instance = json!({ "incarnation": 1, "address": address.to_string(), "zone": "toledo-hall",
         "pool": SERVICES, "state": "live" });
-    cluster::post_json(cluster.object_api.address, "/instances/orders-app-0", &instance)
-        .await
-        .unwrap();
+    cluster::post_json(
+        cluster.object_api.address,
+        "/instances/orders-app-0",
+        &instance,
+    )
+    .await
+    .unwrap();
     let entry = &cluster.entries[0];
     let is_known = async || entry.metric("pinereel_endpoints_known").await == Some(1.0);
     wait_until(is_known).await.unwrap();
@@ -191,14 +205,22 @@
     let mut response = cluster::http_client().get(url).send().await.unwrap();
     cluster.entries[0].child.signal(Signal::TERM).unwrap();
     let entry = &cluster.entries[0].child;
-    wait_until(async || entry.wait_for_line("no new requests", Duration::ZERO).is_some())
-        .await
-        .unwrap();
+    wait_until(async || {
+        entry
+            .wait_for_line("no new requests", Duration::ZERO)
+            .is_some()
+    })
+    .await
+    .unwrap();
     // An entry that does not count the body as in flight is done within far less time.
     let done = entry.wait_for_line("drain: done", Duration::from_millis(500));
     assert_eq!(done, None, "the drain ended during a response");
     send_rest.send(()).unwrap();
     let body = response.body().await.map_err(|e| e.to_string());
     assert_eq!(body.as_deref(), Ok(&b"first-last"[..]));
-    assert!(cluster::wait_for_exit(&mut cluster.entries[0].child).await.unwrap());
+    assert!(
+        cluster::wait_for_exit(&mut cluster.entries[0].child)
+            .await
+            .unwrap()
+    );
 }
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -8,9 +8,9 @@
 use pinereel_api::object::InstanceState;
 use pinereel_core::hash::Digest;
 use pinereel_fakes::{
+    child_process::Signal,
     cluster::{self, Cluster, wait_until},
     engine::text,
-    child_process::Signal,
 };
 use process_support::{
     TRAINER, book_order, check_versions, complete, count_decisions, count_regenerated,
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -7,9 +7,9 @@
 use futures_util::TryStreamExt as _;
 use pinereel_core::{Version, hash::Digest};
 use pinereel_fakes::{
+    child_process::Child,
     cluster::{self, Cluster, Options, taken_samples, wait_until},
     engine::{batch, text},
-    child_process::Child,
     trainer::{Report, step::TakenSample},
 };
 use serde_json::{Value, json};
@@ -188,14 +188,21 @@
         let records = &attempts_of[&(prompt.as_str(), text_seed(&sample.text))];
         let named: BTreeSet<_> = sample.spans.iter().map(|s| s.version).collect();
         let is_whole = |r: &&&batch::Record| r.finished.is_some() && r.tokens == sample.tokens;
-        if records.iter().filter(is_whole).any(|r| versions(r) == named) {
+        if records
+            .iter()
+            .filter(is_whole)
+            .any(|r| versions(r) == named)
+        {
             single_attempt_count += 1;
             continue;
         }
         let of_any: BTreeSet<_> = records.iter().flat_map(|r| versions(r)).collect();
         let finished = records.iter().filter(|r| r.finished.is_some());
         let names_last = finished.into_iter().any(|r| versions(r).is_subset(&named));
-        assert!(named.is_subset(&of_any) && names_last, "{taken:?} {records:?}");
+        assert!(
+            named.is_subset(&of_any) && names_last,
+            "{taken:?} {records:?}"
+        );
     }
     single_attempt_count
 }
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -34,12 +34,16 @@
         service_pools: Vec::new(),
         document,
         instance_list_lag: Duration::from_millis(50),
-        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     }
 }
 
 async fn publish(site: &Site, version: u64) {
-    let url = format!("http://{}/v1/trainers/rewind/versions", site.caller_addresses()[0]);
+    let url = format!(
+        "http://{}/v1/trainers/rewind/versions",
+        site.caller_addresses()[0]
+    );
     let body = Publish {
         version: Version(version),
     };
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -65,7 +65,10 @@
 #[actix_rt::test]
 async fn rollout_reaches_engines_beyond_the_holders_subset() {
     let site = Site::start(options(8, 8, 4)).await.unwrap();
-    let url = format!("http://{}/v1/trainers/rewind/versions", site.caller_addresses()[0]);
+    let url = format!(
+        "http://{}/v1/trainers/rewind/versions",
+        site.caller_addresses()[0]
+    );
     let body = Publish {
         version: Version(2),
     };
