--- a/crates/pinereel_fakes/src/trainer/client.rs
+++ b/crates/pinereel_fakes/src/trainer/client.rs
@@ -91,8 +91,8 @@
         Ok(PartialLot::new(lot, submitted.token))
     }
 
-    /// Collects up to `max` missing samples of `partial_lot` for a trainer at `version`. The entry
-    /// waits up to `wait` for samples, and the result may be empty.
+    /// Collects up to `max_samples` missing samples of `partial_lot` for a trainer at `version`. The
+    /// entry waits up to `wait` for samples, and the result may be empty.
     ///
     /// An entry that does not know the lot gets it again, and the collection token is kept.
     ///
@@ -102,14 +102,14 @@
         &mut self,
         partial_lot: &mut PartialLot,
         version: Version,
-        max: u32,
+        max_samples: u32,
         wait: Duration,
     ) -> Result<Vec<Sample>, Error> {
         let path = format!("/v1/lots/{}/collect", partial_lot.lot.id);
         let request = Collect {
             token: partial_lot.token.clone(),
             version,
-            max,
+            max: max_samples,
             wait_ms: wait.as_millis() as u64,
         };
         let response: Collected = match self.call(&path, &request, wait + CALL_TIMEOUT).await {
--- a/crates/pinereel_fakes/tests/process_restart.rs
+++ b/crates/pinereel_fakes/tests/process_restart.rs
@@ -61,6 +61,7 @@
         balancer
     }
 
+    /// The entry that gets the next request.
     fn pick(&self) -> SocketAddr {
         let next = self.next.get();
         self.next.set(next + 1);
