--- a/crates/pinereel_fakes/src/demo/script.rs
+++ b/crates/pinereel_fakes/src/demo/script.rs
@@ -7,7 +7,7 @@
     traffic::{Seen, Traffic},
 };
 use crate::{
-    site::{self, Site, until},
+    site::{self, Site, wait_until},
     trainer,
 };
 use pinereel_api::operator::Patch as Submitted;
@@ -39,7 +39,7 @@
     let start = Instant::now();
     let options = deployment.site();
     let mut site = Site::start(options.clone()).await?;
-    let traffic = Traffic::new(site.callers());
+    let traffic = Traffic::new(site.caller_addresses());
     let callers = traffic.start(*deployment);
     let trainer = actix_rt::spawn(trainer(deployment, &site).run());
     let mut summary = Summary {
@@ -79,13 +79,13 @@
 fn trainer(deployment: &Deployment, site: &Site) -> trainer::Trainer {
     trainer::Trainer::new(trainer::Options {
         name: deployment.trainer.into(),
-        entries: site.callers(),
+        entries: site.caller_addresses(),
         steps: STEPS,
-        groups: GROUPS,
-        samples: SAMPLES,
+        groups_per_step: GROUPS,
+        samples_per_group: SAMPLES,
         max_tokens: TOKENS,
-        train: TRAIN,
-        bound: deployment.bound,
+        train_time: TRAIN,
+        staleness_bound: deployment.bound,
         ..trainer::Options::default()
     })
 }
@@ -136,9 +136,9 @@
 /// Starts one more entry in place of the one that left.
 async fn replace(site: &mut Site, options: &site::Options, traffic: &Traffic) -> io::Result<u64> {
     let start = Instant::now();
-    site.start_entry(options, options.entries).await?;
-    site.ready().await?;
-    *traffic.entries.borrow_mut() = site.callers();
+    site.start_entry(options, options.entry_count).await?;
+    site.wait_until_ready().await?;
+    *traffic.entries.borrow_mut() = site.caller_addresses();
     Ok(millis(start))
 }
 
@@ -151,7 +151,7 @@
         let there = set.iter().filter(|(_, e)| e.version == newest);
         there.count() == site.engines.len()
     };
-    until(loaded).await.is_ok()
+    wait_until(loaded).await.is_ok()
 }
 
 fn check_trainer(summary: &mut Summary, deployment: &Deployment) {
@@ -159,13 +159,21 @@
     let wanted = STEPS * u64::from(GROUPS * SAMPLES);
     summary.check(
         "every sample comes once",
-        t.repeats == 0 && t.samples == wanted,
+        t.duplicates == 0 && t.samples == wanted,
         t.samples,
     );
     let fresh = t.stale == 0 && t.staleness.max <= deployment.bound;
     summary.check("no sample is older than the bound", fresh, t.staleness.max);
-    summary.check("every sample names its weights", t.void == 0, t.void);
-    summary.check("every sample's text is whole", t.broken == 0, t.broken);
+    summary.check(
+        "every sample names its weights",
+        t.invalid_versions == 0,
+        t.invalid_versions,
+    );
+    summary.check(
+        "every sample's text is whole",
+        t.invalid_texts == 0,
+        t.invalid_texts,
+    );
 }
 
 fn check_live(summary: &mut Summary, deployment: &Deployment, site: &Site, seen: &Seen) {
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/fragile.rs
@@ -11,8 +11,8 @@
     store::Store,
 };
 use crate::{
-    launch::Child,
-    process::{Common, Error, value},
+    child_process::Child,
+    cli::{CommonFlags, Error, parse_value},
 };
 use actix_http::{
     HttpMessage as _, Method, StatusCode,
@@ -182,7 +182,7 @@
     pub fn crash(&self) {
         if let Some(child) = &mut *self.state.child.borrow_mut() {
             // It may just have ended.
-            let _ = child.signal(crate::launch::Signal::KILL);
+            let _ = child.signal(crate::child_process::Signal::KILL);
         }
     }
 
@@ -213,8 +213,11 @@
         if self.mode == Mode::Engine {
             command.arg("--engine");
         }
-        let child = Child::start(&mut command)?;
-        if child.line("listening", Duration::from_secs(5)).is_none() {
+        let child = Child::spawn(&mut command)?;
+        if child
+            .wait_for_line("listening", Duration::from_secs(5))
+            .is_none()
+        {
             let lines = child.lines().join("\n");
             return Err(io::Error::other(format!("no endpoint: {lines}")));
         }
@@ -231,7 +234,7 @@
         loop {
             sleep(LOOK).await;
             let ended = match &mut *self.child.borrow_mut() {
-                Some(child) => !matches!(child.wait(Duration::ZERO), Ok(None)),
+                Some(child) => !matches!(child.wait_for_exit(Duration::ZERO), Ok(None)),
                 None => return,
             };
             if !ended {
@@ -259,7 +262,7 @@
         let child = self.child.borrow();
         let line = child
             .as_ref()
-            .and_then(|child| child.line("crash under ", Duration::from_millis(200)));
+            .and_then(|child| child.wait_for_line("crash under ", Duration::from_millis(200)));
         let under = line.unwrap_or_default().replace("crash under ", "");
         self.crashes.borrow_mut().push(Crash {
             endpoint: self.id(),
@@ -306,10 +309,10 @@
 async fn run(mut parser: Parser) -> Result<(), Error> {
     let mut address: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
     let (mut id, mut mode) = (String::new(), Mode::Plain);
-    let common = Common::parse(&mut parser, |name, parser| {
+    let flags = CommonFlags::parse(&mut parser, |name, parser| {
         match name {
-            "address" => address = value(parser)?,
-            "id" => id = value(parser)?,
+            "address" => address = parse_value(parser)?,
+            "id" => id = parse_value(parser)?,
             "engine" => mode = Mode::Engine,
             _ => return Ok(false),
         }
@@ -323,7 +326,7 @@
         async move { serve(&options, request).await }
     })
     .await?;
-    common.serve(address).await
+    flags.run_until_stopped(address).await
 }
 
 async fn serve(options: &Options, mut request: Request) -> Response {
--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -11,7 +11,7 @@
 use pinereel_api::object;
 use pinereel_fakes::{
     service::{self, Faults},
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::Instant;
@@ -20,7 +20,7 @@
 const AT_ONCE: Duration = Duration::from_millis(1_500);
 
 fn lose(site: &Site, answers: u32) {
-    site.api.set_faults(object::Faults {
+    site.object_api.set_faults(object::Faults {
         lose_write_answers: Some(answers),
         lose_kind: Some("claims".into()),
         ..object::Faults::default()
@@ -28,7 +28,7 @@
 }
 
 fn outage(site: &Site, millis: u64) {
-    site.api.set_faults(object::Faults {
+    site.object_api.set_faults(object::Faults {
         outage_ms: Some(millis),
         ..object::Faults::default()
     });
@@ -52,19 +52,19 @@
     let site = site(3).await;
     joined(&site).await;
     lose(&site, 1);
-    site.api.set_faults(object::Faults {
+    site.object_api.set_faults(object::Faults {
         delay_ms: Some(200),
         ..object::Faults::default()
     });
     // The outage begins between the create's effect and the loss of its answer, so that no read can
     // resolve it.
     let begins = async {
-        until(|| segments(&site) > 0).await.unwrap();
+        wait_until(|| segments(&site) > 0).await.unwrap();
         outage(&site, 60_000);
     };
     let call = order(&site, 0, Some(SLOT), "lacquer");
     let (refused, ()) = futures_util::future::join(call, begins).await;
-    site.api.set_faults(object::Faults {
+    site.object_api.set_faults(object::Faults {
         delay_ms: Some(0),
         ..object::Faults::default()
     });
@@ -121,7 +121,7 @@
     joined(&site).await;
     order(&site, 0, Some(&claims::same_shard(SLOT)), "lacquer").await;
     let delay = |millis| {
-        site.api.set_faults(object::Faults {
+        site.object_api.set_faults(object::Faults {
             delay_ms: Some(millis),
             ..object::Faults::default()
         });
@@ -175,7 +175,7 @@
         pool: "orders-app".into(),
         state: object::InstanceState::Live,
     };
-    site.api.put_instance("orders-app-0", instance);
+    site.object_api.put_instance("orders-app-0", instance);
     site.services[0].handle = handle;
     let again = order_until(&site, 1, SLOT, "lacquer", |answer| answer.status == 200).await;
     assert!(!again.replay);
@@ -189,7 +189,7 @@
         ..Faults::default()
     });
     let running = async {
-        until(|| ran(site, key) > 0).await.unwrap();
+        wait_until(|| ran(site, key) > 0).await.unwrap();
         meanwhile();
     };
     let call = claims::try_order(site, index, Some(key), "lacquer", 10_000);
@@ -215,14 +215,14 @@
     joined(&site).await;
     let key = key_of(&site, 0);
     let delay = |millis| {
-        site.api.set_faults(object::Faults {
+        site.object_api.set_faults(object::Faults {
             delay_ms: Some(millis),
             ..object::Faults::default()
         });
     };
     delay(200);
     let dies = async {
-        until(|| segments(&site) > 0).await.unwrap();
+        wait_until(|| segments(&site) > 0).await.unwrap();
         kill(&site, 0);
         delay(0);
     };
@@ -248,7 +248,7 @@
     });
     let call = claims::try_order(&site, 1, Some(&key), "lacquer", 1_000);
     let dies = async {
-        until(|| ran(&site, &key) > 0).await.unwrap();
+        wait_until(|| ran(&site, &key) > 0).await.unwrap();
         kill(&site, 1);
     };
     let (lost, ()) = futures_util::future::join(call, dies).await;
@@ -317,7 +317,7 @@
         ..Faults::default()
     });
     let call = order(&site, 0, Some(SLOT), "lacquer");
-    let gone = until(|| ran(&site, SLOT) > 0);
+    let gone = wait_until(|| ran(&site, SLOT) > 0);
     // Dropping the call closes its connection.
     tokio::select! {
         answer = call => panic!("{answer:?}"),
--- a/crates/pinereel_fakes/tests/claim_once.rs
+++ b/crates/pinereel_fakes/tests/claim_once.rs
@@ -11,7 +11,7 @@
 use pinereel_core::claim::Limits;
 use pinereel_fakes::{
     service::Faults,
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 use std::time::Duration;
 
@@ -98,7 +98,7 @@
         assert_eq!(answer.short(), "200");
     }
     assert_eq!(ran(&site, "slot-june"), 2);
-    assert_eq!(site.api.objects("claims").items.len(), 0);
+    assert_eq!(site.object_api.objects("claims").items.len(), 0);
 }
 
 #[actix_rt::test]
@@ -132,8 +132,8 @@
     assert_eq!(short().await.unwrap().short(), "200");
     settled(&site, "slot-june").await;
     let base = format!("{}.base", shard_of("slot-june"));
-    until(|| {
-        let objects = site.api.objects("claims").items;
+    wait_until(|| {
+        let objects = site.object_api.objects("claims").items;
         objects.len() == 1 && objects[0].name == base && objects[0].value == 2
     })
     .await
@@ -173,7 +173,7 @@
 #[actix_rt::test]
 async fn a_refusal_after_a_lost_attempt_does_not_say_that_nothing_ran() {
     let mut options = claims::options(1);
-    options.services[0].1 = 2;
+    options.service_pools[0].1 = 2;
     let site = Site::start(options).await.unwrap();
     site.services[0].handle.set_faults(Faults {
         drop_after_run: Some(u32::MAX),
--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_help/mod.rs
@@ -6,7 +6,7 @@
 use pinereel::{entry::Entry, filters::pin};
 use pinereel_api::operator::Status;
 use pinereel_core::config::Document;
-use pinereel_fakes::site::{Options, Site, TOKEN};
+use pinereel_fakes::site::{OPERATOR_TOKEN, Options, Site};
 use serde_json::{Value, json};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
@@ -25,13 +25,13 @@
 pub fn options(entries: usize) -> Options {
     Options {
         zones: vec!["toledo-hall".into(), "erie-hall".into(), "monroe".into()],
-        entries,
-        engines: vec![],
+        entry_count: entries,
+        engine_pools: vec![],
         batch: Default::default(),
-        services: vec![],
+        service_pools: vec![],
         document: document(),
-        lag: Duration::from_millis(50),
-        settings: "[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[log]\ndecisions = false\n".into(),
     }
 }
 
@@ -52,7 +52,7 @@
 
 pub async fn post(entry: &Entry, path: &str, body: &Value) -> (u16, Value) {
     let url = format!("http://{}{path}", entry.operators.address);
-    let request = client().post(url).bearer_auth(TOKEN);
+    let request = client().post(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send_json(body).await.unwrap();
     let body = response.body().await.unwrap();
     let body = serde_json::from_slice(&body).unwrap_or_default();
@@ -61,7 +61,7 @@
 
 pub async fn get(entry: &Entry, path: &str) -> (u16, Vec<u8>) {
     let url = format!("http://{}{path}", entry.operators.address);
-    let request = client().get(url).bearer_auth(TOKEN);
+    let request = client().get(url).bearer_auth(OPERATOR_TOKEN);
     let mut response = request.send().await.unwrap();
     let body = response.body().await.unwrap();
     (response.status().as_u16(), body.to_vec())
@@ -105,7 +105,7 @@
 
 /// Whether a patch is pending in the object API.
 pub fn pending(site: &Site) -> bool {
-    let objects = site.api.objects("config").items;
+    let objects = site.object_api.objects("config").items;
     objects
         .first()
         .is_some_and(|o| !o.value["pending"].is_null())
@@ -119,7 +119,7 @@
 
 /// Cuts an entry off from the object API alone.
 pub fn cut_api(site: &Site, entry: &Entry) {
-    site.api.set_faults(pinereel_api::object::Faults {
+    site.object_api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Default::default()
     });
@@ -127,7 +127,7 @@
 
 /// Ends all cuts from the object API.
 pub fn uncut(site: &Site) {
-    site.api.set_faults(pinereel_api::object::Faults {
+    site.object_api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![]),
         ..Default::default()
     });
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -6,8 +6,8 @@
 use pinereel_core::{Version, config::Document};
 use pinereel_fakes::{
     engine::batch,
-    site::{Options, Site, until},
-    trainer::{Client, Collection},
+    site::{Options, Site, wait_until},
+    trainer::{Client, PartialLot},
 };
 use serde_json::json;
 use std::time::Duration;
@@ -28,16 +28,17 @@
             "erie-hall".into(),
             "detroit-hall".into(),
         ],
-        entries: 3,
-        engines: vec![("draft-llm".into(), 3)],
+        entry_count: 3,
+        engine_pools: vec![("draft-llm".into(), 3)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
             ..batch::Options::default()
         },
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document,
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     };
     Site::start(options).await.unwrap()
 }
@@ -59,12 +60,12 @@
 }
 
 /// Submits the lot through the last entry and waits until every sample is made somewhere.
-async fn submit(site: &Site, client: &mut Client) -> Collection {
-    let collection = client.submit(lot()).await.unwrap();
-    until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
+async fn submit(site: &Site, client: &mut Client) -> PartialLot {
+    let partial_lot = client.submit(lot()).await.unwrap();
+    wait_until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
         .await
         .unwrap();
-    collection
+    partial_lot
 }
 
 /// Attempts that the engines ran to their end.
@@ -75,11 +76,11 @@
         .sum()
 }
 
-async fn collect(client: &mut Client, collection: &mut Collection) -> usize {
+async fn collect(client: &mut Client, partial_lot: &mut PartialLot) -> usize {
     let mut taken = 0;
-    while collection.missing() > 0 {
+    while partial_lot.missing() > 0 {
         let samples = client
-            .collect(collection, Version(1), 16, Duration::from_secs(2))
+            .collect(partial_lot, Version(1), 16, Duration::from_secs(2))
             .await;
         taken += samples.unwrap().len();
     }
@@ -87,18 +88,18 @@
 }
 
 fn client(site: &Site) -> Client {
-    Client::new(vec![site.callers().pop().unwrap()], WAIT)
+    Client::new(vec![site.caller_addresses().pop().unwrap()], WAIT)
 }
 
 #[actix_rt::test]
 async fn nothing_is_made_again_when_a_runner_drains() {
     let mut site = site().await;
     let mut client = client(&site);
-    let mut collection = submit(&site, &mut client).await;
+    let mut partial_lot = submit(&site, &mut client).await;
     let leaving = site.entries.remove(0);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    let taken = collect(&mut client, &mut collection).await;
+    let taken = collect(&mut client, &mut partial_lot).await;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
     assert_eq!(finished(&site), taken, "no sample was made twice");
 }
@@ -107,11 +108,11 @@
 async fn a_dead_runner_costs_only_its_own_groups() {
     let mut site = site().await;
     let mut client = client(&site);
-    let mut collection = submit(&site, &mut client).await;
+    let mut partial_lot = submit(&site, &mut client).await;
     let dead = site.entries.remove(0);
     dead.callers.close();
     dead.shared.mesh.close();
-    let taken = collect(&mut client, &mut collection).await;
+    let taken = collect(&mut client, &mut partial_lot).await;
     let made_again = finished(&site) - taken;
     assert_eq!(taken, (GROUPS * SAMPLES) as usize);
     assert!(
--- a/crates/pinereel_fakes/tests/input/mod.rs
+++ b/crates/pinereel_fakes/tests/input/mod.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, dead_code)]
 
 use pinereel_core::config::Document;
-use pinereel_fakes::site::{Options, Site, until};
+use pinereel_fakes::site::{Options, Site, wait_until};
 use serde_json::{Value, json};
 use std::{net::SocketAddr, time::Duration};
 use tokio::{
@@ -37,13 +37,13 @@
     .unwrap();
     let options = Options {
         zones: vec!["toledo-hall".into()],
-        entries: 1,
-        engines: vec![("draft-llm".into(), 1)],
+        entry_count: 1,
+        engine_pools: vec![("draft-llm".into(), 1)],
         batch: Default::default(),
-        services: vec![("orders-app".into(), 1)],
+        service_pools: vec![("orders-app".into(), 1)],
         document,
-        lag: Duration::from_millis(50),
-        settings: format!("[limits]\n{limits}\n[log]\ndecisions = false\n"),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: format!("[limits]\n{limits}\n[log]\ndecisions = false\n"),
     };
     Site::start(options).await.unwrap()
 }
@@ -116,6 +116,8 @@
     let count = |line: &String| line.rsplit(' ').next()?.parse::<u64>().ok();
     // A connection's refusal is counted when it ends, which its client may see first.
     let all_told = || lines().iter().filter_map(count).sum::<u64>() == total;
-    until(all_told).await.expect("as many refusals are counted");
+    wait_until(all_told)
+        .await
+        .expect("as many refusals are counted");
     lines().join("\n")
 }
--- a/crates/pinereel_fakes/tests/overload/mod.rs
+++ b/crates/pinereel_fakes/tests/overload/mod.rs
@@ -6,7 +6,7 @@
 use pinereel_core::hash::Digest;
 use pinereel_fakes::{
     engine::{batch, batch::Record, fault::Faults},
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
 };
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -71,13 +71,14 @@
     });
     let options = Options {
         zones: vec!["toledo-hall".into()],
-        entries: 1,
-        engines: vec![(POOL.into(), size.engines)],
+        entry_count: 1,
+        engine_pools: vec![(POOL.into(), size.engines)],
         batch: size.batch,
-        services: vec![(ORDERS.into(), size.services)],
+        service_pools: vec![(ORDERS.into(), size.services)],
         document: serde_json::from_value(document).unwrap(),
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     };
     Site::start(options).await.unwrap()
 }
@@ -174,7 +175,7 @@
 pub async fn queued(site: &Site, pool: &str, running: usize, waiting: usize) {
     let queues = &site.entries[0].shared.queues;
     let there = || queues.running(pool) == running && queues.waiting(pool) == waiting;
-    if until(there).await.is_err() {
+    if wait_until(there).await.is_err() {
         let now = (queues.running(pool), queues.waiting(pool));
         panic!("expected {running} running and {waiting} waiting, found {now:?}");
     }
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -6,7 +6,7 @@
 use pinereel_core::{Version, config::Document};
 use pinereel_fakes::{
     engine::batch,
-    site::{Options, Site, until},
+    site::{Options, Site, wait_until},
     trainer,
 };
 use serde_json::json;
@@ -24,22 +24,26 @@
             "saskatoon-hall".into(),
             "moosejaw-hall".into(),
         ],
-        entries,
-        engines: vec![("winder-lm".into(), engines)],
+        entry_count: entries,
+        engine_pools: vec![("winder-lm".into(), engines)],
         batch: batch::Options {
             tokens_per_second: 2_000.0,
             swap_time: Duration::from_millis(100),
             ..batch::Options::default()
         },
-        services: Vec::new(),
+        service_pools: Vec::new(),
         document,
-        lag: Duration::from_millis(50),
-        settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n".into(),
+        instance_list_lag: Duration::from_millis(50),
+        extra_settings: "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n"
+            .into(),
     }
 }
 
 async fn publish(site: &Site, version: u64) {
-    let url = format!("http://{}/v1/trainers/rewind/versions", site.callers()[0]);
+    let url = format!(
+        "http://{}/v1/trainers/rewind/versions",
+        site.caller_addresses()[0]
+    );
     let body = Publish {
         version: Version(version),
     };
@@ -55,7 +59,7 @@
 async fn served(site: &Site, version: u64) {
     let shared = &site.entries[0].shared;
     let engines = site.engines.len();
-    until(|| {
+    wait_until(|| {
         let set = shared.endpoints.set();
         let there = set
             .iter()
@@ -73,7 +77,7 @@
     served(&site, 2).await;
     publish(&site, 5).await;
     served(&site, 5).await;
-    let leases = site.api.objects("leases").items;
+    let leases = site.object_api.objects("leases").items;
     assert_eq!(leases.len(), 1);
 }
 
@@ -91,7 +95,7 @@
     let leaving = site.entries.remove(holder);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    let lease = &site.api.objects("leases").items[0];
+    let lease = &site.object_api.objects("leases").items[0];
     let own = leaving.shared.name().as_str();
     let held = lease.value["holder"].as_str().unwrap();
     assert!(
@@ -100,7 +104,7 @@
     );
     publish(&site, 3).await;
     served(&site, 3).await;
-    let fence = |site: &Site| site.api.objects("leases").items[0].value["fence"].as_u64();
+    let fence = |site: &Site| site.object_api.objects("leases").items[0].value["fence"].as_u64();
     assert_eq!(
         fence(&site),
         Some(2),
@@ -113,20 +117,20 @@
     let site = Site::start(options(3, 4)).await.unwrap();
     let report = trainer::Trainer::new(trainer::Options {
         name: "rewind".into(),
-        entries: site.callers(),
+        entries: site.caller_addresses(),
         steps: 6,
-        groups: 6,
-        samples: 4,
+        groups_per_step: 6,
+        samples_per_group: 4,
         max_tokens: 60,
-        train: Duration::from_millis(50),
-        bound: 1,
-        whole: true,
+        train_time: Duration::from_millis(50),
+        staleness_bound: 1,
+        check_texts: true,
         ..trainer::Options::default()
     })
     .run()
     .await
     .unwrap();
-    assert!(report.clean(), "{report:?}");
+    assert!(report.is_valid(), "{report:?}");
     assert!(report.staleness.max <= 1, "{report:?}");
     assert_eq!(report.samples, 144);
 }
