--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -2,7 +2,7 @@
 
 use super::{
     balance::Balance,
-    book::Book,
+    recorder::Recorder,
     http::{Answer, Failure, call},
     service,
     site::{HOST, KEY},
@@ -43,20 +43,20 @@
     kind: Kind,
     name: &str,
     end: Instant,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     tally: Rc<Tally>,
 ) {
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
         let id = format!("{name}-{number}");
-        ask(balance.next().callers, kind, &id, &book, &tally).await;
+        ask(balance.next().callers, kind, &id, &recorder, &tally).await;
         sleep(PAUSE).await;
     }
 }
 
 /// Sends one request and checks what comes back.
-pub async fn ask(address: SocketAddr, kind: Kind, id: &str, book: &Book, tally: &Tally) {
+pub async fn ask(address: SocketAddr, kind: Kind, id: &str, recorder: &Recorder, tally: &Tally) {
     let path = match kind {
         Kind::Repeatable => "/live/x",
         Kind::Once => "/once/x",
@@ -71,11 +71,11 @@
     // A little longer than the deadline, which the answer should keep.
     let wait = PATIENCE + Duration::from_millis(500);
     match call(address, Method::POST, path, &headers, body, wait).await {
-        Ok(answer) => judge(kind, id, &answer, book, tally),
+        Ok(answer) => judge(kind, id, &answer, recorder, tally),
         Err(Failure::NotOpened | Failure::Cut | Failure::Late) => bump(&tally.unknown),
     }
-    if kind == Kind::Once && book.runs(id) > 1 {
-        book.fault(format!("{id} ran {} times", book.runs(id)));
+    if kind == Kind::Once && recorder.run_count(id) > 1 {
+        recorder.record_violation(format!("{id} ran {} times", recorder.run_count(id)));
     }
 }
 
@@ -83,14 +83,14 @@
     count.set(count.get() + 1);
 }
 
-fn judge(kind: Kind, id: &str, answer: &Answer, book: &Book, tally: &Tally) {
+fn judge(kind: Kind, id: &str, answer: &Answer, recorder: &Recorder, tally: &Tally) {
     if answer.status.is_success() {
         bump(&tally.good);
         let whole = answer.body == service::body(id).as_bytes();
         let signed = answer.header("x-response-stamp").is_some();
         let own = answer.header("x-request-id") == Some(id);
         if !(whole && signed && own) {
-            book.fault(format!(
+            recorder.record_violation(format!(
                 "{id} got an answer that is not its own or not whole"
             ));
         }
@@ -99,15 +99,15 @@
     match answer.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             bump(&tally.not_run);
-            if kind == Kind::Once && book.runs(id) > 0 {
-                book.fault(format!("{id} was refused as not run, and ran"));
+            if kind == Kind::Once && recorder.run_count(id) > 0 {
+                recorder.record_violation(format!("{id} was refused as not run, and ran"));
             }
             if answer.header("retry-after").is_none() {
-                book.fault(format!("{id} was refused without a time to come back"));
+                recorder.record_violation(format!("{id} was refused without a time to come back"));
             }
         }
-        StatusCode::UNAUTHORIZED => book.fault(format!("{id} was refused its key")),
-        StatusCode::NOT_FOUND => book.fault(format!("{id} found no route")),
+        StatusCode::UNAUTHORIZED => recorder.record_violation(format!("{id} was refused its key")),
+        StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} found no route")),
         _ => bump(&tally.unknown),
     }
 }
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -1,7 +1,7 @@
 //! A model engine: streams events, loads versions on orders, lists itself in the store.
 
 use super::{
-    book::{Book, Ordered, Told},
+    recorder::{Recorder, Order, CallerIdentity},
     store::Store,
 };
 use actix_http::{
@@ -63,7 +63,7 @@
     service: String,
     model: String,
     store: Store,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     version: Cell<u64>,
     busy: Cell<bool>,
     orders: Cell<u64>,
@@ -111,7 +111,7 @@
         (service, model): (&str, &str),
         version: u64,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -120,7 +120,7 @@
             service: service.into(),
             model: model.into(),
             store: store.clone(),
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             version: Cell::new(version),
             busy: Cell::new(false),
             orders: Cell::new(0),
@@ -227,7 +227,7 @@
             StatusCode::ACCEPTED
         };
         self.fence.set(self.fence.get().max(fence));
-        self.book.ordered(Ordered {
+        self.recorder.record_order(Order {
             engine: self.id.clone(),
             holder: order["holder"].as_str().unwrap_or_default().into(),
             fence,
@@ -279,7 +279,7 @@
     let headers = request.headers();
     let item = header(headers, "x-request-id").unwrap_or_default();
     if let Some(since) = state.leaving_since.get() {
-        state.book.came_late(&item, since.elapsed());
+        state.recorder.record_late_request(&item, since.elapsed());
     }
     let full = state.running.get() >= SLOTS + QUEUE;
     if state.busy.get() || full {
@@ -287,8 +287,8 @@
         set(&mut refusal, "x-not-executed", "1");
         return refusal;
     }
-    state.book.told(&item, told(headers));
-    state.book.arrived(&item);
+    state.recorder.record_caller(&item, caller_identity(headers));
+    state.recorder.record_arrival(&item);
     let after = header(headers, "last-event-id").and_then(|n| n.parse().ok());
     state.running.set(state.running.get() + 1);
     let running = Running(Rc::clone(&state.running));
@@ -328,7 +328,7 @@
         event.push_str(&format!("x-weight-versions: {now}\n"));
     }
     event.push_str(&format!("data: {}\n\n", data(&item, number)));
-    state.book.made(&item, now);
+    state.recorder.record_event(&item, now);
     let next = (state, item, number + 1, now, made + 1, running);
     Some((Ok(event.into()), next))
 }
@@ -339,8 +339,8 @@
 }
 
 /// What a head tells of the caller.
-pub(super) fn told(headers: &HeaderMap) -> Told {
-    Told {
+pub(super) fn caller_identity(headers: &HeaderMap) -> CallerIdentity {
+    CallerIdentity {
         workspace: header(headers, "x-tenant"),
         credential: header(headers, "authorization"),
     }
--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -11,12 +11,12 @@
 //! - [`site`]: all of it, with the real processes.
 //! - [`caller`], [`trainer`]: clients that check what they get.
 //! - [`balance`]: the balancer before the instances.
-//! - [`book`]: what was seen, and the promises that it is checked against.
+//! - [`recorder`]: what was seen, and the promises that it is checked against.
 //! - [`cli`]: the command line of the soak.
 //! - [`soak`]: seeded faults from outside while clients go on.
 
 pub mod balance;
-pub mod book;
+pub mod recorder;
 pub mod caller;
 pub mod cli;
 pub mod engine;
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's side of the calls that one instance makes at a time: it takes reports and checks them.
 
-use super::{book::Book, engine::header};
+use super::{recorder::Recorder, engine::header};
 use actix_http::{HttpMessage as _, StatusCode};
 use pinereel::http::{self, Request, Response, Server};
 use serde_json::Value;
@@ -41,7 +41,7 @@
 }
 
 struct State {
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     fault: Cell<Fault>,
     reports: RefCell<BTreeMap<u64, Counts>>,
     /// Endpoints of the cheap kind that were asked for last, by zone.
@@ -56,11 +56,11 @@
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn start(book: &Rc<Book>) -> io::Result<Self> {
+    pub async fn start(recorder: &Rc<Recorder>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let state = Rc::new(State {
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             fault: Cell::default(),
             reports: RefCell::default(),
             asked: RefCell::default(),
@@ -133,7 +133,7 @@
         let fence = header(request.headers(), "x-fence-token").and_then(|f| f.parse().ok());
         let body = http::read_json(request, MAX_BODY, Duration::from_secs(2)).await;
         let (Some(fence), Ok(body)) = (fence, body) else {
-            self.book.fault(format!("{path} without a fence or a body"));
+            self.recorder.record_violation(format!("{path} without a fence or a body"));
             return StatusCode::BAD_REQUEST;
         };
         if !self.admit(&path, fence, &holder) {
@@ -142,7 +142,7 @@
         match path.as_str() {
             "/usage" => self.note_usage(&body),
             "/scale" => self.note_asked(&body),
-            _ => self.book.fault(format!("a call to {path}")),
+            _ => self.recorder.record_violation(format!("a call to {path}")),
         }
         StatusCode::OK
     }
@@ -153,7 +153,7 @@
         let newest = newest.entry(path.into()).or_default();
         if fence == newest.0 && holder != newest.1 {
             let other = &newest.1;
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "{holder} and {other} both called under fence {fence}"
             ));
         }
@@ -168,7 +168,7 @@
         let zone = body["zone"].as_str().unwrap_or_default();
         let count = body["desiredCount"].as_u64().unwrap_or_default();
         if body["spot"] != true {
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "endpoints of the usual kind were asked for: {body}"
             ));
         }
@@ -181,7 +181,7 @@
         let mut reports = self.reports.borrow_mut();
         let known = reports.entry(window).or_insert_with(|| counts.clone());
         if *known != counts {
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "window {window} was reported as {known:?} and as {counts:?}"
             ));
         }
--- a/crates/pinereel_fakes/src/hosting/book.rs
+++ b/crates/pinereel_fakes/src/hosting/recorder.rs
@@ -10,7 +10,7 @@
 
 /// One order that an engine received.
 #[derive(Clone, Debug)]
-pub struct Ordered {
+pub struct Order {
     /// Engine's id.
     pub engine: String,
     /// Who gave it.
@@ -25,7 +25,7 @@
 
 /// What an endpoint was told of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct CallerIdentity {
     /// Its workspace.
     pub workspace: Option<String>,
     /// Its credential.
@@ -34,7 +34,7 @@
 
 /// All that was seen, by everyone.
 #[derive(Default)]
-pub struct Book {
+pub struct Recorder {
     inner: RefCell<Inner>,
 }
 
@@ -47,67 +47,67 @@
     /// Events that engines made in all.
     events: u64,
     /// What endpoints were told of the callers, by request.
-    told: BTreeMap<String, Vec<Told>>,
+    told: BTreeMap<String, Vec<CallerIdentity>>,
     /// Items at engines: id and when they came.
     arrivals: Vec<(String, Instant)>,
-    orders: Vec<Ordered>,
+    orders: Vec<Order>,
     /// Work that came to endpoints that were leaving: id, and for how long they had been.
     late: Vec<(String, Duration)>,
-    faults: Vec<String>,
+    violations: Vec<String>,
 }
 
-impl Book {
-    /// An empty book.
+impl Recorder {
+    /// An empty recorder.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
     /// A broken promise.
-    pub fn fault(&self, what: impl Into<String>) {
+    pub fn record_violation(&self, what: impl Into<String>) {
         let what = what.into();
         // Seen at once by who runs the soak by hand.
         eprintln!("BROKEN: {what}");
-        self.inner.borrow_mut().faults.push(what);
+        self.inner.borrow_mut().violations.push(what);
     }
 
     /// All broken promises.
-    pub fn faults(&self) -> Vec<String> {
-        self.inner.borrow().faults.clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.inner.borrow().violations.clone()
     }
 
     /// An endpoint was told of a request's caller.
-    pub fn told(&self, id: &str, told: Told) {
+    pub fn record_caller(&self, id: &str, told: CallerIdentity) {
         let mut inner = self.inner.borrow_mut();
         inner.told.entry(id.into()).or_default().push(told);
     }
 
     /// What endpoints were told of a request's caller.
-    pub fn callers(&self, id: &str) -> Vec<Told> {
+    pub fn callers(&self, id: &str) -> Vec<CallerIdentity> {
         let inner = self.inner.borrow();
         inner.told.get(id).cloned().unwrap_or_default()
     }
 
     /// A service ran a request.
-    pub fn ran(&self, id: &str, service: &str) {
+    pub fn record_run(&self, id: &str, service: &str) {
         let mut inner = self.inner.borrow_mut();
         let runs = inner.runs.entry(id.into()).or_default();
         runs.push(service.into());
     }
 
     /// How often a request ran.
-    pub fn runs(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         self.inner.borrow().runs.get(id).map_or(0, Vec::len)
     }
 
     /// An engine made an event of an item.
-    pub fn made(&self, item: &str, version: u64) {
+    pub fn record_event(&self, item: &str, version: u64) {
         let mut inner = self.inner.borrow_mut();
         inner.made.entry(item.into()).or_default().insert(version);
         inner.events += 1;
     }
 
     /// Events that engines made in all.
-    pub fn events(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.inner.borrow().events
     }
 
@@ -118,33 +118,33 @@
     }
 
     /// An item came to an engine.
-    pub fn arrived(&self, item: &str) {
+    pub fn record_arrival(&self, item: &str) {
         let mut inner = self.inner.borrow_mut();
         inner.arrivals.push((item.into(), Instant::now()));
     }
 
     /// Whether one of `items` came to an engine after `moment`.
-    pub fn arrived_after(&self, items: &BTreeSet<String>, moment: Instant) -> bool {
+    pub fn any_arrived_after(&self, items: &BTreeSet<String>, moment: Instant) -> bool {
         let inner = self.inner.borrow();
         let mut arrivals = inner.arrivals.iter();
         arrivals.any(|(item, at)| items.contains(item) && *at > moment)
     }
 
     /// Work came to an endpoint that had been leaving for `since`.
-    pub fn came_late(&self, id: &str, since: Duration) {
+    pub fn record_late_request(&self, id: &str, since: Duration) {
         self.inner.borrow_mut().late.push((id.into(), since));
     }
 
     /// The longest time that an endpoint had been leaving when work came.
-    pub fn latest(&self) -> Duration {
+    pub fn max_lateness(&self) -> Duration {
         let inner = self.inner.borrow();
         let times = inner.late.iter().map(|(_, since)| *since);
         times.max().unwrap_or_default()
     }
 
     /// An engine received an order.
-    pub fn ordered(&self, ordered: Ordered) {
-        self.inner.borrow_mut().orders.push(ordered);
+    pub fn record_order(&self, order: Order) {
+        self.inner.borrow_mut().orders.push(order);
     }
 
     /// Checks the orders: one holder a fencing token, and none that goes back at an engine that
@@ -157,14 +157,14 @@
             let holder = holders.entry(order.fence).or_insert(&order.holder);
             if *holder != order.holder {
                 let (fence, other) = (order.fence, &order.holder);
-                self.fault(format!(
+                self.record_violation(format!(
                     "{holder} and {other} both ordered under fence {fence}"
                 ));
             }
             let seen = newest.entry(&order.engine).or_default();
             if order.accepted && order.fence < *seen {
                 let (engine, fence) = (&order.engine, order.fence);
-                self.fault(format!("{engine} accepted fence {fence} after {seen}"));
+                self.record_violation(format!("{engine} accepted fence {fence} after {seen}"));
             }
             *seen = order.fence.max(*seen);
         }
@@ -180,14 +180,14 @@
                     .as_deref()
                     .is_none_or(|told| told == workspace);
                 if !is_true || told.credential.is_some() {
-                    self.fault(format!("{id} came to an endpoint as {told:?}"));
+                    self.record_violation(format!("{id} came to an endpoint as {told:?}"));
                 }
             }
         }
     }
 
     /// Orders that were accepted.
-    pub fn accepted_orders(&self) -> usize {
+    pub fn accepted_order_count(&self) -> usize {
         let inner = self.inner.borrow();
         inner.orders.iter().filter(|order| order.accepted).count()
     }
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,8 +1,8 @@
 //! A plain service: runs requests, signs its answers, lists itself in the store.
 
 use super::{
-    book::Book,
-    engine::{header, set, stamp, told},
+    recorder::Recorder,
+    engine::{header, set, stamp, caller_identity},
     store::Store,
 };
 use actix_http::{HttpMessage as _, StatusCode, body::BoxBody};
@@ -51,7 +51,7 @@
     id: String,
     service: String,
     store: Store,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     fault: Cell<Fault>,
     count: Cell<u64>,
     leaving_since: Cell<Option<Instant>>,
@@ -71,7 +71,7 @@
         id: &str,
         service: &str,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -79,7 +79,7 @@
             id: id.into(),
             service: service.into(),
             store: store.clone(),
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             fault: Cell::default(),
             count: Cell::new(0),
             leaving_since: Cell::new(None),
@@ -139,10 +139,10 @@
     }
     let id = header(headers, "x-request-id").unwrap_or_default();
     if let Some(since) = state.leaving_since.get() {
-        state.book.came_late(&id, since.elapsed());
+        state.recorder.record_late_request(&id, since.elapsed());
     }
-    state.book.told(&id, told(headers));
-    state.book.ran(&id, &state.service);
+    state.recorder.record_caller(&id, caller_identity(headers));
+    state.recorder.record_run(&id, &state.service);
     let fault = state.fault.get();
     sleep(WORK + fault.delay).await;
     state.count.set(state.count.get() + 1);
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -2,7 +2,7 @@
 
 use super::{
     balance::Balance,
-    book::Book,
+    recorder::Recorder,
     engine::Engine,
     instance,
     platform::Platform,
@@ -71,7 +71,7 @@
     /// The platform's side of calls that one instance makes at a time.
     pub platform: Platform,
     /// What was seen.
-    pub book: Rc<Book>,
+    pub recorder: Rc<Recorder>,
     /// The engines.
     pub engines: Vec<Fronted<Engine>>,
     /// The plain services.
@@ -95,11 +95,11 @@
         let store = Store::start(seed).await?;
         let folder = env::temp_dir().join(format!("pinereel-site-{}-{seed}", std::process::id()));
         fs::create_dir_all(&folder)?;
-        let book = Book::new();
+        let recorder = Recorder::new();
         let mut site = Self {
             store,
-            platform: Platform::start(&book).await?,
-            book,
+            platform: Platform::start(&recorder).await?,
+            recorder,
             engines: Vec::new(),
             services: Vec::new(),
             instances: Vec::new(),
@@ -181,7 +181,7 @@
     /// If it cannot be started.
     pub async fn add_engine(&mut self, version: u64) -> io::Result<()> {
         let id = format!("e-{}", self.number());
-        let engine = Engine::start(&id, (ENGINES, MODEL), version, &self.store, &self.book).await?;
+        let engine = Engine::start(&id, (ENGINES, MODEL), version, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(engine.address).await?;
         engine.list(proxy.address);
         self.engines.push(Fronted {
@@ -197,7 +197,7 @@
     /// If it cannot be started.
     pub async fn add_service(&mut self, service: &str) -> io::Result<()> {
         let id = format!("s-{}", self.number());
-        let endpoint = Service::start(&id, service, &self.store, &self.book).await?;
+        let endpoint = Service::start(&id, service, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(endpoint.address).await?;
         endpoint.list(proxy.address);
         self.services.push(Fronted { endpoint, proxy });
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -38,7 +38,7 @@
 
     /// After the last fault steps are done and callers are answered.
     pub(super) async fn check_recovery(&self, trainer: &mut Trainer, tally: &Tally) {
-        let book = Rc::clone(&self.site.borrow().book);
+        let recorder = Rc::clone(&self.site.borrow().recorder);
         sleep(RECOVERY / 3).await;
         let good = tally.good.get();
         let done = trainer.done;
@@ -47,20 +47,20 @@
             trainer.step(1_000_000 + step).await;
         }
         if trainer.done < done + STEPS_AFTER {
-            book.fault("steps are not done after the last fault");
+            recorder.record_violation("steps are not done after the last fault");
         }
         if tally.good.get() == good {
-            book.fault("no caller is answered after the last fault");
+            recorder.record_violation("no caller is answered after the last fault");
         }
         if began.elapsed() > RECOVERY {
-            book.fault(format!(
+            recorder.record_violation(format!(
                 "steps after the last fault took {:?}",
                 began.elapsed()
             ));
         }
-        let late = book.latest();
+        let late = recorder.max_lateness();
         if late > Duration::from_secs(2) {
-            book.fault(format!(
+            recorder.record_violation(format!(
                 "work came to an endpoint {late:?} after it was leaving"
             ));
         }
@@ -84,7 +84,7 @@
                     .any(|span| !span.planned && here(span) && during(span));
                 if planned && !excused {
                     let millis = at.duration_since(self.began).as_millis();
-                    site.book.fault(format!(
+                    site.recorder.record_violation(format!(
                         "a planned stop of {index} cut a request at {millis} ms"
                     ));
                 }
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -98,8 +98,8 @@
         let site = self.site.borrow();
         for (body, taken) in self.taken() {
             if taken > MAX_CRASHES + ALLOWED {
-                site.book
-                    .fault(format!("{taken} endpoints crashed under {body}"));
+                site.recorder
+                    .record_violation(format!("{taken} endpoints crashed under {body}"));
             }
         }
         let culprits: Vec<_> = self.bodies.iter().map(|body| identity(body)).collect();
@@ -110,8 +110,8 @@
         {
             let refusal = line.contains("refused: endpoints crash under it");
             if refusal && !culprits.iter().any(|identity| line.contains(identity)) {
-                site.book
-                    .fault(format!("refused for others' crashes: {line}"));
+                site.recorder
+                    .record_violation(format!("refused for others' crashes: {line}"));
             }
         }
     }
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -140,7 +140,7 @@
     site.configure("plain", Duration::from_secs(2));
     sleep(KEYS).await;
     let balance = site.balance();
-    let book = Rc::clone(&site.book);
+    let recorder = Rc::clone(&site.recorder);
     let tally = Rc::new(Tally::default());
     let end = Instant::now() + LONGEST;
     let mut callers = Vec::new();
@@ -150,10 +150,10 @@
         } else {
             Kind::Once
         };
-        let (balance, book, tally) = (Rc::clone(&balance), Rc::clone(&book), Rc::clone(&tally));
+        let (balance, recorder, tally) = (Rc::clone(&balance), Rc::clone(&recorder), Rc::clone(&tally));
         callers.push(actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(balance, kind, &name, end, book, tally).await;
+            caller::run(balance, kind, &name, end, recorder, tally).await;
         }));
     }
     let shape = Shape {
@@ -162,7 +162,7 @@
         wanted: 4,
     };
     let store = site.store.clone();
-    let mut trainer = Trainer::new("t", &balance, &store, &book, shape, options.seed);
+    let mut trainer = Trainer::new("t", &balance, &store, &recorder, shape, options.seed);
     let mut soak = Soak {
         options,
         rng: ChaCha8Rng::seed_from_u64(options.seed),
@@ -192,8 +192,8 @@
         ));
         soak.taken = taken.into_values().collect();
     }
-    book.check_orders();
-    book.check_callers(WORKSPACE);
+    recorder.check_orders();
+    recorder.check_callers(WORKSPACE);
     for caller in callers {
         caller.abort();
     }
@@ -245,7 +245,7 @@
 
     fn report(self, trainer: &Trainer, tally: &Tally, calls: u64) -> Report {
         let site = self.site.borrow();
-        let broken = site.book.faults();
+        let broken = site.recorder.violations();
         let logs = if broken.is_empty() {
             Vec::new()
         } else {
@@ -259,7 +259,7 @@
             broken,
             live: [tally.good.get(), tally.not_run.get(), tally.unknown.get()],
             steps: [trainer.done, trainer.given_up, trainer.refused],
-            orders: site.book.accepted_orders(),
+            orders: site.recorder.accepted_order_count(),
             calls,
             logs,
         }
@@ -269,6 +269,6 @@
 fn start(site: &mut Site, index: usize) {
     if let Err(error) = site.instances[index].start() {
         let name = site.instances[index].name.clone();
-        site.book.fault(format!("{name} does not start: {error}"));
+        site.recorder.record_violation(format!("{name} does not start: {error}"));
     }
 }
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -2,7 +2,7 @@
 
 use super::{
     balance::Balance,
-    book::Book,
+    recorder::Recorder,
     engine,
     http::{Answer, call},
     site::{HOST, KEY, MODEL},
@@ -42,7 +42,7 @@
 pub struct Trainer {
     balance: Rc<Balance>,
     store: Store,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     rng: ChaCha8Rng,
     shape: Shape,
     name: String,
@@ -65,14 +65,14 @@
         name: &str,
         balance: &Rc<Balance>,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
         shape: Shape,
         seed: u64,
     ) -> Self {
         Self {
             balance: Rc::clone(balance),
             store: store.clone(),
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             rng: ChaCha8Rng::seed_from_u64(seed),
             shape,
             name: name.into(),
@@ -173,7 +173,7 @@
             match answer.map(|answer| answer.status) {
                 Some(StatusCode::ACCEPTED) => return true,
                 Some(status) if status.is_client_error() => {
-                    self.book.fault(format!("lot {lot} got {status}"));
+                    self.recorder.record_violation(format!("lot {lot} got {status}"));
                     return false;
                 }
                 _ => sleep(Duration::from_millis(200)).await,
@@ -196,8 +196,8 @@
             return;
         };
         if answer.status == StatusCode::NOT_FOUND {
-            self.book
-                .fault(format!("lot {lot} is not found after its acceptance"));
+            self.recorder
+                .record_violation(format!("lot {lot} is not found after its acceptance"));
         }
         if !answer.status.is_success() {
             sleep(Duration::from_millis(100)).await;
@@ -206,19 +206,19 @@
         let reading: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         let total = reading["total"].as_u64();
         if total != Some((self.shape.groups * self.shape.size) as u64) {
-            self.book
-                .fault(format!("lot {lot} has a total of {total:?}"));
+            self.recorder
+                .record_violation(format!("lot {lot} has a total of {total:?}"));
         }
         let results = reading["results"].as_array().cloned().unwrap_or_default();
         if from < next && results.is_empty() {
-            self.book
-                .fault(format!("lot {lot}: position {from} went away"));
+            self.recorder
+                .record_violation(format!("lot {lot}: position {from} went away"));
         }
         for (at, result) in results.into_iter().enumerate() {
             let before = seen.insert(from + at, result.clone());
             if before.is_some_and(|before| before != result) {
-                self.book
-                    .fault(format!("lot {lot}: position {} changed", from + at));
+                self.recorder
+                    .record_violation(format!("lot {lot}: position {} changed", from + at));
             }
         }
     }
@@ -241,11 +241,11 @@
         for result in seen.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if !items.contains_key(id) {
-                self.book
-                    .fault(format!("lot {lot} lists {id}, which is not its item"));
+                self.recorder
+                    .record_violation(format!("lot {lot} lists {id}, which is not its item"));
             }
             if !ids.insert(id) {
-                self.book.fault(format!("lot {lot} lists {id} twice"));
+                self.recorder.record_violation(format!("lot {lot} lists {id} twice"));
             }
             if result["state"] == "completed" {
                 self.check_sample(id, oldest, result);
@@ -255,23 +255,23 @@
 
     fn check_sample(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
-            self.book.fault(format!("{id}: the text is not whole"));
+            self.recorder.record_violation(format!("{id}: the text is not whole"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
         let versions: BTreeSet<_> = versions.iter().filter_map(Value::as_u64).collect();
-        if versions.is_empty() || !versions.is_subset(&self.book.versions(id)) {
-            self.book
-                .fault(format!("{id}: versions {versions:?} did not make it"));
+        if versions.is_empty() || !versions.is_subset(&self.recorder.versions(id)) {
+            self.recorder
+                .record_violation(format!("{id}: versions {versions:?} did not make it"));
         }
         if versions.iter().any(|version| *version < oldest) {
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "{id}: versions {versions:?} are older than {oldest}"
             ));
         }
         let score = result["score"].as_str().unwrap_or_default();
         if !score.ends_with(&format!("{id}.s")) {
-            self.book
-                .fault(format!("{id}: score {score:?} is not its scorer's"));
+            self.recorder
+                .record_violation(format!("{id}: score {score:?} is not its scorer's"));
         }
     }
 
@@ -282,13 +282,13 @@
         while Instant::now() < end {
             let answer = self.call(Method::DELETE, &target, lot, Bytes::new()).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
-                let (book, items) = (Rc::clone(&self.book), items.keys().cloned().collect());
+                let (recorder, items) = (Rc::clone(&self.recorder), items.keys().cloned().collect());
                 let limit = Instant::now() + CANCEL;
                 let lot = lot.to_owned();
                 actix_rt::spawn(async move {
                     sleep(CANCEL + Duration::from_secs(2)).await;
-                    if book.arrived_after(&items, limit) {
-                        book.fault(format!("lot {lot}: an item was run long after its end"));
+                    if recorder.any_arrived_after(&items, limit) {
+                        recorder.record_violation(format!("lot {lot}: an item was run long after its end"));
                     }
                 });
                 return;
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -68,11 +68,11 @@
     let (balance, end) = (site.balance(), Instant::now() + span);
     let tally = Rc::new(Tally::default());
     for number in 0..count {
-        let (balance, book) = (Rc::clone(&balance), Rc::clone(&site.book));
+        let (balance, recorder) = (Rc::clone(&balance), Rc::clone(&site.recorder));
         let tally = Rc::clone(&tally);
         actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(balance, Kind::Repeatable, &name, end, book, tally).await;
+            caller::run(balance, Kind::Repeatable, &name, end, recorder, tally).await;
         });
     }
     tally
@@ -122,9 +122,9 @@
     let site = Site::start(SIZE, 160).await.unwrap();
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let (tally, book) = (
+    let (tally, recorder) = (
         start_callers(&site, 3, Duration::from_secs(9)),
-        Rc::clone(&site.book),
+        Rc::clone(&site.recorder),
     );
     let body = format!("{CRASH} a");
     send_repeatedly(&site, &body, Duration::from_secs(8)).await;
@@ -134,7 +134,7 @@
     sleep(PROPAGATION_TIME).await;
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), crashed.len());
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
     let (good, not) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
     assert!(not * 20 < good, "{good} good, {not} not");
 }
@@ -380,9 +380,9 @@
     let site = Site::start(SIZE, 166).await.unwrap();
     let (endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let (tally, book) = (
+    let (tally, recorder) = (
         start_callers(&site, 6, Duration::from_secs(8)),
-        Rc::clone(&site.book),
+        Rc::clone(&site.recorder),
     );
     for round in 0..12 {
         endpoints[round % ENDPOINTS].crash();
@@ -396,5 +396,5 @@
         .collect();
     assert_eq!(verdicts, Vec::<&String>::new());
     assert!(tally.good.get() > 200, "{tally:?}");
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -9,7 +9,7 @@
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
 use bytes::Bytes;
 use pinereel_fakes::hosting::{
-    book::Told,
+    recorder::CallerIdentity,
     http::{Answer, call},
     site::{HOST, Instance, METRICS_PORT, Site, Size},
 };
@@ -74,8 +74,8 @@
     send(instance, call, id, key, "x").await.status
 }
 
-fn expected_callers(workspace: Option<&str>) -> Vec<Told> {
-    vec![Told {
+fn expected_callers(workspace: Option<&str>) -> Vec<CallerIdentity> {
+    vec![CallerIdentity {
         workspace: workspace.map(Into::into),
         credential: None,
     }]
@@ -87,16 +87,16 @@
     let instance = &site.instances[0];
     assert_eq!(live(instance, "l-1", Some(A1)).await, StatusCode::OK);
     assert_eq!(live(instance, "l-2", Some(B1)).await, StatusCode::OK);
-    assert_eq!(site.book.callers("l-1"), expected_callers(Some("a")));
-    assert_eq!(site.book.callers("l-2"), expected_callers(Some("b")));
+    assert_eq!(site.recorder.callers("l-1"), expected_callers(Some("a")));
+    assert_eq!(site.recorder.callers("l-2"), expected_callers(Some("b")));
     for (id, key) in [("l-3", Some(UNKNOWN_KEY)), ("l-4", None)] {
         assert_eq!(live(instance, id, key).await, StatusCode::UNAUTHORIZED);
-        assert_eq!(site.book.runs(id), 0);
+        assert_eq!(site.recorder.run_count(id), 0);
     }
     let public = (Method::POST, "/score/x");
     let answer = send(instance, public, "l-5", Some(UNKNOWN_KEY), "x").await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(site.book.callers("l-5"), expected_callers(None));
+    assert_eq!(site.recorder.callers("l-5"), expected_callers(None));
 
     set_keys(&mut site, &[A2], &[B1, B2]);
     sleep(CONFIG_PROPAGATION_TIME).await;
@@ -106,7 +106,7 @@
         let new = live(instance, &format!("n-{number}"), Some(B2)).await;
         assert_eq!(new, StatusCode::OK);
     }
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
 fn lot() -> String {
@@ -165,9 +165,9 @@
     }
     assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
     for number in 0..3 {
-        let item = site.book.callers(&format!("item-{number}"));
+        let item = site.recorder.callers(&format!("item-{number}"));
         assert_eq!(item, expected_callers(Some("a")), "the item's workspace");
-        let scoring = site.book.callers(&format!("s-{number}"));
+        let scoring = site.recorder.callers(&format!("s-{number}"));
         assert_eq!(scoring, expected_callers(None), "a scoring needs none");
     }
     for instance in &site.instances {
@@ -175,7 +175,7 @@
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
     }
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
 /// Everything that the processes write: logs, metrics, and objects in the store.
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -36,13 +36,13 @@
             ..engine::Fault::default()
         });
     }
-    let (balance, book) = (site.balance(), Rc::clone(&site.book));
+    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 2,
         size: 4,
         wanted: 2,
     };
-    let mut trainer = Trainer::new("again", &balance, &site.store, &book, shape, 1);
+    let mut trainer = Trainer::new("again", &balance, &site.store, &recorder, shape, 1);
     let restart = async {
         sleep(Duration::from_millis(900)).await;
         site.engines[0].proxy.set(proxy::Fault::SILENT);
@@ -57,16 +57,16 @@
     let (_, lost) = tokio::join!(trainer.step(0), restart);
     assert!(lost > 0, "runs are lost within 0.7 s of the entry");
     assert_eq!(trainer.done, 1);
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
     // The restarted engine counts its orders from the beginning, and still gets the next version.
-    let mut trainer = Trainer::new("next", &balance, &site.store, &book, shape, 1);
+    let mut trainer = Trainer::new("next", &balance, &site.store, &recorder, shape, 1);
     for step in 0..2 {
         trainer.step(step).await;
     }
     sleep(Duration::from_secs(1)).await;
     assert!(site.engines[0].endpoint.version() > 1);
-    book.check_orders();
-    assert_eq!(book.faults(), Vec::<String>::new());
+    recorder.check_orders();
+    assert_eq!(recorder.violations(), Vec::<String>::new());
 }
 
 /// Load pattern: another writer overwrites one entry of a service with an invalid one and adds
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -37,15 +37,15 @@
 #[actix_rt::test]
 async fn a_calm_site_serves_callers_and_steps() {
     let site = Site::start(SMALL, 101).await.unwrap();
-    let (balance, book) = (site.balance(), Rc::clone(&site.book));
+    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
     let tally = Rc::new(Tally::default());
     for kind in [Kind::Repeatable, Kind::Once] {
-        let (balance, book, tally) = (Rc::clone(&balance), Rc::clone(&book), Rc::clone(&tally));
+        let (balance, recorder, tally) = (Rc::clone(&balance), Rc::clone(&recorder), Rc::clone(&tally));
         let end = Instant::now() + Duration::from_secs(4);
         let name = format!("{kind:?}");
-        actix_rt::spawn(async move { caller::run(balance, kind, &name, end, book, tally).await });
+        actix_rt::spawn(async move { caller::run(balance, kind, &name, end, recorder, tally).await });
     }
-    let mut trainer = Trainer::new("calm", &balance, &site.store, &book, SHAPE, 1);
+    let mut trainer = Trainer::new("calm", &balance, &site.store, &recorder, SHAPE, 1);
     for step in 0..4 {
         trainer.step(step).await;
     }
@@ -53,9 +53,9 @@
     assert_eq!((trainer.done, trainer.given_up, trainer.refused), (4, 0, 0));
     assert!(tally.good.get() > 50, "{tally:?}");
     assert_eq!((tally.not_run.get(), tally.unknown.get()), (0, 0));
-    assert!(book.accepted_orders() > 0, "new versions are rolled out");
-    book.check_orders();
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert!(recorder.accepted_order_count() > 0, "new versions are rolled out");
+    recorder.check_orders();
+    assert_eq!(recorder.violations(), Vec::<String>::new());
 }
 
 #[actix_rt::test]
@@ -286,12 +286,12 @@
     let mut site = Site::start(SMALL, 106).await.unwrap();
     // A text of 24 events takes more than two seconds.
     slow_down(&site, 8);
-    let (balance, book) = (site.balance(), Rc::clone(&site.book));
-    let mut trainer = Trainer::new("stop", &balance, &site.store, &book, SHAPE, 1);
+    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
+    let mut trainer = Trainer::new("stop", &balance, &site.store, &recorder, SHAPE, 1);
     let whole = Shape { wanted: 4, ..SHAPE };
-    let mut stopped = Trainer::new("stopped", &balance, &site.store, &book, whole, 2);
+    let mut stopped = Trainer::new("stopped", &balance, &site.store, &recorder, whole, 2);
     trainer.step(0).await;
-    let before = book.events();
+    let before = recorder.event_count();
     let stop = async {
         sleep(Duration::from_millis(900)).await;
         let index = runner(&site).expect("a lot was opened");
@@ -299,10 +299,10 @@
     };
     tokio::join!(stopped.step(0), stop);
     assert_eq!(stopped.done, 1);
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
     let items = (0..4).flat_map(|g| (0..4).map(move |i| format!("stopped-0.{g}.{i}")));
     let needed: u64 = items.map(|item| engine::events(&item)).sum();
-    let made = book.events() - before;
+    let made = recorder.event_count() - before;
     // An engine makes a few events more before it notices that a connection is gone. Begun again, the
     // texts took 408 and 448 events.
     let in_flight = u64::from(engine::SLOTS) * site.engines.len() as u64;
@@ -318,13 +318,13 @@
     let mut site = Site::start(SMALL, 107).await.unwrap();
     // A text of 24 events takes about 4.6 s.
     slow_down(&site, 16);
-    let (balance, book) = (site.balance(), Rc::clone(&site.book));
+    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 8,
         wanted: 8,
         ..SHAPE
     };
-    let mut trainer = Trainer::new("killed", &balance, &site.store, &book, shape, 2);
+    let mut trainer = Trainer::new("killed", &balance, &site.store, &recorder, shape, 2);
     let kill = async {
         // After the second write, which replaces the first.
         sleep(Duration::from_millis(4_400)).await;
@@ -334,7 +334,7 @@
     };
     let (_, killed) = tokio::join!(trainer.step(0), kill);
     assert_eq!(trainer.done, 1);
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
     let lines = site.instances[killed].all_lines();
     assert!(
         !lines
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -64,5 +64,5 @@
         log_lines.join("\n")
     );
     assert_eq!(asked.get("there"), Some(&4), "{asked:?}");
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -84,7 +84,7 @@
         .filter(|window| !reports.contains_key(window))
         .collect();
     assert_eq!(missing, Vec::<u64>::new());
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
 #[actix_rt::test]
