--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -1,7 +1,7 @@
 //! A live caller that checks each answer.
 
 use super::{
-    balance::Balance,
+    load_balancer::LoadBalancer,
     recorder::Recorder,
     http::{Answer, Failure, call},
     service,
@@ -39,7 +39,7 @@
 
 /// Sends requests until `end`, each on a fresh connection to an instance that the balancer picks.
 pub async fn run(
-    balance: Rc<Balance>,
+    load_balancer: Rc<LoadBalancer>,
     kind: Kind,
     name: &str,
     end: Instant,
@@ -50,7 +50,7 @@
     while Instant::now() < end {
         number += 1;
         let id = format!("{name}-{number}");
-        ask(balance.next().callers, kind, &id, &recorder, &tally).await;
+        ask(load_balancer.pick().caller_address, kind, &id, &recorder, &tally).await;
         sleep(PAUSE).await;
     }
 }
--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -10,12 +10,12 @@
 //! - [`settings`]: fills in the deployment's template.
 //! - [`site`]: all of it, with the real processes.
 //! - [`caller`], [`trainer`]: clients that check what they get.
-//! - [`balance`]: the balancer before the instances.
+//! - [`load_balancer`]: the balancer before the instances.
 //! - [`recorder`]: what was seen, and the promises that it is checked against.
 //! - [`cli`]: the command line of the soak.
 //! - [`soak`]: seeded faults from outside while clients go on.
 
-pub mod balance;
+pub mod load_balancer;
 pub mod recorder;
 pub mod caller;
 pub mod cli;
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -1,7 +1,7 @@
 //! A site: the store, the endpoints and the real processes, each behind proxies of its own.
 
 use super::{
-    balance::Balance,
+    load_balancer::LoadBalancer,
     recorder::Recorder,
     engine::Engine,
     instance,
@@ -126,12 +126,12 @@
     }
 
     /// A balancer before all instances.
-    pub fn balance(&self) -> Rc<Balance> {
-        let balance = Rc::new(Balance::default());
+    pub fn load_balancer(&self) -> Rc<LoadBalancer> {
+        let load_balancer = Rc::new(LoadBalancer::default());
         for (index, instance) in self.instances.iter().enumerate() {
-            balance.add(index, instance.callers.address, instance.readiness);
+            load_balancer.add(index, instance.callers.address, instance.readiness);
         }
-        balance
+        load_balancer
     }
 
     fn number(&mut self) -> u64 {
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -139,7 +139,7 @@
     inject::change_keys(&mut site);
     site.configure("plain", Duration::from_secs(2));
     sleep(KEYS).await;
-    let balance = site.balance();
+    let load_balancer = site.load_balancer();
     let recorder = Rc::clone(&site.recorder);
     let tally = Rc::new(Tally::default());
     let end = Instant::now() + LONGEST;
@@ -150,10 +150,10 @@
         } else {
             Kind::Once
         };
-        let (balance, recorder, tally) = (Rc::clone(&balance), Rc::clone(&recorder), Rc::clone(&tally));
+        let (load_balancer, recorder, tally) = (Rc::clone(&load_balancer), Rc::clone(&recorder), Rc::clone(&tally));
         callers.push(actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(balance, kind, &name, end, recorder, tally).await;
+            caller::run(load_balancer, kind, &name, end, recorder, tally).await;
         }));
     }
     let shape = Shape {
@@ -162,7 +162,7 @@
         wanted: 4,
     };
     let store = site.store.clone();
-    let mut trainer = Trainer::new("t", &balance, &store, &recorder, shape, options.seed);
+    let mut trainer = Trainer::new("t", &load_balancer, &store, &recorder, shape, options.seed);
     let mut soak = Soak {
         options,
         rng: ChaCha8Rng::seed_from_u64(options.seed),
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,7 +1,7 @@
 //! A trainer that submits lots, reads them at any instance and checks every position.
 
 use super::{
-    balance::Balance,
+    load_balancer::LoadBalancer,
     recorder::Recorder,
     engine,
     http::{Answer, call},
@@ -40,7 +40,7 @@
 
 /// A trainer.
 pub struct Trainer {
-    balance: Rc<Balance>,
+    load_balancer: Rc<LoadBalancer>,
     store: Store,
     recorder: Rc<Recorder>,
     rng: ChaCha8Rng,
@@ -60,17 +60,17 @@
 type Seen = BTreeMap<usize, Value>;
 
 impl Trainer {
-    /// A trainer that talks to the instances behind `balance`.
+    /// A trainer that talks to the instances behind `load_balancer`.
     pub fn new(
         name: &str,
-        balance: &Rc<Balance>,
+        load_balancer: &Rc<LoadBalancer>,
         store: &Store,
         recorder: &Rc<Recorder>,
         shape: Shape,
         seed: u64,
     ) -> Self {
         Self {
-            balance: Rc::clone(balance),
+            load_balancer: Rc::clone(load_balancer),
             store: store.clone(),
             recorder: Rc::clone(recorder),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -156,7 +156,7 @@
             ("x-wait-ms", "500".to_owned()),
             ("authorization", format!("Bearer {KEY}")),
         ];
-        let address = self.balance.next().callers;
+        let address = self.load_balancer.pick().caller_address;
         let wait = PATIENCE + Duration::from_millis(500);
         call(address, method, target, &headers, body, wait)
             .await
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -65,14 +65,14 @@
 
 /// Starts `count` callers that send other requests for `span`.
 fn start_callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
-    let (balance, end) = (site.balance(), Instant::now() + span);
+    let (load_balancer, end) = (site.load_balancer(), Instant::now() + span);
     let tally = Rc::new(Tally::default());
     for number in 0..count {
-        let (balance, recorder) = (Rc::clone(&balance), Rc::clone(&site.recorder));
+        let (load_balancer, recorder) = (Rc::clone(&load_balancer), Rc::clone(&site.recorder));
         let tally = Rc::clone(&tally);
         actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(balance, Kind::Repeatable, &name, end, recorder, tally).await;
+            caller::run(load_balancer, Kind::Repeatable, &name, end, recorder, tally).await;
         });
     }
     tally
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -36,13 +36,13 @@
             ..engine::Fault::default()
         });
     }
-    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
+    let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 2,
         size: 4,
         wanted: 2,
     };
-    let mut trainer = Trainer::new("again", &balance, &site.store, &recorder, shape, 1);
+    let mut trainer = Trainer::new("again", &load_balancer, &site.store, &recorder, shape, 1);
     let restart = async {
         sleep(Duration::from_millis(900)).await;
         site.engines[0].proxy.set(proxy::Fault::SILENT);
@@ -59,7 +59,7 @@
     assert_eq!(trainer.done, 1);
     assert_eq!(recorder.violations(), Vec::<String>::new());
     // The restarted engine counts its orders from the beginning, and still gets the next version.
-    let mut trainer = Trainer::new("next", &balance, &site.store, &recorder, shape, 1);
+    let mut trainer = Trainer::new("next", &load_balancer, &site.store, &recorder, shape, 1);
     for step in 0..2 {
         trainer.step(step).await;
     }
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -37,15 +37,15 @@
 #[actix_rt::test]
 async fn a_calm_site_serves_callers_and_steps() {
     let site = Site::start(SMALL, 101).await.unwrap();
-    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
+    let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let tally = Rc::new(Tally::default());
     for kind in [Kind::Repeatable, Kind::Once] {
-        let (balance, recorder, tally) = (Rc::clone(&balance), Rc::clone(&recorder), Rc::clone(&tally));
+        let (load_balancer, recorder, tally) = (Rc::clone(&load_balancer), Rc::clone(&recorder), Rc::clone(&tally));
         let end = Instant::now() + Duration::from_secs(4);
         let name = format!("{kind:?}");
-        actix_rt::spawn(async move { caller::run(balance, kind, &name, end, recorder, tally).await });
+        actix_rt::spawn(async move { caller::run(load_balancer, kind, &name, end, recorder, tally).await });
     }
-    let mut trainer = Trainer::new("calm", &balance, &site.store, &recorder, SHAPE, 1);
+    let mut trainer = Trainer::new("calm", &load_balancer, &site.store, &recorder, SHAPE, 1);
     for step in 0..4 {
         trainer.step(step).await;
     }
@@ -286,10 +286,10 @@
     let mut site = Site::start(SMALL, 106).await.unwrap();
     // A text of 24 events takes more than two seconds.
     slow_down(&site, 8);
-    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
-    let mut trainer = Trainer::new("stop", &balance, &site.store, &recorder, SHAPE, 1);
+    let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
+    let mut trainer = Trainer::new("stop", &load_balancer, &site.store, &recorder, SHAPE, 1);
     let whole = Shape { wanted: 4, ..SHAPE };
-    let mut stopped = Trainer::new("stopped", &balance, &site.store, &recorder, whole, 2);
+    let mut stopped = Trainer::new("stopped", &load_balancer, &site.store, &recorder, whole, 2);
     trainer.step(0).await;
     let before = recorder.event_count();
     let stop = async {
@@ -318,13 +318,13 @@
     let mut site = Site::start(SMALL, 107).await.unwrap();
     // A text of 24 events takes about 4.6 s.
     slow_down(&site, 16);
-    let (balance, recorder) = (site.balance(), Rc::clone(&site.recorder));
+    let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 8,
         wanted: 8,
         ..SHAPE
     };
-    let mut trainer = Trainer::new("killed", &balance, &site.store, &recorder, shape, 2);
+    let mut trainer = Trainer::new("killed", &load_balancer, &site.store, &recorder, shape, 2);
     let kill = async {
         // After the second write, which replaces the first.
         sleep(Duration::from_millis(4_400)).await;
