--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -39,9 +39,9 @@
 
 /// What an engine does wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fault {
+pub struct Faults {
     /// Events take so many times as long; 0 and 1 change nothing.
-    pub slow: u32,
+    pub slow_factor: u32,
     /// Breaks each stream off after so many events.
     pub cut_after: Option<u64>,
     /// Orders get no answer and are carried out 1 s later.
@@ -71,7 +71,7 @@
     /// When it last started, in milliseconds; only its order counts.
     born: Cell<u64>,
     running: Rc<Cell<u32>>,
-    fault: Cell<Fault>,
+    faults: Cell<Faults>,
     leaving_since: Cell<Option<Instant>>,
     advertised: RefCell<String>,
 }
@@ -127,7 +127,7 @@
             fence: Cell::new(0),
             born: Cell::new(1),
             running: Rc::default(),
-            fault: Cell::default(),
+            faults: Cell::default(),
             leaving_since: Cell::new(None),
             advertised: RefCell::new(address.to_string()),
         });
@@ -172,8 +172,8 @@
     }
 
     /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
-        self.state.fault.set(fault);
+    pub fn set_faults(&self, faults: Faults) {
+        self.state.faults.set(faults);
     }
 
     /// Version that it serves.
@@ -264,7 +264,7 @@
         (&Method::POST, "/v1/order") => {
             let order = http::read_json(&mut request, 1 << 16, Duration::from_secs(2)).await;
             let order: Value = order.unwrap_or_default();
-            if state.fault.get().late_orders {
+            if state.faults.get().late_orders {
                 sleep(Duration::from_secs(1)).await;
                 state.order(&order);
                 sleep(Duration::from_secs(60)).await;
@@ -313,15 +313,15 @@
 async fn next_event(
     (state, item, number, version, made, running): Generation,
 ) -> Option<(Result<Bytes, io::Error>, Generation)> {
-    let fault = state.fault.get();
+    let faults = state.faults.get();
     if number > events(&item) {
         return None;
     }
-    if fault.cut_after.is_some_and(|most| made >= most) {
+    if faults.cut_after.is_some_and(|most| made >= most) {
         let torn = Err(io::Error::other("cut"));
         return Some((torn, (state, item, u64::MAX, version, made, running)));
     }
-    sleep(EVENT * fault.slow.max(1)).await;
+    sleep(EVENT * faults.slow_factor.max(1)).await;
     let now = state.version.get();
     let mut event = format!("id: {number}\n");
     if now != version {
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -77,7 +77,7 @@
     }
 
     /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.state.fault.set(fault);
     }
 
--- a/crates/pinereel_fakes/src/hosting/proxy.rs
+++ b/crates/pinereel_fakes/src/hosting/proxy.rs
@@ -19,24 +19,24 @@
 
 /// What the proxy does with bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fault {
+pub struct Faults {
     /// Holds every part for so long.
     pub delay: Duration,
     /// Drops what clients send; connections stay open.
-    pub mute_requests: bool,
+    pub drop_requests: bool,
     /// Drops what servers send; connections stay open.
-    pub mute_answers: bool,
+    pub drop_answers: bool,
     /// Refuses new connections by closing them at once.
-    pub refuse: bool,
+    pub refuse_connections: bool,
 }
 
-impl Fault {
+impl Faults {
     /// Nothing passes, and nobody is told.
-    pub const SILENT: Self = Self {
+    pub const DROP_ALL: Self = Self {
         delay: Duration::ZERO,
-        mute_requests: true,
-        mute_answers: true,
-        refuse: false,
+        drop_requests: true,
+        drop_answers: true,
+        refuse_connections: false,
     };
 }
 
@@ -45,7 +45,7 @@
 pub struct Proxy {
     /// Where clients connect.
     pub address: SocketAddr,
-    fault: Rc<Cell<Fault>>,
+    faults: Rc<Cell<Faults>>,
     /// Grows when all open connections are to be reset.
     resets: Rc<watch::Sender<u64>>,
     target: SocketAddr,
@@ -62,7 +62,7 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let proxy = Self {
             address: listener.local_addr()?,
-            fault: Rc::default(),
+            faults: Rc::default(),
             resets: Rc::new(watch::channel(0).0),
             target,
             cuts: Rc::default(),
@@ -70,7 +70,7 @@
         let state = proxy.clone();
         actix_rt::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                if state.fault.get().refuse {
+                if state.faults.get().refuse_connections {
                     continue;
                 }
                 let state = state.clone();
@@ -81,13 +81,13 @@
     }
 
     /// Applies a fault to all connections, open ones too.
-    pub fn set(&self, fault: Fault) {
-        self.fault.set(fault);
+    pub fn set_faults(&self, faults: Faults) {
+        self.faults.set(faults);
     }
 
     /// The fault in force.
-    pub fn fault(&self) -> Fault {
-        self.fault.get()
+    pub fn faults(&self) -> Faults {
+        self.faults.get()
     }
 
     /// Resets all open connections.
@@ -110,9 +110,9 @@
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
         let (asked, answered) = (Cell::new(0), Cell::new(0));
-        let requests = self.pump(from_client, to_server, &asked, |fault| fault.mute_requests);
-        let answers = self.pump(from_server, to_client, &answered, |fault| {
-            fault.mute_answers
+        let requests = self.pump(from_client, to_server, &asked, |faults| faults.drop_requests);
+        let answers = self.pump(from_server, to_client, &answered, |faults| {
+            faults.drop_answers
         });
         tokio::select! {
             // An end of the answers ends the connection; a client that closes its side is passed on.
@@ -134,18 +134,18 @@
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
         passed: &Cell<usize>,
-        mute: impl Fn(Fault) -> bool,
+        mute: impl Fn(Faults) -> bool,
     ) {
         let mut buffer = vec![0; 16_384];
         loop {
             let Ok(count) = from.read(&mut buffer).await else {
                 return;
             };
-            let fault = self.fault.get();
-            if !fault.delay.is_zero() {
-                sleep(fault.delay).await;
+            let faults = self.faults.get();
+            if !faults.delay.is_zero() {
+                sleep(faults.delay).await;
             }
-            if mute(fault) {
+            if mute(faults) {
                 if count == 0 {
                     return std::future::pending().await;
                 }
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -28,11 +28,11 @@
 
 /// What a service does wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fault {
+pub struct Faults {
     /// One of so many answers is lost after the request ran; 0 loses none.
-    pub lose_one_of: u64,
+    pub lose_every: u64,
     /// One of so many answers is cut short; 0 cuts none.
-    pub cut_one_of: u64,
+    pub cut_every: u64,
     /// Holds every answer for so long.
     pub delay: Duration,
 }
@@ -52,7 +52,7 @@
     service: String,
     store: Store,
     recorder: Rc<Recorder>,
-    fault: Cell<Fault>,
+    faults: Cell<Faults>,
     count: Cell<u64>,
     leaving_since: Cell<Option<Instant>>,
 }
@@ -80,7 +80,7 @@
             service: service.into(),
             store: store.clone(),
             recorder: Rc::clone(recorder),
-            fault: Cell::default(),
+            faults: Cell::default(),
             count: Cell::new(0),
             leaving_since: Cell::new(None),
         });
@@ -126,8 +126,8 @@
     }
 
     /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
-        self.state.fault.set(fault);
+    pub fn set_faults(&self, faults: Faults) {
+        self.state.faults.set(faults);
     }
 }
 
@@ -143,21 +143,21 @@
     }
     state.recorder.record_caller(&id, caller_identity(headers));
     state.recorder.record_run(&id, &state.service);
-    let fault = state.fault.get();
-    sleep(WORK + fault.delay).await;
+    let faults = state.faults.get();
+    sleep(WORK + faults.delay).await;
     state.count.set(state.count.get() + 1);
     let one_of = |n: u64| n > 0 && state.count.get().is_multiple_of(n);
-    if one_of(fault.lose_one_of) {
+    if one_of(faults.lose_every) {
         sleep(Duration::from_secs(60)).await;
     }
     let mut text = body(&id).into_bytes();
     let length = text.len();
-    if one_of(fault.cut_one_of) {
+    if one_of(faults.cut_every) {
         text.truncate(length / 2);
     }
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(text));
     set(&mut answer, "x-request-id", &id);
-    if !one_of(fault.cut_one_of) {
+    if !one_of(faults.cut_every) {
         set(&mut answer, "x-response-stamp", &stamp(&state.id, &id));
     }
     answer
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -209,7 +209,7 @@
     /// # Errors
     /// If it cannot be started.
     pub async fn add_instance(&mut self) -> io::Result<()> {
-        self.add(proxy::Fault::default()).await
+        self.add(proxy::Faults::default()).await
     }
 
     /// Adds and starts an instance that does not reach the store.
@@ -217,16 +217,16 @@
     /// # Errors
     /// If it cannot be started.
     pub async fn add_instance_cut_off(&mut self) -> io::Result<()> {
-        self.add(proxy::Fault::SILENT).await
+        self.add(proxy::Faults::DROP_ALL).await
     }
 
-    async fn add(&mut self, to_store: proxy::Fault) -> io::Result<()> {
+    async fn add(&mut self, to_store: proxy::Faults) -> io::Result<()> {
         let name = format!("front-{}", self.number());
         let ip = IpAddr::from(own_ip());
         let callers = SocketAddr::new(ip, CALLERS_PORT);
         let readiness = SocketAddr::new(ip, READINESS_PORT);
         let store = Proxy::start(self.store.address).await?;
-        store.set(to_store);
+        store.set_faults(to_store);
         let settings = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
         let good_settings = fill(
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -13,11 +13,11 @@
     pub(super) async fn heal(&self) {
         sleep(Duration::from_secs(4)).await;
         let mut site = self.site.borrow_mut();
-        site.store.set(store::Fault::default());
+        site.store.set_faults(store::Faults::default());
         for index in 0..site.instances.len() {
             let instance = &mut site.instances[index];
-            instance.callers.set(proxy::Fault::default());
-            instance.store.set(proxy::Fault::default());
+            instance.callers.set_faults(proxy::Faults::default());
+            instance.store.set_faults(proxy::Faults::default());
             instance.mend_settings();
             if instance.paused {
                 instance.signal(Signal::CONT);
@@ -28,11 +28,11 @@
             }
         }
         for fronted in &site.engines {
-            fronted.proxy.set(proxy::Fault::default());
-            fronted.endpoint.set(engine::Fault::default());
+            fronted.proxy.set_faults(proxy::Faults::default());
+            fronted.endpoint.set_faults(engine::Faults::default());
         }
         for fronted in &site.services {
-            fronted.endpoint.set(service::Fault::default());
+            fronted.endpoint.set_faults(service::Faults::default());
         }
     }
 
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -117,24 +117,24 @@
         let instance = &site.instances[index];
         match trouble {
             Trouble::CutFromStore => {
-                let fault = proxy::Fault {
-                    mute_requests: !one_way,
-                    ..proxy::Fault::SILENT
+                let fault = proxy::Faults {
+                    drop_requests: !one_way,
+                    ..proxy::Faults::DROP_ALL
                 };
-                instance.store.set(fault);
+                instance.store.set_faults(fault);
                 self.later(length, move |site| {
-                    site.instances[index].store.set(proxy::Fault::default());
+                    site.instances[index].store.set_faults(proxy::Faults::default());
                 });
             }
             Trouble::ResetStoreConnections => instance.store.reset(),
             Trouble::DelayCallers => {
                 let delay = Duration::from_millis(60);
-                instance.callers.set(proxy::Fault {
+                instance.callers.set_faults(proxy::Faults {
                     delay,
-                    ..proxy::Fault::default()
+                    ..proxy::Faults::default()
                 });
                 self.later(length, move |site| {
-                    site.instances[index].callers.set(proxy::Fault::default());
+                    site.instances[index].callers.set_faults(proxy::Faults::default());
                 });
             }
             Trouble::BadSettings => {
@@ -150,41 +150,41 @@
         let late = self.rng.random_bool(0.5);
         let site = self.site.borrow();
         let fault = match trouble {
-            Trouble::StoreDown => store::Fault::DOWN,
-            Trouble::StoreSlow => store::Fault {
+            Trouble::StoreDown => store::Faults::DOWN,
+            Trouble::StoreSlow => store::Faults {
                 delay: Duration::from_millis(200),
-                ..store::Fault::default()
+                ..store::Faults::default()
             },
-            Trouble::StoreLoses => store::Fault {
-                lost: 0.35,
-                late,
-                ..store::Fault::default()
+            Trouble::StoreLoses => store::Faults {
+                loss_probability: 0.35,
+                delay_lost_writes: late,
+                ..store::Faults::default()
             },
             _ => {
                 site.store.compact();
                 return;
             }
         };
-        site.store.set(fault);
-        self.later(length, |site| site.store.set(store::Fault::default()));
+        site.store.set_faults(fault);
+        self.later(length, |site| site.store.set_faults(store::Faults::default()));
     }
 
     fn endpoint_fault(&self, trouble: Trouble, index: usize, length: Duration) {
         self.span(None, false, length + AFTERMATH);
         let site = self.site.borrow();
         if let Some(fault) = service_fault(trouble) {
-            site.services[index].endpoint.set(fault);
+            site.services[index].endpoint.set_faults(fault);
             self.later(length, move |site| {
-                site.services[index].endpoint.set(service::Fault::default());
+                site.services[index].endpoint.set_faults(service::Faults::default());
             });
             return;
         }
         let fronted = &site.engines[index];
         match trouble {
             Trouble::EngineDark => {
-                fronted.proxy.set(proxy::Fault::SILENT);
+                fronted.proxy.set_faults(proxy::Faults::DROP_ALL);
                 self.later(length, move |site| {
-                    site.engines[index].proxy.set(proxy::Fault::default());
+                    site.engines[index].proxy.set_faults(proxy::Faults::default());
                 });
             }
             Trouble::EngineLapses => {
@@ -195,9 +195,9 @@
                 });
             }
             _ => {
-                fronted.endpoint.set(engine_fault(trouble));
+                fronted.endpoint.set_faults(engine_fault(trouble));
                 self.later(length, move |site| {
-                    site.engines[index].endpoint.set(engine::Fault::default());
+                    site.engines[index].endpoint.set_faults(engine::Faults::default());
                 });
             }
         }
--- a/crates/pinereel_fakes/src/hosting/soak/trouble.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/trouble.rs
@@ -63,18 +63,18 @@
 ];
 
 /// What a plain service does wrong under a fault; none if it is another's.
-pub(super) fn service_fault(trouble: Trouble) -> Option<service::Fault> {
-    let none = service::Fault::default();
+pub(super) fn service_fault(trouble: Trouble) -> Option<service::Faults> {
+    let none = service::Faults::default();
     match trouble {
-        Trouble::ServiceLoses => Some(service::Fault {
-            lose_one_of: 3,
+        Trouble::ServiceLoses => Some(service::Faults {
+            lose_every: 3,
             ..none
         }),
-        Trouble::ServiceCuts => Some(service::Fault {
-            cut_one_of: 3,
+        Trouble::ServiceCuts => Some(service::Faults {
+            cut_every: 3,
             ..none
         }),
-        Trouble::ServiceSlow => Some(service::Fault {
+        Trouble::ServiceSlow => Some(service::Faults {
             delay: Duration::from_millis(400),
             ..none
         }),
@@ -83,15 +83,15 @@
 }
 
 /// What an engine does wrong under a fault.
-pub(super) fn engine_fault(trouble: Trouble) -> engine::Fault {
-    let none = engine::Fault::default();
+pub(super) fn engine_fault(trouble: Trouble) -> engine::Faults {
+    let none = engine::Faults::default();
     match trouble {
-        Trouble::EngineSlow => engine::Fault { slow: 6, ..none },
-        Trouble::EngineCuts => engine::Fault {
+        Trouble::EngineSlow => engine::Faults { slow_factor: 6, ..none },
+        Trouble::EngineCuts => engine::Faults {
             cut_after: Some(3),
             ..none
         },
-        _ => engine::Fault {
+        _ => engine::Faults {
             late_orders: true,
             ..none
         },
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -26,27 +26,27 @@
 
 /// What the store does wrong.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fault {
+pub struct Faults {
     /// Answers 503 to everything.
     pub down: bool,
     /// Holds every answer for so long.
     pub delay: Duration,
     /// Chance that a write's answer is lost.
-    pub lost: f64,
+    pub loss_probability: f64,
     /// Whether a write whose answer is lost is carried out only later.
-    pub late: bool,
+    pub delay_lost_writes: bool,
     /// Takes a watch from a revision that it has forgotten, and stays silent.
-    pub deaf: bool,
+    pub accept_stale_watches: bool,
 }
 
-impl Fault {
+impl Faults {
     /// Nothing is answered but that it is down.
     pub const DOWN: Self = Self {
         down: true,
         delay: Duration::ZERO,
-        lost: 0.0,
-        late: false,
-        deaf: false,
+        loss_probability: 0.0,
+        delay_lost_writes: false,
+        accept_stale_watches: false,
     };
 }
 
@@ -74,7 +74,7 @@
     /// Where it serves.
     pub address: SocketAddr,
     data: Rc<RefCell<Data>>,
-    fault: Rc<Cell<Fault>>,
+    faults: Rc<Cell<Faults>>,
     rng: Rc<RefCell<ChaCha8Rng>>,
     changed: Rc<watch::Sender<u64>>,
     calls: Rc<Cell<u64>>,
@@ -98,7 +98,7 @@
         let store = Self {
             address: listener.local_addr()?,
             data: Rc::default(),
-            fault: Rc::default(),
+            faults: Rc::default(),
             rng: Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed))),
             changed: Rc::new(watch::channel(0).0),
             calls: Rc::default(),
@@ -125,8 +125,8 @@
     }
 
     /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
-        self.fault.set(fault);
+    pub fn set_faults(&self, faults: Faults) {
+        self.faults.set(faults);
     }
 
     /// Forgets the history that watches read.
@@ -217,11 +217,11 @@
 
     async fn serve(&self, mut request: Request) -> Response {
         self.calls.set(self.calls.get() + 1);
-        let fault = self.fault.get();
-        if !fault.delay.is_zero() {
-            sleep(fault.delay).await;
+        let faults = self.faults.get();
+        if !faults.delay.is_zero() {
+            sleep(faults.delay).await;
         }
-        if fault.down {
+        if faults.down {
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let path = request.path().to_owned();
@@ -233,8 +233,8 @@
         if method == Method::GET {
             return self.get(&parts, &query).await;
         }
-        let lost = fault.lost > 0.0 && self.rng.borrow_mut().random_bool(fault.lost);
-        if lost && fault.late {
+        let lost = faults.loss_probability > 0.0 && self.rng.borrow_mut().random_bool(faults.loss_probability);
+        if lost && faults.delay_lost_writes {
             let (state, wait) = (self.clone(), self.rng.borrow_mut().random_range(500..3_000));
             let parts: Vec<_> = parts.iter().map(|part| (*part).to_owned()).collect();
             actix_rt::spawn(async move {
@@ -276,7 +276,7 @@
                 }
             }
         };
-        if self.fault.get().deaf && self.events(kind, after).is_none() {
+        if self.faults.get().accept_stale_watches && self.events(kind, after).is_none() {
             return silence().await;
         }
         let _ = tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), seen).await;
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -216,14 +216,14 @@
     let site = Site::start(SIZE, 163).await.unwrap();
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    site.store.set(store::Fault::DOWN);
+    site.store.set_faults(store::Faults::DOWN);
     sleep(Duration::from_millis(500)).await;
     let body = format!("{CRASH} d");
     send_repeatedly(&site, &body, Duration::from_secs(3)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!((1..=MAX_CRASHES).contains(&crashed.len()), "{crashed:?}");
     assert_refused_everywhere(&site, &body).await;
-    site.store.set(store::Fault::default());
+    site.store.set_faults(store::Faults::default());
     send_repeatedly(&site, &body, Duration::from_secs(3)).await;
     assert_eq!(crashed_under(&crashes, &body), crashed);
 }
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -5,7 +5,7 @@
     objects::{Client, Purpose},
     state::Clock,
 };
-use pinereel_fakes::hosting::store::{self, Fault};
+use pinereel_fakes::hosting::store::{self, Faults};
 use pinereel_platform::adapter;
 use serde_json::json;
 use std::{cell::RefCell, rc::Rc, time::Duration};
@@ -63,15 +63,15 @@
     let (stand_in, store, told) = start(Duration::from_millis(200), None).await;
     stand_in.put(KIND, "a", json!({"x": 1}));
     sleep(Duration::from_millis(300)).await;
-    stand_in.set(Fault::DOWN);
+    stand_in.set_faults(Faults::DOWN);
     // The watch that waits comes to its end, and the next one is refused.
     sleep(Duration::from_millis(500)).await;
     assert!(store.unreachable_since().is_some());
     stand_in.put(KIND, "a", json!({"x": 2}));
     stand_in.compact();
-    stand_in.set(Fault {
-        deaf: true,
-        ..Fault::default()
+    stand_in.set_faults(Faults {
+        accept_stale_watches: true,
+        ..Faults::default()
     });
     sleep(Duration::from_secs(1)).await;
     assert_eq!(told.borrow().last().map(|(_, x)| *x), Some(2));
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -31,9 +31,9 @@
 async fn runs_at_an_engine_that_starts_again_are_lost_at_once() {
     let site = Site::start(SMALL, 140).await.unwrap();
     for engine in &site.engines {
-        engine.endpoint.set(engine::Fault {
-            slow: 12,
-            ..engine::Fault::default()
+        engine.endpoint.set_faults(engine::Faults {
+            slow_factor: 12,
+            ..engine::Faults::default()
         });
     }
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
@@ -45,13 +45,13 @@
     let mut trainer = Trainer::new("again", &load_balancer, &site.store, &recorder, shape, 1);
     let restart = async {
         sleep(Duration::from_millis(900)).await;
-        site.engines[0].proxy.set(proxy::Fault::SILENT);
+        site.engines[0].proxy.set_faults(proxy::Faults::DROP_ALL);
         sleep(Duration::from_millis(200)).await;
         site.engines[0].endpoint.restart();
         sleep(Duration::from_millis(700)).await;
         // 0.9 s after the engine became unreachable.
         let lost = lines(&site, "Broken(Restarted)").len();
-        site.engines[0].proxy.set(proxy::Fault::default());
+        site.engines[0].proxy.set_faults(proxy::Faults::default());
         lost
     };
     let (_, lost) = tokio::join!(trainer.step(0), restart);
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -219,9 +219,9 @@
 #[actix_rt::test]
 async fn a_request_that_comes_before_the_first_news_waits_for_it() {
     let mut site = Site::start(SMALL, 120).await.unwrap();
-    site.store.set(store::Fault {
+    site.store.set_faults(store::Faults {
         delay: Duration::from_millis(60),
-        ..store::Fault::default()
+        ..store::Faults::default()
     });
     let headers = [
         ("host", HOST.to_owned()),
@@ -266,11 +266,11 @@
 }
 
 /// Makes all engines so many times as slow.
-fn slow_down(site: &Site, slow: u32) {
+fn slow_down(site: &Site, slow_factor: u32) {
     for fronted in &site.engines {
-        fronted.endpoint.set(engine::Fault {
-            slow,
-            ..engine::Fault::default()
+        fronted.endpoint.set_faults(engine::Faults {
+            slow_factor,
+            ..engine::Faults::default()
         });
     }
 }
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -27,12 +27,12 @@
 #[actix_rt::test]
 async fn a_store_that_is_back_is_found_without_any_other_call() {
     let (stand_in, store) = start().await;
-    stand_in.set(store::Fault::DOWN);
+    stand_in.set_faults(store::Faults::DOWN);
     assert!(!read(&store).await);
     assert!(store.unreachable_since().is_some());
     let looking = store.clone();
     actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
-    stand_in.set(store::Fault::default());
+    stand_in.set_faults(store::Faults::default());
     sleep(Duration::from_secs(2)).await;
     assert_eq!(store.unreachable_since(), None);
     let calls = stand_in.calls();
@@ -46,7 +46,7 @@
 #[actix_rt::test]
 async fn the_end_of_an_outage_is_found_within_two_probes() {
     let (stand_in, store) = start().await;
-    stand_in.set(store::Fault::DOWN);
+    stand_in.set_faults(store::Faults::DOWN);
     // The back-off of all other calls grows to its longest, and one of them has just failed.
     let mut sent = 0;
     while sent < 8 {
@@ -55,7 +55,7 @@
         sent += stand_in.calls() - calls;
         sleep(Duration::from_millis(if sent < 8 { 20 } else { 0 })).await;
     }
-    stand_in.set(store::Fault::default());
+    stand_in.set_faults(store::Faults::default());
     let looking = store.clone();
     actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
     sleep(Duration::from_millis(330)).await;
@@ -70,7 +70,7 @@
     let (stand_in, store) = start().await;
     let looking = store.clone();
     actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
-    stand_in.set(store::Fault::DOWN);
+    stand_in.set_faults(store::Faults::DOWN);
     assert!(!read(&store).await);
     sleep(Duration::from_millis(1_200)).await;
     let calls = stand_in.calls();
@@ -90,7 +90,7 @@
         matches!(lot, Err(Error::Refused(_))),
         "it was sent: {lot:?}"
     );
-    stand_in.set(store::Fault::default());
+    stand_in.set_faults(store::Faults::default());
     sleep(Duration::from_millis(330)).await;
     assert!(read(&store).await);
 }
@@ -102,13 +102,13 @@
     assert_eq!(first.map(|object| object.spec["x"].clone()), Ok(1.into()));
     let again = store.create(Purpose::Lots, "lots", "a", "{}").await;
     assert_eq!(again, Err(pinereel::objects::Error::Conflict));
-    stand_in.set(store::Fault {
-        lost: 1.0,
-        ..store::Fault::default()
+    stand_in.set_faults(store::Faults {
+        loss_probability: 1.0,
+        ..store::Faults::default()
     });
     let lost = store.create(Purpose::Lots, "lots", "b", "{}").await;
     assert!(lost.is_err_and(|error| !error.had_no_effect()));
-    stand_in.set(store::Fault::DOWN);
+    stand_in.set_faults(store::Faults::DOWN);
     let down = store.create(Purpose::Lots, "lots", "c", "{}").await;
     assert!(down.is_err_and(|error| error.had_no_effect()));
     assert!(stand_in.spec("lots", "b").is_some(), "it was done");
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -111,7 +111,7 @@
     // Reports wait for up to 0.2 s at each hop of the tree.
     sleep(Duration::from_millis(700)).await;
     // The holder may now have stored the sum of a window that the platform has no report of.
-    site.platform.set(platform::Fault::Lost);
+    site.platform.set_fault(platform::Fault::Lost);
     sleep(WINDOW_LENGTH).await;
     let holder = site.platform.holder();
     let killed_instance = site
@@ -119,7 +119,7 @@
         .iter_mut()
         .find(|instance| instance.name == holder);
     killed_instance.expect("the holder").signal(Signal::KILL);
-    site.platform.set(platform::Fault::None);
+    site.platform.set_fault(platform::Fault::None);
     answered += send_requests(&mut site, 2, "after").await;
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
     assert_ne!(site.platform.holder(), holder);
@@ -131,14 +131,14 @@
 async fn windows_that_end_while_store_or_platform_are_away_are_reported_after() {
     let mut site = start_site(192).await;
     sleep(MAX_TAKEOVER_TIME).await;
-    site.platform.set(platform::Fault::Down);
+    site.platform.set_fault(platform::Fault::Down);
     let mut answered = send_requests(&mut site, 2, "down").await;
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
-    site.platform.set(platform::Fault::None);
-    site.store.set(store::Fault::DOWN);
+    site.platform.set_fault(platform::Fault::None);
+    site.store.set_faults(store::Faults::DOWN);
     answered += send_requests(&mut site, 2, "away").await;
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
-    site.store.set(store::Fault::default());
+    site.store.set_faults(store::Faults::default());
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
     assert_eq!(answered, 12);
     assert_eq!(site.platform.total("a"), answered);
