--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -66,10 +66,10 @@
     recorder: Rc<Recorder>,
     version: Cell<u64>,
     busy: Cell<bool>,
-    orders: Cell<u64>,
-    fence: Cell<u64>,
+    order_count: Cell<u64>,
+    max_fencing_token: Cell<u64>,
     /// When it last started, in milliseconds; only its order counts.
-    born: Cell<u64>,
+    incarnation: Cell<u64>,
     running: Rc<Cell<u32>>,
     faults: Cell<Faults>,
     leaving_since: Cell<Option<Instant>>,
@@ -123,9 +123,9 @@
             recorder: Rc::clone(recorder),
             version: Cell::new(version),
             busy: Cell::new(false),
-            orders: Cell::new(0),
-            fence: Cell::new(0),
-            born: Cell::new(1),
+            order_count: Cell::new(0),
+            max_fencing_token: Cell::new(0),
+            incarnation: Cell::new(1),
             running: Rc::default(),
             faults: Cell::default(),
             leaving_since: Cell::new(None),
@@ -145,30 +145,30 @@
     }
 
     /// Lists the engine in the store, as reached under `advertised`.
-    pub fn list(&self, advertised: SocketAddr) {
+    pub fn register(&self, advertised: SocketAddr) {
         self.state.advertised.replace(advertised.to_string());
-        self.state.beat();
+        self.state.write_entry();
     }
 
     /// Starts again under its id: it holds and knows nothing of before, its counts start anew.
     pub fn restart(&self) {
         let state = &self.state;
-        state.born.set(state.born.get() + 1);
-        state.orders.set(0);
+        state.incarnation.set(state.incarnation.get() + 1);
+        state.order_count.set(0);
         state.fence.set(0);
         state.busy.set(false);
-        state.beat();
+        state.write_entry();
     }
 
     /// Takes it off the list.
-    pub fn unlist(&self) {
+    pub fn deregister(&self) {
         self.state.store.remove("servers", &self.id);
     }
 
     /// Announces that it leaves.
     pub fn leave(&self) {
         self.state.leaving_since.set(Some(Instant::now()));
-        self.state.beat();
+        self.state.write_entry();
     }
 
     /// Sets what goes wrong from now on.
@@ -183,10 +183,10 @@
 }
 
 impl State {
-    fn beat(&self) {
+    fn write_entry(&self) {
         let leaving = self.leaving_since.get().is_some();
         let entry = json!({
-            "born": self.born.get(),
+            "born": self.incarnation.get(),
             "service": self.service,
             "addr": *self.advertised.borrow(),
             "zone": "here",
@@ -201,14 +201,14 @@
     }
 
     fn load(self: &Rc<Self>, version: u64) {
-        self.orders.set(self.orders.get() + 1);
+        self.order_count.set(self.order_count.get() + 1);
         self.busy.set(true);
         let state = Rc::clone(self);
         actix_rt::spawn(async move {
             sleep(LOAD).await;
             state.version.set(version);
             state.busy.set(false);
-            state.beat();
+            state.write_entry();
         });
     }
 
@@ -217,16 +217,16 @@
         let fence = order["fenceToken"].as_u64().unwrap_or_default();
         let version = order["version"].as_u64().unwrap_or_default();
         let expected = order["expected"].as_u64();
-        let status = if fence < self.fence.get() {
+        let status = if fence < self.max_fencing_token.get() {
             StatusCode::PRECONDITION_FAILED
-        } else if self.busy.get() || expected.is_some_and(|n| n != self.orders.get()) {
+        } else if self.busy.get() || expected.is_some_and(|n| n != self.order_count.get()) {
             StatusCode::CONFLICT
         } else if self.version.get() == version {
             StatusCode::OK
         } else {
             StatusCode::ACCEPTED
         };
-        self.fence.set(self.fence.get().max(fence));
+        self.max_fencing_token.set(self.max_fencing_token.get().max(fence));
         self.recorder.record_order(Order {
             engine: self.id.clone(),
             holder: order["holder"].as_str().unwrap_or_default().into(),
@@ -251,11 +251,11 @@
         (&Method::GET, "/v1/report") => http::json(
             StatusCode::OK,
             &json!({
-                "born": state.born.get(),
+                "born": state.incarnation.get(),
                 "stage": "both",
                 "models": [{"name": state.model, "version": state.version.get(), "adapters": []}],
                 "busy": state.busy.get(),
-                "seq": state.orders.get(),
+                "seq": state.order_count.get(),
                 "queued": 0,
                 "running": state.running.get(),
                 "kvUsed": 0, "kvTotal": 1_000, "handles": 0,
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -98,7 +98,7 @@
     }
 
     /// Lists the endpoint in the store, as reached under `advertised`.
-    pub fn list(&self, advertised: SocketAddr) {
+    pub fn register(&self, advertised: SocketAddr) {
         let state = &self.state;
         let leaving = state.leaving_since.get().is_some();
         let entry = json!({
@@ -117,11 +117,11 @@
     /// Announces that it leaves.
     pub fn leave(&self, advertised: SocketAddr) {
         self.state.leaving_since.set(Some(Instant::now()));
-        self.list(advertised);
+        self.register(advertised);
     }
 
     /// Takes it off the list.
-    pub fn unlist(&self) {
+    pub fn deregister(&self) {
         self.state.store.remove("servers", &self.state.id);
     }
 
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -183,7 +183,7 @@
         let id = format!("e-{}", self.number());
         let engine = Engine::start(&id, (ENGINES, MODEL), version, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(engine.address).await?;
-        engine.list(proxy.address);
+        engine.register(proxy.address);
         self.engines.push(Fronted {
             endpoint: engine,
             proxy,
@@ -199,7 +199,7 @@
         let id = format!("s-{}", self.number());
         let endpoint = Service::start(&id, service, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(endpoint.address).await?;
-        endpoint.list(proxy.address);
+        endpoint.register(proxy.address);
         self.services.push(Fronted { endpoint, proxy });
         Ok(())
     }
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -188,10 +188,10 @@
                 });
             }
             Trouble::EngineLapses => {
-                fronted.endpoint.unlist();
+                fronted.endpoint.deregister();
                 self.later(length.min(Duration::from_millis(1_500)), move |site| {
                     let fronted = &site.engines[index];
-                    fronted.endpoint.list(fronted.proxy.address);
+                    fronted.endpoint.register(fronted.proxy.address);
                 });
             }
             _ => {
@@ -214,7 +214,7 @@
                 let last = site.engines.len() - 1;
                 site.engines.swap(index, last);
                 let old = site.engines.pop().expect("one was just added");
-                end_later(move || old.endpoint.unlist());
+                end_later(move || old.endpoint.deregister());
             }
         } else if index + 1 < site.services.len() && add(site.add_service("plain")) {
             let fronted = &site.services[index];
@@ -222,7 +222,7 @@
             let last = site.services.len() - 1;
             site.services.swap(index, last);
             let old = site.services.pop().expect("one was just added");
-            end_later(move || old.endpoint.unlist());
+            end_later(move || old.endpoint.deregister());
         }
     }
 
