--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -129,8 +129,8 @@
     Tool {
         name: "fragile",
         summary: "an endpoint that crashes when a request tells it to",
-        flags: &[hosting::fragile::HELP],
-        run: hosting::fragile::main,
+        flags: &[hosting::crashing_endpoint::HELP],
+        run: hosting::crashing_endpoint::main,
     },
     Tool {
         name: "capacity",
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -2,7 +2,7 @@
 //! seconds later as a new start at the same address.
 //!
 //! The process ([`main`]) ends by an abort, so that the system closes its connections and nothing
-//! listens any more, as after a real crash. [`Fragile`] is its keeper in the test's process.
+//! listens any more, as after a real crash. [`CrashingEndpoint`] is its keeper in the test's process.
 
 use super::{
     engine::{data, header, set, stamp},
@@ -45,24 +45,24 @@
   --help                 print this";
 
 /// A request whose body holds this word crashes the endpoint at the end of its work.
-pub const CRASH: &str = "crash";
-/// A request whose body holds this word runs for [`LONG`].
-pub const LINGER: &str = "linger";
+pub const CRASH_MARKER: &str = "crash";
+/// A request whose body holds this word runs for [`SLOW_REQUEST_TIME`].
+pub const SLOW_MARKER: &str = "linger";
 /// Port of each; every one has an address of its own.
 const PORT: u16 = 9_480;
 /// Time of one request.
-const WORK: Duration = Duration::from_millis(25);
+const REQUEST_TIME: Duration = Duration::from_millis(25);
 /// Time of a long one.
-const LONG: Duration = Duration::from_millis(400);
+const SLOW_REQUEST_TIME: Duration = Duration::from_millis(400);
 /// Events of a stream, and the pause before each.
-const EVENTS: u64 = 4;
-const EVENT: Duration = Duration::from_millis(30);
+const EVENTS_PER_STREAM: u64 = 4;
+const EVENT_TIME: Duration = Duration::from_millis(30);
 /// Requests that run at once.
 const SLOTS: u32 = 6;
 /// Pause between two looks at the process.
-const LOOK: Duration = Duration::from_millis(5);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest body.
-const MAX_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// What kind of endpoint it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,45 +89,45 @@
 
 /// A change of the platform's list.
 #[derive(Clone, Debug)]
-pub enum Listed {
+pub enum ListChange {
     /// A start of an endpoint is there.
-    There {
+    Added {
         /// Its id.
         id: String,
         /// Where it serves.
         address: SocketAddr,
     },
     /// It is not listed any more.
-    Gone {
+    Removed {
         /// Its id.
         id: String,
     },
 }
 
 /// Writes the platform's list.
-pub type List = Rc<dyn Fn(Listed)>;
+pub type ListWriter = Rc<dyn Fn(ListChange)>;
 
 /// The keeper of one endpoint.
-pub struct Fragile {
+pub struct CrashingEndpoint {
     /// Where it serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
 
 struct State {
-    base: String,
+    id_prefix: String,
     mode: Mode,
     address: SocketAddr,
-    list: List,
-    down: Cell<Duration>,
+    write_list: ListWriter,
+    restart_delay: Cell<Duration>,
     starts: Cell<u32>,
     child: RefCell<Option<Child>>,
     /// What earlier processes printed.
-    earlier: RefCell<Vec<String>>,
+    earlier_lines: RefCell<Vec<String>>,
     crashes: Crashes,
 }
 
-impl Fragile {
+impl CrashingEndpoint {
     /// Starts an endpoint of `service` in the object store's list, that is back `down` after each crash.
     ///
     /// # Errors
@@ -135,44 +135,44 @@
     pub fn start(
         store: &Store,
         (service, mode): (&str, Mode),
-        down: Duration,
+        restart_delay: Duration,
         crashes: &Crashes,
     ) -> io::Result<Self> {
         let (store, service) = (store.clone(), service.to_owned());
-        let list = move |listed| match listed {
-            Listed::There { id, address } => {
-                store.put("servers", &id, entry(&service, mode, address));
+        let list = move |change| match change {
+            ListChange::Added { id, address } => {
+                store.put("servers", &id, list_entry(&service, mode, address));
             }
-            Listed::Gone { id } => store.remove("servers", &id),
+            ListChange::Removed { id } => store.remove("servers", &id),
         };
-        Self::listed(Rc::new(list), mode, down, crashes)
+        Self::start_with_list(Rc::new(list), mode, restart_delay, crashes)
     }
 
     /// Starts an endpoint that `list` hears of, and that is back `down` after each crash.
     ///
     /// # Errors
     /// If it cannot be started.
-    pub fn listed(list: List, mode: Mode, down: Duration, crashes: &Crashes) -> io::Result<Self> {
+    pub fn start_with_list(write_list: ListWriter, mode: Mode, restart_delay: Duration, crashes: &Crashes) -> io::Result<Self> {
         let address = SocketAddr::from((own_ip(), PORT));
         let state = Rc::new(State {
-            base: format!("f-{}", address.ip()),
+            id_prefix: format!("f-{}", address.ip()),
             mode,
             address,
-            list,
-            down: Cell::new(down),
+            write_list,
+            restart_delay: Cell::new(down),
             starts: Cell::new(0),
             child: RefCell::default(),
-            earlier: RefCell::default(),
+            earlier_lines: RefCell::default(),
             crashes: Rc::clone(crashes),
         });
-        state.begin()?;
-        let kept = Rc::clone(&state);
-        actix_rt::spawn(async move { kept.keep().await });
+        state.start_process()?;
+        let supervised = Rc::clone(&state);
+        actix_rt::spawn(async move { supervised.restart_after_crashes().await });
         Ok(Self { address, state })
     }
 
     /// Ids of the requests that it has run, of all starts.
-    pub fn runs(&self) -> Vec<String> {
+    pub fn run_request_ids(&self) -> Vec<String> {
         let lines = self.state.lines();
         let runs = lines.iter().filter_map(|line| line.strip_prefix("run "));
         runs.map(ToOwned::to_owned).collect()
@@ -188,23 +188,23 @@
 
     /// Takes it away for good.
     pub fn remove(&self) {
-        self.state.down.set(Duration::MAX);
+        self.state.restart_delay.set(Duration::MAX);
         self.crash();
     }
 }
 
 impl State {
     fn id(&self) -> String {
-        format!("{}-{}", self.base, self.starts.get())
+        format!("{}-{}", self.id_prefix, self.starts.get())
     }
 
     fn lines(&self) -> Vec<String> {
         let now = self.child.borrow().as_ref().map(Child::lines);
-        [self.earlier.borrow().clone(), now.unwrap_or_default()].concat()
+        [self.earlier_lines.borrow().clone(), now.unwrap_or_default()].concat()
     }
 
     /// Starts the process and lists it.
-    fn begin(&self) -> io::Result<()> {
+    fn start_process(&self) -> io::Result<()> {
         self.starts.set(self.starts.get() + 1);
         let mut command = Command::new(binary()?);
         command.args(["fragile", "--until-stdin-closes", "--address"]);
@@ -219,7 +219,7 @@
             return Err(io::Error::other(format!("no endpoint: {lines}")));
         }
         self.child.replace(Some(child));
-        (self.list)(Listed::There {
+        (self.write_list)(ListChange::Added {
             id: self.id(),
             address: self.address,
         });
@@ -227,9 +227,9 @@
     }
 
     /// Waits for crashes, and starts the endpoint again.
-    async fn keep(&self) {
+    async fn restart_after_crashes(&self) {
         loop {
-            sleep(LOOK).await;
+            sleep(EXIT_CHECK_INTERVAL).await;
             let ended = match &mut *self.child.borrow_mut() {
                 Some(child) => !matches!(child.wait(Duration::ZERO), Ok(None)),
                 None => return,
@@ -237,25 +237,25 @@
             if !ended {
                 continue;
             }
-            self.note_crash();
-            if self.down.get() == Duration::MAX {
-                (self.list)(Listed::Gone { id: self.id() });
+            self.record_crash();
+            if self.restart_delay.get() == Duration::MAX {
+                (self.write_list)(ListChange::Removed { id: self.id() });
                 return;
             }
-            sleep(self.down.get()).await;
+            sleep(self.restart_delay.get()).await;
             // A crash says nothing to the store: the entry goes after some silence.
-            (self.list)(Listed::Gone { id: self.id() });
+            (self.write_list)(ListChange::Removed { id: self.id() });
             let lines = self.lines();
-            self.earlier.replace(lines);
+            self.earlier_lines.replace(lines);
             self.child.replace(None);
-            if let Err(error) = self.begin() {
-                eprintln!("BROKEN: {} does not start: {error}", self.base);
+            if let Err(error) = self.start_process() {
+                eprintln!("BROKEN: {} does not start: {error}", self.id_prefix);
                 return;
             }
         }
     }
 
-    fn note_crash(&self) {
+    fn record_crash(&self) {
         let child = self.child.borrow();
         let line = child
             .as_ref()
@@ -270,7 +270,7 @@
 }
 
 /// An endpoint's entry in the object store's list.
-fn entry(service: &str, mode: Mode, address: SocketAddr) -> Value {
+fn list_entry(service: &str, mode: Mode, address: SocketAddr) -> Value {
     json!({
         "service": service, "addr": address.to_string(), "zone": "here",
         "version": "v1", "slots": SLOTS, "state": "ready", "coldRemainingMs": 0, "seq": 0,
@@ -338,18 +338,18 @@
     }
     let id = header(request.headers(), "x-request-id").unwrap_or_default();
     let after = header(request.headers(), "last-event-id").and_then(|n| n.parse().ok());
-    let body = http::read_body(&mut request, MAX_BODY, Duration::from_secs(5)).await;
+    let body = http::read_body(&mut request, MAX_BODY_BYTES, Duration::from_secs(5)).await;
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     println!("run {id}");
-    let long = body.contains(LINGER);
-    sleep(if long { LONG } else { WORK }).await;
-    if body.contains(CRASH) {
+    let is_slow = body.contains(SLOW_MARKER);
+    sleep(if is_slow { SLOW_REQUEST_TIME } else { REQUEST_TIME }).await;
+    if body.contains(CRASH_MARKER) {
         println!("crash under {body}");
         std::process::abort();
     }
     match options.mode {
         Mode::Plain => answer(options, &id),
-        Mode::Engine => stream_of(options, &id, after.unwrap_or(0) + 1),
+        Mode::Engine => stream_events(options, &id, after.unwrap_or(0) + 1),
     }
 }
 
@@ -360,13 +360,13 @@
     answer
 }
 
-fn stream_of(options: &Options, id: &str, first: u64) -> Response {
+fn stream_events(options: &Options, id: &str, first: u64) -> Response {
     let item = id.to_owned();
     let events = stream::unfold((item, first), |(item, number)| async move {
-        if number > EVENTS {
+        if number > EVENTS_PER_STREAM {
             return None;
         }
-        sleep(EVENT).await;
+        sleep(EVENT_TIME).await;
         let event = format!("id: {number}\ndata: {}\n\n", data(&item, number));
         Some((Ok::<_, io::Error>(Bytes::from(event)), (item, number + 1)))
     });
--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`store`]: the object store.
 //! - [`engine`], [`service`]: endpoints, which list themselves in the store.
-//! - [`fragile`]: an endpoint in a process of its own, which crashes when a request tells it to.
+//! - [`crashing_endpoint`]: an endpoint in a process of its own, which crashes when a request tells it to.
 //! - [`proxy`]: a loopback proxy with faults.
 //! - [`settings`]: fills in the deployment's template.
 //! - [`site`]: all of it, with the real processes.
@@ -20,7 +20,7 @@
 pub mod caller;
 pub mod cli;
 pub mod engine;
-pub mod fragile;
+pub mod crashing_endpoint;
 pub mod http;
 pub mod instance;
 pub mod platform;
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the endpoints that run them, beside all other faults.
 
 use crate::hosting::{
-    fragile::{CRASH, Crashes, Fragile, Mode},
+    crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, Mode},
     http::call,
     site::{HOST, KEY, Site, WORKSPACE},
 };
@@ -28,7 +28,7 @@
 pub(super) struct Crashing {
     site: Rc<RefCell<Site>>,
     seed: u64,
-    _endpoints: Vec<Fragile>,
+    _endpoints: Vec<CrashingEndpoint>,
     crashes: Crashes,
     /// Bodies of the requests.
     bodies: Vec<String>,
@@ -39,7 +39,7 @@
     pub(super) fn start(site: &Rc<RefCell<Site>>, seed: u64) -> io::Result<Self> {
         let crashes = Crashes::default();
         let store = site.borrow().store.clone();
-        let start = |_| Fragile::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
+        let start = |_| CrashingEndpoint::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
         Ok(Self {
             site: Rc::clone(site),
             seed,
@@ -55,7 +55,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x0063_7261_7368);
         let mut number = 0;
         while Instant::now() < stop {
-            let body = format!("{CRASH} {}-{}", self.seed, self.bodies.len());
+            let body = format!("{CRASH_MARKER} {}-{}", self.seed, self.bodies.len());
             self.bodies.push(body.clone());
             let end = Instant::now() + Duration::from_millis(rng.random_range(1_500..6_000));
             while Instant::now() < end.min(stop) {
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -10,7 +10,7 @@
     crash::{Content, EndpointStart, Identity, Involvement, Report, RequestParts},
 };
 use pinereel_fakes::{
-    hosting::fragile::{CRASH, Crashes, Fragile, Listed, Mode},
+    hosting::crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, ListChange, Mode},
     site::{Options, Site},
 };
 use serde_json::{Value, json};
@@ -41,11 +41,11 @@
     Site::start(options).await.unwrap()
 }
 
-fn endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<Fragile> {
+fn endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<CrashingEndpoint> {
     let start = |_| {
         let site = Rc::clone(site);
-        let list = move |listed| match listed {
-            Listed::There { id, address } => {
+        let list = move |change| match change {
+            ListChange::Added { id, address } => {
                 let instance = Instance {
                     incarnation: 1,
                     address: address.to_string().into(),
@@ -55,9 +55,9 @@
                 };
                 site.api.put_instance(&id, instance);
             }
-            Listed::Gone { id } => site.api.remove_instance(&id),
+            ListChange::Removed { id } => site.api.remove_instance(&id),
         };
-        Fragile::listed(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
+        CrashingEndpoint::start_with_list(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
     };
     (0..ENDPOINTS).map(start).collect()
 }
@@ -80,7 +80,7 @@
     let _endpoints = endpoints(&site, &crashes);
     site.api.settle_instances();
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} g");
+    let body = format!("{CRASH_MARKER} g");
     let end = Instant::now() + Duration::from_secs(7);
     let (mut good, mut bad) = (0, 0);
     while Instant::now() < end {
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -16,7 +16,7 @@
 use pinereel_fakes::{
     hosting::{
         caller::{self, Kind, Tally},
-        fragile::{CRASH, Crashes, Fragile, Mode},
+        crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, Mode},
         http::{Answer, Failure, call},
         site::{HOST, Instance, METRICS_PORT, Site, Size},
         store,
@@ -56,10 +56,10 @@
     call(address, Method::POST, "/live/x", &headers, body, wait).await
 }
 
-fn endpoints(site: &Site, count: usize) -> (Vec<Fragile>, Crashes) {
+fn endpoints(site: &Site, count: usize) -> (Vec<CrashingEndpoint>, Crashes) {
     let crashes = Crashes::default();
     let plain = ("plain", Mode::Plain);
-    let start = |_| Fragile::start(&site.store, plain, RESTART_DELAY, &crashes).expect("it starts");
+    let start = |_| CrashingEndpoint::start(&site.store, plain, RESTART_DELAY, &crashes).expect("it starts");
     ((0..count).map(start).collect(), crashes)
 }
 
@@ -126,7 +126,7 @@
         start_callers(&site, 3, Duration::from_secs(9)),
         Rc::clone(&site.recorder),
     );
-    let body = format!("{CRASH} a");
+    let body = format!("{CRASH_MARKER} a");
     send_repeatedly(&site, &body, Duration::from_secs(8)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!(crashed.len() <= MAX_CRASHES, "{crashed:?}");
@@ -154,7 +154,7 @@
     let mut site = Site::start(SIZE, 161).await.unwrap();
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} b");
+    let body = format!("{CRASH_MARKER} b");
     send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     for instance in &mut site.instances {
@@ -177,7 +177,7 @@
     let mut site = Site::start(SIZE, 162).await.unwrap();
     let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} c");
+    let body = format!("{CRASH_MARKER} c");
     send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     site.add_instance().await.unwrap();
@@ -218,7 +218,7 @@
     sleep(Duration::from_millis(1_500)).await;
     site.store.set_faults(store::Faults::DOWN);
     sleep(Duration::from_millis(500)).await;
-    let body = format!("{CRASH} d");
+    let body = format!("{CRASH_MARKER} d");
     send_repeatedly(&site, &body, Duration::from_secs(3)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!((1..=MAX_CRASHES).contains(&crashed.len()), "{crashed:?}");
@@ -281,13 +281,13 @@
 
 /// Starts a site with endpoints and engines that crash under some requests. Returns it with them
 /// and the record of their crashes.
-async fn fragile_site(seed: u64) -> (Site, Vec<Fragile>, Crashes) {
+async fn fragile_site(seed: u64) -> (Site, Vec<CrashingEndpoint>, Crashes) {
     let size = Size { engines: 0, ..SIZE };
     let site = Site::start(size, seed).await.expect("it starts");
     let (mut fragile, crashes) = endpoints(&site, ENDPOINTS);
     let engine = |_| {
         let service = ("engines", Mode::Engine);
-        Fragile::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
+        CrashingEndpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
     };
     fragile.extend((0..ENDPOINTS).map(engine));
     sleep(Duration::from_millis(1_500)).await;
@@ -313,14 +313,14 @@
 
 #[actix_rt::test]
 async fn an_item_that_crashes_engines_takes_three() {
-    let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH} e"))});
+    let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH_MARKER} e"))});
     run_small_lot(164, "lot-e", &crashing).await;
 }
 
 #[actix_rt::test]
 async fn a_scoring_that_crashes_endpoints_takes_three() {
     let scorer = serde_json::json!({
-        "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH} f")),
+        "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH_MARKER} f")),
     });
     run_small_lot(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
@@ -342,7 +342,7 @@
         .map(|number| item(&format!("lot-{seed}-{number}")))
         .collect();
     let crashing: Vec<_> = (0..CRASHING_ITEMS)
-        .map(|number| format!("{CRASH} {seed} {number}"))
+        .map(|number| format!("{CRASH_MARKER} {seed} {number}"))
         .collect();
     for (item, text) in items.iter_mut().step_by(7).zip(&crashing) {
         change(item, text);
