--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -2,7 +2,7 @@
 //! seconds later as a new start at the same address.
 //!
 //! The process ([`main`]) ends by an abort, so that the system closes its connections and nothing
-//! listens any more, as after a real crash. [`CrashingEndpoint`] is its keeper in the test's process.
+//! listens any more, as after a real crash. [`Endpoint`] is its keeper in the test's process.
 
 use super::{
     engine::{data, header, set, stamp},
@@ -108,7 +108,7 @@
 pub type ListWriter = Rc<dyn Fn(ListChange)>;
 
 /// The keeper of one endpoint.
-pub struct CrashingEndpoint {
+pub struct Endpoint {
     /// Where it serves.
     pub address: SocketAddr,
     state: Rc<State>,
@@ -127,7 +127,7 @@
     crashes: Crashes,
 }
 
-impl CrashingEndpoint {
+impl Endpoint {
     /// Starts an endpoint of `service` in the object store's list, that is back `down` after each crash.
     ///
     /// # Errors
@@ -159,7 +159,7 @@
             mode,
             address,
             write_list,
-            restart_delay: Cell::new(down),
+            restart_delay: Cell::new(restart_delay),
             starts: Cell::new(0),
             child: RefCell::default(),
             earlier_lines: RefCell::default(),
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the endpoints that run them, beside all other faults.
 
 use crate::hosting::{
-    crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, Mode},
+    crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
     http::call,
     site::{HOST, KEY, Site, WORKSPACE},
 };
@@ -28,7 +28,7 @@
 pub(super) struct Crashing {
     site: Rc<RefCell<Site>>,
     seed: u64,
-    _endpoints: Vec<CrashingEndpoint>,
+    _endpoints: Vec<Endpoint>,
     crashes: Crashes,
     /// Bodies of the requests.
     bodies: Vec<String>,
@@ -39,7 +39,7 @@
     pub(super) fn start(site: &Rc<RefCell<Site>>, seed: u64) -> io::Result<Self> {
         let crashes = Crashes::default();
         let store = site.borrow().store.clone();
-        let start = |_| CrashingEndpoint::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
+        let start = |_| Endpoint::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
         Ok(Self {
             site: Rc::clone(site),
             seed,
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -10,7 +10,7 @@
     crash::{Content, EndpointStart, Identity, Involvement, Report, RequestParts},
 };
 use pinereel_fakes::{
-    hosting::crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, ListChange, Mode},
+    hosting::crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, ListChange, Mode},
     site::{Options, Site},
 };
 use serde_json::{Value, json};
@@ -41,7 +41,7 @@
     Site::start(options).await.unwrap()
 }
 
-fn endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<CrashingEndpoint> {
+fn endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<Endpoint> {
     let start = |_| {
         let site = Rc::clone(site);
         let list = move |change| match change {
@@ -57,7 +57,7 @@
             }
             ListChange::Removed { id } => site.api.remove_instance(&id),
         };
-        CrashingEndpoint::start_with_list(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
+        Endpoint::start_with_list(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
     };
     (0..ENDPOINTS).map(start).collect()
 }
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -16,7 +16,7 @@
 use pinereel_fakes::{
     hosting::{
         caller::{self, Kind, Tally},
-        crashing_endpoint::{CRASH_MARKER, Crashes, CrashingEndpoint, Mode},
+        crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
         http::{Answer, Failure, call},
         site::{HOST, Instance, METRICS_PORT, Site, Size},
         store,
@@ -56,10 +56,10 @@
     call(address, Method::POST, "/live/x", &headers, body, wait).await
 }
 
-fn endpoints(site: &Site, count: usize) -> (Vec<CrashingEndpoint>, Crashes) {
+fn start_endpoints(site: &Site, count: usize) -> (Vec<Endpoint>, Crashes) {
     let crashes = Crashes::default();
     let plain = ("plain", Mode::Plain);
-    let start = |_| CrashingEndpoint::start(&site.store, plain, RESTART_DELAY, &crashes).expect("it starts");
+    let start = |_| Endpoint::start(&site.store, plain, RESTART_DELAY, &crashes).expect("started");
     ((0..count).map(start).collect(), crashes)
 }
 
@@ -120,7 +120,7 @@
 #[actix_rt::test]
 async fn a_request_that_crashes_endpoints_takes_three_and_others_are_served() {
     let site = Site::start(SIZE, 160).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, recorder) = (
         start_callers(&site, 3, Duration::from_secs(9)),
@@ -152,7 +152,7 @@
 #[actix_rt::test]
 async fn a_restart_of_all_instances_forgets_nothing() {
     let mut site = Site::start(SIZE, 161).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH_MARKER} b");
     send_until_refused(&site, &crashes, &body).await;
@@ -175,7 +175,7 @@
 #[actix_rt::test]
 async fn an_instance_that_starts_later_knows_it_and_an_operator_clears_it() {
     let mut site = Site::start(SIZE, 162).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH_MARKER} c");
     send_until_refused(&site, &crashes, &body).await;
@@ -214,7 +214,7 @@
 #[actix_rt::test]
 async fn it_is_known_everywhere_while_the_store_is_away() {
     let site = Site::start(SIZE, 163).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     site.store.set_faults(store::Faults::DOWN);
     sleep(Duration::from_millis(500)).await;
@@ -281,24 +281,24 @@
 
 /// Starts a site with endpoints and engines that crash under some requests. Returns it with them
 /// and the record of their crashes.
-async fn fragile_site(seed: u64) -> (Site, Vec<CrashingEndpoint>, Crashes) {
+async fn crashing_site(seed: u64) -> (Site, Vec<Endpoint>, Crashes) {
     let size = Size { engines: 0, ..SIZE };
     let site = Site::start(size, seed).await.expect("it starts");
-    let (mut fragile, crashes) = endpoints(&site, ENDPOINTS);
+    let (mut endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     let engine = |_| {
         let service = ("engines", Mode::Engine);
-        CrashingEndpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
+        Endpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
     };
-    fragile.extend((0..ENDPOINTS).map(engine));
+    endpoints.extend((0..ENDPOINTS).map(engine));
     sleep(Duration::from_millis(1_500)).await;
-    (site, fragile, crashes)
+    (site, endpoints, crashes)
 }
 
 /// Runs a lot whose first item crashes the engines or scorers that run it. It crashes exactly three
 /// and then stays without a result until its deadline, since no result would be true; the other
 /// items complete.
 async fn run_small_lot(seed: u64, lot: &str, crashing: &serde_json::Value) {
-    let (site, _fragile, crashes) = fragile_site(seed).await;
+    let (site, _endpoints, crashes) = crashing_site(seed).await;
     submit(&site, lot, crashing).await;
     sleep(Duration::from_secs(9)).await;
     let results = read_results(&site, lot).await;
@@ -337,7 +337,7 @@
 /// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of
 /// 40 s, and 41 % and 65 % of the callers' work was not done.
 async fn run_large_lot(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
-    let (site, _fragile, crashes) = fragile_site(seed).await;
+    let (site, _endpoints, crashes) = crashing_site(seed).await;
     let mut items: Vec<_> = (0..ITEMS)
         .map(|number| item(&format!("lot-{seed}-{number}")))
         .collect();
@@ -378,7 +378,7 @@
 #[actix_rt::test]
 async fn endpoints_that_crash_by_themselves_bring_nobody_a_verdict() {
     let site = Site::start(SIZE, 166).await.unwrap();
-    let (endpoints, crashes) = endpoints(&site, ENDPOINTS);
+    let (endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, recorder) = (
         start_callers(&site, 6, Duration::from_secs(8)),
