--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -5,7 +5,7 @@
     recorder::Recorder,
     http::{Answer, Failure, call},
     service,
-    site::{HOST, KEY},
+    site::{HOST, API_KEY},
 };
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -65,7 +65,7 @@
         ("host", HOST.into()),
         ("x-request-id", id.into()),
         ("x-deadline-ms", PATIENCE.as_millis().to_string()),
-        ("authorization", format!("Bearer {KEY}")),
+        ("authorization", format!("Bearer {API_KEY}")),
     ];
     let body = Bytes::from(format!("from {id}"));
     // A little longer than the deadline, which the answer should keep.
--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -7,7 +7,7 @@
 use super::{
     engine::{data, header, set, stamp},
     service::body,
-    site::{MODEL, own_ip},
+    site::{MODEL, unique_loopback_ip},
     store::Store,
 };
 use crate::{
@@ -153,7 +153,7 @@
     /// # Errors
     /// If it cannot be started.
     pub fn start_with_list(write_list: ListWriter, mode: Mode, restart_delay: Duration, crashes: &Crashes) -> io::Result<Self> {
-        let address = SocketAddr::from((own_ip(), PORT));
+        let address = SocketAddr::from((unique_loopback_ip(), PORT));
         let state = Rc::new(State {
             id_prefix: format!("f-{}", address.ip()),
             mode,
@@ -283,7 +283,7 @@
 
 /// The tools' binary lies beside the tests'.
 fn binary() -> io::Result<std::path::PathBuf> {
-    super::site::beside("pinereel-fakes")
+    super::site::binary_path("pinereel-fakes")
 }
 
 /// Runs the endpoint as this process.
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -1,6 +1,6 @@
 //! One instance of pinereel as a real process, behind its proxies.
 
-use super::{http::call, proxy::Proxy, site::beside};
+use super::{http::call, proxy::Proxy, site::binary_path};
 use crate::launch::{Child, Signal};
 use actix_http::Method;
 use bytes::Bytes;
@@ -8,24 +8,24 @@
 use tokio::time::{Instant, sleep};
 
 /// Longest wait for a process to become ready.
-const READY: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One instance of pinereel.
 pub struct Instance {
     /// Its name.
     pub name: String,
     /// Where callers connect, through a proxy.
-    pub callers: Proxy,
+    pub caller_proxy: Proxy,
     /// Its way to the store.
-    pub store: Proxy,
+    pub store_proxy: Proxy,
     /// Where readiness is asked for.
-    pub readiness: SocketAddr,
-    settings: PathBuf,
+    pub readiness_address: SocketAddr,
+    settings_path: PathBuf,
     /// The settings as they should be.
-    good_settings: String,
+    valid_settings: String,
     child: Option<Child>,
     /// What earlier processes of the instance logged.
-    earlier: Vec<String>,
+    earlier_lines: Vec<String>,
     /// Whether it is stopped by SIGSTOP.
     pub paused: bool,
 }
@@ -34,20 +34,20 @@
     /// One whose process is not started yet. `settings` is the path of its settings file, and what should stand there.
     pub(super) fn new(
         name: String,
-        callers: Proxy,
-        store: Proxy,
-        readiness: SocketAddr,
-        (settings, good_settings): (PathBuf, String),
+        caller_proxy: Proxy,
+        store_proxy: Proxy,
+        readiness_address: SocketAddr,
+        (settings_path, valid_settings): (PathBuf, String),
     ) -> Self {
         Self {
             name,
-            callers,
-            store,
-            readiness,
-            settings,
-            good_settings,
+            caller_proxy,
+            store_proxy,
+            readiness_address,
+            settings_path,
+            valid_settings,
             child: None,
-            earlier: Vec::new(),
+            earlier_lines: Vec::new(),
             paused: false,
         }
     }
@@ -57,10 +57,10 @@
     /// # Errors
     /// If it cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
-        self.earlier.extend(self.lines());
-        self.mend_settings();
+        self.earlier_lines.extend(self.lines());
+        self.restore_settings();
         let mut command = Command::new(binary()?);
-        command.arg("hosted").arg("--config").arg(&self.settings);
+        command.arg("hosted").arg("--config").arg(&self.settings_path);
         self.child = Some(Child::start(&mut command)?);
         self.paused = false;
         Ok(())
@@ -87,18 +87,18 @@
 
     /// Lines that all processes of the instance have logged.
     pub fn all_lines(&self) -> Vec<String> {
-        [self.earlier.clone(), self.lines()].concat()
+        [self.earlier_lines.clone(), self.lines()].concat()
     }
 
     /// Writes nonsense into the settings file, as storage that fails does.
-    pub fn spoil_settings(&self) {
+    pub fn corrupt_settings(&self) {
         // Best effort: what fails here is what is to be tested.
-        let _ = fs::write(&self.settings, "[instance\nname = ");
+        let _ = fs::write(&self.settings_path, "[instance\nname = ");
     }
 
     /// Writes the good settings back.
-    pub fn mend_settings(&self) {
-        let _ = fs::write(&self.settings, &self.good_settings);
+    pub fn restore_settings(&self) {
+        let _ = fs::write(&self.settings_path, &self.valid_settings);
     }
 
     /// Waits until the process is ready.
@@ -106,11 +106,11 @@
     /// # Errors
     /// If it is not within ten seconds.
     pub async fn wait_ready(&self) -> io::Result<()> {
-        let end = Instant::now() + READY;
+        let end = Instant::now() + READY_TIMEOUT;
         let headers = [("host", "here".to_owned())];
         while Instant::now() < end {
             let answer = call(
-                self.readiness,
+                self.readiness_address,
                 Method::GET,
                 "/v1/readiness",
                 &headers,
@@ -132,5 +132,5 @@
 
 /// The binary under test.
 fn binary() -> io::Result<PathBuf> {
-    beside("pinereel")
+    binary_path("pinereel")
 }
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -28,23 +28,23 @@
 /// Workspace of the callers and trainers, where the configuration knows workspaces.
 pub const WORKSPACE: &str = "w";
 /// Key of theirs.
-pub const KEY: &str = "key-of-w-5b1e";
+pub const API_KEY: &str = "key-of-w-5b1e";
 /// Model of the engines.
 pub const MODEL: &str = "model-a";
 /// Service of the engines.
-const ENGINES: &str = "engines";
+const ENGINE_SERVICE: &str = "engines";
 /// Service that answers live requests and scores.
-const PLAIN: &str = "plain";
+const PLAIN_SERVICE: &str = "plain";
 /// The second service, to which changes of the configuration move a route.
-const OTHER: &str = "other";
+const OTHER_SERVICE: &str = "other";
 /// Port of the metrics in the deployment's template.
 pub const METRICS_PORT: u16 = 9_464;
 /// Port for callers; below those that the system gives out itself.
-const CALLERS_PORT: u16 = 9_465;
+const CALLER_PORT: u16 = 9_465;
 /// Port where readiness is asked for.
 const READINESS_PORT: u16 = 9_466;
 /// First port for the system's own use.
-const PEERS_PORT: u16 = 9_470;
+const FIRST_PEER_PORT: u16 = 9_470;
 /// Sizes of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
@@ -57,7 +57,7 @@
 }
 
 /// One endpoint behind its proxy.
-pub struct Fronted<E> {
+pub struct Proxied<E> {
     /// The endpoint.
     pub endpoint: E,
     /// Where instances connect.
@@ -73,17 +73,17 @@
     /// What was seen.
     pub recorder: Rc<Recorder>,
     /// The engines.
-    pub engines: Vec<Fronted<Engine>>,
+    pub engines: Vec<Proxied<Engine>>,
     /// The plain services.
-    pub services: Vec<Fronted<Service>>,
+    pub services: Vec<Proxied<Service>>,
     /// The instances.
     pub instances: Vec<Instance>,
     /// Number of the configuration.
-    pub config: u64,
+    pub config_version: u64,
     /// Workspaces with their keys, as the operator writes them; none lets everybody in.
     pub workspaces: Option<Value>,
     folder: PathBuf,
-    next: u64,
+    last_number: u64,
 }
 
 impl Site {
@@ -103,19 +103,19 @@
             engines: Vec::new(),
             services: Vec::new(),
             instances: Vec::new(),
-            config: 0,
+            config_version: 0,
             workspaces: None,
             folder,
-            next: 0,
+            last_number: 0,
         };
-        site.configure(PLAIN, Duration::from_secs(2));
+        site.configure(PLAIN_SERVICE, Duration::from_secs(2));
         for _ in 0..size.engines {
             site.add_engine(1).await?;
         }
         for _ in 0..size.services {
-            site.add_service(PLAIN).await?;
+            site.add_service(PLAIN_SERVICE).await?;
         }
-        site.add_service(OTHER).await?;
+        site.add_service(OTHER_SERVICE).await?;
         for _ in 0..size.instances {
             site.add_instance().await?;
         }
@@ -129,19 +129,19 @@
     pub fn load_balancer(&self) -> Rc<LoadBalancer> {
         let load_balancer = Rc::new(LoadBalancer::default());
         for (index, instance) in self.instances.iter().enumerate() {
-            load_balancer.add(index, instance.callers.address, instance.readiness);
+            load_balancer.add(index, instance.caller_proxy.address, instance.readiness_address);
         }
         load_balancer
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Writes the next configuration: the live route goes to `live`, with `timeout`.
     pub fn configure(&mut self, live: &str, timeout: Duration) {
-        self.config += 2;
+        self.config_version += 2;
         let route = |name: &str, kind: &str, service: &str, attempts: u32| {
             json!({
                 "name": name, "host": HOST, "pathPrefix": format!("/{name}/"), "kind": kind,
@@ -150,20 +150,20 @@
             })
         };
         let mut document = json!({
-            "version": self.config,
+            "version": self.config_version,
             "routes": [
                 route("live", "safe", live, 3),
-                route("once", "unsafe", PLAIN, 2),
-                route("score", "safe", PLAIN, 4),
-                route("lots", "rollout", ENGINES, 3),
-                route(&format!("only-{}", self.config), "safe", PLAIN, 2),
+                route("once", "unsafe", PLAIN_SERVICE, 2),
+                route("score", "safe", PLAIN_SERVICE, 4),
+                route("lots", "rollout", ENGINE_SERVICE, 3),
+                route(&format!("only-{}", self.config_version), "safe", PLAIN_SERVICE, 2),
             ],
             "services": [
-                {"name": ENGINES, "healthPath": "/health", "maxConns": 100,
+                {"name": ENGINE_SERVICE, "healthPath": "/health", "maxConns": 100,
                  "engine": {"slots": super::engine::SLOTS, "models": [{"name": MODEL}]},
                  "scale": {"min": 1, "max": 4, "bootS": 1.0, "spotPrice": 0.2, "zonePrices": {"here": 1.0, "there": 0.9}}},
-                {"name": PLAIN, "healthPath": "/health", "maxConns": 100},
-                {"name": OTHER, "healthPath": "/health", "maxConns": 100},
+                {"name": PLAIN_SERVICE, "healthPath": "/health", "maxConns": 100},
+                {"name": OTHER_SERVICE, "healthPath": "/health", "maxConns": 100},
             ],
             "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 1_048_576,
                        "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
@@ -180,11 +180,11 @@
     /// # Errors
     /// If it cannot be started.
     pub async fn add_engine(&mut self, version: u64) -> io::Result<()> {
-        let id = format!("e-{}", self.number());
-        let engine = Engine::start(&id, (ENGINES, MODEL), version, &self.store, &self.recorder).await?;
+        let id = format!("e-{}", self.next_number());
+        let engine = Engine::start(&id, (ENGINE_SERVICE, MODEL), version, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(engine.address).await?;
         engine.register(proxy.address);
-        self.engines.push(Fronted {
+        self.engines.push(Proxied {
             endpoint: engine,
             proxy,
         });
@@ -196,11 +196,11 @@
     /// # Errors
     /// If it cannot be started.
     pub async fn add_service(&mut self, service: &str) -> io::Result<()> {
-        let id = format!("s-{}", self.number());
+        let id = format!("s-{}", self.next_number());
         let endpoint = Service::start(&id, service, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(endpoint.address).await?;
         endpoint.register(proxy.address);
-        self.services.push(Fronted { endpoint, proxy });
+        self.services.push(Proxied { endpoint, proxy });
         Ok(())
     }
 
@@ -209,41 +209,41 @@
     /// # Errors
     /// If it cannot be started.
     pub async fn add_instance(&mut self) -> io::Result<()> {
-        self.add(proxy::Faults::default()).await
+        self.add_instance_with(proxy::Faults::default()).await
     }
 
     /// Adds and starts an instance that does not reach the store.
     ///
     /// # Errors
     /// If it cannot be started.
-    pub async fn add_instance_cut_off(&mut self) -> io::Result<()> {
-        self.add(proxy::Faults::DROP_ALL).await
+    pub async fn add_instance_without_store(&mut self) -> io::Result<()> {
+        self.add_instance_with(proxy::Faults::DROP_ALL).await
     }
 
-    async fn add(&mut self, to_store: proxy::Faults) -> io::Result<()> {
-        let name = format!("front-{}", self.number());
-        let ip = IpAddr::from(own_ip());
-        let callers = SocketAddr::new(ip, CALLERS_PORT);
+    async fn add_instance_with(&mut self, to_store: proxy::Faults) -> io::Result<()> {
+        let name = format!("front-{}", self.next_number());
+        let ip = IpAddr::from(unique_loopback_ip());
+        let callers = SocketAddr::new(ip, CALLER_PORT);
         let readiness = SocketAddr::new(ip, READINESS_PORT);
         let store = Proxy::start(self.store.address).await?;
         store.set_faults(to_store);
         let settings = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
-        let good_settings = fill(
+        let valid_settings = fill(
             template,
-            &fields(
+            &template_fields(
                 &name,
                 [callers, readiness],
                 [store.address, self.platform.address],
             ),
         );
-        fs::write(&settings, &good_settings)?;
+        fs::write(&settings, &valid_settings)?;
         let mut instance = Instance::new(
             name,
             Proxy::start(callers).await?,
             store,
             readiness,
-            (settings, good_settings),
+            (settings, valid_settings),
         );
         instance.start()?;
         self.instances.push(instance);
@@ -259,7 +259,7 @@
 }
 
 /// A binary of this workspace: it lies beside the one that runs, or above it.
-pub(super) fn beside(name: &str) -> io::Result<PathBuf> {
+pub(super) fn binary_path(name: &str) -> io::Result<PathBuf> {
     let own = env::current_exe()?;
     let mut folder = own.parent();
     while let Some(path) = folder {
@@ -273,13 +273,13 @@
 }
 
 /// What the platform fills the template with.
-fn fields(name: &str, own: [SocketAddr; 2], [store, platform]: [SocketAddr; 2]) -> Value {
+fn template_fields(name: &str, own: [SocketAddr; 2], [store, platform]: [SocketAddr; 2]) -> Value {
     let [callers, readiness] = own;
     json!({
         "node": name,
         "zone": "here",
         "ip": callers.ip().to_string(),
-        "portRange": [PEERS_PORT, PEERS_PORT + 15],
+        "portRange": [FIRST_PEER_PORT, FIRST_PEER_PORT + 15],
         "listen": {"front": callers.to_string(), "ready": readiness.to_string()},
         "limits": {"maxFds": 1_024, "cpuShare": 0.5},
         "provider": {"addr": store.to_string()},
@@ -297,7 +297,7 @@
 /// begins: until its `exec`, a process that is being started beside holds a copy of the listener. With
 /// four starters and six busy processes 107 of 26,667 second binds failed so, without starters none of
 /// 28,838.
-pub(super) fn own_ip() -> Ipv4Addr {
+pub(super) fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let own = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -16,9 +16,9 @@
         site.store.set_faults(store::Faults::default());
         for index in 0..site.instances.len() {
             let instance = &mut site.instances[index];
-            instance.callers.set_faults(proxy::Faults::default());
-            instance.store.set_faults(proxy::Faults::default());
-            instance.mend_settings();
+            instance.caller_proxy.set_faults(proxy::Faults::default());
+            instance.store_proxy.set_faults(proxy::Faults::default());
+            instance.restore_settings();
             if instance.paused {
                 instance.signal(Signal::CONT);
                 instance.paused = false;
@@ -27,12 +27,12 @@
                 start(&mut site, index);
             }
         }
-        for fronted in &site.engines {
-            fronted.proxy.set_faults(proxy::Faults::default());
-            fronted.endpoint.set_faults(engine::Faults::default());
+        for proxied in &site.engines {
+            proxied.proxy.set_faults(proxy::Faults::default());
+            proxied.endpoint.set_faults(engine::Faults::default());
         }
-        for fronted in &site.services {
-            fronted.endpoint.set_faults(service::Faults::default());
+        for proxied in &site.services {
+            proxied.endpoint.set_faults(service::Faults::default());
         }
     }
 
@@ -73,7 +73,7 @@
         let site = self.site.borrow();
         let spans = self.spans.borrow();
         for (index, instance) in site.instances.iter().enumerate() {
-            for at in instance.callers.cuts() {
+            for at in instance.caller_proxy.cuts() {
                 let during = |span: &Span| span.from <= at && at <= span.to;
                 let here = |span: &Span| span.instance.is_none_or(|i| i == index);
                 let planned = spans
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -3,7 +3,7 @@
 use crate::hosting::{
     crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
     http::call,
-    site::{HOST, KEY, Site, WORKSPACE},
+    site::{HOST, API_KEY, Site, WORKSPACE},
 };
 use actix_http::Method;
 use bytes::Bytes;
@@ -62,7 +62,7 @@
                 let address = {
                     let site = self.site.borrow();
                     let at = rng.random_range(0..site.instances.len());
-                    site.instances[at].callers.address
+                    site.instances[at].caller_proxy.address
                 };
                 number += 1;
                 let id = format!("{body}-{number}").replace(' ', "-");
@@ -72,7 +72,7 @@
                         ("host", HOST.to_owned()),
                         ("x-request-id", id),
                         ("x-deadline-ms", PATIENCE.as_millis().to_string()),
-                        ("authorization", format!("Bearer {KEY}")),
+                        ("authorization", format!("Bearer {API_KEY}")),
                     ];
                     // What comes back is of no interest.
                     let _ = call(address, Method::POST, TARGET, &headers, body, PATIENCE).await;
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -7,7 +7,7 @@
 use crate::{
     hosting::{
         engine, proxy, service,
-        site::{KEY, Site, WORKSPACE},
+        site::{API_KEY, Site, WORKSPACE},
         store,
     },
     launch::Signal,
@@ -121,27 +121,27 @@
                     drop_requests: !one_way,
                     ..proxy::Faults::DROP_ALL
                 };
-                instance.store.set_faults(fault);
+                instance.store_proxy.set_faults(fault);
                 self.later(length, move |site| {
-                    site.instances[index].store.set_faults(proxy::Faults::default());
+                    site.instances[index].store_proxy.set_faults(proxy::Faults::default());
                 });
             }
-            Trouble::ResetStoreConnections => instance.store.reset(),
+            Trouble::ResetStoreConnections => instance.store_proxy.reset(),
             Trouble::DelayCallers => {
                 let delay = Duration::from_millis(60);
-                instance.callers.set_faults(proxy::Faults {
+                instance.caller_proxy.set_faults(proxy::Faults {
                     delay,
                     ..proxy::Faults::default()
                 });
                 self.later(length, move |site| {
-                    site.instances[index].callers.set_faults(proxy::Faults::default());
+                    site.instances[index].caller_proxy.set_faults(proxy::Faults::default());
                 });
             }
             Trouble::BadSettings => {
-                instance.spoil_settings();
-                self.later(length, move |site| site.instances[index].mend_settings());
+                instance.corrupt_settings();
+                self.later(length, move |site| site.instances[index].restore_settings());
             }
-            _ => instance.callers.reset(),
+            _ => instance.caller_proxy.reset(),
         }
     }
 
@@ -179,23 +179,23 @@
             });
             return;
         }
-        let fronted = &site.engines[index];
+        let proxied = &site.engines[index];
         match trouble {
             Trouble::EngineDark => {
-                fronted.proxy.set_faults(proxy::Faults::DROP_ALL);
+                proxied.proxy.set_faults(proxy::Faults::DROP_ALL);
                 self.later(length, move |site| {
                     site.engines[index].proxy.set_faults(proxy::Faults::default());
                 });
             }
             Trouble::EngineLapses => {
-                fronted.endpoint.deregister();
+                proxied.endpoint.deregister();
                 self.later(length.min(Duration::from_millis(1_500)), move |site| {
-                    let fronted = &site.engines[index];
-                    fronted.endpoint.register(fronted.proxy.address);
+                    let proxied = &site.engines[index];
+                    proxied.endpoint.register(proxied.proxy.address);
                 });
             }
             _ => {
-                fronted.endpoint.set_faults(engine_fault(trouble));
+                proxied.endpoint.set_faults(engine_fault(trouble));
                 self.later(length, move |site| {
                     site.engines[index].endpoint.set_faults(engine::Faults::default());
                 });
@@ -217,8 +217,8 @@
                 end_later(move || old.endpoint.deregister());
             }
         } else if index + 1 < site.services.len() && add(site.add_service("plain")) {
-            let fronted = &site.services[index];
-            fronted.endpoint.leave(fronted.proxy.address);
+            let proxied = &site.services[index];
+            proxied.endpoint.leave(proxied.proxy.address);
             let last = site.services.len() - 1;
             site.services.swap(index, last);
             let old = site.services.pop().expect("one was just added");
@@ -238,9 +238,9 @@
 
 /// The next configuration has other keys beside the one that callers use.
 pub(super) fn change_keys(site: &mut Site) {
-    let next = format!("key-of-w-{}", site.config);
+    let next = format!("key-of-w-{}", site.config_version);
     site.workspaces = Some(json!([
-        {"name": WORKSPACE, "apiKeys": [KEY, next]},
+        {"name": WORKSPACE, "apiKeys": [API_KEY, next]},
         {"name": "nobody", "apiKeys": []},
     ]));
 }
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -5,7 +5,7 @@
     recorder::Recorder,
     engine,
     http::{Answer, call},
-    site::{HOST, KEY, MODEL},
+    site::{HOST, API_KEY, MODEL},
     store::Store,
 };
 use actix_http::{Method, StatusCode};
@@ -154,7 +154,7 @@
             ("x-request-id", id.to_owned()),
             ("x-deadline-ms", PATIENCE.as_millis().to_string()),
             ("x-wait-ms", "500".to_owned()),
-            ("authorization", format!("Bearer {KEY}")),
+            ("authorization", format!("Bearer {API_KEY}")),
         ];
         let address = self.load_balancer.pick().caller_address;
         let wait = PATIENCE + Duration::from_millis(500);
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -51,7 +51,7 @@
         ("x-request-id", format!("again-{number}")),
         ("x-deadline-ms", "2000".to_owned()),
     ];
-    let (address, body) = (instance.callers.address, Bytes::from(body.to_owned()));
+    let (address, body) = (instance.caller_proxy.address, Bytes::from(body.to_owned()));
     let wait = Duration::from_millis(2_500);
     call(address, Method::POST, "/live/x", &headers, body, wait).await
 }
@@ -249,7 +249,7 @@
         ("x-deadline-ms", "2000".to_owned()),
     ];
     let (address, body) = (
-        site.instances[0].callers.address,
+        site.instances[0].caller_proxy.address,
         Bytes::from(body.to_string()),
     );
     let wait = Duration::from_secs(3);
@@ -269,7 +269,7 @@
 async fn read_results(site: &Site, lot: &str) -> Vec<serde_json::Value> {
     let headers = [("host", HOST.to_owned())];
     let (address, path) = (
-        site.instances[1].callers.address,
+        site.instances[1].caller_proxy.address,
         format!("/v1/lots/{lot}?after=0"),
     );
     let wait = Duration::from_secs(3);
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -64,7 +64,7 @@
         ("x-tenant", "b".to_owned()),
     ];
     headers.extend(key.map(|key| ("authorization", format!("Bearer {key}"))));
-    let (address, body) = (instance.callers.address, Bytes::from(body.to_owned()));
+    let (address, body) = (instance.caller_proxy.address, Bytes::from(body.to_owned()));
     let answer = call(address, method, path, &headers, body, CALL_TIMEOUT).await;
     answer.expect("an answer")
 }
@@ -183,7 +183,7 @@
     let mut all = site.store.written();
     for instance in &site.instances {
         all += &instance.all_lines().join("\n");
-        let metrics = SocketAddr::new(instance.readiness.ip(), METRICS_PORT);
+        let metrics = SocketAddr::new(instance.readiness_address.ip(), METRICS_PORT);
         let headers = [("host", "here".to_owned())];
         let get = call(
             metrics,
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -97,7 +97,7 @@
             ("x-request-id", format!("r-{number}")),
             ("x-deadline-ms", "2000".to_owned()),
         ];
-        let address = instance.callers.address;
+        let address = instance.caller_proxy.address;
         let wait = Duration::from_secs(3);
         let answer = call(
             address,
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -64,16 +64,16 @@
     for _ in 0..3 {
         site.configure("other", Duration::from_secs(2));
         sleep(Duration::from_millis(300)).await;
-        let only = format!("/only-{}/x", site.config);
+        let only = format!("/only-{}/x", site.config_version);
         for instance in &site.instances {
             let headers = [
                 ("host", HOST.to_owned()),
-                ("x-request-id", format!("{}-{}", instance.name, site.config)),
+                ("x-request-id", format!("{}-{}", instance.name, site.config_version)),
             ];
-            let address = instance.callers.address;
+            let address = instance.caller_proxy.address;
             let new = call(address, Method::POST, &only, &headers, Bytes::new(), WAIT).await;
             assert_eq!(new.map(|a| a.status), Ok(StatusCode::OK), "the new route");
-            let old = format!("/only-{}/x", site.config - 2);
+            let old = format!("/only-{}/x", site.config_version - 2);
             let old = call(address, Method::POST, &old, &headers, Bytes::new(), WAIT).await;
             assert_eq!(
                 old.map(|a| a.status),
@@ -94,7 +94,7 @@
     });
     let body = Bytes::from(body.to_string());
     for instance in &site.instances {
-        let address = instance.callers.address;
+        let address = instance.caller_proxy.address;
         let answer = call(
             address,
             Method::POST,
@@ -109,7 +109,7 @@
     sleep(Duration::from_secs(1)).await;
     let mut readings = Vec::new();
     for instance in &site.instances {
-        let address = instance.callers.address;
+        let address = instance.caller_proxy.address;
         let path = "/v1/lots/lot-1?after=0";
         let answer = call(address, Method::GET, path, &headers, Bytes::new(), WAIT).await;
         readings.push(answer.unwrap().body);
@@ -138,7 +138,7 @@
         "items": [item("first"), item("second")],
     });
     let ask = async |instance: usize, method, path| {
-        let address = site.instances[instance].callers.address;
+        let address = site.instances[instance].caller_proxy.address;
         let body = match method {
             Method::POST => Bytes::from(body.to_string()),
             _ => Bytes::new(),
@@ -187,10 +187,10 @@
     ];
     // The store has never answered this instance.
     let mut site = site;
-    site.add_instance_cut_off().await.unwrap();
+    site.add_instance_without_store().await.unwrap();
     let instance = site.instances.last().unwrap();
     sleep(Duration::from_millis(500)).await;
-    let address = instance.callers.address;
+    let address = instance.caller_proxy.address;
     let answer = call(
         address,
         Method::POST,
@@ -204,7 +204,7 @@
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.header("retry-after").is_some());
     let ready = call(
-        instance.readiness,
+        instance.readiness_address,
         Method::GET,
         "/v1/readiness",
         &headers,
@@ -228,7 +228,7 @@
         ("x-request-id", "first".to_owned()),
     ];
     site.add_instance().await.unwrap();
-    let address = site.instances.last().unwrap().callers.address;
+    let address = site.instances.last().unwrap().caller_proxy.address;
     let end = Instant::now() + WAIT;
     let status = loop {
         let answer = call(
@@ -267,8 +267,8 @@
 
 /// Makes all engines so many times as slow.
 fn slow_down(site: &Site, slow_factor: u32) {
-    for fronted in &site.engines {
-        fronted.endpoint.set_faults(engine::Faults {
+    for proxied in &site.engines {
+        proxied.endpoint.set_faults(engine::Faults {
             slow_factor,
             ..engine::Faults::default()
         });
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -44,7 +44,7 @@
 
 /// Names of the running instances that do not serve the newest routes yet.
 async fn outdated_instances(site: &mut Site) -> Vec<String> {
-    let path = format!("/only-{}/x", site.config);
+    let path = format!("/only-{}/x", site.config_version);
     let mut outdated = Vec::new();
     for instance in &mut site.instances {
         if !instance.is_running() {
@@ -54,7 +54,7 @@
             ("host", HOST.to_owned()),
             ("x-request-id", format!("{}-{path}", instance.name)),
         ];
-        let address = instance.callers.address;
+        let address = instance.caller_proxy.address;
         let wait = Duration::from_secs(3);
         let answer = call(address, Method::POST, &path, &headers, Bytes::new(), wait).await;
         if answer.map(|a| a.status) != Ok(StatusCode::OK) {
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -61,7 +61,7 @@
         ("x-deadline-ms", "2000".to_owned()),
         ("authorization", format!("Bearer {KEY}")),
     ];
-    let (address, timeout) = (instance.callers.address, Duration::from_secs(3));
+    let (address, timeout) = (instance.caller_proxy.address, Duration::from_secs(3));
     let answer = call(
         address,
         Method::POST,
