--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -7,7 +7,7 @@
 //! - [`engine`], [`service`]: endpoints, which list themselves in the store.
 //! - [`crashing_endpoint`]: an endpoint in a process of its own, which crashes when a request tells it to.
 //! - [`proxy`]: a loopback proxy with faults.
-//! - [`settings`]: fills in the deployment's template.
+//! - [`template`]: fills in the deployment's template.
 //! - [`site`]: all of it, with the real processes.
 //! - [`caller`], [`trainer`]: clients that check what they get.
 //! - [`load_balancer`]: the balancer before the instances.
@@ -26,7 +26,7 @@
 pub mod platform;
 pub mod proxy;
 pub mod service;
-pub mod settings;
+pub mod template;
 pub mod site;
 pub mod soak;
 pub mod store;
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -8,7 +8,7 @@
     platform::Platform,
     proxy::{self, Proxy},
     service::Service,
-    settings::fill,
+    template::render,
     store::Store,
 };
 use serde_json::{Value, json};
@@ -229,7 +229,7 @@
         store.set_faults(to_store);
         let settings = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
-        let valid_settings = fill(
+        let valid_settings = render(
             template,
             &template_fields(
                 &name,
--- a/crates/pinereel_fakes/src/hosting/settings.rs
+++ b/crates/pinereel_fakes/src/hosting/template.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 /// Fills in `template` with `fields`: values, and sections that depend on whether one is there.
-pub fn fill(template: &str, fields: &Value) -> String {
+pub fn render(template: &str, fields: &Value) -> String {
     let mut text = String::new();
     let mut rest = template;
     while let Some(begin) = rest.find("{{") {
@@ -17,31 +17,31 @@
         if let Some(section) = name.strip_prefix('#') {
             let close = format!("{{{{/{section}}}}}");
             let (inner, after) = rest.split_once(&close).unwrap_or((rest, ""));
-            if find(fields, section).is_some() {
-                text.push_str(&fill(inner, fields));
+            if lookup(fields, section).is_some() {
+                text.push_str(&render(inner, fields));
             }
             rest = after;
         } else {
-            text.push_str(&value(fields, name));
+            text.push_str(&field_text(fields, name));
         }
     }
     text.push_str(rest);
     text
 }
 
-fn find<'a>(fields: &'a Value, name: &str) -> Option<&'a Value> {
-    let mut found = fields;
+fn lookup<'a>(fields: &'a Value, name: &str) -> Option<&'a Value> {
+    let mut value = fields;
     for part in name.split('.') {
-        found = match part.parse::<usize>() {
-            Ok(index) if found.is_array() => found.get(index)?,
-            _ => found.get(part)?,
+        value = match part.parse::<usize>() {
+            Ok(index) if value.is_array() => value.get(index)?,
+            _ => value.get(part)?,
         };
     }
-    Some(found)
+    Some(value)
 }
 
-fn value(fields: &Value, name: &str) -> String {
-    match find(fields, name) {
+fn field_text(fields: &Value, name: &str) -> String {
+    match lookup(fields, name) {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(list)) => {
             let texts = list
