--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -15,7 +15,7 @@
 use tokio::{net::TcpListener, time::sleep};
 
 /// Longest body.
-const MAX_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,11 +26,11 @@
     /// Calls are answered 503, and nothing is done.
     Down,
     /// Calls are carried out, and not answered.
-    Lost,
+    LoseAnswers,
 }
 
 /// Requests of each workspace in a window.
-pub type Counts = BTreeMap<String, u64>;
+pub type RequestCounts = BTreeMap<String, u64>;
 
 /// The running stand-in.
 #[derive(Clone)]
@@ -43,12 +43,12 @@
 struct State {
     recorder: Rc<Recorder>,
     fault: Cell<Fault>,
-    reports: RefCell<BTreeMap<u64, Counts>>,
+    reports: RefCell<BTreeMap<u64, RequestCounts>>,
     /// Endpoints of the cheap kind that were asked for last, by zone.
-    asked: RefCell<BTreeMap<String, u64>>,
+    desired_spot_counts: RefCell<BTreeMap<String, u64>>,
     /// Highest fencing token that was seen by path, with its holder.
     newest: RefCell<BTreeMap<String, (u64, String)>>,
-    calls: Cell<u64>,
+    call_count: Cell<u64>,
 }
 
 impl Platform {
@@ -63,9 +63,9 @@
             recorder: Rc::clone(recorder),
             fault: Cell::default(),
             reports: RefCell::default(),
-            asked: RefCell::default(),
+            desired_spot_counts: RefCell::default(),
             newest: RefCell::default(),
-            calls: Cell::new(0),
+            call_count: Cell::new(0),
         });
         let serving = Rc::clone(&state);
         Server::start(listener, http::Options::default(), move |request| {
@@ -82,29 +82,29 @@
     }
 
     /// The reports that were taken, by window.
-    pub fn reports(&self) -> BTreeMap<u64, Counts> {
+    pub fn reports(&self) -> BTreeMap<u64, RequestCounts> {
         self.state.reports.borrow().clone()
     }
 
     /// Requests of a workspace in all reports.
-    pub fn total(&self, workspace: &str) -> u64 {
+    pub fn request_count(&self, workspace: &str) -> u64 {
         let reports = self.state.reports.borrow();
         let counts = reports.values().filter_map(|counts| counts.get(workspace));
         counts.sum()
     }
 
     /// Endpoints of the cheap kind that were asked for last, by zone.
-    pub fn asked(&self) -> BTreeMap<String, u64> {
-        self.state.asked.borrow().clone()
+    pub fn desired_spot_counts(&self) -> BTreeMap<String, u64> {
+        self.state.desired_spot_counts.borrow().clone()
     }
 
     /// Calls that came.
-    pub fn calls(&self) -> u64 {
-        self.state.calls.get()
+    pub fn call_count(&self) -> u64 {
+        self.state.call_count.get()
     }
 
     /// Who reported usage last.
-    pub fn holder(&self) -> String {
+    pub fn last_reporter(&self) -> String {
         let newest = self.state.newest.borrow();
         newest
             .get("/usage")
@@ -115,56 +115,56 @@
 
 impl State {
     async fn serve(&self, mut request: Request) -> Response {
-        self.calls.set(self.calls.get() + 1);
+        self.call_count.set(self.call_count.get() + 1);
         let fault = self.fault.get();
         if fault == Fault::Down {
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let status = self.take(&mut request).await;
-        if fault == Fault::Lost {
+        let status = self.handle_call(&mut request).await;
+        if fault == Fault::LoseAnswers {
             sleep(Duration::from_secs(60)).await;
         }
         http::empty(status)
     }
 
-    async fn take(&self, request: &mut Request) -> StatusCode {
+    async fn handle_call(&self, request: &mut Request) -> StatusCode {
         let path = request.path().to_owned();
         let holder = header(request.headers(), "x-lease-holder").unwrap_or_default();
         let fence = header(request.headers(), "x-fence-token").and_then(|f| f.parse().ok());
-        let body = http::read_json(request, MAX_BODY, Duration::from_secs(2)).await;
+        let body = http::read_json(request, MAX_BODY_BYTES, Duration::from_secs(2)).await;
         let (Some(fence), Ok(body)) = (fence, body) else {
             self.recorder.record_violation(format!("{path} without a fence or a body"));
             return StatusCode::BAD_REQUEST;
         };
-        if !self.admit(&path, fence, &holder) {
+        if !self.accept_fencing_token(&path, fence, &holder) {
             return StatusCode::CONFLICT;
         }
         match path.as_str() {
-            "/usage" => self.note_usage(&body),
-            "/scale" => self.note_asked(&body),
+            "/usage" => self.record_usage(&body),
+            "/scale" => self.record_scale_request(&body),
             _ => self.recorder.record_violation(format!("a call to {path}")),
         }
         StatusCode::OK
     }
 
     /// Whether no higher fencing token was seen.
-    fn admit(&self, path: &str, fence: u64, holder: &str) -> bool {
+    fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
         let mut newest = self.newest.borrow_mut();
-        let newest = newest.entry(path.into()).or_default();
-        if fence == newest.0 && holder != newest.1 {
-            let other = &newest.1;
+        let newest_of_path = newest.entry(path.into()).or_default();
+        if fence == newest_of_path.0 && holder != newest_of_path.1 {
+            let other = &newest_of_path.1;
             self.recorder.record_violation(format!(
                 "{holder} and {other} both called under fence {fence}"
             ));
         }
-        if fence < newest.0 {
+        if fence < newest_of_path.0 {
             return false;
         }
-        *newest = (fence, holder.into());
+        *newest_of_path = (fence, holder.into());
         true
     }
 
-    fn note_asked(&self, body: &Value) {
+    fn record_scale_request(&self, body: &Value) {
         let zone = body["zone"].as_str().unwrap_or_default();
         let count = body["desiredCount"].as_u64().unwrap_or_default();
         if body["spot"] != true {
@@ -172,12 +172,12 @@
                 "endpoints of the usual kind were asked for: {body}"
             ));
         }
-        self.asked.borrow_mut().insert(zone.into(), count);
+        self.desired_spot_counts.borrow_mut().insert(zone.into(), count);
     }
 
-    fn note_usage(&self, body: &Value) {
+    fn record_usage(&self, body: &Value) {
         let window = body["window"].as_u64().unwrap_or_default();
-        let counts: Counts = serde_json::from_value(body["counts"].clone()).unwrap_or_default();
+        let counts: RequestCounts = serde_json::from_value(body["counts"].clone()).unwrap_or_default();
         let mut reports = self.reports.borrow_mut();
         let known = reports.entry(window).or_insert_with(|| counts.clone());
         if *known != counts {
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -101,7 +101,7 @@
             self.seed,
             self.injected.len(),
             self.orders,
-            self.calls,
+            self.call_count,
             self.taken,
             self.broken.len(),
         )
@@ -197,7 +197,7 @@
     for caller in callers {
         caller.abort();
     }
-    Ok(soak.report(&trainer, &tally, store.calls()))
+    Ok(soak.report(&trainer, &tally, store.call_count()))
 }
 
 impl Soak {
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -20,9 +20,9 @@
 use tokio::{net::TcpListener, sync::watch, time::sleep};
 
 /// Largest body that is read.
-const MAX_BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// Objects of one page of a list.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// What the store does wrong.
 #[derive(Clone, Copy, Debug, Default)]
@@ -51,9 +51,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredObject {
     revision: u64,
-    created: u64,
+    created_revision: u64,
     spec: Value,
     status: Value,
 }
@@ -61,11 +61,11 @@
 #[derive(Debug, Default)]
 struct Data {
     revision: u64,
-    kinds: BTreeMap<CompactString, BTreeMap<CompactString, Stored>>,
+    kinds: BTreeMap<CompactString, BTreeMap<CompactString, StoredObject>>,
     /// Revision, kind and event of the changes that watches can still read.
     history: VecDeque<(u64, CompactString, Value)>,
     /// Newest revision that is no longer in `history`.
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
 /// The running store.
@@ -77,15 +77,15 @@
     faults: Rc<Cell<Faults>>,
     rng: Rc<RefCell<ChaCha8Rng>>,
     changed: Rc<watch::Sender<u64>>,
-    calls: Rc<Cell<u64>>,
+    call_count: Rc<Cell<u64>>,
 }
 
 /// Why a write was not taken.
-enum Refusal {
+enum WriteError {
     NotFound,
     Conflict(Value),
     /// The name cannot stand in a path.
-    Name,
+    InvalidName,
 }
 
 impl Store {
@@ -101,7 +101,7 @@
             faults: Rc::default(),
             rng: Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed))),
             changed: Rc::new(watch::channel(0).0),
-            calls: Rc::default(),
+            call_count: Rc::default(),
         };
         let state = store.clone();
         Server::start(listener, http::Options::default(), move |request| {
@@ -132,13 +132,13 @@
     /// Forgets the history that watches read.
     pub fn compact(&self) {
         let mut data = self.data.borrow_mut();
-        data.forgotten = data.revision;
+        data.compacted_revision = data.revision;
         data.history.clear();
     }
 
     /// Calls answered since the start.
-    pub fn calls(&self) -> u64 {
-        self.calls.get()
+    pub fn call_count(&self) -> u64 {
+        self.call_count.get()
     }
 
     /// The spec of an object.
@@ -154,14 +154,14 @@
     }
 
     /// All that the system itself has written: kind, name, spec and status of each object as text.
-    pub fn written(&self) -> String {
+    pub fn dump_own_objects(&self) -> String {
         let data = self.data.borrow();
         let own = data
             .kinds
             .iter()
             .filter(|(kind, _)| kind.starts_with("pinereel"));
         let objects = own.flat_map(|(kind, objects)| {
-            let object = move |(name, stored): (&CompactString, &Stored)| {
+            let object = move |(name, stored): (&CompactString, &StoredObject)| {
                 format!("{kind} {name} {} {}\n", stored.spec, stored.status)
             };
             objects.iter().map(object)
@@ -180,7 +180,7 @@
         let removed = data.kinds.get_mut(kind).and_then(|k| k.remove(name));
         if let Some(stored) = removed {
             data.revision += 1;
-            let event = json!({"deleted": true, "object": object(name, &stored)});
+            let event = json!({"deleted": true, "object": object_json(name, &stored)});
             let revision = data.revision;
             data.history.push_back((revision, kind.into(), event));
             drop(data);
@@ -188,26 +188,26 @@
         }
     }
 
-    fn write(&self, kind: &str, name: &str, change: impl FnOnce(&mut Stored)) -> Value {
+    fn write(&self, kind: &str, name: &str, change: impl FnOnce(&mut StoredObject)) -> Value {
         let mut data = self.data.borrow_mut();
         let revision = data.revision + 1;
         let objects = data.kinds.entry(kind.into()).or_default();
         let before = objects.get(name).cloned();
-        let mut stored = before.clone().unwrap_or(Stored {
+        let mut stored = before.clone().unwrap_or(StoredObject {
             revision,
-            created: revision,
+            created_revision: revision,
             spec: Value::Null,
             status: Value::Null,
         });
         change(&mut stored);
         let same = before.is_some_and(|b| b.spec == stored.spec && b.status == stored.status);
         if same {
-            return object(name, &stored);
+            return object_json(name, &stored);
         }
         stored.revision = revision;
         objects.insert(name.into(), stored.clone());
         data.revision = revision;
-        let written = object(name, &stored);
+        let written = object_json(name, &stored);
         let event = json!({"deleted": false, "object": written});
         data.history.push_back((revision, kind.into(), event));
         drop(data);
@@ -216,7 +216,7 @@
     }
 
     async fn serve(&self, mut request: Request) -> Response {
-        self.calls.set(self.calls.get() + 1);
+        self.call_count.set(self.call_count.get() + 1);
         let faults = self.faults.get();
         if !faults.delay.is_zero() {
             sleep(faults.delay).await;
@@ -227,7 +227,7 @@
         let path = request.path().to_owned();
         let parts: Vec<_> = path.trim_start_matches("/v1/objects/").split('/').collect();
         let query = request.uri().query().unwrap_or_default().to_owned();
-        let body = http::read_json(&mut request, MAX_BODY, Duration::from_secs(5)).await;
+        let body = http::read_json(&mut request, MAX_BODY_BYTES, Duration::from_secs(5)).await;
         let body: Value = body.unwrap_or_default();
         let method = request.method().clone();
         if method == Method::GET {
@@ -242,11 +242,11 @@
                 let parts: Vec<_> = parts.iter().map(String::as_str).collect();
                 state.change(&method, &parts, &body);
             });
-            return silence().await;
+            return never_answer().await;
         }
         let answer = self.change(&method, &parts, &body);
         if lost {
-            return silence().await;
+            return never_answer().await;
         }
         answer
     }
@@ -256,15 +256,15 @@
             let data = self.data.borrow();
             let found = data.kinds.get(*kind).and_then(|k| k.get(*name));
             return match found {
-                Some(stored) => http::json(StatusCode::OK, &object(name, stored)),
+                Some(stored) => http::json(StatusCode::OK, &object_json(name, stored)),
                 None => http::empty(StatusCode::NOT_FOUND),
             };
         }
         let kind = parts[0];
-        let Some(after) = parameter(query, "watch").and_then(|text| text.parse().ok()) else {
-            return self.list(kind, parameter(query, "after").unwrap_or_default());
+        let Some(after) = query_parameter(query, "watch").and_then(|text| text.parse().ok()) else {
+            return self.list(kind, query_parameter(query, "after").unwrap_or_default());
         };
-        let wait = parameter(query, "waitMs").and_then(|text| text.parse().ok());
+        let wait = query_parameter(query, "waitMs").and_then(|text| text.parse().ok());
         let mut changed = self.changed.subscribe();
         let seen = async {
             while self
@@ -277,7 +277,7 @@
             }
         };
         if self.faults.get().accept_stale_watches && self.events(kind, after).is_none() {
-            return silence().await;
+            return never_answer().await;
         }
         let _ = tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), seen).await;
         let revision = self.data.borrow().revision;
@@ -292,7 +292,7 @@
 
     fn events(&self, kind: &str, after: u64) -> Option<Vec<Value>> {
         let data = self.data.borrow();
-        if after < data.forgotten {
+        if after < data.compacted_revision {
             return None;
         }
         let newer = data
@@ -308,8 +308,8 @@
         let mut rest = all.filter(|(name, _)| name.as_str() > after);
         let items: Vec<_> = rest
             .by_ref()
-            .take(PAGE)
-            .map(|(n, s)| object(n, s))
+            .take(PAGE_SIZE)
+            .map(|(n, s)| object_json(n, s))
             .collect();
         let more = rest.next().is_some();
         let answer = json!({"items": items, "more": more, "currentRev": data.revision});
@@ -320,64 +320,64 @@
         let result = match (method.as_str(), parts) {
             ("POST", [kind]) => self.create(kind, body),
             ("PUT", [kind, name]) => self.update(kind, name, body),
-            ("PUT", [kind, name, "status"]) => self.report(kind, name, body),
+            ("PUT", [kind, name, "status"]) => self.update_status(kind, name, body),
             ("DELETE", [kind, name]) => {
                 self.remove(kind, name);
                 Ok(Value::Null)
             }
-            _ => Err(Refusal::NotFound),
+            _ => Err(WriteError::NotFound),
         };
         match result {
             Ok(object) => http::json(StatusCode::OK, &object),
-            Err(Refusal::NotFound) => http::empty(StatusCode::NOT_FOUND),
-            Err(Refusal::Name) => http::empty(StatusCode::BAD_REQUEST),
-            Err(Refusal::Conflict(object)) => http::json(StatusCode::CONFLICT, &object),
+            Err(WriteError::NotFound) => http::empty(StatusCode::NOT_FOUND),
+            Err(WriteError::InvalidName) => http::empty(StatusCode::BAD_REQUEST),
+            Err(WriteError::Conflict(object)) => http::json(StatusCode::CONFLICT, &object),
         }
     }
 
-    fn standing(&self, kind: &str, name: &str) -> Option<Stored> {
+    fn find(&self, kind: &str, name: &str) -> Option<StoredObject> {
         let data = self.data.borrow();
         data.kinds.get(kind)?.get(name).cloned()
     }
 
-    fn create(&self, kind: &str, body: &Value) -> Result<Value, Refusal> {
+    fn create(&self, kind: &str, body: &Value) -> Result<Value, WriteError> {
         let name = body["metadata"]["name"].as_str().unwrap_or_default();
         if name.contains('/') {
-            return Err(Refusal::Name);
+            return Err(WriteError::InvalidName);
         }
-        if let Some(stored) = self.standing(kind, name) {
-            return Err(Refusal::Conflict(object(name, &stored)));
+        if let Some(stored) = self.find(kind, name) {
+            return Err(WriteError::Conflict(object_json(name, &stored)));
         }
         Ok(self.write(kind, name, |stored| stored.spec = body["spec"].clone()))
     }
 
-    fn update(&self, kind: &str, name: &str, body: &Value) -> Result<Value, Refusal> {
-        let stored = self.standing(kind, name).ok_or(Refusal::NotFound)?;
+    fn update(&self, kind: &str, name: &str, body: &Value) -> Result<Value, WriteError> {
+        let stored = self.find(kind, name).ok_or(WriteError::NotFound)?;
         let wanted = body["metadata"]["revision"].as_u64();
         if wanted.is_some_and(|wanted| wanted != stored.revision) {
-            return Err(Refusal::Conflict(object(name, &stored)));
+            return Err(WriteError::Conflict(object_json(name, &stored)));
         }
         Ok(self.write(kind, name, |stored| stored.spec = body["spec"].clone()))
     }
 
-    fn report(&self, kind: &str, name: &str, body: &Value) -> Result<Value, Refusal> {
-        self.standing(kind, name).ok_or(Refusal::NotFound)?;
+    fn update_status(&self, kind: &str, name: &str, body: &Value) -> Result<Value, WriteError> {
+        self.find(kind, name).ok_or(WriteError::NotFound)?;
         Ok(self.write(kind, name, |stored| stored.status = body["status"].clone()))
     }
 }
 
 /// The connection stays open and nothing more comes over it.
-async fn silence() -> Response {
+async fn never_answer() -> Response {
     sleep(Duration::from_secs(600)).await;
     http::empty(StatusCode::GATEWAY_TIMEOUT)
 }
 
-fn object(name: &str, stored: &Stored) -> Value {
+fn object_json(name: &str, stored: &StoredObject) -> Value {
     json!({
         "metadata": {
             "name": name,
             "revision": stored.revision,
-            "createRev": stored.created,
+            "createRev": stored.created_revision,
             "finalizers": [],
             "deleting": false,
         },
@@ -386,7 +386,7 @@
     })
 }
 
-fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find_map(|(key, value)| (key == name).then_some(value))
 }
--- a/crates/pinereel_fakes/tests/hosting_follow.rs
+++ b/crates/pinereel_fakes/tests/hosting_follow.rs
@@ -89,5 +89,5 @@
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(told.borrow().last().map(|(_, x)| *x), Some(1));
-    assert_eq!(stand_in.calls(), 2, "a list and a watch");
+    assert_eq!(stand_in.call_count(), 2, "a list and a watch");
 }
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -180,7 +180,7 @@
 
 /// Everything that the processes write: logs, metrics, and objects in the store.
 async fn written(site: &Site) -> String {
-    let mut all = site.store.written();
+    let mut all = site.store.dump_own_objects();
     for instance in &site.instances {
         all += &instance.all_lines().join("\n");
         let metrics = SocketAddr::new(instance.readiness_address.ip(), METRICS_PORT);
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -48,10 +48,10 @@
     sleep(Duration::from_secs(3)).await;
     submit(&site, "small", 3).await;
     sleep(Duration::from_secs(4)).await;
-    assert_eq!(site.platform.asked(), BTreeMap::new());
+    assert_eq!(site.platform.desired_spot_counts(), BTreeMap::new());
     submit(&site, "large", ITEMS_BEYOND_SLOTS).await;
     sleep(Duration::from_secs(5)).await;
-    let asked = site.platform.asked();
+    let asked = site.platform.desired_spot_counts();
     let log_lines = site
         .instances
         .iter()
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -35,9 +35,9 @@
     stand_in.set_faults(store::Faults::default());
     sleep(Duration::from_secs(2)).await;
     assert_eq!(store.unreachable_since(), None);
-    let calls = stand_in.calls();
+    let calls = stand_in.call_count();
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(stand_in.calls(), calls, "no calls while it is there");
+    assert_eq!(stand_in.call_count(), calls, "no calls while it is there");
 }
 
 /// Load pattern: callers refused all through an outage; trainers offer their lot for the last time
@@ -50,9 +50,9 @@
     // The back-off of all other calls grows to its longest, and one of them has just failed.
     let mut sent = 0;
     while sent < 8 {
-        let calls = stand_in.calls();
+        let calls = stand_in.call_count();
         assert!(!read(&store).await);
-        sent += stand_in.calls() - calls;
+        sent += stand_in.call_count() - calls;
         sleep(Duration::from_millis(if sent < 8 { 20 } else { 0 })).await;
     }
     stand_in.set_faults(store::Faults::default());
@@ -73,7 +73,7 @@
     stand_in.set_faults(store::Faults::DOWN);
     assert!(!read(&store).await);
     sleep(Duration::from_millis(1_200)).await;
-    let calls = stand_in.calls();
+    let calls = stand_in.call_count();
     let mut refused = Vec::new();
     for _ in 0..40 {
         let read = store.read(Purpose::Leases, "leases", "a", Consistency::Linearizable);
@@ -83,7 +83,7 @@
     let away = Error::NotSent("the object store is unreachable".into());
     assert!(refused.iter().all(|error| *error == away), "{refused:?}");
     assert_eq!(refused.len(), 40);
-    let probes = stand_in.calls() - calls;
+    let probes = stand_in.call_count() - calls;
     assert!((11..=15).contains(&probes), "{probes} in 2 s");
     let lot = store.create(Purpose::Lots, "lots", "a", "{}").await;
     assert!(
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -89,9 +89,9 @@
         "{counts:?}"
     );
 
-    let calls = site.store.calls();
+    let calls = site.store.call_count();
     sleep(Duration::from_secs(2)).await;
-    let idle_calls = site.store.calls() - calls;
+    let idle_calls = site.store.call_count() - calls;
     // Renewals of three leases and the root's listings of the leases: no more than with three instances.
     assert!(idle_calls <= 24, "{idle_calls} calls in 2 s");
 
@@ -106,7 +106,7 @@
     assert_eq!(outdated_instances(&mut site).await, Vec::<String>::new());
     assert_eq!(total_log_lines(&site, "bulletin: no news"), 0);
 
-    let calls = site.store.calls();
+    let calls = site.store.call_count();
     site.instances[root].signal(Signal::KILL);
     sleep(Duration::from_millis(300)).await;
     site.configure("other", Duration::from_secs(2));
@@ -119,7 +119,7 @@
         "{taken_over} instances replaced the root"
     );
     sleep(Duration::from_millis(800)).await;
-    let takeover_calls = site.store.calls() - calls;
+    let takeover_calls = site.store.call_count() - calls;
     // Without the tree, each of the other instances would list and watch three kinds of objects.
     assert!(
         takeover_calls <= 80,
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -98,8 +98,8 @@
     }
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
     assert_eq!(answered, 24);
-    assert_eq!(site.platform.total("a"), answered);
-    assert_eq!(site.platform.total("b"), 0);
+    assert_eq!(site.platform.request_count("a"), answered);
+    assert_eq!(site.platform.request_count("b"), 0);
     assert_no_missing_window(&site);
 }
 
@@ -111,9 +111,9 @@
     // Reports wait for up to 0.2 s at each hop of the tree.
     sleep(Duration::from_millis(700)).await;
     // The holder may now have stored the sum of a window that the platform has no report of.
-    site.platform.set_fault(platform::Fault::Lost);
+    site.platform.set_fault(platform::Fault::LoseAnswers);
     sleep(WINDOW_LENGTH).await;
-    let holder = site.platform.holder();
+    let holder = site.platform.last_reporter();
     let killed_instance = site
         .instances
         .iter_mut()
@@ -122,8 +122,8 @@
     site.platform.set_fault(platform::Fault::None);
     answered += send_requests(&mut site, 2, "after").await;
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
-    assert_ne!(site.platform.holder(), holder);
-    assert_eq!(site.platform.total("a"), answered);
+    assert_ne!(site.platform.last_reporter(), holder);
+    assert_eq!(site.platform.request_count("a"), answered);
     assert_no_missing_window(&site);
 }
 
@@ -141,6 +141,6 @@
     site.store.set_faults(store::Faults::default());
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
     assert_eq!(answered, 12);
-    assert_eq!(site.platform.total("a"), answered);
+    assert_eq!(site.platform.request_count("a"), answered);
     assert_no_missing_window(&site);
 }
