--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -158,8 +158,8 @@
     }
     let shape = Shape {
         groups: 5,
-        size: 4,
-        wanted: 4,
+        group_size: 4,
+        wanted_groups: 4,
     };
     let store = site.store.clone();
     let mut trainer = Trainer::new("t", &load_balancer, &store, &recorder, shape, options.seed);
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -21,11 +21,11 @@
 use tokio::time::{Instant, sleep};
 
 /// How long a call may take.
-const PATIENCE: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest wait for a step.
-const STEP: Duration = Duration::from_secs(25);
+const STEP_TIMEOUT: Duration = Duration::from_secs(25);
 /// After the end of a lot its items must not come to an engine any more.
-const CANCEL: Duration = Duration::from_secs(3);
+const MAX_CANCEL_TIME: Duration = Duration::from_secs(3);
 
 /// One step's shape.
 #[derive(Clone, Copy, Debug)]
@@ -33,9 +33,9 @@
     /// Groups of a lot.
     pub groups: usize,
     /// Items of a group.
-    pub size: usize,
+    pub group_size: usize,
     /// Whole groups that are waited for.
-    pub wanted: usize,
+    pub wanted_groups: usize,
 }
 
 /// A trainer.
@@ -56,8 +56,8 @@
     pub refused: u64,
 }
 
-/// Positions of a lot that were seen.
-type Seen = BTreeMap<usize, Value>;
+/// Results of a lot that were read, by position.
+type KnownResults = BTreeMap<usize, Value>;
 
 impl Trainer {
     /// A trainer that talks to the instances behind `load_balancer`.
@@ -96,36 +96,36 @@
     pub async fn step(&mut self, step: u64) {
         let lot = format!("{}-{step}", self.name);
         let oldest = self.version.saturating_sub(1).max(1);
-        let (items, body) = self.lot(&lot, oldest);
+        let (items, body) = self.build_lot(&lot, oldest);
         if !self.submit(&lot, &body).await {
             self.refused += 1;
             sleep(Duration::from_millis(300)).await;
             return;
         }
-        let mut seen = Seen::new();
-        let end = Instant::now() + STEP;
-        let mut whole = false;
-        while !whole && Instant::now() < end {
-            self.read(&lot, &mut seen).await;
-            whole = self.is_whole(&items, &seen);
+        let mut known = KnownResults::new();
+        let end = Instant::now() + STEP_TIMEOUT;
+        let mut is_complete = false;
+        while !is_complete && Instant::now() < end {
+            self.read_results(&lot, &mut known).await;
+            is_complete = self.has_wanted_groups(&items, &known);
         }
-        if whole {
+        if is_complete {
             self.done += 1;
         } else {
             self.given_up += 1;
         }
-        self.check(&lot, oldest, &items, &seen);
-        self.end(&lot, &items).await;
+        self.check_results(&lot, oldest, &items, &known);
+        self.end_lot(&lot, &items).await;
         self.version += 1;
         let version = json!({"model": MODEL, "version": self.version});
         self.store.put("versions", MODEL, version);
     }
 
-    fn lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
+    fn build_lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
         for group in 0..self.shape.groups {
-            for at in 0..self.shape.size {
+            for at in 0..self.shape.group_size {
                 let id = format!("{lot}.{group}.{at}");
                 items.push(json!({
                     "id": id, "path": "/lots/x", "headers": {"X-Model": MODEL},
@@ -137,7 +137,7 @@
         }
         let body = json!({
             "step": 1, "model": MODEL, "minVersion": oldest,
-            "desiredCount": self.shape.wanted, "items": items,
+            "desiredCount": self.shape.wanted_groups, "items": items,
         });
         (ids, body.to_string().into())
     }
@@ -152,12 +152,12 @@
         let headers = [
             ("host", HOST.to_owned()),
             ("x-request-id", id.to_owned()),
-            ("x-deadline-ms", PATIENCE.as_millis().to_string()),
+            ("x-deadline-ms", CALL_TIMEOUT.as_millis().to_string()),
             ("x-wait-ms", "500".to_owned()),
             ("authorization", format!("Bearer {API_KEY}")),
         ];
         let address = self.load_balancer.pick().caller_address;
-        let wait = PATIENCE + Duration::from_millis(500);
+        let wait = CALL_TIMEOUT + Duration::from_millis(500);
         call(address, method, target, &headers, body, wait)
             .await
             .ok()
@@ -165,7 +165,7 @@
 
     /// Submits until it is accepted; tells whether it was.
     async fn submit(&mut self, lot: &str, body: &Bytes) -> bool {
-        let end = Instant::now() + STEP;
+        let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
             let answer = self
                 .call(Method::POST, "/lots/new", lot, body.clone())
@@ -182,9 +182,9 @@
         false
     }
 
-    /// Reads on from what was seen, at times from an earlier position.
-    async fn read(&mut self, lot: &str, seen: &mut Seen) {
-        let next = seen.len();
+    /// Reads on after the known results, at times from an earlier position.
+    async fn read_results(&mut self, lot: &str, known: &mut KnownResults) {
+        let next = known.len();
         let from = if self.rng.random_bool(0.2) {
             self.rng.random_range(0..=next)
         } else {
@@ -205,7 +205,7 @@
         }
         let reading: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         let total = reading["total"].as_u64();
-        if total != Some((self.shape.groups * self.shape.size) as u64) {
+        if total != Some((self.shape.groups * self.shape.group_size) as u64) {
             self.recorder
                 .record_violation(format!("lot {lot} has a total of {total:?}"));
         }
@@ -215,7 +215,7 @@
                 .record_violation(format!("lot {lot}: position {from} went away"));
         }
         for (at, result) in results.into_iter().enumerate() {
-            let before = seen.insert(from + at, result.clone());
+            let before = known.insert(from + at, result.clone());
             if before.is_some_and(|before| before != result) {
                 self.recorder
                     .record_violation(format!("lot {lot}: position {} changed", from + at));
@@ -223,22 +223,22 @@
         }
     }
 
-    fn is_whole(&self, items: &BTreeMap<String, usize>, seen: &Seen) -> bool {
+    fn has_wanted_groups(&self, items: &BTreeMap<String, usize>, known: &KnownResults) -> bool {
         let mut listed = vec![0; self.shape.groups];
-        for result in seen.values() {
+        for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if let Some(group) = items.get(id) {
                 listed[*group] += 1;
             }
         }
-        let whole = listed.iter().filter(|count| **count >= self.shape.size);
-        whole.count() >= self.shape.wanted
+        let whole = listed.iter().filter(|count| **count >= self.shape.group_size);
+        whole.count() >= self.shape.wanted_groups
     }
 
     /// Checks every result against what engines and scorers did.
-    fn check(&self, lot: &str, oldest: u64, items: &BTreeMap<String, usize>, seen: &Seen) {
+    fn check_results(&self, lot: &str, oldest: u64, items: &BTreeMap<String, usize>, known: &KnownResults) {
         let mut ids = BTreeSet::new();
-        for result in seen.values() {
+        for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if !items.contains_key(id) {
                 self.recorder
@@ -248,12 +248,12 @@
                 self.recorder.record_violation(format!("lot {lot} lists {id} twice"));
             }
             if result["state"] == "completed" {
-                self.check_sample(id, oldest, result);
+                self.check_completed(id, oldest, result);
             }
         }
     }
 
-    fn check_sample(&self, id: &str, oldest: u64, result: &Value) {
+    fn check_completed(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
             self.recorder.record_violation(format!("{id}: the text is not whole"));
         }
@@ -276,17 +276,17 @@
     }
 
     /// Ends a lot and checks later that nothing of it is still sent to engines.
-    async fn end(&mut self, lot: &str, items: &BTreeMap<String, usize>) {
+    async fn end_lot(&mut self, lot: &str, items: &BTreeMap<String, usize>) {
         let target = format!("/v1/lots/{lot}");
-        let end = Instant::now() + STEP;
+        let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
             let answer = self.call(Method::DELETE, &target, lot, Bytes::new()).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
                 let (recorder, items) = (Rc::clone(&self.recorder), items.keys().cloned().collect());
-                let limit = Instant::now() + CANCEL;
+                let limit = Instant::now() + MAX_CANCEL_TIME;
                 let lot = lot.to_owned();
                 actix_rt::spawn(async move {
-                    sleep(CANCEL + Duration::from_secs(2)).await;
+                    sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
                     if recorder.any_arrived_after(&items, limit) {
                         recorder.record_violation(format!("lot {lot}: an item was run long after its end"));
                     }
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -39,8 +39,8 @@
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 2,
-        size: 4,
-        wanted: 2,
+        group_size: 4,
+        wanted_groups: 2,
     };
     let mut trainer = Trainer::new("again", &load_balancer, &site.store, &recorder, shape, 1);
     let restart = async {
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -20,8 +20,8 @@
 };
 const SHAPE: Shape = Shape {
     groups: 4,
-    size: 4,
-    wanted: 3,
+    group_size: 4,
+    wanted_groups: 3,
 };
 const WAIT: Duration = Duration::from_secs(3);
 
@@ -288,7 +288,7 @@
     slow_down(&site, 8);
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let mut trainer = Trainer::new("stop", &load_balancer, &site.store, &recorder, SHAPE, 1);
-    let whole = Shape { wanted: 4, ..SHAPE };
+    let whole = Shape { wanted_groups: 4, ..SHAPE };
     let mut stopped = Trainer::new("stopped", &load_balancer, &site.store, &recorder, whole, 2);
     trainer.step(0).await;
     let before = recorder.event_count();
@@ -321,7 +321,7 @@
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 8,
-        wanted: 8,
+        wanted_groups: 8,
         ..SHAPE
     };
     let mut trainer = Trainer::new("killed", &load_balancer, &site.store, &recorder, shape, 2);
