--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -101,7 +101,7 @@
             self.seed,
             self.injected.len(),
             self.orders,
-            self.call_count,
+            self.calls,
             self.taken,
             self.broken.len(),
         )
