--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -1,43 +1,44 @@
-//! A live caller that checks each answer.
+//! A caller that sends live requests and checks each answer.
 
 use super::{
+    http::{Answer, Failure, call},
     load_balancer::LoadBalancer,
     recorder::Recorder,
-    http::{Answer, Failure, call},
     service,
-    site::{HOST, API_KEY},
+    site::{API_KEY, HOST},
 };
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Deadline that a caller gives its requests.
+const DEADLINE: Duration = Duration::from_secs(2);
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(30);
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
 
-/// What a caller asks.
+/// The kind of a request, which decides its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A request that may run more than once.
     Repeatable,
-    /// A request that may run once at most.
+    /// A request that may run at most once.
     Once,
 }
 
-/// Answers that callers got.
+/// Counts of the answers that callers got.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Good ones.
+    /// Successful answers.
     pub good: Cell<u64>,
-    /// Refusals as not run.
+    /// Refusals, which promise that the request did not run.
     pub not_run: Cell<u64>,
-    /// Failures that promise nothing, and connections without a whole answer.
+    /// Other failures and incomplete answers: the request may have run.
     pub unknown: Cell<u64>,
 }
 
-/// Sends requests until `end`, each on a fresh connection to an instance that the balancer picks.
+/// Sends requests until `end`, each on a new connection to an instance that the load balancer
+/// picks.
 pub async fn run(
     load_balancer: Rc<LoadBalancer>,
     kind: Kind,
@@ -50,13 +51,26 @@
     while Instant::now() < end {
         number += 1;
         let id = format!("{name}-{number}");
-        ask(load_balancer.pick().caller_address, kind, &id, &recorder, &tally).await;
-        sleep(PAUSE).await;
+        send_request(
+            load_balancer.pick().caller_address,
+            kind,
+            &id,
+            &recorder,
+            &tally,
+        )
+        .await;
+        sleep(REQUEST_PAUSE).await;
     }
 }
 
-/// Sends one request and checks what comes back.
-pub async fn ask(address: SocketAddr, kind: Kind, id: &str, recorder: &Recorder, tally: &Tally) {
+/// Sends a request, and checks and counts the answer.
+pub async fn send_request(
+    address: SocketAddr,
+    kind: Kind,
+    id: &str,
+    recorder: &Recorder,
+    tally: &Tally,
+) {
     let path = match kind {
         Kind::Repeatable => "/live/x",
         Kind::Once => "/once/x",
@@ -64,32 +78,32 @@
     let headers = [
         ("host", HOST.into()),
         ("x-request-id", id.into()),
-        ("x-deadline-ms", PATIENCE.as_millis().to_string()),
+        ("x-deadline-ms", DEADLINE.as_millis().to_string()),
         ("authorization", format!("Bearer {API_KEY}")),
     ];
     let body = Bytes::from(format!("from {id}"));
-    // A little longer than the deadline, which the answer should keep.
-    let wait = PATIENCE + Duration::from_millis(500);
-    match call(address, Method::POST, path, &headers, body, wait).await {
-        Ok(answer) => judge(kind, id, &answer, recorder, tally),
-        Err(Failure::NotOpened | Failure::Cut | Failure::Late) => bump(&tally.unknown),
+    // The answer should arrive before the deadline, so this leaves it a little more time.
+    let timeout = DEADLINE + Duration::from_millis(500);
+    match call(address, Method::POST, path, &headers, body, timeout).await {
+        Ok(answer) => check_answer(kind, id, &answer, recorder, tally),
+        Err(Failure::NotOpened | Failure::Cut | Failure::Late) => increment(&tally.unknown),
     }
     if kind == Kind::Once && recorder.run_count(id) > 1 {
         recorder.record_violation(format!("{id} ran {} times", recorder.run_count(id)));
     }
 }
 
-fn bump(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-fn judge(kind: Kind, id: &str, answer: &Answer, recorder: &Recorder, tally: &Tally) {
+fn check_answer(kind: Kind, id: &str, answer: &Answer, recorder: &Recorder, tally: &Tally) {
     if answer.status.is_success() {
-        bump(&tally.good);
-        let whole = answer.body == service::body(id).as_bytes();
-        let signed = answer.header("x-response-stamp").is_some();
-        let own = answer.header("x-request-id") == Some(id);
-        if !(whole && signed && own) {
+        increment(&tally.good);
+        let is_whole = answer.body == service::answer_body(id).as_bytes();
+        let has_stamp = answer.header("x-response-stamp").is_some();
+        let has_own_id = answer.header("x-request-id") == Some(id);
+        if !(is_whole && has_stamp && has_own_id) {
             recorder.record_violation(format!(
                 "{id} got an answer that is not its own or not whole"
             ));
@@ -98,7 +112,7 @@
     }
     match answer.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            bump(&tally.not_run);
+            increment(&tally.not_run);
             if kind == Kind::Once && recorder.run_count(id) > 0 {
                 recorder.record_violation(format!("{id} was refused as not run, and ran"));
             }
@@ -108,6 +122,6 @@
         }
         StatusCode::UNAUTHORIZED => recorder.record_violation(format!("{id} was refused its key")),
         StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} found no route")),
-        _ => bump(&tally.unknown),
+        _ => increment(&tally.unknown),
     }
 }
--- a/crates/pinereel_fakes/src/hosting/cli.rs
+++ b/crates/pinereel_fakes/src/hosting/cli.rs
@@ -1,10 +1,10 @@
-//! `pinereel-fakes soak`: seeds of the fault soak, one after the other.
+//! The subcommand `soak` of `pinereel-fakes`: runs the soak test with one seed after another.
 
 use super::soak::{Options, Report, run};
 use lexopt::{Arg::Long, Parser};
 use std::{fs, io, path::PathBuf, process::ExitCode, time::Duration};
 
-/// Help on the flags.
+/// Help text for the flags.
 pub const HELP: &str = "  --seed N               first seed (default 1)
   --runs N               seeds to run, one after the other (default 1)
   --seconds N            how long faults go on in each (default 20)
@@ -19,13 +19,16 @@
 
 struct Flags {
     options: Options,
+    /// Number of seeds to run.
     runs: u64,
-    logs: Option<PathBuf>,
+    /// Folder for the logs of failed seeds.
+    log_folder: Option<PathBuf>,
 }
 
-/// Runs the tool; it fails if a promise was broken.
+/// Runs the seeds. The exit code is 1 if a seed violated a guarantee or could not run, and 2 if the
+/// flags are invalid.
 pub fn main(parser: Parser) -> ExitCode {
-    let flags = match flags(parser) {
+    let flags = match parse_flags(parser) {
         Ok(flags) => flags,
         Err(error) => {
             eprintln!("pinereel-fakes: {error}; see --help");
@@ -43,7 +46,7 @@
                 println!("{report}");
                 if !report.broken.is_empty() {
                     failed.push(seed);
-                    if let Err(error) = keep(&flags, &report) {
+                    if let Err(error) = write_log(&flags, &report) {
                         eprintln!("pinereel-fakes: logs of seed {seed}: {error}");
                     }
                 }
@@ -62,9 +65,9 @@
     ExitCode::from(u8::from(!failed.is_empty()))
 }
 
-/// Writes what is needed to trace a failed seed.
-fn keep(flags: &Flags, report: &Report) -> io::Result<()> {
-    let Some(folder) = &flags.logs else {
+/// Writes the violations, faults and logs of a failed seed to a file, if the flags name a folder.
+fn write_log(flags: &Flags, report: &Report) -> io::Result<()> {
+    let Some(folder) = &flags.log_folder else {
         return Ok(());
     };
     fs::create_dir_all(folder)?;
@@ -74,16 +77,16 @@
     fs::write(folder.join(format!("seed-{}.log", report.seed)), text)
 }
 
-fn flags(mut parser: Parser) -> Result<Flags, lexopt::Error> {
+fn parse_flags(mut parser: Parser) -> Result<Flags, lexopt::Error> {
     let mut options = Options::default();
-    let (mut runs, mut logs) = (1, None);
+    let (mut runs, mut log_folder) = (1, None);
     while let Some(arg) = parser.next()? {
         let Long(name) = arg else {
             return Err(arg.unexpected());
         };
         let name = name.to_owned();
         if name == "logs" {
-            logs = Some(PathBuf::from(parser.value()?));
+            log_folder = Some(PathBuf::from(parser.value()?));
             continue;
         }
         if name == "crashing" {
@@ -107,6 +110,6 @@
     Ok(Flags {
         options,
         runs,
-        logs,
+        log_folder,
     })
 }
--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -1,12 +1,12 @@
-//! An endpoint in a process of its own, which crashes when a request tells it to, and is back some
-//! seconds later as a new start at the same address.
+//! An endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`] and
+//! restarts some seconds later at the same address with a new id.
 //!
-//! The process ([`main`]) ends by an abort, so that the system closes its connections and nothing
-//! listens any more, as after a real crash. [`Endpoint`] is its keeper in the test's process.
+//! The process ([`main`]) aborts, so that the operating system closes its connections and its
+//! listener, as after a real crash. [`Endpoint`] starts and restarts it from the test's process.
 
 use super::{
-    engine::{data, header, set, stamp},
-    service::body,
+    engine::{event_data, header, response_stamp, set_header},
+    service::answer_body,
     site::{MODEL, unique_loopback_ip},
     store::Store,
 };
@@ -44,72 +44,73 @@
   --until-stdin-closes   end when standard input closes
   --help                 print this";
 
-/// A request whose body holds this word crashes the endpoint at the end of its work.
+/// A request whose body contains this word crashes the endpoint at the end of its run.
 pub const CRASH_MARKER: &str = "crash";
-/// A request whose body holds this word runs for [`SLOW_REQUEST_TIME`].
+/// A request whose body contains this word runs for 400 ms instead of 25 ms.
 pub const SLOW_MARKER: &str = "linger";
-/// Port of each; every one has an address of its own.
+/// Port of all endpoints, each of which has its own address.
 const PORT: u16 = 9_480;
-/// Time of one request.
+/// Time that a request runs.
 const REQUEST_TIME: Duration = Duration::from_millis(25);
-/// Time of a long one.
+/// Time that a request with [`SLOW_MARKER`] runs.
 const SLOW_REQUEST_TIME: Duration = Duration::from_millis(400);
-/// Events of a stream, and the pause before each.
+/// Number of events of a stream.
 const EVENTS_PER_STREAM: u64 = 4;
+/// Time that an event takes.
 const EVENT_TIME: Duration = Duration::from_millis(30);
-/// Requests that run at once.
+/// Number of requests that may run at once, as registered.
 const SLOTS: u32 = 6;
-/// Pause between two looks at the process.
+/// Pause between two checks whether the process has exited.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest body.
+/// Longest body of a request.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What kind of endpoint it is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers requests.
+    /// The endpoint of a plain service: answers requests.
     Plain,
-    /// It makes the texts of items.
+    /// An engine: streams the texts of items.
     Engine,
 }
 
-/// One crash.
+/// A crash of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Crash {
-    /// Which start of which endpoint.
+    /// Id of the endpoint, which differs between its starts.
     pub endpoint: String,
-    /// The body of the request under which it crashed; empty if it crashed by itself.
+    /// Body of the request that caused the crash; empty if no request did.
     pub under: String,
-    /// When it was seen.
+    /// When the crash was detected.
     pub at: Instant,
 }
 
 /// The crashes of all endpoints of a test.
 pub type Crashes = Rc<RefCell<Vec<Crash>>>;
 
-/// A change of the platform's list.
+/// A change of the platform's endpoint list.
 #[derive(Clone, Debug)]
 pub enum ListChange {
-    /// A start of an endpoint is there.
+    /// An endpoint was started.
     Added {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
-        /// Where it serves.
+        /// Address at which the endpoint serves.
         address: SocketAddr,
     },
-    /// It is not listed any more.
+    /// An endpoint is to be removed from the list.
     Removed {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
     },
 }
 
-/// Writes the platform's list.
+/// Writes a change to the platform's endpoint list.
 pub type ListWriter = Rc<dyn Fn(ListChange)>;
 
-/// The keeper of one endpoint.
+/// An endpoint whose process is restarted after each crash.
 pub struct Endpoint {
-    /// Where it serves.
+    /// Address at which the endpoint serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -122,16 +123,17 @@
     restart_delay: Cell<Duration>,
     starts: Cell<u32>,
     child: RefCell<Option<Child>>,
-    /// What earlier processes printed.
+    /// Output of earlier processes.
     earlier_lines: RefCell<Vec<String>>,
     crashes: Crashes,
 }
 
 impl Endpoint {
-    /// Starts an endpoint of `service` in the object store's list, that is back `down` after each crash.
+    /// Starts an endpoint of `service`, which is registered in `store` and restarted
+    /// `restart_delay` after each crash.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(
         store: &Store,
         (service, mode): (&str, Mode),
@@ -139,20 +141,26 @@
         crashes: &Crashes,
     ) -> io::Result<Self> {
         let (store, service) = (store.clone(), service.to_owned());
-        let list = move |change| match change {
+        let write_list = move |change| match change {
             ListChange::Added { id, address } => {
                 store.put("servers", &id, list_entry(&service, mode, address));
             }
             ListChange::Removed { id } => store.remove("servers", &id),
         };
-        Self::start_with_list(Rc::new(list), mode, restart_delay, crashes)
+        Self::start_with_list(Rc::new(write_list), mode, restart_delay, crashes)
     }
 
-    /// Starts an endpoint that `list` hears of, and that is back `down` after each crash.
+    /// Starts an endpoint, which is registered by `write_list` and restarted `restart_delay` after
+    /// each crash.
     ///
     /// # Errors
-    /// If it cannot be started.
-    pub fn start_with_list(write_list: ListWriter, mode: Mode, restart_delay: Duration, crashes: &Crashes) -> io::Result<Self> {
+    /// If the process cannot be started.
+    pub fn start_with_list(
+        write_list: ListWriter,
+        mode: Mode,
+        restart_delay: Duration,
+        crashes: &Crashes,
+    ) -> io::Result<Self> {
         let address = SocketAddr::from((unique_loopback_ip(), PORT));
         let state = Rc::new(State {
             id_prefix: format!("f-{}", address.ip()),
@@ -171,22 +179,22 @@
         Ok(Self { address, state })
     }
 
-    /// Ids of the requests that it has run, of all starts.
+    /// Returns the ids of the requests that the endpoint has run since its first start.
     pub fn run_request_ids(&self) -> Vec<String> {
         let lines = self.state.lines();
         let runs = lines.iter().filter_map(|line| line.strip_prefix("run "));
         runs.map(ToOwned::to_owned).collect()
     }
 
-    /// Ends it as a crash of its own would.
+    /// Kills the process: a crash that no request caused.
     pub fn crash(&self) {
         if let Some(child) = &mut *self.state.child.borrow_mut() {
-            // It may just have ended.
+            // The process may have exited in the meantime.
             let _ = child.signal(crate::launch::Signal::KILL);
         }
     }
 
-    /// Takes it away for good.
+    /// Kills the process, deregisters the endpoint, and does not restart it.
     pub fn remove(&self) {
         self.state.restart_delay.set(Duration::MAX);
         self.crash();
@@ -194,16 +202,18 @@
 }
 
 impl State {
+    /// Returns the id of the current start.
     fn id(&self) -> String {
         format!("{}-{}", self.id_prefix, self.starts.get())
     }
 
+    /// Returns the output of all processes of the endpoint.
     fn lines(&self) -> Vec<String> {
         let now = self.child.borrow().as_ref().map(Child::lines);
         [self.earlier_lines.borrow().clone(), now.unwrap_or_default()].concat()
     }
 
-    /// Starts the process and lists it.
+    /// Starts the process and registers the endpoint.
     fn start_process(&self) -> io::Result<()> {
         self.starts.set(self.starts.get() + 1);
         let mut command = Command::new(binary()?);
@@ -216,7 +226,7 @@
         let child = Child::start(&mut command)?;
         if child.line("listening", Duration::from_secs(5)).is_none() {
             let lines = child.lines().join("\n");
-            return Err(io::Error::other(format!("no endpoint: {lines}")));
+            return Err(io::Error::other(format!("the endpoint does not listen: {lines}")));
         }
         self.child.replace(Some(child));
         (self.write_list)(ListChange::Added {
@@ -226,7 +236,7 @@
         Ok(())
     }
 
-    /// Waits for crashes, and starts the endpoint again.
+    /// Waits for crashes, and restarts the endpoint after each.
     async fn restart_after_crashes(&self) {
         loop {
             sleep(EXIT_CHECK_INTERVAL).await;
@@ -243,7 +253,7 @@
                 return;
             }
             sleep(self.restart_delay.get()).await;
-            // A crash says nothing to the store: the entry goes after some silence.
+            // A crashed endpoint cannot deregister: the entry stays in the list for some time.
             (self.write_list)(ListChange::Removed { id: self.id() });
             let lines = self.lines();
             self.earlier_lines.replace(lines);
@@ -255,6 +265,7 @@
         }
     }
 
+    /// Records the crash of the process that has just exited.
     fn record_crash(&self) {
         let child = self.child.borrow();
         let line = child
@@ -269,7 +280,7 @@
     }
 }
 
-/// An endpoint's entry in the object store's list.
+/// Returns the endpoint's entry in the object store.
 fn list_entry(service: &str, mode: Mode, address: SocketAddr) -> Value {
     json!({
         "service": service, "addr": address.to_string(), "zone": "here",
@@ -281,12 +292,12 @@
     })
 }
 
-/// The tools' binary lies beside the tests'.
+/// Path of the binary of the stand-ins.
 fn binary() -> io::Result<std::path::PathBuf> {
     super::site::binary_path("pinereel-fakes")
 }
 
-/// Runs the endpoint as this process.
+/// Runs the endpoint in this process; the subcommand `fragile`.
 pub fn main(parser: Parser) -> ExitCode {
     match actix_rt::System::new().block_on(run(parser)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -297,7 +308,7 @@
     }
 }
 
-/// What the process was told.
+/// Options of the process.
 struct Options {
     id: String,
     mode: Mode,
@@ -342,21 +353,26 @@
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     println!("run {id}");
     let is_slow = body.contains(SLOW_MARKER);
-    sleep(if is_slow { SLOW_REQUEST_TIME } else { REQUEST_TIME }).await;
+    sleep(if is_slow {
+        SLOW_REQUEST_TIME
+    } else {
+        REQUEST_TIME
+    })
+    .await;
     if body.contains(CRASH_MARKER) {
         println!("crash under {body}");
         std::process::abort();
     }
     match options.mode {
-        Mode::Plain => answer(options, &id),
+        Mode::Plain => plain_answer(options, &id),
         Mode::Engine => stream_events(options, &id, after.unwrap_or(0) + 1),
     }
 }
 
-fn answer(options: &Options, id: &str) -> Response {
-    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(body(id)));
-    set(&mut answer, "x-request-id", id);
-    set(&mut answer, "x-response-stamp", &stamp(&options.id, id));
+fn plain_answer(options: &Options, id: &str) -> Response {
+    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(answer_body(id)));
+    set_header(&mut answer, "x-request-id", id);
+    set_header(&mut answer, "x-response-stamp", &response_stamp(&options.id, id));
     answer
 }
 
@@ -367,15 +383,15 @@
             return None;
         }
         sleep(EVENT_TIME).await;
-        let event = format!("id: {number}\ndata: {}\n\n", data(&item, number));
+        let event = format!("id: {number}\ndata: {}\n\n", event_data(&item, number));
         Some((Ok::<_, io::Error>(Bytes::from(event)), (item, number + 1)))
     });
     let body = BoxBody::new(BodyStream::new(Box::pin(events)));
     let mut answer = Response::new(StatusCode::OK).set_body(body);
-    set(&mut answer, "content-type", "text/event-stream");
-    set(&mut answer, "x-request-id", id);
-    set(&mut answer, "x-response-stamp", &stamp(&options.id, id));
-    set(&mut answer, "x-weight-versions", "1");
+    set_header(&mut answer, "content-type", "text/event-stream");
+    set_header(&mut answer, "x-request-id", id);
+    set_header(&mut answer, "x-response-stamp", &response_stamp(&options.id, id));
+    set_header(&mut answer, "x-weight-versions", "1");
     answer
 }
 
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -1,7 +1,8 @@
-//! A model engine: streams events, loads versions on orders, lists itself in the store.
+//! A model engine: streams the events of items, loads versions of the weights on orders, and
+//! registers in the store.
 
 use super::{
-    recorder::{Recorder, Order, CallerIdentity},
+    recorder::{CallerIdentity, Order, Recorder},
     store::Store,
 };
 use actix_http::{
@@ -26,34 +27,34 @@
     time::{Instant, sleep},
 };
 
-/// Requests that run at once.
+/// Number of requests that may run at once, as registered.
 pub const SLOTS: u32 = 4;
-/// Requests that wait beside them.
-const QUEUE: u32 = 8;
-/// Time of one event.
-const EVENT: Duration = Duration::from_millis(12);
-/// Time of a load.
-const LOAD: Duration = Duration::from_millis(300);
-/// Events of the longest text.
-const MOST_EVENTS: u64 = 24;
+/// Number of requests that may wait for a slot.
+const MAX_QUEUED: u32 = 8;
+/// Time that an event takes.
+const EVENT_TIME: Duration = Duration::from_millis(12);
+/// Time that the load of a version takes.
+const LOAD_TIME: Duration = Duration::from_millis(300);
+/// Maximum number of events of a text.
+const MAX_EVENTS: u64 = 24;
 
-/// What an engine does wrong.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Events take so many times as long; 0 and 1 change nothing.
+    /// Factor by which the time of an event is multiplied; 0 counts as 1.
     pub slow_factor: u32,
-    /// Breaks each stream off after so many events.
+    /// Number of events after which each stream is aborted.
     pub cut_after: Option<u64>,
-    /// Orders get no answer and are carried out 1 s later.
+    /// Whether orders are carried out after 1 s and answered only a minute later.
     pub late_orders: bool,
 }
 
 /// A running engine.
 #[derive(Clone)]
 pub struct Engine {
-    /// Its id.
+    /// Id of the engine.
     pub id: Rc<String>,
-    /// Where it serves.
+    /// Address at which the engine serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -68,7 +69,7 @@
     busy: Cell<bool>,
     order_count: Cell<u64>,
     max_fencing_token: Cell<u64>,
-    /// When it last started, in milliseconds; only its order counts.
+    /// Number of this start, in place of its time in milliseconds: only the order matters.
     incarnation: Cell<u64>,
     running: Rc<Cell<u32>>,
     faults: Cell<Faults>,
@@ -76,33 +77,33 @@
     advertised: RefCell<String>,
 }
 
-/// Counts a run until dropped.
-struct Running(Rc<Cell<u32>>);
+/// Counts a run in the number of running requests until dropped.
+struct RunGuard(Rc<Cell<u32>>);
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Number of events of an item's text.
-pub fn events(item: &str) -> u64 {
-    1 + hash::stable(item.as_bytes()) % MOST_EVENTS
+/// Returns the number of events of an item's text.
+pub fn event_count(item: &str) -> u64 {
+    1 + hash::stable(item.as_bytes()) % MAX_EVENTS
 }
 
-/// The data of one event of an item: the same at every engine and version.
-pub fn data(item: &str, number: u64) -> String {
+/// Returns the data of one event of an item, the same at every engine and version.
+pub fn event_data(item: &str, number: u64) -> String {
     format!("{:016x}", hash::rendezvous(number, item))
 }
 
-/// An item's whole text.
+/// Returns the complete text of an item.
 pub fn text(item: &str) -> String {
-    let parts: Vec<_> = (1..=events(item)).map(|n| data(item, n)).collect();
+    let parts: Vec<_> = (1..=event_count(item)).map(|n| event_data(item, n)).collect();
     parts.join("\n")
 }
 
 impl Engine {
-    /// Starts an engine on a free port; it lists itself under `advertised` or its own address.
+    /// Starts an engine on a free port, without registering it.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -144,13 +145,13 @@
         })
     }
 
-    /// Lists the engine in the store, as reached under `advertised`.
+    /// Registers the engine in the store with the address `advertised`.
     pub fn register(&self, advertised: SocketAddr) {
         self.state.advertised.replace(advertised.to_string());
         self.state.write_entry();
     }
 
-    /// Starts again under its id: it holds and knows nothing of before, its counts start anew.
+    /// Simulates a restart under the same id: the order count and the fencing token are lost.
     pub fn restart(&self) {
         let state = &self.state;
         state.incarnation.set(state.incarnation.get() + 1);
@@ -160,29 +161,30 @@
         state.write_entry();
     }
 
-    /// Takes it off the list.
+    /// Removes the engine's entry from the store.
     pub fn deregister(&self) {
         self.state.store.remove("servers", &self.id);
     }
 
-    /// Announces that it leaves.
+    /// Announces in the store that the engine leaves; items that still arrive are recorded.
     pub fn leave(&self) {
         self.state.leaving_since.set(Some(Instant::now()));
         self.state.write_entry();
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the faults that are in force from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state.faults.set(faults);
     }
 
-    /// Version that it serves.
+    /// Returns the version of the weights that is loaded.
     pub fn version(&self) -> u64 {
         self.state.version.get()
     }
 }
 
 impl State {
+    /// Writes the engine's entry to the store.
     fn write_entry(&self) {
         let leaving = self.leaving_since.get().is_some();
         let entry = json!({
@@ -200,20 +202,21 @@
         self.store.put("servers", &self.id, entry);
     }
 
-    fn load(self: &Rc<Self>, version: u64) {
+    /// Counts an order and starts to load `version`.
+    fn start_load(self: &Rc<Self>, version: u64) {
         self.order_count.set(self.order_count.get() + 1);
         self.busy.set(true);
         let state = Rc::clone(self);
         actix_rt::spawn(async move {
-            sleep(LOAD).await;
+            sleep(LOAD_TIME).await;
             state.version.set(version);
             state.busy.set(false);
             state.write_entry();
         });
     }
 
-    /// Judges an order and carries it out if it is good.
-    fn order(self: &Rc<Self>, order: &Value) -> StatusCode {
+    /// Checks an order, and carries it out if it is accepted. Returns the status of the answer.
+    fn handle_order(self: &Rc<Self>, order: &Value) -> StatusCode {
         let fence = order["fenceToken"].as_u64().unwrap_or_default();
         let version = order["version"].as_u64().unwrap_or_default();
         let expected = order["expected"].as_u64();
@@ -235,7 +238,7 @@
             accepted: status == StatusCode::ACCEPTED,
         });
         if status == StatusCode::ACCEPTED {
-            self.load(version);
+            self.start_load(version);
         }
         status
     }
@@ -266,10 +269,10 @@
             let order: Value = order.unwrap_or_default();
             if state.faults.get().late_orders {
                 sleep(Duration::from_secs(1)).await;
-                state.order(&order);
+                state.handle_order(&order);
                 sleep(Duration::from_secs(60)).await;
             }
-            http::empty(state.order(&order))
+            http::empty(state.handle_order(&order))
         }
         _ => generate(&state, &request),
     }
@@ -281,64 +284,64 @@
     if let Some(since) = state.leaving_since.get() {
         state.recorder.record_late_request(&item, since.elapsed());
     }
-    let full = state.running.get() >= SLOTS + QUEUE;
+    let full = state.running.get() >= SLOTS + MAX_QUEUED;
     if state.busy.get() || full {
         let mut refusal = http::empty(StatusCode::SERVICE_UNAVAILABLE);
-        set(&mut refusal, "x-not-executed", "1");
+        set_header(&mut refusal, "x-not-executed", "1");
         return refusal;
     }
     state.recorder.record_caller(&item, caller_identity(headers));
     state.recorder.record_arrival(&item);
     let after = header(headers, "last-event-id").and_then(|n| n.parse().ok());
     state.running.set(state.running.get() + 1);
-    let running = Running(Rc::clone(&state.running));
+    let guard = RunGuard(Rc::clone(&state.running));
     let first = after.unwrap_or(0) + 1;
     let version = state.version.get();
     let stream = stream::unfold(
-        (Rc::clone(state), item.clone(), first, version, 0, running),
+        (Rc::clone(state), item.clone(), first, version, 0, guard),
         next_event,
     );
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(BodyStream::new(stream)));
-    set(&mut answer, "content-type", "text/event-stream");
-    set(&mut answer, "x-request-id", &item);
-    set(&mut answer, "x-response-stamp", &stamp(&state.id, &item));
-    if first <= events(&item) {
-        set(&mut answer, "x-weight-versions", &version.to_string());
+    set_header(&mut answer, "content-type", "text/event-stream");
+    set_header(&mut answer, "x-request-id", &item);
+    set_header(&mut answer, "x-response-stamp", &response_stamp(&state.id, &item));
+    if first <= event_count(&item) {
+        set_header(&mut answer, "x-weight-versions", &version.to_string());
     }
     answer
 }
 
-type Generation = (Rc<State>, String, u64, u64, u64, Running);
+type StreamState = (Rc<State>, String, u64, u64, u64, RunGuard);
 
 async fn next_event(
-    (state, item, number, version, made, running): Generation,
-) -> Option<(Result<Bytes, io::Error>, Generation)> {
+    (state, item, number, version, sent_count, guard): StreamState,
+) -> Option<(Result<Bytes, io::Error>, StreamState)> {
     let faults = state.faults.get();
-    if number > events(&item) {
+    if number > event_count(&item) {
         return None;
     }
-    if faults.cut_after.is_some_and(|most| made >= most) {
-        let torn = Err(io::Error::other("cut"));
-        return Some((torn, (state, item, u64::MAX, version, made, running)));
+    if faults.cut_after.is_some_and(|limit| sent_count >= limit) {
+        let aborted = Err(io::Error::other("stream aborted by a fault"));
+        return Some((aborted, (state, item, u64::MAX, version, sent_count, guard)));
     }
-    sleep(EVENT * faults.slow_factor.max(1)).await;
+    sleep(EVENT_TIME * faults.slow_factor.max(1)).await;
     let now = state.version.get();
     let mut event = format!("id: {number}\n");
     if now != version {
         event.push_str(&format!("x-weight-versions: {now}\n"));
     }
-    event.push_str(&format!("data: {}\n\n", data(&item, number)));
+    event.push_str(&format!("data: {}\n\n", event_data(&item, number)));
     state.recorder.record_event(&item, now);
-    let next = (state, item, number + 1, now, made + 1, running);
+    let next = (state, item, number + 1, now, sent_count + 1, guard);
     Some((Ok(event.into()), next))
 }
 
-/// The signature of an answer.
-pub fn stamp(endpoint: &str, id: &str) -> String {
+/// Returns the stamp of an answer, which names the endpoint that ran the request.
+pub fn response_stamp(endpoint: &str, id: &str) -> String {
     format!("{endpoint}.{id}")
 }
 
-/// What a head tells of the caller.
+/// Returns what the headers of a request say about its caller.
 pub(super) fn caller_identity(headers: &HeaderMap) -> CallerIdentity {
     CallerIdentity {
         workspace: header(headers, "x-tenant"),
@@ -346,11 +349,13 @@
     }
 }
 
+/// Returns the value of a header; `None` if it is missing or not visible ASCII.
 pub(super) fn header(headers: &HeaderMap, name: &str) -> Option<String> {
     Some(headers.get(name)?.to_str().ok()?.to_owned())
 }
 
-pub(super) fn set(response: &mut Response, name: &'static str, value: &str) {
+/// Sets a header, unless `value` is not a valid header value.
+pub(super) fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         let headers = response.headers_mut();
         headers.insert(HeaderName::from_static(name), value);
--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP call of a stand-in's client, on a connection of its own.
+//! The HTTP client of the stand-ins, which uses a new connection for each call.
 
 use actix_http::{
     Method, RequestHead, StatusCode,
@@ -9,46 +9,46 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// An answer, whole.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// A header's text.
+    /// Value of the header `name`; `None` if it is missing or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Why there is no whole answer.
+/// Why a call got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No connection could be opened.
     NotOpened,
-    /// The connection ended before the answer did.
+    /// The connection was closed before the end of the answer.
     Cut,
-    /// Nothing came in time.
+    /// The answer was not complete before the timeout.
     Late,
 }
 
-/// Sends one request on a fresh connection.
+/// Sends a request on a new connection, and reads the complete answer.
 ///
 /// # Errors
-/// If no whole answer came within `wait`.
+/// If the answer is not complete within `time_limit`.
 pub async fn call(
     address: SocketAddr,
     method: Method,
     target: &str,
     headers: &[(&'static str, String)],
     body: Bytes,
-    wait: Duration,
+    time_limit: Duration,
 ) -> Result<Answer, Failure> {
     let mut head = RequestHead::default();
     head.method = method;
@@ -59,14 +59,14 @@
         }
     }
     let pool = Rc::new(Pool::default());
-    let exchange = PooledRequest {
+    let request = PooledRequest {
         address,
         head,
         body,
         reuse: false,
     };
     let exchange = async {
-        let response = pool.send(exchange).await.map_err(|error| match error {
+        let response = pool.send(request).await.map_err(|error| match error {
             Error::NotOpened(_) => Failure::NotOpened,
             Error::Lost(_) | Error::Stale(_) => Failure::Cut,
         })?;
@@ -76,5 +76,5 @@
             body: response.body.read_all().await.map_err(|_| Failure::Cut)?,
         })
     };
-    timeout(wait, exchange).await.unwrap_or(Err(Failure::Late))
+    timeout(time_limit, exchange).await.unwrap_or(Err(Failure::Late))
 }
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of pinereel as a real process, behind its proxies.
+//! An instance of pinereel as a real process, behind proxies.
 
 use super::{http::call, proxy::Proxy, site::binary_path};
 use crate::launch::{Child, Signal};
@@ -7,31 +7,32 @@
 use std::{fs, io, net::SocketAddr, path::PathBuf, process::Command, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for a process to become ready.
+/// Longest time from the start of a process until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One instance of pinereel.
+/// An instance of pinereel, whose process may be started several times.
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where callers connect, through a proxy.
+    /// Proxy to which callers connect.
     pub caller_proxy: Proxy,
-    /// Its way to the store.
+    /// Proxy through which the instance reaches the store.
     pub store_proxy: Proxy,
-    /// Where readiness is asked for.
+    /// Address of the readiness probe.
     pub readiness_address: SocketAddr,
     settings_path: PathBuf,
-    /// The settings as they should be.
+    /// Contents of an intact settings file.
     valid_settings: String,
     child: Option<Child>,
-    /// What earlier processes of the instance logged.
+    /// Log lines of earlier processes of the instance.
     earlier_lines: Vec<String>,
-    /// Whether it is stopped by SIGSTOP.
+    /// Whether the process is stopped by SIGSTOP.
     pub paused: bool,
 }
 
 impl Instance {
-    /// One whose process is not started yet. `settings` is the path of its settings file, and what should stand there.
+    /// Returns an instance whose process is not started yet. `settings_path` is the path of the
+    /// settings file and `valid_settings` its contents.
     pub(super) fn new(
         name: String,
         caller_proxy: Proxy,
@@ -52,10 +53,10 @@
         }
     }
 
-    /// Starts the process.
+    /// Starts the process, with intact settings.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
         self.earlier_lines.extend(self.lines());
         self.restore_settings();
@@ -66,37 +67,37 @@
         Ok(())
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process runs; a process that is stopped by SIGSTOP counts as running.
     pub fn is_running(&mut self) -> bool {
         let ended = self.child.as_mut().map(|child| child.wait(Duration::ZERO));
         matches!(ended, Some(Ok(None)))
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&mut self, signal: Signal) {
         if let Some(child) = &mut self.child {
-            // It may just have ended.
+            // The process may have exited in the meantime.
             let _ = child.signal(signal);
         }
     }
 
-    /// Lines that the process has logged so far.
+    /// Returns the lines that the current process has logged so far.
     pub fn lines(&self) -> Vec<String> {
         self.child.as_ref().map(Child::lines).unwrap_or_default()
     }
 
-    /// Lines that all processes of the instance have logged.
+    /// Returns the lines that all processes of the instance have logged.
     pub fn all_lines(&self) -> Vec<String> {
         [self.earlier_lines.clone(), self.lines()].concat()
     }
 
-    /// Writes nonsense into the settings file, as storage that fails does.
+    /// Overwrites the settings file with invalid contents, as failing storage does.
     pub fn corrupt_settings(&self) {
-        // Best effort: what fails here is what is to be tested.
+        // Best effort: a write that fails is a fault of the kind to be tested.
         let _ = fs::write(&self.settings_path, "[instance\nname = ");
     }
 
-    /// Writes the good settings back.
+    /// Restores the contents of the settings file.
     pub fn restore_settings(&self) {
         let _ = fs::write(&self.settings_path, &self.valid_settings);
     }
@@ -104,7 +105,7 @@
     /// Waits until the process is ready.
     ///
     /// # Errors
-    /// If it is not within ten seconds.
+    /// If the process is not ready within ten seconds.
     pub async fn wait_ready(&self) -> io::Result<()> {
         let end = Instant::now() + READY_TIMEOUT;
         let headers = [("host", "here".to_owned())];
@@ -124,7 +125,7 @@
         }
         let lines = self.lines().join("\n");
         Err(io::Error::other(format!(
-            "{} is not ready: {lines}",
+            "{} did not become ready: {lines}",
             self.name
         )))
     }
--- a/crates/pinereel_fakes/src/hosting/load_balancer.rs
+++ b/crates/pinereel_fakes/src/hosting/load_balancer.rs
@@ -1,4 +1,4 @@
-//! Which instances get callers' new connections, as the platform's balancer decides it.
+//! The platform's load balancer: distributes callers' new connections over the ready instances.
 
 use super::http::call;
 use actix_http::Method;
@@ -11,18 +11,19 @@
 };
 use tokio::time::sleep;
 
-/// Pause between two questions.
+/// Pause between two readiness probes of an instance, and timeout of each probe.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Questions in a row without a is_ready answer that take an instance out.
+/// Number of consecutive failed probes after which an instance gets no more connections.
 const UNHEALTHY_THRESHOLD: u32 = 2;
 
-/// One instance, as the balancer sees it.
+/// An instance to which the load balancer can send connections.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its index in the site.
+    /// Index of the instance in the site.
     pub index: usize,
-    /// Where callers connect.
+    /// Address for callers' connections.
     pub caller_address: SocketAddr,
+    /// Number of consecutive failed probes.
     failed_probes: Rc<Cell<u32>>,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The balancer.
+/// A round-robin load balancer with readiness probes.
 #[derive(Default)]
 pub struct LoadBalancer {
     targets: RefCell<Vec<Target>>,
@@ -40,7 +41,7 @@
 }
 
 impl LoadBalancer {
-    /// Adds an instance and asks it from now on.
+    /// Adds an instance, and probes it from now on.
     pub fn add(&self, index: usize, caller_address: SocketAddr, readiness_address: SocketAddr) {
         let target = Target {
             index,
@@ -53,7 +54,14 @@
             loop {
                 let headers = [("host", "here".to_owned())];
                 let path = "/v1/readiness";
-                let answer = call(readiness_address, Method::GET, path, &headers, Bytes::new(), PROBE_INTERVAL);
+                let answer = call(
+                    readiness_address,
+                    Method::GET,
+                    path,
+                    &headers,
+                    Bytes::new(),
+                    PROBE_INTERVAL,
+                );
                 let is_ready = answer.await.is_ok_and(|answer| answer.status.is_success());
                 failed_probes.set(if is_ready { 0 } else { failed_probes.get() + 1 });
                 sleep(PROBE_INTERVAL).await;
@@ -61,15 +69,18 @@
         });
     }
 
-    /// The instance for the next connection; any, if none is in.
+    /// Returns the instance for the next connection. If none is healthy, it may be any.
     pub fn pick(&self) -> Target {
         let targets = self.targets.borrow();
-        let turn = self.pick_count.get();
-        self.pick_count.set(turn + 1);
-        let healthy: Vec<_> = targets.iter().filter(|target| target.is_healthy()).collect();
+        let number = self.pick_count.get();
+        self.pick_count.set(number + 1);
+        let healthy: Vec<_> = targets
+            .iter()
+            .filter(|target| target.is_healthy())
+            .collect();
         match healthy.len() {
-            0 => targets[turn % targets.len()].clone(),
-            count => healthy[turn % count].clone(),
+            0 => targets[number % targets.len()].clone(),
+            count => healthy[number % count].clone(),
         }
     }
 }
--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -1,33 +1,37 @@
-//! Stand-ins for the platform that hosts pinereel: its object store, its endpoints, its callers.
+//! Stand-ins for the platform that hosts pinereel: its object store, its endpoints and its callers.
 //!
-//! They speak the platform's published protocol, so that the real binary can be run against them as
-//! separate processes, through proxies that delay, cut, reset and silence connections.
+//! They implement the platform's published protocol, so that the real binary can be run against
+//! them as separate processes. The connections go through proxies that can delay, drop and reset
+//! them.
 //!
 //! - [`store`]: the object store.
-//! - [`engine`], [`service`]: endpoints, which list themselves in the store.
-//! - [`crashing_endpoint`]: an endpoint in a process of its own, which crashes when a request tells it to.
+//! - [`platform`]: the platform's API for the calls of lease holders: usage reports and scaling.
+//! - [`engine`], [`service`]: endpoints, which register in the store.
+//! - [`crashing_endpoint`]: an endpoint in a process of its own that crashes on certain requests.
 //! - [`proxy`]: a loopback proxy with faults.
-//! - [`template`]: fills in the deployment's template.
-//! - [`site`]: all of it, with the real processes.
-//! - [`caller`], [`trainer`]: clients that check what they get.
-//! - [`load_balancer`]: the balancer before the instances.
-//! - [`recorder`]: what was seen, and the promises that it is checked against.
-//! - [`cli`]: the command line of the soak.
-//! - [`soak`]: seeded faults from outside while clients go on.
+//! - [`template`]: renders the deployment's settings template.
+//! - [`instance`]: an instance of pinereel as a real process.
+//! - [`site`]: all of these together.
+//! - [`load_balancer`]: distributes callers' connections over the instances.
+//! - [`caller`], [`trainer`]: clients that check the answers they get.
+//! - [`http`]: the HTTP client of the stand-ins.
+//! - [`recorder`]: records what callers and endpoints observed, and checks the guarantees.
+//! - [`cli`]: the command line of the soak test.
+//! - [`soak`]: a soak test, which injects seeded faults while clients send requests.
 
-pub mod load_balancer;
-pub mod recorder;
 pub mod caller;
 pub mod cli;
-pub mod engine;
 pub mod crashing_endpoint;
+pub mod engine;
 pub mod http;
 pub mod instance;
+pub mod load_balancer;
 pub mod platform;
 pub mod proxy;
+pub mod recorder;
 pub mod service;
-pub mod template;
 pub mod site;
 pub mod soak;
 pub mod store;
+pub mod template;
 pub mod trainer;
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's side of the calls that one instance makes at a time: it takes reports and checks them.
+//! The platform's API for the calls of lease holders: accepts usage reports and scale requests, and
+//! checks them.
 
 use super::{recorder::Recorder, engine::header};
 use actix_http::{HttpMessage as _, StatusCode};
@@ -14,28 +15,28 @@
 };
 use tokio::{net::TcpListener, time::sleep};
 
-/// Longest body.
+/// Longest body of a call.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What goes wrong.
+/// The fault in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Calls are answered 503, and nothing is done.
+    /// Calls are answered with status 503 and have no effect.
     Down,
-    /// Calls are carried out, and not answered.
+    /// Calls have their effect but are not answered.
     LoseAnswers,
 }
 
-/// Requests of each workspace in a window.
+/// Number of requests of each workspace in a time window.
 pub type RequestCounts = BTreeMap<String, u64>;
 
 /// The running stand-in.
 #[derive(Clone)]
 pub struct Platform {
-    /// Where it serves.
+    /// Address at which the API is served.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -44,15 +45,15 @@
     recorder: Rc<Recorder>,
     fault: Cell<Fault>,
     reports: RefCell<BTreeMap<u64, RequestCounts>>,
-    /// Endpoints of the cheap kind that were asked for last, by zone.
+    /// Last requested number of spot endpoints, by zone.
     desired_spot_counts: RefCell<BTreeMap<String, u64>>,
-    /// Highest fencing token that was seen by path, with its holder.
-    newest: RefCell<BTreeMap<String, (u64, String)>>,
+    /// Highest fencing token seen so far and its holder, by path.
+    max_fences: RefCell<BTreeMap<String, (u64, String)>>,
     call_count: Cell<u64>,
 }
 
 impl Platform {
-    /// Starts on a free port.
+    /// Starts the API on a free port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -64,7 +65,7 @@
             fault: Cell::default(),
             reports: RefCell::default(),
             desired_spot_counts: RefCell::default(),
-            newest: RefCell::default(),
+            max_fences: RefCell::default(),
             call_count: Cell::new(0),
         });
         let serving = Rc::clone(&state);
@@ -76,37 +77,37 @@
         Ok(Self { address, state })
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the fault that is in force from now on.
     pub fn set_fault(&self, fault: Fault) {
         self.state.fault.set(fault);
     }
 
-    /// The reports that were taken, by window.
+    /// Returns the accepted usage reports, by the number of the window.
     pub fn reports(&self) -> BTreeMap<u64, RequestCounts> {
         self.state.reports.borrow().clone()
     }
 
-    /// Requests of a workspace in all reports.
+    /// Returns the number of requests of a workspace in all reports.
     pub fn request_count(&self, workspace: &str) -> u64 {
         let reports = self.state.reports.borrow();
         let counts = reports.values().filter_map(|counts| counts.get(workspace));
         counts.sum()
     }
 
-    /// Endpoints of the cheap kind that were asked for last, by zone.
+    /// Returns the last requested number of spot endpoints, by zone.
     pub fn desired_spot_counts(&self) -> BTreeMap<String, u64> {
         self.state.desired_spot_counts.borrow().clone()
     }
 
-    /// Calls that came.
+    /// Returns the number of calls received.
     pub fn call_count(&self) -> u64 {
         self.state.call_count.get()
     }
 
-    /// Who reported usage last.
+    /// Returns the lease holder that reported usage last; empty if none has.
     pub fn last_reporter(&self) -> String {
-        let newest = self.state.newest.borrow();
-        newest
+        let max_fences = self.state.max_fences.borrow();
+        max_fences
             .get("/usage")
             .map(|(_, holder)| holder.clone())
             .unwrap_or_default()
@@ -147,20 +148,20 @@
         StatusCode::OK
     }
 
-    /// Whether no higher fencing token was seen.
+    /// Returns whether no call to `path` had a higher fencing token, and records this one then.
     fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
-        let mut newest = self.newest.borrow_mut();
-        let newest_of_path = newest.entry(path.into()).or_default();
-        if fence == newest_of_path.0 && holder != newest_of_path.1 {
-            let other = &newest_of_path.1;
+        let mut max_fences = self.max_fences.borrow_mut();
+        let max_of_path = max_fences.entry(path.into()).or_default();
+        if fence == max_of_path.0 && holder != max_of_path.1 {
+            let other = &max_of_path.1;
             self.recorder.record_violation(format!(
                 "{holder} and {other} both called under fence {fence}"
             ));
         }
-        if fence < newest_of_path.0 {
+        if fence < max_of_path.0 {
             return false;
         }
-        *newest_of_path = (fence, holder.into());
+        *max_of_path = (fence, holder.into());
         true
     }
 
@@ -179,10 +180,10 @@
         let window = body["window"].as_u64().unwrap_or_default();
         let counts: RequestCounts = serde_json::from_value(body["counts"].clone()).unwrap_or_default();
         let mut reports = self.reports.borrow_mut();
-        let known = reports.entry(window).or_insert_with(|| counts.clone());
-        if *known != counts {
+        let reported = reports.entry(window).or_insert_with(|| counts.clone());
+        if *reported != counts {
             self.recorder.record_violation(format!(
-                "window {window} was reported as {known:?} and as {counts:?}"
+                "window {window} was reported as {reported:?} and as {counts:?}"
             ));
         }
     }
--- a/crates/pinereel_fakes/src/hosting/proxy.rs
+++ b/crates/pinereel_fakes/src/hosting/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy whose connections can be delayed, cut one way, silenced and reset.
+//! A loopback proxy that can delay, drop, refuse and reset the connections through it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,21 +17,21 @@
     time::{Instant, sleep},
 };
 
-/// What the proxy does with bytes.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Holds every part for so long.
+    /// Delay of each part that is read.
     pub delay: Duration,
-    /// Drops what clients send; connections stay open.
+    /// Whether the bytes that clients send are dropped; connections stay open.
     pub drop_requests: bool,
-    /// Drops what servers send; connections stay open.
+    /// Whether the bytes that servers send are dropped; connections stay open.
     pub drop_answers: bool,
-    /// Refuses new connections by closing them at once.
+    /// Whether new connections are closed at once.
     pub refuse_connections: bool,
 }
 
 impl Faults {
-    /// Nothing passes, and nobody is told.
+    /// Drops all bytes in both directions; connections stay open.
     pub const DROP_ALL: Self = Self {
         delay: Duration::ZERO,
         drop_requests: true,
@@ -43,18 +43,18 @@
 /// A running proxy.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     faults: Rc<Cell<Faults>>,
-    /// Grows when all open connections are to be reset.
+    /// Incremented to reset all open connections.
     resets: Rc<watch::Sender<u64>>,
     target: SocketAddr,
-    /// When the server ended a connection whose request it had been given and not answered.
-    cuts: Rc<RefCell<Vec<Instant>>>,
+    /// When the server closed connections after bytes of a request and before any of an answer.
+    unanswered_closes: Rc<RefCell<Vec<Instant>>>,
 }
 
 impl Proxy {
-    /// A proxy to `target`, on a free port.
+    /// Starts a proxy to `target` on a free port.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -65,7 +65,7 @@
             faults: Rc::default(),
             resets: Rc::new(watch::channel(0).0),
             target,
-            cuts: Rc::default(),
+            unanswered_closes: Rc::default(),
         };
         let state = proxy.clone();
         actix_rt::spawn(async move {
@@ -74,51 +74,51 @@
                     continue;
                 }
                 let state = state.clone();
-                actix_rt::spawn(async move { state.carry(client).await });
+                actix_rt::spawn(async move { state.forward_connection(client).await });
             }
         });
         Ok(proxy)
     }
 
-    /// Applies a fault to all connections, open ones too.
+    /// Sets the faults of all connections, including open ones.
     pub fn set_faults(&self, faults: Faults) {
         self.faults.set(faults);
     }
 
-    /// The fault in force.
+    /// Returns the faults in force.
     pub fn faults(&self) -> Faults {
         self.faults.get()
     }
 
     /// Resets all open connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// When the server ended connections without an answer to what it had been given.
-    pub fn cuts(&self) -> Vec<Instant> {
-        self.cuts.borrow().clone()
+    /// Returns when the server closed connections after bytes of a request and before any of an
+    /// answer.
+    pub fn unanswered_closes(&self) -> Vec<Instant> {
+        self.unanswered_closes.borrow().clone()
     }
 
-    async fn carry(&self, client: TcpStream) {
+    async fn forward_connection(&self, client: TcpStream) {
         let Ok(server) = TcpStream::connect(self.target).await else {
             return;
         };
         let mut resets = self.resets.subscribe();
-        // Small parts must not wait for more.
+        // Without this, the kernel would hold back small parts to join them with later ones.
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
-        let (asked, answered) = (Cell::new(0), Cell::new(0));
-        let requests = self.pump(from_client, to_server, &asked, |faults| faults.drop_requests);
-        let answers = self.pump(from_server, to_client, &answered, |faults| {
-            faults.drop_answers
-        });
+        let (request_bytes, answer_bytes) = (Cell::new(0), Cell::new(0));
+        let requests = self.forward(from_client, to_server, &request_bytes, |f| f.drop_requests);
+        let answers = self.forward(from_server, to_client, &answer_bytes, |f| f.drop_answers);
         tokio::select! {
-            // An end of the answers ends the connection; a client that closes its side is passed on.
+            // When the server closes its side, the connection is closed. When the client closes its
+            // side, only that direction is closed at the server too.
             () = answers => {
-                if asked.get() > 0 && answered.get() == 0 {
-                    self.cuts.borrow_mut().push(Instant::now());
+                if request_bytes.get() > 0 && answer_bytes.get() == 0 {
+                    self.unanswered_closes.borrow_mut().push(Instant::now());
                 }
             }
             () = async {
@@ -129,12 +129,12 @@
         }
     }
 
-    async fn pump(
+    async fn forward(
         &self,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        passed: &Cell<usize>,
-        mute: impl Fn(Faults) -> bool,
+        forwarded_bytes: &Cell<usize>,
+        is_dropped: impl Fn(Faults) -> bool,
     ) {
         let mut buffer = vec![0; 16_384];
         loop {
@@ -145,7 +145,7 @@
             if !faults.delay.is_zero() {
                 sleep(faults.delay).await;
             }
-            if mute(faults) {
+            if is_dropped(faults) {
                 if count == 0 {
                     return std::future::pending().await;
                 }
@@ -158,7 +158,7 @@
             if to.write_all(&buffer[..count]).await.is_err() {
                 return;
             }
-            passed.set(passed.get() + count);
+            forwarded_bytes.set(forwarded_bytes.get() + count);
         }
     }
 }
--- a/crates/pinereel_fakes/src/hosting/recorder.rs
+++ b/crates/pinereel_fakes/src/hosting/recorder.rs
@@ -1,4 +1,4 @@
-//! What callers and endpoints saw, and the promises that it is checked against.
+//! Records what callers and endpoints observed, and checks the guarantees of the system against it.
 
 use std::{
     cell::RefCell,
@@ -8,31 +8,31 @@
 };
 use tokio::time::Instant;
 
-/// One order that an engine received.
+/// An order that an engine received.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Engine's id.
+    /// Id of the engine.
     pub engine: String,
-    /// Who gave it.
+    /// Holder of the lease that sent the order.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the lease.
     pub fence: u64,
-    /// When it came.
+    /// When the engine received the order.
     pub at: Instant,
-    /// Whether the engine accepted it.
+    /// Whether the engine accepted the order.
     pub accepted: bool,
 }
 
-/// What an endpoint was told of a caller.
+/// What an endpoint was told about the caller of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// Its workspace.
+    /// Workspace of the caller.
     pub workspace: Option<String>,
-    /// Its credential.
+    /// Credential of the caller, which endpoints must never get.
     pub credential: Option<String>,
 }
 
-/// All that was seen, by everyone.
+/// The observations of all stand-ins of a site, and the violations of guarantees.
 #[derive(Default)]
 pub struct Recorder {
     inner: RefCell<Inner>,
@@ -40,119 +40,126 @@
 
 #[derive(Default)]
 struct Inner {
-    /// Runs of plain requests by id, with the service that ran them.
+    /// For each plain request, the service of each run.
     runs: BTreeMap<String, Vec<String>>,
-    /// Versions under which each item's events were made.
-    made: BTreeMap<String, BTreeSet<u64>>,
-    /// Events that engines made in all.
-    events: u64,
-    /// What endpoints were told of the callers, by request.
-    told: BTreeMap<String, Vec<CallerIdentity>>,
-    /// Items at engines: id and when they came.
+    /// For each item, the versions of the weights that produced its events.
+    versions: BTreeMap<String, BTreeSet<u64>>,
+    /// Number of events that all engines produced.
+    event_count: u64,
+    /// For each request, the identity of the caller at each run.
+    callers: BTreeMap<String, Vec<CallerIdentity>>,
+    /// Items that engines received, with the time.
     arrivals: Vec<(String, Instant)>,
     orders: Vec<Order>,
-    /// Work that came to endpoints that were leaving: id, and for how long they had been.
-    late: Vec<(String, Duration)>,
+    /// Requests that leaving endpoints received, with the time since the endpoint announced it.
+    late_requests: Vec<(String, Duration)>,
     violations: Vec<String>,
 }
 
 impl Recorder {
-    /// An empty recorder.
+    /// Returns a recorder without observations.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// A broken promise.
-    pub fn record_violation(&self, what: impl Into<String>) {
-        let what = what.into();
-        // Seen at once by who runs the soak by hand.
-        eprintln!("BROKEN: {what}");
-        self.inner.borrow_mut().violations.push(what);
+    /// Records the violation of a guarantee.
+    pub fn record_violation(&self, violation: impl Into<String>) {
+        let violation = violation.into();
+        // Whoever runs the soak test by hand should see the violation at once.
+        eprintln!("BROKEN: {violation}");
+        self.inner.borrow_mut().violations.push(violation);
     }
 
-    /// All broken promises.
+    /// Returns all violations in the order in which they were found.
     pub fn violations(&self) -> Vec<String> {
         self.inner.borrow().violations.clone()
     }
 
-    /// An endpoint was told of a request's caller.
-    pub fn record_caller(&self, id: &str, told: CallerIdentity) {
+    /// Records what an endpoint was told about the caller of a request.
+    pub fn record_caller(&self, id: &str, caller: CallerIdentity) {
         let mut inner = self.inner.borrow_mut();
-        inner.told.entry(id.into()).or_default().push(told);
+        inner.callers.entry(id.into()).or_default().push(caller);
     }
 
-    /// What endpoints were told of a request's caller.
+    /// Returns what endpoints were told about the caller of a request, once for each run.
     pub fn callers(&self, id: &str) -> Vec<CallerIdentity> {
         let inner = self.inner.borrow();
-        inner.told.get(id).cloned().unwrap_or_default()
+        inner.callers.get(id).cloned().unwrap_or_default()
     }
 
-    /// A service ran a request.
+    /// Records that a service ran a request.
     pub fn record_run(&self, id: &str, service: &str) {
         let mut inner = self.inner.borrow_mut();
         let runs = inner.runs.entry(id.into()).or_default();
         runs.push(service.into());
     }
 
-    /// How often a request ran.
+    /// Returns how many times services ran a request.
     pub fn run_count(&self, id: &str) -> usize {
         self.inner.borrow().runs.get(id).map_or(0, Vec::len)
     }
 
-    /// An engine made an event of an item.
+    /// Records that an engine produced an event of an item by `version` of the weights.
     pub fn record_event(&self, item: &str, version: u64) {
         let mut inner = self.inner.borrow_mut();
-        inner.made.entry(item.into()).or_default().insert(version);
-        inner.events += 1;
+        inner
+            .versions
+            .entry(item.into())
+            .or_default()
+            .insert(version);
+        inner.event_count += 1;
     }
 
-    /// Events that engines made in all.
+    /// Returns the number of events that all engines produced.
     pub fn event_count(&self) -> u64 {
-        self.inner.borrow().events
+        self.inner.borrow().event_count
     }
 
-    /// The versions under which an item's events were made.
+    /// Returns the versions of the weights that produced the events of an item.
     pub fn versions(&self, item: &str) -> BTreeSet<u64> {
         let inner = self.inner.borrow();
-        inner.made.get(item).cloned().unwrap_or_default()
+        inner.versions.get(item).cloned().unwrap_or_default()
     }
 
-    /// An item came to an engine.
+    /// Records that an engine received an item.
     pub fn record_arrival(&self, item: &str) {
         let mut inner = self.inner.borrow_mut();
         inner.arrivals.push((item.into(), Instant::now()));
     }
 
-    /// Whether one of `items` came to an engine after `moment`.
+    /// Returns whether an engine received one of `items` after `moment`.
     pub fn any_arrived_after(&self, items: &BTreeSet<String>, moment: Instant) -> bool {
         let inner = self.inner.borrow();
         let mut arrivals = inner.arrivals.iter();
         arrivals.any(|(item, at)| items.contains(item) && *at > moment)
     }
 
-    /// Work came to an endpoint that had been leaving for `since`.
-    pub fn record_late_request(&self, id: &str, since: Duration) {
-        self.inner.borrow_mut().late.push((id.into(), since));
+    /// Records that an endpoint received a request `delay` after it announced that it leaves.
+    pub fn record_late_request(&self, id: &str, delay: Duration) {
+        self.inner
+            .borrow_mut()
+            .late_requests
+            .push((id.into(), delay));
     }
 
-    /// The longest time that an endpoint had been leaving when work came.
+    /// Returns the longest time after which a leaving endpoint still received a request.
     pub fn max_lateness(&self) -> Duration {
         let inner = self.inner.borrow();
-        let times = inner.late.iter().map(|(_, since)| *since);
-        times.max().unwrap_or_default()
+        let delays = inner.late_requests.iter().map(|(_, delay)| *delay);
+        delays.max().unwrap_or_default()
     }
 
-    /// An engine received an order.
+    /// Records an order that an engine received.
     pub fn record_order(&self, order: Order) {
         self.inner.borrow_mut().orders.push(order);
     }
 
-    /// Checks the orders: one holder a fencing token, and none that goes back at an engine that
-    /// accepted a higher one.
+    /// Checks that each fencing token has only one holder, and that no engine accepted an order
+    /// with a lower token than one it had received before.
     pub fn check_orders(&self) {
         let orders = self.inner.borrow().orders.clone();
         let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
-        let mut newest: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut max_fences: BTreeMap<&str, u64> = BTreeMap::new();
         for order in &orders {
             let holder = holders.entry(order.fence).or_insert(&order.holder);
             if *holder != order.holder {
@@ -161,32 +168,32 @@
                     "{holder} and {other} both ordered under fence {fence}"
                 ));
             }
-            let seen = newest.entry(&order.engine).or_default();
-            if order.accepted && order.fence < *seen {
+            let max_fence = max_fences.entry(&order.engine).or_default();
+            if order.accepted && order.fence < *max_fence {
                 let (engine, fence) = (&order.engine, order.fence);
-                self.record_violation(format!("{engine} accepted fence {fence} after {seen}"));
+                self.record_violation(format!("{engine} accepted fence {fence} after {max_fence}"));
             }
-            *seen = order.fence.max(*seen);
+            *max_fence = order.fence.max(*max_fence);
         }
     }
 
-    /// Checks what endpoints were told of callers: no key, and no workspace but theirs.
+    /// Checks that no endpoint got a credential, or a workspace other than `workspace`.
     pub fn check_callers(&self, workspace: &str) {
-        let told = self.inner.borrow().told.clone();
-        for (id, told) in told {
-            for told in told {
-                let is_true = told
+        let callers = self.inner.borrow().callers.clone();
+        for (id, callers) in callers {
+            for caller in callers {
+                let is_true = caller
                     .workspace
                     .as_deref()
                     .is_none_or(|told| told == workspace);
-                if !is_true || told.credential.is_some() {
-                    self.record_violation(format!("{id} came to an endpoint as {told:?}"));
+                if !is_true || caller.credential.is_some() {
+                    self.record_violation(format!("{id} came to an endpoint as {caller:?}"));
                 }
             }
         }
     }
 
-    /// Orders that were accepted.
+    /// Returns the number of orders that engines accepted.
     pub fn accepted_order_count(&self) -> usize {
         let inner = self.inner.borrow();
         inner.orders.iter().filter(|order| order.accepted).count()
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,8 +1,8 @@
-//! A plain service: runs requests, signs its answers, lists itself in the store.
+//! An endpoint of a plain service: runs requests, stamps its answers and registers in the store.
 
 use super::{
     recorder::Recorder,
-    engine::{header, set, stamp, caller_identity},
+    engine::{caller_identity, header, response_stamp, set_header},
     store::Store,
 };
 use actix_http::{HttpMessage as _, StatusCode, body::BoxBody};
@@ -21,28 +21,28 @@
     time::{Instant, sleep},
 };
 
-/// Requests that run at once.
+/// Number of requests that may run at once, as registered.
 const SLOTS: u32 = 6;
-/// Time of one request.
-const WORK: Duration = Duration::from_millis(8);
+/// Time that a request runs.
+const REQUEST_TIME: Duration = Duration::from_millis(8);
 
-/// What a service does wrong.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// One of so many answers is lost after the request ran; 0 loses none.
+    /// Every nth answer is sent only 60 s after the request ran; 0 delays none.
     pub lose_every: u64,
-    /// One of so many answers is cut short; 0 cuts none.
+    /// Every nth answer is cut in half and has no stamp; 0 cuts none.
     pub cut_every: u64,
-    /// Holds every answer for so long.
+    /// Delay of every answer.
     pub delay: Duration,
 }
 
 /// A running service endpoint.
 #[derive(Clone)]
 pub struct Service {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: Rc<String>,
-    /// Where it serves.
+    /// Address at which the endpoint serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -53,17 +53,17 @@
     store: Store,
     recorder: Rc<Recorder>,
     faults: Cell<Faults>,
-    count: Cell<u64>,
+    answer_count: Cell<u64>,
     leaving_since: Cell<Option<Instant>>,
 }
 
-/// The body of the answer to a request.
-pub fn body(id: &str) -> String {
+/// Returns the body of the answer to a request.
+pub fn answer_body(id: &str) -> String {
     format!("answer to {id} {:016x}", hash::stable(id.as_bytes()))
 }
 
 impl Service {
-    /// Starts an endpoint on a free port.
+    /// Starts an endpoint of `service` on a free port, without registering it.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -81,7 +81,7 @@
             store: store.clone(),
             recorder: Rc::clone(recorder),
             faults: Cell::default(),
-            count: Cell::new(0),
+            answer_count: Cell::new(0),
             leaving_since: Cell::new(None),
         });
         let serving = Rc::clone(&state);
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Lists the endpoint in the store, as reached under `advertised`.
+    /// Registers the endpoint in the store with the address `advertised`.
     pub fn register(&self, advertised: SocketAddr) {
         let state = &self.state;
         let leaving = state.leaving_since.get().is_some();
@@ -114,18 +114,18 @@
         state.store.put("servers", &state.id, entry);
     }
 
-    /// Announces that it leaves.
+    /// Announces in the store that the endpoint leaves; requests that still arrive are recorded.
     pub fn leave(&self, advertised: SocketAddr) {
         self.state.leaving_since.set(Some(Instant::now()));
         self.register(advertised);
     }
 
-    /// Takes it off the list.
+    /// Removes the endpoint's entry from the store.
     pub fn deregister(&self) {
         self.state.store.remove("servers", &self.state.id);
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the faults that are in force from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.state.faults.set(faults);
     }
@@ -144,21 +144,21 @@
     state.recorder.record_caller(&id, caller_identity(headers));
     state.recorder.record_run(&id, &state.service);
     let faults = state.faults.get();
-    sleep(WORK + faults.delay).await;
-    state.count.set(state.count.get() + 1);
-    let one_of = |n: u64| n > 0 && state.count.get().is_multiple_of(n);
-    if one_of(faults.lose_every) {
+    sleep(REQUEST_TIME + faults.delay).await;
+    state.answer_count.set(state.answer_count.get() + 1);
+    let is_nth = |n: u64| n > 0 && state.answer_count.get().is_multiple_of(n);
+    if is_nth(faults.lose_every) {
         sleep(Duration::from_secs(60)).await;
     }
-    let mut text = body(&id).into_bytes();
-    let length = text.len();
-    if one_of(faults.cut_every) {
-        text.truncate(length / 2);
+    let mut body = answer_body(&id).into_bytes();
+    let length = body.len();
+    if is_nth(faults.cut_every) {
+        body.truncate(length / 2);
     }
-    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(text));
-    set(&mut answer, "x-request-id", &id);
-    if !one_of(faults.cut_every) {
-        set(&mut answer, "x-response-stamp", &stamp(&state.id, &id));
+    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(body));
+    set_header(&mut answer, "x-request-id", &id);
+    if !is_nth(faults.cut_every) {
+        set_header(&mut answer, "x-response-stamp", &response_stamp(&state.id, &id));
     }
     answer
 }
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -1,4 +1,4 @@
-//! A site: the store, the endpoints and the real processes, each behind proxies of its own.
+//! A site: the store, endpoints, and instances as real processes, each behind its own proxies.
 
 use super::{
     load_balancer::LoadBalancer,
@@ -23,74 +23,76 @@
 
 pub use instance::Instance;
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "site.example";
-/// Workspace of the callers and trainers, where the configuration knows workspaces.
+/// Workspace of the callers and trainers, if the configuration defines workspaces.
 pub const WORKSPACE: &str = "w";
-/// Key of theirs.
+/// API key of the callers and trainers.
 pub const API_KEY: &str = "key-of-w-5b1e";
-/// Model of the engines.
+/// Name of the model that all engines serve.
 pub const MODEL: &str = "model-a";
-/// Service of the engines.
+/// Name of the engines' service.
 const ENGINE_SERVICE: &str = "engines";
-/// Service that answers live requests and scores.
+/// Name of the plain service that answers live requests and scores results.
 const PLAIN_SERVICE: &str = "plain";
-/// The second service, to which changes of the configuration move a route.
+/// Name of a second plain service, to which configuration changes can move the live route.
 const OTHER_SERVICE: &str = "other";
-/// Port of the metrics in the deployment's template.
+/// Port of the metrics, as in the deployment's template.
 pub const METRICS_PORT: u16 = 9_464;
-/// Port for callers; below those that the system gives out itself.
+/// Port for callers; lower than the ports that the operating system assigns itself.
 const CALLER_PORT: u16 = 9_465;
-/// Port where readiness is asked for.
+/// Port of the readiness probe.
 const READINESS_PORT: u16 = 9_466;
-/// First port for the system's own use.
+/// First port for connections between instances.
 const FIRST_PEER_PORT: u16 = 9_470;
-/// Sizes of a site.
+
+/// Number of processes and endpoints that a site starts with.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Instances of pinereel.
+    /// Number of instances of pinereel.
     pub instances: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Endpoints of the plain service; the other one has one.
+    /// Number of endpoints of the plain service; the second plain service has one.
     pub services: usize,
 }
 
-/// One endpoint behind its proxy.
+/// An endpoint behind a proxy.
 pub struct Proxied<E> {
     /// The endpoint.
     pub endpoint: E,
-    /// Where instances connect.
+    /// Proxy to which instances connect.
     pub proxy: Proxy,
 }
 
-/// The running site.
+/// A running site.
 pub struct Site {
     /// The object store.
     pub store: Store,
-    /// The platform's side of calls that one instance makes at a time.
+    /// The platform's API for the calls of lease holders.
     pub platform: Platform,
-    /// What was seen.
+    /// What the stand-ins observed.
     pub recorder: Rc<Recorder>,
-    /// The engines.
+    /// The engines, in the order in which they were added.
     pub engines: Vec<Proxied<Engine>>,
-    /// The plain services.
+    /// The endpoints of both plain services.
     pub services: Vec<Proxied<Service>>,
-    /// The instances.
+    /// The instances, in the order in which they were added.
     pub instances: Vec<Instance>,
-    /// Number of the configuration.
+    /// Version of the configuration.
     pub config_version: u64,
-    /// Workspaces with their keys, as the operator writes them; none lets everybody in.
+    /// Workspaces with their API keys, in the format of the configuration. Without any, requests
+    /// need no key.
     pub workspaces: Option<Value>,
     folder: PathBuf,
     last_number: u64,
 }
 
 impl Site {
-    /// Starts everything and waits until all instances are ready.
+    /// Starts a site, and waits until all instances are ready.
     ///
     /// # Errors
-    /// If something cannot be started.
+    /// If a part of the site cannot be started.
     pub async fn start(size: Size, seed: u64) -> io::Result<Self> {
         let store = Store::start(seed).await?;
         let folder = env::temp_dir().join(format!("pinereel-site-{}-{seed}", std::process::id()));
@@ -125,7 +127,7 @@
         Ok(site)
     }
 
-    /// A balancer before all instances.
+    /// Returns a new load balancer for the current instances.
     pub fn load_balancer(&self) -> Rc<LoadBalancer> {
         let load_balancer = Rc::new(LoadBalancer::default());
         for (index, instance) in self.instances.iter().enumerate() {
@@ -139,7 +141,8 @@
         self.last_number
     }
 
-    /// Writes the next configuration: the live route goes to `live`, with `timeout`.
+    /// Writes the next configuration to the store. The live route goes to the service `live`, all
+    /// routes get `timeout`, and the route `/only-N/` exists only in version N.
     pub fn configure(&mut self, live: &str, timeout: Duration) {
         self.config_version += 2;
         let route = |name: &str, kind: &str, service: &str, attempts: u32| {
@@ -175,10 +178,10 @@
         self.store.put("config", "main", document);
     }
 
-    /// Adds an engine that serves `version`.
+    /// Adds an engine that has loaded `version` of the weights.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the engine cannot be started.
     pub async fn add_engine(&mut self, version: u64) -> io::Result<()> {
         let id = format!("e-{}", self.next_number());
         let engine = Engine::start(&id, (ENGINE_SERVICE, MODEL), version, &self.store, &self.recorder).await?;
@@ -191,10 +194,10 @@
         Ok(())
     }
 
-    /// Adds an endpoint of a plain service.
+    /// Adds an endpoint of the plain service `service`.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the endpoint cannot be started.
     pub async fn add_service(&mut self, service: &str) -> io::Result<()> {
         let id = format!("s-{}", self.next_number());
         let endpoint = Service::start(&id, service, &self.store, &self.recorder).await?;
@@ -207,26 +210,26 @@
     /// Adds and starts an instance of pinereel.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the instance cannot be started.
     pub async fn add_instance(&mut self) -> io::Result<()> {
         self.add_instance_with(proxy::Faults::default()).await
     }
 
-    /// Adds and starts an instance that does not reach the store.
+    /// Adds and starts an instance that cannot reach the store.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the instance cannot be started.
     pub async fn add_instance_without_store(&mut self) -> io::Result<()> {
         self.add_instance_with(proxy::Faults::DROP_ALL).await
     }
 
-    async fn add_instance_with(&mut self, to_store: proxy::Faults) -> io::Result<()> {
+    async fn add_instance_with(&mut self, store_faults: proxy::Faults) -> io::Result<()> {
         let name = format!("front-{}", self.next_number());
         let ip = IpAddr::from(unique_loopback_ip());
         let callers = SocketAddr::new(ip, CALLER_PORT);
         let readiness = SocketAddr::new(ip, READINESS_PORT);
         let store = Proxy::start(self.store.address).await?;
-        store.set_faults(to_store);
+        store.set_faults(store_faults);
         let settings = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
         let valid_settings = render(
@@ -253,12 +256,13 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Only settings lie there.
+        // The folder contains only the settings files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A binary of this workspace: it lies beside the one that runs, or above it.
+/// Returns the path of a binary of this Cargo workspace, in the folder of the running binary or in
+/// one above it.
 pub(super) fn binary_path(name: &str) -> io::Result<PathBuf> {
     let own = env::current_exe()?;
     let mut folder = own.parent();
@@ -272,7 +276,7 @@
     Err(io::Error::other(format!("the binary {name} is not built")))
 }
 
-/// What the platform fills the template with.
+/// Returns the fields with which the platform renders the settings template.
 fn template_fields(name: &str, own: [SocketAddr; 2], [store, platform]: [SocketAddr; 2]) -> Value {
     let [callers, readiness] = own;
     json!({
@@ -291,12 +295,12 @@
     })
 }
 
-/// A loopback address that no other instance has, so that its ports can be fixed.
+/// Returns a loopback address that no other instance has, so that its ports can be fixed.
 ///
-/// A port that is found by binding it, and given back for the process, may still be bound when that
-/// begins: until its `exec`, a process that is being started beside holds a copy of the listener. With
-/// four starters and six busy processes 107 of 26,667 second binds failed so, without starters none of
-/// 28,838.
+/// Free ports found by binding and closing a listener are not safe: a process that is being started
+/// at the same time holds a copy of the listener until its `exec`, so that the port may still be in
+/// use. With four starters and six busy processes, 107 of 26,667 second binds failed for this
+/// reason; without starters, none of 28,838 did.
 pub(super) fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let own = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -73,7 +73,7 @@
         let site = self.site.borrow();
         let spans = self.spans.borrow();
         for (index, instance) in site.instances.iter().enumerate() {
-            for at in instance.caller_proxy.cuts() {
+            for at in instance.caller_proxy.unanswered_closes() {
                 let during = |span: &Span| span.from <= at && at <= span.to;
                 let here = |span: &Span| span.instance.is_none_or(|i| i == index);
                 let planned = spans
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -126,7 +126,7 @@
                     site.instances[index].store_proxy.set_faults(proxy::Faults::default());
                 });
             }
-            Trouble::ResetStoreConnections => instance.store_proxy.reset(),
+            Trouble::ResetStoreConnections => instance.store_proxy.reset_connections(),
             Trouble::DelayCallers => {
                 let delay = Duration::from_millis(60);
                 instance.caller_proxy.set_faults(proxy::Faults {
@@ -141,7 +141,7 @@
                 instance.corrupt_settings();
                 self.later(length, move |site| site.instances[index].restore_settings());
             }
-            _ => instance.caller_proxy.reset(),
+            _ => instance.caller_proxy.reset_connections(),
         }
     }
 
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object store: revisions, conditions, watches, and faults on request.
+//! The platform's object store: revisions, conditional writes, watches, and injected faults.
 
 use actix_http::{Method, StatusCode};
 use compact_str::CompactString;
@@ -19,28 +19,28 @@
 };
 use tokio::{net::TcpListener, sync::watch, time::sleep};
 
-/// Largest body that is read.
+/// Longest body of a call.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// Objects of one page of a list.
+/// Maximum number of objects in one page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// What the store does wrong.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Answers 503 to everything.
+    /// Whether all calls are answered with status 503.
     pub down: bool,
-    /// Holds every answer for so long.
+    /// Delay of every call.
     pub delay: Duration,
-    /// Chance that a write's answer is lost.
+    /// Probability that a write is not answered.
     pub loss_probability: f64,
-    /// Whether a write whose answer is lost is carried out only later.
+    /// Whether a write that is not answered is carried out with a delay of 0.5 s to 3 s.
     pub delay_lost_writes: bool,
-    /// Takes a watch from a revision that it has forgotten, and stays silent.
+    /// Whether a watch from a compacted revision stays open and is never answered.
     pub accept_stale_watches: bool,
 }
 
 impl Faults {
-    /// Nothing is answered but that it is down.
+    /// All calls are answered with status 503.
     pub const DOWN: Self = Self {
         down: true,
         delay: Duration::ZERO,
@@ -62,16 +62,16 @@
 struct Data {
     revision: u64,
     kinds: BTreeMap<CompactString, BTreeMap<CompactString, StoredObject>>,
-    /// Revision, kind and event of the changes that watches can still read.
+    /// Changes that watches can still read: revision, kind and event.
     history: VecDeque<(u64, CompactString, Value)>,
-    /// Newest revision that is no longer in `history`.
+    /// Newest revision whose changes are no longer in `history`.
     compacted_revision: u64,
 }
 
-/// The running store.
+/// A running store.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it serves.
+    /// Address at which the store serves.
     pub address: SocketAddr,
     data: Rc<RefCell<Data>>,
     faults: Rc<Cell<Faults>>,
@@ -80,11 +80,11 @@
     call_count: Rc<Cell<u64>>,
 }
 
-/// Why a write was not taken.
+/// Why a write was rejected.
 enum WriteError {
     NotFound,
     Conflict(Value),
-    /// The name cannot stand in a path.
+    /// The name contains a slash, so that it cannot be part of a path.
     InvalidName,
 }
 
@@ -112,7 +112,7 @@
         Ok(store)
     }
 
-    /// Options of a client of this store, as an instance has them.
+    /// Returns client options for this store, as an instance would use them.
     pub fn client_options(&self) -> Options {
         Options {
             address: self.address.to_string(),
@@ -124,36 +124,36 @@
         }
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the faults that are in force from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.faults.set(faults);
     }
 
-    /// Forgets the history that watches read.
+    /// Discards the history of changes, so that watches from older revisions fail.
     pub fn compact(&self) {
         let mut data = self.data.borrow_mut();
         data.compacted_revision = data.revision;
         data.history.clear();
     }
 
-    /// Calls answered since the start.
+    /// Returns the number of calls received since the start.
     pub fn call_count(&self) -> u64 {
         self.call_count.get()
     }
 
-    /// The spec of an object.
+    /// Returns the spec of an object, if the object exists.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         let data = self.data.borrow();
         Some(data.kinds.get(kind)?.get(name)?.spec.clone())
     }
 
-    /// The status of an object.
+    /// Returns the status of an object, if the object exists; null if it was never written.
     pub fn status(&self, kind: &str, name: &str) -> Option<Value> {
         let data = self.data.borrow();
         Some(data.kinds.get(kind)?.get(name)?.status.clone())
     }
 
-    /// All that the system itself has written: kind, name, spec and status of each object as text.
+    /// Returns the objects of pinereel's own kinds as text: kind, name, spec and status.
     pub fn dump_own_objects(&self) -> String {
         let data = self.data.borrow();
         let own = data
@@ -169,12 +169,12 @@
         objects.collect()
     }
 
-    /// Writes a spec as the operator, an endpoint or a trainer does.
+    /// Creates an object or replaces its spec, as an operator, endpoint or trainer would.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.write(kind, name, |stored| stored.spec = spec);
     }
 
-    /// Removes an object.
+    /// Removes an object, if it exists.
     pub fn remove(&self, kind: &str, name: &str) {
         let mut data = self.data.borrow_mut();
         let removed = data.kinds.get_mut(kind).and_then(|k| k.remove(name));
@@ -188,6 +188,8 @@
         }
     }
 
+    /// Applies `change` to an object, which is created if necessary. Returns the object as JSON.
+    /// A change without effect makes no new revision.
     fn write(&self, kind: &str, name: &str, change: impl FnOnce(&mut StoredObject)) -> Value {
         let mut data = self.data.borrow_mut();
         let revision = data.revision + 1;
@@ -266,7 +268,7 @@
         };
         let wait = query_parameter(query, "waitMs").and_then(|text| text.parse().ok());
         let mut changed = self.changed.subscribe();
-        let seen = async {
+        let event_available = async {
             while self
                 .events(kind, after)
                 .is_some_and(|events| events.is_empty())
@@ -279,7 +281,7 @@
         if self.faults.get().accept_stale_watches && self.events(kind, after).is_none() {
             return never_answer().await;
         }
-        let _ = tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), seen).await;
+        let _ = tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), event_available).await;
         let revision = self.data.borrow().revision;
         match self.events(kind, after) {
             Some(events) => {
@@ -290,6 +292,7 @@
         }
     }
 
+    /// Returns the events of a kind after a revision; `None` if the revision is compacted.
     fn events(&self, kind: &str, after: u64) -> Option<Vec<Value>> {
         let data = self.data.borrow();
         if after < data.compacted_revision {
@@ -302,6 +305,7 @@
         Some(newer.map(|(_, _, event)| event.clone()).collect())
     }
 
+    /// Returns a page of the objects of a kind whose names follow `after`.
     fn list(&self, kind: &str, after: &str) -> Response {
         let data = self.data.borrow();
         let all = data.kinds.get(kind).into_iter().flatten();
@@ -335,6 +339,7 @@
         }
     }
 
+    /// Returns a copy of an object.
     fn find(&self, kind: &str, name: &str) -> Option<StoredObject> {
         let data = self.data.borrow();
         data.kinds.get(kind)?.get(name).cloned()
@@ -366,12 +371,13 @@
     }
 }
 
-/// The connection stays open and nothing more comes over it.
+/// Keeps the connection open for ten minutes without an answer.
 async fn never_answer() -> Response {
     sleep(Duration::from_secs(600)).await;
     http::empty(StatusCode::GATEWAY_TIMEOUT)
 }
 
+/// Returns an object in the store's wire format.
 fn object_json(name: &str, stored: &StoredObject) -> Value {
     json!({
         "metadata": {
--- a/crates/pinereel_fakes/src/hosting/template.rs
+++ b/crates/pinereel_fakes/src/hosting/template.rs
@@ -1,8 +1,9 @@
-//! Fills in the deployment's template as the platform does.
+//! Renders the deployment's settings template as the platform does.
 
 use serde_json::Value;
 
-/// Fills in `template` with `fields`: values, and sections that depend on whether one is there.
+/// Renders `template`: replaces `{{name}}` by the value of the field, and keeps the section between
+/// `{{#name}}` and `{{/name}}` only if the field exists.
 pub fn render(template: &str, fields: &Value) -> String {
     let mut text = String::new();
     let mut rest = template;
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that submits lots, reads them at any instance and checks every position.
+//! A trainer that submits lots, reads their results at any instance, and checks each result.
 
 use super::{
     load_balancer::LoadBalancer,
@@ -20,25 +20,25 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// How long a call may take.
+/// Deadline of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest wait for a step.
+/// Longest time for which a lot is submitted, read or ended.
 const STEP_TIMEOUT: Duration = Duration::from_secs(25);
-/// After the end of a lot its items must not come to an engine any more.
+/// Time after the end of a lot after which engines must not receive its items any more.
 const MAX_CANCEL_TIME: Duration = Duration::from_secs(3);
 
-/// One step's shape.
+/// The size of the lots, one of which is submitted in each step.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Groups of a lot.
+    /// Number of groups of a lot.
     pub groups: usize,
-    /// Items of a group.
+    /// Number of items of a group.
     pub group_size: usize,
-    /// Whole groups that are waited for.
+    /// Number of complete groups that end a step.
     pub wanted_groups: usize,
 }
 
-/// A trainer.
+/// A trainer, which names a new version of the weights after each step.
 pub struct Trainer {
     load_balancer: Rc<LoadBalancer>,
     store: Store,
@@ -46,21 +46,21 @@
     rng: ChaCha8Rng,
     shape: Shape,
     name: String,
-    /// Newest version that was named.
+    /// Newest version of the weights that was named.
     version: u64,
-    /// Steps that were done in time.
+    /// Number of steps that got their groups in time.
     pub done: u64,
-    /// Steps that were given up.
+    /// Number of steps that did not get their groups in time.
     pub given_up: u64,
-    /// Lots that were never accepted.
+    /// Number of lots that were never accepted.
     pub refused: u64,
 }
 
-/// Results of a lot that were read, by position.
+/// The results read so far of a lot, by position.
 type KnownResults = BTreeMap<usize, Value>;
 
 impl Trainer {
-    /// A trainer that talks to the instances behind `load_balancer`.
+    /// Returns a trainer that calls the instances behind `load_balancer`.
     pub fn new(
         name: &str,
         load_balancer: &Rc<LoadBalancer>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Runs steps until `end`.
+    /// Runs steps, the last of which may end after `end`.
     pub async fn run(&mut self, end: Instant) {
         let mut step = 0;
         while Instant::now() < end {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// One step: submit, read, end, name the next version.
+    /// Runs a step: submits a lot, reads its results, ends it and names the next version.
     pub async fn step(&mut self, step: u64) {
         let lot = format!("{}-{step}", self.name);
         let oldest = self.version.saturating_sub(1).max(1);
@@ -121,6 +121,8 @@
         self.store.put("versions", MODEL, version);
     }
 
+    /// Returns a lot's items with their groups, and the body that submits the lot. Results must have
+    /// version `oldest` of the weights or a newer one.
     fn build_lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
@@ -157,13 +159,13 @@
             ("authorization", format!("Bearer {API_KEY}")),
         ];
         let address = self.load_balancer.pick().caller_address;
-        let wait = CALL_TIMEOUT + Duration::from_millis(500);
-        call(address, method, target, &headers, body, wait)
+        let timeout = CALL_TIMEOUT + Duration::from_millis(500);
+        call(address, method, target, &headers, body, timeout)
             .await
             .ok()
     }
 
-    /// Submits until it is accepted; tells whether it was.
+    /// Submits a lot until it is accepted; returns whether it was.
     async fn submit(&mut self, lot: &str, body: &Bytes) -> bool {
         let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
@@ -182,7 +184,7 @@
         false
     }
 
-    /// Reads on after the known results, at times from an earlier position.
+    /// Reads the results after the known ones, or at random from an earlier position.
     async fn read_results(&mut self, lot: &str, known: &mut KnownResults) {
         let next = known.len();
         let from = if self.rng.random_bool(0.2) {
@@ -203,13 +205,13 @@
             sleep(Duration::from_millis(100)).await;
             return;
         }
-        let reading: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let total = reading["total"].as_u64();
+        let page: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        let total = page["total"].as_u64();
         if total != Some((self.shape.groups * self.shape.group_size) as u64) {
             self.recorder
                 .record_violation(format!("lot {lot} has a total of {total:?}"));
         }
-        let results = reading["results"].as_array().cloned().unwrap_or_default();
+        let results = page["results"].as_array().cloned().unwrap_or_default();
         if from < next && results.is_empty() {
             self.recorder
                 .record_violation(format!("lot {lot}: position {from} went away"));
@@ -223,19 +225,20 @@
         }
     }
 
+    /// Returns whether the known results contain enough complete groups.
     fn has_wanted_groups(&self, items: &BTreeMap<String, usize>, known: &KnownResults) -> bool {
-        let mut listed = vec![0; self.shape.groups];
+        let mut result_counts = vec![0; self.shape.groups];
         for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if let Some(group) = items.get(id) {
-                listed[*group] += 1;
+                result_counts[*group] += 1;
             }
         }
-        let whole = listed.iter().filter(|count| **count >= self.shape.group_size);
-        whole.count() >= self.shape.wanted_groups
+        let complete = result_counts.iter().filter(|count| **count >= self.shape.group_size);
+        complete.count() >= self.shape.wanted_groups
     }
 
-    /// Checks every result against what engines and scorers did.
+    /// Checks every known result against what engines and scorers did.
     fn check_results(&self, lot: &str, oldest: u64, items: &BTreeMap<String, usize>, known: &KnownResults) {
         let mut ids = BTreeSet::new();
         for result in known.values() {
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Ends a lot and checks later that nothing of it is still sent to engines.
+    /// Ends a lot, and checks later that its items are not sent to engines any more.
     async fn end_lot(&mut self, lot: &str, items: &BTreeMap<String, usize>) {
         let target = format!("/v1/lots/{lot}");
         let end = Instant::now() + STEP_TIMEOUT;
@@ -283,11 +286,11 @@
             let answer = self.call(Method::DELETE, &target, lot, Bytes::new()).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
                 let (recorder, items) = (Rc::clone(&self.recorder), items.keys().cloned().collect());
-                let limit = Instant::now() + MAX_CANCEL_TIME;
+                let last_arrival_by = Instant::now() + MAX_CANCEL_TIME;
                 let lot = lot.to_owned();
                 actix_rt::spawn(async move {
                     sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
-                    if recorder.any_arrived_after(&items, limit) {
+                    if recorder.any_arrived_after(&items, last_arrival_by) {
                         recorder.record_violation(format!("lot {lot}: an item was run long after its end"));
                     }
                 });
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -301,7 +301,7 @@
     assert_eq!(stopped.done, 1);
     assert_eq!(recorder.violations(), Vec::<String>::new());
     let items = (0..4).flat_map(|g| (0..4).map(move |i| format!("stopped-0.{g}.{i}")));
-    let needed: u64 = items.map(|item| engine::events(&item)).sum();
+    let needed: u64 = items.map(|item| engine::event_count(&item)).sum();
     let made = recorder.event_count() - before;
     // An engine makes a few events more before it notices that a connection is gone. Begun again, the
     // texts took 408 and 448 events.
