--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Deadline of a call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const CALL_DEADLINE: Duration = Duration::from_secs(3);
 /// Longest time for which a lot is submitted, read or ended.
 const STEP_TIMEOUT: Duration = Duration::from_secs(25);
 /// Time after the end of a lot after which engines must not receive its items any more.
@@ -154,18 +154,19 @@
         let headers = [
             ("host", HOST.to_owned()),
             ("x-request-id", id.to_owned()),
-            ("x-deadline-ms", CALL_TIMEOUT.as_millis().to_string()),
+            ("x-deadline-ms", CALL_DEADLINE.as_millis().to_string()),
             ("x-wait-ms", "500".to_owned()),
             ("authorization", format!("Bearer {API_KEY}")),
         ];
         let address = self.load_balancer.pick().caller_address;
-        let timeout = CALL_TIMEOUT + Duration::from_millis(500);
+        let timeout = CALL_DEADLINE + Duration::from_millis(500);
         call(address, method, target, &headers, body, timeout)
             .await
             .ok()
     }
 
-    /// Submits a lot until it is accepted; returns whether it was.
+    /// Submits a lot until it is accepted or refused with a 4xx status; returns whether it was
+    /// accepted.
     async fn submit(&mut self, lot: &str, body: &Bytes) -> bool {
         let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -83,7 +83,7 @@
     let end = Instant::now() + span;
     while Instant::now() < end {
         for instance in &site.instances {
-            // The caller checks the crashes and later answers.
+            // The test checks the crashes and later answers.
             let _ = send(instance, body).await;
         }
         sleep(Duration::from_millis(50)).await;
@@ -118,7 +118,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_crashes_endpoints_takes_three_and_others_are_served() {
+async fn a_request_crashes_at_most_three_endpoints_and_others_are_served() {
     let site = Site::start(SIZE, 160).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
@@ -130,13 +130,13 @@
     send_repeatedly(&site, &body, Duration::from_secs(8)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!(crashed.len() <= MAX_CRASHES, "{crashed:?}");
-    assert!(!crashed.is_empty(), "the stand-in crashes");
+    assert!(!crashed.is_empty(), "no endpoint crashed");
     sleep(PROPAGATION_TIME).await;
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), crashed.len());
     assert_eq!(recorder.violations(), Vec::<String>::new());
-    let (good, not) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
-    assert!(not * 20 < good, "{good} good, {not} not");
+    let (good, failed) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
+    assert!(failed * 20 < good, "{good} good, {failed} failed");
 }
 
 /// Sends the request for 5 s, until it is refused everywhere, and checks that it crashes at least
@@ -150,7 +150,7 @@
 }
 
 #[actix_rt::test]
-async fn a_restart_of_all_instances_forgets_nothing() {
+async fn crash_records_survive_a_restart_of_all_instances() {
     let mut site = Site::start(SIZE, 161).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
@@ -173,7 +173,7 @@
 }
 
 #[actix_rt::test]
-async fn an_instance_that_starts_later_knows_it_and_an_operator_clears_it() {
+async fn a_new_instance_knows_the_crashes_and_an_operator_can_clear_them() {
     let mut site = Site::start(SIZE, 162).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
@@ -186,7 +186,7 @@
     assert_eq!(crashed_under(&crashes, &body).len(), before);
 
     let metrics = |site: &Site, at: usize| {
-        let ip = site.instances[at].readiness.ip();
+        let ip = site.instances[at].readiness_address.ip();
         std::net::SocketAddr::new(ip, METRICS_PORT)
     };
     let wait = Duration::from_secs(1);
@@ -212,7 +212,7 @@
 }
 
 #[actix_rt::test]
-async fn it_is_known_everywhere_while_the_store_is_away() {
+async fn crashes_are_known_everywhere_during_an_outage_of_the_store() {
     let site = Site::start(SIZE, 163).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
@@ -312,13 +312,13 @@
 }
 
 #[actix_rt::test]
-async fn an_item_that_crashes_engines_takes_three() {
+async fn an_item_that_crashes_engines_crashes_exactly_three() {
     let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH_MARKER} e"))});
     run_small_lot(164, "lot-e", &crashing).await;
 }
 
 #[actix_rt::test]
-async fn a_scoring_that_crashes_endpoints_takes_three() {
+async fn a_scoring_that_crashes_endpoints_crashes_exactly_three() {
     let scorer = serde_json::json!({
         "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH_MARKER} f")),
     });
@@ -362,12 +362,12 @@
 }
 
 #[actix_rt::test]
-async fn several_items_of_a_lot_that_crash_engines_take_three_each() {
+async fn several_items_of_a_lot_crash_at_most_three_engines_each() {
     run_large_lot(167, |item, text| item["body"] = BASE64.encode(text).into()).await;
 }
 
 #[actix_rt::test]
-async fn several_scorings_of_a_lot_that_crash_endpoints_take_three_each() {
+async fn several_scorings_of_a_lot_crash_at_most_three_endpoints_each() {
     run_large_lot(168, |item, text| {
         item["scorer"]["body"] = BASE64.encode(text).into();
     })
@@ -376,7 +376,7 @@
 
 /// Endpoints that crash without a request as the cause: no request is blocked for it.
 #[actix_rt::test]
-async fn endpoints_that_crash_by_themselves_bring_nobody_a_verdict() {
+async fn endpoints_that_crash_without_a_request_block_no_request() {
     let site = Site::start(SIZE, 166).await.unwrap();
     let (endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -34,7 +34,7 @@
 const B2: &str = "key-of-b-c4d7f3";
 const UNKNOWN_KEY: &str = "key-of-nobody-55";
 
-async fn site(seed: u64) -> Site {
+async fn start_site(seed: u64) -> Site {
     let mut site = Site::start(SIZE, seed).await.expect("it starts");
     set_keys(&mut site, &[A1, A2], &[B1]);
     sleep(CONFIG_PROPAGATION_TIME).await;
@@ -69,7 +69,7 @@
     answer.expect("an answer")
 }
 
-async fn live(instance: &Instance, id: &str, key: Option<&str>) -> StatusCode {
+async fn live_status(instance: &Instance, id: &str, key: Option<&str>) -> StatusCode {
     let call = (Method::POST, "/live/x");
     send(instance, call, id, key, "x").await.status
 }
@@ -83,14 +83,14 @@
 
 #[actix_rt::test]
 async fn a_live_request_runs_on_behalf_of_its_keys_workspace() {
-    let mut site = site(180).await;
+    let mut site = start_site(180).await;
     let instance = &site.instances[0];
-    assert_eq!(live(instance, "l-1", Some(A1)).await, StatusCode::OK);
-    assert_eq!(live(instance, "l-2", Some(B1)).await, StatusCode::OK);
+    assert_eq!(live_status(instance, "l-1", Some(A1)).await, StatusCode::OK);
+    assert_eq!(live_status(instance, "l-2", Some(B1)).await, StatusCode::OK);
     assert_eq!(site.recorder.callers("l-1"), expected_callers(Some("a")));
     assert_eq!(site.recorder.callers("l-2"), expected_callers(Some("b")));
     for (id, key) in [("l-3", Some(UNKNOWN_KEY)), ("l-4", None)] {
-        assert_eq!(live(instance, id, key).await, StatusCode::UNAUTHORIZED);
+        assert_eq!(live_status(instance, id, key).await, StatusCode::UNAUTHORIZED);
         assert_eq!(site.recorder.run_count(id), 0);
     }
     let public = (Method::POST, "/score/x");
@@ -101,15 +101,15 @@
     set_keys(&mut site, &[A2], &[B1, B2]);
     sleep(CONFIG_PROPAGATION_TIME).await;
     for (number, instance) in site.instances.iter().enumerate() {
-        let gone = live(instance, &format!("g-{number}"), Some(A1)).await;
+        let gone = live_status(instance, &format!("g-{number}"), Some(A1)).await;
         assert_eq!(gone, StatusCode::UNAUTHORIZED);
-        let new = live(instance, &format!("n-{number}"), Some(B2)).await;
+        let new = live_status(instance, &format!("n-{number}"), Some(B2)).await;
         assert_eq!(new, StatusCode::OK);
     }
     assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
-fn lot() -> String {
+fn lot_body() -> String {
     let item = |number: usize| {
         json!({
             "id": format!("item-{number}"), "path": "/lots/x", "body": BASE64.encode("p"), "tokens": 3, "group": "g",
@@ -122,36 +122,36 @@
         .to_string()
 }
 
-async fn results(instance: &Instance, key: &str) -> (StatusCode, usize) {
+async fn read_results(instance: &Instance, key: &str) -> (StatusCode, usize) {
     let read = (Method::GET, "/v1/lots/lot-1?after=0");
     let answer = send(instance, read, "r", Some(key), "").await;
-    let read: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let results = read["results"].as_array().map_or(0, Vec::len);
+    let page: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+    let results = page["results"].as_array().map_or(0, Vec::len);
     (answer.status, results)
 }
 
 #[actix_rt::test]
-async fn a_lot_is_its_workspaces_alone() {
-    let mut site = site(181).await;
+async fn a_lot_is_accessible_only_to_its_workspace() {
+    let mut site = start_site(181).await;
     let submit = (Method::POST, "/lots/1");
     let end = (Method::DELETE, "/v1/lots/lot-1");
     let body = (Method::GET, "/v1/items/lot-1?id=item-0");
     let instance = &site.instances[0];
     for key in [Some(UNKNOWN_KEY), None] {
-        let answer = send(instance, submit.clone(), "lot-1", key, &lot()).await;
+        let answer = send(instance, submit.clone(), "lot-1", key, &lot_body()).await;
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
     }
-    let answer = send(instance, submit.clone(), "lot-1", Some(A1), &lot()).await;
+    let answer = send(instance, submit.clone(), "lot-1", Some(A1), &lot_body()).await;
     assert_eq!(answer.status, StatusCode::ACCEPTED);
     // No instance tells another workspace anything about the lot.
     for instance in &site.instances {
-        assert_eq!(results(instance, B1).await.0, StatusCode::NOT_FOUND);
+        assert_eq!(read_results(instance, B1).await.0, StatusCode::NOT_FOUND);
         for call in [end.clone(), body.clone()] {
             let answer = send(instance, call, "r", Some(B1), "").await;
             assert_eq!(answer.status, StatusCode::NOT_FOUND);
         }
         assert_eq!(
-            results(instance, UNKNOWN_KEY).await.0,
+            read_results(instance, UNKNOWN_KEY).await.0,
             StatusCode::UNAUTHORIZED
         );
     }
@@ -160,26 +160,26 @@
     set_keys(&mut site, &[A2], &[B1]);
     let instance = &site.instances[1];
     let limit = Instant::now() + Duration::from_secs(10);
-    while results(instance, A2).await.1 < 3 && Instant::now() < limit {
+    while read_results(instance, A2).await.1 < 3 && Instant::now() < limit {
         sleep(Duration::from_millis(200)).await;
     }
-    assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
+    assert_eq!(read_results(instance, A2).await, (StatusCode::OK, 3));
     for number in 0..3 {
         let item = site.recorder.callers(&format!("item-{number}"));
         assert_eq!(item, expected_callers(Some("a")), "the item's workspace");
         let scoring = site.recorder.callers(&format!("s-{number}"));
-        assert_eq!(scoring, expected_callers(None), "a scoring needs none");
+        assert_eq!(scoring, expected_callers(None), "a scoring runs without a workspace");
     }
     for instance in &site.instances {
         let answer = send(instance, end.clone(), "r", Some(A2), "").await;
         assert_eq!(answer.status, StatusCode::OK);
-        assert_eq!(results(instance, A2).await, (StatusCode::OK, 3));
+        assert_eq!(read_results(instance, A2).await, (StatusCode::OK, 3));
     }
     assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
-/// Everything that the processes write: logs, metrics, and objects in the store.
-async fn written(site: &Site) -> String {
+/// Returns everything that the processes write: logs, metrics, and objects in the store.
+async fn dump_output(site: &Site) -> String {
     let mut all = site.store.dump_own_objects();
     for instance in &site.instances {
         all += &instance.all_lines().join("\n");
@@ -199,11 +199,11 @@
 }
 
 #[actix_rt::test]
-async fn a_key_is_written_nowhere() {
-    let mut site = site(182).await;
+async fn api_keys_do_not_appear_in_logs_metrics_or_stored_objects() {
+    let mut site = start_site(182).await;
     for instance in &site.instances {
         for key in [A1, B1, UNKNOWN_KEY] {
-            live(
+            live_status(
                 instance,
                 &format!("{}-{}", instance.name, key.len()),
                 Some(key),
@@ -211,22 +211,22 @@
             .await;
         }
         let submit = (Method::POST, "/lots/1");
-        send(instance, submit, "lot-1", Some(A1), &lot()).await;
-        results(instance, A2).await;
-        results(instance, UNKNOWN_KEY).await;
+        send(instance, submit, "lot-1", Some(A1), &lot_body()).await;
+        read_results(instance, A2).await;
+        read_results(instance, UNKNOWN_KEY).await;
     }
     set_keys(&mut site, &[A2], &[B1, B2]);
     sleep(CONFIG_PROPAGATION_TIME).await;
     for instance in &site.instances {
-        live(instance, &format!("{}-gone", instance.name), Some(A1)).await;
+        live_status(instance, &format!("{}-gone", instance.name), Some(A1)).await;
     }
-    let written = written(&site).await;
-    assert!(written.contains("refused: no access"), "the log was read");
+    let output = dump_output(&site).await;
+    assert!(output.contains("refused: no access"), "the log was read");
     assert!(
-        written.contains("pinereel-lots a.lot-1"),
+        output.contains("pinereel-lots a.lot-1"),
         "the store was read"
     );
     for key in [A1, A2, B1, B2, UNKNOWN_KEY] {
-        assert!(!written.contains(key), "{key}");
+        assert!(!output.contains(key), "{key}");
     }
 }
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -14,22 +14,22 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-const SMALL: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 2,
     services: 2,
 };
 
-fn lines(site: &Site, with: &str) -> Vec<String> {
+fn log_lines(site: &Site, text: &str) -> Vec<String> {
     let lines = site.instances.iter().flat_map(|instance| instance.lines());
-    lines.filter(|line| line.contains(with)).collect()
+    lines.filter(|line| line.contains(text)).collect()
 }
 
-/// Load pattern: an engine becomes unreachable and restarts meanwhile. Its runs end as lost when
-/// the new entry is listed, rather than after the 1.5 s timeout for silent runs.
+/// An engine becomes unreachable and restarts meanwhile. Its runs must end as lost when the new entry
+/// is listed, and not only after the 1.5 s timeout for silent runs.
 #[actix_rt::test]
-async fn runs_at_an_engine_that_starts_again_are_lost_at_once() {
-    let site = Site::start(SMALL, 140).await.unwrap();
+async fn runs_are_lost_at_once_when_their_engine_restarts() {
+    let site = Site::start(SITE_SIZE, 140).await.unwrap();
     for engine in &site.engines {
         engine.endpoint.set_faults(engine::Faults {
             slow_factor: 12,
@@ -50,7 +50,7 @@
         site.engines[0].endpoint.restart();
         sleep(Duration::from_millis(700)).await;
         // 0.9 s after the engine became unreachable.
-        let lost = lines(&site, "Broken(Restarted)").len();
+        let lost = log_lines(&site, "Broken(Restarted)").len();
         site.engines[0].proxy.set_faults(proxy::Faults::default());
         lost
     };
@@ -69,12 +69,12 @@
     assert_eq!(recorder.violations(), Vec::<String>::new());
 }
 
-/// Load pattern: another writer overwrites one entry of a service with an invalid one and adds
-/// further invalid entries. The valid entries stay in use, and nothing is sent to the invalid ones.
+/// Another writer overwrites one entry of a service with an invalid one and adds further invalid
+/// entries. The valid entries must stay in use, and nothing may be sent to the invalid ones.
 #[actix_rt::test]
 async fn entries_of_another_writer_name_no_endpoint() {
-    let site = Site::start(SMALL, 141).await.unwrap();
-    let bad = [
+    let site = Site::start(SITE_SIZE, 141).await.unwrap();
+    let invalid_specs = [
         json!(null),
         json!("nothing"),
         json!({"service": "plain", "addr": "127.0.0.1:1", "zone": "here", "slots": 9, "state": "resting"}),
@@ -83,12 +83,12 @@
         json!({"service": "plain", "addr": "127.0.0.1:0", "zone": "here", "slots": 9, "state": "ready"}),
         json!({"service": "plain", "zone": "here", "slots": 9, "state": "ready"}),
     ];
-    for (number, spec) in bad.into_iter().enumerate() {
+    for (number, spec) in invalid_specs.into_iter().enumerate() {
         site.store.put("servers", &format!("other-{number}"), spec);
     }
     // An entry that was valid before becomes invalid.
-    let spoiled = Rc::clone(&site.services[0].endpoint.id);
-    site.store.put("servers", &spoiled, json!({"state": 7}));
+    let invalidated_id = Rc::clone(&site.services[0].endpoint.id);
+    site.store.put("servers", &invalidated_id, json!({"state": 7}));
     sleep(Duration::from_millis(1_200)).await;
     for number in 0..30 {
         let instance = &site.instances[number % site.instances.len()];
@@ -98,23 +98,23 @@
             ("x-deadline-ms", "2000".to_owned()),
         ];
         let address = instance.caller_proxy.address;
-        let wait = Duration::from_secs(3);
+        let timeout = Duration::from_secs(3);
         let answer = call(
             address,
             Method::POST,
             "/live/x",
             &headers,
             Bytes::new(),
-            wait,
+            timeout,
         )
         .await;
         assert_eq!(answer.map(|a| a.status), Ok(StatusCode::OK));
     }
-    let used = lines(&site, "\"msg\":\"request\"");
-    assert!(used.len() >= 30, "{}", used.len());
-    assert!(!used.iter().any(|line| line.contains("other-")));
-    assert!(!used.iter().any(|line| line.contains(&*spoiled)));
+    let request_lines = log_lines(&site, "\"msg\":\"request\"");
+    assert!(request_lines.len() >= 30, "{}", request_lines.len());
+    assert!(!request_lines.iter().any(|line| line.contains("other-")));
+    assert!(!request_lines.iter().any(|line| line.contains(&*invalidated_id)));
     // Each instance logs each invalid entry once.
-    let refused = lines(&site, "list entry refused");
-    assert_eq!(refused.len(), 8 * site.instances.len(), "{refused:?}");
+    let refusals = log_lines(&site, "list entry refused");
+    assert_eq!(refusals.len(), 8 * site.instances.len(), "{refusals:?}");
 }
--- /dev/null
+++ b/crates/pinereel_fakes/tests/hosting_list_watch.rs
@@ -0,0 +1,94 @@
+//! List and watch of a kind of objects, through outages of the store and of the broadcast tree.
+
+use pinereel::{
+    hosted::{FeedEvent, Store, Update, WatchOptions, list_and_watch},
+    objects::{Client, Purpose},
+    state::Clock,
+};
+use pinereel_fakes::hosting::store::{self, Faults};
+use pinereel_platform::adapter;
+use serde_json::json;
+use std::{cell::RefCell, rc::Rc, time::Duration};
+use tokio::{
+    sync::broadcast,
+    time::{Instant, sleep},
+};
+
+const KIND: &str = "things";
+
+/// The numbers in the objects of all updates so far, with the times of the updates.
+type ReceivedNumbers = Rc<RefCell<Vec<(Instant, u64)>>>;
+
+/// Starts a stand-in for the store and a list and watch whose watches wait for `max_wait` at most.
+/// Returns the stand-in, its client, and the numbers received.
+async fn start(
+    max_wait: Duration,
+    feed: Option<broadcast::Receiver<FeedEvent>>,
+) -> (store::Store, Store, ReceivedNumbers) {
+    let stand_in = store::Store::start(1).await.expect("a free port");
+    let client_options = stand_in.client_options();
+    let store = Store::new(Client::new(client_options, Clock::new()), adapter().store);
+    let received = ReceivedNumbers::default();
+    let (watched_store, recorded) = (store.clone(), Rc::clone(&received));
+    actix_rt::spawn(async move {
+        let options = || WatchOptions {
+            max_wait,
+            batch_delay: Duration::ZERO,
+        };
+        let on_update = |update, _| record(&recorded, update);
+        list_and_watch(&watched_store, Purpose::Config, KIND, options, feed, on_update).await;
+    });
+    let probed = store.clone();
+    actix_rt::spawn(async move { probed.probe_in_outages(KIND, "a", || false).await });
+    (stand_in, store, received)
+}
+
+fn record(received: &ReceivedNumbers, update: Update) {
+    let objects: Vec<_> = match update {
+        Update::All(objects) => objects,
+        Update::Changes(changes) => changes.into_iter().map(|c| c.object).collect(),
+    };
+    let numbers = objects
+        .iter()
+        .filter_map(|object| object.spec["x"].as_u64());
+    let now = Instant::now();
+    received.borrow_mut()
+        .extend(numbers.map(|number| (now, number)));
+}
+
+/// A store that closes its watches and compacts its history may accept the next watch from a
+/// compacted revision, and never answer it. The change in between was then missed for as long as
+/// that watch stayed open.
+#[actix_rt::test]
+async fn a_change_that_a_stale_watch_misses_is_listed() {
+    let (stand_in, store, received) = start(Duration::from_millis(200), None).await;
+    stand_in.put(KIND, "a", json!({"x": 1}));
+    sleep(Duration::from_millis(300)).await;
+    stand_in.set_faults(Faults::DOWN);
+    // The open watch times out, and the next one is refused.
+    sleep(Duration::from_millis(500)).await;
+    assert!(store.unreachable_since().is_some());
+    stand_in.put(KIND, "a", json!({"x": 2}));
+    stand_in.compact();
+    stand_in.set_faults(Faults {
+        accept_stale_watches: true,
+        ..Faults::default()
+    });
+    sleep(Duration::from_secs(1)).await;
+    assert_eq!(received.borrow().last().map(|(_, x)| *x), Some(2));
+}
+
+/// When the root of the broadcast tree has failed, every instance tries in vain to connect again four
+/// times a second. Each attempt reported the loss again and started a new watch.
+#[actix_rt::test]
+async fn repeated_losses_of_the_feed_cause_no_call() {
+    let (feed, feed_receiver) = broadcast::channel(8);
+    let (stand_in, _, received) = start(Duration::from_secs(10), Some(feed_receiver)).await;
+    stand_in.put(KIND, "a", json!({"x": 1}));
+    for _ in 0..6 {
+        feed.send(FeedEvent::Lost).expect("the receiver is alive");
+        sleep(Duration::from_millis(100)).await;
+    }
+    assert_eq!(received.borrow().last().map(|(_, x)| *x), Some(1));
+    assert_eq!(stand_in.call_count(), 2, "a list and a watch");
+}
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -1,4 +1,5 @@
-//! The whole path on the platform's stand-in: the real binary with the deployment's template.
+//! Requests and lots end to end: the real binary, with the deployment's settings template, on the
+//! stand-ins for the platform.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -13,19 +14,19 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-const SMALL: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 3,
     services: 2,
 };
-const SHAPE: Shape = Shape {
+const LOT_SHAPE: Shape = Shape {
     groups: 4,
     group_size: 4,
     wanted_groups: 3,
 };
-const WAIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Headers of a request or lot of this id.
+/// Headers of a request, or of a call for a lot, with this id.
 fn headers(id: &str) -> [(&'static str, String); 3] {
     [
         ("host", HOST.to_owned()),
@@ -36,7 +37,7 @@
 
 #[actix_rt::test]
 async fn a_calm_site_serves_callers_and_steps() {
-    let site = Site::start(SMALL, 101).await.unwrap();
+    let site = Site::start(SITE_SIZE, 101).await.unwrap();
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let tally = Rc::new(Tally::default());
     for kind in [Kind::Repeatable, Kind::Once] {
@@ -45,7 +46,7 @@
         let name = format!("{kind:?}");
         actix_rt::spawn(async move { caller::run(load_balancer, kind, &name, end, recorder, tally).await });
     }
-    let mut trainer = Trainer::new("calm", &load_balancer, &site.store, &recorder, SHAPE, 1);
+    let mut trainer = Trainer::new("calm", &load_balancer, &site.store, &recorder, LOT_SHAPE, 1);
     for step in 0..4 {
         trainer.step(step).await;
     }
@@ -59,8 +60,8 @@
 }
 
 #[actix_rt::test]
-async fn a_change_of_routes_is_in_force_at_every_instance() {
-    let mut site = Site::start(SMALL, 102).await.unwrap();
+async fn a_change_of_routes_takes_effect_at_every_instance() {
+    let mut site = Site::start(SITE_SIZE, 102).await.unwrap();
     for _ in 0..3 {
         site.configure("other", Duration::from_secs(2));
         sleep(Duration::from_millis(300)).await;
@@ -71,14 +72,14 @@
                 ("x-request-id", format!("{}-{}", instance.name, site.config_version)),
             ];
             let address = instance.caller_proxy.address;
-            let new = call(address, Method::POST, &only, &headers, Bytes::new(), WAIT).await;
-            assert_eq!(new.map(|a| a.status), Ok(StatusCode::OK), "the new route");
+            let new = call(address, Method::POST, &only, &headers, Bytes::new(), CALL_TIMEOUT).await;
+            assert_eq!(new.map(|a| a.status), Ok(StatusCode::OK), "the new route exists");
             let old = format!("/only-{}/x", site.config_version - 2);
-            let old = call(address, Method::POST, &old, &headers, Bytes::new(), WAIT).await;
+            let old = call(address, Method::POST, &old, &headers, Bytes::new(), CALL_TIMEOUT).await;
             assert_eq!(
                 old.map(|a| a.status),
                 Ok(StatusCode::NOT_FOUND),
-                "the old one"
+                "the old route is gone"
             );
         }
     }
@@ -86,7 +87,7 @@
 
 #[actix_rt::test]
 async fn a_lot_is_accepted_once_and_readable_at_every_instance() {
-    let site = Site::start(SMALL, 103).await.unwrap();
+    let site = Site::start(SITE_SIZE, 103).await.unwrap();
     let headers = headers("lot-1");
     let body = serde_json::json!({
         "step": 0, "model": "model-a", "minVersion": 1, "desiredCount": 1,
@@ -101,7 +102,7 @@
             "/lots/1",
             &headers,
             body.clone(),
-            WAIT,
+            CALL_TIMEOUT,
         )
         .await;
         assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
@@ -111,13 +112,13 @@
     for instance in &site.instances {
         let address = instance.caller_proxy.address;
         let path = "/v1/lots/lot-1?after=0";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), WAIT).await;
+        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
         readings.push(answer.unwrap().body);
         let path = "/v1/items/lot-1?id=only";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), WAIT).await;
+        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
         assert_eq!(answer.unwrap().body, "prompt");
         let path = "/v1/lots/unknown?after=0";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), WAIT).await;
+        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
         assert_eq!(answer.unwrap().status, StatusCode::NOT_FOUND);
     }
     assert!(readings.iter().all(|reading| *reading == readings[0]));
@@ -126,66 +127,66 @@
     assert_eq!(reading["nextToken"], 1);
 }
 
-/// Load pattern: a runner begins while dozens of ended lots are still kept; it lists them all before
-/// it works on the open ones.
+/// Dozens of ended lots may still be stored when a runner starts, which lists them all before it
+/// works on the open ones. The store must therefore not keep their items.
 #[actix_rt::test]
-async fn an_ended_lot_is_cut_down_and_stays_readable() {
-    let site = Site::start(SMALL, 121).await.unwrap();
+async fn an_ended_lot_loses_its_items_and_keeps_its_results() {
+    let site = Site::start(SITE_SIZE, 121).await.unwrap();
     let headers = headers("lot-2");
     let item = |id| serde_json::json!({"id": id, "path": "/lots/x", "body": "cHJvbXB0", "tokens": 3, "group": "g"});
     let body = serde_json::json!({
         "step": 0, "model": "model-a", "minVersion": 1, "desiredCount": 1,
         "items": [item("first"), item("second")],
     });
-    let ask = async |instance: usize, method, path| {
+    let send = async |instance: usize, method, path| {
         let address = site.instances[instance].caller_proxy.address;
         let body = match method {
             Method::POST => Bytes::from(body.to_string()),
             _ => Bytes::new(),
         };
-        call(address, method, path, &headers, body, WAIT)
+        call(address, method, path, &headers, body, CALL_TIMEOUT)
             .await
             .expect("an answer")
     };
-    let accepted = ask(0, Method::POST, "/lots/2").await;
+    let accepted = send(0, Method::POST, "/lots/2").await;
     assert_eq!(accepted.status, StatusCode::ACCEPTED);
     sleep(Duration::from_secs(2)).await;
-    let before = ask(1, Method::GET, "/v1/lots/lot-2?after=0").await.body;
-    let ended = ask(2, Method::DELETE, "/v1/lots/lot-2").await;
+    let before = send(1, Method::GET, "/v1/lots/lot-2?after=0").await.body;
+    let ended = send(2, Method::DELETE, "/v1/lots/lot-2").await;
     assert_eq!(ended.status, StatusCode::OK);
-    let kept = || {
+    let stored_lot = || {
         site.store
             .spec("pinereel-lots", "lot-2")
-            .expect("it is kept")
+            .expect("the lot is stored")
     };
     let end = Instant::now() + Duration::from_secs(24);
-    while kept().get("lot").is_some() && Instant::now() < end {
+    while stored_lot().get("lot").is_some() && Instant::now() < end {
         sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(kept(), serde_json::json!({"model": "model-a", "items": 2}));
+    assert_eq!(stored_lot(), serde_json::json!({"model": "model-a", "items": 2}));
     for instance in 0..site.instances.len() {
-        let again = ask(instance, Method::GET, "/v1/lots/lot-2?after=0").await;
+        let again = send(instance, Method::GET, "/v1/lots/lot-2?after=0").await;
         assert_eq!(again.body, before);
-        let rest = ask(instance, Method::GET, "/v1/lots/lot-2?after=2").await;
+        let rest = send(instance, Method::GET, "/v1/lots/lot-2?after=2").await;
         let rest: serde_json::Value = serde_json::from_slice(&rest.body).expect("JSON");
         assert_eq!(rest["total"], 2);
-        let body = ask(instance, Method::GET, "/v1/items/lot-2?id=first").await;
+        let body = send(instance, Method::GET, "/v1/items/lot-2?id=first").await;
         assert_eq!(body.status, StatusCode::NOT_FOUND);
-        let sent_again = ask(instance, Method::POST, "/lots/2").await;
+        let sent_again = send(instance, Method::POST, "/lots/2").await;
         assert_eq!(sent_again.status, StatusCode::ACCEPTED);
-        let ended_again = ask(instance, Method::DELETE, "/v1/lots/lot-2").await;
+        let ended_again = send(instance, Method::DELETE, "/v1/lots/lot-2").await;
         assert_eq!(ended_again.status, StatusCode::OK);
     }
 }
 
 #[actix_rt::test]
-async fn without_a_configuration_nothing_is_refused_as_unknown() {
-    let site = Site::start(SMALL, 104).await.unwrap();
+async fn requests_get_status_503_without_a_configuration() {
+    let site = Site::start(SITE_SIZE, 104).await.unwrap();
     let headers = [
         ("host", HOST.to_owned()),
         ("x-request-id", "early".to_owned()),
     ];
-    // The store has never answered this instance.
+    // The store never answers the new instance.
     let mut site = site;
     site.add_instance_without_store().await.unwrap();
     let instance = site.instances.last().unwrap();
@@ -197,7 +198,7 @@
         "/live/x",
         &headers,
         Bytes::new(),
-        WAIT,
+        CALL_TIMEOUT,
     )
     .await;
     let answer = answer.unwrap();
@@ -209,16 +210,16 @@
         "/v1/readiness",
         &headers,
         Bytes::new(),
-        WAIT,
+        CALL_TIMEOUT,
     );
     assert_eq!(ready.await.unwrap().status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// Load pattern: all processes were killed, and callers come to each one in the moment of its start.
-/// Refused, they came back late.
+/// After all processes were killed, callers connect to each new process at the moment of its start.
+/// If it refuses them, they retry late.
 #[actix_rt::test]
-async fn a_request_that_comes_before_the_first_news_waits_for_it() {
-    let mut site = Site::start(SMALL, 120).await.unwrap();
+async fn a_request_before_the_first_configuration_waits_for_it() {
+    let mut site = Site::start(SITE_SIZE, 120).await.unwrap();
     site.store.set_faults(store::Faults {
         delay: Duration::from_millis(60),
         ..store::Faults::default()
@@ -229,7 +230,7 @@
     ];
     site.add_instance().await.unwrap();
     let address = site.instances.last().unwrap().caller_proxy.address;
-    let end = Instant::now() + WAIT;
+    let end = Instant::now() + CALL_TIMEOUT;
     let status = loop {
         let answer = call(
             address,
@@ -237,7 +238,7 @@
             "/live/x",
             &headers,
             Bytes::new(),
-            WAIT,
+            CALL_TIMEOUT,
         );
         match answer.await {
             Ok(answer) => break answer.status,
@@ -249,23 +250,23 @@
 }
 
 #[actix_rt::test]
-async fn an_instance_that_is_to_be_emptied_may_go_at_once() {
-    let site = Site::start(SMALL, 105).await.unwrap();
-    let asked = serde_json::json!({"durationS": 10});
-    site.store.put("retirements", "store-1", asked);
+async fn a_retirement_request_is_completed_at_once() {
+    let site = Site::start(SITE_SIZE, 105).await.unwrap();
+    let request = serde_json::json!({"durationS": 10});
+    site.store.put("retirements", "store-1", request);
     let end = Instant::now() + Duration::from_secs(6);
-    let answered = || {
+    let retirement_status = || {
         site.store
             .status("retirements", "store-1")
             .unwrap_or_default()
     };
-    while answered().is_null() && Instant::now() < end {
+    while retirement_status().is_null() && Instant::now() < end {
         sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(answered()["state"], "completed");
+    assert_eq!(retirement_status()["state"], "completed");
 }
 
-/// Makes all engines so many times as slow.
+/// Multiplies the time of each event by `slow_factor` at all engines.
 fn slow_down(site: &Site, slow_factor: u32) {
     for proxied in &site.engines {
         proxied.endpoint.set_faults(engine::Faults {
@@ -275,26 +276,29 @@
     }
 }
 
-/// Index of the instance that runs the lots: the one that logged an opening last.
-fn runner(site: &Site) -> Option<usize> {
+/// Returns the index of the first instance that logged that it opened a lot: the runner of the lots.
+fn find_runner(site: &Site) -> Option<usize> {
     let opened = |lines: Vec<String>| lines.iter().any(|line| line.contains("lot opened"));
     site.instances.iter().position(|i| opened(i.lines()))
 }
 
 #[actix_rt::test]
-async fn texts_go_on_at_the_next_runner_after_a_planned_stop() {
-    let mut site = Site::start(SMALL, 106).await.unwrap();
-    // A text of 24 events takes more than two seconds.
+async fn texts_resume_at_the_next_runner_after_a_graceful_shutdown() {
+    let mut site = Site::start(SITE_SIZE, 106).await.unwrap();
+    // The longest text of 24 events takes more than two seconds.
     slow_down(&site, 8);
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
-    let mut trainer = Trainer::new("stop", &load_balancer, &site.store, &recorder, SHAPE, 1);
-    let whole = Shape { wanted_groups: 4, ..SHAPE };
-    let mut stopped = Trainer::new("stopped", &load_balancer, &site.store, &recorder, whole, 2);
+    let mut trainer = Trainer::new("stop", &load_balancer, &site.store, &recorder, LOT_SHAPE, 1);
+    let all_groups = Shape {
+        wanted_groups: 4,
+        ..LOT_SHAPE
+    };
+    let mut stopped = Trainer::new("stopped", &load_balancer, &site.store, &recorder, all_groups, 2);
     trainer.step(0).await;
     let before = recorder.event_count();
     let stop = async {
         sleep(Duration::from_millis(900)).await;
-        let index = runner(&site).expect("a lot was opened");
+        let index = find_runner(&site).expect("a lot was opened");
         site.instances[index].signal(pinereel_fakes::launch::Signal::TERM);
     };
     tokio::join!(stopped.step(0), stop);
@@ -302,33 +306,34 @@
     assert_eq!(recorder.violations(), Vec::<String>::new());
     let items = (0..4).flat_map(|g| (0..4).map(move |i| format!("stopped-0.{g}.{i}")));
     let needed: u64 = items.map(|item| engine::event_count(&item)).sum();
-    let made = recorder.event_count() - before;
-    // An engine makes a few events more before it notices that a connection is gone. Begun again, the
-    // texts took 408 and 448 events.
+    let produced = recorder.event_count() - before;
+    // An engine produces a few more events before it detects that a connection is closed. When the
+    // texts started again from the beginning, they took 408 and 448 events.
     let in_flight = u64::from(engine::SLOTS) * site.engines.len() as u64;
     assert!(
-        made <= needed + 6 * in_flight,
-        "{made} events made for {needed}"
+        produced <= needed + 6 * in_flight,
+        "{produced} events produced for {needed} needed"
     );
 }
 
-/// Texts that a runner has at its death are begun again from what it wrote last, not from nothing.
+/// The next runner must resume the texts of a killed runner from its last checkpoint, and not start
+/// them again.
 #[actix_rt::test]
-async fn texts_go_on_at_the_next_runner_after_a_kill() {
-    let mut site = Site::start(SMALL, 107).await.unwrap();
+async fn texts_resume_at_the_next_runner_after_a_kill() {
+    let mut site = Site::start(SITE_SIZE, 107).await.unwrap();
     // A text of 24 events takes about 4.6 s.
     slow_down(&site, 16);
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let shape = Shape {
         groups: 8,
         wanted_groups: 8,
-        ..SHAPE
+        ..LOT_SHAPE
     };
     let mut trainer = Trainer::new("killed", &load_balancer, &site.store, &recorder, shape, 2);
     let kill = async {
-        // After the second write, which replaces the first.
+        // By now the second checkpoint has replaced the first.
         sleep(Duration::from_millis(4_400)).await;
-        let index = runner(&site).expect("a lot was opened");
+        let index = find_runner(&site).expect("a lot was opened");
         site.instances[index].signal(pinereel_fakes::launch::Signal::KILL);
         index
     };
@@ -349,13 +354,13 @@
     let opened = others.flat_map(|(_, instance)| instance.lines());
     let opened: Vec<_> = opened.filter(|line| line.contains("lot opened")).collect();
     assert_eq!(opened.len(), 1, "{opened:?}");
-    let kept: Vec<_> = lines
+    let written: Vec<_> = lines
         .iter()
         .filter(|line| line.contains("checkpoint written"))
         .collect();
     assert!(
         !opened[0].contains("\"texts_reused\":0"),
-        "{opened:?} {kept:?}"
+        "{opened:?} {written:?}"
     );
-    assert!(kept.len() >= 2, "{kept:?}");
+    assert!(written.len() >= 2, "{written:?}");
 }
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -42,7 +42,7 @@
 /// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested, within
 /// the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
-async fn items_that_wait_for_slots_bring_endpoints() {
+async fn waiting_items_cause_requests_for_spot_endpoints() {
     let site = Site::start(SIZE, 200).await.expect("it starts");
     // A new lease holder waits for the minimum gap between the orders of two holders.
     sleep(Duration::from_secs(3)).await;
@@ -51,18 +51,18 @@
     assert_eq!(site.platform.desired_spot_counts(), BTreeMap::new());
     submit(&site, "large", ITEMS_BEYOND_SLOTS).await;
     sleep(Duration::from_secs(5)).await;
-    let asked = site.platform.desired_spot_counts();
+    let desired_counts = site.platform.desired_spot_counts();
     let log_lines = site
         .instances
         .iter()
         .flat_map(|i| i.lines())
         .collect::<Vec<_>>();
     assert_eq!(
-        asked.get("here"),
+        desired_counts.get("here"),
         Some(&3),
-        "{asked:?}\n{}",
+        "{desired_counts:?}\n{}",
         log_lines.join("\n")
     );
-    assert_eq!(asked.get("there"), Some(&4), "{asked:?}");
+    assert_eq!(desired_counts.get("there"), Some(&4), "{desired_counts:?}");
     assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -1,4 +1,4 @@
-//! The hosted instance's view of the object store, against the stand-in.
+//! The object store client of a hosted instance, against the stand-in for the store.
 
 use pinereel::{
     hosted::Store,
@@ -19,59 +19,59 @@
     (stand_in, Store::new(client, adapter().store))
 }
 
-async fn read(store: &Store) -> bool {
+async fn can_read(store: &Store) -> bool {
     let read = store.read(Purpose::Config, "config", "main", Consistency::Linearizable);
     read.await.is_ok()
 }
 
 #[actix_rt::test]
-async fn a_store_that_is_back_is_found_without_any_other_call() {
+async fn probes_detect_the_end_of_an_outage_without_other_calls() {
     let (stand_in, store) = start().await;
     stand_in.set_faults(store::Faults::DOWN);
-    assert!(!read(&store).await);
+    assert!(!can_read(&store).await);
     assert!(store.unreachable_since().is_some());
-    let looking = store.clone();
-    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
+    let probed = store.clone();
+    actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
     stand_in.set_faults(store::Faults::default());
     sleep(Duration::from_secs(2)).await;
     assert_eq!(store.unreachable_since(), None);
     let calls = stand_in.call_count();
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(stand_in.call_count(), calls, "no calls while it is there");
+    assert_eq!(stand_in.call_count(), calls, "no calls while the store is reachable");
 }
 
-/// Load pattern: callers refused all through an outage; trainers offer their lot for the last time
-/// soon after its end. With probes behind the breaker's back-off the return was found 0.05 s to 0.7 s
-/// late.
+/// Callers are refused for the whole of an outage, and trainers submit their lot for the last time
+/// soon after its end. Probes that wait for the backoff of the circuit breaker detected the end
+/// 0.05 s to 0.7 s late.
 #[actix_rt::test]
-async fn the_end_of_an_outage_is_found_within_two_probes() {
+async fn the_end_of_an_outage_is_detected_within_two_probes() {
     let (stand_in, store) = start().await;
     stand_in.set_faults(store::Faults::DOWN);
-    // The back-off of all other calls grows to its longest, and one of them has just failed.
+    // The backoff of all other calls grows to its maximum, and one of them has just failed.
     let mut sent = 0;
     while sent < 8 {
         let calls = stand_in.call_count();
-        assert!(!read(&store).await);
+        assert!(!can_read(&store).await);
         sent += stand_in.call_count() - calls;
         sleep(Duration::from_millis(if sent < 8 { 20 } else { 0 })).await;
     }
     stand_in.set_faults(store::Faults::default());
-    let looking = store.clone();
-    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
+    let probed = store.clone();
+    actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
     sleep(Duration::from_millis(330)).await;
     assert_eq!(store.unreachable_since(), None);
-    assert!(read(&store).await, "other calls go out at once");
+    assert!(can_read(&store).await, "other calls are sent at once");
 }
 
-/// Load pattern: a third of the instances are turned away by a store that serves the others. Their
-/// calls are paid for though they are refused.
+/// The store may refuse a third of the instances while it serves the others. Refused calls cost as
+/// much as others, so their number must be limited.
 #[actix_rt::test]
-async fn only_probes_and_lots_go_out_while_the_store_is_away() {
+async fn only_probes_and_lots_are_sent_during_an_outage() {
     let (stand_in, store) = start().await;
-    let looking = store.clone();
-    actix_rt::spawn(async move { looking.probe_in_outages("config", "main", || false).await });
+    let probed = store.clone();
+    actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
     stand_in.set_faults(store::Faults::DOWN);
-    assert!(!read(&store).await);
+    assert!(!can_read(&store).await);
     sleep(Duration::from_millis(1_200)).await;
     let calls = stand_in.call_count();
     let mut refused = Vec::new();
@@ -80,23 +80,23 @@
         refused.extend(read.await.err());
         sleep(Duration::from_millis(50)).await;
     }
-    let away = Error::NotSent("the object store is unreachable".into());
-    assert!(refused.iter().all(|error| *error == away), "{refused:?}");
+    let unreachable = Error::NotSent("the object store is unreachable".into());
+    assert!(refused.iter().all(|error| *error == unreachable), "{refused:?}");
     assert_eq!(refused.len(), 40);
     let probes = stand_in.call_count() - calls;
     assert!((11..=15).contains(&probes), "{probes} in 2 s");
     let lot = store.create(Purpose::Lots, "lots", "a", "{}").await;
     assert!(
         matches!(lot, Err(Error::Refused(_))),
-        "it was sent: {lot:?}"
+        "the lot was not sent: {lot:?}"
     );
     stand_in.set_faults(store::Faults::default());
     sleep(Duration::from_millis(330)).await;
-    assert!(read(&store).await);
+    assert!(can_read(&store).await);
 }
 
 #[actix_rt::test]
-async fn only_a_promise_counts_as_not_done() {
+async fn only_a_definite_refusal_counts_as_having_no_effect() {
     let (stand_in, store) = start().await;
     let first = store.create(Purpose::Lots, "lots", "a", r#"{"x":1}"#).await;
     assert_eq!(first.map(|object| object.spec["x"].clone()), Ok(1.into()));
@@ -111,6 +111,6 @@
     stand_in.set_faults(store::Faults::DOWN);
     let down = store.create(Purpose::Lots, "lots", "c", "{}").await;
     assert!(down.is_err_and(|error| error.had_no_effect()));
-    assert!(stand_in.spec("lots", "b").is_some(), "it was done");
+    assert!(stand_in.spec("lots", "b").is_some(), "the write was carried out");
     assert!(stand_in.spec("lots", "c").is_none());
 }
--- a/crates/pinereel_fakes/tests/hosting_topics.rs
+++ b/crates/pinereel_fakes/tests/hosting_topics.rs
@@ -9,8 +9,8 @@
 }
 
 /// The versions of all engines change with each step. Instances that do not use engines must not
-/// receive their entries, so that the memory and the traffic of an instance do not grow with the number of
-/// engines.
+/// receive their entries, so that the memory and the traffic of an instance do not grow with the
+/// number of engines.
 #[actix_rt::test]
 async fn engines_are_told_to_those_alone_that_work_with_them() {
     for engines in [4, 8] {
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -55,8 +55,8 @@
             ("x-request-id", format!("{}-{path}", instance.name)),
         ];
         let address = instance.caller_proxy.address;
-        let wait = Duration::from_secs(3);
-        let answer = call(address, Method::POST, &path, &headers, Bytes::new(), wait).await;
+        let timeout = Duration::from_secs(3);
+        let answer = call(address, Method::POST, &path, &headers, Bytes::new(), timeout).await;
         if answer.map(|a| a.status) != Ok(StatusCode::OK) {
             outdated.push(instance.name.clone());
         }
@@ -67,19 +67,20 @@
 /// Indexes of the root and of another instance with children.
 fn root_and_inner_node(site: &Site) -> (usize, usize) {
     let child_counts = child_counts(site);
-    let child_count = |at: &usize| child_counts[site.instances[*at].name.as_str()];
+    let child_count = |index: &usize| child_counts[site.instances[*index].name.as_str()];
     let indexes = || 0..site.instances.len();
     let root = indexes()
         .max_by_key(child_count)
         .expect("there are instances");
-    let inner_node = indexes().filter(|at| *at != root).max_by_key(child_count);
+    let inner_node = indexes().filter(|index| *index != root).max_by_key(child_count);
     (root, inner_node.expect("there are others"))
 }
 
-/// Data must reach all instances within a bounded time, also after the failure of an inner node or the root. If
-/// the root fails, only its standbys may read the store, so that the failure costs few calls.
+/// Updates must reach all instances within a bounded time, also after the failure of an inner node
+/// or the root. If the root fails, only its standbys may read the store, so that the failure costs
+/// few calls.
 #[actix_rt::test]
-async fn news_reach_all_and_the_loss_of_a_relay_or_the_root_costs_few_calls() {
+async fn updates_reach_all_instances_and_the_loss_of_the_root_costs_few_calls() {
     let mut site = Site::start(SITE_SIZE, 150).await.unwrap();
     sleep(Duration::from_secs(2)).await;
     let counts = child_counts(&site);
@@ -92,7 +93,7 @@
     let calls = site.store.call_count();
     sleep(Duration::from_secs(2)).await;
     let idle_calls = site.store.call_count() - calls;
-    // Renewals of three leases and the root's listings of the leases: no more than with three instances.
+    // Renewals of three leases and the root's lists of the leases: no more than with three instances.
     assert!(idle_calls <= 24, "{idle_calls} calls in 2 s");
 
     let (root, inner_node) = root_and_inner_node(&site);
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -26,7 +26,7 @@
 };
 /// API key of workspace `a`.
 const KEY: &str = "key-of-a-7fe2b1";
-/// Length of a window in the settings of the fake platform.
+/// Length of a window in the settings that the site renders.
 const WINDOW_LENGTH: Duration = Duration::from_secs(2);
 /// Maximum time until a failed lease holder is replaced and the next one may make its first call.
 const MAX_TAKEOVER_TIME: Duration = Duration::from_secs(7);
@@ -74,8 +74,8 @@
     answer.is_ok_and(|answer| answer.status == StatusCode::OK)
 }
 
-/// Asserts that all windows from the first to the last reported one have a report, and that the fakes
-/// recorded no fault.
+/// Asserts that all windows from the first to the last reported one have a report, and that the
+/// stand-ins recorded no violation.
 fn assert_no_missing_window(site: &Site) {
     let reports = site.platform.reports();
     let (first, last) = (reports.first_key_value(), reports.last_key_value());
@@ -104,7 +104,7 @@
 }
 
 #[actix_rt::test]
-async fn a_holder_that_is_killed_has_a_successor_that_reports_the_same() {
+async fn the_successor_of_a_killed_lease_holder_reports_the_same_counts() {
     let mut site = start_site(191).await;
     sleep(MAX_TAKEOVER_TIME).await;
     let mut answered = send_requests(&mut site, 3, "before").await;
@@ -128,7 +128,7 @@
 }
 
 #[actix_rt::test]
-async fn windows_that_end_while_store_or_platform_are_away_are_reported_after() {
+async fn windows_that_end_during_an_outage_of_store_or_platform_are_reported_later() {
     let mut site = start_site(192).await;
     sleep(MAX_TAKEOVER_TIME).await;
     site.platform.set_fault(platform::Fault::Down);
