--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -36,7 +36,7 @@
     time::{Instant, sleep},
 };
 
-/// Help on the flags.
+/// Help text for the flags.
 pub const HELP: &str = "  --address IP:PORT      listen there
   --id ID                its id
   --engine               make event streams
@@ -51,9 +51,9 @@
 /// Port of all endpoints, each of which has its own address.
 const PORT: u16 = 9_480;
 /// Time that a request runs.
-const REQUEST_TIME: Duration = Duration::from_millis(25);
+const RUN_TIME: Duration = Duration::from_millis(25);
 /// Time that a request with [`SLOW_MARKER`] runs.
-const SLOW_REQUEST_TIME: Duration = Duration::from_millis(400);
+const SLOW_RUN_TIME: Duration = Duration::from_millis(400);
 /// Number of events of a stream.
 const EVENTS_PER_STREAM: u64 = 4;
 /// Time that an event takes.
@@ -121,7 +121,7 @@
     address: SocketAddr,
     write_list: ListWriter,
     restart_delay: Cell<Duration>,
-    starts: Cell<u32>,
+    start_count: Cell<u32>,
     child: RefCell<Option<Child>>,
     /// Output of earlier processes.
     earlier_lines: RefCell<Vec<String>>,
@@ -168,7 +168,7 @@
             address,
             write_list,
             restart_delay: Cell::new(restart_delay),
-            starts: Cell::new(0),
+            start_count: Cell::new(0),
             child: RefCell::default(),
             earlier_lines: RefCell::default(),
             crashes: Rc::clone(crashes),
@@ -204,7 +204,7 @@
 impl State {
     /// Returns the id of the current start.
     fn id(&self) -> String {
-        format!("{}-{}", self.id_prefix, self.starts.get())
+        format!("{}-{}", self.id_prefix, self.start_count.get())
     }
 
     /// Returns the output of all processes of the endpoint.
@@ -215,7 +215,7 @@
 
     /// Starts the process and registers the endpoint.
     fn start_process(&self) -> io::Result<()> {
-        self.starts.set(self.starts.get() + 1);
+        self.start_count.set(self.start_count.get() + 1);
         let mut command = Command::new(binary()?);
         command.args(["fragile", "--until-stdin-closes", "--address"]);
         command.arg(self.address.to_string());
@@ -226,7 +226,9 @@
         let child = Child::start(&mut command)?;
         if child.line("listening", Duration::from_secs(5)).is_none() {
             let lines = child.lines().join("\n");
-            return Err(io::Error::other(format!("the endpoint does not listen: {lines}")));
+            return Err(io::Error::other(format!(
+                "the endpoint does not listen: {lines}"
+            )));
         }
         self.child.replace(Some(child));
         (self.write_list)(ListChange::Added {
@@ -353,12 +355,7 @@
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     println!("run {id}");
     let is_slow = body.contains(SLOW_MARKER);
-    sleep(if is_slow {
-        SLOW_REQUEST_TIME
-    } else {
-        REQUEST_TIME
-    })
-    .await;
+    sleep(if is_slow { SLOW_RUN_TIME } else { RUN_TIME }).await;
     if body.contains(CRASH_MARKER) {
         println!("crash under {body}");
         std::process::abort();
@@ -372,7 +369,11 @@
 fn plain_answer(options: &Options, id: &str) -> Response {
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(answer_body(id)));
     set_header(&mut answer, "x-request-id", id);
-    set_header(&mut answer, "x-response-stamp", &response_stamp(&options.id, id));
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&options.id, id),
+    );
     answer
 }
 
@@ -390,7 +391,11 @@
     let mut answer = Response::new(StatusCode::OK).set_body(body);
     set_header(&mut answer, "content-type", "text/event-stream");
     set_header(&mut answer, "x-request-id", id);
-    set_header(&mut answer, "x-response-stamp", &response_stamp(&options.id, id));
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&options.id, id),
+    );
     set_header(&mut answer, "x-weight-versions", "1");
     answer
 }
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -98,7 +98,9 @@
 
 /// Returns the complete text of an item.
 pub fn text(item: &str) -> String {
-    let parts: Vec<_> = (1..=event_count(item)).map(|n| event_data(item, n)).collect();
+    let parts: Vec<_> = (1..=event_count(item))
+        .map(|n| event_data(item, n))
+        .collect();
     parts.join("\n")
 }
 
@@ -156,7 +158,7 @@
         let state = &self.state;
         state.incarnation.set(state.incarnation.get() + 1);
         state.order_count.set(0);
-        state.fence.set(0);
+        state.max_fencing_token.set(0);
         state.busy.set(false);
         state.write_entry();
     }
@@ -229,7 +231,8 @@
         } else {
             StatusCode::ACCEPTED
         };
-        self.max_fencing_token.set(self.max_fencing_token.get().max(fence));
+        self.max_fencing_token
+            .set(self.max_fencing_token.get().max(fence));
         self.recorder.record_order(Order {
             engine: self.id.clone(),
             holder: order["holder"].as_str().unwrap_or_default().into(),
@@ -304,7 +307,11 @@
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(BodyStream::new(stream)));
     set_header(&mut answer, "content-type", "text/event-stream");
     set_header(&mut answer, "x-request-id", &item);
-    set_header(&mut answer, "x-response-stamp", &response_stamp(&state.id, &item));
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&state.id, &item),
+    );
     if first <= event_count(&item) {
         set_header(&mut answer, "x-weight-versions", &version.to_string());
     }
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's API for the calls of lease holders: accepts usage reports and scale requests, and
 //! checks them.
 
-use super::{recorder::Recorder, engine::header};
+use super::{engine::header, recorder::Recorder};
 use actix_http::{HttpMessage as _, StatusCode};
 use pinereel::http::{self, Request, Response, Server};
 use serde_json::Value;
@@ -33,7 +33,7 @@
 /// Number of requests of each workspace in a time window.
 pub type RequestCounts = BTreeMap<String, u64>;
 
-/// The running stand-in.
+/// The running API.
 #[derive(Clone)]
 pub struct Platform {
     /// Address at which the API is served.
@@ -44,6 +44,7 @@
 struct State {
     recorder: Rc<Recorder>,
     fault: Cell<Fault>,
+    /// Accepted usage reports, by the number of the window.
     reports: RefCell<BTreeMap<u64, RequestCounts>>,
     /// Last requested number of spot endpoints, by zone.
     desired_spot_counts: RefCell<BTreeMap<String, u64>>,
@@ -148,7 +149,7 @@
         StatusCode::OK
     }
 
-    /// Returns whether no call to `path` had a higher fencing token, and records this one then.
+    /// Returns whether no earlier call to `path` had a higher fencing token. If so, records `fence`.
     fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
         let mut max_fences = self.max_fences.borrow_mut();
         let max_of_path = max_fences.entry(path.into()).or_default();
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,8 +1,8 @@
 //! An endpoint of a plain service: runs requests, stamps its answers and registers in the store.
 
 use super::{
-    recorder::Recorder,
     engine::{caller_identity, header, response_stamp, set_header},
+    recorder::Recorder,
     store::Store,
 };
 use actix_http::{HttpMessage as _, StatusCode, body::BoxBody};
@@ -24,7 +24,7 @@
 /// Number of requests that may run at once, as registered.
 const SLOTS: u32 = 6;
 /// Time that a request runs.
-const REQUEST_TIME: Duration = Duration::from_millis(8);
+const RUN_TIME: Duration = Duration::from_millis(8);
 
 /// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -144,7 +144,7 @@
     state.recorder.record_caller(&id, caller_identity(headers));
     state.recorder.record_run(&id, &state.service);
     let faults = state.faults.get();
-    sleep(REQUEST_TIME + faults.delay).await;
+    sleep(RUN_TIME + faults.delay).await;
     state.answer_count.set(state.answer_count.get() + 1);
     let is_nth = |n: u64| n > 0 && state.answer_count.get().is_multiple_of(n);
     if is_nth(faults.lose_every) {
@@ -158,7 +158,11 @@
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(body));
     set_header(&mut answer, "x-request-id", &id);
     if !is_nth(faults.cut_every) {
-        set_header(&mut answer, "x-response-stamp", &response_stamp(&state.id, &id));
+        set_header(
+            &mut answer,
+            "x-response-stamp",
+            &response_stamp(&state.id, &id),
+        );
     }
     answer
 }
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -1,15 +1,15 @@
 //! A site: the store, endpoints, and instances as real processes, each behind its own proxies.
 
 use super::{
-    load_balancer::LoadBalancer,
-    recorder::Recorder,
     engine::Engine,
     instance,
+    load_balancer::LoadBalancer,
     platform::Platform,
     proxy::{self, Proxy},
+    recorder::Recorder,
     service::Service,
-    template::render,
     store::Store,
+    template::render,
 };
 use serde_json::{Value, json};
 use std::{
@@ -84,7 +84,9 @@
     /// Workspaces with their API keys, in the format of the configuration. Without any, requests
     /// need no key.
     pub workspaces: Option<Value>,
+    /// Folder of the settings files.
     folder: PathBuf,
+    /// Last number used in the id of an endpoint or the name of an instance.
     last_number: u64,
 }
 
@@ -226,27 +228,27 @@
     async fn add_instance_with(&mut self, store_faults: proxy::Faults) -> io::Result<()> {
         let name = format!("front-{}", self.next_number());
         let ip = IpAddr::from(unique_loopback_ip());
-        let callers = SocketAddr::new(ip, CALLER_PORT);
-        let readiness = SocketAddr::new(ip, READINESS_PORT);
-        let store = Proxy::start(self.store.address).await?;
-        store.set_faults(store_faults);
-        let settings = self.folder.join(format!("{name}.ini"));
+        let caller_address = SocketAddr::new(ip, CALLER_PORT);
+        let readiness_address = SocketAddr::new(ip, READINESS_PORT);
+        let store_proxy = Proxy::start(self.store.address).await?;
+        store_proxy.set_faults(store_faults);
+        let settings_path = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
         let valid_settings = render(
             template,
             &template_fields(
                 &name,
-                [callers, readiness],
-                [store.address, self.platform.address],
+                [caller_address, readiness_address],
+                [store_proxy.address, self.platform.address],
             ),
         );
-        fs::write(&settings, &valid_settings)?;
+        fs::write(&settings_path, &valid_settings)?;
         let mut instance = Instance::new(
             name,
-            Proxy::start(callers).await?,
-            store,
-            readiness,
-            (settings, valid_settings),
+            Proxy::start(caller_address).await?,
+            store_proxy,
+            readiness_address,
+            (settings_path, valid_settings),
         );
         instance.start()?;
         self.instances.push(instance);
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -3,7 +3,7 @@
 use crate::hosting::{
     crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
     http::call,
-    site::{HOST, API_KEY, Site, WORKSPACE},
+    site::{API_KEY, HOST, Site, WORKSPACE},
 };
 use actix_http::Method;
 use bytes::Bytes;
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,11 +1,11 @@
 //! A trainer that submits lots, reads their results at any instance, and checks each result.
 
 use super::{
-    load_balancer::LoadBalancer,
-    recorder::Recorder,
     engine,
     http::{Answer, call},
-    site::{HOST, API_KEY, MODEL},
+    load_balancer::LoadBalancer,
+    recorder::Recorder,
+    site::{API_KEY, HOST, MODEL},
     store::Store,
 };
 use actix_http::{Method, StatusCode};
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -26,7 +26,7 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 1,
     services: 0,
@@ -52,8 +52,8 @@
         ("x-deadline-ms", "2000".to_owned()),
     ];
     let (address, body) = (instance.caller_proxy.address, Bytes::from(body.to_owned()));
-    let wait = Duration::from_millis(2_500);
-    call(address, Method::POST, "/live/x", &headers, body, wait).await
+    let timeout = Duration::from_millis(2_500);
+    call(address, Method::POST, "/live/x", &headers, body, timeout).await
 }
 
 fn start_endpoints(site: &Site, count: usize) -> (Vec<Endpoint>, Crashes) {
@@ -119,7 +119,7 @@
 
 #[actix_rt::test]
 async fn a_request_crashes_at_most_three_endpoints_and_others_are_served() {
-    let site = Site::start(SIZE, 160).await.unwrap();
+    let site = Site::start(SITE_SIZE, 160).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, recorder) = (
@@ -151,7 +151,7 @@
 
 #[actix_rt::test]
 async fn crash_records_survive_a_restart_of_all_instances() {
-    let mut site = Site::start(SIZE, 161).await.unwrap();
+    let mut site = Site::start(SITE_SIZE, 161).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH_MARKER} b");
@@ -174,7 +174,7 @@
 
 #[actix_rt::test]
 async fn a_new_instance_knows_the_crashes_and_an_operator_can_clear_them() {
-    let mut site = Site::start(SIZE, 162).await.unwrap();
+    let mut site = Site::start(SITE_SIZE, 162).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let body = format!("{CRASH_MARKER} c");
@@ -185,25 +185,25 @@
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), before);
 
-    let metrics = |site: &Site, at: usize| {
-        let ip = site.instances[at].readiness_address.ip();
+    let metrics_address = |site: &Site, index: usize| {
+        let ip = site.instances[index].readiness_address.ip();
         std::net::SocketAddr::new(ip, METRICS_PORT)
     };
-    let wait = Duration::from_secs(1);
+    let timeout = Duration::from_secs(1);
     let headers = [("host", "here".to_owned())];
-    let address = metrics(&site, 0);
+    let address = metrics_address(&site, 0);
     let listed = call(
         address,
         Method::GET,
         "/crashes",
         &headers,
         Bytes::new(),
-        wait,
+        timeout,
     )
     .await;
     let listed: serde_json::Value = serde_json::from_slice(&listed.unwrap().body).unwrap();
     let path = format!("/crashes/{}", listed[0]["identity"].as_str().unwrap());
-    let cleared = call(address, Method::DELETE, &path, &headers, Bytes::new(), wait).await;
+    let cleared = call(address, Method::DELETE, &path, &headers, Bytes::new(), timeout).await;
     assert_eq!(cleared.unwrap().status, StatusCode::OK);
     sleep(PROPAGATION_TIME).await;
     let answer = send(&site.instances[3], &body).await;
@@ -213,7 +213,7 @@
 
 #[actix_rt::test]
 async fn crashes_are_known_everywhere_during_an_outage_of_the_store() {
-    let site = Site::start(SIZE, 163).await.unwrap();
+    let site = Site::start(SITE_SIZE, 163).await.unwrap();
     let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     site.store.set_faults(store::Faults::DOWN);
@@ -252,8 +252,8 @@
         site.instances[0].caller_proxy.address,
         Bytes::from(body.to_string()),
     );
-    let wait = Duration::from_secs(3);
-    let answer = call(address, Method::POST, "/lots/1", &headers, body, wait).await;
+    let timeout = Duration::from_secs(3);
+    let answer = call(address, Method::POST, "/lots/1", &headers, body, timeout).await;
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
 }
 
@@ -272,8 +272,8 @@
         site.instances[1].caller_proxy.address,
         format!("/v1/lots/{lot}?after=0"),
     );
-    let wait = Duration::from_secs(3);
-    let answer = call(address, Method::GET, &path, &headers, Bytes::new(), wait).await;
+    let timeout = Duration::from_secs(3);
+    let answer = call(address, Method::GET, &path, &headers, Bytes::new(), timeout).await;
     let read: serde_json::Value =
         serde_json::from_slice(&answer.expect("an answer").body).expect("JSON");
     read["results"].as_array().cloned().unwrap_or_default()
@@ -282,12 +282,15 @@
 /// Starts a site with endpoints and engines that crash under some requests. Returns it with them
 /// and the record of their crashes.
 async fn crashing_site(seed: u64) -> (Site, Vec<Endpoint>, Crashes) {
-    let size = Size { engines: 0, ..SIZE };
-    let site = Site::start(size, seed).await.expect("it starts");
+    let size = Size {
+        engines: 0,
+        ..SITE_SIZE
+    };
+    let site = Site::start(size, seed).await.expect("the site starts");
     let (mut endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     let engine = |_| {
         let service = ("engines", Mode::Engine);
-        Endpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
+        Endpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("started")
     };
     endpoints.extend((0..ENDPOINTS).map(engine));
     sleep(Duration::from_millis(1_500)).await;
@@ -377,7 +380,7 @@
 /// Endpoints that crash without a request as the cause: no request is blocked for it.
 #[actix_rt::test]
 async fn endpoints_that_crash_without_a_request_block_no_request() {
-    let site = Site::start(SIZE, 166).await.unwrap();
+    let site = Site::start(SITE_SIZE, 166).await.unwrap();
     let (endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
     let (tally, recorder) = (
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -9,15 +9,15 @@
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
 use bytes::Bytes;
 use pinereel_fakes::hosting::{
-    recorder::CallerIdentity,
     http::{Answer, call},
+    recorder::CallerIdentity,
     site::{HOST, Instance, METRICS_PORT, Site, Size},
 };
 use serde_json::{Value, json};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::{Instant, sleep};
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 2,
     engines: 1,
     services: 2,
@@ -35,7 +35,7 @@
 const UNKNOWN_KEY: &str = "key-of-nobody-55";
 
 async fn start_site(seed: u64) -> Site {
-    let mut site = Site::start(SIZE, seed).await.expect("it starts");
+    let mut site = Site::start(SITE_SIZE, seed).await.expect("the site starts");
     set_keys(&mut site, &[A1, A2], &[B1]);
     sleep(CONFIG_PROPAGATION_TIME).await;
     site
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -54,7 +54,7 @@
     assert_eq!((trainer.done, trainer.given_up, trainer.refused), (4, 0, 0));
     assert!(tally.good.get() > 50, "{tally:?}");
     assert_eq!((tally.not_run.get(), tally.unknown.get()), (0, 0));
-    assert!(recorder.accepted_order_count() > 0, "new versions are rolled out");
+    assert!(recorder.accepted_order_count() > 0, "no engine accepted an order for a new version");
     recorder.check_orders();
     assert_eq!(recorder.violations(), Vec::<String>::new());
 }
@@ -65,17 +65,17 @@
     for _ in 0..3 {
         site.configure("other", Duration::from_secs(2));
         sleep(Duration::from_millis(300)).await;
-        let only = format!("/only-{}/x", site.config_version);
+        let new_path = format!("/only-{}/x", site.config_version);
         for instance in &site.instances {
             let headers = [
                 ("host", HOST.to_owned()),
                 ("x-request-id", format!("{}-{}", instance.name, site.config_version)),
             ];
             let address = instance.caller_proxy.address;
-            let new = call(address, Method::POST, &only, &headers, Bytes::new(), CALL_TIMEOUT).await;
+            let new = call(address, Method::POST, &new_path, &headers, Bytes::new(), CALL_TIMEOUT).await;
             assert_eq!(new.map(|a| a.status), Ok(StatusCode::OK), "the new route exists");
-            let old = format!("/only-{}/x", site.config_version - 2);
-            let old = call(address, Method::POST, &old, &headers, Bytes::new(), CALL_TIMEOUT).await;
+            let old_path = format!("/only-{}/x", site.config_version - 2);
+            let old = call(address, Method::POST, &old_path, &headers, Bytes::new(), CALL_TIMEOUT).await;
             assert_eq!(
                 old.map(|a| a.status),
                 Ok(StatusCode::NOT_FOUND),
@@ -108,12 +108,12 @@
         assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
     }
     sleep(Duration::from_secs(1)).await;
-    let mut readings = Vec::new();
+    let mut pages = Vec::new();
     for instance in &site.instances {
         let address = instance.caller_proxy.address;
         let path = "/v1/lots/lot-1?after=0";
         let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
-        readings.push(answer.unwrap().body);
+        pages.push(answer.unwrap().body);
         let path = "/v1/items/lot-1?id=only";
         let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
         assert_eq!(answer.unwrap().body, "prompt");
@@ -121,10 +121,10 @@
         let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
         assert_eq!(answer.unwrap().status, StatusCode::NOT_FOUND);
     }
-    assert!(readings.iter().all(|reading| *reading == readings[0]));
-    let reading: serde_json::Value = serde_json::from_slice(&readings[0]).unwrap();
-    assert_eq!(reading["results"][0]["state"], "completed");
-    assert_eq!(reading["nextToken"], 1);
+    assert!(pages.iter().all(|page| *page == pages[0]));
+    let page: serde_json::Value = serde_json::from_slice(&pages[0]).unwrap();
+    assert_eq!(page["results"][0]["state"], "completed");
+    assert_eq!(page["nextToken"], 1);
 }
 
 /// Dozens of ended lots may still be stored when a runner starts, which lists them all before it
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 2,
     engines: 1,
     services: 1,
@@ -43,7 +43,7 @@
 /// the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
 async fn waiting_items_cause_requests_for_spot_endpoints() {
-    let site = Site::start(SIZE, 200).await.expect("it starts");
+    let site = Site::start(SITE_SIZE, 200).await.expect("the site starts");
     // A new lease holder waits for the minimum gap between the orders of two holders.
     sleep(Duration::from_secs(3)).await;
     submit(&site, "small", 3).await;
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 0,
     services: 2,
@@ -32,7 +32,7 @@
 const MAX_TAKEOVER_TIME: Duration = Duration::from_secs(7);
 
 async fn start_site(seed: u64) -> Site {
-    let mut site = Site::start(SIZE, seed).await.expect("it starts");
+    let mut site = Site::start(SITE_SIZE, seed).await.expect("the site starts");
     site.workspaces = Some(json!([{"name": "a", "apiKeys": [KEY]}, {"name": "b", "apiKeys": []}]));
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_secs(2)).await;
