--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -293,7 +293,9 @@
         set_header(&mut refusal, "x-not-executed", "1");
         return refusal;
     }
-    state.recorder.record_caller(&item, caller_identity(headers));
+    state
+        .recorder
+        .record_caller(&item, caller_identity(headers));
     state.recorder.record_arrival(&item);
     let after = header(headers, "last-event-id").and_then(|n| n.parse().ok());
     state.running.set(state.running.get() + 1);
--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -76,5 +76,7 @@
             body: response.body.read_all().await.map_err(|_| Failure::Cut)?,
         })
     };
-    timeout(time_limit, exchange).await.unwrap_or(Err(Failure::Late))
+    timeout(time_limit, exchange)
+        .await
+        .unwrap_or(Err(Failure::Late))
 }
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -61,7 +61,10 @@
         self.earlier_lines.extend(self.lines());
         self.restore_settings();
         let mut command = Command::new(binary()?);
-        command.arg("hosted").arg("--config").arg(&self.settings_path);
+        command
+            .arg("hosted")
+            .arg("--config")
+            .arg(&self.settings_path);
         self.child = Some(Child::start(&mut command)?);
         self.paused = false;
         Ok(())
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -135,7 +135,8 @@
         let fence = header(request.headers(), "x-fence-token").and_then(|f| f.parse().ok());
         let body = http::read_json(request, MAX_BODY_BYTES, Duration::from_secs(2)).await;
         let (Some(fence), Ok(body)) = (fence, body) else {
-            self.recorder.record_violation(format!("{path} without a fence or a body"));
+            self.recorder
+                .record_violation(format!("{path} without a fence or a body"));
             return StatusCode::BAD_REQUEST;
         };
         if !self.accept_fencing_token(&path, fence, &holder) {
@@ -174,12 +175,15 @@
                 "endpoints of the usual kind were asked for: {body}"
             ));
         }
-        self.desired_spot_counts.borrow_mut().insert(zone.into(), count);
+        self.desired_spot_counts
+            .borrow_mut()
+            .insert(zone.into(), count);
     }
 
     fn record_usage(&self, body: &Value) {
         let window = body["window"].as_u64().unwrap_or_default();
-        let counts: RequestCounts = serde_json::from_value(body["counts"].clone()).unwrap_or_default();
+        let counts: RequestCounts =
+            serde_json::from_value(body["counts"].clone()).unwrap_or_default();
         let mut reports = self.reports.borrow_mut();
         let reported = reports.entry(window).or_insert_with(|| counts.clone());
         if *reported != counts {
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -133,7 +133,11 @@
     pub fn load_balancer(&self) -> Rc<LoadBalancer> {
         let load_balancer = Rc::new(LoadBalancer::default());
         for (index, instance) in self.instances.iter().enumerate() {
-            load_balancer.add(index, instance.caller_proxy.address, instance.readiness_address);
+            load_balancer.add(
+                index,
+                instance.caller_proxy.address,
+                instance.readiness_address,
+            );
         }
         load_balancer
     }
@@ -186,7 +190,14 @@
     /// If the engine cannot be started.
     pub async fn add_engine(&mut self, version: u64) -> io::Result<()> {
         let id = format!("e-{}", self.next_number());
-        let engine = Engine::start(&id, (ENGINE_SERVICE, MODEL), version, &self.store, &self.recorder).await?;
+        let engine = Engine::start(
+            &id,
+            (ENGINE_SERVICE, MODEL),
+            version,
+            &self.store,
+            &self.recorder,
+        )
+        .await?;
         let proxy = Proxy::start(engine.address).await?;
         engine.register(proxy.address);
         self.engines.push(Proxied {
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -123,7 +123,9 @@
                 };
                 instance.store_proxy.set_faults(fault);
                 self.later(length, move |site| {
-                    site.instances[index].store_proxy.set_faults(proxy::Faults::default());
+                    site.instances[index]
+                        .store_proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
             Trouble::ResetStoreConnections => instance.store_proxy.reset_connections(),
@@ -134,7 +136,9 @@
                     ..proxy::Faults::default()
                 });
                 self.later(length, move |site| {
-                    site.instances[index].caller_proxy.set_faults(proxy::Faults::default());
+                    site.instances[index]
+                        .caller_proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
             Trouble::BadSettings => {
@@ -166,7 +170,7 @@
             }
         };
         site.store.set_faults(fault);
-        self.later(length, |site| site.store.set_faults(store::Faults::default()));
+        self.later(length, |site| site.store.set_faults(Default::default()));
     }
 
     fn endpoint_fault(&self, trouble: Trouble, index: usize, length: Duration) {
@@ -175,7 +179,9 @@
         if let Some(fault) = service_fault(trouble) {
             site.services[index].endpoint.set_faults(fault);
             self.later(length, move |site| {
-                site.services[index].endpoint.set_faults(service::Faults::default());
+                site.services[index]
+                    .endpoint
+                    .set_faults(service::Faults::default());
             });
             return;
         }
@@ -184,7 +190,9 @@
             Trouble::EngineDark => {
                 proxied.proxy.set_faults(proxy::Faults::DROP_ALL);
                 self.later(length, move |site| {
-                    site.engines[index].proxy.set_faults(proxy::Faults::default());
+                    site.engines[index]
+                        .proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
             Trouble::EngineLapses => {
@@ -197,7 +205,9 @@
             _ => {
                 proxied.endpoint.set_faults(engine_fault(trouble));
                 self.later(length, move |site| {
-                    site.engines[index].endpoint.set_faults(engine::Faults::default());
+                    site.engines[index]
+                        .endpoint
+                        .set_faults(engine::Faults::default());
                 });
             }
         }
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -150,7 +150,11 @@
         } else {
             Kind::Once
         };
-        let (load_balancer, recorder, tally) = (Rc::clone(&load_balancer), Rc::clone(&recorder), Rc::clone(&tally));
+        let (load_balancer, recorder, tally) = (
+            Rc::clone(&load_balancer),
+            Rc::clone(&recorder),
+            Rc::clone(&tally),
+        );
         callers.push(actix_rt::spawn(async move {
             let name = format!("c{number}");
             caller::run(load_balancer, kind, &name, end, recorder, tally).await;
@@ -269,6 +273,7 @@
 fn start(site: &mut Site, index: usize) {
     if let Err(error) = site.instances[index].start() {
         let name = site.instances[index].name.clone();
-        site.recorder.record_violation(format!("{name} does not start: {error}"));
+        site.recorder
+            .record_violation(format!("{name} does not start: {error}"));
     }
 }
--- a/crates/pinereel_fakes/src/hosting/soak/trouble.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/trouble.rs
@@ -86,7 +86,10 @@
 pub(super) fn engine_fault(trouble: Trouble) -> engine::Faults {
     let none = engine::Faults::default();
     match trouble {
-        Trouble::EngineSlow => engine::Faults { slow_factor: 6, ..none },
+        Trouble::EngineSlow => engine::Faults {
+            slow_factor: 6,
+            ..none
+        },
         Trouble::EngineCuts => engine::Faults {
             cut_after: Some(3),
             ..none
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -235,7 +235,8 @@
         if method == Method::GET {
             return self.get(&parts, &query).await;
         }
-        let lost = faults.loss_probability > 0.0 && self.rng.borrow_mut().random_bool(faults.loss_probability);
+        let lost = faults.loss_probability > 0.0
+            && self.rng.borrow_mut().random_bool(faults.loss_probability);
         if lost && faults.delay_lost_writes {
             let (state, wait) = (self.clone(), self.rng.borrow_mut().random_range(500..3_000));
             let parts: Vec<_> = parts.iter().map(|part| (*part).to_owned()).collect();
@@ -281,7 +282,8 @@
         if self.faults.get().accept_stale_watches && self.events(kind, after).is_none() {
             return never_answer().await;
         }
-        let _ = tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), event_available).await;
+        let _ =
+            tokio::time::timeout(Duration::from_millis(wait.unwrap_or(0)), event_available).await;
         let revision = self.data.borrow().revision;
         match self.events(kind, after) {
             Some(events) => {
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -176,7 +176,8 @@
             match answer.map(|answer| answer.status) {
                 Some(StatusCode::ACCEPTED) => return true,
                 Some(status) if status.is_client_error() => {
-                    self.recorder.record_violation(format!("lot {lot} got {status}"));
+                    self.recorder
+                        .record_violation(format!("lot {lot} got {status}"));
                     return false;
                 }
                 _ => sleep(Duration::from_millis(200)).await,
@@ -235,12 +236,20 @@
                 result_counts[*group] += 1;
             }
         }
-        let complete = result_counts.iter().filter(|count| **count >= self.shape.group_size);
+        let complete = result_counts
+            .iter()
+            .filter(|count| **count >= self.shape.group_size);
         complete.count() >= self.shape.wanted_groups
     }
 
     /// Checks every known result against what engines and scorers did.
-    fn check_results(&self, lot: &str, oldest: u64, items: &BTreeMap<String, usize>, known: &KnownResults) {
+    fn check_results(
+        &self,
+        lot: &str,
+        oldest: u64,
+        items: &BTreeMap<String, usize>,
+        known: &KnownResults,
+    ) {
         let mut ids = BTreeSet::new();
         for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
@@ -249,7 +258,8 @@
                     .record_violation(format!("lot {lot} lists {id}, which is not its item"));
             }
             if !ids.insert(id) {
-                self.recorder.record_violation(format!("lot {lot} lists {id} twice"));
+                self.recorder
+                    .record_violation(format!("lot {lot} lists {id} twice"));
             }
             if result["state"] == "completed" {
                 self.check_completed(id, oldest, result);
@@ -259,7 +269,8 @@
 
     fn check_completed(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
-            self.recorder.record_violation(format!("{id}: the text is not whole"));
+            self.recorder
+                .record_violation(format!("{id}: the text is not whole"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
         let versions: BTreeSet<_> = versions.iter().filter_map(Value::as_u64).collect();
@@ -286,13 +297,16 @@
         while Instant::now() < end {
             let answer = self.call(Method::DELETE, &target, lot, Bytes::new()).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
-                let (recorder, items) = (Rc::clone(&self.recorder), items.keys().cloned().collect());
+                let (recorder, items) =
+                    (Rc::clone(&self.recorder), items.keys().cloned().collect());
                 let last_arrival_by = Instant::now() + MAX_CANCEL_TIME;
                 let lot = lot.to_owned();
                 actix_rt::spawn(async move {
                     sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
                     if recorder.any_arrived_after(&items, last_arrival_by) {
-                        recorder.record_violation(format!("lot {lot}: an item was run long after its end"));
+                        recorder.record_violation(format!(
+                            "lot {lot}: an item was run long after its end"
+                        ));
                     }
                 });
                 return;
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -203,7 +203,15 @@
     .await;
     let listed: serde_json::Value = serde_json::from_slice(&listed.unwrap().body).unwrap();
     let path = format!("/crashes/{}", listed[0]["identity"].as_str().unwrap());
-    let cleared = call(address, Method::DELETE, &path, &headers, Bytes::new(), timeout).await;
+    let cleared = call(
+        address,
+        Method::DELETE,
+        &path,
+        &headers,
+        Bytes::new(),
+        timeout,
+    )
+    .await;
     assert_eq!(cleared.unwrap().status, StatusCode::OK);
     sleep(PROPAGATION_TIME).await;
     let answer = send(&site.instances[3], &body).await;
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -90,7 +90,10 @@
     assert_eq!(site.recorder.callers("l-1"), expected_callers(Some("a")));
     assert_eq!(site.recorder.callers("l-2"), expected_callers(Some("b")));
     for (id, key) in [("l-3", Some(UNKNOWN_KEY)), ("l-4", None)] {
-        assert_eq!(live_status(instance, id, key).await, StatusCode::UNAUTHORIZED);
+        assert_eq!(
+            live_status(instance, id, key).await,
+            StatusCode::UNAUTHORIZED
+        );
         assert_eq!(site.recorder.run_count(id), 0);
     }
     let public = (Method::POST, "/score/x");
@@ -168,7 +171,11 @@
         let item = site.recorder.callers(&format!("item-{number}"));
         assert_eq!(item, expected_callers(Some("a")), "the item's workspace");
         let scoring = site.recorder.callers(&format!("s-{number}"));
-        assert_eq!(scoring, expected_callers(None), "a scoring runs without a workspace");
+        assert_eq!(
+            scoring,
+            expected_callers(None),
+            "a scoring runs without a workspace"
+        );
     }
     for instance in &site.instances {
         let answer = send(instance, end.clone(), "r", Some(A2), "").await;
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -88,7 +88,8 @@
     }
     // An entry that was valid before becomes invalid.
     let invalidated_id = Rc::clone(&site.services[0].endpoint.id);
-    site.store.put("servers", &invalidated_id, json!({"state": 7}));
+    site.store
+        .put("servers", &invalidated_id, json!({"state": 7}));
     sleep(Duration::from_millis(1_200)).await;
     for number in 0..30 {
         let instance = &site.instances[number % site.instances.len()];
@@ -113,7 +114,11 @@
     let request_lines = log_lines(&site, "\"msg\":\"request\"");
     assert!(request_lines.len() >= 30, "{}", request_lines.len());
     assert!(!request_lines.iter().any(|line| line.contains("other-")));
-    assert!(!request_lines.iter().any(|line| line.contains(&*invalidated_id)));
+    assert!(
+        !request_lines
+            .iter()
+            .any(|line| line.contains(&*invalidated_id))
+    );
     // Each instance logs each invalid entry once.
     let refusals = log_lines(&site, "list entry refused");
     assert_eq!(refusals.len(), 8 * site.instances.len(), "{refusals:?}");
--- a/crates/pinereel_fakes/tests/hosting_list_watch.rs
+++ b/crates/pinereel_fakes/tests/hosting_list_watch.rs
@@ -36,7 +36,15 @@
             batch_delay: Duration::ZERO,
         };
         let on_update = |update, _| record(&recorded, update);
-        list_and_watch(&watched_store, Purpose::Config, KIND, options, feed, on_update).await;
+        list_and_watch(
+            &watched_store,
+            Purpose::Config,
+            KIND,
+            options,
+            feed,
+            on_update,
+        )
+        .await;
     });
     let probed = store.clone();
     actix_rt::spawn(async move { probed.probe_in_outages(KIND, "a", || false).await });
@@ -52,7 +60,8 @@
         .iter()
         .filter_map(|object| object.spec["x"].as_u64());
     let now = Instant::now();
-    received.borrow_mut()
+    received
+        .borrow_mut()
         .extend(numbers.map(|number| (now, number)));
 }
 
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -41,10 +41,16 @@
     let (load_balancer, recorder) = (site.load_balancer(), Rc::clone(&site.recorder));
     let tally = Rc::new(Tally::default());
     for kind in [Kind::Repeatable, Kind::Once] {
-        let (load_balancer, recorder, tally) = (Rc::clone(&load_balancer), Rc::clone(&recorder), Rc::clone(&tally));
+        let (load_balancer, recorder, tally) = (
+            Rc::clone(&load_balancer),
+            Rc::clone(&recorder),
+            Rc::clone(&tally),
+        );
         let end = Instant::now() + Duration::from_secs(4);
         let name = format!("{kind:?}");
-        actix_rt::spawn(async move { caller::run(load_balancer, kind, &name, end, recorder, tally).await });
+        actix_rt::spawn(async move {
+            caller::run(load_balancer, kind, &name, end, recorder, tally).await;
+        });
     }
     let mut trainer = Trainer::new("calm", &load_balancer, &site.store, &recorder, LOT_SHAPE, 1);
     for step in 0..4 {
@@ -54,7 +60,10 @@
     assert_eq!((trainer.done, trainer.given_up, trainer.refused), (4, 0, 0));
     assert!(tally.good.get() > 50, "{tally:?}");
     assert_eq!((tally.not_run.get(), tally.unknown.get()), (0, 0));
-    assert!(recorder.accepted_order_count() > 0, "no engine accepted an order for a new version");
+    assert!(
+        recorder.accepted_order_count() > 0,
+        "no engine accepted an order for a new version"
+    );
     recorder.check_orders();
     assert_eq!(recorder.violations(), Vec::<String>::new());
 }
@@ -69,13 +78,36 @@
         for instance in &site.instances {
             let headers = [
                 ("host", HOST.to_owned()),
-                ("x-request-id", format!("{}-{}", instance.name, site.config_version)),
+                (
+                    "x-request-id",
+                    format!("{}-{}", instance.name, site.config_version),
+                ),
             ];
             let address = instance.caller_proxy.address;
-            let new = call(address, Method::POST, &new_path, &headers, Bytes::new(), CALL_TIMEOUT).await;
-            assert_eq!(new.map(|a| a.status), Ok(StatusCode::OK), "the new route exists");
+            let new = call(
+                address,
+                Method::POST,
+                &new_path,
+                &headers,
+                Bytes::new(),
+                CALL_TIMEOUT,
+            )
+            .await;
+            assert_eq!(
+                new.map(|a| a.status),
+                Ok(StatusCode::OK),
+                "the new route exists"
+            );
             let old_path = format!("/only-{}/x", site.config_version - 2);
-            let old = call(address, Method::POST, &old_path, &headers, Bytes::new(), CALL_TIMEOUT).await;
+            let old = call(
+                address,
+                Method::POST,
+                &old_path,
+                &headers,
+                Bytes::new(),
+                CALL_TIMEOUT,
+            )
+            .await;
             assert_eq!(
                 old.map(|a| a.status),
                 Ok(StatusCode::NOT_FOUND),
@@ -112,13 +144,37 @@
     for instance in &site.instances {
         let address = instance.caller_proxy.address;
         let path = "/v1/lots/lot-1?after=0";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
+        let answer = call(
+            address,
+            Method::GET,
+            path,
+            &headers,
+            Bytes::new(),
+            CALL_TIMEOUT,
+        )
+        .await;
         pages.push(answer.unwrap().body);
         let path = "/v1/items/lot-1?id=only";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
+        let answer = call(
+            address,
+            Method::GET,
+            path,
+            &headers,
+            Bytes::new(),
+            CALL_TIMEOUT,
+        )
+        .await;
         assert_eq!(answer.unwrap().body, "prompt");
         let path = "/v1/lots/unknown?after=0";
-        let answer = call(address, Method::GET, path, &headers, Bytes::new(), CALL_TIMEOUT).await;
+        let answer = call(
+            address,
+            Method::GET,
+            path,
+            &headers,
+            Bytes::new(),
+            CALL_TIMEOUT,
+        )
+        .await;
         assert_eq!(answer.unwrap().status, StatusCode::NOT_FOUND);
     }
     assert!(pages.iter().all(|page| *page == pages[0]));
@@ -163,7 +219,10 @@
     while stored_lot().get("lot").is_some() && Instant::now() < end {
         sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(stored_lot(), serde_json::json!({"model": "model-a", "items": 2}));
+    assert_eq!(
+        stored_lot(),
+        serde_json::json!({"model": "model-a", "items": 2})
+    );
     for instance in 0..site.instances.len() {
         let again = send(instance, Method::GET, "/v1/lots/lot-2?after=0").await;
         assert_eq!(again.body, before);
@@ -293,7 +352,14 @@
         wanted_groups: 4,
         ..LOT_SHAPE
     };
-    let mut stopped = Trainer::new("stopped", &load_balancer, &site.store, &recorder, all_groups, 2);
+    let mut stopped = Trainer::new(
+        "stopped",
+        &load_balancer,
+        &site.store,
+        &recorder,
+        all_groups,
+        2,
+    );
     trainer.step(0).await;
     let before = recorder.event_count();
     let stop = async {
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -33,7 +33,10 @@
         ("x-request-id", lot.to_owned()),
         ("x-deadline-ms", "2000".to_owned()),
     ];
-    let (address, timeout) = (site.instances[0].caller_proxy.address, Duration::from_secs(3));
+    let (address, timeout) = (
+        site.instances[0].caller_proxy.address,
+        Duration::from_secs(3),
+    );
     let body = Bytes::from(body.to_string());
     let answer = call(address, Method::POST, "/lots/1", &headers, body, timeout).await;
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -37,7 +37,11 @@
     assert_eq!(store.unreachable_since(), None);
     let calls = stand_in.call_count();
     sleep(Duration::from_secs(1)).await;
-    assert_eq!(stand_in.call_count(), calls, "no calls while the store is reachable");
+    assert_eq!(
+        stand_in.call_count(),
+        calls,
+        "no calls while the store is reachable"
+    );
 }
 
 /// Callers are refused for the whole of an outage, and trainers submit their lot for the last time
@@ -81,7 +85,10 @@
         sleep(Duration::from_millis(50)).await;
     }
     let unreachable = Error::NotSent("the object store is unreachable".into());
-    assert!(refused.iter().all(|error| *error == unreachable), "{refused:?}");
+    assert!(
+        refused.iter().all(|error| *error == unreachable),
+        "{refused:?}"
+    );
     assert_eq!(refused.len(), 40);
     let probes = stand_in.call_count() - calls;
     assert!((11..=15).contains(&probes), "{probes} in 2 s");
@@ -111,6 +118,9 @@
     stand_in.set_faults(store::Faults::DOWN);
     let down = store.create(Purpose::Lots, "lots", "c", "{}").await;
     assert!(down.is_err_and(|error| error.had_no_effect()));
-    assert!(stand_in.spec("lots", "b").is_some(), "the write was carried out");
+    assert!(
+        stand_in.spec("lots", "b").is_some(),
+        "the write was carried out"
+    );
     assert!(stand_in.spec("lots", "c").is_none());
 }
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -56,7 +56,15 @@
         ];
         let address = instance.caller_proxy.address;
         let timeout = Duration::from_secs(3);
-        let answer = call(address, Method::POST, &path, &headers, Bytes::new(), timeout).await;
+        let answer = call(
+            address,
+            Method::POST,
+            &path,
+            &headers,
+            Bytes::new(),
+            timeout,
+        )
+        .await;
         if answer.map(|a| a.status) != Ok(StatusCode::OK) {
             outdated.push(instance.name.clone());
         }
@@ -72,7 +80,9 @@
     let root = indexes()
         .max_by_key(child_count)
         .expect("there are instances");
-    let inner_node = indexes().filter(|index| *index != root).max_by_key(child_count);
+    let inner_node = indexes()
+        .filter(|index| *index != root)
+        .max_by_key(child_count);
     (root, inner_node.expect("there are others"))
 }
 
