--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -66,14 +66,19 @@
     store: Store,
     recorder: Rc<Recorder>,
     version: Cell<u64>,
+    /// Whether a load is in progress.
     busy: Cell<bool>,
+    /// Number of accepted orders since the last start.
     order_count: Cell<u64>,
+    /// Highest fencing token of an order since the last start.
     max_fencing_token: Cell<u64>,
     /// Number of this start, in place of its time in milliseconds: only the order matters.
     incarnation: Cell<u64>,
+    /// Number of running requests.
     running: Rc<Cell<u32>>,
     faults: Cell<Faults>,
     leaving_since: Cell<Option<Instant>>,
+    /// Address in the engine's entry in the store.
     advertised: RefCell<String>,
 }
 
@@ -287,8 +292,8 @@
     if let Some(since) = state.leaving_since.get() {
         state.recorder.record_late_request(&item, since.elapsed());
     }
-    let full = state.running.get() >= SLOTS + MAX_QUEUED;
-    if state.busy.get() || full {
+    let is_full = state.running.get() >= SLOTS + MAX_QUEUED;
+    if state.busy.get() || is_full {
         let mut refusal = http::empty(StatusCode::SERVICE_UNAVAILABLE);
         set_header(&mut refusal, "x-not-executed", "1");
         return refusal;
@@ -320,6 +325,8 @@
     answer
 }
 
+/// State of the stream of an item: the engine, the item, the number of the next event, the version of
+/// the weights at the last event, the number of events sent, and the guard of the run.
 type StreamState = (Rc<State>, String, u64, u64, u64, RunGuard);
 
 async fn next_event(
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -277,8 +277,8 @@
 /// Returns the path of a binary of this Cargo workspace, in the folder of the running binary or in
 /// one above it.
 pub(super) fn binary_path(name: &str) -> io::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let mut folder = own.parent();
+    let running_binary = env::current_exe()?;
+    let mut folder = running_binary.parent();
     while let Some(path) = folder {
         let binary = path.join(name);
         if binary.is_file() {
@@ -290,8 +290,12 @@
 }
 
 /// Returns the fields with which the platform renders the settings template.
-fn template_fields(name: &str, own: [SocketAddr; 2], [store, platform]: [SocketAddr; 2]) -> Value {
-    let [callers, readiness] = own;
+fn template_fields(
+    name: &str,
+    listeners: [SocketAddr; 2],
+    [store, platform]: [SocketAddr; 2],
+) -> Value {
+    let [callers, readiness] = listeners;
     json!({
         "node": name,
         "zone": "here",
@@ -316,8 +320,8 @@
 /// reason; without starters, none of 28,838 did.
 pub(super) fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
-    let own = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
-    Ipv4Addr::new(127, 2 + high % 250, low, (own % 254) as u8 + 1)
+    Ipv4Addr::new(127, 2 + high % 250, low, (number % 254) as u8 + 1)
 }
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -127,8 +127,8 @@
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
         for group in 0..self.shape.groups {
-            for at in 0..self.shape.group_size {
-                let id = format!("{lot}.{group}.{at}");
+            for number in 0..self.shape.group_size {
+                let id = format!("{lot}.{group}.{number}");
                 items.push(json!({
                     "id": id, "path": "/lots/x", "headers": {"X-Model": MODEL},
                     "body": "cHJvbXB0", "tokens": 10, "group": format!("{lot}.{group}"),
@@ -218,11 +218,11 @@
             self.recorder
                 .record_violation(format!("lot {lot}: position {from} went away"));
         }
-        for (at, result) in results.into_iter().enumerate() {
-            let before = known.insert(from + at, result.clone());
-            if before.is_some_and(|before| before != result) {
+        for (offset, result) in results.into_iter().enumerate() {
+            let previous = known.insert(from + offset, result.clone());
+            if previous.is_some_and(|previous| previous != result) {
                 self.recorder
-                    .record_violation(format!("lot {lot}: position {} changed", from + at));
+                    .record_violation(format!("lot {lot}: position {} changed", from + offset));
             }
         }
     }
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -273,7 +273,7 @@
     })
 }
 
-/// Results of a lot so far.
+/// Reads the results of a lot so far.
 async fn read_results(site: &Site, lot: &str) -> Vec<serde_json::Value> {
     let headers = [("host", HOST.to_owned())];
     let (address, path) = (
@@ -282,9 +282,9 @@
     );
     let timeout = Duration::from_secs(3);
     let answer = call(address, Method::GET, &path, &headers, Bytes::new(), timeout).await;
-    let read: serde_json::Value =
+    let page: serde_json::Value =
         serde_json::from_slice(&answer.expect("an answer").body).expect("JSON");
-    read["results"].as_array().cloned().unwrap_or_default()
+    page["results"].as_array().cloned().unwrap_or_default()
 }
 
 /// Starts a site with endpoints and engines that crash under some requests. Returns it with them
@@ -336,8 +336,9 @@
     run_small_lot(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
 
-/// Items of a large lot, and the number of them that crash endpoints.
+/// Number of items of a large lot.
 const ITEMS: usize = 40;
+/// Number of those items that crash endpoints.
 const CRASHING_ITEMS: usize = 3;
 
 /// Runs a large lot with several items that `change` makes crash the engines or scorers that run
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -1,8 +1,8 @@
 //! Usage reports, end to end with real processes.
 //!
-//! Guards against windows that are never reported, because no instance counts, and against two reports
-//! of one window with different counts. Each test ends with a check of all reports that the platform
-//! accepted.
+//! Guards against windows that are never reported, because no instance counts, and against two
+//! reports of one window with different counts. Each test ends with a check of all reports that the
+//! platform accepted.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
