--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -1,62 +1,76 @@
-//! A live caller that checks each answer.
+//! A caller that sends live requests and checks each answer.
 
 use super::{
-    balance::Balance,
-    book::Book,
     http::{Answer, Failure, call},
+    load_balancer::LoadBalancer,
+    recorder::Recorder,
     service,
-    site::{HOST, KEY},
+    site::{API_KEY, HOST},
 };
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Deadline that a caller gives its requests.
+const DEADLINE: Duration = Duration::from_secs(2);
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(30);
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
 
-/// What a caller asks.
+/// The kind of a request, which decides its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A request that may run more than once.
     Repeatable,
-    /// A request that may run once at most.
+    /// A request that may run at most once.
     Once,
 }
 
-/// Answers that callers got.
+/// Counts of the answers that callers got.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Good ones.
+    /// Successful answers.
     pub good: Cell<u64>,
-    /// Refusals as not run.
+    /// Refusals, which promise that the request did not run.
     pub not_run: Cell<u64>,
-    /// Failures that promise nothing, and connections without a whole answer.
+    /// Other failures and incomplete answers: the request may have run.
     pub unknown: Cell<u64>,
 }
 
-/// Sends requests until `end`, each on a fresh connection to an instance that the balancer picks.
+/// Sends requests until `end`, each on a new connection to an instance that the load balancer
+/// picks.
 pub async fn run(
-    balance: Rc<Balance>,
+    load_balancer: Rc<LoadBalancer>,
     kind: Kind,
     name: &str,
     end: Instant,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     tally: Rc<Tally>,
 ) {
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
         let id = format!("{name}-{number}");
-        ask(balance.next().callers, kind, &id, &book, &tally).await;
-        sleep(PAUSE).await;
+        send_request(
+            load_balancer.pick().caller_address,
+            kind,
+            &id,
+            &recorder,
+            &tally,
+        )
+        .await;
+        sleep(REQUEST_PAUSE).await;
     }
 }
 
-/// Sends one request and checks what comes back.
-pub async fn ask(address: SocketAddr, kind: Kind, id: &str, book: &Book, tally: &Tally) {
+/// Sends a request, and checks and counts the answer.
+pub async fn send_request(
+    address: SocketAddr,
+    kind: Kind,
+    id: &str,
+    recorder: &Recorder,
+    tally: &Tally,
+) {
     let path = match kind {
         Kind::Repeatable => "/live/x",
         Kind::Once => "/once/x",
@@ -64,33 +78,33 @@
     let headers = [
         ("host", HOST.into()),
         ("x-request-id", id.into()),
-        ("x-deadline-ms", PATIENCE.as_millis().to_string()),
-        ("authorization", format!("Bearer {KEY}")),
+        ("x-deadline-ms", DEADLINE.as_millis().to_string()),
+        ("authorization", format!("Bearer {API_KEY}")),
     ];
     let body = Bytes::from(format!("from {id}"));
-    // A little longer than the deadline, which the answer should keep.
-    let wait = PATIENCE + Duration::from_millis(500);
-    match call(address, Method::POST, path, &headers, body, wait).await {
-        Ok(answer) => judge(kind, id, &answer, book, tally),
-        Err(Failure::NotOpened | Failure::Cut | Failure::Late) => bump(&tally.unknown),
+    // The answer should arrive before the deadline, so this leaves it a little more time.
+    let timeout = DEADLINE + Duration::from_millis(500);
+    match call(address, Method::POST, path, &headers, body, timeout).await {
+        Ok(answer) => check_answer(kind, id, &answer, recorder, tally),
+        Err(Failure::NotOpened | Failure::Cut | Failure::Late) => increment(&tally.unknown),
     }
-    if kind == Kind::Once && book.runs(id) > 1 {
-        book.fault(format!("{id} ran {} times", book.runs(id)));
+    if kind == Kind::Once && recorder.run_count(id) > 1 {
+        recorder.record_violation(format!("{id} ran {} times", recorder.run_count(id)));
     }
 }
 
-fn bump(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-fn judge(kind: Kind, id: &str, answer: &Answer, book: &Book, tally: &Tally) {
+fn check_answer(kind: Kind, id: &str, answer: &Answer, recorder: &Recorder, tally: &Tally) {
     if answer.status.is_success() {
-        bump(&tally.good);
-        let whole = answer.body == service::body(id).as_bytes();
-        let signed = answer.header("x-response-stamp").is_some();
-        let own = answer.header("x-request-id") == Some(id);
-        if !(whole && signed && own) {
-            book.fault(format!(
+        increment(&tally.good);
+        let is_whole = answer.body == service::answer_body(id).as_bytes();
+        let has_stamp = answer.header("x-response-stamp").is_some();
+        let has_own_id = answer.header("x-request-id") == Some(id);
+        if !(is_whole && has_stamp && has_own_id) {
+            recorder.record_violation(format!(
                 "{id} got an answer that is not its own or not whole"
             ));
         }
@@ -98,16 +112,16 @@
     }
     match answer.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            bump(&tally.not_run);
-            if kind == Kind::Once && book.runs(id) > 0 {
-                book.fault(format!("{id} was refused as not run, and ran"));
+            increment(&tally.not_run);
+            if kind == Kind::Once && recorder.run_count(id) > 0 {
+                recorder.record_violation(format!("{id} was refused as not run, and ran"));
             }
             if answer.header("retry-after").is_none() {
-                book.fault(format!("{id} was refused without a time to come back"));
+                recorder.record_violation(format!("{id} was refused without a time to come back"));
             }
         }
-        StatusCode::UNAUTHORIZED => book.fault(format!("{id} was refused its key")),
-        StatusCode::NOT_FOUND => book.fault(format!("{id} found no route")),
-        _ => bump(&tally.unknown),
+        StatusCode::UNAUTHORIZED => recorder.record_violation(format!("{id} was refused its key")),
+        StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} found no route")),
+        _ => increment(&tally.unknown),
     }
 }
--- a/crates/pinereel_fakes/src/hosting/fragile.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -1,13 +1,13 @@
-//! An endpoint in a process of its own, which crashes when a request tells it to, and is back some
-//! seconds later as a new start at the same address.
+//! An endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`] and
+//! restarts some seconds later at the same address with a new id.
 //!
-//! The process ([`main`]) ends by an abort, so that the system closes its connections and nothing
-//! listens any more, as after a real crash. [`Fragile`] is its keeper in the test's process.
+//! The process ([`main`]) aborts, so that the operating system closes its connections and its
+//! listener, as after a real crash. [`Endpoint`] starts and restarts it from the test's process.
 
 use super::{
-    engine::{data, header, set, stamp},
-    service::body,
-    site::{MODEL, own_ip},
+    engine::{event_data, header, response_stamp, set_header},
+    service::answer_body,
+    site::{MODEL, unique_loopback_ip},
     store::Store,
 };
 use crate::{
@@ -36,7 +36,7 @@
     time::{Instant, sleep},
 };
 
-/// Help on the flags.
+/// Help text for the flags.
 pub const HELP: &str = "  --address IP:PORT      listen there
   --id ID                its id
   --engine               make event streams
@@ -44,168 +44,178 @@
   --until-stdin-closes   end when standard input closes
   --help                 print this";
 
-/// A request whose body holds this word crashes the endpoint at the end of its work.
-pub const CRASH: &str = "crash";
-/// A request whose body holds this word runs for [`LONG`].
-pub const LINGER: &str = "linger";
-/// Port of each; every one has an address of its own.
+/// A request whose body contains this word crashes the endpoint at the end of its run.
+pub const CRASH_MARKER: &str = "crash";
+/// A request whose body contains this word runs for 400 ms instead of 25 ms.
+pub const SLOW_MARKER: &str = "linger";
+/// Port of all endpoints, each of which has its own address.
 const PORT: u16 = 9_480;
-/// Time of one request.
-const WORK: Duration = Duration::from_millis(25);
-/// Time of a long one.
-const LONG: Duration = Duration::from_millis(400);
-/// Events of a stream, and the pause before each.
-const EVENTS: u64 = 4;
-const EVENT: Duration = Duration::from_millis(30);
-/// Requests that run at once.
+/// Time that a request runs.
+const RUN_TIME: Duration = Duration::from_millis(25);
+/// Time that a request with [`SLOW_MARKER`] runs.
+const SLOW_RUN_TIME: Duration = Duration::from_millis(400);
+/// Number of events of a stream.
+const EVENTS_PER_STREAM: u64 = 4;
+/// Time that an event takes.
+const EVENT_TIME: Duration = Duration::from_millis(30);
+/// Number of requests that may run at once, as registered.
 const SLOTS: u32 = 6;
-/// Pause between two looks at the process.
-const LOOK: Duration = Duration::from_millis(5);
-/// Longest body.
-const MAX_BODY: usize = 1 << 20;
+/// Pause between two checks whether the process has exited.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest body of a request.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What kind of endpoint it is.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers requests.
+    /// The endpoint of a plain service: answers requests.
     Plain,
-    /// It makes the texts of items.
+    /// An engine: streams the texts of items.
     Engine,
 }
 
-/// One crash.
+/// A crash of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Crash {
-    /// Which start of which endpoint.
+    /// Id of the endpoint, which differs between its starts.
     pub endpoint: String,
-    /// The body of the request under which it crashed; empty if it crashed by itself.
+    /// Body of the request that caused the crash; empty if no request did.
     pub under: String,
-    /// When it was seen.
+    /// When the crash was detected.
     pub at: Instant,
 }
 
 /// The crashes of all endpoints of a test.
 pub type Crashes = Rc<RefCell<Vec<Crash>>>;
 
-/// A change of the platform's list.
+/// A change of the platform's endpoint list.
 #[derive(Clone, Debug)]
-pub enum Listed {
-    /// A start of an endpoint is there.
-    There {
-        /// Its id.
+pub enum ListChange {
+    /// An endpoint was started.
+    Added {
+        /// Id of the endpoint.
         id: String,
-        /// Where it serves.
+        /// Address at which the endpoint serves.
         address: SocketAddr,
     },
-    /// It is not listed any more.
-    Gone {
-        /// Its id.
+    /// An endpoint is to be removed from the list.
+    Removed {
+        /// Id of the endpoint.
         id: String,
     },
 }
 
-/// Writes the platform's list.
-pub type List = Rc<dyn Fn(Listed)>;
+/// Writes a change to the platform's endpoint list.
+pub type ListWriter = Rc<dyn Fn(ListChange)>;
 
-/// The keeper of one endpoint.
-pub struct Fragile {
-    /// Where it serves.
+/// An endpoint whose process is restarted after each crash.
+pub struct Endpoint {
+    /// Address at which the endpoint serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
 
 struct State {
-    base: String,
+    id_prefix: String,
     mode: Mode,
     address: SocketAddr,
-    list: List,
-    down: Cell<Duration>,
-    starts: Cell<u32>,
+    write_list: ListWriter,
+    restart_delay: Cell<Duration>,
+    start_count: Cell<u32>,
     child: RefCell<Option<Child>>,
-    /// What earlier processes printed.
-    earlier: RefCell<Vec<String>>,
+    /// Output of earlier processes.
+    earlier_lines: RefCell<Vec<String>>,
     crashes: Crashes,
 }
 
-impl Fragile {
-    /// Starts an endpoint of `service` in the object store's list, that is back `down` after each crash.
+impl Endpoint {
+    /// Starts an endpoint of `service`, which is registered in `store` and restarted
+    /// `restart_delay` after each crash.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(
         store: &Store,
         (service, mode): (&str, Mode),
-        down: Duration,
+        restart_delay: Duration,
         crashes: &Crashes,
     ) -> io::Result<Self> {
         let (store, service) = (store.clone(), service.to_owned());
-        let list = move |listed| match listed {
-            Listed::There { id, address } => {
-                store.put("servers", &id, entry(&service, mode, address));
+        let write_list = move |change| match change {
+            ListChange::Added { id, address } => {
+                store.put("servers", &id, list_entry(&service, mode, address));
             }
-            Listed::Gone { id } => store.remove("servers", &id),
+            ListChange::Removed { id } => store.remove("servers", &id),
         };
-        Self::listed(Rc::new(list), mode, down, crashes)
+        Self::start_with_list(Rc::new(write_list), mode, restart_delay, crashes)
     }
 
-    /// Starts an endpoint that `list` hears of, and that is back `down` after each crash.
+    /// Starts an endpoint, which is registered by `write_list` and restarted `restart_delay` after
+    /// each crash.
     ///
     /// # Errors
-    /// If it cannot be started.
-    pub fn listed(list: List, mode: Mode, down: Duration, crashes: &Crashes) -> io::Result<Self> {
-        let address = SocketAddr::from((own_ip(), PORT));
+    /// If the process cannot be started.
+    pub fn start_with_list(
+        write_list: ListWriter,
+        mode: Mode,
+        restart_delay: Duration,
+        crashes: &Crashes,
+    ) -> io::Result<Self> {
+        let address = SocketAddr::from((unique_loopback_ip(), PORT));
         let state = Rc::new(State {
-            base: format!("f-{}", address.ip()),
+            id_prefix: format!("f-{}", address.ip()),
             mode,
             address,
-            list,
-            down: Cell::new(down),
-            starts: Cell::new(0),
+            write_list,
+            restart_delay: Cell::new(restart_delay),
+            start_count: Cell::new(0),
             child: RefCell::default(),
-            earlier: RefCell::default(),
+            earlier_lines: RefCell::default(),
             crashes: Rc::clone(crashes),
         });
-        state.begin()?;
-        let kept = Rc::clone(&state);
-        actix_rt::spawn(async move { kept.keep().await });
+        state.start_process()?;
+        let supervised = Rc::clone(&state);
+        actix_rt::spawn(async move { supervised.restart_after_crashes().await });
         Ok(Self { address, state })
     }
 
-    /// Ids of the requests that it has run, of all starts.
-    pub fn runs(&self) -> Vec<String> {
+    /// Returns the ids of the requests that the endpoint has run since its first start.
+    pub fn run_request_ids(&self) -> Vec<String> {
         let lines = self.state.lines();
         let runs = lines.iter().filter_map(|line| line.strip_prefix("run "));
         runs.map(ToOwned::to_owned).collect()
     }
 
-    /// Ends it as a crash of its own would.
+    /// Kills the process: a crash that no request caused.
     pub fn crash(&self) {
         if let Some(child) = &mut *self.state.child.borrow_mut() {
-            // It may just have ended.
+            // The process may have exited in the meantime.
             let _ = child.signal(crate::child_process::Signal::KILL);
         }
     }
 
-    /// Takes it away for good.
+    /// Kills the process, deregisters the endpoint, and does not restart it.
     pub fn remove(&self) {
-        self.state.down.set(Duration::MAX);
+        self.state.restart_delay.set(Duration::MAX);
         self.crash();
     }
 }
 
 impl State {
+    /// Returns the id of the current start.
     fn id(&self) -> String {
-        format!("{}-{}", self.base, self.starts.get())
+        format!("{}-{}", self.id_prefix, self.start_count.get())
     }
 
+    /// Returns the output of all processes of the endpoint.
     fn lines(&self) -> Vec<String> {
         let now = self.child.borrow().as_ref().map(Child::lines);
-        [self.earlier.borrow().clone(), now.unwrap_or_default()].concat()
+        [self.earlier_lines.borrow().clone(), now.unwrap_or_default()].concat()
     }
 
-    /// Starts the process and lists it.
-    fn begin(&self) -> io::Result<()> {
-        self.starts.set(self.starts.get() + 1);
+    /// Starts the process and registers the endpoint.
+    fn start_process(&self) -> io::Result<()> {
+        self.start_count.set(self.start_count.get() + 1);
         let mut command = Command::new(binary()?);
         command.args(["fragile", "--until-stdin-closes", "--address"]);
         command.arg(self.address.to_string());
@@ -219,20 +229,22 @@
             .is_none()
         {
             let lines = child.lines().join("\n");
-            return Err(io::Error::other(format!("no endpoint: {lines}")));
+            return Err(io::Error::other(format!(
+                "the endpoint does not listen: {lines}"
+            )));
         }
         self.child.replace(Some(child));
-        (self.list)(Listed::There {
+        (self.write_list)(ListChange::Added {
             id: self.id(),
             address: self.address,
         });
         Ok(())
     }
 
-    /// Waits for crashes, and starts the endpoint again.
-    async fn keep(&self) {
+    /// Waits for crashes, and restarts the endpoint after each.
+    async fn restart_after_crashes(&self) {
         loop {
-            sleep(LOOK).await;
+            sleep(EXIT_CHECK_INTERVAL).await;
             let ended = match &mut *self.child.borrow_mut() {
                 Some(child) => !matches!(child.wait_for_exit(Duration::ZERO), Ok(None)),
                 None => return,
@@ -240,25 +252,26 @@
             if !ended {
                 continue;
             }
-            self.note_crash();
-            if self.down.get() == Duration::MAX {
-                (self.list)(Listed::Gone { id: self.id() });
+            self.record_crash();
+            if self.restart_delay.get() == Duration::MAX {
+                (self.write_list)(ListChange::Removed { id: self.id() });
                 return;
             }
-            sleep(self.down.get()).await;
-            // A crash says nothing to the store: the entry goes after some silence.
-            (self.list)(Listed::Gone { id: self.id() });
+            sleep(self.restart_delay.get()).await;
+            // A crashed endpoint cannot deregister: the entry stays in the list for some time.
+            (self.write_list)(ListChange::Removed { id: self.id() });
             let lines = self.lines();
-            self.earlier.replace(lines);
+            self.earlier_lines.replace(lines);
             self.child.replace(None);
-            if let Err(error) = self.begin() {
-                eprintln!("BROKEN: {} does not start: {error}", self.base);
+            if let Err(error) = self.start_process() {
+                eprintln!("BROKEN: {} does not start: {error}", self.id_prefix);
                 return;
             }
         }
     }
 
-    fn note_crash(&self) {
+    /// Records the crash of the process that has just exited.
+    fn record_crash(&self) {
         let child = self.child.borrow();
         let line = child
             .as_ref()
@@ -272,8 +285,8 @@
     }
 }
 
-/// An endpoint's entry in the object store's list.
-fn entry(service: &str, mode: Mode, address: SocketAddr) -> Value {
+/// Returns the endpoint's entry in the object store.
+fn list_entry(service: &str, mode: Mode, address: SocketAddr) -> Value {
     json!({
         "service": service, "addr": address.to_string(), "zone": "here",
         "version": "v1", "slots": SLOTS, "state": "ready", "coldRemainingMs": 0, "seq": 0,
@@ -284,12 +297,12 @@
     })
 }
 
-/// The tools' binary lies beside the tests'.
+/// Path of the binary of the stand-ins.
 fn binary() -> io::Result<std::path::PathBuf> {
-    super::site::beside("pinereel-fakes")
+    super::site::binary_path("pinereel-fakes")
 }
 
-/// Runs the endpoint as this process.
+/// Runs the endpoint in this process; the subcommand `fragile`.
 pub fn main(parser: Parser) -> ExitCode {
     match actix_rt::System::new().block_on(run(parser)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -300,7 +313,7 @@
     }
 }
 
-/// What the process was told.
+/// Options of the process.
 struct Options {
     id: String,
     mode: Mode,
@@ -341,44 +354,52 @@
     }
     let id = header(request.headers(), "x-request-id").unwrap_or_default();
     let after = header(request.headers(), "last-event-id").and_then(|n| n.parse().ok());
-    let body = http::read_body(&mut request, MAX_BODY, Duration::from_secs(5)).await;
+    let body = http::read_body(&mut request, MAX_BODY_BYTES, Duration::from_secs(5)).await;
     let body = String::from_utf8_lossy(&body.unwrap_or_default()).into_owned();
     println!("run {id}");
-    let long = body.contains(LINGER);
-    sleep(if long { LONG } else { WORK }).await;
-    if body.contains(CRASH) {
+    let is_slow = body.contains(SLOW_MARKER);
+    sleep(if is_slow { SLOW_RUN_TIME } else { RUN_TIME }).await;
+    if body.contains(CRASH_MARKER) {
         println!("crash under {body}");
         std::process::abort();
     }
     match options.mode {
-        Mode::Plain => answer(options, &id),
-        Mode::Engine => stream_of(options, &id, after.unwrap_or(0) + 1),
+        Mode::Plain => plain_answer(options, &id),
+        Mode::Engine => stream_events(options, &id, after.unwrap_or(0) + 1),
     }
 }
 
-fn answer(options: &Options, id: &str) -> Response {
-    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(body(id)));
-    set(&mut answer, "x-request-id", id);
-    set(&mut answer, "x-response-stamp", &stamp(&options.id, id));
+fn plain_answer(options: &Options, id: &str) -> Response {
+    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(answer_body(id)));
+    set_header(&mut answer, "x-request-id", id);
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&options.id, id),
+    );
     answer
 }
 
-fn stream_of(options: &Options, id: &str, first: u64) -> Response {
+fn stream_events(options: &Options, id: &str, first: u64) -> Response {
     let item = id.to_owned();
     let events = stream::unfold((item, first), |(item, number)| async move {
-        if number > EVENTS {
+        if number > EVENTS_PER_STREAM {
             return None;
         }
-        sleep(EVENT).await;
-        let event = format!("id: {number}\ndata: {}\n\n", data(&item, number));
+        sleep(EVENT_TIME).await;
+        let event = format!("id: {number}\ndata: {}\n\n", event_data(&item, number));
         Some((Ok::<_, io::Error>(Bytes::from(event)), (item, number + 1)))
     });
     let body = BoxBody::new(BodyStream::new(Box::pin(events)));
     let mut answer = Response::new(StatusCode::OK).set_body(body);
-    set(&mut answer, "content-type", "text/event-stream");
-    set(&mut answer, "x-request-id", id);
-    set(&mut answer, "x-response-stamp", &stamp(&options.id, id));
-    set(&mut answer, "x-weight-versions", "1");
+    set_header(&mut answer, "content-type", "text/event-stream");
+    set_header(&mut answer, "x-request-id", id);
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&options.id, id),
+    );
+    set_header(&mut answer, "x-weight-versions", "1");
     answer
 }
 
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -1,7 +1,8 @@
-//! A model engine: streams events, loads versions on orders, lists itself in the store.
+//! A model engine: streams the events of items, loads versions of the weights on orders, and
+//! registers in the store.
 
 use super::{
-    book::{Book, Ordered, Told},
+    recorder::{CallerIdentity, Order, Recorder},
     store::Store,
 };
 use actix_http::{
@@ -26,34 +27,34 @@
     time::{Instant, sleep},
 };
 
-/// Requests that run at once.
+/// Number of requests that may run at once, as registered.
 pub const SLOTS: u32 = 4;
-/// Requests that wait beside them.
-const QUEUE: u32 = 8;
-/// Time of one event.
-const EVENT: Duration = Duration::from_millis(12);
-/// Time of a load.
-const LOAD: Duration = Duration::from_millis(300);
-/// Events of the longest text.
-const MOST_EVENTS: u64 = 24;
+/// Number of requests that may wait for a slot.
+const MAX_QUEUED: u32 = 8;
+/// Time that an event takes.
+const EVENT_TIME: Duration = Duration::from_millis(12);
+/// Time that the load of a version takes.
+const LOAD_TIME: Duration = Duration::from_millis(300);
+/// Maximum number of events of a text.
+const MAX_EVENTS: u64 = 24;
 
-/// What an engine does wrong.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fault {
-    /// Events take so many times as long; 0 and 1 change nothing.
-    pub slow: u32,
-    /// Breaks each stream off after so many events.
+pub struct Faults {
+    /// Factor by which the time of an event is multiplied; 0 counts as 1.
+    pub slow_factor: u32,
+    /// Number of events after which each stream is aborted.
     pub cut_after: Option<u64>,
-    /// Orders get no answer and are carried out 1 s later.
+    /// Whether orders are carried out after 1 s and answered only a minute later.
     pub late_orders: bool,
 }
 
 /// A running engine.
 #[derive(Clone)]
 pub struct Engine {
-    /// Its id.
+    /// Id of the engine.
     pub id: Rc<String>,
-    /// Where it serves.
+    /// Address at which the engine serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -63,46 +64,53 @@
     service: String,
     model: String,
     store: Store,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     version: Cell<u64>,
+    /// Whether a load is in progress.
     busy: Cell<bool>,
-    orders: Cell<u64>,
-    fence: Cell<u64>,
-    /// When it last started, in milliseconds; only its order counts.
-    born: Cell<u64>,
+    /// Number of accepted orders since the last start.
+    order_count: Cell<u64>,
+    /// Highest fencing token of an order since the last start.
+    max_fencing_token: Cell<u64>,
+    /// Number of this start, in place of its time in milliseconds: only the order matters.
+    incarnation: Cell<u64>,
+    /// Number of running requests.
     running: Rc<Cell<u32>>,
-    fault: Cell<Fault>,
+    faults: Cell<Faults>,
     leaving_since: Cell<Option<Instant>>,
+    /// Address in the engine's entry in the store.
     advertised: RefCell<String>,
 }
 
-/// Counts a run until dropped.
-struct Running(Rc<Cell<u32>>);
+/// Counts a run in the number of running requests until dropped.
+struct RunGuard(Rc<Cell<u32>>);
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Number of events of an item's text.
-pub fn events(item: &str) -> u64 {
-    1 + hash::stable(item.as_bytes()) % MOST_EVENTS
+/// Returns the number of events of an item's text.
+pub fn event_count(item: &str) -> u64 {
+    1 + hash::stable(item.as_bytes()) % MAX_EVENTS
 }
 
-/// The data of one event of an item: the same at every engine and version.
-pub fn data(item: &str, number: u64) -> String {
+/// Returns the data of one event of an item, the same at every engine and version.
+pub fn event_data(item: &str, number: u64) -> String {
     format!("{:016x}", hash::rendezvous(number, item))
 }
 
-/// An item's whole text.
+/// Returns the complete text of an item.
 pub fn text(item: &str) -> String {
-    let parts: Vec<_> = (1..=events(item)).map(|n| data(item, n)).collect();
+    let parts: Vec<_> = (1..=event_count(item))
+        .map(|n| event_data(item, n))
+        .collect();
     parts.join("\n")
 }
 
 impl Engine {
-    /// Starts an engine on a free port; it lists itself under `advertised` or its own address.
+    /// Starts an engine on a free port, without registering it.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -111,7 +119,7 @@
         (service, model): (&str, &str),
         version: u64,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -120,14 +128,14 @@
             service: service.into(),
             model: model.into(),
             store: store.clone(),
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             version: Cell::new(version),
             busy: Cell::new(false),
-            orders: Cell::new(0),
-            fence: Cell::new(0),
-            born: Cell::new(1),
+            order_count: Cell::new(0),
+            max_fencing_token: Cell::new(0),
+            incarnation: Cell::new(1),
             running: Rc::default(),
-            fault: Cell::default(),
+            faults: Cell::default(),
             leaving_since: Cell::new(None),
             advertised: RefCell::new(address.to_string()),
         });
@@ -144,49 +152,50 @@
         })
     }
 
-    /// Lists the engine in the store, as reached under `advertised`.
-    pub fn list(&self, advertised: SocketAddr) {
+    /// Registers the engine in the store with the address `advertised`.
+    pub fn register(&self, advertised: SocketAddr) {
         self.state.advertised.replace(advertised.to_string());
-        self.state.beat();
+        self.state.write_entry();
     }
 
-    /// Starts again under its id: it holds and knows nothing of before, its counts start anew.
+    /// Simulates a restart under the same id: the order count and the fencing token are lost.
     pub fn restart(&self) {
         let state = &self.state;
-        state.born.set(state.born.get() + 1);
-        state.orders.set(0);
-        state.fence.set(0);
+        state.incarnation.set(state.incarnation.get() + 1);
+        state.order_count.set(0);
+        state.max_fencing_token.set(0);
         state.busy.set(false);
-        state.beat();
+        state.write_entry();
     }
 
-    /// Takes it off the list.
-    pub fn unlist(&self) {
+    /// Removes the engine's entry from the store.
+    pub fn deregister(&self) {
         self.state.store.remove("servers", &self.id);
     }
 
-    /// Announces that it leaves.
+    /// Announces in the store that the engine leaves; items that still arrive are recorded.
     pub fn leave(&self) {
         self.state.leaving_since.set(Some(Instant::now()));
-        self.state.beat();
+        self.state.write_entry();
     }
 
-    /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
-        self.state.fault.set(fault);
+    /// Sets the faults that are in force from now on.
+    pub fn set_faults(&self, faults: Faults) {
+        self.state.faults.set(faults);
     }
 
-    /// Version that it serves.
+    /// Returns the version of the weights that is loaded.
     pub fn version(&self) -> u64 {
         self.state.version.get()
     }
 }
 
 impl State {
-    fn beat(&self) {
+    /// Writes the engine's entry to the store.
+    fn write_entry(&self) {
         let leaving = self.leaving_since.get().is_some();
         let entry = json!({
-            "born": self.born.get(),
+            "born": self.incarnation.get(),
             "service": self.service,
             "addr": *self.advertised.borrow(),
             "zone": "here",
@@ -200,34 +209,36 @@
         self.store.put("servers", &self.id, entry);
     }
 
-    fn load(self: &Rc<Self>, version: u64) {
-        self.orders.set(self.orders.get() + 1);
+    /// Counts an order and starts to load `version`.
+    fn start_load(self: &Rc<Self>, version: u64) {
+        self.order_count.set(self.order_count.get() + 1);
         self.busy.set(true);
         let state = Rc::clone(self);
         actix_rt::spawn(async move {
-            sleep(LOAD).await;
+            sleep(LOAD_TIME).await;
             state.version.set(version);
             state.busy.set(false);
-            state.beat();
+            state.write_entry();
         });
     }
 
-    /// Judges an order and carries it out if it is good.
-    fn order(self: &Rc<Self>, order: &Value) -> StatusCode {
+    /// Checks an order, and carries it out if it is accepted. Returns the status of the answer.
+    fn handle_order(self: &Rc<Self>, order: &Value) -> StatusCode {
         let fence = order["fenceToken"].as_u64().unwrap_or_default();
         let version = order["version"].as_u64().unwrap_or_default();
         let expected = order["expected"].as_u64();
-        let status = if fence < self.fence.get() {
+        let status = if fence < self.max_fencing_token.get() {
             StatusCode::PRECONDITION_FAILED
-        } else if self.busy.get() || expected.is_some_and(|n| n != self.orders.get()) {
+        } else if self.busy.get() || expected.is_some_and(|n| n != self.order_count.get()) {
             StatusCode::CONFLICT
         } else if self.version.get() == version {
             StatusCode::OK
         } else {
             StatusCode::ACCEPTED
         };
-        self.fence.set(self.fence.get().max(fence));
-        self.book.ordered(Ordered {
+        self.max_fencing_token
+            .set(self.max_fencing_token.get().max(fence));
+        self.recorder.record_order(Order {
             engine: self.id.clone(),
             holder: order["holder"].as_str().unwrap_or_default().into(),
             fence,
@@ -235,7 +246,7 @@
             accepted: status == StatusCode::ACCEPTED,
         });
         if status == StatusCode::ACCEPTED {
-            self.load(version);
+            self.start_load(version);
         }
         status
     }
@@ -251,11 +262,11 @@
         (&Method::GET, "/v1/report") => http::json(
             StatusCode::OK,
             &json!({
-                "born": state.born.get(),
+                "born": state.incarnation.get(),
                 "stage": "both",
                 "models": [{"name": state.model, "version": state.version.get(), "adapters": []}],
                 "busy": state.busy.get(),
-                "seq": state.orders.get(),
+                "seq": state.order_count.get(),
                 "queued": 0,
                 "running": state.running.get(),
                 "kvUsed": 0, "kvTotal": 1_000, "handles": 0,
@@ -264,12 +275,12 @@
         (&Method::POST, "/v1/order") => {
             let order = http::read_json(&mut request, 1 << 16, Duration::from_secs(2)).await;
             let order: Value = order.unwrap_or_default();
-            if state.fault.get().late_orders {
+            if state.faults.get().late_orders {
                 sleep(Duration::from_secs(1)).await;
-                state.order(&order);
+                state.handle_order(&order);
                 sleep(Duration::from_secs(60)).await;
             }
-            http::empty(state.order(&order))
+            http::empty(state.handle_order(&order))
         }
         _ => generate(&state, &request),
     }
@@ -279,78 +290,88 @@
     let headers = request.headers();
     let item = header(headers, "x-request-id").unwrap_or_default();
     if let Some(since) = state.leaving_since.get() {
-        state.book.came_late(&item, since.elapsed());
+        state.recorder.record_late_request(&item, since.elapsed());
     }
-    let full = state.running.get() >= SLOTS + QUEUE;
-    if state.busy.get() || full {
+    let is_full = state.running.get() >= SLOTS + MAX_QUEUED;
+    if state.busy.get() || is_full {
         let mut refusal = http::empty(StatusCode::SERVICE_UNAVAILABLE);
-        set(&mut refusal, "x-not-executed", "1");
+        set_header(&mut refusal, "x-not-executed", "1");
         return refusal;
     }
-    state.book.told(&item, told(headers));
-    state.book.arrived(&item);
+    state
+        .recorder
+        .record_caller(&item, caller_identity(headers));
+    state.recorder.record_arrival(&item);
     let after = header(headers, "last-event-id").and_then(|n| n.parse().ok());
     state.running.set(state.running.get() + 1);
-    let running = Running(Rc::clone(&state.running));
+    let guard = RunGuard(Rc::clone(&state.running));
     let first = after.unwrap_or(0) + 1;
     let version = state.version.get();
     let stream = stream::unfold(
-        (Rc::clone(state), item.clone(), first, version, 0, running),
+        (Rc::clone(state), item.clone(), first, version, 0, guard),
         next_event,
     );
     let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(BodyStream::new(stream)));
-    set(&mut answer, "content-type", "text/event-stream");
-    set(&mut answer, "x-request-id", &item);
-    set(&mut answer, "x-response-stamp", &stamp(&state.id, &item));
-    if first <= events(&item) {
-        set(&mut answer, "x-weight-versions", &version.to_string());
+    set_header(&mut answer, "content-type", "text/event-stream");
+    set_header(&mut answer, "x-request-id", &item);
+    set_header(
+        &mut answer,
+        "x-response-stamp",
+        &response_stamp(&state.id, &item),
+    );
+    if first <= event_count(&item) {
+        set_header(&mut answer, "x-weight-versions", &version.to_string());
     }
     answer
 }
 
-type Generation = (Rc<State>, String, u64, u64, u64, Running);
+/// State of the stream of an item: the engine, the item, the number of the next event, the version of
+/// the weights at the last event, the number of events sent, and the guard of the run.
+type StreamState = (Rc<State>, String, u64, u64, u64, RunGuard);
 
 async fn next_event(
-    (state, item, number, version, made, running): Generation,
-) -> Option<(Result<Bytes, io::Error>, Generation)> {
-    let fault = state.fault.get();
-    if number > events(&item) {
+    (state, item, number, version, sent_count, guard): StreamState,
+) -> Option<(Result<Bytes, io::Error>, StreamState)> {
+    let faults = state.faults.get();
+    if number > event_count(&item) {
         return None;
     }
-    if fault.cut_after.is_some_and(|most| made >= most) {
-        let torn = Err(io::Error::other("cut"));
-        return Some((torn, (state, item, u64::MAX, version, made, running)));
+    if faults.cut_after.is_some_and(|limit| sent_count >= limit) {
+        let aborted = Err(io::Error::other("stream aborted by a fault"));
+        return Some((aborted, (state, item, u64::MAX, version, sent_count, guard)));
     }
-    sleep(EVENT * fault.slow.max(1)).await;
+    sleep(EVENT_TIME * faults.slow_factor.max(1)).await;
     let now = state.version.get();
     let mut event = format!("id: {number}\n");
     if now != version {
         event.push_str(&format!("x-weight-versions: {now}\n"));
     }
-    event.push_str(&format!("data: {}\n\n", data(&item, number)));
-    state.book.made(&item, now);
-    let next = (state, item, number + 1, now, made + 1, running);
+    event.push_str(&format!("data: {}\n\n", event_data(&item, number)));
+    state.recorder.record_event(&item, now);
+    let next = (state, item, number + 1, now, sent_count + 1, guard);
     Some((Ok(event.into()), next))
 }
 
-/// The signature of an answer.
-pub fn stamp(endpoint: &str, id: &str) -> String {
+/// Returns the stamp of an answer, which names the endpoint that ran the request.
+pub fn response_stamp(endpoint: &str, id: &str) -> String {
     format!("{endpoint}.{id}")
 }
 
-/// What a head tells of the caller.
-pub(super) fn told(headers: &HeaderMap) -> Told {
-    Told {
+/// Returns what the headers of a request say about its caller.
+pub(super) fn caller_identity(headers: &HeaderMap) -> CallerIdentity {
+    CallerIdentity {
         workspace: header(headers, "x-tenant"),
         credential: header(headers, "authorization"),
     }
 }
 
+/// Returns the value of a header; `None` if it is missing or not visible ASCII.
 pub(super) fn header(headers: &HeaderMap, name: &str) -> Option<String> {
     Some(headers.get(name)?.to_str().ok()?.to_owned())
 }
 
-pub(super) fn set(response: &mut Response, name: &'static str, value: &str) {
+/// Sets a header, unless `value` is not a valid header value.
+pub(super) fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         let headers = response.headers_mut();
         headers.insert(HeaderName::from_static(name), value);
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -1,72 +1,76 @@
-//! One instance of pinereel as a real process, behind its proxies.
+//! An instance of pinereel as a real process, behind proxies.
 
-use super::{http::call, proxy::Proxy, site::beside};
+use super::{http::call, proxy::Proxy, site::binary_path};
 use crate::child_process::{Child, Signal};
 use actix_http::Method;
 use bytes::Bytes;
 use std::{fs, io, net::SocketAddr, path::PathBuf, process::Command, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for a process to become ready.
-const READY: Duration = Duration::from_secs(10);
+/// Longest time from the start of a process until it is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One instance of pinereel.
+/// An instance of pinereel, whose process may be started several times.
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where callers connect, through a proxy.
-    pub callers: Proxy,
-    /// Its way to the store.
-    pub store: Proxy,
-    /// Where readiness is asked for.
-    pub readiness: SocketAddr,
-    settings: PathBuf,
-    /// The settings as they should be.
-    good_settings: String,
+    /// Proxy to which callers connect.
+    pub caller_proxy: Proxy,
+    /// Proxy through which the instance reaches the store.
+    pub store_proxy: Proxy,
+    /// Address of the readiness probe.
+    pub readiness_address: SocketAddr,
+    settings_path: PathBuf,
+    /// Contents of an intact settings file.
+    valid_settings: String,
     child: Option<Child>,
-    /// What earlier processes of the instance logged.
-    earlier: Vec<String>,
-    /// Whether it is stopped by SIGSTOP.
+    /// Log lines of earlier processes of the instance.
+    earlier_lines: Vec<String>,
+    /// Whether the process is stopped by SIGSTOP.
     pub paused: bool,
 }
 
 impl Instance {
-    /// One whose process is not started yet. `settings` is the path of its settings file, and what should stand there.
+    /// Returns an instance whose process is not started yet. `settings_path` is the path of the
+    /// settings file and `valid_settings` its contents.
     pub(super) fn new(
         name: String,
-        callers: Proxy,
-        store: Proxy,
-        readiness: SocketAddr,
-        (settings, good_settings): (PathBuf, String),
+        caller_proxy: Proxy,
+        store_proxy: Proxy,
+        readiness_address: SocketAddr,
+        (settings_path, valid_settings): (PathBuf, String),
     ) -> Self {
         Self {
             name,
-            callers,
-            store,
-            readiness,
-            settings,
-            good_settings,
+            caller_proxy,
+            store_proxy,
+            readiness_address,
+            settings_path,
+            valid_settings,
             child: None,
-            earlier: Vec::new(),
+            earlier_lines: Vec::new(),
             paused: false,
         }
     }
 
-    /// Starts the process.
+    /// Starts the process, with intact settings.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start(&mut self) -> io::Result<()> {
-        self.earlier.extend(self.lines());
-        self.mend_settings();
+        self.earlier_lines.extend(self.lines());
+        self.restore_settings();
         let mut command = Command::new(binary()?);
-        command.arg("hosted").arg("--config").arg(&self.settings);
+        command
+            .arg("hosted")
+            .arg("--config")
+            .arg(&self.settings_path);
         self.child = Some(Child::spawn(&mut command)?);
         self.paused = false;
         Ok(())
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process runs; a process that is stopped by SIGSTOP counts as running.
     pub fn is_running(&mut self) -> bool {
         let ended = self
             .child
@@ -75,45 +79,45 @@
         matches!(ended, Some(Ok(None)))
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&mut self, signal: Signal) {
         if let Some(child) = &mut self.child {
-            // It may just have ended.
+            // The process may have exited in the meantime.
             let _ = child.signal(signal);
         }
     }
 
-    /// Lines that the process has logged so far.
+    /// Returns the lines that the current process has logged so far.
     pub fn lines(&self) -> Vec<String> {
         self.child.as_ref().map(Child::lines).unwrap_or_default()
     }
 
-    /// Lines that all processes of the instance have logged.
+    /// Returns the lines that all processes of the instance have logged.
     pub fn all_lines(&self) -> Vec<String> {
-        [self.earlier.clone(), self.lines()].concat()
+        [self.earlier_lines.clone(), self.lines()].concat()
     }
 
-    /// Writes nonsense into the settings file, as storage that fails does.
-    pub fn spoil_settings(&self) {
-        // Best effort: what fails here is what is to be tested.
-        let _ = fs::write(&self.settings, "[instance\nname = ");
+    /// Overwrites the settings file with invalid contents, as failing storage does.
+    pub fn corrupt_settings(&self) {
+        // Best effort: a write that fails is a fault of the kind to be tested.
+        let _ = fs::write(&self.settings_path, "[instance\nname = ");
     }
 
-    /// Writes the good settings back.
-    pub fn mend_settings(&self) {
-        let _ = fs::write(&self.settings, &self.good_settings);
+    /// Restores the contents of the settings file.
+    pub fn restore_settings(&self) {
+        let _ = fs::write(&self.settings_path, &self.valid_settings);
     }
 
     /// Waits until the process is ready.
     ///
     /// # Errors
-    /// If it is not within ten seconds.
+    /// If the process is not ready within ten seconds.
     pub async fn wait_ready(&self) -> io::Result<()> {
-        let end = Instant::now() + READY;
+        let end = Instant::now() + READY_TIMEOUT;
         let headers = [("host", "here".to_owned())];
         while Instant::now() < end {
             let answer = call(
-                self.readiness,
+                self.readiness_address,
                 Method::GET,
                 "/v1/readiness",
                 &headers,
@@ -127,7 +131,7 @@
         }
         let lines = self.lines().join("\n");
         Err(io::Error::other(format!(
-            "{} is not ready: {lines}",
+            "{} did not become ready: {lines}",
             self.name
         )))
     }
@@ -135,5 +139,5 @@
 
 /// The binary under test.
 fn binary() -> io::Result<PathBuf> {
-    beside("pinereel")
+    binary_path("pinereel")
 }
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -1,6 +1,7 @@
-//! The platform's side of the calls that one instance makes at a time: it takes reports and checks them.
+//! The platform's API for the calls of lease holders: accepts usage reports and scale requests, and
+//! checks them.
 
-use super::{book::Book, engine::header};
+use super::{engine::header, recorder::Recorder};
 use actix_http::{HttpMessage as _, StatusCode};
 use pinereel::http::{self, Request, Response, Server};
 use serde_json::Value;
@@ -14,58 +15,59 @@
 };
 use tokio::{net::TcpListener, time::sleep};
 
-/// Longest body.
-const MAX_BODY: usize = 1 << 20;
+/// Longest body of a call.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What goes wrong.
+/// The fault in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Calls are answered 503, and nothing is done.
+    /// Calls are answered with status 503 and have no effect.
     Down,
-    /// Calls are carried out, and not answered.
-    Lost,
+    /// Calls have their effect but are not answered.
+    LoseAnswers,
 }
 
-/// Requests of each workspace in a window.
-pub type Counts = BTreeMap<String, u64>;
+/// Number of requests of each workspace in a time window.
+pub type RequestCounts = BTreeMap<String, u64>;
 
-/// The running stand-in.
+/// The running API.
 #[derive(Clone)]
 pub struct Platform {
-    /// Where it serves.
+    /// Address at which the API is served.
     pub address: SocketAddr,
     state: Rc<State>,
 }
 
 struct State {
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     fault: Cell<Fault>,
-    reports: RefCell<BTreeMap<u64, Counts>>,
-    /// Endpoints of the cheap kind that were asked for last, by zone.
-    asked: RefCell<BTreeMap<String, u64>>,
-    /// Highest fencing token that was seen by path, with its holder.
-    newest: RefCell<BTreeMap<String, (u64, String)>>,
-    calls: Cell<u64>,
+    /// Accepted usage reports, by the number of the window.
+    reports: RefCell<BTreeMap<u64, RequestCounts>>,
+    /// Last requested number of spot endpoints, by zone.
+    desired_spot_counts: RefCell<BTreeMap<String, u64>>,
+    /// Highest fencing token seen so far and its holder, by path.
+    max_fences: RefCell<BTreeMap<String, (u64, String)>>,
+    call_count: Cell<u64>,
 }
 
 impl Platform {
-    /// Starts on a free port.
+    /// Starts the API on a free port.
     ///
     /// # Errors
     /// If no port can be bound.
-    pub async fn start(book: &Rc<Book>) -> io::Result<Self> {
+    pub async fn start(recorder: &Rc<Recorder>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let state = Rc::new(State {
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             fault: Cell::default(),
             reports: RefCell::default(),
-            asked: RefCell::default(),
-            newest: RefCell::default(),
-            calls: Cell::new(0),
+            desired_spot_counts: RefCell::default(),
+            max_fences: RefCell::default(),
+            call_count: Cell::new(0),
         });
         let serving = Rc::clone(&state);
         Server::start(listener, http::Options::default(), move |request| {
@@ -76,37 +78,37 @@
         Ok(Self { address, state })
     }
 
-    /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
+    /// Sets the fault that is in force from now on.
+    pub fn set_fault(&self, fault: Fault) {
         self.state.fault.set(fault);
     }
 
-    /// The reports that were taken, by window.
-    pub fn reports(&self) -> BTreeMap<u64, Counts> {
+    /// Returns the accepted usage reports, by the number of the window.
+    pub fn reports(&self) -> BTreeMap<u64, RequestCounts> {
         self.state.reports.borrow().clone()
     }
 
-    /// Requests of a workspace in all reports.
-    pub fn total(&self, workspace: &str) -> u64 {
+    /// Returns the number of requests of a workspace in all reports.
+    pub fn request_count(&self, workspace: &str) -> u64 {
         let reports = self.state.reports.borrow();
         let counts = reports.values().filter_map(|counts| counts.get(workspace));
         counts.sum()
     }
 
-    /// Endpoints of the cheap kind that were asked for last, by zone.
-    pub fn asked(&self) -> BTreeMap<String, u64> {
-        self.state.asked.borrow().clone()
+    /// Returns the last requested number of spot endpoints, by zone.
+    pub fn desired_spot_counts(&self) -> BTreeMap<String, u64> {
+        self.state.desired_spot_counts.borrow().clone()
     }
 
-    /// Calls that came.
-    pub fn calls(&self) -> u64 {
-        self.state.calls.get()
+    /// Returns the number of calls received.
+    pub fn call_count(&self) -> u64 {
+        self.state.call_count.get()
     }
 
-    /// Who reported usage last.
-    pub fn holder(&self) -> String {
-        let newest = self.state.newest.borrow();
-        newest
+    /// Returns the lease holder that reported usage last; empty if none has.
+    pub fn last_reporter(&self) -> String {
+        let max_fences = self.state.max_fences.borrow();
+        max_fences
             .get("/usage")
             .map(|(_, holder)| holder.clone())
             .unwrap_or_default()
@@ -115,74 +117,78 @@
 
 impl State {
     async fn serve(&self, mut request: Request) -> Response {
-        self.calls.set(self.calls.get() + 1);
+        self.call_count.set(self.call_count.get() + 1);
         let fault = self.fault.get();
         if fault == Fault::Down {
             return http::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let status = self.take(&mut request).await;
-        if fault == Fault::Lost {
+        let status = self.handle_call(&mut request).await;
+        if fault == Fault::LoseAnswers {
             sleep(Duration::from_secs(60)).await;
         }
         http::empty(status)
     }
 
-    async fn take(&self, request: &mut Request) -> StatusCode {
+    async fn handle_call(&self, request: &mut Request) -> StatusCode {
         let path = request.path().to_owned();
         let holder = header(request.headers(), "x-lease-holder").unwrap_or_default();
         let fence = header(request.headers(), "x-fence-token").and_then(|f| f.parse().ok());
-        let body = http::read_json(request, MAX_BODY, Duration::from_secs(2)).await;
+        let body = http::read_json(request, MAX_BODY_BYTES, Duration::from_secs(2)).await;
         let (Some(fence), Ok(body)) = (fence, body) else {
-            self.book.fault(format!("{path} without a fence or a body"));
+            self.recorder
+                .record_violation(format!("{path} without a fence or a body"));
             return StatusCode::BAD_REQUEST;
         };
-        if !self.admit(&path, fence, &holder) {
+        if !self.accept_fencing_token(&path, fence, &holder) {
             return StatusCode::CONFLICT;
         }
         match path.as_str() {
-            "/usage" => self.note_usage(&body),
-            "/scale" => self.note_asked(&body),
-            _ => self.book.fault(format!("a call to {path}")),
+            "/usage" => self.record_usage(&body),
+            "/scale" => self.record_scale_request(&body),
+            _ => self.recorder.record_violation(format!("a call to {path}")),
         }
         StatusCode::OK
     }
 
-    /// Whether no higher fencing token was seen.
-    fn admit(&self, path: &str, fence: u64, holder: &str) -> bool {
-        let mut newest = self.newest.borrow_mut();
-        let newest = newest.entry(path.into()).or_default();
-        if fence == newest.0 && holder != newest.1 {
-            let other = &newest.1;
-            self.book.fault(format!(
+    /// Returns whether no earlier call to `path` had a higher fencing token. If so, records `fence`.
+    fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
+        let mut max_fences = self.max_fences.borrow_mut();
+        let max_of_path = max_fences.entry(path.into()).or_default();
+        if fence == max_of_path.0 && holder != max_of_path.1 {
+            let other = &max_of_path.1;
+            self.recorder.record_violation(format!(
                 "{holder} and {other} both called under fence {fence}"
             ));
         }
-        if fence < newest.0 {
+        if fence < max_of_path.0 {
             return false;
         }
-        *newest = (fence, holder.into());
+        *max_of_path = (fence, holder.into());
         true
     }
 
-    fn note_asked(&self, body: &Value) {
+    fn record_scale_request(&self, body: &Value) {
         let zone = body["zone"].as_str().unwrap_or_default();
         let count = body["desiredCount"].as_u64().unwrap_or_default();
         if body["spot"] != true {
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "endpoints of the usual kind were asked for: {body}"
             ));
         }
-        self.asked.borrow_mut().insert(zone.into(), count);
+        self.desired_spot_counts
+            .borrow_mut()
+            .insert(zone.into(), count);
     }
 
-    fn note_usage(&self, body: &Value) {
+    fn record_usage(&self, body: &Value) {
         let window = body["window"].as_u64().unwrap_or_default();
-        let counts: Counts = serde_json::from_value(body["counts"].clone()).unwrap_or_default();
+        let counts: RequestCounts =
+            serde_json::from_value(body["counts"].clone()).unwrap_or_default();
         let mut reports = self.reports.borrow_mut();
-        let known = reports.entry(window).or_insert_with(|| counts.clone());
-        if *known != counts {
-            self.book.fault(format!(
-                "window {window} was reported as {known:?} and as {counts:?}"
+        let reported = reports.entry(window).or_insert_with(|| counts.clone());
+        if *reported != counts {
+            self.recorder.record_violation(format!(
+                "window {window} was reported as {reported:?} and as {counts:?}"
             ));
         }
     }
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,8 +1,8 @@
-//! A plain service: runs requests, signs its answers, lists itself in the store.
+//! An endpoint of a plain service: runs requests, stamps its answers and registers in the store.
 
 use super::{
-    book::Book,
-    engine::{header, set, stamp, told},
+    engine::{caller_identity, header, response_stamp, set_header},
+    recorder::Recorder,
     store::Store,
 };
 use actix_http::{HttpMessage as _, StatusCode, body::BoxBody};
@@ -21,28 +21,28 @@
     time::{Instant, sleep},
 };
 
-/// Requests that run at once.
+/// Number of requests that may run at once, as registered.
 const SLOTS: u32 = 6;
-/// Time of one request.
-const WORK: Duration = Duration::from_millis(8);
+/// Time that a request runs.
+const RUN_TIME: Duration = Duration::from_millis(8);
 
-/// What a service does wrong.
+/// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fault {
-    /// One of so many answers is lost after the request ran; 0 loses none.
-    pub lose_one_of: u64,
-    /// One of so many answers is cut short; 0 cuts none.
-    pub cut_one_of: u64,
-    /// Holds every answer for so long.
+pub struct Faults {
+    /// Every nth answer is sent only 60 s after the request ran; 0 delays none.
+    pub lose_every: u64,
+    /// Every nth answer is cut in half and has no stamp; 0 cuts none.
+    pub cut_every: u64,
+    /// Delay of every answer.
     pub delay: Duration,
 }
 
 /// A running service endpoint.
 #[derive(Clone)]
 pub struct Service {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: Rc<String>,
-    /// Where it serves.
+    /// Address at which the endpoint serves.
     pub address: SocketAddr,
     state: Rc<State>,
 }
@@ -51,19 +51,19 @@
     id: String,
     service: String,
     store: Store,
-    book: Rc<Book>,
-    fault: Cell<Fault>,
-    count: Cell<u64>,
+    recorder: Rc<Recorder>,
+    faults: Cell<Faults>,
+    answer_count: Cell<u64>,
     leaving_since: Cell<Option<Instant>>,
 }
 
-/// The body of the answer to a request.
-pub fn body(id: &str) -> String {
+/// Returns the body of the answer to a request.
+pub fn answer_body(id: &str) -> String {
     format!("answer to {id} {:016x}", hash::stable(id.as_bytes()))
 }
 
 impl Service {
-    /// Starts an endpoint on a free port.
+    /// Starts an endpoint of `service` on a free port, without registering it.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -71,7 +71,7 @@
         id: &str,
         service: &str,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -79,9 +79,9 @@
             id: id.into(),
             service: service.into(),
             store: store.clone(),
-            book: Rc::clone(book),
-            fault: Cell::default(),
-            count: Cell::new(0),
+            recorder: Rc::clone(recorder),
+            faults: Cell::default(),
+            answer_count: Cell::new(0),
             leaving_since: Cell::new(None),
         });
         let serving = Rc::clone(&state);
@@ -97,8 +97,8 @@
         })
     }
 
-    /// Lists the endpoint in the store, as reached under `advertised`.
-    pub fn list(&self, advertised: SocketAddr) {
+    /// Registers the endpoint in the store with the address `advertised`.
+    pub fn register(&self, advertised: SocketAddr) {
         let state = &self.state;
         let leaving = state.leaving_since.get().is_some();
         let entry = json!({
@@ -114,20 +114,20 @@
         state.store.put("servers", &state.id, entry);
     }
 
-    /// Announces that it leaves.
+    /// Announces in the store that the endpoint leaves; requests that still arrive are recorded.
     pub fn leave(&self, advertised: SocketAddr) {
         self.state.leaving_since.set(Some(Instant::now()));
-        self.list(advertised);
+        self.register(advertised);
     }
 
-    /// Takes it off the list.
-    pub fn unlist(&self) {
+    /// Removes the endpoint's entry from the store.
+    pub fn deregister(&self) {
         self.state.store.remove("servers", &self.state.id);
     }
 
-    /// Sets what goes wrong from now on.
-    pub fn set(&self, fault: Fault) {
-        self.state.fault.set(fault);
+    /// Sets the faults that are in force from now on.
+    pub fn set_faults(&self, faults: Faults) {
+        self.state.faults.set(faults);
     }
 }
 
@@ -139,26 +139,30 @@
     }
     let id = header(headers, "x-request-id").unwrap_or_default();
     if let Some(since) = state.leaving_since.get() {
-        state.book.came_late(&id, since.elapsed());
+        state.recorder.record_late_request(&id, since.elapsed());
     }
-    state.book.told(&id, told(headers));
-    state.book.ran(&id, &state.service);
-    let fault = state.fault.get();
-    sleep(WORK + fault.delay).await;
-    state.count.set(state.count.get() + 1);
-    let one_of = |n: u64| n > 0 && state.count.get().is_multiple_of(n);
-    if one_of(fault.lose_one_of) {
+    state.recorder.record_caller(&id, caller_identity(headers));
+    state.recorder.record_run(&id, &state.service);
+    let faults = state.faults.get();
+    sleep(RUN_TIME + faults.delay).await;
+    state.answer_count.set(state.answer_count.get() + 1);
+    let is_nth = |n: u64| n > 0 && state.answer_count.get().is_multiple_of(n);
+    if is_nth(faults.lose_every) {
         sleep(Duration::from_secs(60)).await;
     }
-    let mut text = body(&id).into_bytes();
-    let length = text.len();
-    if one_of(fault.cut_one_of) {
-        text.truncate(length / 2);
+    let mut body = answer_body(&id).into_bytes();
+    let length = body.len();
+    if is_nth(faults.cut_every) {
+        body.truncate(length / 2);
     }
-    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(text));
-    set(&mut answer, "x-request-id", &id);
-    if !one_of(fault.cut_one_of) {
-        set(&mut answer, "x-response-stamp", &stamp(&state.id, &id));
+    let mut answer = Response::new(StatusCode::OK).set_body(BoxBody::new(body));
+    set_header(&mut answer, "x-request-id", &id);
+    if !is_nth(faults.cut_every) {
+        set_header(
+            &mut answer,
+            "x-response-stamp",
+            &response_stamp(&state.id, &id),
+        );
     }
     answer
 }
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -1,15 +1,15 @@
-//! A site: the store, the endpoints and the real processes, each behind proxies of its own.
+//! A site: the store, endpoints, and instances as real processes, each behind its own proxies.
 
 use super::{
-    balance::Balance,
-    book::Book,
     engine::Engine,
     instance,
+    load_balancer::LoadBalancer,
     platform::Platform,
     proxy::{self, Proxy},
+    recorder::Recorder,
     service::Service,
-    settings::fill,
     store::Store,
+    template::render,
 };
 use serde_json::{Value, json};
 use std::{
@@ -23,99 +23,103 @@
 
 pub use instance::Instance;
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "site.example";
-/// Workspace of the callers and trainers, where the configuration knows workspaces.
+/// Workspace of the callers and trainers, if the configuration defines workspaces.
 pub const WORKSPACE: &str = "w";
-/// Key of theirs.
-pub const KEY: &str = "key-of-w-5b1e";
-/// Model of the engines.
+/// API key of the callers and trainers.
+pub const API_KEY: &str = "key-of-w-5b1e";
+/// Name of the model that all engines serve.
 pub const MODEL: &str = "model-a";
-/// Service of the engines.
-const ENGINES: &str = "engines";
-/// Service that answers live requests and scores.
-const PLAIN: &str = "plain";
-/// The second service, to which changes of the configuration move a route.
-const OTHER: &str = "other";
-/// Port of the metrics in the deployment's template.
+/// Name of the engines' service.
+const ENGINE_SERVICE: &str = "engines";
+/// Name of the plain service that answers live requests and scores results.
+const PLAIN_SERVICE: &str = "plain";
+/// Name of a second plain service, to which configuration changes can move the live route.
+const OTHER_SERVICE: &str = "other";
+/// Port of the metrics, as in the deployment's template.
 pub const METRICS_PORT: u16 = 9_464;
-/// Port for callers; below those that the system gives out itself.
-const CALLERS_PORT: u16 = 9_465;
-/// Port where readiness is asked for.
+/// Port for callers; lower than the ports that the operating system assigns itself.
+const CALLER_PORT: u16 = 9_465;
+/// Port of the readiness probe.
 const READINESS_PORT: u16 = 9_466;
-/// First port for the system's own use.
-const PEERS_PORT: u16 = 9_470;
-/// Sizes of a site.
+/// First port for connections between instances.
+const FIRST_PEER_PORT: u16 = 9_470;
+
+/// Number of processes and endpoints that a site starts with.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Instances of pinereel.
+    /// Number of instances of pinereel.
     pub instances: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Endpoints of the plain service; the other one has one.
+    /// Number of endpoints of the plain service; the second plain service has one.
     pub services: usize,
 }
 
-/// One endpoint behind its proxy.
-pub struct Fronted<E> {
+/// An endpoint behind a proxy.
+pub struct Proxied<E> {
     /// The endpoint.
     pub endpoint: E,
-    /// Where instances connect.
+    /// Proxy to which instances connect.
     pub proxy: Proxy,
 }
 
-/// The running site.
+/// A running site.
 pub struct Site {
     /// The object store.
     pub store: Store,
-    /// The platform's side of calls that one instance makes at a time.
+    /// The platform's API for the calls of lease holders.
     pub platform: Platform,
-    /// What was seen.
-    pub book: Rc<Book>,
-    /// The engines.
-    pub engines: Vec<Fronted<Engine>>,
-    /// The plain services.
-    pub services: Vec<Fronted<Service>>,
-    /// The instances.
+    /// What the stand-ins observed.
+    pub recorder: Rc<Recorder>,
+    /// The engines, in the order in which they were added.
+    pub engines: Vec<Proxied<Engine>>,
+    /// The endpoints of both plain services.
+    pub services: Vec<Proxied<Service>>,
+    /// The instances, in the order in which they were added.
     pub instances: Vec<Instance>,
-    /// Number of the configuration.
-    pub config: u64,
-    /// Workspaces with their keys, as the operator writes them; none lets everybody in.
+    /// Version of the configuration.
+    pub config_version: u64,
+    /// Workspaces with their API keys, in the format of the configuration. Without any, requests
+    /// need no key.
     pub workspaces: Option<Value>,
+    /// Folder of the settings files.
     folder: PathBuf,
-    next: u64,
+    /// Last number used in the id of an endpoint or the name of an instance.
+    last_number: u64,
 }
 
 impl Site {
-    /// Starts everything and waits until all instances are ready.
+    /// Starts a site, and waits until all instances are ready.
     ///
     /// # Errors
-    /// If something cannot be started.
+    /// If a part of the site cannot be started.
     pub async fn start(size: Size, seed: u64) -> io::Result<Self> {
         let store = Store::start(seed).await?;
         let folder = env::temp_dir().join(format!("pinereel-site-{}-{seed}", std::process::id()));
         fs::create_dir_all(&folder)?;
-        let book = Book::new();
+        let recorder = Recorder::new();
         let mut site = Self {
             store,
-            platform: Platform::start(&book).await?,
-            book,
+            platform: Platform::start(&recorder).await?,
+            recorder,
             engines: Vec::new(),
             services: Vec::new(),
             instances: Vec::new(),
-            config: 0,
+            config_version: 0,
             workspaces: None,
             folder,
-            next: 0,
+            last_number: 0,
         };
-        site.configure(PLAIN, Duration::from_secs(2));
+        site.configure(PLAIN_SERVICE, Duration::from_secs(2));
         for _ in 0..size.engines {
             site.add_engine(1).await?;
         }
         for _ in 0..size.services {
-            site.add_service(PLAIN).await?;
+            site.add_service(PLAIN_SERVICE).await?;
         }
-        site.add_service(OTHER).await?;
+        site.add_service(OTHER_SERVICE).await?;
         for _ in 0..size.instances {
             site.add_instance().await?;
         }
@@ -125,23 +129,28 @@
         Ok(site)
     }
 
-    /// A balancer before all instances.
-    pub fn balance(&self) -> Rc<Balance> {
-        let balance = Rc::new(Balance::default());
+    /// Returns a new load balancer for the current instances.
+    pub fn load_balancer(&self) -> Rc<LoadBalancer> {
+        let load_balancer = Rc::new(LoadBalancer::default());
         for (index, instance) in self.instances.iter().enumerate() {
-            balance.add(index, instance.callers.address, instance.readiness);
+            load_balancer.add(
+                index,
+                instance.caller_proxy.address,
+                instance.readiness_address,
+            );
         }
-        balance
+        load_balancer
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Writes the next configuration: the live route goes to `live`, with `timeout`.
+    /// Writes the next configuration to the store. The live route goes to the service `live`, all
+    /// routes get `timeout`, and the route `/only-N/` exists only in version N.
     pub fn configure(&mut self, live: &str, timeout: Duration) {
-        self.config += 2;
+        self.config_version += 2;
         let route = |name: &str, kind: &str, service: &str, attempts: u32| {
             json!({
                 "name": name, "host": HOST, "pathPrefix": format!("/{name}/"), "kind": kind,
@@ -150,20 +159,20 @@
             })
         };
         let mut document = json!({
-            "version": self.config,
+            "version": self.config_version,
             "routes": [
                 route("live", "safe", live, 3),
-                route("once", "unsafe", PLAIN, 2),
-                route("score", "safe", PLAIN, 4),
-                route("lots", "rollout", ENGINES, 3),
-                route(&format!("only-{}", self.config), "safe", PLAIN, 2),
+                route("once", "unsafe", PLAIN_SERVICE, 2),
+                route("score", "safe", PLAIN_SERVICE, 4),
+                route("lots", "rollout", ENGINE_SERVICE, 3),
+                route(&format!("only-{}", self.config_version), "safe", PLAIN_SERVICE, 2),
             ],
             "services": [
-                {"name": ENGINES, "healthPath": "/health", "maxConns": 100,
+                {"name": ENGINE_SERVICE, "healthPath": "/health", "maxConns": 100,
                  "engine": {"slots": super::engine::SLOTS, "models": [{"name": MODEL}]},
                  "scale": {"min": 1, "max": 4, "bootS": 1.0, "spotPrice": 0.2, "zonePrices": {"here": 1.0, "there": 0.9}}},
-                {"name": PLAIN, "healthPath": "/health", "maxConns": 100},
-                {"name": OTHER, "healthPath": "/health", "maxConns": 100},
+                {"name": PLAIN_SERVICE, "healthPath": "/health", "maxConns": 100},
+                {"name": OTHER_SERVICE, "healthPath": "/health", "maxConns": 100},
             ],
             "limits": {"maxHeaderBytes": 16_384, "maxBodyBytes": 1_048_576,
                        "headerTimeoutMs": 3_000, "idleTimeoutMs": 15_000},
@@ -175,75 +184,82 @@
         self.store.put("config", "main", document);
     }
 
-    /// Adds an engine that serves `version`.
+    /// Adds an engine that has loaded `version` of the weights.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the engine cannot be started.
     pub async fn add_engine(&mut self, version: u64) -> io::Result<()> {
-        let id = format!("e-{}", self.number());
-        let engine = Engine::start(&id, (ENGINES, MODEL), version, &self.store, &self.book).await?;
+        let id = format!("e-{}", self.next_number());
+        let engine = Engine::start(
+            &id,
+            (ENGINE_SERVICE, MODEL),
+            version,
+            &self.store,
+            &self.recorder,
+        )
+        .await?;
         let proxy = Proxy::start(engine.address).await?;
-        engine.list(proxy.address);
-        self.engines.push(Fronted {
+        engine.register(proxy.address);
+        self.engines.push(Proxied {
             endpoint: engine,
             proxy,
         });
         Ok(())
     }
 
-    /// Adds an endpoint of a plain service.
+    /// Adds an endpoint of the plain service `service`.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the endpoint cannot be started.
     pub async fn add_service(&mut self, service: &str) -> io::Result<()> {
-        let id = format!("s-{}", self.number());
-        let endpoint = Service::start(&id, service, &self.store, &self.book).await?;
+        let id = format!("s-{}", self.next_number());
+        let endpoint = Service::start(&id, service, &self.store, &self.recorder).await?;
         let proxy = Proxy::start(endpoint.address).await?;
-        endpoint.list(proxy.address);
-        self.services.push(Fronted { endpoint, proxy });
+        endpoint.register(proxy.address);
+        self.services.push(Proxied { endpoint, proxy });
         Ok(())
     }
 
     /// Adds and starts an instance of pinereel.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If the instance cannot be started.
     pub async fn add_instance(&mut self) -> io::Result<()> {
-        self.add(proxy::Fault::default()).await
+        self.add_instance_with(proxy::Faults::default()).await
     }
 
-    /// Adds and starts an instance that does not reach the store.
+    /// Adds and starts an instance that cannot reach the store.
     ///
     /// # Errors
-    /// If it cannot be started.
-    pub async fn add_instance_cut_off(&mut self) -> io::Result<()> {
-        self.add(proxy::Fault::SILENT).await
+    /// If the instance cannot be started.
+    pub async fn add_instance_without_store(&mut self) -> io::Result<()> {
+        self.add_instance_with(proxy::Faults::DROP_ALL).await
     }
 
-    async fn add(&mut self, to_store: proxy::Fault) -> io::Result<()> {
-        let name = format!("front-{}", self.number());
-        let ip = IpAddr::from(own_ip());
-        let callers = SocketAddr::new(ip, CALLERS_PORT);
-        let readiness = SocketAddr::new(ip, READINESS_PORT);
-        let store = Proxy::start(self.store.address).await?;
-        store.set(to_store);
-        let settings = self.folder.join(format!("{name}.ini"));
+    async fn add_instance_with(&mut self, store_faults: proxy::Faults) -> io::Result<()> {
+        let name = format!("front-{}", self.next_number());
+        let ip = IpAddr::from(unique_loopback_ip());
+        let caller_address = SocketAddr::new(ip, CALLER_PORT);
+        let readiness_address = SocketAddr::new(ip, READINESS_PORT);
+        let store_proxy = Proxy::start(self.store.address).await?;
+        store_proxy.set_faults(store_faults);
+        let settings_path = self.folder.join(format!("{name}.ini"));
         let template = include_str!("../../../../deploy/instance.ini");
-        let good_settings = fill(
+        let valid_settings = render(
             template,
-            &fields(
+            &template_fields(
                 &name,
-                [callers, readiness],
-                [store.address, self.platform.address],
+                [caller_address, readiness_address],
+                [store_proxy.address, self.platform.address],
             ),
         );
-        fs::write(&settings, &good_settings)?;
+        fs::write(&settings_path, &valid_settings)?;
         let mut instance = Instance::new(
             name,
-            Proxy::start(callers).await?,
-            store,
-            readiness,
-            (settings, good_settings),
+            Proxy::start(caller_address).await?,
+            store_proxy,
+            readiness_address,
+            (settings_path, valid_settings),
         );
         instance.start()?;
         self.instances.push(instance);
@@ -253,15 +269,16 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // Only settings lie there.
+        // The folder contains only the settings files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A binary of this workspace: it lies beside the one that runs, or above it.
-pub(super) fn beside(name: &str) -> io::Result<PathBuf> {
-    let own = env::current_exe()?;
-    let mut folder = own.parent();
+/// Returns the path of a binary of this Cargo workspace, in the folder of the running binary or in
+/// one above it.
+pub(super) fn binary_path(name: &str) -> io::Result<PathBuf> {
+    let running_binary = env::current_exe()?;
+    let mut folder = running_binary.parent();
     while let Some(path) = folder {
         let binary = path.join(name);
         if binary.is_file() {
@@ -272,14 +289,18 @@
     Err(io::Error::other(format!("the binary {name} is not built")))
 }
 
-/// What the platform fills the template with.
-fn fields(name: &str, own: [SocketAddr; 2], [store, platform]: [SocketAddr; 2]) -> Value {
-    let [callers, readiness] = own;
+/// Returns the fields with which the platform renders the settings template.
+fn template_fields(
+    name: &str,
+    listeners: [SocketAddr; 2],
+    [store, platform]: [SocketAddr; 2],
+) -> Value {
+    let [callers, readiness] = listeners;
     json!({
         "node": name,
         "zone": "here",
         "ip": callers.ip().to_string(),
-        "portRange": [PEERS_PORT, PEERS_PORT + 15],
+        "portRange": [FIRST_PEER_PORT, FIRST_PEER_PORT + 15],
         "listen": {"front": callers.to_string(), "ready": readiness.to_string()},
         "limits": {"maxFds": 1_024, "cpuShare": 0.5},
         "provider": {"addr": store.to_string()},
@@ -291,16 +312,16 @@
     })
 }
 
-/// A loopback address that no other instance has, so that its ports can be fixed.
+/// Returns a loopback address that no other instance has, so that its ports can be fixed.
 ///
-/// A port that is found by binding it, and given back for the process, may still be bound when that
-/// begins: until its `exec`, a process that is being started beside holds a copy of the listener. With
-/// four starters and six busy processes 107 of 26,667 second binds failed so, without starters none of
-/// 28,838.
-pub(super) fn own_ip() -> Ipv4Addr {
+/// Free ports found by binding and closing a listener are not safe: a process that is being started
+/// at the same time holds a copy of the listener until its `exec`, so that the port may still be in
+/// use. With four starters and six busy processes, 107 of 26,667 second binds failed for this
+/// reason; without starters, none of 28,838 did.
+pub(super) fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
-    let own = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
     let [_, _, high, low] = process.to_be_bytes();
-    Ipv4Addr::new(127, 2 + high % 250, low, (own % 254) as u8 + 1)
+    Ipv4Addr::new(127, 2 + high % 250, low, (number % 254) as u8 + 1)
 }
--- a/crates/pinereel_fakes/src/hosting/soak/check.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/check.rs
@@ -13,12 +13,12 @@
     pub(super) async fn heal(&self) {
         sleep(Duration::from_secs(4)).await;
         let mut site = self.site.borrow_mut();
-        site.store.set(store::Fault::default());
+        site.store.set_faults(store::Faults::default());
         for index in 0..site.instances.len() {
             let instance = &mut site.instances[index];
-            instance.callers.set(proxy::Fault::default());
-            instance.store.set(proxy::Fault::default());
-            instance.mend_settings();
+            instance.caller_proxy.set_faults(proxy::Faults::default());
+            instance.store_proxy.set_faults(proxy::Faults::default());
+            instance.restore_settings();
             if instance.paused {
                 instance.signal(Signal::CONT);
                 instance.paused = false;
@@ -27,18 +27,18 @@
                 start(&mut site, index);
             }
         }
-        for fronted in &site.engines {
-            fronted.proxy.set(proxy::Fault::default());
-            fronted.endpoint.set(engine::Fault::default());
+        for proxied in &site.engines {
+            proxied.proxy.set_faults(proxy::Faults::default());
+            proxied.endpoint.set_faults(engine::Faults::default());
         }
-        for fronted in &site.services {
-            fronted.endpoint.set(service::Fault::default());
+        for proxied in &site.services {
+            proxied.endpoint.set_faults(service::Faults::default());
         }
     }
 
     /// After the last fault steps are done and callers are answered.
     pub(super) async fn check_recovery(&self, trainer: &mut Trainer, tally: &Tally) {
-        let book = Rc::clone(&self.site.borrow().book);
+        let recorder = Rc::clone(&self.site.borrow().recorder);
         sleep(RECOVERY / 3).await;
         let good = tally.good.get();
         let done = trainer.done;
@@ -47,20 +47,20 @@
             trainer.step(1_000_000 + step).await;
         }
         if trainer.done < done + STEPS_AFTER {
-            book.fault("steps are not done after the last fault");
+            recorder.record_violation("steps are not done after the last fault");
         }
         if tally.good.get() == good {
-            book.fault("no caller is answered after the last fault");
+            recorder.record_violation("no caller is answered after the last fault");
         }
         if began.elapsed() > RECOVERY {
-            book.fault(format!(
+            recorder.record_violation(format!(
                 "steps after the last fault took {:?}",
                 began.elapsed()
             ));
         }
-        let late = book.latest();
+        let late = recorder.max_lateness();
         if late > Duration::from_secs(2) {
-            book.fault(format!(
+            recorder.record_violation(format!(
                 "work came to an endpoint {late:?} after it was leaving"
             ));
         }
@@ -73,7 +73,7 @@
         let site = self.site.borrow();
         let spans = self.spans.borrow();
         for (index, instance) in site.instances.iter().enumerate() {
-            for at in instance.callers.cuts() {
+            for at in instance.caller_proxy.unanswered_closes() {
                 let during = |span: &Span| span.from <= at && at <= span.to;
                 let here = |span: &Span| span.instance.is_none_or(|i| i == index);
                 let planned = spans
@@ -84,7 +84,7 @@
                     .any(|span| !span.planned && here(span) && during(span));
                 if planned && !excused {
                     let millis = at.duration_since(self.began).as_millis();
-                    site.book.fault(format!(
+                    site.recorder.record_violation(format!(
                         "a planned stop of {index} cut a request at {millis} ms"
                     ));
                 }
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crash.rs
@@ -1,9 +1,9 @@
 //! Requests that crash the endpoints that run them, beside all other faults.
 
 use crate::hosting::{
-    fragile::{CRASH, Crashes, Fragile, Mode},
+    crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
     http::call,
-    site::{HOST, KEY, Site, WORKSPACE},
+    site::{API_KEY, HOST, Site, WORKSPACE},
 };
 use actix_http::Method;
 use bytes::Bytes;
@@ -28,7 +28,7 @@
 pub(super) struct Crashing {
     site: Rc<RefCell<Site>>,
     seed: u64,
-    _endpoints: Vec<Fragile>,
+    _endpoints: Vec<Endpoint>,
     crashes: Crashes,
     /// Bodies of the requests.
     bodies: Vec<String>,
@@ -39,7 +39,7 @@
     pub(super) fn start(site: &Rc<RefCell<Site>>, seed: u64) -> io::Result<Self> {
         let crashes = Crashes::default();
         let store = site.borrow().store.clone();
-        let start = |_| Fragile::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
+        let start = |_| Endpoint::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
         Ok(Self {
             site: Rc::clone(site),
             seed,
@@ -55,14 +55,14 @@
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x0063_7261_7368);
         let mut number = 0;
         while Instant::now() < stop {
-            let body = format!("{CRASH} {}-{}", self.seed, self.bodies.len());
+            let body = format!("{CRASH_MARKER} {}-{}", self.seed, self.bodies.len());
             self.bodies.push(body.clone());
             let end = Instant::now() + Duration::from_millis(rng.random_range(1_500..6_000));
             while Instant::now() < end.min(stop) {
                 let address = {
                     let site = self.site.borrow();
                     let at = rng.random_range(0..site.instances.len());
-                    site.instances[at].callers.address
+                    site.instances[at].caller_proxy.address
                 };
                 number += 1;
                 let id = format!("{body}-{number}").replace(' ', "-");
@@ -72,7 +72,7 @@
                         ("host", HOST.to_owned()),
                         ("x-request-id", id),
                         ("x-deadline-ms", PATIENCE.as_millis().to_string()),
-                        ("authorization", format!("Bearer {KEY}")),
+                        ("authorization", format!("Bearer {API_KEY}")),
                     ];
                     // What comes back is of no interest.
                     let _ = call(address, Method::POST, TARGET, &headers, body, PATIENCE).await;
@@ -98,8 +98,8 @@
         let site = self.site.borrow();
         for (body, taken) in self.taken() {
             if taken > MAX_CRASHES + ALLOWED {
-                site.book
-                    .fault(format!("{taken} endpoints crashed under {body}"));
+                site.recorder
+                    .record_violation(format!("{taken} endpoints crashed under {body}"));
             }
         }
         let culprits: Vec<_> = self.bodies.iter().map(|body| identity(body)).collect();
@@ -110,8 +110,8 @@
         {
             let refusal = line.contains("refused: endpoints crash under it");
             if refusal && !culprits.iter().any(|identity| line.contains(identity)) {
-                site.book
-                    .fault(format!("refused for others' crashes: {line}"));
+                site.recorder
+                    .record_violation(format!("refused for others' crashes: {line}"));
             }
         }
     }
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -8,7 +8,7 @@
     child_process::Signal,
     hosting::{
         engine, proxy, service,
-        site::{KEY, Site, WORKSPACE},
+        site::{API_KEY, Site, WORKSPACE},
         store,
     },
 };
@@ -117,31 +117,35 @@
         let instance = &site.instances[index];
         match trouble {
             Trouble::CutFromStore => {
-                let fault = proxy::Fault {
-                    mute_requests: !one_way,
-                    ..proxy::Fault::SILENT
+                let fault = proxy::Faults {
+                    drop_requests: !one_way,
+                    ..proxy::Faults::DROP_ALL
                 };
-                instance.store.set(fault);
+                instance.store_proxy.set_faults(fault);
                 self.later(length, move |site| {
-                    site.instances[index].store.set(proxy::Fault::default());
+                    site.instances[index]
+                        .store_proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
-            Trouble::ResetStoreConnections => instance.store.reset(),
+            Trouble::ResetStoreConnections => instance.store_proxy.reset_connections(),
             Trouble::DelayCallers => {
                 let delay = Duration::from_millis(60);
-                instance.callers.set(proxy::Fault {
+                instance.caller_proxy.set_faults(proxy::Faults {
                     delay,
-                    ..proxy::Fault::default()
+                    ..proxy::Faults::default()
                 });
                 self.later(length, move |site| {
-                    site.instances[index].callers.set(proxy::Fault::default());
+                    site.instances[index]
+                        .caller_proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
             Trouble::BadSettings => {
-                instance.spoil_settings();
-                self.later(length, move |site| site.instances[index].mend_settings());
+                instance.corrupt_settings();
+                self.later(length, move |site| site.instances[index].restore_settings());
             }
-            _ => instance.callers.reset(),
+            _ => instance.caller_proxy.reset_connections(),
         }
     }
 
@@ -150,54 +154,60 @@
         let late = self.rng.random_bool(0.5);
         let site = self.site.borrow();
         let fault = match trouble {
-            Trouble::StoreDown => store::Fault::DOWN,
-            Trouble::StoreSlow => store::Fault {
+            Trouble::StoreDown => store::Faults::DOWN,
+            Trouble::StoreSlow => store::Faults {
                 delay: Duration::from_millis(200),
-                ..store::Fault::default()
+                ..store::Faults::default()
             },
-            Trouble::StoreLoses => store::Fault {
-                lost: 0.35,
-                late,
-                ..store::Fault::default()
+            Trouble::StoreLoses => store::Faults {
+                loss_probability: 0.35,
+                delay_lost_writes: late,
+                ..store::Faults::default()
             },
             _ => {
                 site.store.compact();
                 return;
             }
         };
-        site.store.set(fault);
-        self.later(length, |site| site.store.set(store::Fault::default()));
+        site.store.set_faults(fault);
+        self.later(length, |site| site.store.set_faults(Default::default()));
     }
 
     fn endpoint_fault(&self, trouble: Trouble, index: usize, length: Duration) {
         self.span(None, false, length + AFTERMATH);
         let site = self.site.borrow();
         if let Some(fault) = service_fault(trouble) {
-            site.services[index].endpoint.set(fault);
+            site.services[index].endpoint.set_faults(fault);
             self.later(length, move |site| {
-                site.services[index].endpoint.set(service::Fault::default());
+                site.services[index]
+                    .endpoint
+                    .set_faults(service::Faults::default());
             });
             return;
         }
-        let fronted = &site.engines[index];
+        let proxied = &site.engines[index];
         match trouble {
             Trouble::EngineDark => {
-                fronted.proxy.set(proxy::Fault::SILENT);
+                proxied.proxy.set_faults(proxy::Faults::DROP_ALL);
                 self.later(length, move |site| {
-                    site.engines[index].proxy.set(proxy::Fault::default());
+                    site.engines[index]
+                        .proxy
+                        .set_faults(proxy::Faults::default());
                 });
             }
             Trouble::EngineLapses => {
-                fronted.endpoint.unlist();
+                proxied.endpoint.deregister();
                 self.later(length.min(Duration::from_millis(1_500)), move |site| {
-                    let fronted = &site.engines[index];
-                    fronted.endpoint.list(fronted.proxy.address);
+                    let proxied = &site.engines[index];
+                    proxied.endpoint.register(proxied.proxy.address);
                 });
             }
             _ => {
-                fronted.endpoint.set(engine_fault(trouble));
+                proxied.endpoint.set_faults(engine_fault(trouble));
                 self.later(length, move |site| {
-                    site.engines[index].endpoint.set(engine::Fault::default());
+                    site.engines[index]
+                        .endpoint
+                        .set_faults(engine::Faults::default());
                 });
             }
         }
@@ -214,15 +224,15 @@
                 let last = site.engines.len() - 1;
                 site.engines.swap(index, last);
                 let old = site.engines.pop().expect("one was just added");
-                end_later(move || old.endpoint.unlist());
+                end_later(move || old.endpoint.deregister());
             }
         } else if index + 1 < site.services.len() && add(site.add_service("plain")) {
-            let fronted = &site.services[index];
-            fronted.endpoint.leave(fronted.proxy.address);
+            let proxied = &site.services[index];
+            proxied.endpoint.leave(proxied.proxy.address);
             let last = site.services.len() - 1;
             site.services.swap(index, last);
             let old = site.services.pop().expect("one was just added");
-            end_later(move || old.endpoint.unlist());
+            end_later(move || old.endpoint.deregister());
         }
     }
 
@@ -238,9 +248,9 @@
 
 /// The next configuration has other keys beside the one that callers use.
 pub(super) fn change_keys(site: &mut Site) {
-    let next = format!("key-of-w-{}", site.config);
+    let next = format!("key-of-w-{}", site.config_version);
     site.workspaces = Some(json!([
-        {"name": WORKSPACE, "apiKeys": [KEY, next]},
+        {"name": WORKSPACE, "apiKeys": [API_KEY, next]},
         {"name": "nobody", "apiKeys": []},
     ]));
 }
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,11 +1,11 @@
-//! A trainer that submits lots, reads them at any instance and checks every position.
+//! A trainer that submits lots, reads their results at any instance, and checks each result.
 
 use super::{
-    balance::Balance,
-    book::Book,
     engine,
     http::{Answer, call},
-    site::{HOST, KEY, MODEL},
+    load_balancer::LoadBalancer,
+    recorder::Recorder,
+    site::{API_KEY, HOST, MODEL},
     store::Store,
 };
 use actix_http::{Method, StatusCode};
@@ -20,59 +20,59 @@
 };
 use tokio::time::{Instant, sleep};
 
-/// How long a call may take.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Longest wait for a step.
-const STEP: Duration = Duration::from_secs(25);
-/// After the end of a lot its items must not come to an engine any more.
-const CANCEL: Duration = Duration::from_secs(3);
+/// Deadline of a call.
+const CALL_DEADLINE: Duration = Duration::from_secs(3);
+/// Longest time for which a lot is submitted, read or ended.
+const STEP_TIMEOUT: Duration = Duration::from_secs(25);
+/// Time after the end of a lot after which engines must not receive its items any more.
+const MAX_CANCEL_TIME: Duration = Duration::from_secs(3);
 
-/// One step's shape.
+/// The size of the lots, one of which is submitted in each step.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Groups of a lot.
+    /// Number of groups of a lot.
     pub groups: usize,
-    /// Items of a group.
-    pub size: usize,
-    /// Whole groups that are waited for.
-    pub wanted: usize,
+    /// Number of items of a group.
+    pub group_size: usize,
+    /// Number of complete groups that end a step.
+    pub wanted_groups: usize,
 }
 
-/// A trainer.
+/// A trainer, which names a new version of the weights after each step.
 pub struct Trainer {
-    balance: Rc<Balance>,
+    load_balancer: Rc<LoadBalancer>,
     store: Store,
-    book: Rc<Book>,
+    recorder: Rc<Recorder>,
     rng: ChaCha8Rng,
     shape: Shape,
     name: String,
-    /// Newest version that was named.
+    /// Newest version of the weights that was named.
     version: u64,
-    /// Steps that were done in time.
+    /// Number of steps that got their groups in time.
     pub done: u64,
-    /// Steps that were given up.
+    /// Number of steps that did not get their groups in time.
     pub given_up: u64,
-    /// Lots that were never accepted.
+    /// Number of lots that were never accepted.
     pub refused: u64,
 }
 
-/// Positions of a lot that were seen.
-type Seen = BTreeMap<usize, Value>;
+/// The results read so far of a lot, by position.
+type KnownResults = BTreeMap<usize, Value>;
 
 impl Trainer {
-    /// A trainer that talks to the instances behind `balance`.
+    /// Returns a trainer that calls the instances behind `load_balancer`.
     pub fn new(
         name: &str,
-        balance: &Rc<Balance>,
+        load_balancer: &Rc<LoadBalancer>,
         store: &Store,
-        book: &Rc<Book>,
+        recorder: &Rc<Recorder>,
         shape: Shape,
         seed: u64,
     ) -> Self {
         Self {
-            balance: Rc::clone(balance),
+            load_balancer: Rc::clone(load_balancer),
             store: store.clone(),
-            book: Rc::clone(book),
+            recorder: Rc::clone(recorder),
             rng: ChaCha8Rng::seed_from_u64(seed),
             shape,
             name: name.into(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Runs steps until `end`.
+    /// Runs steps, the last of which may end after `end`.
     pub async fn run(&mut self, end: Instant) {
         let mut step = 0;
         while Instant::now() < end {
@@ -92,41 +92,43 @@
         }
     }
 
-    /// One step: submit, read, end, name the next version.
+    /// Runs a step: submits a lot, reads its results, ends it and names the next version.
     pub async fn step(&mut self, step: u64) {
         let lot = format!("{}-{step}", self.name);
         let oldest = self.version.saturating_sub(1).max(1);
-        let (items, body) = self.lot(&lot, oldest);
+        let (items, body) = self.build_lot(&lot, oldest);
         if !self.submit(&lot, &body).await {
             self.refused += 1;
             sleep(Duration::from_millis(300)).await;
             return;
         }
-        let mut seen = Seen::new();
-        let end = Instant::now() + STEP;
-        let mut whole = false;
-        while !whole && Instant::now() < end {
-            self.read(&lot, &mut seen).await;
-            whole = self.is_whole(&items, &seen);
+        let mut known = KnownResults::new();
+        let end = Instant::now() + STEP_TIMEOUT;
+        let mut is_complete = false;
+        while !is_complete && Instant::now() < end {
+            self.read_results(&lot, &mut known).await;
+            is_complete = self.has_wanted_groups(&items, &known);
         }
-        if whole {
+        if is_complete {
             self.done += 1;
         } else {
             self.given_up += 1;
         }
-        self.check(&lot, oldest, &items, &seen);
-        self.end(&lot, &items).await;
+        self.check_results(&lot, oldest, &items, &known);
+        self.end_lot(&lot, &items).await;
         self.version += 1;
         let version = json!({"model": MODEL, "version": self.version});
         self.store.put("versions", MODEL, version);
     }
 
-    fn lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
+    /// Returns a lot's items with their groups, and the body that submits the lot. Results must have
+    /// version `oldest` of the weights or a newer one.
+    fn build_lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
         for group in 0..self.shape.groups {
-            for at in 0..self.shape.size {
-                let id = format!("{lot}.{group}.{at}");
+            for number in 0..self.shape.group_size {
+                let id = format!("{lot}.{group}.{number}");
                 items.push(json!({
                     "id": id, "path": "/lots/x", "headers": {"X-Model": MODEL},
                     "body": "cHJvbXB0", "tokens": 10, "group": format!("{lot}.{group}"),
@@ -137,7 +139,7 @@
         }
         let body = json!({
             "step": 1, "model": MODEL, "minVersion": oldest,
-            "desiredCount": self.shape.wanted, "items": items,
+            "desiredCount": self.shape.wanted_groups, "items": items,
         });
         (ids, body.to_string().into())
     }
@@ -152,20 +154,21 @@
         let headers = [
             ("host", HOST.to_owned()),
             ("x-request-id", id.to_owned()),
-            ("x-deadline-ms", PATIENCE.as_millis().to_string()),
+            ("x-deadline-ms", CALL_DEADLINE.as_millis().to_string()),
             ("x-wait-ms", "500".to_owned()),
-            ("authorization", format!("Bearer {KEY}")),
+            ("authorization", format!("Bearer {API_KEY}")),
         ];
-        let address = self.balance.next().callers;
-        let wait = PATIENCE + Duration::from_millis(500);
-        call(address, method, target, &headers, body, wait)
+        let address = self.load_balancer.pick().caller_address;
+        let timeout = CALL_DEADLINE + Duration::from_millis(500);
+        call(address, method, target, &headers, body, timeout)
             .await
             .ok()
     }
 
-    /// Submits until it is accepted; tells whether it was.
+    /// Submits a lot until it is accepted or refused with a 4xx status; returns whether it was
+    /// accepted.
     async fn submit(&mut self, lot: &str, body: &Bytes) -> bool {
-        let end = Instant::now() + STEP;
+        let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
             let answer = self
                 .call(Method::POST, "/lots/new", lot, body.clone())
@@ -173,7 +176,8 @@
             match answer.map(|answer| answer.status) {
                 Some(StatusCode::ACCEPTED) => return true,
                 Some(status) if status.is_client_error() => {
-                    self.book.fault(format!("lot {lot} got {status}"));
+                    self.recorder
+                        .record_violation(format!("lot {lot} got {status}"));
                     return false;
                 }
                 _ => sleep(Duration::from_millis(200)).await,
@@ -182,9 +186,9 @@
         false
     }
 
-    /// Reads on from what was seen, at times from an earlier position.
-    async fn read(&mut self, lot: &str, seen: &mut Seen) {
-        let next = seen.len();
+    /// Reads the results after the known ones, or at random from an earlier position.
+    async fn read_results(&mut self, lot: &str, known: &mut KnownResults) {
+        let next = known.len();
         let from = if self.rng.random_bool(0.2) {
             self.rng.random_range(0..=next)
         } else {
@@ -196,99 +200,113 @@
             return;
         };
         if answer.status == StatusCode::NOT_FOUND {
-            self.book
-                .fault(format!("lot {lot} is not found after its acceptance"));
+            self.recorder
+                .record_violation(format!("lot {lot} is not found after its acceptance"));
         }
         if !answer.status.is_success() {
             sleep(Duration::from_millis(100)).await;
             return;
         }
-        let reading: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let total = reading["total"].as_u64();
-        if total != Some((self.shape.groups * self.shape.size) as u64) {
-            self.book
-                .fault(format!("lot {lot} has a total of {total:?}"));
+        let page: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        let total = page["total"].as_u64();
+        if total != Some((self.shape.groups * self.shape.group_size) as u64) {
+            self.recorder
+                .record_violation(format!("lot {lot} has a total of {total:?}"));
         }
-        let results = reading["results"].as_array().cloned().unwrap_or_default();
+        let results = page["results"].as_array().cloned().unwrap_or_default();
         if from < next && results.is_empty() {
-            self.book
-                .fault(format!("lot {lot}: position {from} went away"));
+            self.recorder
+                .record_violation(format!("lot {lot}: position {from} went away"));
         }
-        for (at, result) in results.into_iter().enumerate() {
-            let before = seen.insert(from + at, result.clone());
-            if before.is_some_and(|before| before != result) {
-                self.book
-                    .fault(format!("lot {lot}: position {} changed", from + at));
+        for (offset, result) in results.into_iter().enumerate() {
+            let previous = known.insert(from + offset, result.clone());
+            if previous.is_some_and(|previous| previous != result) {
+                self.recorder
+                    .record_violation(format!("lot {lot}: position {} changed", from + offset));
             }
         }
     }
 
-    fn is_whole(&self, items: &BTreeMap<String, usize>, seen: &Seen) -> bool {
-        let mut listed = vec![0; self.shape.groups];
-        for result in seen.values() {
+    /// Returns whether the known results contain enough complete groups.
+    fn has_wanted_groups(&self, items: &BTreeMap<String, usize>, known: &KnownResults) -> bool {
+        let mut result_counts = vec![0; self.shape.groups];
+        for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if let Some(group) = items.get(id) {
-                listed[*group] += 1;
+                result_counts[*group] += 1;
             }
         }
-        let whole = listed.iter().filter(|count| **count >= self.shape.size);
-        whole.count() >= self.shape.wanted
+        let complete = result_counts
+            .iter()
+            .filter(|count| **count >= self.shape.group_size);
+        complete.count() >= self.shape.wanted_groups
     }
 
-    /// Checks every result against what engines and scorers did.
-    fn check(&self, lot: &str, oldest: u64, items: &BTreeMap<String, usize>, seen: &Seen) {
+    /// Checks every known result against what engines and scorers did.
+    fn check_results(
+        &self,
+        lot: &str,
+        oldest: u64,
+        items: &BTreeMap<String, usize>,
+        known: &KnownResults,
+    ) {
         let mut ids = BTreeSet::new();
-        for result in seen.values() {
+        for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if !items.contains_key(id) {
-                self.book
-                    .fault(format!("lot {lot} lists {id}, which is not its item"));
+                self.recorder
+                    .record_violation(format!("lot {lot} lists {id}, which is not its item"));
             }
             if !ids.insert(id) {
-                self.book.fault(format!("lot {lot} lists {id} twice"));
+                self.recorder
+                    .record_violation(format!("lot {lot} lists {id} twice"));
             }
             if result["state"] == "completed" {
-                self.check_sample(id, oldest, result);
+                self.check_completed(id, oldest, result);
             }
         }
     }
 
-    fn check_sample(&self, id: &str, oldest: u64, result: &Value) {
+    fn check_completed(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
-            self.book.fault(format!("{id}: the text is not whole"));
+            self.recorder
+                .record_violation(format!("{id}: the text is not whole"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
         let versions: BTreeSet<_> = versions.iter().filter_map(Value::as_u64).collect();
-        if versions.is_empty() || !versions.is_subset(&self.book.versions(id)) {
-            self.book
-                .fault(format!("{id}: versions {versions:?} did not make it"));
+        if versions.is_empty() || !versions.is_subset(&self.recorder.versions(id)) {
+            self.recorder
+                .record_violation(format!("{id}: versions {versions:?} did not make it"));
         }
         if versions.iter().any(|version| *version < oldest) {
-            self.book.fault(format!(
+            self.recorder.record_violation(format!(
                 "{id}: versions {versions:?} are older than {oldest}"
             ));
         }
         let score = result["score"].as_str().unwrap_or_default();
         if !score.ends_with(&format!("{id}.s")) {
-            self.book
-                .fault(format!("{id}: score {score:?} is not its scorer's"));
+            self.recorder
+                .record_violation(format!("{id}: score {score:?} is not its scorer's"));
         }
     }
 
-    /// Ends a lot and checks later that nothing of it is still sent to engines.
-    async fn end(&mut self, lot: &str, items: &BTreeMap<String, usize>) {
+    /// Ends a lot, and checks later that its items are not sent to engines any more.
+    async fn end_lot(&mut self, lot: &str, items: &BTreeMap<String, usize>) {
         let target = format!("/v1/lots/{lot}");
-        let end = Instant::now() + STEP;
+        let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
             let answer = self.call(Method::DELETE, &target, lot, Bytes::new()).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
-                let (book, items) = (Rc::clone(&self.book), items.keys().cloned().collect());
-                let limit = Instant::now() + CANCEL;
+                let (recorder, items) =
+                    (Rc::clone(&self.recorder), items.keys().cloned().collect());
+                let last_arrival_by = Instant::now() + MAX_CANCEL_TIME;
                 let lot = lot.to_owned();
                 actix_rt::spawn(async move {
-                    sleep(CANCEL + Duration::from_secs(2)).await;
-                    if book.arrived_after(&items, limit) {
-                        book.fault(format!("lot {lot}: an item was run long after its end"));
+                    sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
+                    if recorder.any_arrived_after(&items, last_arrival_by) {
+                        recorder.record_violation(format!(
+                            "lot {lot}: an item was run long after its end"
+                        ));
                     }
                 });
                 return;
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -17,7 +17,7 @@
     child_process::Signal,
     hosting::{
         caller::{self, Kind, Tally},
-        fragile::{CRASH, Crashes, Fragile, Mode},
+        crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
         http::{Answer, Failure, call},
         site::{HOST, Instance, METRICS_PORT, Site, Size},
         store,
@@ -26,7 +26,7 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 1,
     services: 0,
@@ -51,28 +51,28 @@
         ("x-request-id", format!("again-{number}")),
         ("x-deadline-ms", "2000".to_owned()),
     ];
-    let (address, body) = (instance.callers.address, Bytes::from(body.to_owned()));
-    let wait = Duration::from_millis(2_500);
-    call(address, Method::POST, "/live/x", &headers, body, wait).await
+    let (address, body) = (instance.caller_proxy.address, Bytes::from(body.to_owned()));
+    let timeout = Duration::from_millis(2_500);
+    call(address, Method::POST, "/live/x", &headers, body, timeout).await
 }
 
-fn endpoints(site: &Site, count: usize) -> (Vec<Fragile>, Crashes) {
+fn start_endpoints(site: &Site, count: usize) -> (Vec<Endpoint>, Crashes) {
     let crashes = Crashes::default();
     let plain = ("plain", Mode::Plain);
-    let start = |_| Fragile::start(&site.store, plain, RESTART_DELAY, &crashes).expect("it starts");
+    let start = |_| Endpoint::start(&site.store, plain, RESTART_DELAY, &crashes).expect("started");
     ((0..count).map(start).collect(), crashes)
 }
 
 /// Starts `count` callers that send other requests for `span`.
 fn start_callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
-    let (balance, end) = (site.balance(), Instant::now() + span);
+    let (load_balancer, end) = (site.load_balancer(), Instant::now() + span);
     let tally = Rc::new(Tally::default());
     for number in 0..count {
-        let (balance, book) = (Rc::clone(&balance), Rc::clone(&site.book));
+        let (load_balancer, recorder) = (Rc::clone(&load_balancer), Rc::clone(&site.recorder));
         let tally = Rc::clone(&tally);
         actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(balance, Kind::Repeatable, &name, end, book, tally).await;
+            caller::run(load_balancer, Kind::Repeatable, &name, end, recorder, tally).await;
         });
     }
     tally
@@ -83,7 +83,7 @@
     let end = Instant::now() + span;
     while Instant::now() < end {
         for instance in &site.instances {
-            // The caller checks the crashes and later answers.
+            // The test checks the crashes and later answers.
             let _ = send(instance, body).await;
         }
         sleep(Duration::from_millis(50)).await;
@@ -118,25 +118,25 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_crashes_endpoints_takes_three_and_others_are_served() {
-    let site = Site::start(SIZE, 160).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+async fn a_request_crashes_at_most_three_endpoints_and_others_are_served() {
+    let site = Site::start(SITE_SIZE, 160).await.unwrap();
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let (tally, book) = (
+    let (tally, recorder) = (
         start_callers(&site, 3, Duration::from_secs(9)),
-        Rc::clone(&site.book),
+        Rc::clone(&site.recorder),
     );
-    let body = format!("{CRASH} a");
+    let body = format!("{CRASH_MARKER} a");
     send_repeatedly(&site, &body, Duration::from_secs(8)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!(crashed.len() <= MAX_CRASHES, "{crashed:?}");
-    assert!(!crashed.is_empty(), "the stand-in crashes");
+    assert!(!crashed.is_empty(), "no endpoint crashed");
     sleep(PROPAGATION_TIME).await;
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), crashed.len());
-    assert_eq!(book.faults(), Vec::<String>::new());
-    let (good, not) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
-    assert!(not * 20 < good, "{good} good, {not} not");
+    assert_eq!(recorder.violations(), Vec::<String>::new());
+    let (good, failed) = (tally.good.get(), tally.not_run.get() + tally.unknown.get());
+    assert!(failed * 20 < good, "{good} good, {failed} failed");
 }
 
 /// Sends the request for 5 s, until it is refused everywhere, and checks that it crashes at least
@@ -150,11 +150,11 @@
 }
 
 #[actix_rt::test]
-async fn a_restart_of_all_instances_forgets_nothing() {
-    let mut site = Site::start(SIZE, 161).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+async fn crash_records_survive_a_restart_of_all_instances() {
+    let mut site = Site::start(SITE_SIZE, 161).await.unwrap();
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} b");
+    let body = format!("{CRASH_MARKER} b");
     send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     for instance in &mut site.instances {
@@ -173,11 +173,11 @@
 }
 
 #[actix_rt::test]
-async fn an_instance_that_starts_later_knows_it_and_an_operator_clears_it() {
-    let mut site = Site::start(SIZE, 162).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+async fn a_new_instance_knows_the_crashes_and_an_operator_can_clear_them() {
+    let mut site = Site::start(SITE_SIZE, 162).await.unwrap();
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} c");
+    let body = format!("{CRASH_MARKER} c");
     send_until_refused(&site, &crashes, &body).await;
     let before = crashed_under(&crashes, &body).len();
     site.add_instance().await.unwrap();
@@ -185,25 +185,33 @@
     assert_refused_everywhere(&site, &body).await;
     assert_eq!(crashed_under(&crashes, &body).len(), before);
 
-    let metrics = |site: &Site, at: usize| {
-        let ip = site.instances[at].readiness.ip();
+    let metrics_address = |site: &Site, index: usize| {
+        let ip = site.instances[index].readiness_address.ip();
         std::net::SocketAddr::new(ip, METRICS_PORT)
     };
-    let wait = Duration::from_secs(1);
+    let timeout = Duration::from_secs(1);
     let headers = [("host", "here".to_owned())];
-    let address = metrics(&site, 0);
+    let address = metrics_address(&site, 0);
     let listed = call(
         address,
         Method::GET,
         "/crashes",
         &headers,
         Bytes::new(),
-        wait,
+        timeout,
     )
     .await;
     let listed: serde_json::Value = serde_json::from_slice(&listed.unwrap().body).unwrap();
     let path = format!("/crashes/{}", listed[0]["identity"].as_str().unwrap());
-    let cleared = call(address, Method::DELETE, &path, &headers, Bytes::new(), wait).await;
+    let cleared = call(
+        address,
+        Method::DELETE,
+        &path,
+        &headers,
+        Bytes::new(),
+        timeout,
+    )
+    .await;
     assert_eq!(cleared.unwrap().status, StatusCode::OK);
     sleep(PROPAGATION_TIME).await;
     let answer = send(&site.instances[3], &body).await;
@@ -212,18 +220,18 @@
 }
 
 #[actix_rt::test]
-async fn it_is_known_everywhere_while_the_store_is_away() {
-    let site = Site::start(SIZE, 163).await.unwrap();
-    let (_endpoints, crashes) = endpoints(&site, ENDPOINTS);
+async fn crashes_are_known_everywhere_during_an_outage_of_the_store() {
+    let site = Site::start(SITE_SIZE, 163).await.unwrap();
+    let (_endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    site.store.set(store::Fault::DOWN);
+    site.store.set_faults(store::Faults::DOWN);
     sleep(Duration::from_millis(500)).await;
-    let body = format!("{CRASH} d");
+    let body = format!("{CRASH_MARKER} d");
     send_repeatedly(&site, &body, Duration::from_secs(3)).await;
     let crashed = crashed_under(&crashes, &body);
     assert!((1..=MAX_CRASHES).contains(&crashed.len()), "{crashed:?}");
     assert_refused_everywhere(&site, &body).await;
-    site.store.set(store::Fault::default());
+    site.store.set_faults(store::Faults::default());
     send_repeatedly(&site, &body, Duration::from_secs(3)).await;
     assert_eq!(crashed_under(&crashes, &body), crashed);
 }
@@ -249,11 +257,11 @@
         ("x-deadline-ms", "2000".to_owned()),
     ];
     let (address, body) = (
-        site.instances[0].callers.address,
+        site.instances[0].caller_proxy.address,
         Bytes::from(body.to_string()),
     );
-    let wait = Duration::from_secs(3);
-    let answer = call(address, Method::POST, "/lots/1", &headers, body, wait).await;
+    let timeout = Duration::from_secs(3);
+    let answer = call(address, Method::POST, "/lots/1", &headers, body, timeout).await;
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
 }
 
@@ -265,40 +273,43 @@
     })
 }
 
-/// Results of a lot so far.
+/// Reads the results of a lot so far.
 async fn read_results(site: &Site, lot: &str) -> Vec<serde_json::Value> {
     let headers = [("host", HOST.to_owned())];
     let (address, path) = (
-        site.instances[1].callers.address,
+        site.instances[1].caller_proxy.address,
         format!("/v1/lots/{lot}?after=0"),
     );
-    let wait = Duration::from_secs(3);
-    let answer = call(address, Method::GET, &path, &headers, Bytes::new(), wait).await;
-    let read: serde_json::Value =
+    let timeout = Duration::from_secs(3);
+    let answer = call(address, Method::GET, &path, &headers, Bytes::new(), timeout).await;
+    let page: serde_json::Value =
         serde_json::from_slice(&answer.expect("an answer").body).expect("JSON");
-    read["results"].as_array().cloned().unwrap_or_default()
+    page["results"].as_array().cloned().unwrap_or_default()
 }
 
 /// Starts a site with endpoints and engines that crash under some requests. Returns it with them
 /// and the record of their crashes.
-async fn fragile_site(seed: u64) -> (Site, Vec<Fragile>, Crashes) {
-    let size = Size { engines: 0, ..SIZE };
-    let site = Site::start(size, seed).await.expect("it starts");
-    let (mut fragile, crashes) = endpoints(&site, ENDPOINTS);
+async fn crashing_site(seed: u64) -> (Site, Vec<Endpoint>, Crashes) {
+    let size = Size {
+        engines: 0,
+        ..SITE_SIZE
+    };
+    let site = Site::start(size, seed).await.expect("the site starts");
+    let (mut endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     let engine = |_| {
         let service = ("engines", Mode::Engine);
-        Fragile::start(&site.store, service, RESTART_DELAY, &crashes).expect("it starts")
+        Endpoint::start(&site.store, service, RESTART_DELAY, &crashes).expect("started")
     };
-    fragile.extend((0..ENDPOINTS).map(engine));
+    endpoints.extend((0..ENDPOINTS).map(engine));
     sleep(Duration::from_millis(1_500)).await;
-    (site, fragile, crashes)
+    (site, endpoints, crashes)
 }
 
 /// Runs a lot whose first item crashes the engines or scorers that run it. It crashes exactly three
 /// and then stays without a result until its deadline, since no result would be true; the other
 /// items complete.
 async fn run_small_lot(seed: u64, lot: &str, crashing: &serde_json::Value) {
-    let (site, _fragile, crashes) = fragile_site(seed).await;
+    let (site, _endpoints, crashes) = crashing_site(seed).await;
     submit(&site, lot, crashing).await;
     sleep(Duration::from_secs(9)).await;
     let results = read_results(&site, lot).await;
@@ -312,21 +323,22 @@
 }
 
 #[actix_rt::test]
-async fn an_item_that_crashes_engines_takes_three() {
-    let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH} e"))});
+async fn an_item_that_crashes_engines_crashes_exactly_three() {
+    let crashing = serde_json::json!({"body": BASE64.encode(format!("{CRASH_MARKER} e"))});
     run_small_lot(164, "lot-e", &crashing).await;
 }
 
 #[actix_rt::test]
-async fn a_scoring_that_crashes_endpoints_takes_three() {
+async fn a_scoring_that_crashes_endpoints_crashes_exactly_three() {
     let scorer = serde_json::json!({
-        "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH} f")),
+        "id": "s-bad", "host": HOST, "path": "/score/x", "body": BASE64.encode(format!("{CRASH_MARKER} f")),
     });
     run_small_lot(165, "lot-f", &serde_json::json!({"scorer": scorer})).await;
 }
 
-/// Items of a large lot, and the number of them that crash endpoints.
+/// Number of items of a large lot.
 const ITEMS: usize = 40;
+/// Number of those items that crash endpoints.
 const CRASHING_ITEMS: usize = 3;
 
 /// Runs a large lot with several items that `change` makes crash the engines or scorers that run
@@ -337,12 +349,12 @@
 /// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of
 /// 40 s, and 41 % and 65 % of the callers' work was not done.
 async fn run_large_lot(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
-    let (site, _fragile, crashes) = fragile_site(seed).await;
+    let (site, _endpoints, crashes) = crashing_site(seed).await;
     let mut items: Vec<_> = (0..ITEMS)
         .map(|number| item(&format!("lot-{seed}-{number}")))
         .collect();
     let crashing: Vec<_> = (0..CRASHING_ITEMS)
-        .map(|number| format!("{CRASH} {seed} {number}"))
+        .map(|number| format!("{CRASH_MARKER} {seed} {number}"))
         .collect();
     for (item, text) in items.iter_mut().step_by(7).zip(&crashing) {
         change(item, text);
@@ -362,12 +374,12 @@
 }
 
 #[actix_rt::test]
-async fn several_items_of_a_lot_that_crash_engines_take_three_each() {
+async fn several_items_of_a_lot_crash_at_most_three_engines_each() {
     run_large_lot(167, |item, text| item["body"] = BASE64.encode(text).into()).await;
 }
 
 #[actix_rt::test]
-async fn several_scorings_of_a_lot_that_crash_endpoints_take_three_each() {
+async fn several_scorings_of_a_lot_crash_at_most_three_endpoints_each() {
     run_large_lot(168, |item, text| {
         item["scorer"]["body"] = BASE64.encode(text).into();
     })
@@ -376,13 +388,13 @@
 
 /// Endpoints that crash without a request as the cause: no request is blocked for it.
 #[actix_rt::test]
-async fn endpoints_that_crash_by_themselves_bring_nobody_a_verdict() {
-    let site = Site::start(SIZE, 166).await.unwrap();
-    let (endpoints, crashes) = endpoints(&site, ENDPOINTS);
+async fn endpoints_that_crash_without_a_request_block_no_request() {
+    let site = Site::start(SITE_SIZE, 166).await.unwrap();
+    let (endpoints, crashes) = start_endpoints(&site, ENDPOINTS);
     sleep(Duration::from_millis(1_500)).await;
-    let (tally, book) = (
+    let (tally, recorder) = (
         start_callers(&site, 6, Duration::from_secs(8)),
-        Rc::clone(&site.book),
+        Rc::clone(&site.recorder),
     );
     for round in 0..12 {
         endpoints[round % ENDPOINTS].crash();
@@ -396,5 +408,5 @@
         .collect();
     assert_eq!(verdicts, Vec::<&String>::new());
     assert!(tally.good.get() > 200, "{tally:?}");
-    assert_eq!(book.faults(), Vec::<String>::new());
+    assert_eq!(recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -10,7 +10,7 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::time::sleep;
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 2,
     engines: 1,
     services: 1,
@@ -33,7 +33,10 @@
         ("x-request-id", lot.to_owned()),
         ("x-deadline-ms", "2000".to_owned()),
     ];
-    let (address, timeout) = (site.instances[0].callers.address, Duration::from_secs(3));
+    let (address, timeout) = (
+        site.instances[0].caller_proxy.address,
+        Duration::from_secs(3),
+    );
     let body = Bytes::from(body.to_string());
     let answer = call(address, Method::POST, "/lots/1", &headers, body, timeout).await;
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
@@ -42,27 +45,27 @@
 /// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested, within
 /// the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
-async fn items_that_wait_for_slots_bring_endpoints() {
-    let site = Site::start(SIZE, 200).await.expect("it starts");
+async fn waiting_items_cause_requests_for_spot_endpoints() {
+    let site = Site::start(SITE_SIZE, 200).await.expect("the site starts");
     // A new lease holder waits for the minimum gap between the orders of two holders.
     sleep(Duration::from_secs(3)).await;
     submit(&site, "small", 3).await;
     sleep(Duration::from_secs(4)).await;
-    assert_eq!(site.platform.asked(), BTreeMap::new());
+    assert_eq!(site.platform.desired_spot_counts(), BTreeMap::new());
     submit(&site, "large", ITEMS_BEYOND_SLOTS).await;
     sleep(Duration::from_secs(5)).await;
-    let asked = site.platform.asked();
+    let desired_counts = site.platform.desired_spot_counts();
     let log_lines = site
         .instances
         .iter()
         .flat_map(|i| i.lines())
         .collect::<Vec<_>>();
     assert_eq!(
-        asked.get("here"),
+        desired_counts.get("here"),
         Some(&3),
-        "{asked:?}\n{}",
+        "{desired_counts:?}\n{}",
         log_lines.join("\n")
     );
-    assert_eq!(asked.get("there"), Some(&4), "{asked:?}");
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(desired_counts.get("there"), Some(&4), "{desired_counts:?}");
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -1,8 +1,8 @@
 //! Usage reports, end to end with real processes.
 //!
-//! Guards against windows that are never reported, because no instance counts, and against two reports
-//! of one window with different counts. Each test ends with a check of all reports that the platform
-//! accepted.
+//! Guards against windows that are never reported, because no instance counts, and against two
+//! reports of one window with different counts. Each test ends with a check of all reports that the
+//! platform accepted.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -19,20 +19,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SIZE: Size = Size {
+const SITE_SIZE: Size = Size {
     instances: 3,
     engines: 0,
     services: 2,
 };
 /// API key of workspace `a`.
 const KEY: &str = "key-of-a-7fe2b1";
-/// Length of a window in the settings of the fake platform.
+/// Length of a window in the settings that the site renders.
 const WINDOW_LENGTH: Duration = Duration::from_secs(2);
 /// Maximum time until a failed lease holder is replaced and the next one may make its first call.
 const MAX_TAKEOVER_TIME: Duration = Duration::from_secs(7);
 
 async fn start_site(seed: u64) -> Site {
-    let mut site = Site::start(SIZE, seed).await.expect("it starts");
+    let mut site = Site::start(SITE_SIZE, seed).await.expect("the site starts");
     site.workspaces = Some(json!([{"name": "a", "apiKeys": [KEY]}, {"name": "b", "apiKeys": []}]));
     site.configure("plain", Duration::from_secs(2));
     sleep(Duration::from_secs(2)).await;
@@ -61,7 +61,7 @@
         ("x-deadline-ms", "2000".to_owned()),
         ("authorization", format!("Bearer {KEY}")),
     ];
-    let (address, timeout) = (instance.callers.address, Duration::from_secs(3));
+    let (address, timeout) = (instance.caller_proxy.address, Duration::from_secs(3));
     let answer = call(
         address,
         Method::POST,
@@ -74,8 +74,8 @@
     answer.is_ok_and(|answer| answer.status == StatusCode::OK)
 }
 
-/// Asserts that all windows from the first to the last reported one have a report, and that the fakes
-/// recorded no fault.
+/// Asserts that all windows from the first to the last reported one have a report, and that the
+/// stand-ins recorded no violation.
 fn assert_no_missing_window(site: &Site) {
     let reports = site.platform.reports();
     let (first, last) = (reports.first_key_value(), reports.last_key_value());
@@ -84,7 +84,7 @@
         .filter(|window| !reports.contains_key(window))
         .collect();
     assert_eq!(missing, Vec::<u64>::new());
-    assert_eq!(site.book.faults(), Vec::<String>::new());
+    assert_eq!(site.recorder.violations(), Vec::<String>::new());
 }
 
 #[actix_rt::test]
@@ -98,49 +98,49 @@
     }
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
     assert_eq!(answered, 24);
-    assert_eq!(site.platform.total("a"), answered);
-    assert_eq!(site.platform.total("b"), 0);
+    assert_eq!(site.platform.request_count("a"), answered);
+    assert_eq!(site.platform.request_count("b"), 0);
     assert_no_missing_window(&site);
 }
 
 #[actix_rt::test]
-async fn a_holder_that_is_killed_has_a_successor_that_reports_the_same() {
+async fn the_successor_of_a_killed_lease_holder_reports_the_same_counts() {
     let mut site = start_site(191).await;
     sleep(MAX_TAKEOVER_TIME).await;
     let mut answered = send_requests(&mut site, 3, "before").await;
     // Reports wait for up to 0.2 s at each hop of the tree.
     sleep(Duration::from_millis(700)).await;
     // The holder may now have stored the sum of a window that the platform has no report of.
-    site.platform.set(platform::Fault::Lost);
+    site.platform.set_fault(platform::Fault::LoseAnswers);
     sleep(WINDOW_LENGTH).await;
-    let holder = site.platform.holder();
+    let holder = site.platform.last_reporter();
     let killed_instance = site
         .instances
         .iter_mut()
         .find(|instance| instance.name == holder);
     killed_instance.expect("the holder").signal(Signal::KILL);
-    site.platform.set(platform::Fault::None);
+    site.platform.set_fault(platform::Fault::None);
     answered += send_requests(&mut site, 2, "after").await;
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
-    assert_ne!(site.platform.holder(), holder);
-    assert_eq!(site.platform.total("a"), answered);
+    assert_ne!(site.platform.last_reporter(), holder);
+    assert_eq!(site.platform.request_count("a"), answered);
     assert_no_missing_window(&site);
 }
 
 #[actix_rt::test]
-async fn windows_that_end_while_store_or_platform_are_away_are_reported_after() {
+async fn windows_that_end_during_an_outage_of_store_or_platform_are_reported_later() {
     let mut site = start_site(192).await;
     sleep(MAX_TAKEOVER_TIME).await;
-    site.platform.set(platform::Fault::Down);
+    site.platform.set_fault(platform::Fault::Down);
     let mut answered = send_requests(&mut site, 2, "down").await;
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
-    site.platform.set(platform::Fault::None);
-    site.store.set(store::Fault::DOWN);
+    site.platform.set_fault(platform::Fault::None);
+    site.store.set_faults(store::Faults::DOWN);
     answered += send_requests(&mut site, 2, "away").await;
     sleep(WINDOW_LENGTH + WINDOW_LENGTH).await;
-    site.store.set(store::Fault::default());
+    site.store.set_faults(store::Faults::default());
     sleep(MAX_TAKEOVER_TIME + WINDOW_LENGTH).await;
     assert_eq!(answered, 12);
-    assert_eq!(site.platform.total("a"), answered);
+    assert_eq!(site.platform.request_count("a"), answered);
     assert_no_missing_window(&site);
 }
