--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -337,7 +337,7 @@
         return None;
     }
     if faults.cut_after.is_some_and(|limit| sent_count >= limit) {
-        let aborted = Err(io::Error::other("stream aborted by a fault"));
+        let aborted = Err(io::Error::other("cut"));
         return Some((aborted, (state, item, u64::MAX, version, sent_count, guard)));
     }
     sleep(EVENT_TIME * faults.slow_factor.max(1)).await;
