--- a/crates/pinereel_fakes/src/demo/mod.rs
+++ b/crates/pinereel_fakes/src/demo/mod.rs
@@ -1,10 +1,11 @@
-//! Everything on loopback in one command: two deployments' sizes with embedded stand-ins.
+//! The demo: one command that starts a deployment with fakes on loopback, sends traffic to it,
+//! patches its configuration, replaces an entry, and prints a summary.
 //!
-//! - [`deployment::Deployment`]: the sizes.
-//! - [`traffic`]: live callers, who check what they get.
-//! - [`operator`]: calls to an operators' listener.
-//! - [`script`]: what happens, in order.
-//! - [`summary::Summary`]: figures, checks, and how they are printed.
+//! - [`deployment::Deployment`]: size and configuration of a deployment.
+//! - [`traffic`]: live callers that check the responses.
+//! - [`operator`]: client of the operators' HTTP API.
+//! - [`script`]: the steps of a run, in order.
+//! - [`summary::Summary`]: measurements and checks of a run, and their output as text and JSON.
 
 pub mod deployment;
 pub mod operator;
@@ -24,18 +25,18 @@
 
   Exit code: 0 if everything promised held, 1 if not, 2 if a flag is wrong.";
 
-/// Longest run of one deployment. Reaching it is a failure.
-const LIMIT: Duration = Duration::from_secs(50);
+/// Maximum duration of the run of one deployment. A run that exceeds it fails.
+const RUN_TIMEOUT: Duration = Duration::from_secs(50);
 
-/// What the command line asks for.
+/// Parsed command line.
 struct Flags {
     deployments: Vec<&'static Deployment>,
     json: bool,
 }
 
-/// Runs the demo as a process.
+/// Runs the subcommand `demo`. The exit code is described in [`HELP`].
 pub fn main(parser: Parser) -> ExitCode {
-    let flags = match parse(parser) {
+    let flags = match parse_flags(parser) {
         Ok(flags) => flags,
         Err(error) => {
             eprintln!("demo: {error}; see --help");
@@ -50,28 +51,29 @@
             println!("{}", summary.text());
         }
     }
-    if summaries.iter().all(Summary::holds) {
+    if summaries.iter().all(Summary::passed) {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Runs one deployment to its end, on this thread.
+/// Runs one deployment on the calling thread and returns its summary. If the run fails or takes too
+/// long, the summary contains only that failure.
 pub fn run(deployment: &Deployment) -> Summary {
-    // A runtime of its own: what is left of a site ends with it.
+    // Each run gets its own runtime, so that tasks left over from its site end with the run.
     actix_rt::System::new().block_on(async {
-        let run = tokio::time::timeout(LIMIT, script::run(deployment));
-        let why = match run.await {
+        let run = tokio::time::timeout(RUN_TIMEOUT, script::run(deployment));
+        let reason = match run.await {
             Ok(Ok(summary)) => return summary,
             Ok(Err(error)) => error.to_string(),
-            Err(_) => format!("not over after {LIMIT:?}"),
+            Err(_) => format!("not over after {RUN_TIMEOUT:?}"),
         };
-        Summary::failed(deployment.name, why)
+        Summary::failed(deployment.name, reason)
     })
 }
 
-fn parse(mut parser: Parser) -> Result<Flags, lexopt::Error> {
+fn parse_flags(mut parser: Parser) -> Result<Flags, lexopt::Error> {
     let mut flags = Flags {
         deployments: vec![&MAUMEE, &PRAIRIE],
         json: false,
--- a/crates/pinereel_fakes/src/demo/operator.rs
+++ b/crates/pinereel_fakes/src/demo/operator.rs
@@ -1,58 +1,56 @@
-//! Calls to the operators' listeners.
+//! Client of the HTTP API that each entry serves on its operators' listener.
 
 use crate::site::OPERATOR_TOKEN;
 use awc::http::StatusCode;
 use pinereel_api::operator::{Config, Patch, Patched};
 use std::{io, net::SocketAddr, time::Duration};
 
-/// Longest wait for an answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A call to an operators' listener failed; says why.
-pub type Result<T> = io::Result<T>;
-
-/// The configuration that the entry at `address` has in force; none where the build has no such call.
+/// Fetches the configuration in force at the entry at `address`. `None` if the entry is built
+/// without this call.
 ///
 /// # Errors
-/// The entry gave no such answer.
-pub async fn config(address: SocketAddr) -> Result<Option<Config>> {
+/// If the entry does not respond, or with neither a configuration nor status 404.
+pub async fn fetch_config(address: SocketAddr) -> io::Result<Option<Config>> {
     let url = format!("http://{address}/v1/config");
-    let call = client().get(url).bearer_auth(OPERATOR_TOKEN).send();
-    let mut answer = call.await.map_err(lost)?;
-    match answer.status() {
+    let request = new_client().get(url).bearer_auth(OPERATOR_TOKEN).send();
+    let mut response = request.await.map_err(to_io_error)?;
+    match response.status() {
         StatusCode::NOT_FOUND => Ok(None),
-        StatusCode::OK => answer.json().await.map(Some).map_err(lost),
+        StatusCode::OK => response.json().await.map(Some).map_err(to_io_error),
         status => Err(io::Error::other(format!("configuration: {status}"))),
     }
 }
 
-/// Submits a patch.
+/// Submits a configuration patch to the entry at `address`.
 ///
 /// # Errors
-/// It was refused, or its fate is not known.
-pub async fn patch(address: SocketAddr, patch: &Patch) -> Result<Patched> {
+/// If the patch was refused, or if it is unknown whether it was applied.
+pub async fn submit_patch(address: SocketAddr, patch: &Patch) -> io::Result<Patched> {
     let url = format!("http://{address}/v1/config");
-    let call = client()
+    let request = new_client()
         .post(url)
         .bearer_auth(OPERATOR_TOKEN)
         .send_json(patch);
-    let mut answer = call.await.map_err(lost)?;
-    if answer.status() == StatusCode::OK {
-        return answer.json().await.map_err(lost);
+    let mut response = request.await.map_err(to_io_error)?;
+    if response.status() == StatusCode::OK {
+        return response.json().await.map_err(to_io_error);
     }
-    let body = answer.body().await.map_err(lost)?;
+    let body = response.body().await.map_err(to_io_error)?;
     let body = String::from_utf8_lossy(&body);
     Err(io::Error::other(format!("patch refused: {body}")))
 }
 
-/// Asks the entry at `address` to drain.
+/// Starts the drain of the entry at `address`.
 ///
 /// # Errors
-/// The entry did not take the call.
-pub async fn drain(address: SocketAddr) -> Result<()> {
+/// If the entry does not accept the call.
+pub async fn start_drain(address: SocketAddr) -> io::Result<()> {
     let url = format!("http://{address}/v1/drain");
-    let call = client().post(url).bearer_auth(OPERATOR_TOKEN).send();
-    let status = call.await.map_err(lost)?.status();
+    let request = new_client().post(url).bearer_auth(OPERATOR_TOKEN).send();
+    let status = request.await.map_err(to_io_error)?.status();
     if status.is_success() {
         Ok(())
     } else {
@@ -60,10 +58,10 @@
     }
 }
 
-fn client() -> awc::Client {
-    awc::Client::builder().timeout(TIMEOUT).finish()
+fn new_client() -> awc::Client {
+    awc::Client::builder().timeout(CALL_TIMEOUT).finish()
 }
 
-fn lost(error: impl ToString) -> io::Error {
+fn to_io_error(error: impl ToString) -> io::Error {
     io::Error::other(error.to_string())
 }
--- a/crates/pinereel_fakes/src/demo/summary.rs
+++ b/crates/pinereel_fakes/src/demo/summary.rs
@@ -1,4 +1,4 @@
-//! What a deployment's run showed.
+//! Summary of the run of one deployment: measurements and checks, printed as text or as JSON.
 
 use crate::trainer::Report;
 use hdrhistogram::Histogram;
@@ -8,7 +8,7 @@
 /// Latency of one kind of live request.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Latency {
-    /// Answers.
+    /// Number of responses.
     pub count: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
@@ -27,91 +27,95 @@
     }
 }
 
-/// The configuration patch.
+/// Propagation of a configuration patch to all entries.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Patch {
-    /// The number that came into force.
+pub struct Propagation {
+    /// Number of the configuration that the patch produced.
     pub number: u64,
-    /// Milliseconds from the call until every entry had it in force.
-    pub everywhere_ms: u64,
+    /// Milliseconds from the submission until the configuration was in force at every entry.
+    #[serde(rename = "everywhere_ms")]
+    pub duration_ms: u64,
 }
 
-/// Something that was promised, and whether it held.
+/// A guarantee of the deployment, and whether it held during the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Check {
-    /// What was promised.
-    pub promise: &'static str,
+    /// The guarantee.
+    #[serde(rename = "promise")]
+    pub guarantee: &'static str,
     /// Whether it held.
     pub held: bool,
-    /// What was seen, if it did not.
-    #[serde(skip_serializing_if = "String::is_empty")]
-    pub seen: String,
+    /// What was observed instead; empty if the guarantee held.
+    #[serde(rename = "seen", skip_serializing_if = "String::is_empty")]
+    pub observed: String,
 }
 
-/// Figures and checks of one run.
+/// Measurements and checks of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// What the trainer saw.
+    /// Report of the trainer.
     pub trainer: Report,
-    /// Live completions.
+    /// Latency of live completions.
     pub completions: Latency,
-    /// Live calls to plain services.
-    pub calls: Latency,
-    /// Live requests sent again after an answer that they did not run.
-    pub repeats: u64,
-    /// The patch; none if this build has no patches.
-    pub patch: Option<Patch>,
-    /// Milliseconds from the order to drain until the entry had left.
+    /// Latency of live calls to plain services.
+    #[serde(rename = "calls")]
+    pub service_calls: Latency,
+    /// Number of times that a live request was sent again after a response that it had not run.
+    #[serde(rename = "repeats")]
+    pub retries: u64,
+    /// Propagation of the configuration patch. `None` if the entries are built without patches.
+    pub patch: Option<Propagation>,
+    /// Milliseconds from the drain call until the entry had drained.
     pub drain_ms: u64,
-    /// Milliseconds from the start of the new entry until it was ready.
+    /// Milliseconds from the start of the replacement entry until every entry was ready.
     pub replace_ms: u64,
-    /// Milliseconds of the whole run.
+    /// Duration of the run in milliseconds.
     pub run_ms: u64,
-    /// What was promised.
+    /// Checks of the guarantees.
     pub checks: Vec<Check>,
 }
 
 impl Summary {
-    /// A run that did not come to its end.
-    pub fn failed(deployment: &'static str, why: String) -> Self {
+    /// Summary of a run that did not finish. Its only check is a failed one with the reason.
+    pub fn failed(deployment: &'static str, reason: String) -> Self {
         let mut summary = Self {
             deployment,
             ..Self::default()
         };
-        summary.check("the run comes to its end", false, why);
+        summary.check("the run comes to its end", false, reason);
         summary
     }
 
-    /// Adds a check.
-    pub fn check(&mut self, promise: &'static str, held: bool, seen: impl ToString) {
-        let seen = if held {
+    /// Adds a check. `observed` is recorded only if the guarantee did not hold.
+    pub fn check(&mut self, guarantee: &'static str, held: bool, observed: impl ToString) {
+        let observed = if held {
             String::new()
         } else {
-            seen.to_string()
+            observed.to_string()
         };
         self.checks.push(Check {
-            promise,
+            guarantee,
             held,
-            seen,
+            observed,
         });
     }
 
-    /// Whether everything promised held.
-    pub fn holds(&self) -> bool {
+    /// Whether all guarantees held.
+    pub fn passed(&self) -> bool {
         self.checks.iter().all(|check| check.held)
     }
 
-    /// The summary for a person.
+    /// The summary as a table for a terminal.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{}: {} entries in {} availability zones, {} engines, {} services, {:.1} s\n",
@@ -123,38 +127,48 @@
             self.run_ms as f64 / 1_000.0,
         );
         for (name, value) in self.rows() {
-            row(&mut text, name, &value);
+            push_row(&mut text, name, &value);
         }
         for check in &self.checks {
             let verdict = if check.held { "held" } else { "FAILED" };
-            let line = format!("{verdict} {}", check.seen);
-            row(&mut text, check.promise, line.trim_end());
+            let line = format!("{verdict} {}", check.observed);
+            push_row(&mut text, check.guarantee, line.trim_end());
         }
         text
     }
 
+    /// Names and values of the measurements, in the order in which they are printed.
     fn rows(&self) -> Vec<(&'static str, String)> {
-        let t = &self.trainer;
+        let trainer = &self.trainer;
         let patch = match self.patch {
-            Some(Patch {
+            Some(Propagation {
                 number,
-                everywhere_ms,
-            }) => format!("number {number} in force on all entries after {everywhere_ms} ms"),
+                duration_ms,
+            }) => format!("number {number} in force on all entries after {duration_ms} ms"),
             None => "not in this build".into(),
         };
         vec![
             (
                 "steps, each one lot",
-                format!("{}, {} samples, {} tokens", t.steps, t.samples, t.tokens),
+                format!(
+                    "{}, {} samples, {} tokens",
+                    trainer.steps, trainer.samples, trainer.tokens
+                ),
             ),
             (
                 "staleness (versions)",
-                format!("mean {:.2}, max {}", t.staleness.mean, t.staleness.max),
+                format!(
+                    "mean {:.2}, max {}",
+                    trainer.staleness.mean, trainer.staleness.max
+                ),
             ),
-            ("trainer idle", format!("{:.0} %", t.idle_share * 100.0)),
-            ("live completions", latency(self.completions)),
-            ("live service calls", latency(self.calls)),
-            ("sent again (not run)", self.repeats.to_string()),
+            (
+                "trainer idle",
+                format!("{:.0} %", trainer.idle_share * 100.0),
+            ),
+            ("live completions", format_latency(self.completions)),
+            ("live service calls", format_latency(self.service_calls)),
+            ("sent again (not run)", self.retries.to_string()),
             ("configuration patch", patch),
             ("drain of an entry", format!("{} ms", self.drain_ms)),
             ("its replacement ready", format!("{} ms", self.replace_ms)),
@@ -162,12 +176,12 @@
     }
 }
 
-fn row(text: &mut String, name: &str, value: &str) {
+fn push_row(text: &mut String, name: &str, value: &str) {
     // Writing to a string cannot fail.
     let _ = writeln!(text, "  {name:<52}{value}");
 }
 
-fn latency(latency: Latency) -> String {
+fn format_latency(latency: Latency) -> String {
     let Latency {
         count,
         p50_ms,
--- a/crates/pinereel_fakes/tests/demo_verdict.rs
+++ b/crates/pinereel_fakes/tests/demo_verdict.rs
@@ -1,12 +1,12 @@
-//! The demo's verdict: what it prints and the exit code.
+//! The demo's output and exit code.
 
 #![allow(clippy::unwrap_used)]
 
-use pinereel_fakes::demo::summary::{Patch, Summary};
+use pinereel_fakes::demo::summary::{Propagation, Summary};
 use serde_json::Value;
 use std::process::{Command, Output};
 
-fn demo(flags: &[&str]) -> Output {
+fn run_demo(flags: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pinereel-fakes"))
         .arg("demo")
         .args(flags)
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn one_deployment_holds_and_prints_json() {
-    let output = demo(&["--deployment", "prairie", "--json"]);
+fn a_run_of_one_deployment_passes_and_prints_json() {
+    let output = run_demo(&["--deployment", "prairie", "--json"]);
     let text = String::from_utf8_lossy(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{text}");
     let summaries: Value = serde_json::from_str(&text).unwrap();
@@ -29,32 +29,35 @@
 }
 
 #[test]
-fn wrong_flags_end_with_2() {
-    assert_eq!(demo(&["--deployment", "nowhere"]).status.code(), Some(2));
-    assert_eq!(demo(&["--fast"]).status.code(), Some(2));
+fn invalid_flags_exit_with_2() {
+    assert_eq!(
+        run_demo(&["--deployment", "nowhere"]).status.code(),
+        Some(2)
+    );
+    assert_eq!(run_demo(&["--fast"]).status.code(), Some(2));
 }
 
 #[test]
-fn one_broken_promise_fails_the_run() {
+fn a_violated_guarantee_or_an_unfinished_run_fails() {
     let mut summary = Summary::default();
     summary.check("every sample comes once", true, 32);
-    assert!(summary.holds());
+    assert!(summary.passed());
     summary.check("no sample is older than the bound", false, 3);
-    assert!(!summary.holds());
-    assert!(!Summary::failed("maumee", "late".into()).holds());
+    assert!(!summary.passed());
+    assert!(!Summary::failed("maumee", "late".into()).passed());
 }
 
 #[test]
-fn summary_is_readable() {
+fn the_text_summary_lists_measurements_and_checks() {
     let mut summary = Summary {
         deployment: "maumee",
         zones: 4,
         entries: 9,
         engines: 8,
         services: 4,
-        patch: Some(Patch {
+        patch: Some(Propagation {
             number: 2,
-            everywhere_ms: 40,
+            duration_ms: 40,
         }),
         ..Summary::default()
     };
