--- a/crates/pinereel/tests/cli_calls.rs
+++ b/crates/pinereel/tests/cli_calls.rs
@@ -1,4 +1,4 @@
-//! Requests, output and exit codes of the commands, against a scripted entry.
+//! Requests, output and exit codes of the commands, against a fake entry with scripted responses.
 
 use pinereel::cli::{self, ExitCode};
 use pinereel_platform::adapter;
@@ -11,7 +11,7 @@
     thread,
 };
 
-/// How the scripted entry responds to one request.
+/// How the fake entry responds to one request.
 enum ScriptedResponse {
     Send(u16, &'static str),
     /// Reads the request and closes the connection without a response.
@@ -55,8 +55,10 @@
     format!("{} [{bearer}] {body}", first.trim())
 }
 
-/// Starts an entry that handles one request per item of `script` and returns what it received.
-fn start_entry(script: Vec<ScriptedResponse>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
+/// Starts a fake entry that handles one request per item of `script` and returns what it received.
+fn start_fake_entry(
+    script: Vec<ScriptedResponse>,
+) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let serve = move || {
@@ -94,7 +96,7 @@
 
 /// Runs `line` against `script`; returns the requests, the exit code and the output.
 fn run_against(line: &str, script: Vec<ScriptedResponse>) -> String {
-    let (address, served) = start_entry(script);
+    let (address, served) = start_fake_entry(script);
     let (exit, text) = run(line, address);
     let calls = served.join().expect("all calls arrived");
     format!("{}\n{exit:?}\n{text}", calls.join("\n"))
@@ -191,7 +193,7 @@
     ];
     for (status, code, ran, expected) in cases {
         let (address, served) =
-            start_entry(vec![ScriptedResponse::Send(status, problem(code, ran))]);
+            start_fake_entry(vec![ScriptedResponse::Send(status, problem(code, ran))]);
         let (exit, text) = run(&line, address);
         assert_eq!(
             (exit, served.join().unwrap().len()),
--- a/crates/pinereel/tests/upstream_client.rs
+++ b/crates/pinereel/tests/upstream_client.rs
@@ -14,7 +14,7 @@
 const REDIRECT: &[u8] =
     b"HTTP/1.1 307 Temporary Redirect\r\nlocation: /again\r\ncontent-length: 0\r\n\r\n";
 
-/// Connections and requests that the test server received.
+/// Connections and requests that the fake server received.
 #[derive(Clone, Default)]
 struct Counts {
     connections: Rc<Cell<u32>>,
@@ -46,8 +46,8 @@
     true
 }
 
-/// Starts a server that answers the first `answered` requests of each connection with `answer`, and
-/// closes the connection after it has read the next one.
+/// Starts a fake server that answers the first `answered` requests of each connection with
+/// `answer`, and closes the connection after it has read the next one.
 async fn server(answered: u32, answer: &'static [u8]) -> (String, Counts) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
--- a/crates/pinereel/tests/upstream_direct.rs
+++ b/crates/pinereel/tests/upstream_direct.rs
@@ -10,8 +10,8 @@
     net::TcpListener,
 };
 
-/// Sends one request to a server that responds with `answer` and closes; returns status, body and
-/// whether the body was complete.
+/// Sends one request to a fake server that responds with `answer` and closes; returns status, body
+/// and whether the body was complete.
 async fn outcome(answer: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
--- a/crates/pinereel/tests/upstream_pool.rs
+++ b/crates/pinereel/tests/upstream_pool.rs
@@ -10,7 +10,7 @@
     time::sleep,
 };
 
-/// Reaction of the scripted server to one request of a connection.
+/// Reaction of the fake server to one request of a connection.
 #[derive(Clone, Copy)]
 enum Reaction {
     /// Sends these bytes.
@@ -21,7 +21,7 @@
     Reset(&'static str),
 }
 
-/// Starts a server that handles its nth connection by the nth script.
+/// Starts a fake server that handles its nth connection by the nth script.
 async fn server(scripts: Vec<Vec<Reaction>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
--- a/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
+++ b/crates/pinereel_fakes/src/bin/pinereel-fakes.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in or tool as a process: `pinereel-fakes NAME [flags]`.
+//! Runs one fake or tool as a process: `pinereel-fakes NAME [flags]`.
 
 use lexopt::{Arg::Long, Parser};
 use pinereel::settings::Settings;
@@ -156,7 +156,7 @@
     (tool.run)(Parser::from_args(args))
 }
 
-/// Runs a stand-in on this thread until it exits.
+/// Runs a fake on this thread until it exits.
 fn block_on(run: impl Future<Output = Result<(), Error>>) -> ExitCode {
     match actix_rt::System::new().block_on(run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/pinereel_fakes/src/cli.rs
+++ b/crates/pinereel_fakes/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that the stand-in processes share: their flags, the `listening` line, and the
+//! The command line that the processes of fakes share: their flags, the `listening` line, and the
 //! conditions under which they exit.
 
 use lexopt::{
@@ -18,7 +18,7 @@
   --until-stdin-closes   end when standard input closes
   --help                 print this";
 
-/// Why a stand-in process failed.
+/// Why the process of a fake failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A flag is unknown, or its value is missing or malformed.
@@ -29,7 +29,7 @@
     Io(#[from] io::Error),
 }
 
-/// Flags that the stand-in processes share.
+/// Flags that the processes of fakes share.
 #[derive(Clone, Copy, Debug)]
 pub struct CommonFlags {
     /// Loopback port to listen on; 0 selects any free port.
--- a/crates/pinereel_fakes/src/cluster.rs
+++ b/crates/pinereel_fakes/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A site whose stand-ins and entries are processes of their own on loopback, for tests that kill,
+//! A site whose fakes and entries are processes of their own on loopback, for tests that kill,
 //! pause and restart them.
 //!
 //! [`crate::site`] runs the same site inside the calling process.
@@ -29,7 +29,7 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// Run time after which a stand-in exits by itself, in case its test died without killing it.
+/// Run time after which a fake exits by itself, in case its test died without killing it.
 const MAX_RUN_SECONDS: &str = "120";
 
 /// The components of a cluster.
@@ -57,7 +57,7 @@
     pub extra_settings: String,
 }
 
-/// A stand-in process with one listener.
+/// The process of a fake with one listener.
 #[derive(Debug)]
 pub struct Server {
     /// Name in the platform's list of instances.
@@ -439,7 +439,7 @@
     }
 }
 
-/// Starts a stand-in and waits until it listens.
+/// Starts the process of a fake and waits until it listens.
 fn start_server(binary: &Path, name: &str, args: &[&str]) -> io::Result<Server> {
     let child = Child::spawn(Command::new(binary).args(args))?;
     Ok(Server {
--- a/crates/pinereel_fakes/src/experiment/engine.rs
+++ b/crates/pinereel_fakes/src/experiment/engine.rs
@@ -1,4 +1,5 @@
-//! Engines of a run: the stand-in's batching model, and the messages that engines receive and send.
+//! Engines of a run: the fake engine's batching model, and the messages that engines receive and
+//! send.
 
 use super::{
     event::{EntryId, Event, Origin},
--- a/crates/pinereel_fakes/src/experiment/mod.rs
+++ b/crates/pinereel_fakes/src/experiment/mod.rs
@@ -4,7 +4,7 @@
 //! the same metrics. All decisions are made by the code of `pinereel_core`: each simulated entry
 //! has a [`Runner`](pinereel_core::lot::Runner) and an endpoint set, and live requests are routed,
 //! collects merged and weights rolled out as in the daemon. Only the environment is a model: the
-//! batching model of the engine stand-in, fixed latencies, trainers and live callers.
+//! batching model of the fake engine, fixed latencies, trainers and live callers.
 //!
 //! - [`scenario`]: sizes, latencies, trainers and faults, read from INI.
 //! - [`policy`]: the policies that are compared.
--- a/crates/pinereel_fakes/src/site.rs
+++ b/crates/pinereel_fakes/src/site.rs
@@ -56,7 +56,7 @@
     pub pool: CompactString,
     /// Name in the platform's list of instances.
     pub name: CompactString,
-    /// Handle of the stand-in.
+    /// Handle of the fake.
     pub handle: T,
 }
 
--- a/crates/pinereel_fakes/src/trainer/cli.rs
+++ b/crates/pinereel_fakes/src/trainer/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the trainer stand-in, which prints its [`Report`] as JSON.
+//! The command line of the fake trainer, which prints its [`Report`] as JSON.
 //!
 //! Flags: `--entry HOST:PORT` (once or more), `--name NAME`, `--steps N`, `--groups N`,
 //! `--samples N`, `--max-tokens N`, `--train-ms N`, `--bound N`, `--version N`, `--any-text`,
--- a/crates/pinereel_fakes/src/trainer/mod.rs
+++ b/crates/pinereel_fakes/src/trainer/mod.rs
@@ -1,4 +1,4 @@
-//! A client library for trainers, and a stand-in trainer that runs steps with it.
+//! A client library for trainers, and a fake trainer that runs steps with it.
 //!
 //! - [`Client`]: submits and collects lots and publishes versions, at any of a list of entries.
 //! - [`PartialLot`]: the received samples of one lot; takes each sample once.
--- a/crates/pinereel_fakes/src/trainer/report.rs
+++ b/crates/pinereel_fakes/src/trainer/report.rs
@@ -67,7 +67,7 @@
     }
 
     /// Checks and counts one sample of `group`, for a trainer at `version` with a staleness bound of
-    /// `bound` versions. With `check_text` the text must be one that the engine stand-in generates.
+    /// `bound` versions. With `check_text` the text must be one that the fake engine generates.
     pub fn record(
         &mut self,
         sample: &Sample,
--- a/crates/pinereel_fakes/src/trainer/step.rs
+++ b/crates/pinereel_fakes/src/trainer/step.rs
@@ -1,4 +1,4 @@
-//! The stand-in trainer. Each step submits a lot, collects its samples, waits for the training time
+//! The fake trainer. Each step submits a lot, collects its samples, waits for the training time
 //! and publishes the next version.
 
 use super::{Client, Report, client::Error};
@@ -14,7 +14,7 @@
 /// Time that one collect call waits for samples.
 const COLLECT_WAIT: Duration = Duration::from_secs(1);
 
-/// Options of the stand-in trainer.
+/// Options of the fake trainer.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Name of the trainer in the configuration.
@@ -35,7 +35,7 @@
     pub staleness_bound: u64,
     /// The trainer's version in the first step. The engines already serve it.
     pub initial_version: Version,
-    /// Whether texts are checked. Only texts of the engine stand-in pass.
+    /// Whether texts are checked. Only texts of the fake engine pass.
     pub check_texts: bool,
     /// Time within which the samples of a lot are wanted.
     pub lot_deadline: Duration,
@@ -81,7 +81,7 @@
     pub sample: Sample,
 }
 
-/// A stand-in trainer.
+/// A fake trainer.
 pub struct Trainer {
     options: Options,
     client: Client,
--- a/crates/pinereel_fakes/tests/child_process.rs
+++ b/crates/pinereel_fakes/tests/child_process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes, and [`Child`], which starts, stops and signals them.
+//! The fakes as processes, and [`Child`], which starts, stops and signals them.
 
 use pinereel_fakes::child_process::{Child, Signal, wait_for_ok};
 use std::{os::unix::process::ExitStatusExt as _, process::Command, time::Duration};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn each_stand_in_listens_and_exits_on_sigterm() {
+fn each_fake_listens_and_exits_on_sigterm() {
     let tools = [
         ("engine", "/v1/state"),
         ("object-api", "/stats"),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_stand_in_exits_when_stdin_closes_or_its_run_time_is_over() {
+fn a_fake_exits_when_stdin_closes_or_its_run_time_is_over() {
     let mut child = start(&["service", "--until-stdin-closes"]);
     child.wait_for_address("listening", TIMEOUT).unwrap();
     child.close_stdin();
--- a/crates/pinereel_fakes/tests/process_requests.rs
+++ b/crates/pinereel_fakes/tests/process_requests.rs
@@ -165,7 +165,7 @@
     );
 }
 
-/// Starts a mock service that sends the body of its only response in two parts, the second one after
+/// Starts a fake service that sends the body of its only response in two parts, the second one after
 /// a message on the channel.
 fn start_slow_service() -> (SocketAddr, mpsc::Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/pinereel_fakes/tests/process_support/mod.rs
+++ b/crates/pinereel_fakes/tests/process_support/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers of the tests with real processes: the cluster, callers, and checks against the records of
-//! the stand-ins.
+//! the fakes.
 
 #![allow(clippy::unwrap_used, dead_code)]
 
@@ -25,7 +25,7 @@
 pub const SERVICES: &str = "orders-app";
 /// The trainer.
 pub const TRAINER: &str = "dispatch";
-/// Timeout for a read from a socket and for the mock service.
+/// Timeout for a read from a socket and for the fake service.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Options of a cluster with these numbers of entries, engines and services.
@@ -81,7 +81,7 @@
 }
 
 /// Requests a streamed completion and reads it to its end; returns the request id and the text, or an
-/// error if the text is not the whole text that the engine stand-in generates.
+/// error if the text is not the whole text that the fake engine generates.
 pub async fn stream(
     entry: SocketAddr,
     prompt: &str,
@@ -207,7 +207,7 @@
     single_attempt_count
 }
 
-/// The seed in the first word of a text of the engine stand-in.
+/// The seed in the first word of a text of the fake engine.
 fn text_seed(text: &str) -> u64 {
     let first_word = text.split_whitespace().next().unwrap();
     u64::from_str_radix(first_word.split_once('.').unwrap().1, 16).unwrap()
--- a/crates/pinereel_fakes/tests/trainer_client.rs
+++ b/crates/pinereel_fakes/tests/trainer_client.rs
@@ -1,5 +1,5 @@
-//! The trainer's client and stand-in: each sample is taken once, calls fail over between entries, and
-//! the stand-in's checks find wrong samples.
+//! The trainer client and the fake trainer: each sample is taken once, calls fail over between
+//! entries, and the fake trainer's checks find wrong samples.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,13 +29,13 @@
 use tokio::net::TcpListener;
 
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// Retry timeout of the client, and the mock's timeout for reading a request.
+/// Retry timeout of the client, and the fake entry's timeout for reading a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A mock entry. It hands out the samples of a lot in order, and the collection token is the number of
-/// samples handed out.
+/// A fake entry. It hands out the samples of a lot in order, and the collection token is the number
+/// of samples handed out.
 #[derive(Default)]
-struct MockEntry {
+struct FakeEntry {
     lots: BTreeMap<CompactString, Lot>,
     /// Paths of the requests received.
     calls: Vec<String>,
@@ -60,7 +60,7 @@
     }
 }
 
-async fn start(entry: Rc<RefCell<MockEntry>>) -> Server {
+async fn start(entry: Rc<RefCell<FakeEntry>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let handler = move |request| respond(Rc::clone(&entry), request);
     Server::start(listener, http::Options::default(), handler)
@@ -68,7 +68,7 @@
         .unwrap()
 }
 
-async fn respond(entry: Rc<RefCell<MockEntry>>, mut request: Request) -> Response {
+async fn respond(entry: Rc<RefCell<FakeEntry>>, mut request: Request) -> Response {
     let path = request.path().to_owned();
     let body = http::read_json(&mut request, MAX_BODY_BYTES, TIMEOUT).await;
     let body: serde_json::Value = body.unwrap();
@@ -117,7 +117,7 @@
 }
 
 /// The response to a collect call, with the next two samples.
-fn collect(entry: &MockEntry, lot: &Lot, request: Collect) -> Collected {
+fn collect(entry: &FakeEntry, lot: &Lot, request: Collect) -> Collected {
     let sample_count: u32 = lot.groups.iter().map(|group| group.samples).sum();
     let from: u32 = request.token.parse().unwrap();
     let to = (from + 2).min(sample_count);
@@ -186,7 +186,7 @@
 
 #[actix_rt::test]
 async fn the_client_skips_dead_entries_and_waits_for_the_retry_delay_of_a_refusal() {
-    let entry = Rc::new(RefCell::new(MockEntry::default()));
+    let entry = Rc::new(RefCell::new(FakeEntry::default()));
     let refusal = problem(Code::Unavailable, Some(120));
     entry.borrow_mut().refusals.push(refusal);
     let server = start(Rc::clone(&entry)).await;
@@ -206,7 +206,7 @@
 
 #[actix_rt::test]
 async fn an_unknown_lot_is_submitted_again_and_the_token_is_kept() {
-    let entry = Rc::new(RefCell::new(MockEntry::default()));
+    let entry = Rc::new(RefCell::new(FakeEntry::default()));
     let server = start(Rc::clone(&entry)).await;
     let mut client = Client::new(vec![server.address.to_string()], TIMEOUT);
     let mut partial_lot = client.submit(lot()).await.unwrap();
@@ -231,7 +231,7 @@
 
 #[actix_rt::test]
 async fn a_permanent_refusal_is_not_retried() {
-    let entry = Rc::new(RefCell::new(MockEntry::default()));
+    let entry = Rc::new(RefCell::new(FakeEntry::default()));
     entry
         .borrow_mut()
         .refusals
@@ -253,10 +253,10 @@
         (0, true, false),
     ];
     for (staleness, truncate_texts, is_valid) in cases {
-        let entry = MockEntry {
+        let entry = FakeEntry {
             staleness,
             truncate_texts,
-            ..MockEntry::default()
+            ..FakeEntry::default()
         };
         let server = start(Rc::new(RefCell::new(entry))).await;
         let options = Options {
@@ -282,7 +282,7 @@
 
 #[actix_rt::test]
 async fn the_retry_after_header_is_honoured_if_the_body_gives_no_delay() {
-    let entry = Rc::new(RefCell::new(MockEntry::default()));
+    let entry = Rc::new(RefCell::new(FakeEntry::default()));
     let refusal = problem(Code::Overloaded, None);
     entry.borrow_mut().refusals.push(refusal);
     entry.borrow_mut().retry_after_header = true;
