--- a/crates/pinereel_fakes/src/demo/traffic.rs
+++ b/crates/pinereel_fakes/src/demo/traffic.rs
@@ -1,5 +1,5 @@
-//! Live callers behind a simulated load balancer, which picks the entries round-robin. Each caller
-//! sends one request at a time and checks the response.
+//! Live callers, and the load balancer in front of the entries, which picks one round-robin for each
+//! attempt. A caller sends one request at a time and checks the response.
 
 use super::deployment::Deployment;
 use crate::engine::text;
--- a/crates/pinereel_fakes/src/engine/batch.rs
+++ b/crates/pinereel_fakes/src/engine/batch.rs
@@ -1,4 +1,5 @@
-//! Simulation of continuous batching. It does no I/O and reads no clock: time is passed in.
+//! Simulation of continuous batching in a fake engine. It does no I/O and reads no clock: time is
+//! passed in.
 //!
 //! The engine runs in steps. A step generates one token for each running sequence, and takes longer
 //! the more sequences run and the more prompt tokens it must compute first. Sequences are admitted
@@ -43,7 +44,7 @@
 /// Sort key of a sequence: higher priorities first, then order of arrival.
 type SequenceKey = (Reverse<u8>, u64);
 
-/// Simulated engine.
+/// The simulation of one fake engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     options: Options,
--- a/crates/pinereel_fakes/src/engine/sequence.rs
+++ b/crates/pinereel_fakes/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! State of one request in the simulated engine.
+//! State of one waiting or running request in the batching simulation.
 
 use super::{cache, text};
 use pinereel_api::engine::{FinishReason, Request};
--- a/crates/pinereel_fakes/src/engine/stream.rs
+++ b/crates/pinereel_fakes/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Event stream of one completion.
+//! Response body of a streamed completion, as server-sent events.
 
 use bytes::Bytes;
 use futures_util::{Stream, stream};
--- a/crates/pinereel_fakes/src/engine/types.rs
+++ b/crates/pinereel_fakes/src/engine/types.rs
@@ -1,11 +1,11 @@
-//! Options, refusals and records of the simulated engine.
+//! Options, refusals and records of the batching simulation.
 
 use pinereel_api::engine::FinishReason;
 use pinereel_core::{Span, Version};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Capacity and speed of a simulated engine.
+/// Capacity and speed of a fake engine.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Maximum number of concurrent sequences.
--- a/crates/pinereel_fakes/src/experiment/cli.rs
+++ b/crates/pinereel_fakes/src/experiment/cli.rs
@@ -1,4 +1,5 @@
-//! Command line of the experiment tool.
+//! Command line of the experiment tool, which runs each policy with several seeds and writes the
+//! results.
 
 use super::{
     plot,
--- a/crates/pinereel_fakes/src/experiment/fault.rs
+++ b/crates/pinereel_fakes/src/experiment/fault.rs
@@ -1,4 +1,4 @@
-//! Begin and end of a scenario's faults.
+//! Begins and ends the faults that a scenario injects into a run.
 
 use super::{entry::Entry, event::Event, scenario::FaultKind, simulation::Simulation};
 use crate::engine::fault::Faults;
--- a/crates/pinereel_fakes/src/experiment/mod.rs
+++ b/crates/pinereel_fakes/src/experiment/mod.rs
@@ -7,7 +7,7 @@
 //! batching model of the fake engine, fixed latencies, trainers and live callers.
 //!
 //! - [`scenario`]: sizes, latencies, trainers and faults, read from INI.
-//! - [`policy`]: the policies that are compared.
+//! - [`policy`]: the combinations of policies that are compared.
 //! - [`simulation`]: state of one run, and the dispatch of its events.
 //! - [`idle_bound`]: lower bound of the idle share over all policies.
 //! - [`metrics`]: metrics of a run, and their summary over seeds.
--- a/crates/pinereel_fakes/src/experiment/policy.rs
+++ b/crates/pinereel_fakes/src/experiment/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The named combinations of policies that the experiment compares, and their baseline.
 
 use pinereel_core::{lot, route};
 use std::time::Duration;
--- a/crates/pinereel_fakes/src/fault.rs
+++ b/crates/pinereel_fakes/src/fault.rs
@@ -1,4 +1,4 @@
-//! Helpers that several fakes share to inject faults.
+//! Helpers with which several fakes inject faults into their responses, such as loss and delay.
 
 use actix_http::{
     StatusCode,
--- a/crates/pinereel_fakes/src/lib.rs
+++ b/crates/pinereel_fakes/src/lib.rs
@@ -3,16 +3,17 @@
 //! The fakes speak the published protocols of `pinereel_api` and inject faults on request.
 //! They run inside the calling process (the demo, tests) or as processes (`pinereel-fakes NAME`).
 //!
-//! - [`object_api`], [`weight_store`], [`engine`], [`service`]: the platform and the endpoints.
+//! - [`object_api`], [`weight_store`], [`engine`], [`service`]: fakes of the platform and of the
+//!   endpoints.
 //! - [`trainer`]: a trainer client, and a fake trainer that uses it.
 //! - [`site`]: object API, endpoints and entries inside the calling process.
 //! - [`cluster`]: the same as a process each, for tests of failures.
-//! - [`hosting`]: the platform that hosts pinereel, with real processes, and the soak test.
+//! - [`hosting`]: fakes of the platform that hosts pinereel, for real processes, and the soak test.
 //! - [`demo`]: a deployment, traffic and operations on loopback in one command, with checks.
 //! - [`load`]: load generation and latency measurement.
 //! - [`capacity`]: how state, messages, processor time and memory grow with the size of a site.
 //! - [`experiment`]: simulations that compare policies with a baseline in virtual time.
-//! - [`fault`]: helpers for injecting faults, such as lost and delayed responses.
+//! - [`fault`]: helpers that inject faults into responses, such as loss and delay.
 //! - [`child_process`]: starts and signals processes, and captures what they print.
 //! - [`cli`]: the flags and exit conditions that the processes of fakes share.
 
--- a/crates/pinereel_fakes/src/object_api/handle.rs
+++ b/crates/pinereel_fakes/src/object_api/handle.rs
@@ -1,4 +1,5 @@
-//! State of a running fake API, and the handle of it.
+//! State of a running fake object API, and the handle with which tests and the demo
+//! control it.
 
 use super::{Condition, Options, Refusal, Store, TokenBucket, WriteRecord, serve};
 use compact_str::CompactString;
--- a/crates/pinereel_fakes/src/object_api/serve.rs
+++ b/crates/pinereel_fakes/src/object_api/serve.rs
@@ -1,4 +1,4 @@
-//! Request handlers.
+//! Request handlers of the fake object API.
 
 use super::{Condition, Refusal, handle::State};
 use crate::fault;
--- a/crates/pinereel_fakes/src/object_api/store.rs
+++ b/crates/pinereel_fakes/src/object_api/store.rs
@@ -1,4 +1,5 @@
-//! Objects, their versions, and the bounded list of changes that watches read.
+//! In-memory store of the fake object API: objects, their versions, and the bounded list of changes
+//! that watches read.
 
 use compact_str::CompactString;
 use pinereel_api::object::{Change, Changes, List, Object};
--- a/crates/pinereel_fakes/src/object_api/token_bucket.rs
+++ b/crates/pinereel_fakes/src/object_api/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Rate limit.
+//! Token bucket, which limits the rate of reads and that of writes.
 
 use std::{cell::Cell, time::Duration};
 use tokio::time::Instant;
--- a/crates/pinereel_fakes/src/service/handle.rs
+++ b/crates/pinereel_fakes/src/service/handle.rs
@@ -1,4 +1,5 @@
-//! State of a running service, and the handle of it.
+//! State of a running fake service, and the handle with which tests and the demo
+//! control it.
 
 use super::{Execution, Faults, serve};
 use pinereel::http::{Options as ServerOptions, Server};
--- a/crates/pinereel_fakes/src/service/serve.rs
+++ b/crates/pinereel_fakes/src/service/serve.rs
@@ -1,4 +1,4 @@
-//! Request handlers.
+//! Request handlers of the fake service.
 
 use super::{Execution, Faults, handle::State};
 use crate::fault;
