--- a/crates/pinereel_fakes/tests/claim_faults.rs
+++ b/crates/pinereel_fakes/tests/claim_faults.rs
@@ -1,11 +1,14 @@
-//! Keyed calls under faults: lost answers, outages, endpoints and entries that die.
+//! Idempotency keys under faults: lost responses, outages of the object API, and failures of
+//! services and entries.
 
 #![allow(clippy::unwrap_used)]
 
-mod claims;
+mod claim_support;
 
-use claims::{
-    Answer, SLOT, answered, joined, key_of, kill, order, order_until, ran, segments, settled, site,
+use claim_support::{
+    KEY, Response, book_order, book_order_until, book_order_until_final, claim_object_count,
+    execution_count, key_owned_by, other_key_in_same_shard, simulate_crash, start_site,
+    try_book_order, wait_for_members, wait_for_settlement,
 };
 use futures_util::future::join_all;
 use pinereel_api::object;
@@ -16,155 +19,162 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Shorter than the wait for a verdict that never comes.
-const AT_ONCE: Duration = Duration::from_millis(1_500);
+/// Maximum duration of calls that are refused immediately. It is shorter than the time for which an
+/// entry waits for a verdict on a key.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(1_500);
 
-fn lose(site: &Site, answers: u32) {
+/// Loses the responses to this number of next writes of claim logs; the writes take effect.
+fn lose_write_responses(site: &Site, count: u32) {
     site.object_api.set_faults(object::Faults {
-        lose_write_answers: Some(answers),
+        lose_write_answers: Some(count),
         lose_kind: Some("claims".into()),
         ..object::Faults::default()
     });
 }
 
-fn outage(site: &Site, millis: u64) {
+/// Starts an outage of the object API of this duration; 0 ends the current one.
+fn set_outage(site: &Site, duration_ms: u64) {
     site.object_api.set_faults(object::Faults {
-        outage_ms: Some(millis),
+        outage_ms: Some(duration_ms),
         ..object::Faults::default()
     });
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_to_the_create_still_grants_and_the_call_runs_once() {
-    let site = site(3).await;
-    joined(&site).await;
-    lose(&site, 1);
-    let answer = order(&site, 0, Some(SLOT), "lacquer").await;
-    assert_eq!(answer.short(), "200");
-    settled(&site, SLOT).await;
-    let again = answered(&site, 1, SLOT, "lacquer").await;
-    assert_eq!(again.short(), "200 replay");
-    assert_eq!(ran(&site, SLOT), 1);
+async fn a_call_runs_once_when_the_response_to_the_create_of_its_claim_is_lost() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    lose_write_responses(&site, 1);
+    let response = book_order(&site, 0, Some(KEY), "lacquer").await;
+    assert_eq!(response.summary(), "200");
+    wait_for_settlement(&site, KEY).await;
+    let repeated = book_order_until_final(&site, 1, KEY, "lacquer").await;
+    assert_eq!(repeated.summary(), "200 replay");
+    assert_eq!(execution_count(&site, KEY), 1);
 }
 
 #[actix_rt::test]
-async fn answers_lost_until_the_caller_is_refused_leave_the_key_free() {
-    let site = site(3).await;
-    joined(&site).await;
-    lose(&site, 1);
+async fn a_key_is_free_after_a_refusal_although_its_claim_may_be_stored() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    lose_write_responses(&site, 1);
     site.object_api.set_faults(object::Faults {
         delay_ms: Some(200),
         ..object::Faults::default()
     });
-    // The outage begins between the create's effect and the loss of its answer, so that no read can
-    // resolve it.
-    let begins = async {
-        wait_until(|| segments(&site) > 0).await.unwrap();
-        outage(&site, 60_000);
+    // The outage starts after the create has taken effect and before its response is lost, so that
+    // no read can tell whether the claim is stored.
+    let start_outage = async {
+        wait_until(|| claim_object_count(&site) > 0).await.unwrap();
+        set_outage(&site, 60_000);
     };
-    let call = order(&site, 0, Some(SLOT), "lacquer");
-    let (refused, ()) = futures_util::future::join(call, begins).await;
+    let call = book_order(&site, 0, Some(KEY), "lacquer");
+    let (refused, ()) = futures_util::future::join(call, start_outage).await;
     site.object_api.set_faults(object::Faults {
         delay_ms: Some(0),
         ..object::Faults::default()
     });
-    assert_eq!(refused.short(), "503 object_api not-run later");
-    assert_eq!(ran(&site, SLOT), 0);
-    outage(&site, 0);
-    let again = order_until(&site, 1, SLOT, "lacquer", |answer| answer.status == 200).await;
-    assert!(!again.replay);
-    assert_eq!(ran(&site, SLOT), 1);
+    assert_eq!(refused.summary(), "503 object_api not-run later");
+    assert_eq!(execution_count(&site, KEY), 0);
+    set_outage(&site, 0);
+    let repeated = book_order_until(&site, 1, KEY, "lacquer", |r| r.status == 200).await;
+    assert!(!repeated.is_replay);
+    assert_eq!(execution_count(&site, KEY), 1);
 }
 
 #[actix_rt::test]
-async fn an_outage_of_the_object_api_refuses_at_once_and_nothing_runs() {
-    let site = site(3).await;
-    joined(&site).await;
-    // One key's log is open already, the others' are not.
-    order(&site, 0, Some(SLOT), "lacquer").await;
-    settled(&site, SLOT).await;
-    outage(&site, 60_000);
+async fn calls_are_refused_immediately_and_do_not_run_during_an_outage_of_the_object_api() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    // Opens the log of one shard. The logs of the other keys are not open when the outage starts.
+    book_order(&site, 0, Some(KEY), "lacquer").await;
+    wait_for_settlement(&site, KEY).await;
+    set_outage(&site, 60_000);
     let keys = ["slot-july", "slot-august", "slot-may"];
-    let started = Instant::now();
+    let start = Instant::now();
     for (index, key) in keys.iter().enumerate() {
-        let answer = order(&site, index, Some(key), "lacquer").await;
-        assert_eq!(answer.short(), "503 object_api not-run later");
-        assert_eq!(ran(&site, key), 0);
+        let response = book_order(&site, index, Some(key), "lacquer").await;
+        assert_eq!(response.summary(), "503 object_api not-run later");
+        assert_eq!(execution_count(&site, key), 0);
     }
-    assert!(started.elapsed() < AT_ONCE, "{:?}", started.elapsed());
-    outage(&site, 0);
+    assert!(start.elapsed() < MAX_REFUSAL_TIME, "{:?}", start.elapsed());
+    set_outage(&site, 0);
     for key in keys {
-        let answer = order_until(&site, 0, key, "lacquer", |answer| answer.status == 200).await;
-        assert!(!answer.replay);
-        assert_eq!(ran(&site, key), 1);
+        let response = book_order_until(&site, 0, key, "lacquer", |r| r.status == 200).await;
+        assert!(!response.is_replay);
+        assert_eq!(execution_count(&site, key), 1);
     }
 }
 
 #[actix_rt::test]
-async fn a_log_that_is_open_refuses_its_first_claim_of_an_outage_at_once() {
-    let site = site(3).await;
-    joined(&site).await;
-    order(&site, 0, Some(SLOT), "lacquer").await;
-    settled(&site, SLOT).await;
-    outage(&site, 60_000);
-    let key = claims::same_shard(SLOT);
-    let started = Instant::now();
-    let answer = order(&site, 1, Some(&key), "lacquer").await;
-    assert!(started.elapsed() < AT_ONCE, "{:?}", started.elapsed());
-    assert_eq!(answer.short(), "503 object_api not-run later");
-    assert_eq!(ran(&site, &key), 0);
+async fn the_first_claim_of_an_outage_is_refused_immediately_if_the_log_is_open() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    book_order(&site, 0, Some(KEY), "lacquer").await;
+    wait_for_settlement(&site, KEY).await;
+    set_outage(&site, 60_000);
+    let key = other_key_in_same_shard(KEY);
+    let start = Instant::now();
+    let response = book_order(&site, 1, Some(&key), "lacquer").await;
+    assert!(start.elapsed() < MAX_REFUSAL_TIME, "{:?}", start.elapsed());
+    assert_eq!(response.summary(), "503 object_api not-run later");
+    assert_eq!(execution_count(&site, &key), 0);
 }
 
 #[actix_rt::test]
-async fn an_object_api_that_answers_nothing_refuses_in_time_and_leaves_the_key_free() {
-    let site = site(3).await;
-    joined(&site).await;
-    order(&site, 0, Some(&claims::same_shard(SLOT)), "lacquer").await;
-    let delay = |millis| {
+async fn a_key_is_free_after_a_refusal_because_the_object_api_does_not_respond() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    book_order(&site, 0, Some(&other_key_in_same_shard(KEY)), "lacquer").await;
+    let set_delay = |delay_ms| {
         site.object_api.set_faults(object::Faults {
-            delay_ms: Some(millis),
+            delay_ms: Some(delay_ms),
             ..object::Faults::default()
         });
     };
-    // The create takes effect, and its answer comes long after everybody has given up.
-    delay(60_000);
-    let started = Instant::now();
-    let refused = order(&site, 1, Some(SLOT), "lacquer").await;
-    assert_eq!(refused.short(), "503 object_api not-run later");
-    assert!(started.elapsed() < 2 * AT_ONCE, "{:?}", started.elapsed());
-    assert_eq!(ran(&site, SLOT), 0);
-    delay(0);
-    let again = order_until(&site, 2, SLOT, "lacquer", |answer| answer.status == 200).await;
-    assert!(!again.replay);
-    assert_eq!(ran(&site, SLOT), 1);
+    // The create takes effect, but its response would arrive long after its timeout.
+    set_delay(60_000);
+    let start = Instant::now();
+    let refused = book_order(&site, 1, Some(KEY), "lacquer").await;
+    assert_eq!(refused.summary(), "503 object_api not-run later");
+    assert!(
+        start.elapsed() < 2 * MAX_REFUSAL_TIME,
+        "{:?}",
+        start.elapsed()
+    );
+    assert_eq!(execution_count(&site, KEY), 0);
+    set_delay(0);
+    let repeated = book_order_until(&site, 2, KEY, "lacquer", |r| r.status == 200).await;
+    assert!(!repeated.is_replay);
+    assert_eq!(execution_count(&site, KEY), 1);
 }
 
 #[actix_rt::test]
-async fn a_call_that_ran_and_lost_its_answer_is_unknown_and_never_runs_again() {
-    let site = site(3).await;
-    joined(&site).await;
+async fn a_call_whose_response_is_lost_after_it_ran_is_unknown_and_never_runs_again() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
     site.services[0].handle.set_faults(Faults {
         drop_after_run: Some(1),
         ..Faults::default()
     });
-    let first = order(&site, 0, Some(SLOT), "lacquer").await;
-    assert_eq!(first.short(), "502 unknown unknown");
-    settled(&site, SLOT).await;
+    let first = book_order(&site, 0, Some(KEY), "lacquer").await;
+    assert_eq!(first.summary(), "502 unknown unknown");
+    wait_for_settlement(&site, KEY).await;
     for index in 0..3 {
-        let again = answered(&site, index, SLOT, "lacquer").await;
-        assert_eq!(again.short(), "502 unknown unknown");
+        let repeated = book_order_until_final(&site, index, KEY, "lacquer").await;
+        assert_eq!(repeated.summary(), "502 unknown unknown");
     }
-    assert_eq!(ran(&site, SLOT), 1);
+    assert_eq!(execution_count(&site, KEY), 1);
 }
 
 #[actix_rt::test]
-async fn a_refused_connection_frees_the_key_and_the_repeat_runs() {
-    let mut site = site(3).await;
-    joined(&site).await;
+async fn a_key_is_free_after_the_connection_to_the_service_was_refused() {
+    let mut site = start_site(3).await;
+    wait_for_members(&site).await;
     site.services[0].handle.stop();
-    let first = order(&site, 0, Some(SLOT), "lacquer").await;
-    assert_eq!(first.short(), "503 no_endpoint not-run later");
-    settled(&site, SLOT).await;
+    let first = book_order(&site, 0, Some(KEY), "lacquer").await;
+    assert_eq!(first.summary(), "503 no_endpoint not-run later");
+    wait_for_settlement(&site, KEY).await;
     let handle = service::Service::start(service::Options::default())
         .await
         .unwrap();
@@ -177,153 +187,169 @@
     };
     site.object_api.put_instance("orders-app-0", instance);
     site.services[0].handle = handle;
-    let again = order_until(&site, 1, SLOT, "lacquer", |answer| answer.status == 200).await;
-    assert!(!again.replay);
-    assert_eq!(ran(&site, SLOT), 1);
+    let repeated = book_order_until(&site, 1, KEY, "lacquer", |r| r.status == 200).await;
+    assert!(!repeated.is_replay);
+    assert_eq!(execution_count(&site, KEY), 1);
 }
 
-/// Sends an order that runs for a while and does `meanwhile` as soon as it runs.
-async fn during(site: &Site, index: usize, key: &str, meanwhile: impl FnOnce()) -> Option<Answer> {
+/// Books an order that the service executes at once and answers after 200 ms. Calls
+/// `after_execution` as soon as the execution is recorded.
+async fn book_slow_order(
+    site: &Site,
+    index: usize,
+    key: &str,
+    after_execution: impl FnOnce(),
+) -> Option<Response> {
     site.services[0].handle.set_faults(Faults {
         delay_ms: Some(200),
         ..Faults::default()
     });
-    let running = async {
-        wait_until(|| ran(site, key) > 0).await.unwrap();
-        meanwhile();
+    let wait_for_execution = async {
+        wait_until(|| execution_count(site, key) > 0).await.unwrap();
+        after_execution();
     };
-    let call = claims::try_order(site, index, Some(key), "lacquer", 10_000);
-    futures_util::future::join(call, running).await.0
+    let call = try_book_order(site, index, Some(key), "lacquer", 10_000);
+    futures_util::future::join(call, wait_for_execution).await.0
 }
 
 #[actix_rt::test]
-async fn an_owner_that_dies_between_claim_and_settlement_costs_no_second_run() {
-    let site = site(3).await;
-    joined(&site).await;
-    let key = key_of(&site, 0);
-    let answer = during(&site, 1, &key, || kill(&site, 0)).await.unwrap();
-    assert_eq!(answer.short(), "200");
-    let again = answered(&site, 2, &key, "lacquer").await;
-    assert_eq!(again.short(), "200 replay");
-    assert_eq!(again.body, answer.body);
-    assert_eq!(ran(&site, &key), 1);
+async fn a_key_does_not_run_again_when_its_owner_crashes_between_claim_and_settlement() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    let key = key_owned_by(&site, 0);
+    let response = book_slow_order(&site, 1, &key, || simulate_crash(&site, 0))
+        .await
+        .unwrap();
+    assert_eq!(response.summary(), "200");
+    let repeated = book_order_until_final(&site, 2, &key, "lacquer").await;
+    assert_eq!(repeated.summary(), "200 replay");
+    assert_eq!(repeated.body, response.body);
+    assert_eq!(execution_count(&site, &key), 1);
 }
 
 #[actix_rt::test]
-async fn an_owner_that_dies_with_the_claim_stored_and_not_answered_costs_no_refusal() {
-    let site = site(3).await;
-    joined(&site).await;
-    let key = key_of(&site, 0);
-    let delay = |millis| {
+async fn a_call_succeeds_when_the_owner_of_its_key_crashes_before_replying_to_the_claim() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    let key = key_owned_by(&site, 0);
+    let set_delay = |delay_ms| {
         site.object_api.set_faults(object::Faults {
-            delay_ms: Some(millis),
+            delay_ms: Some(delay_ms),
             ..object::Faults::default()
         });
     };
-    delay(200);
-    let dies = async {
-        wait_until(|| segments(&site) > 0).await.unwrap();
-        kill(&site, 0);
-        delay(0);
+    set_delay(200);
+    let crash = async {
+        wait_until(|| claim_object_count(&site) > 0).await.unwrap();
+        simulate_crash(&site, 0);
+        set_delay(0);
     };
-    let call = order(&site, 1, Some(&key), "lacquer");
-    let (answer, ()) = futures_util::future::join(call, dies).await;
-    assert_eq!(answer.short(), "200");
-    assert_eq!(ran(&site, &key), 1);
-    let again = answered(&site, 2, &key, "lacquer").await;
+    let call = book_order(&site, 1, Some(&key), "lacquer");
+    let (response, ()) = futures_util::future::join(call, crash).await;
+    assert_eq!(response.summary(), "200");
+    assert_eq!(execution_count(&site, &key), 1);
+    let repeated = book_order_until_final(&site, 2, &key, "lacquer").await;
     assert_eq!(
-        (again.short().as_str(), again.body),
-        ("200 replay", answer.body)
+        (repeated.summary().as_str(), repeated.body),
+        ("200 replay", response.body)
     );
 }
 
 #[actix_rt::test]
-async fn a_front_that_dies_while_its_call_runs_leaves_the_key_in_progress_then_unknown() {
-    let site = site(3).await;
-    joined(&site).await;
-    let key = key_of(&site, 0);
+async fn a_key_is_in_progress_and_then_unknown_when_the_entry_of_its_running_call_crashes() {
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    let key = key_owned_by(&site, 0);
     site.services[0].handle.set_faults(Faults {
         delay_ms: Some(5_000),
         ..Faults::default()
     });
-    let call = claims::try_order(&site, 1, Some(&key), "lacquer", 1_000);
-    let dies = async {
-        wait_until(|| ran(&site, &key) > 0).await.unwrap();
-        kill(&site, 1);
+    let call = try_book_order(&site, 1, Some(&key), "lacquer", 1_000);
+    let crash = async {
+        wait_until(|| execution_count(&site, &key) > 0)
+            .await
+            .unwrap();
+        simulate_crash(&site, 1);
     };
-    let (lost, ()) = futures_util::future::join(call, dies).await;
+    let (lost, ()) = futures_util::future::join(call, crash).await;
     assert_eq!(lost, None);
-    let soon = order(&site, 2, Some(&key), "lacquer").await;
-    assert_eq!(soon.short(), "409 in_progress unknown later");
-    let later = answered(&site, 2, &key, "lacquer").await;
-    assert_eq!(later.short(), "502 unknown unknown");
-    assert_eq!(ran(&site, &key), 1);
+    let before_deadline = book_order(&site, 2, Some(&key), "lacquer").await;
+    assert_eq!(before_deadline.summary(), "409 in_progress unknown later");
+    let after_deadline = book_order_until_final(&site, 2, &key, "lacquer").await;
+    assert_eq!(after_deadline.summary(), "502 unknown unknown");
+    assert_eq!(execution_count(&site, &key), 1);
 }
 
 #[actix_rt::test]
 async fn two_entries_that_both_act_as_owner_run_each_key_once() {
-    let site = site(3).await;
-    joined(&site).await;
-    // Without links this one writes every log itself, while the others ask the owners.
+    let site = start_site(3).await;
+    wait_for_members(&site).await;
+    // Without peer links this entry writes to every log itself, while the other entries send their
+    // claims to the owners.
     site.entries[2].shared.mesh.close();
     let keys: Vec<_> = (0..20).map(|i| format!("slot-{i}")).collect();
     let calls = keys.iter().flat_map(|key| {
         let site = &site;
-        (0..3).map(move |index| async move { (key, answered(site, index, key, "lacquer").await) })
+        (0..3).map(move |index| async move {
+            (
+                key,
+                book_order_until_final(site, index, key, "lacquer").await,
+            )
+        })
     });
-    let answers = join_all(calls).await;
+    let responses = join_all(calls).await;
     for key in &keys {
-        let mine = answers.iter().filter(|(k, _)| k == &key);
-        let bodies: Vec<_> = mine.map(|(_, a)| (a.status, &a.body)).collect();
+        let of_key = responses.iter().filter(|(k, _)| k == &key);
+        let results: Vec<_> = of_key.map(|(_, r)| (r.status, &r.body)).collect();
         assert!(
-            bodies.iter().all(|b| *b == bodies[0] && b.0 == 200),
-            "{bodies:?}"
+            results.iter().all(|r| *r == results[0] && r.0 == 200),
+            "{results:?}"
         );
-        assert_eq!(ran(&site, key), 1, "{key}");
+        assert_eq!(execution_count(&site, key), 1, "{key}");
     }
     assert!(site.entries[2].shared.claims.open_log_count() > 0);
 }
 
 #[actix_rt::test]
-async fn a_draining_entry_causes_no_refusal() {
-    let mut site = site(3).await;
-    joined(&site).await;
+async fn no_call_is_refused_while_an_entry_drains() {
+    let mut site = start_site(3).await;
+    wait_for_members(&site).await;
     let entry = site.entries.remove(0);
-    let done = Rc::new(Cell::new(false));
-    let finished = Rc::clone(&done);
+    let drained = Rc::new(Cell::new(false));
+    let drained_flag = Rc::clone(&drained);
     entry.shared.drain.request_stop();
     actix_rt::spawn(async move {
         entry.run_until_drained().await;
-        finished.set(true);
+        drained_flag.set(true);
     });
     let mut number = 0;
-    let mut after = 0;
-    while after < 20 {
+    let mut calls_after_drain = 0;
+    while calls_after_drain < 20 {
         let key = format!("slot-{number}");
-        let answer = claims::try_order(&site, number % 2, Some(&key), "lacquer", 10_000).await;
-        assert_eq!(answer.unwrap().short(), "200", "{key}");
-        assert_eq!(ran(&site, &key), 1);
+        let response = try_book_order(&site, number % 2, Some(&key), "lacquer", 10_000).await;
+        assert_eq!(response.unwrap().summary(), "200", "{key}");
+        assert_eq!(execution_count(&site, &key), 1);
         number += 1;
-        after += usize::from(done.get());
+        calls_after_drain += usize::from(drained.get());
     }
 }
 
 #[actix_rt::test]
-async fn a_caller_that_goes_away_leaves_an_outcome_behind() {
-    let site = site(2).await;
-    joined(&site).await;
+async fn the_outcome_of_a_call_is_stored_when_its_caller_disconnects() {
+    let site = start_site(2).await;
+    wait_for_members(&site).await;
     site.services[0].handle.set_faults(Faults {
         delay_ms: Some(100),
         ..Faults::default()
     });
-    let call = order(&site, 0, Some(SLOT), "lacquer");
-    let gone = wait_until(|| ran(&site, SLOT) > 0);
-    // Dropping the call closes its connection.
+    let call = book_order(&site, 0, Some(KEY), "lacquer");
+    let executed = wait_until(|| execution_count(&site, KEY) > 0);
+    // The select drops the call, which closes its connection.
     tokio::select! {
-        answer = call => panic!("{answer:?}"),
-        gone = gone => gone.unwrap(),
+        response = call => panic!("{response:?}"),
+        result = executed => result.unwrap(),
     }
-    let again = answered(&site, 1, SLOT, "lacquer").await;
-    assert_eq!(again.short(), "200 replay");
-    assert_eq!(ran(&site, SLOT), 1);
+    let repeated = book_order_until_final(&site, 1, KEY, "lacquer").await;
+    assert_eq!(repeated.summary(), "200 replay");
+    assert_eq!(execution_count(&site, KEY), 1);
 }
