--- a/crates/pinereel_fakes/tests/overload_load.rs
+++ b/crates/pinereel_fakes/tests/overload_load.rs
@@ -1,13 +1,14 @@
-//! Live requests beside bulk work, and at twice what the engines can do: figures of a small run.
+//! Latency of live requests while a lot runs, and responses to twice as many requests as the
+//! engines can serve.
 //!
-//! `cargo test -p pinereel_fakes --test overload_load -- --nocapture` prints them.
+//! `cargo test -p pinereel_fakes --test overload_load -- --nocapture` prints the figures.
 
 #![allow(clippy::unwrap_used)]
 
-mod overload;
+mod overload_support;
 
 use futures_util::future::join_all;
-use overload::{Answer, POOL, Size, complete, site};
+use overload_support::{ENGINES, Response, SiteOptions, complete, start_site};
 use pinereel_api::trainer::{Group, Lot};
 use pinereel_core::{Version, route::Priority};
 use pinereel_fakes::{
@@ -18,74 +19,87 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until};
 
-const TOKENS: u32 = 10;
-const SLOTS: usize = 4;
-const ENGINES: usize = 2;
-
-async fn small() -> Site {
-    site(Size {
-        engines: ENGINES,
-        slots: SLOTS as u32,
-        queue: 64,
+/// Number of tokens of each live request.
+const MAX_TOKENS: u32 = 10;
+const SLOTS_PER_ENGINE: usize = 4;
+const ENGINE_COUNT: usize = 2;
+
+/// Starts a site with few slots, so that a small load fills them.
+async fn start_small_site() -> Site {
+    start_site(SiteOptions {
+        engine_count: ENGINE_COUNT,
+        slots_per_endpoint: SLOTS_PER_ENGINE as u32,
+        max_waiting: 64,
         batch: batch::Options {
-            slots: SLOTS,
+            slots: SLOTS_PER_ENGINE,
             tokens_per_second: 100.0,
             ..batch::Options::default()
         },
-        ..Size::default()
+        ..SiteOptions::default()
     })
     .await
 }
 
-/// A prompt whose completion reaches the most tokens, so that all take the same work.
-fn prompt(number: usize) -> String {
-    let long = |salt: &u32| {
+/// A prompt whose completion is as long as `MAX_TOKENS` allows, so that all requests take the same
+/// time.
+fn full_length_prompt(number: usize) -> String {
+    let is_full_length = |salt: &u32| {
         let prompt = format!("{number} {salt}");
-        text::length(&prompt, 7, TOKENS) == TOKENS
+        text::length(&prompt, 7, MAX_TOKENS) == MAX_TOKENS
     };
-    let salt = (0..).find(long).unwrap();
+    let salt = (0..).find(is_full_length).unwrap();
     format!("{number} {salt}")
 }
 
-/// One request of an open loop.
+/// A completed request.
 struct Call {
-    sent: Instant,
-    took: Duration,
-    answer: Answer,
+    sent_at: Instant,
+    latency: Duration,
+    response: Response,
 }
 
-/// Sends `count` requests, one every `pause`, whatever becomes of them.
-async fn load(address: &str, count: usize, pause: Duration, deadline: Duration) -> Vec<Call> {
-    let began = Instant::now();
+/// Sends `count` requests at a fixed interval, without waiting for earlier responses.
+async fn run_open_loop(
+    address: &str,
+    count: usize,
+    interval: Duration,
+    deadline: Duration,
+) -> Vec<Call> {
+    let start = Instant::now();
     let calls = (0..count).map(|number| {
-        let prompt = prompt(number);
+        let prompt = full_length_prompt(number);
         async move {
-            sleep_until(began + pause * number as u32).await;
-            let sent = Instant::now();
-            let answer = complete(address, &prompt, TOKENS, deadline).await;
-            let took = sent.elapsed();
-            Call { sent, took, answer }
+            sleep_until(start + interval * number as u32).await;
+            let sent_at = Instant::now();
+            let response = complete(address, &prompt, MAX_TOKENS, deadline).await;
+            Call {
+                sent_at,
+                latency: sent_at.elapsed(),
+                response,
+            }
         }
     });
     join_all(calls).await
 }
 
-fn quantile(calls: &[Call], share: f64) -> Duration {
-    let mut all: Vec<_> = calls.iter().map(|call| call.took).collect();
-    all.sort();
-    all[((all.len() - 1) as f64 * share) as usize]
+/// The `quantile` of the calls' latencies, from 0 to 1.
+fn latency_quantile(calls: &[Call], quantile: f64) -> Duration {
+    let mut latencies: Vec<_> = calls.iter().map(|call| call.latency).collect();
+    latencies.sort();
+    latencies[((latencies.len() - 1) as f64 * quantile) as usize]
 }
 
-/// Live latency alone, then beside a lot that its trainer collects and that keeps every slot of
-/// every engine busy.
-async fn beside(site: &Site) -> [Duration; 2] {
+/// Returns the 99th percentile of the latency of live requests, first without other load, then
+/// while the samples of a lot occupy all slots of all engines and the trainer collects them.
+async fn measure_live_p99(site: &Site) -> [Duration; 2] {
     let address = site.caller_addresses().remove(0);
-    let pause = Duration::from_millis(40);
-    let busy = || {
+    let interval = Duration::from_millis(40);
+    let all_slots_taken = || {
         let set = site.entries[0].shared.endpoints.set();
-        set.iter().all(|(_, e)| e.yielding as usize >= SLOTS)
+        set.iter()
+            .all(|(_, e)| e.yielding as usize >= SLOTS_PER_ENGINE)
     };
-    let alone = load(&address, 100, pause, Duration::from_secs(10)).await;
+    let without_lot = run_open_loop(&address, 100, interval, Duration::from_secs(10)).await;
     let lot = Lot {
         id: "collected".into(),
         trainer: "dispatch".into(),
@@ -103,20 +117,20 @@
             samples.unwrap();
         }
     });
-    wait_until(busy).await.unwrap();
-    let beside = load(&address, 100, pause, Duration::from_secs(10)).await;
-    assert!(busy(), "the lot ended before the measurement");
+    wait_until(all_slots_taken).await.unwrap();
+    let with_lot = run_open_loop(&address, 100, interval, Duration::from_secs(10)).await;
+    assert!(all_slots_taken(), "the lot ended before the measurement");
     collecting.abort();
     println!("| live | p50 | p99 |\n|---|---|---|");
-    for (when, calls) in [("alone", &alone), ("beside the lot", &beside)] {
-        assert!(calls.iter().all(|call| call.answer.status == 200));
-        let (p50, p99) = (quantile(calls, 0.5), quantile(calls, 0.99));
-        println!("| {when} | {p50:.1?} | {p99:.1?} |");
+    for (load, calls) in [("without a lot", &without_lot), ("with a lot", &with_lot)] {
+        assert!(calls.iter().all(|call| call.response.status == 200));
+        let (p50, p99) = (latency_quantile(calls, 0.5), latency_quantile(calls, 0.99));
+        println!("| {load} | {p50:.1?} | {p99:.1?} |");
     }
-    [&alone, &beside].map(|calls| quantile(calls, 0.99))
+    [&without_lot, &with_lot].map(|calls| latency_quantile(calls, 0.99))
 }
 
-/// Samples of 64 tokens, most of a second each.
+/// A group of eight samples of up to 64 tokens. A sample of full length takes most of a second.
 fn group(number: usize) -> Group {
     Group {
         prompt: format!("draft {number}"),
@@ -126,92 +140,104 @@
 }
 
 #[actix_rt::test]
-async fn live_requests_keep_their_latency_beside_a_lot() {
-    let site = small().await;
-    let [alone, beside] = beside(&site).await;
-    // A lone step is 10 ms long, one with a full batch 11.5 ms. A sample holds its slot for
-    // most of a second: whoever waits for one shows. The rest is room for a busy machine.
-    let most = alone * 3 / 2 + Duration::from_millis(50);
-    assert!(beside <= most, "{beside:?}, more than {most:?}");
+async fn live_requests_keep_their_latency_while_a_lot_runs() {
+    let site = start_small_site().await;
+    let [without_lot, with_lot] = measure_live_p99(&site).await;
+    // A step takes 10 ms with one sequence and 11.5 ms with a full batch. A sample holds its slot
+    // for most of a second, so a live request that waits for one exceeds the bound. The rest of the
+    // bound allows for a busy machine.
+    let max_latency = without_lot * 3 / 2 + Duration::from_millis(50);
+    assert!(
+        with_lot <= max_latency,
+        "{with_lot:?}, more than {max_latency:?}"
+    );
 }
 
 #[actix_rt::test]
-async fn live_requests_go_before_the_next_sample_of_a_lot_that_is_collected() {
-    let site = small().await;
-    let [alone, beside] = beside(&site).await;
-    // Its samples are stragglers, which engines do not put aside: a live request waits until a
-    // sample ends, but for no second one.
-    let most = alone + Duration::from_millis(800);
-    assert!(beside <= most, "{beside:?}, more than {most:?}");
+async fn live_requests_wait_for_at_most_one_sample_of_a_lot_that_is_collected() {
+    let site = start_small_site().await;
+    let [without_lot, with_lot] = measure_live_p99(&site).await;
+    // Samples of a lot that is being collected have the priority of stragglers. The bound allows
+    // for a live request that waits for the end of one sample, but not of a second one.
+    let max_latency = without_lot + Duration::from_millis(800);
+    assert!(
+        with_lot <= max_latency,
+        "{with_lot:?}, more than {max_latency:?}"
+    );
 }
 
 #[actix_rt::test]
 async fn twice_the_capacity_is_served_in_time_or_refused_at_once() {
-    let site = small().await;
+    let site = start_small_site().await;
     let address = site.caller_addresses().remove(0);
     let deadline = Duration::from_millis(800);
-    // A full batch: 10 tokens of 11.5 ms each at a time in 8 slots, 70 a second.
-    let pause = Duration::from_millis(7);
-    let admits = watch(&site, deadline);
-    let calls = load(&address, 700, pause, deadline).await;
-    let served: Vec<_> = calls.iter().filter(|c| c.answer.status == 200).collect();
-    let in_time = served.iter().filter(|c| c.took <= deadline).count();
-    let refused: Vec<_> = calls.iter().filter(|c| c.answer.status == 429).collect();
-    let slack = Duration::from_millis(100);
-    let at_once = refused.iter().filter(|c| c.took < slack).count();
+    // With full batches, 8 slots serve requests of 10 tokens at 11.5 ms each: 70 requests per
+    // second.
+    let interval = Duration::from_millis(7);
+    let admissions = record_admissions(&site, deadline);
+    let calls = run_open_loop(&address, 700, interval, deadline).await;
+    let served: Vec<_> = calls.iter().filter(|c| c.response.status == 200).collect();
+    let in_time = served.iter().filter(|c| c.latency <= deadline).count();
+    let refused: Vec<_> = calls.iter().filter(|c| c.response.status == 429).collect();
+    let tolerance = Duration::from_millis(100);
+    let immediate = refused.iter().filter(|c| c.latency < tolerance).count();
     let errors: Vec<_> = refused
         .iter()
-        .filter_map(|call| error(call, &admits.borrow()))
+        .filter_map(|call| retry_after_error_secs(call, &admissions.borrow()))
         .collect();
-    let mean = errors.iter().sum::<f64>() / errors.len().max(1) as f64;
+    let mean_error = errors.iter().sum::<f64>() / errors.len().max(1) as f64;
     println!(
-        "| sent | served | in time | refused | within 100 ms | mean error of Retry-After | of |\n\
-         |---|---|---|---|---|---|---|\n| {} | {} | {in_time} | {} | {at_once} | {:.0} ms | {} |",
+        "| sent | served | in time | refused | within 100 ms | mean error of Retry-After | \
+         refusals measured |\n\
+         |---|---|---|---|---|---|---|\n| {} | {} | {in_time} | {} | {immediate} | {:.0} ms | {} |",
         calls.len(),
         served.len(),
         refused.len(),
-        mean * 1e3,
+        mean_error * 1e3,
         errors.len()
     );
     let other = calls.len() - served.len() - refused.len();
-    let latest = calls.iter().map(|c| c.took).max().unwrap();
-    println!("neither: {other}; latest answer after {latest:.1?}");
+    let latest = calls.iter().map(|c| c.latency).max().unwrap();
+    println!("neither served nor refused: {other}; longest time to a response: {latest:.1?}");
     for call in &refused {
-        call.answer.assert_refused();
+        call.response.assert_refused();
     }
-    // 5 s at 70 a second are 350; the queue's start and a busy machine take their part.
+    // At 70 requests per second, 350 are served in the 5 s of the load. The bound is lower to allow
+    // for the start of the queue and for a busy machine.
     assert!(in_time >= 230, "{in_time} in time");
     assert!(
         other * 20 <= calls.len(),
         "{other} neither served nor refused"
     );
-    assert!(latest <= deadline + slack, "{latest:?}");
+    assert!(latest <= deadline + tolerance, "{latest:?}");
 }
 
-/// Looks every few milliseconds whether a request of this deadline would be admitted.
-fn watch(site: &Site, budget: Duration) -> Rc<RefCell<Vec<(Instant, bool)>>> {
+/// Records every few milliseconds whether a live request with this time to its deadline would be
+/// admitted.
+fn record_admissions(site: &Site, budget: Duration) -> Rc<RefCell<Vec<(Instant, bool)>>> {
     let shared = Rc::clone(&site.entries[0].shared);
-    let seen = Rc::new(RefCell::new(Vec::new()));
-    let looks = Rc::clone(&seen);
+    let admissions = Rc::new(RefCell::new(Vec::new()));
+    let recorded = Rc::clone(&admissions);
     actix_rt::spawn(async move {
         loop {
-            let admits = shared.queues.admits(POOL, Priority::Live, budget);
-            looks.borrow_mut().push((Instant::now(), admits));
+            let admits = shared.queues.admits(ENGINES, Priority::Live, budget);
+            recorded.borrow_mut().push((Instant::now(), admits));
             sleep(Duration::from_millis(2)).await;
         }
     });
-    seen
+    admissions
 }
 
-/// Seconds between the moment that Retry-After named and the first at which the request would
-/// have been admitted.
-fn error(call: &Call, admits: &[(Instant, bool)]) -> Option<f64> {
-    let refused = call.sent + call.took;
-    let millis = call.answer.body["retry_after_ms"].as_u64()?;
-    let named = refused + Duration::from_millis(millis);
-    let (first, _) = admits
+/// Error of a refusal's Retry-After, in seconds: the difference between the end of that time and
+/// the first time after the refusal at which the request would have been admitted.
+fn retry_after_error_secs(call: &Call, admissions: &[(Instant, bool)]) -> Option<f64> {
+    let refused_at = call.sent_at + call.latency;
+    let retry_after_ms = call.response.body["retry_after_ms"].as_u64()?;
+    let retry_at = refused_at + Duration::from_millis(retry_after_ms);
+    let (admitted_at, _) = admissions
         .iter()
-        .find(|(at, admits)| *admits && *at >= refused)?;
-    let early = first.saturating_duration_since(named);
-    Some((early + named.saturating_duration_since(*first)).as_secs_f64())
+        .find(|(at, admits)| *admits && *at >= refused_at)?;
+    let too_early = admitted_at.saturating_duration_since(retry_at);
+    let too_late = retry_at.saturating_duration_since(*admitted_at);
+    Some((too_early + too_late).as_secs_f64())
 }
--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -1,11 +1,15 @@
-//! Streams under faults and slow callers: no gap, no repeat, an end that tells, bounded memory.
+//! Streams of completions under engine faults and slow callers: the text has no gaps or duplicates,
+//! an incomplete stream ends with an error, and memory is bounded.
 
 #![allow(clippy::unwrap_used)]
 
-mod overload;
+mod overload_support;
 
 use futures_util::future::{join, join_all};
-use overload::{POOL, Size, attempts, client, complete, completion, open, queued, site};
+use overload_support::{
+    ENGINES, SiteOptions, attempt_records, complete, completion_body, http_client, send_request,
+    start_site, wait_for_queue_counts,
+};
 use pinereel_api::{
     engine::{Chunk, FinishReason},
     object::{Instance, InstanceState},
@@ -21,130 +25,140 @@
     net::{TcpListener, TcpStream},
 };
 
-const LONG: Duration = Duration::from_secs(20);
-const TOKENS: u32 = 40;
+/// A deadline that is not reached.
+const LONG_DEADLINE: Duration = Duration::from_secs(20);
+/// Maximum number of tokens of each completion, unless a test says otherwise.
+const MAX_TOKENS: u32 = 40;
 
-fn size(engines: usize) -> Size {
-    Size {
-        engines,
-        slots: 8,
-        queue: 64,
-        ..Size::default()
+/// Options of a site with this number of engines.
+fn options(engine_count: usize) -> SiteOptions {
+    SiteOptions {
+        engine_count,
+        slots_per_endpoint: 8,
+        max_waiting: 64,
+        ..SiteOptions::default()
     }
 }
 
-/// The text of a streamed completion, and whether it ended with `[DONE]`.
-async fn stream(address: &str, prompt: &str) -> (String, Option<String>, bool) {
-    let mut response = client()
+/// Streams a completion. Returns its text, the `ran` field of its error event if there is one, and
+/// whether the stream ended with `[DONE]`.
+async fn stream_completion(address: &str, prompt: &str) -> (String, Option<String>, bool) {
+    let mut response = http_client()
         .post(format!("http://{address}/v1/completions"))
         .insert_header(("content-type", "application/json"))
-        .send_body(completion(prompt, TOKENS, true))
+        .send_body(completion_body(prompt, MAX_TOKENS, true))
         .await
         .unwrap();
     let body = response.body().limit(1 << 20).await.unwrap();
     let body = String::from_utf8(body.to_vec()).unwrap();
-    let (mut text, mut problem) = (String::new(), None);
+    let (mut text, mut error_ran) = (String::new(), None);
     let events = body.lines().filter_map(|line| line.strip_prefix("data: "));
     for event in events.filter(|event| *event != "[DONE]") {
         let event: serde_json::Value = serde_json::from_str(event).unwrap();
         text.push_str(event["choices"][0]["text"].as_str().unwrap_or_default());
         if let Some(error) = event.get("error") {
-            problem = Some(error["ran"].as_str().unwrap().to_owned());
+            error_ran = Some(error["ran"].as_str().unwrap().to_owned());
         }
     }
-    (text, problem, body.ends_with("data: [DONE]\n\n"))
+    (text, error_ran, body.ends_with("data: [DONE]\n\n"))
 }
 
-/// Streams several completions through a site whose first engine has the faults.
-async fn resumed(site: &Site, faults: Faults) {
+/// Streams several completions through a site whose first engine has `faults`, and checks that each
+/// is complete.
+async fn check_streams_resume(site: &Site, faults: Faults) {
     site.engines[0].handle.set_faults(faults);
     let address = site.caller_addresses().remove(0);
     let prompts: Vec<String> = (0..8).map(|n| format!("prompt {n}")).collect();
-    let streams = prompts.iter().map(|prompt| stream(&address, prompt));
-    for ((text, problem, done), prompt) in join_all(streams).await.iter().zip(&prompts) {
-        assert_eq!(text, &text::completion(prompt, 7, TOKENS));
-        assert!(*done && problem.is_none(), "{prompt}: {problem:?}");
+    let streams = prompts
+        .iter()
+        .map(|prompt| stream_completion(&address, prompt));
+    for ((text, error_ran, done), prompt) in join_all(streams).await.iter().zip(&prompts) {
+        assert_eq!(text, &text::completion(prompt, 7, MAX_TOKENS));
+        assert!(*done && error_ran.is_none(), "{prompt}: {error_ran:?}");
     }
     assert!(
         !site.engines[0].handle.records().is_empty(),
-        "no request met the fault"
+        "no request was sent to the engine with the faults"
     );
 }
 
 #[actix_rt::test]
-async fn cut_stream_goes_on_at_another_engine() {
-    let site = site(size(2)).await;
+async fn a_cut_stream_resumes_at_another_engine() {
+    let site = start_site(options(2)).await;
     let cut = Faults {
         cut_streams: true,
         ..Faults::default()
     };
-    resumed(&site, cut).await;
+    check_streams_resume(&site, cut).await;
 }
 
 #[actix_rt::test]
-async fn stream_of_a_crashed_engine_goes_on_at_another() {
-    let site = site(size(2)).await;
+async fn a_stream_from_a_crashed_engine_resumes_at_another_engine() {
+    let site = start_site(options(2)).await;
     let crash = Faults {
         crash_after_tokens: Some(20),
         ..Faults::default()
     };
-    resumed(&site, crash).await;
+    check_streams_resume(&site, crash).await;
 }
 
 #[actix_rt::test]
-async fn repeated_chunks_are_dropped() {
-    let site = site(size(1)).await;
-    let twice = Faults {
+async fn duplicate_chunks_are_dropped() {
+    let site = start_site(options(1)).await;
+    let duplicate = Faults {
         duplicate_chunks: true,
         ..Faults::default()
     };
-    resumed(&site, twice.clone()).await;
+    check_streams_resume(&site, duplicate.clone()).await;
     let address = site.caller_addresses().remove(0);
-    let whole = complete(&address, "whole", TOKENS, LONG).await;
-    assert_eq!(whole.text(), text::completion("whole", 7, TOKENS));
+    let whole = complete(&address, "whole", MAX_TOKENS, LONG_DEADLINE).await;
+    assert_eq!(whole.text(), text::completion("whole", 7, MAX_TOKENS));
     assert!(site.entries[0].shared.metrics.late_chunks.get() > 0);
 }
 
 #[actix_rt::test]
-async fn resumed_answer_counts_the_tokens_of_both_parts() {
-    let site = site(size(2)).await;
+async fn a_resumed_response_counts_the_tokens_of_all_attempts() {
+    let site = start_site(options(2)).await;
     let address = site.caller_addresses().remove(0);
-    // Long enough that the engine that goes on reuses blocks of its prefix cache.
+    // The prompts are long enough for the engine that resumes to reuse blocks of its prefix cache.
     let prompts: Vec<String> = (0..8).map(|n| format!("{n} words ").repeat(60)).collect();
     for engine in &site.engines {
         let url = format!("http://{}/v1/completions", engine.handle.address);
         for prompt in &prompts {
-            let body = completion(prompt, 1, true);
-            let sent = client().post(&url).send_body(body).await;
-            sent.unwrap().body().await.unwrap();
+            let body = completion_body(prompt, 1, true);
+            let response = http_client().post(&url).send_body(body).await;
+            response.unwrap().body().await.unwrap();
         }
     }
     site.engines[0].handle.set_faults(Faults {
         cut_streams: true,
         ..Faults::default()
     });
-    let mut resumed = 0;
+    let mut resumed_attempts = 0;
     for prompt in &prompts {
-        let before = attempts(&site, prompt).len();
-        let answer = complete(&address, prompt, TOKENS, LONG).await;
+        let before = attempt_records(&site, prompt).len();
+        let response = complete(&address, prompt, MAX_TOKENS, LONG_DEADLINE).await;
         assert_eq!(
-            answer.text(),
-            text::completion(prompt, 7, TOKENS),
-            "{answer:?}"
+            response.text(),
+            text::completion(prompt, 7, MAX_TOKENS),
+            "{response:?}"
         );
-        let tokens = text::length(prompt, 7, TOKENS);
+        let tokens = text::length(prompt, 7, MAX_TOKENS);
         assert_eq!(
-            answer.body["usage"]["completion_tokens"], tokens,
-            "{answer:?}"
+            response.body["usage"]["completion_tokens"], tokens,
+            "{response:?}"
         );
-        resumed += attempts(&site, prompt).len() - before - 1;
+        resumed_attempts += attempt_records(&site, prompt).len() - before - 1;
     }
-    assert!(resumed > 0, "no request met the engine that cuts");
+    assert!(
+        resumed_attempts > 0,
+        "no request was sent to the engine that cuts streams"
+    );
 }
 
 #[actix_rt::test]
-async fn stream_with_no_engine_left_ends_with_an_error() {
-    let site = site(size(2)).await;
+async fn a_stream_that_no_engine_can_resume_ends_with_an_error() {
+    let site = start_site(options(2)).await;
     let cut = Faults {
         cut_streams: true,
         ..Faults::default()
@@ -153,71 +167,75 @@
         engine.handle.set_faults(cut.clone());
     }
     let address = site.caller_addresses().remove(0);
-    let (text, problem, done) = stream(&address, "cut").await;
-    let whole = text::completion("cut", 7, TOKENS);
+    let (text, error_ran, done) = stream_completion(&address, "cut").await;
+    let complete_text = text::completion("cut", 7, MAX_TOKENS);
     assert!(
-        whole.starts_with(&text) && text.len() < whole.len(),
+        complete_text.starts_with(&text) && text.len() < complete_text.len(),
         "{text}"
     );
-    assert_eq!(problem.as_deref(), Some("unknown"));
-    assert!(!done, "a part was given out as whole");
+    assert_eq!(error_ran.as_deref(), Some("unknown"));
+    assert!(!done, "an incomplete stream ended like a complete one");
 }
 
 #[actix_rt::test]
-async fn drain_waits_for_a_stream_to_its_last_byte() {
-    let slow = Size {
+async fn a_drain_waits_for_the_last_byte_of_a_stream() {
+    let options = SiteOptions {
         batch: batch::Options {
             tokens_per_second: 100.0,
             ..batch::Options::default()
         },
-        ..size(1)
+        ..options(1)
     };
-    let site = site(slow).await;
+    let site = start_site(options).await;
     let address = site.caller_addresses().remove(0);
     let entry = site.entries[0].clone();
-    let stop = async {
-        queued(&site, POOL, 1, 0).await;
+    let drain = async {
+        wait_for_queue_counts(&site, ENGINES, 1, 0).await;
         entry.shared.drain.request_stop();
         entry.run_until_drained().await;
     };
-    let ((text, problem, done), ()) = join(stream(&address, "stream"), stop).await;
-    assert_eq!(text, text::completion("stream", 7, TOKENS));
-    assert!(done && problem.is_none(), "{problem:?}");
+    let ((text, error_ran, done), ()) = join(stream_completion(&address, "stream"), drain).await;
+    assert_eq!(text, text::completion("stream", 7, MAX_TOKENS));
+    assert!(done && error_ran.is_none(), "{error_ran:?}");
 }
 
-/// An engine of the test's own that sends chunks for ever and counts the bytes that leave it.
-struct Endless {
+/// A fake engine that answers a completion with an endless stream of chunks.
+struct EndlessEngine {
     address: String,
-    sent: Rc<Cell<usize>>,
-    closed: Rc<Cell<usize>>,
+    /// Number of bytes of chunks written to all connections.
+    sent_bytes: Rc<Cell<usize>>,
+    /// Number of streams that ended because a write failed.
+    closed_streams: Rc<Cell<usize>>,
 }
 
-impl Endless {
+impl EndlessEngine {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let endless = Self {
+        let engine = Self {
             address: listener.local_addr().unwrap().to_string(),
-            sent: Rc::default(),
-            closed: Rc::default(),
+            sent_bytes: Rc::default(),
+            closed_streams: Rc::default(),
         };
-        let (sent, closed) = (Rc::clone(&endless.sent), Rc::clone(&endless.closed));
+        let sent_bytes = Rc::clone(&engine.sent_bytes);
+        let closed = Rc::clone(&engine.closed_streams);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (sent, closed) = (Rc::clone(&sent), Rc::clone(&closed));
-                actix_rt::spawn(async move { serve(stream, &sent, &closed).await });
+                let (sent_bytes, closed) = (Rc::clone(&sent_bytes), Rc::clone(&closed));
+                actix_rt::spawn(async move { serve(stream, &sent_bytes, &closed).await });
             }
         });
-        endless
+        engine
     }
 }
 
-/// Answers one completion without an end; all else, such as load reports, with a closed connection.
-async fn serve(mut stream: TcpStream, sent: &Cell<usize>, closed: &Cell<usize>) {
-    let mut head = vec![0; 64 << 10];
-    let read = stream.read(&mut head).await.unwrap();
-    let head = String::from_utf8_lossy(&head[..read]).into_owned();
-    let id = head.split("\"request_id\":\"").nth(1);
-    let (true, Some(id)) = (head.starts_with("POST /v1/completions"), id) else {
+/// Answers a completion request with chunks until a write fails. On any other request, such as one
+/// for a load report, closes the connection without a response.
+async fn serve(mut stream: TcpStream, sent_bytes: &Cell<usize>, closed_streams: &Cell<usize>) {
+    let mut request = vec![0; 64 << 10];
+    let length = stream.read(&mut request).await.unwrap();
+    let request = String::from_utf8_lossy(&request[..length]).into_owned();
+    let id = request.split("\"request_id\":\"").nth(1);
+    let (true, Some(id)) = (request.starts_with("POST /v1/completions"), id) else {
         return;
     };
     let id = id.split('"').next().unwrap();
@@ -234,24 +252,24 @@
             reused: Vec::new(),
             finish: None,
         };
-        let line = format!("data: {}\n\n", serde_json::to_string(&chunk).unwrap());
-        let part = format!("{:x}\r\n{line}\r\n", line.len());
-        if stream.write_all(part.as_bytes()).await.is_err() {
+        let event = format!("data: {}\n\n", serde_json::to_string(&chunk).unwrap());
+        let encoded = format!("{:x}\r\n{event}\r\n", event.len());
+        if stream.write_all(encoded.as_bytes()).await.is_err() {
             break;
         }
-        sent.set(sent.get() + part.len());
+        sent_bytes.set(sent_bytes.get() + encoded.len());
     }
-    closed.set(closed.get() + 1);
+    closed_streams.set(closed_streams.get() + 1);
 }
 
 #[actix_rt::test]
-async fn caller_that_does_not_read_holds_little_and_no_longer_than_its_deadline() {
-    let site = site(size(1)).await;
+async fn a_caller_that_does_not_read_uses_bounded_memory_until_its_deadline() {
+    let site = start_site(options(1)).await;
     let address = site.caller_addresses().remove(0);
-    let endless = Endless::start().await;
+    let engine = EndlessEngine::start().await;
     let instance = Instance {
         incarnation: 1,
-        address: endless.address.as_str().into(),
+        address: engine.address.as_str().into(),
         zone: "toledo-hall".into(),
         pool: "orders-app".into(),
         state: InstanceState::Live,
@@ -266,48 +284,53 @@
     })
     .await
     .unwrap();
-    let body = completion("stuck", 5, true).replace(POOL, "orders-app");
+    let body = completion_body("stuck", 5, true).replace(ENGINES, "orders-app");
     let deadline = Duration::from_millis(1_500);
-    let _stuck = open(&address, "/v1/completions", &body, deadline).await;
-    queued(&site, "orders-app", 1, 0).await;
-    // Others are served meanwhile.
+    let _unread = send_request(&address, "/v1/completions", &body, deadline).await;
+    wait_for_queue_counts(&site, "orders-app", 1, 0).await;
+    // Other requests are served meanwhile.
     for number in 0..20 {
         let prompt = format!("{number}");
-        let answer = complete(&address, &prompt, 5, LONG).await;
-        assert_eq!(answer.text(), text::completion(&prompt, 7, 5));
+        let response = complete(&address, &prompt, 5, LONG_DEADLINE).await;
+        assert_eq!(response.text(), text::completion(&prompt, 7, 5));
     }
-    queued(&site, "orders-app", 0, 0).await;
-    wait_until(|| endless.closed.get() == 1).await.unwrap();
-    let sent = endless.sent.get();
-    println!("a caller that does not read: {sent} bytes left the engine");
-    // Socket buffers on both sides, and 64 chunks of 1 KiB in the entry.
-    assert!(sent < 24 << 20, "{sent} bytes");
-    let guard = || site.entries[0].shared.drain.in_flight() <= 1;
-    assert!(guard(), "only the unread body still counts");
-    assert!(attempts(&site, "stuck").is_empty());
+    wait_for_queue_counts(&site, "orders-app", 0, 0).await;
+    wait_until(|| engine.closed_streams.get() == 1)
+        .await
+        .unwrap();
+    let sent_bytes = engine.sent_bytes.get();
+    println!("a caller that does not read: the engine sent {sent_bytes} bytes");
+    // The bound covers the socket buffers on both sides and 64 chunks of 1 KiB in the entry.
+    assert!(sent_bytes < 24 << 20, "{sent_bytes} bytes");
+    let only_unread_in_flight = || site.entries[0].shared.drain.in_flight() <= 1;
+    assert!(
+        only_unread_in_flight(),
+        "a request other than the unread one is in flight"
+    );
+    assert!(attempt_records(&site, "stuck").is_empty());
 }
 
 #[actix_rt::test]
-async fn slow_engine_is_cancelled_when_the_stream_is_given_up() {
-    let slow = Size {
+async fn a_request_is_cancelled_at_its_engine_when_its_deadline_passes() {
+    let options = SiteOptions {
         batch: batch::Options {
             tokens_per_second: 50.0,
             ..batch::Options::default()
         },
-        ..size(1)
+        ..options(1)
     };
-    let site = site(slow).await;
+    let site = start_site(options).await;
     let address = site.caller_addresses().remove(0);
-    let answer = complete(&address, "slow", 4_000, Duration::from_millis(300)).await;
+    let response = complete(&address, "slow", 4_000, Duration::from_millis(300)).await;
     assert_eq!(
-        (answer.status, answer.ran.as_deref()),
+        (response.status, response.ran.as_deref()),
         (504, Some("unknown"))
     );
-    let cancelled = || {
-        let records = attempts(&site, "slow");
+    let all_cancelled = || {
+        let records = attempt_records(&site, "slow");
         records
             .iter()
             .all(|r| r.finished == Some(FinishReason::Cancelled))
     };
-    wait_until(cancelled).await.unwrap();
+    wait_until(all_cancelled).await.unwrap();
 }
