--- a/crates/pinereel_fakes/tests/overload_streams.rs
+++ b/crates/pinereel_fakes/tests/overload_streams.rs
@@ -111,8 +111,8 @@
     };
     check_streams_resume(&site, duplicate.clone()).await;
     let address = site.caller_addresses().remove(0);
-    let whole = complete(&address, "whole", MAX_TOKENS, LONG_DEADLINE).await;
-    assert_eq!(whole.text(), text::completion("whole", 7, MAX_TOKENS));
+    let response = complete(&address, "whole", MAX_TOKENS, LONG_DEADLINE).await;
+    assert_eq!(response.text(), text::completion("whole", 7, MAX_TOKENS));
     assert!(site.entries[0].shared.metrics.late_chunks.get() > 0);
 }
 
