--- a/crates/pinereel_fakes/tests/config_help/mod.rs
+++ b/crates/pinereel_fakes/tests/config_support/mod.rs
@@ -1,4 +1,5 @@
-//! A site without load, and an operator's calls to it.
+//! Helpers of the tests of configuration patches: an embedded site without requests, and calls to
+//! its operators' listeners.
 
 #![allow(clippy::unwrap_used, dead_code, reason = "test support")]
 
@@ -11,9 +12,10 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Pause between looks at numbers.
-const LOOK: Duration = Duration::from_millis(1);
+/// Interval between two reads of the entries' configuration numbers.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
+/// The document of configuration 1.
 pub fn document() -> Document {
     serde_json::from_value(json!({
         "pools": { "draft-llm": { "kind": "engine", "model": "wording" } },
@@ -22,6 +24,7 @@
     .unwrap()
 }
 
+/// Options of a site with this number of entries and without endpoints.
 pub fn options(entries: usize) -> Options {
     Options {
         zones: vec!["toledo-hall".into(), "erie-hall".into(), "monroe".into()],
@@ -35,21 +38,23 @@
     }
 }
 
-pub async fn site(entries: usize) -> Site {
+pub async fn start_site(entries: usize) -> Site {
     Site::start(options(entries)).await.unwrap()
 }
 
-/// A merge that changes the trainer's bound.
-pub fn bound(bound: u64) -> Value {
+/// A merge patch that sets the trainer's staleness bound.
+pub fn bound_merge(bound: u64) -> Value {
     json!({ "trainers": { "dispatch": { "bound": bound } } })
 }
 
-/// Sends a patch to one entry; status and body of the answer.
+/// Submits a patch to an entry; returns the status and the body of the response.
 pub async fn patch(entry: &Entry, base: u64, id: &str, merge: Value) -> (u16, Value) {
     let body = json!({ "base": base, "id": id, "merge": merge });
     post(entry, "/v1/config", &body).await
 }
 
+/// Sends JSON to an entry as its operator; returns the status and the body of the response, which
+/// is null if it is not JSON.
 pub async fn post(entry: &Entry, path: &str, body: &Value) -> (u16, Value) {
     let url = format!("http://{}{path}", entry.operators.address);
     let request = client().post(url).bearer_auth(OPERATOR_TOKEN);
@@ -59,6 +64,7 @@
     (response.status().as_u16(), body)
 }
 
+/// Reads a path of an entry as its operator; returns the status and the body of the response.
 pub async fn get(entry: &Entry, path: &str) -> (u16, Vec<u8>) {
     let url = format!("http://{}{path}", entry.operators.address);
     let request = client().get(url).bearer_auth(OPERATOR_TOKEN);
@@ -77,56 +83,58 @@
         .finish()
 }
 
-/// The number under which an entry admits a request now, or why it admits none.
+/// The number of the configuration under which an entry admits a request now, or why it admits
+/// none.
 pub fn admits(entry: &Entry) -> Result<u64, CompactString> {
     let pin = pin::pin(&entry.shared);
     pin.map(|pin| pin.number).map_err(|problem| problem.message)
 }
 
-/// Whether all entries admit requests under `number`.
-pub fn in_force(site: &Site, number: u64) -> bool {
+/// Whether all entries admit requests under configuration `number`.
+pub fn all_admit_under(site: &Site, number: u64) -> bool {
     site.entries.iter().all(|e| admits(e) == Ok(number))
 }
 
-/// The highest number that any entry has had in force.
-pub fn highest(site: &Site) -> Rc<Cell<u64>> {
+/// Starts a task that keeps track of the highest configuration number in force at any entry;
+/// returns the cell in which the task stores that number.
+pub fn track_highest_number(site: &Site) -> Rc<Cell<u64>> {
     let highest = Rc::new(Cell::new(0));
-    let seen = Rc::clone(&highest);
+    let stored = Rc::clone(&highest);
     let entries = site.entries.clone();
     actix_rt::spawn(async move {
         loop {
             let numbers = entries.iter().map(|entry| entry.shared.config.number());
-            seen.set(numbers.max().unwrap_or(0).max(seen.get()));
-            sleep(LOOK).await;
+            stored.set(numbers.max().unwrap_or(0).max(stored.get()));
+            sleep(POLL_INTERVAL).await;
         }
     });
     highest
 }
 
 /// Whether a patch is pending in the object API.
-pub fn pending(site: &Site) -> bool {
+pub fn is_patch_pending(site: &Site) -> bool {
     let objects = site.object_api.objects("config").items;
     objects
         .first()
-        .is_some_and(|o| !o.value["pending"].is_null())
+        .is_some_and(|object| !object.value["pending"].is_null())
 }
 
-/// Makes an entry vanish for all others: no peer and no object API hears it any more.
-pub fn cut(site: &Site, entry: &Entry) {
+/// Disconnects an entry from its peers, for good, and from the object API.
+pub fn disconnect(site: &Site, entry: &Entry) {
     entry.shared.mesh.close();
-    cut_api(site, entry);
+    disconnect_from_object_api(site, entry);
 }
 
-/// Cuts an entry off from the object API alone.
-pub fn cut_api(site: &Site, entry: &Entry) {
+/// Disconnects an entry from the object API, and no other entry.
+pub fn disconnect_from_object_api(site: &Site, entry: &Entry) {
     site.object_api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![entry.shared.name().clone()]),
         ..Default::default()
     });
 }
 
-/// Ends all cuts from the object API.
-pub fn uncut(site: &Site) {
+/// Connects all entries to the object API again.
+pub fn reconnect_object_api(site: &Site) {
     site.object_api.set_faults(pinereel_api::object::Faults {
         cut_agents: Some(vec![]),
         ..Default::default()
