--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/endpoint_crash_site.rs
@@ -1,5 +1,8 @@
-//! The older way of running: a call of a plain service that crashes each endpoint that begins to run it. Nothing kept
-//! what it had done there either: each call was sent to up to three endpoints, one after the other, at every entry.
+//! Crashes of endpoints on a site with the platform's object API: a service call that crashes every
+//! endpoint that runs it, and the reports of crashes between entries.
+//!
+//! Without a record of its crashes, each call was sent to up to three endpoints, one after the
+//! other, by every entry.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,17 +20,20 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
+/// The pool of plain services.
 const POOL: &str = "orders-app";
-const ENDPOINTS: usize = 5;
-const MOST: usize = 3;
-const DOWN: Duration = Duration::from_secs(2);
+const ENDPOINT_COUNT: usize = 5;
+/// Maximum number of endpoints that one request may crash.
+const MAX_CRASHES: usize = 3;
+/// Time from the crash of an endpoint to its next start.
+const RESTART_DELAY: Duration = Duration::from_secs(2);
 
 fn document() -> Document {
     let pools = json!({ "pools": { POOL: { "kind": "service" } } });
     serde_json::from_value(pools).unwrap()
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let options = Options {
         zones: vec!["toledo-hall".into()],
         entry_count: 2,
@@ -41,7 +47,8 @@
     Site::start(options).await.unwrap()
 }
 
-fn endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<Fragile> {
+/// Starts the endpoints, each in a process of its own, and lists them as instances of the pool.
+fn start_endpoints(site: &Rc<Site>, crashes: &Crashes) -> Vec<Fragile> {
     let start = |_| {
         let site = Rc::clone(site);
         let list = move |listed| match listed {
@@ -57,12 +64,12 @@
             }
             Listed::Gone { id } => site.object_api.remove_instance(&id),
         };
-        Fragile::listed(Rc::new(list), Mode::Plain, DOWN, crashes).unwrap()
+        Fragile::listed(Rc::new(list), Mode::Plain, RESTART_DELAY, crashes).unwrap()
     };
-    (0..ENDPOINTS).map(start).collect()
+    (0..ENDPOINT_COUNT).map(start).collect()
 }
 
-/// One call; the status and the body.
+/// Sends a service call; returns the status and the body of the response.
 async fn call(entry: &str, body: &str) -> (u16, Vec<u8>) {
     let client = awc::Client::builder()
         .timeout(Duration::from_secs(5))
@@ -74,34 +81,37 @@
 }
 
 #[actix_rt::test]
-async fn a_call_that_crashes_endpoints_takes_three_and_others_are_served() {
-    let site = Rc::new(site().await);
+async fn a_call_crashes_at_most_three_endpoints_while_other_calls_succeed() {
+    let site = Rc::new(start_site().await);
     let crashes = Crashes::default();
-    let _endpoints = endpoints(&site, &crashes);
+    let _endpoints = start_endpoints(&site, &crashes);
     site.object_api.list_pending_instances();
     sleep(Duration::from_millis(1_500)).await;
-    let body = format!("{CRASH} g");
+    let crashing_body = format!("{CRASH} g");
     let end = Instant::now() + Duration::from_secs(7);
-    let (mut good, mut bad) = (0, 0);
+    let (mut succeeded, mut failed) = (0, 0);
     while Instant::now() < end {
         for entry in site.caller_addresses() {
-            call(&entry, &body).await;
+            call(&entry, &crashing_body).await;
             match call(&entry, "other").await {
-                (200, _) => good += 1,
-                _ => bad += 1,
+                (200, _) => succeeded += 1,
+                _ => failed += 1,
             }
         }
         sleep(Duration::from_millis(40)).await;
     }
-    let under: Vec<_> = crashes
+    let bodies_at_crash: Vec<_> = crashes
         .borrow()
         .iter()
         .map(|crash| crash.under.clone())
         .collect();
-    assert!((1..=MOST).contains(&under.len()), "{under:?}");
+    assert!(
+        (1..=MAX_CRASHES).contains(&bodies_at_crash.len()),
+        "{bodies_at_crash:?}"
+    );
     for entry in site.caller_addresses() {
-        let (status, answer) = call(&entry, &body).await;
-        let problem: Value = serde_json::from_slice(&answer).unwrap();
+        let (status, body) = call(&entry, &crashing_body).await;
+        let problem: Value = serde_json::from_slice(&body).unwrap();
         assert_eq!(status, 503, "{problem}");
         assert_eq!(problem["ran"], "not_run");
         assert!(
@@ -109,15 +119,19 @@
             "{problem}"
         );
     }
-    assert!(bad * 10 < good, "{good} good, {bad} not");
+    assert!(
+        failed * 10 < succeeded,
+        "{succeeded} calls succeeded, {failed} failed"
+    );
 }
 
-/// A later crash under a request that the other entries know already was told by the next full summary only, 12 s
-/// later: the news were as many as before, and a summary was repeated for another number of them alone.
+/// A further crash under a request that the other entries already had a report about once reached
+/// them only with the next full summary, 12 s later: a summary was sent early only if the number of
+/// reports had changed, and a further crash leaves it the same.
 #[actix_rt::test]
-async fn each_further_crash_is_told_at_once() {
-    let site = site().await;
-    let (here, there) = (&site.entries[0].shared, &site.entries[1].shared);
+async fn each_further_crash_is_reported_to_other_entries_at_once() {
+    let site = start_site().await;
+    let (reporter, receiver) = (&site.entries[0].shared, &site.entries[1].shared);
     let identity = Identity::of(RequestParts {
         caller: &[],
         method: "PUT",
@@ -125,26 +139,26 @@
         target: "/x",
         content: Content::Body(b"news"),
     });
-    for number in 1..=MOST {
+    for number in 1..=MAX_CRASHES {
         let start = EndpointStart {
             endpoint: format!("e-{number}").into(),
             incarnation: 1,
         };
-        let mark = Involvement {
+        let involvement = Involvement {
             counts: true,
             before: 0,
         };
         let report = Report {
             identity,
-            starts: vec![(start, mark)],
+            starts: vec![(start, involvement)],
             ends: 0,
             age: Duration::ZERO,
         };
-        crashes::merge_reports(here, vec![report]);
-        // Longer than the summaries that repeat the last change.
+        crashes::merge_reports(reporter, vec![report]);
+        // Longer than the time for which summaries repeat the last change.
         sleep(Duration::from_secs(4)).await;
-        let known = crashes::known_reports(there);
-        assert_eq!(known[0].starts.len(), number);
+        let reports = crashes::known_reports(receiver);
+        assert_eq!(reports[0].starts.len(), number);
     }
-    assert!(crashes::is_blocked(there, || identity));
+    assert!(crashes::is_blocked(receiver, || identity));
 }
--- a/crates/pinereel_fakes/tests/handover_site.rs
+++ b/crates/pinereel_fakes/tests/handover_site.rs
@@ -1,4 +1,5 @@
-//! A runner that stops passes its finished samples on; one that dies costs only its own groups.
+//! Handover of samples: a lot runner that drains hands its finished samples over, and after the
+//! death of a runner only the samples of its groups are generated again.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,11 +13,12 @@
 use serde_json::json;
 use std::time::Duration;
 
-const GROUPS: u32 = 12;
-const SAMPLES: u32 = 4;
-const WAIT: Duration = Duration::from_secs(20);
+const GROUP_COUNT: u32 = 12;
+const SAMPLES_PER_GROUP: u32 = 4;
+/// Time for which the trainer client retries a call.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let document: Document = serde_json::from_value(json!({
         "pools": { "draft-llm": { "kind": "engine", "model": "wording" } },
         "trainers": { "dispatch": { "pool": "draft-llm", "bound": 2 } },
@@ -46,7 +48,7 @@
 fn lot() -> Lot {
     let group = |index| Group {
         prompt: format!("wording of group {index}"),
-        samples: SAMPLES,
+        samples: SAMPLES_PER_GROUP,
         max_tokens: 30,
     };
     Lot {
@@ -54,69 +56,75 @@
         trainer: "dispatch".into(),
         step: 1,
         version: Version(1),
-        groups: (0..GROUPS).map(group).collect(),
+        groups: (0..GROUP_COUNT).map(group).collect(),
         deadline_ms: 60_000,
     }
 }
 
-/// Submits the lot through the last entry and waits until every sample is made somewhere.
-async fn submit(site: &Site, client: &mut Client) -> PartialLot {
+/// Submits the lot and waits until the engines have generated all of its samples.
+async fn submit_and_wait_until_generated(site: &Site, client: &mut Client) -> PartialLot {
     let partial_lot = client.submit(lot()).await.unwrap();
-    wait_until(|| finished(site) >= (GROUPS * SAMPLES) as usize)
+    wait_until(|| finished_attempts(site) >= (GROUP_COUNT * SAMPLES_PER_GROUP) as usize)
         .await
         .unwrap();
     partial_lot
 }
 
-/// Attempts that the engines ran to their end.
-fn finished(site: &Site) -> usize {
+/// Number of attempts that the engines have finished.
+fn finished_attempts(site: &Site) -> usize {
     let records = site.engines.iter().map(|engine| engine.handle.records());
     records
         .map(|record| record.values().filter(|r| r.finished.is_some()).count())
         .sum()
 }
 
-async fn collect(client: &mut Client, partial_lot: &mut PartialLot) -> usize {
-    let mut taken = 0;
+/// Collects the samples that are missing in the lot; returns their number.
+async fn collect_all(client: &mut Client, partial_lot: &mut PartialLot) -> usize {
+    let mut collected = 0;
     while partial_lot.missing() > 0 {
         let samples = client
             .collect(partial_lot, Version(1), 16, Duration::from_secs(2))
             .await;
-        taken += samples.unwrap().len();
+        collected += samples.unwrap().len();
     }
-    taken
+    collected
 }
 
+/// A client that uses the last entry only.
 fn client(site: &Site) -> Client {
-    Client::new(vec![site.caller_addresses().pop().unwrap()], WAIT)
+    Client::new(vec![site.caller_addresses().pop().unwrap()], RETRY_TIMEOUT)
 }
 
 #[actix_rt::test]
-async fn nothing_is_made_again_when_a_runner_drains() {
-    let mut site = site().await;
+async fn no_sample_is_generated_again_after_a_runner_drains() {
+    let mut site = start_site().await;
     let mut client = client(&site);
-    let mut partial_lot = submit(&site, &mut client).await;
+    let mut partial_lot = submit_and_wait_until_generated(&site, &mut client).await;
     let leaving = site.entries.remove(0);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    let taken = collect(&mut client, &mut partial_lot).await;
-    assert_eq!(taken, (GROUPS * SAMPLES) as usize);
-    assert_eq!(finished(&site), taken, "no sample was made twice");
+    let collected = collect_all(&mut client, &mut partial_lot).await;
+    assert_eq!(collected, (GROUP_COUNT * SAMPLES_PER_GROUP) as usize);
+    assert_eq!(
+        finished_attempts(&site),
+        collected,
+        "a sample was generated twice"
+    );
 }
 
 #[actix_rt::test]
-async fn a_dead_runner_costs_only_its_own_groups() {
-    let mut site = site().await;
+async fn only_samples_of_a_dead_runner_are_generated_again() {
+    let mut site = start_site().await;
     let mut client = client(&site);
-    let mut partial_lot = submit(&site, &mut client).await;
+    let mut partial_lot = submit_and_wait_until_generated(&site, &mut client).await;
     let dead = site.entries.remove(0);
     dead.callers.close();
     dead.shared.mesh.close();
-    let taken = collect(&mut client, &mut partial_lot).await;
-    let made_again = finished(&site) - taken;
-    assert_eq!(taken, (GROUPS * SAMPLES) as usize);
+    let collected = collect_all(&mut client, &mut partial_lot).await;
+    let regenerated = finished_attempts(&site) - collected;
+    assert_eq!(collected, (GROUP_COUNT * SAMPLES_PER_GROUP) as usize);
     assert!(
-        made_again > 0 && made_again < taken,
-        "{made_again} of {taken}"
+        regenerated > 0 && regenerated < collected,
+        "{regenerated} of {collected} samples were generated again"
     );
 }
--- a/crates/pinereel_fakes/tests/path_whole.rs
+++ b/crates/pinereel_fakes/tests/requests_site.rs
@@ -1,4 +1,5 @@
-//! The whole path: requests of each kind go from callers to endpoints and back through two entries.
+//! Requests of each kind from callers through two embedded entries to endpoints, and the drain of
+//! an entry.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +16,8 @@
     net::TcpStream,
 };
 
-const DRAIN: &str = "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n";
+const EXTRA_SETTINGS: &str =
+    "[drain]\nbalancer_lag = 10ms\nlongest = 5s\n[log]\ndecisions = false\n";
 
 fn document() -> Document {
     serde_json::from_value(json!({
@@ -28,7 +30,7 @@
     .unwrap()
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let options = Options {
         zones: vec!["toledo-hall".into(), "erie-hall".into()],
         entry_count: 2,
@@ -40,7 +42,7 @@
         service_pools: vec![("orders-app".into(), 2)],
         document: document(),
         instance_list_lag: Duration::from_millis(50),
-        extra_settings: DRAIN.into(),
+        extra_settings: EXTRA_SETTINGS.into(),
     };
     Site::start(options).await.unwrap()
 }
@@ -52,24 +54,24 @@
 }
 
 #[actix_rt::test]
-async fn completion_is_whole_and_names_its_versions() {
-    let site = site().await;
+async fn a_completion_has_the_whole_text_and_its_weight_version() {
+    let site = start_site().await;
     for address in site.caller_addresses() {
         let request =
             json!({ "model": "draft-llm", "prompt": "slot for June", "max_tokens": 20, "seed": 7 });
         let url = format!("http://{address}/v1/completions");
         let mut response = client().post(url).send_json(&request).await.unwrap();
         assert_eq!(response.status(), 200);
-        let answer: Value = response.json().await.unwrap();
+        let completion: Value = response.json().await.unwrap();
         let expected = text::completion("slot for June", 7, 20);
-        assert_eq!(answer["choices"][0]["text"], Value::from(expected));
-        assert_eq!(answer["versions"][0]["version"], 1);
+        assert_eq!(completion["choices"][0]["text"], Value::from(expected));
+        assert_eq!(completion["versions"][0]["version"], 1);
     }
 }
 
 #[actix_rt::test]
-async fn streamed_completion_ends_with_done() {
-    let site = site().await;
+async fn a_streamed_completion_ends_with_done() {
+    let site = start_site().await;
     let request =
         json!({ "model": "draft-llm", "prompt": "slot", "max_tokens": 9, "stream": true });
     let url = format!("http://{}/v1/completions", site.caller_addresses()[0]);
@@ -80,8 +82,8 @@
 }
 
 #[actix_rt::test]
-async fn service_call_runs_once() {
-    let site = site().await;
+async fn a_service_call_runs_once() {
+    let site = start_site().await;
     let url = format!(
         "http://{}/services/orders-app/orders",
         site.caller_addresses()[1]
@@ -97,8 +99,8 @@
 }
 
 #[actix_rt::test]
-async fn trainer_gets_every_sample_of_its_steps_once() {
-    let site = site().await;
+async fn a_trainer_gets_every_sample_of_its_steps_once() {
+    let site = start_site().await;
     let report = trainer::Trainer::new(trainer::Options {
         name: "dispatch".into(),
         entries: site.caller_addresses(),
@@ -119,8 +121,8 @@
 }
 
 #[actix_rt::test]
-async fn drained_entry_leaves_and_finishes() {
-    let mut site = site().await;
+async fn a_drained_entry_removes_its_member_object() {
+    let mut site = start_site().await;
     let entry = site.entries.remove(0);
     entry.shared.drain.request_stop();
     entry.run_until_drained().await;
@@ -129,15 +131,15 @@
 }
 
 #[actix_rt::test]
-async fn a_drain_cuts_neither_a_long_stream_nor_a_slow_body() {
-    let mut site = site().await;
+async fn a_drain_waits_for_a_long_stream_and_a_slow_request_body() {
+    let mut site = start_site().await;
     let address = site.caller_addresses()[0].clone();
     let entry = site.entries.remove(0);
     let request =
         json!({ "model": "draft-llm", "prompt": "a long one", "max_tokens": 400, "stream": true });
     let url = format!("http://{address}/v1/completions");
     let mut stream = client().post(url).send_json(&request).await.unwrap();
-    // A body that is still on its way when new requests are refused already.
+    // A request whose body is complete only after the entry has begun to refuse new requests.
     let mut upload = TcpStream::connect(&address).await.unwrap();
     let head =
         "POST /services/orders-app/echo HTTP/1.1\r\nhost: x\r\ncontent-length: 12\r\n\r\nfirst ";
@@ -147,17 +149,17 @@
         .unwrap();
     entry.shared.drain.request_stop();
     let shared = std::rc::Rc::clone(&entry.shared);
-    let finished = actix_rt::spawn(async move { entry.run_until_drained().await });
+    let drained = actix_rt::spawn(async move { entry.run_until_drained().await });
     pinereel_fakes::site::wait_until(|| shared.drain.refuses_requests())
         .await
         .unwrap();
     upload.write_all(b"second").await.unwrap();
-    let mut answer = Vec::new();
-    upload.read_to_end(&mut answer).await.unwrap();
-    let answer = String::from_utf8(answer).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
-    assert!(answer.contains("first second"), "{answer}");
+    let mut response = Vec::new();
+    upload.read_to_end(&mut response).await.unwrap();
+    let response = String::from_utf8(response).unwrap();
+    assert!(response.starts_with("HTTP/1.1 200 OK"), "{response}");
+    assert!(response.contains("first second"), "{response}");
     let body = stream.body().await.unwrap();
     assert!(body.ends_with(b"data: [DONE]\n\n"));
-    finished.await.unwrap();
+    drained.await.unwrap();
 }
--- a/crates/pinereel_fakes/tests/rollout_site.rs
+++ b/crates/pinereel_fakes/tests/rollout_site.rs
@@ -1,4 +1,4 @@
-//! Weight rollouts: published versions reach every engine, under one lease at a time.
+//! Weight rollouts: published versions reach every engine, and one entry at a time holds the lease.
 
 #![allow(clippy::unwrap_used)]
 
@@ -39,7 +39,8 @@
     }
 }
 
-async fn publish(site: &Site, version: u64) {
+/// Publishes a weight version through the first entry.
+async fn publish_version(site: &Site, version: u64) {
     let url = format!(
         "http://{}/v1/trainers/rewind/versions",
         site.caller_addresses()[0]
@@ -47,24 +48,24 @@
     let body = Publish {
         version: Version(version),
     };
-    let sent = awc::Client::default()
+    let response = awc::Client::default()
         .post(url)
         .send_json(&body)
         .await
         .unwrap();
-    assert_eq!(sent.status(), 200);
+    assert_eq!(response.status(), 200);
 }
 
-/// Waits until the first entry sees every engine serve `version`.
-async fn served(site: &Site, version: u64) {
+/// Waits until every engine serves `version`, as seen by the first entry.
+async fn wait_until_served(site: &Site, version: u64) {
     let shared = &site.entries[0].shared;
     let engines = site.engines.len();
     wait_until(|| {
         let set = shared.endpoints.set();
-        let there = set
+        let serving = set
             .iter()
             .filter(|(_, e)| e.version == Some(Version(version)));
-        there.count() == engines
+        serving.count() == engines
     })
     .await
     .unwrap();
@@ -73,47 +74,47 @@
 #[actix_rt::test]
 async fn published_versions_reach_every_engine() {
     let site = Site::start(options(3, 4)).await.unwrap();
-    publish(&site, 2).await;
-    served(&site, 2).await;
-    publish(&site, 5).await;
-    served(&site, 5).await;
+    publish_version(&site, 2).await;
+    wait_until_served(&site, 2).await;
+    publish_version(&site, 5).await;
+    wait_until_served(&site, 5).await;
     let leases = site.object_api.objects("leases").items;
     assert_eq!(leases.len(), 1);
 }
 
 #[actix_rt::test]
-async fn the_next_entry_goes_on_when_the_holder_leaves() {
+async fn another_entry_takes_over_the_lease_when_its_holder_drains() {
     let mut site = Site::start(options(3, 2)).await.unwrap();
-    publish(&site, 2).await;
-    served(&site, 2).await;
-    let holds = |site: &Site| {
+    publish_version(&site, 2).await;
+    wait_until_served(&site, 2).await;
+    let holder_index = |site: &Site| {
         site.entries
             .iter()
             .position(|e| !e.shared.leases.held_tokens(e.shared.now()).is_empty())
     };
-    let holder = holds(&site).unwrap();
+    let holder = holder_index(&site).unwrap();
     let leaving = site.entries.remove(holder);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
     let lease = &site.object_api.objects("leases").items[0];
-    let own = leaving.shared.name().as_str();
-    let held = lease.value["holder"].as_str().unwrap();
+    let drained_entry = leaving.shared.name().as_str();
+    let new_holder = lease.value["holder"].as_str().unwrap();
     assert!(
-        !held.starts_with(own),
-        "a drained entry gives its leases up"
+        !new_holder.starts_with(drained_entry),
+        "a drained entry still holds the lease"
     );
-    publish(&site, 3).await;
-    served(&site, 3).await;
+    publish_version(&site, 3).await;
+    wait_until_served(&site, 3).await;
     let fence = |site: &Site| site.object_api.objects("leases").items[0].value["fence"].as_u64();
     assert_eq!(
         fence(&site),
         Some(2),
-        "the fencing token grows with each change of holder"
+        "the fencing token must grow by one with each change of holder"
     );
 }
 
 #[actix_rt::test]
-async fn trainer_steps_stay_within_a_bound_of_one() {
+async fn a_trainer_stays_within_a_staleness_bound_of_one() {
     let site = Site::start(options(3, 4)).await.unwrap();
     let report = trainer::Trainer::new(trainer::Options {
         name: "rewind".into(),
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -1,5 +1,5 @@
-//! The subset that keeps an entry's state from growing with the fleet, and the watch on the
-//! platform's list.
+//! The subset of engines that each entry works with, so that its state does not grow with the
+//! fleet, and the watch on the platform's list of instances.
 
 #![allow(clippy::unwrap_used)]
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// How many entries work with each engine.
-fn covered(site: &Site) -> BTreeMap<String, usize> {
+/// Number of entries that work with each engine, by the engine's name.
+fn entries_per_engine(site: &Site) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for entry in &site.entries {
         for (_, endpoint) in entry.shared.endpoints.set().iter() {
@@ -50,20 +50,23 @@
 }
 
 #[actix_rt::test]
-async fn entries_keep_a_subset_and_every_engine_is_covered() {
-    // Eight entries for eight engines, four engines each: two of the own zone, two of the other.
+async fn every_engine_is_covered_by_four_of_eight_entries_also_after_a_drain() {
+    // Each of the eight entries works with four of the eight engines: two in its own zone and two
+    // in the other one.
     let mut site = Site::start(options(8, 8, 4)).await.unwrap();
-    let even = |site: &Site| covered(site).len() == 8 && covered(site).values().all(|n| *n == 4);
-    wait_until(|| even(&site)).await.unwrap();
-    // A leaving entry's engines go to others.
+    let is_even = |site: &Site| {
+        entries_per_engine(site).len() == 8 && entries_per_engine(site).values().all(|n| *n == 4)
+    };
+    wait_until(|| is_even(&site)).await.unwrap();
+    // Other entries take over the engines of a drained entry.
     let leaving = site.entries.remove(0);
     leaving.shared.drain.request_stop();
     leaving.run_until_drained().await;
-    wait_until(|| even(&site)).await.unwrap();
+    wait_until(|| is_even(&site)).await.unwrap();
 }
 
 #[actix_rt::test]
-async fn rollout_reaches_engines_beyond_the_holders_subset() {
+async fn a_rollout_reaches_engines_outside_the_holders_subset() {
     let site = Site::start(options(8, 8, 4)).await.unwrap();
     let url = format!(
         "http://{}/v1/trainers/rewind/versions",
@@ -72,9 +75,9 @@
     let body = Publish {
         version: Version(2),
     };
-    let sent = awc::Client::default().post(url).send_json(&body).await;
-    assert_eq!(sent.unwrap().status(), 200);
-    let served = || {
+    let response = awc::Client::default().post(url).send_json(&body).await;
+    assert_eq!(response.unwrap().status(), 200);
+    let all_serve_the_version = || {
         let entries = site.entries.iter();
         let views = entries.flat_map(|entry| {
             let set = entry.shared.endpoints.set();
@@ -84,13 +87,13 @@
         let versions: Vec<_> = views.collect();
         versions.len() == 32 && versions.iter().all(|v| *v == Some(Version(2)))
     };
-    wait_until(served).await.unwrap();
+    wait_until(all_serve_the_version).await.unwrap();
 }
 
 #[actix_rt::test]
-async fn an_engine_that_starts_late_is_found_by_the_watch() {
+async fn the_watch_finds_added_and_removed_engines() {
     let site = Site::start(options(1, 1, 64)).await.unwrap();
-    let known = || site.entries[0].shared.endpoints.set().iter().count();
+    let known_count = || site.entries[0].shared.endpoints.set().iter().count();
     let first = &site.engines[0];
     site.object_api.put_instance(
         "winder-lm-late",
@@ -102,14 +105,14 @@
             state: InstanceState::Live,
         },
     );
-    wait_until(|| known() == 2).await.unwrap();
+    wait_until(|| known_count() == 2).await.unwrap();
     site.object_api.remove_instance("winder-lm-late");
-    wait_until(|| known() == 1).await.unwrap();
-    // Also after the watch's history was lost.
+    wait_until(|| known_count() == 1).await.unwrap();
+    // A removal is found also after the object API has lost the history of the watch.
     site.object_api.set_faults(Faults {
         end_watches: Some(true),
         ..Default::default()
     });
     site.object_api.remove_instance(&first.name);
-    wait_until(|| known() == 0).await.unwrap();
+    wait_until(|| known_count() == 0).await.unwrap();
 }
