--- a/crates/pinereel_fakes/tests/config_faults.rs
+++ b/crates/pinereel_fakes/tests/config_faults.rs
@@ -219,8 +219,10 @@
     site.object_api.remove_instance("entry-2");
     let removable = || {
         let entries = site.entries[..2].iter();
-        let views = entries.map(|e| e.shared.members.view().removable(e.shared.now()));
-        views.into_iter().all(|list| !list.is_empty())
+        let removable_members = entries.map(|e| e.shared.members.view().removable(e.shared.now()));
+        removable_members
+            .into_iter()
+            .all(|members| !members.is_empty())
     };
     wait_until(removable).await.unwrap();
     sleep(Duration::from_secs(3)).await;
--- a/crates/pinereel_fakes/tests/config_patches.rs
+++ b/crates/pinereel_fakes/tests/config_patches.rs
@@ -211,8 +211,8 @@
 async fn status_and_metrics_report_entries_numbers_and_object_calls() {
     let site = start_site(3).await;
     patch(&site.entries[0], 1, "more", bound_merge(3)).await;
-    // The status is read before the next state messages of the other entries arrive; their previous
-    // ones reported number 1.
+    // The status is read before the next summaries of the other entries arrive; their previous
+    // summaries reported number 1.
     wait_until(|| all_admit_under(&site, 2)).await.unwrap();
     let status = status(&site.entries[1]).await;
     assert_eq!((status.entry.as_str(), status.number), ("entry-1", 2));
--- a/crates/pinereel_fakes/tests/config_support/mod.rs
+++ b/crates/pinereel_fakes/tests/config_support/mod.rs
@@ -86,8 +86,10 @@
 /// The number of the configuration under which an entry admits a request now, or why it admits
 /// none.
 pub fn admits(entry: &Entry) -> Result<u64, CompactString> {
-    let pin = pin::pin(&entry.shared);
-    pin.map(|pin| pin.number).map_err(|problem| problem.message)
+    let admission = pin::pin(&entry.shared);
+    admission
+        .map(|snapshot| snapshot.number)
+        .map_err(|problem| problem.message)
 }
 
 /// Whether all entries admit requests under configuration `number`.
--- a/crates/pinereel_fakes/tests/input_peers.rs
+++ b/crates/pinereel_fakes/tests/input_peers.rs
@@ -96,8 +96,8 @@
     let site = start_site().await;
     let valid = || Message::Binary(hello_frame(PROTOCOL).into());
     let invalid = |bytes: &[u8]| Message::Binary(bytes.to_vec().into());
-    // In turn: no CBOR, a valid first frame followed by no CBOR, an unknown protocol version, a
-    // text message, a too large frame, and a second hello.
+    // In turn: a frame that is not CBOR, such a frame after a valid first one, an unknown protocol
+    // version, a text message, a too large frame, and a second hello.
     assert_link_closed_after(&site, vec![invalid(b"\xff\xff\xff")]).await;
     assert_link_closed_after(&site, vec![valid(), invalid(b"slot for June")]).await;
     assert_link_closed_after(
--- a/crates/pinereel_fakes/tests/subset_site.rs
+++ b/crates/pinereel_fakes/tests/subset_site.rs
@@ -79,12 +79,12 @@
     assert_eq!(response.unwrap().status(), 200);
     let all_serve_the_version = || {
         let entries = site.entries.iter();
-        let views = entries.flat_map(|entry| {
+        let known_versions = entries.flat_map(|entry| {
             let set = entry.shared.endpoints.set();
             let versions: Vec<_> = set.iter().map(|(_, e)| e.version).collect();
             versions
         });
-        let versions: Vec<_> = views.collect();
+        let versions: Vec<_> = known_versions.collect();
         versions.len() == 32 && versions.iter().all(|v| *v == Some(Version(2)))
     };
     wait_until(all_serve_the_version).await.unwrap();
