--- a/crates/pinereel_fakes/tests/endpoint_crash_site.rs
+++ b/crates/pinereel_fakes/tests/endpoint_crash_site.rs
@@ -126,8 +126,8 @@
 }
 
 /// A further crash under a request that the other entries already had a report about once reached
-/// them only with the next full summary, 12 s later: a summary was sent early only if the number of
-/// reports had changed, and a further crash leaves it the same.
+/// them only with the next full summary, 12 s later: a change of the reports was detected by their
+/// number alone, which a further crash does not change.
 #[actix_rt::test]
 async fn each_further_crash_is_reported_to_other_entries_at_once() {
     let site = start_site().await;
