--- a/crates/pinereel_fakes/src/capacity/control.rs
+++ b/crates/pinereel_fakes/src/capacity/control.rs
@@ -1,8 +1,8 @@
-//! Decisions of the control duties: claims, membership, configuration; sizes of messages.
+//! Decisions about claims, membership, configuration and rollouts; sizes of control messages.
 
 use super::{
-    fit::Slope,
-    meter::{bytes, micros},
+    fit::Measurement,
+    meter::{cpu_micros_per_call, measure_bytes},
     rollout,
 };
 use compact_str::{CompactString, format_compact};
@@ -24,38 +24,41 @@
     time::Duration,
 };
 
-/// Availability zones of the target.
+/// Number of availability zones.
 const ZONES: usize = 9;
-/// Entries that look after one duty.
+/// Number of entries that are candidates for one duty.
 const CANDIDATES: usize = 3;
-/// Links that an entry opens in its availability zone and out of it.
-const LINKS: (usize, usize) = (3, 3);
-/// Claims of one commit.
-const BATCH: usize = 100;
-/// Bytes of a kept answer.
-const ANSWER: usize = 200;
+/// Number of links that an entry opens to entries of its own availability zone.
+const LINKS_IN_ZONE: usize = 3;
+/// Number of links that an entry opens to entries of other availability zones.
+const LINKS_OUT_OF_ZONE: usize = 3;
+/// Number of claims in a commit.
+const COMMIT_CLAIMS: usize = 100;
+/// Size of the body of a stored response, in bytes.
+const RESPONSE_BYTES: usize = 200;
 
-/// Measures all of it.
+/// Measures claims, membership, configuration, rollouts and message sizes.
 ///
 /// # Errors
-/// The kernel doesn't tell processor time or memory.
-pub fn measure() -> io::Result<Vec<Slope>> {
-    let mut slopes = claims()?;
-    slopes.extend(members());
-    slopes.extend(config());
-    slopes.extend(rollout::measure());
-    slopes.extend(sizes());
-    Ok(slopes)
+/// Memory could not be measured, see [`measure_bytes`].
+pub fn measure() -> io::Result<Vec<Measurement>> {
+    let mut measurements = measure_claims()?;
+    measurements.extend(measure_membership());
+    measurements.extend(measure_config());
+    measurements.extend(rollout::measure());
+    measurements.extend(measure_message_sizes());
+    Ok(measurements)
 }
 
-/// Claims and settles `count` keys in commits of [`BATCH`]; gives the bytes written.
-fn claim(log: &mut claim::Log, now: Time, from: usize, count: usize) -> usize {
+/// Claims and settles `count` keys from number `first`, in commits of [`COMMIT_CLAIMS`]. Returns the
+/// number of bytes written.
+fn claim_and_settle(log: &mut claim::Log, now: Time, first: usize, count: usize) -> usize {
     let mut written = 0;
-    let keys: Vec<_> = (from..from + count).collect();
-    for batch in keys.chunks(BATCH) {
+    let keys: Vec<_> = (first..first + count).collect();
+    for batch in keys.chunks(COMMIT_CLAIMS) {
         let (mut claims, mut settles) = (Vec::new(), Vec::new());
         for key in batch {
-            let (request, key) = (format_compact!("entry-3.{key:012x}"), name(*key));
+            let (request, key) = (format_compact!("entry-3.{key:012x}"), idempotency_key(*key));
             let digest = Digest::of(key.as_bytes());
             claims.extend(log.step(
                 now,
@@ -67,9 +70,9 @@
                 },
             ));
         }
-        written += serve(log, now, claims);
+        written += handle_actions(log, now, claims);
         for key in batch {
-            let (request, key) = (format_compact!("entry-3.{key:012x}"), name(*key));
+            let (request, key) = (format_compact!("entry-3.{key:012x}"), idempotency_key(*key));
             let digest = Digest::of(key.as_bytes());
             settles.extend(log.step(
                 now,
@@ -80,42 +83,43 @@
                     outcome: Some(StoredResponse {
                         status: 200,
                         content_type: "application/json".into(),
-                        body: Some("x".repeat(ANSWER)),
+                        body: Some("x".repeat(RESPONSE_BYTES)),
                     }),
                 },
             ));
         }
-        written += serve(log, now, settles);
+        written += handle_actions(log, now, settles);
     }
     written
 }
 
-fn name(key: usize) -> CompactString {
-    format_compact!("{:032x}", hash::mix(key as u64))
+/// Idempotency key number `index`.
+fn idempotency_key(index: usize) -> CompactString {
+    format_compact!("{:032x}", hash::mix(index as u64))
 }
 
-/// Answers the log's calls until none is open.
-fn serve(log: &mut claim::Log, now: Time, mut actions: Vec<claim::Action>) -> usize {
+/// Executes the log's actions until none is left. Returns the number of bytes written.
+fn handle_actions(log: &mut claim::Log, now: Time, mut actions: Vec<claim::Action>) -> usize {
     let mut written = 0;
     while let Some(action) = actions.pop() {
-        let answer = match action {
+        let event = match action {
             claim::Action::Create { segment, .. } => {
-                written += json(&segment);
+                written += json_bytes(&segment);
                 claim::Event::Created
             }
             claim::Action::ReadBase => claim::Event::Base(0),
             claim::Action::Trim { to, .. } => claim::Event::Base(to),
             _ => continue,
         };
-        actions.extend(log.step(now, answer));
+        actions.extend(log.step(now, event));
     }
     written
 }
 
-fn log() -> claim::Log {
+fn empty_log() -> claim::Log {
     let limits = claim::Limits {
-        max_batch: BATCH,
-        max_waiting: BATCH,
+        max_batch: COMMIT_CLAIMS,
+        max_waiting: COMMIT_CLAIMS,
         max_keys: usize::MAX,
         ..claim::Limits::default()
     };
@@ -128,41 +132,41 @@
     log
 }
 
-/// A log that keeps so many keys.
-pub(super) fn kept(count: usize) -> claim::Log {
-    let mut log = log();
-    claim(&mut log, Time::from_millis(1), 0, count);
+/// A log with `count` settled keys.
+pub(super) fn log_with_claims(count: usize) -> claim::Log {
+    let mut log = empty_log();
+    claim_and_settle(&mut log, Time::from_millis(1), 0, count);
     log
 }
 
-fn claims() -> io::Result<Vec<Slope>> {
+fn measure_claims() -> io::Result<Vec<Measurement>> {
     let (mut times, mut sizes, mut written) = (Vec::new(), Vec::new(), 0);
     let now = Time::from_millis(1);
-    for window in [1_000, 10_000, 50_000] {
-        let mut log = kept(window);
-        let mut next = window;
-        let took = micros(|| {
-            written = claim(&mut log, now, next, BATCH);
-            next += BATCH;
+    for kept in [1_000, 10_000, 50_000] {
+        let mut log = log_with_claims(kept);
+        let mut next = kept;
+        let micros = cpu_micros_per_call(|| {
+            written = claim_and_settle(&mut log, now, next, COMMIT_CLAIMS);
+            next += COMMIT_CLAIMS;
         });
-        times.push((window as f64, took / BATCH as f64));
-        sizes.push((window as f64, bytes("claim_kept", window)? / 1e3));
+        times.push((kept as f64, micros / COMMIT_CLAIMS as f64));
+        sizes.push((kept as f64, measure_bytes("claim_kept", kept)? / 1e3));
     }
-    let each = vec![(BATCH as f64, written as f64 / BATCH as f64)];
+    let bytes_per_claim = vec![(COMMIT_CLAIMS as f64, written as f64 / COMMIT_CLAIMS as f64)];
     Ok(vec![
-        Slope::of("claim", "µs a claim with its settlement", "key kept", times),
-        Slope::of("claim_kept", "KB a shard", "key kept", sizes),
-        Slope::of(
+        Measurement::new("claim", "µs a claim with its settlement", "key kept", times),
+        Measurement::new("claim_kept", "KB a shard", "key kept", sizes),
+        Measurement::new(
             "claim_written",
             "bytes a claim, settlement included",
             "claim of a commit",
-            each,
+            bytes_per_claim,
         ),
     ])
 }
 
-fn members() -> Vec<Slope> {
-    let (mut subsets, mut links, mut all) = (Vec::new(), Vec::new(), Vec::new());
+fn measure_membership() -> Vec<Measurement> {
+    let (mut candidates, mut links, mut linked_entries) = (Vec::new(), Vec::new(), Vec::new());
     for count in [9, 90, 180, 350] {
         let mut view = View::new();
         view.replace_all((0..count).map(|i| member::Object {
@@ -173,49 +177,56 @@
         }));
         let x = count as f64;
         let mut key = 0;
-        let ranked = || {
+        let find_candidates = || {
             key += 1;
             view.subset(hash::mix(key), CANDIDATES).len()
         };
-        subsets.push((x, micros(ranked)));
-        let linked = || view.links("entry-0", LINKS.0, LINKS.1).len();
-        links.push((x, micros(linked)));
-        let wanting = || {
-            let others = view.members().keys();
-            others
-                .filter(|name| view.links(name, LINKS.0, LINKS.1).contains("entry-0"))
+        candidates.push((x, cpu_micros_per_call(find_candidates)));
+        let find_links = || {
+            view.links("entry-0", LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
+                .len()
+        };
+        links.push((x, cpu_micros_per_call(find_links)));
+        let count_linked_entries = || {
+            let names = view.members().keys();
+            names
+                .filter(|name| {
+                    view.links(name, LINKS_IN_ZONE, LINKS_OUT_OF_ZONE)
+                        .contains("entry-0")
+                })
                 .count()
         };
-        all.push((x, micros(wanting) / x));
+        linked_entries.push((x, cpu_micros_per_call(count_linked_entries) / x));
     }
     vec![
-        Slope::of(
+        Measurement::new(
             "ranked",
             "µs a look for a duty's candidates",
             "entry",
-            subsets,
+            candidates,
         ),
-        Slope::of("links", "µs a look for own links", "entry", links),
-        Slope::of(
+        Measurement::new("links", "µs a look for own links", "entry", links),
+        Measurement::new(
             "wanted",
             "µs an entry, a look who wants a link",
             "entry",
-            all,
+            linked_entries,
         ),
     ]
 }
 
-/// A document with so many trainers, each with its pool and scorer.
-fn document(trainers: usize) -> Document {
+/// A configuration document with `trainers` trainers, each with its pool and scorer.
+fn document_with_trainers(trainers: usize) -> Document {
     let mut document = Document::default();
     for i in 0..trainers {
         let (engines, scorer) = (format_compact!("pool-{i}"), format_compact!("scorer-{i}"));
+        document.pools.insert(
+            engines.clone(),
+            default_pool(PoolKind::Engine, Some("model")),
+        );
         document
             .pools
-            .insert(engines.clone(), pool(PoolKind::Engine, Some("model")));
-        document
-            .pools
-            .insert(scorer.clone(), pool(PoolKind::Service, None));
+            .insert(scorer.clone(), default_pool(PoolKind::Service, None));
         document.trainers.insert(
             format_compact!("trainer-{i}"),
             Trainer {
@@ -229,7 +240,7 @@
     document
 }
 
-fn pool(kind: PoolKind, model: Option<&str>) -> Pool {
+fn default_pool(kind: PoolKind, model: Option<&str>) -> Pool {
     Pool {
         kind,
         model: model.map(Into::into),
@@ -241,17 +252,17 @@
     }
 }
 
-fn config() -> Vec<Slope> {
+fn measure_config() -> Vec<Measurement> {
     let now = Time::ZERO;
     let (mut admits, mut stored, mut prepares) = (Vec::new(), Vec::new(), Vec::new());
     for trainers in [1, 19, 100] {
         let value = StoredConfig {
             number: 1,
-            document: document(trainers),
+            document: document_with_trainers(trainers),
             ..StoredConfig::default()
         };
         let x = trainers as f64;
-        stored.push((x, json(&value) as f64));
+        stored.push((x, json_bytes(&value) as f64));
         let prepare = Prepare {
             version: 1_234_567,
             number: 2,
@@ -262,40 +273,40 @@
             prepare: Box::new(prepare),
             leaves: BTreeSet::new(),
         };
-        prepares.push((x, frame(call)));
-        let mut register = Participant::new(now, "entry-0");
+        prepares.push((x, call_frame_bytes(call)));
+        let mut participant = Participant::new(now, "entry-0");
         let read = pinereel_core::config::ParticipantEvent::Read {
             sent_at: now,
             version: 1,
             stored: value,
         };
-        register.step(now, read);
-        admits.push((x, micros(|| register.admits(now)) * 1e3));
+        participant.step(now, read);
+        admits.push((x, cpu_micros_per_call(|| participant.admits(now)) * 1e3));
     }
     vec![
-        Slope::of(
+        Measurement::new(
             "admits",
             "ns a look whether requests are admitted",
             "trainer",
             admits,
         ),
-        Slope::of(
+        Measurement::new(
             "config_object",
             "bytes of the configuration's object",
             "trainer",
             stored,
         ),
-        Slope::of("prepare", "bytes of a prepare frame", "trainer", prepares),
+        Measurement::new("prepare", "bytes of a prepare frame", "trainer", prepares),
     ]
 }
 
-fn frame(call: Call) -> f64 {
+fn call_frame_bytes(call: Call) -> f64 {
     let frame = Frame::Call { id: 1, body: call };
     frame.encode().map_or(0.0, |bytes| bytes.len() as f64)
 }
 
-/// Sizes of what is sent again and again.
-fn sizes() -> Vec<Slope> {
+/// Sizes of objects and frames that are sent periodically.
+fn measure_message_sizes() -> Vec<Measurement> {
     let instance = Object {
         name: "draft-llm-1234".into(),
         version: 1_234_567,
@@ -319,28 +330,28 @@
         })
         .unwrap_or_default(),
     };
-    let summaries = [0, 19, 100].map(|models| (models as f64, summary(models, 0)));
-    let leaving = [0, 8, 64].map(|endpoints| (endpoints as f64, summary(0, endpoints)));
+    let summaries = [0, 19, 100].map(|models| (models as f64, summary_frame_bytes(models, 0)));
+    let leaving = [0, 8, 64].map(|endpoints| (endpoints as f64, summary_frame_bytes(0, endpoints)));
     vec![
-        Slope::of(
+        Measurement::new(
             "instance",
             "bytes in a list",
             "instance",
-            vec![(1.0, json(&instance) as f64)],
+            vec![(1.0, json_bytes(&instance) as f64)],
         ),
-        Slope::of(
+        Measurement::new(
             "member",
             "bytes in a list",
             "entry",
-            vec![(1.0, json(&member) as f64)],
+            vec![(1.0, json_bytes(&member) as f64)],
         ),
-        Slope::of(
+        Measurement::new(
             "summary",
             "bytes a summary to a peer",
             "model",
             summaries.to_vec(),
         ),
-        Slope::of(
+        Measurement::new(
             "summary_leaving",
             "bytes a summary to a peer",
             "leaving endpoint",
@@ -349,7 +360,7 @@
     ]
 }
 
-fn summary(models: usize, leaving: usize) -> f64 {
+fn summary_frame_bytes(models: usize, leaving: usize) -> f64 {
     let versions = (0..models).map(|i| (format_compact!("model-{i}"), Version(4_000)));
     let leaving = (0..leaving).map(|i| (format_compact!("draft-llm-{i}"), 1_764_000_000_000_000));
     let summary = Summary {
@@ -370,6 +381,6 @@
         .map_or(0.0, |bytes| bytes.len() as f64)
 }
 
-fn json(value: &impl Serialize) -> usize {
+fn json_bytes(value: &impl Serialize) -> usize {
     serde_json::to_vec(value).map_or(0, |bytes| bytes.len())
 }
--- a/crates/pinereel_fakes/src/capacity/fit.rs
+++ b/crates/pinereel_fakes/src/capacity/fit.rs
@@ -1,40 +1,39 @@
-//! Straight lines through measured points.
+//! Linear fits of measured points.
 
 use serde::Serialize;
 
-/// A straight line by least squares: `base + slope * x`.
+/// A line fitted by least squares: `base + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// Value at zero.
+    /// Value at `x = 0`.
     pub base: f64,
-    /// Growth a unit of `x`.
+    /// Increase per unit of `x`.
     pub slope: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// Maximum distance of a point from the line, relative to the maximum absolute value of a point.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The line through `points`, which must differ in `x` unless there is only one: then the line
-    /// is flat.
-    pub fn of(points: &[(f64, f64)]) -> Self {
+    /// Fits a line to `points`. The line is flat if all points have the same `x`.
+    pub fn new(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let common: f64 = points
+        let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let sum_xy: f64 = points
             .iter()
             .map(|(x, y)| (x - mean_x) * (y - mean_y))
             .sum();
-        let slope = if spread > 0.0 { common / spread } else { 0.0 };
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let mut fit = Self {
             base: mean_y - slope * mean_x,
             slope,
             residual: 0.0,
         };
-        let largest = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
-        let off = points.iter().map(|(x, y)| (y - fit.at(*x)).abs());
-        if largest > 0.0 {
-            fit.residual = off.fold(0.0, f64::max) / largest;
+        let max_abs_y = points.iter().map(|(_, y)| y.abs()).fold(0.0, f64::max);
+        let distances = points.iter().map(|(x, y)| (y - fit.at(*x)).abs());
+        if max_abs_y > 0.0 {
+            fit.residual = distances.fold(0.0, f64::max) / max_abs_y;
         }
         fit
     }
@@ -45,24 +44,24 @@
     }
 }
 
-/// One measured quantity against what it grows with.
+/// A measured quantity as a function of what it grows with.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Slope {
-    /// Its name, which the extrapolation refers to.
+pub struct Measurement {
+    /// Name, by which the extrapolation refers to the measurement.
     pub name: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
-    /// What `x` counts.
+    /// What `x` counts, in the singular.
     pub per: &'static str,
-    /// The line.
+    /// Line fitted to the points.
     pub fit: Fit,
-    /// The measured points.
+    /// Measured points, as `(x, value)`.
     pub points: Vec<(f64, f64)>,
 }
 
-impl Slope {
-    /// The line through `points`.
-    pub fn of(
+impl Measurement {
+    /// Fits a line to `points`.
+    pub fn new(
         name: &'static str,
         unit: &'static str,
         per: &'static str,
@@ -72,17 +71,17 @@
             name,
             unit,
             per,
-            fit: Fit::of(&points),
+            fit: Fit::new(&points),
             points,
         }
     }
 
-    /// Value at `x`. Beyond the last point a falling line is not followed: nothing measured here
-    /// gets cheaper with size, so the fall is noise.
+    /// Value of the fitted line at `x`. A falling line is not extrapolated beyond the maximum `x` of
+    /// the points: no quantity measured here decreases with size, so a negative slope is noise.
     pub fn at(&self, x: f64) -> f64 {
-        let last = self.points.iter().map(|(x, _)| *x).fold(0.0, f64::max);
-        if self.fit.slope < 0.0 && x > last {
-            return self.fit.at(last);
+        let max_x = self.points.iter().map(|(x, _)| *x).fold(0.0, f64::max);
+        if self.fit.slope < 0.0 && x > max_x {
+            return self.fit.at(max_x);
         }
         self.fit.at(x)
     }
--- a/crates/pinereel_fakes/src/capacity/mod.rs
+++ b/crates/pinereel_fakes/src/capacity/mod.rs
@@ -1,13 +1,14 @@
-//! Slopes of state, messages, processor time and memory, and what they come to at the two-year
-//! size: the figures of `docs/CAPACITY.md`.
+//! Capacity tool: measures how state, messages, CPU time and memory grow with the size of a fleet,
+//! and extrapolates to the size expected in two years. Its figures are those of `docs/CAPACITY.md`.
 //!
 //! - `routing`, `lots`, `control`, `rollout`: decisions of the core, without I/O.
-//! - `daemon`: entries at rest, with the platform on a thread of its own.
-//! - `path`: requests and samples through one entry.
-//! - [`target`]: the two-year size and the extrapolation.
+//! - `entries`: idle entries, with the platform on a separate thread.
+//! - `path`: requests and samples that pass through one entry.
+//! - [`estimate`]: the expected size and the extrapolation.
 
 mod control;
-mod daemon;
+mod entries;
+pub mod estimate;
 pub mod fit;
 mod lots;
 mod memory;
@@ -16,34 +17,34 @@
 mod platform;
 mod rollout;
 mod routing;
-pub mod target;
 
 use crate::process::{Error, value};
-use fit::Slope;
+use estimate::{Estimate, Measurements, estimates};
+use fit::Measurement;
 use lexopt::{Arg::Long, Parser};
 use serde::Serialize;
 use std::{io, process::ExitCode};
-use target::{Estimate, Measured, estimates};
 
-/// Help on the flags.
+/// Help text of the flags.
 pub const HELP: &str =
     "  --part NAME            only this part: routing, lots, control, entries, sparse, engines, path
   --json                 print JSON
   --help                 print this";
 
-/// The parts, in order.
+/// Values of `--part`, in the order of measurement.
 const PARTS: [&str; 7] = [
     "routing", "lots", "control", "entries", "sparse", "engines", "path",
 ];
 
-/// What one run found.
+/// Result of a run, which `--json` prints.
 #[derive(Clone, Debug, Serialize)]
 struct Report {
-    slopes: Vec<Slope>,
+    #[serde(rename = "slopes")]
+    measurements: Vec<Measurement>,
     estimates: Vec<Estimate>,
 }
 
-/// Measures, works out and prints.
+/// Runs the tool as a process. Exit code: 0 on success, 2 if a flag is wrong, 1 on other errors.
 pub fn main(parser: Parser) -> ExitCode {
     match run(parser) {
         Ok(()) => ExitCode::SUCCESS,
@@ -65,7 +66,7 @@
         match arg {
             Long("part") => only = Some(value::<String>(&mut parser)?),
             Long("json") => json = true,
-            // What this tool runs itself with, to measure in a fresh process.
+            // The tool runs itself with the following flags to measure in a new process.
             Long("site") => site = Some(value::<usize>(&mut parser)?),
             Long("bytes") => bytes = Some(value::<String>(&mut parser)?),
             Long("count") => count = value(&mut parser)?,
@@ -73,98 +74,100 @@
         }
     }
     if let Some(name) = bytes {
-        println!("{}", meter::bytes_here(&name, count)?);
+        println!("{}", meter::measure_bytes_in_process(&name, count)?);
         return Ok(());
     }
-    if let Some(entries) = site {
-        let spent = actix_rt::System::new().block_on(daemon::site(entries, count))?;
-        let text = serde_json::to_string(&spent).map_err(io::Error::other)?;
+    if let Some(entry_count) = site {
+        let usage = actix_rt::System::new().block_on(entries::measure_site(entry_count, count))?;
+        let text = serde_json::to_string(&usage).map_err(io::Error::other)?;
         println!("{text}");
         return Ok(());
     }
     if let Some(name) = &only
         && !PARTS.contains(&name.as_str())
     {
-        return Err(Error::Usage(format!("no part {name}").into()));
+        return Err(Error::Usage(format!("unknown part {name}").into()));
     }
-    let mut slopes = Vec::new();
+    let mut measurements = Vec::new();
     for name in PARTS {
         if only.as_ref().is_none_or(|only| only == name) {
             eprintln!("measuring {name}");
-            slopes.extend(part(name)?);
+            measurements.extend(measure_part(name)?);
         }
     }
-    let mut measured = Measured::default();
-    measured.add(slopes.clone());
+    let mut by_name = Measurements::default();
+    by_name.add(measurements.clone());
     let report = Report {
-        slopes,
-        estimates: estimates(&measured),
+        measurements,
+        estimates: estimates(&by_name),
     };
     if json {
         let text = serde_json::to_string_pretty(&report).map_err(io::Error::other)?;
         println!("{text}");
     } else {
-        print(&report);
+        print_report(&report);
     }
     Ok(())
 }
 
-fn part(name: &str) -> io::Result<Vec<Slope>> {
+fn measure_part(name: &str) -> io::Result<Vec<Measurement>> {
     match name {
         "routing" => routing::measure(),
         "lots" => lots::measure(),
         "control" => control::measure(),
-        "entries" => daemon::mesh(),
-        "sparse" => daemon::sparse(),
-        "engines" => daemon::engines(),
+        "entries" => entries::measure_full_mesh(),
+        "sparse" => entries::measure_sparse_mesh(),
+        "engines" => entries::measure_engines(),
         _ => actix_rt::System::new().block_on(path::measure()),
     }
 }
 
-fn print(report: &Report) {
+fn print_report(report: &Report) {
     println!("measured\n");
-    for slope in &report.slopes {
-        let points = slope.points.iter();
-        let points: Vec<_> = points.map(|(x, y)| format!("{x}: {}", short(*y))).collect();
+    for measurement in &report.measurements {
+        let points = measurement.points.iter();
+        let points: Vec<_> = points
+            .map(|(x, y)| format!("{x}: {}", three_digits(*y)))
+            .collect();
         println!(
             "{:<20} {} = {} + {} x {} (off by at most {:.0}%)  [{}]",
-            slope.name,
-            slope.unit,
-            short(slope.fit.base),
-            short(slope.fit.slope),
-            slope.per,
-            slope.fit.residual * 100.0,
+            measurement.name,
+            measurement.unit,
+            three_digits(measurement.fit.base),
+            three_digits(measurement.fit.slope),
+            measurement.per,
+            measurement.fit.residual * 100.0,
             points.join(", ")
         );
     }
     println!("\nat the two-year size\n");
     for estimate in &report.estimates {
-        let verdict = match (estimate.bound, estimate.fits()) {
-            (Some(bound), Some(true)) => format!("fits {}", short(bound)),
-            (Some(bound), _) => format!("DOES NOT FIT {}", short(bound)),
+        let bound = match (estimate.bound, estimate.is_within_bound()) {
+            (Some(bound), Some(true)) => format!("fits {}", three_digits(bound)),
+            (Some(bound), _) => format!("DOES NOT FIT {}", three_digits(bound)),
             (None, _) => String::new(),
         };
         println!(
-            "{:<24} {}: {} {}  {verdict}",
-            estimate.duty,
-            estimate.what,
-            short(estimate.value),
+            "{:<24} {}: {} {}  {bound}",
+            estimate.component,
+            estimate.figure,
+            three_digits(estimate.value),
             estimate.unit
         );
     }
 }
 
-/// Three significant digits.
-fn short(value: f64) -> String {
-    let size = value.abs();
-    if size >= 100.0 || size == 0.0 {
+/// Formats `value` with three significant digits.
+fn three_digits(value: f64) -> String {
+    let magnitude = value.abs();
+    if magnitude >= 100.0 || magnitude == 0.0 {
         format!("{value:.0}")
-    } else if size >= 10.0 {
+    } else if magnitude >= 10.0 {
         format!("{value:.1}")
-    } else if size >= 1.0 {
+    } else if magnitude >= 1.0 {
         format!("{value:.2}")
     } else {
-        let digits = (2.0 - size.log10().floor()).clamp(2.0, 9.0) as usize;
-        format!("{value:.digits$}")
+        let decimals = (2.0 - magnitude.log10().floor()).clamp(2.0, 9.0) as usize;
+        format!("{value:.decimals$}")
     }
 }
--- a/crates/pinereel_fakes/src/capacity/path.rs
+++ b/crates/pinereel_fakes/src/capacity/path.rs
@@ -1,9 +1,9 @@
-//! Processor time of one entry for each request and each sample.
+//! CPU time of one entry per request and per sample.
 
 use super::{
-    daemon::Entries,
-    fit::Slope,
-    meter::cpu,
+    entries::EntryGroup,
+    fit::Measurement,
+    meter::thread_cpu_time,
     platform::{ENGINES, Options, Platform, SERVICES},
 };
 use crate::trainer;
@@ -13,57 +13,57 @@
 use std::{future::Future, io, thread, time::Duration};
 use tokio::sync::oneshot;
 
-/// Requests at once.
-const AT_ONCE: usize = 8;
-/// Requests of one point.
-const REQUESTS: usize = 1_500;
-/// Samples of one point.
-const SAMPLES: u32 = 1_024;
+/// Number of concurrent requests.
+const CONCURRENT_REQUESTS: usize = 8;
+/// Number of requests that a point is measured with.
+const REQUESTS_PER_POINT: usize = 1_500;
+/// Number of samples that a point is measured with.
+const SAMPLES_PER_POINT: u32 = 1_024;
 
-/// Measures all of it.
+/// Measures completions, calls of a plain service, and samples.
 ///
 /// # Errors
-/// A site did not come up, or a request failed.
-pub async fn measure() -> io::Result<Vec<Slope>> {
+/// The site did not become ready, or a request failed.
+pub async fn measure() -> io::Result<Vec<Measurement>> {
     let platform = Platform::start(Options {
-        light: 0,
+        state_only_engines: 0,
         engines: 4,
         services: 2,
         zones: 1,
     })?;
-    let entries = Entries::start(&platform, 1, 6).await?;
-    let address = entries.all[0].callers.address.to_string();
-    let (mut whole, mut streamed) = (Vec::new(), Vec::new());
+    let group = EntryGroup::start(&platform, 1, 6).await?;
+    let address = group.entries[0].callers.address.to_string();
+    let (mut complete, mut streamed) = (Vec::new(), Vec::new());
     for tokens in [8, 64, 256] {
         let x = f64::from(tokens);
-        whole.push((x, completions(&address, tokens, false).await?));
-        streamed.push((x, completions(&address, tokens, true).await?));
+        complete.push((x, measure_completions(&address, tokens, false).await?));
+        streamed.push((x, measure_completions(&address, tokens, true).await?));
     }
-    let service = services(&address).await?;
+    let service = measure_service_calls(&address).await?;
     let mut samples = Vec::new();
     for tokens in [32, 256, 1_024] {
-        samples.push((f64::from(tokens), sampled(&address, tokens).await?));
+        samples.push((f64::from(tokens), measure_lot(&address, tokens).await?));
     }
     Ok(vec![
-        Slope::of(
+        Measurement::new(
             "completion",
             "µs a completion, whole answer",
             "token",
-            whole,
+            complete,
         ),
-        Slope::of(
+        Measurement::new(
             "completion_streamed",
             "µs a completion, streamed",
             "token",
             streamed,
         ),
-        Slope::of(
+        Measurement::new(
             "service",
             "µs a call of a plain service",
             "call",
             vec![(1.0, service)],
         ),
-        Slope::of(
+        Measurement::new(
             "sample_path",
             "µs a sample, submit to collect",
             "token",
@@ -72,31 +72,34 @@
     ])
 }
 
-/// Microseconds of this thread for each of `count` things that `client` does on a thread of its
-/// own. The least of two runs.
-async fn micros<F>(count: usize, client: impl Fn() -> F + Send + Clone + 'static) -> io::Result<f64>
+/// CPU time of this thread per item, in microseconds, while `client` sends `count` requests or
+/// collects `count` samples on another thread. The minimum of two runs counts.
+async fn cpu_micros_per_item<F>(
+    count: usize,
+    client: impl Fn() -> F + Send + Clone + 'static,
+) -> io::Result<f64>
 where
     F: Future<Output = io::Result<()>>,
 {
-    let mut least = f64::MAX;
+    let mut min_micros = f64::MAX;
     for _ in 0..2 {
         let client = client.clone();
-        let (tell, told) = oneshot::channel();
-        let start = cpu();
+        let (result_sender, result_receiver) = oneshot::channel();
+        let start = thread_cpu_time();
         thread::spawn(move || {
-            let done = actix_rt::System::new().block_on(client());
-            let _ = tell.send(done);
+            let result = actix_rt::System::new().block_on(client());
+            let _ = result_sender.send(result);
         });
-        told.await.map_err(io::Error::other)??;
-        let spent = cpu() - start;
-        least = least.min(spent.as_secs_f64() * 1e6 / count as f64);
+        result_receiver.await.map_err(io::Error::other)??;
+        let cpu_time = thread_cpu_time() - start;
+        min_micros = min_micros.min(cpu_time.as_secs_f64() * 1e6 / count as f64);
     }
-    Ok(least)
+    Ok(min_micros)
 }
 
-async fn completions(address: &str, tokens: u32, streamed: bool) -> io::Result<f64> {
+async fn measure_completions(address: &str, tokens: u32, streamed: bool) -> io::Result<f64> {
     let url = format!("http://{address}/v1/completions");
-    micros(REQUESTS, move || {
+    cpu_micros_per_item(REQUESTS_PER_POINT, move || {
         let url = url.clone();
         async move {
             let body = json!({ "model": ENGINES, "prompt": "slot for June",
@@ -107,44 +110,46 @@
     .await
 }
 
-async fn services(address: &str) -> io::Result<f64> {
+async fn measure_service_calls(address: &str) -> io::Result<f64> {
     let url = format!("http://{address}/services/{SERVICES}/orders");
-    micros(REQUESTS, move || {
+    cpu_micros_per_item(REQUESTS_PER_POINT, move || {
         let url = url.clone();
         async move { post_all(&url, "lacquer".into()).await }
     })
     .await
 }
 
+/// Sends [`REQUESTS_PER_POINT`] requests with the same body, and reads the responses whole.
 async fn post_all(url: &str, body: String) -> io::Result<()> {
     let client = awc::Client::builder()
         .timeout(Duration::from_secs(20))
         .finish();
-    let sent = (0..REQUESTS).map(|_| {
+    let requests = (0..REQUESTS_PER_POINT).map(|_| {
         let (client, body) = (client.clone(), body.clone());
         async move {
-            let sent = client
+            let request = client
                 .post(url)
                 .insert_header(("content-type", "application/json"))
                 .send_body(body);
-            let mut answer = sent.await.map_err(|e| io::Error::other(e.to_string()))?;
-            if !answer.status().is_success() {
-                return Err(io::Error::other(answer.status().to_string()));
+            let mut response = request.await.map_err(|e| io::Error::other(e.to_string()))?;
+            if !response.status().is_success() {
+                return Err(io::Error::other(response.status().to_string()));
             }
-            let body = answer.body().limit(64 << 20).await;
+            let body = response.body().limit(64 << 20).await;
             body.map(drop).map_err(|e| io::Error::other(e.to_string()))
         }
     });
-    let mut answers = stream::iter(sent).buffer_unordered(AT_ONCE);
-    while let Some(answer) = answers.next().await {
-        answer?;
+    let mut responses = stream::iter(requests).buffer_unordered(CONCURRENT_REQUESTS);
+    while let Some(response) = responses.next().await {
+        response?;
     }
     Ok(())
 }
 
-async fn sampled(address: &str, tokens: u32) -> io::Result<f64> {
+/// CPU time per sample of a trainer step that submits and collects one lot, in microseconds.
+async fn measure_lot(address: &str, tokens: u32) -> io::Result<f64> {
     let address = address.to_owned();
-    micros(SAMPLES as usize, move || {
+    cpu_micros_per_item(SAMPLES_PER_POINT as usize, move || {
         let address = address.clone();
         async move {
             let run = next_run();
@@ -152,7 +157,7 @@
                 name: "dispatch".into(),
                 entries: vec![address],
                 steps: 1,
-                groups: SAMPLES / 8,
+                groups: SAMPLES_PER_POINT / 8,
                 samples: 8,
                 max_tokens: tokens,
                 train: Duration::ZERO,
@@ -164,17 +169,20 @@
             });
             let report = trainer.run().await;
             let report = report.map_err(|e| io::Error::other(e.to_string()))?;
-            if u64::from(SAMPLES) == report.samples {
+            if u64::from(SAMPLES_PER_POINT) == report.samples {
                 Ok(())
             } else {
-                Err(io::Error::other("samples are missing"))
+                Err(io::Error::other(
+                    "the step did not return the requested number of samples",
+                ))
             }
         }
     })
     .await
 }
 
-/// Counts the runs: each has lots of its own, and starts at the version that the last published.
+/// Number of the next trainer run, from 1. Each run has its own lots, and starts at the version that
+/// the previous run published.
 fn next_run() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(1);
--- a/crates/pinereel_fakes/src/capacity/platform.rs
+++ b/crates/pinereel_fakes/src/capacity/platform.rs
@@ -1,5 +1,5 @@
-//! The platform and the endpoints on a thread of their own, so that the entries' thread counts
-//! only the entries.
+//! Fake platform and endpoints on a separate thread, so that the CPU time of the entries' thread is
+//! that of the entries alone.
 
 use crate::{
     engine::{self, batch},
@@ -25,18 +25,18 @@
     sync::oneshot,
 };
 
-/// Pool of engines.
+/// Name of the pool of engines.
 pub const ENGINES: &str = "draft-llm";
-/// Pool of plain services.
+/// Name of the pool of plain services.
 pub const SERVICES: &str = "orders-app";
-/// Calls a second that the object API takes here, so that it never limits.
-const RATE: u32 = 1_000_000;
+/// Rate limit of the object API, in calls per second: so high that it is never reached.
+const API_CALLS_PER_SECOND: u32 = 1_000_000;
 
-/// What the platform has.
+/// Numbers of endpoints and availability zones.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Names of engines that share one listener, which only tells their state.
-    pub light: usize,
+    /// Listed engines that share one listener, which only reports their state.
+    pub state_only_engines: usize,
     /// Engines that run completions.
     pub engines: usize,
     /// Plain services.
@@ -45,21 +45,21 @@
     pub zones: usize,
 }
 
-/// Load reports so far.
+/// Counters of the load reports of the state-only engines.
 #[derive(Debug, Default)]
-pub struct Reported {
-    /// How many.
-    pub count: AtomicU64,
-    /// Their bytes, both directions, without those of TCP.
+pub struct ReportCounters {
+    /// Number of load reports.
+    pub reports: AtomicU64,
+    /// Bytes of the requests and responses, without the overhead of TCP.
     pub bytes: AtomicU64,
 }
 
-/// A running platform.
+/// A running platform, which stops when it is dropped.
 pub struct Platform {
     /// Address of the object API.
     pub api: SocketAddr,
-    /// What load reports took.
-    pub reported: Arc<Reported>,
+    /// Counters of load reports.
+    pub report_counters: Arc<ReportCounters>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -76,58 +76,61 @@
 }
 
 impl Platform {
-    /// Starts it.
+    /// Starts the platform and its endpoints.
     ///
     /// # Errors
-    /// A listener could not be opened.
+    /// A listener could not be opened, or the configuration could not be written.
     pub fn start(options: Options) -> io::Result<Self> {
-        let (tell, told) = mpsc::channel();
+        let (address_sender, address_receiver) = mpsc::channel();
         let (stop, stopped) = oneshot::channel::<()>();
-        let reported = Arc::new(Reported::default());
-        let count = Arc::clone(&reported);
+        let report_counters = Arc::new(ReportCounters::default());
+        let counters = Arc::clone(&report_counters);
         let thread = thread::Builder::new()
             .name("platform".into())
             .spawn(move || {
                 actix_rt::System::new().block_on(async move {
-                    let running = run(options, count).await;
-                    let (address, keep) = match running {
-                        Ok((address, keep)) => (Ok(address), Some(keep)),
+                    let started = start_servers(options, counters).await;
+                    let (address, handles) = match started {
+                        Ok((address, handles)) => (Ok(address), Some(handles)),
                         Err(e) => (Err(e), None),
                     };
-                    let _ = tell.send(address);
+                    let _ = address_sender.send(address);
                     let _ = stopped.await;
-                    drop(keep);
+                    drop(handles);
                 });
             })?;
-        let api = told.recv().map_err(io::Error::other)??;
+        let api = address_receiver.recv().map_err(io::Error::other)??;
         Ok(Self {
             api,
-            reported,
+            report_counters,
             stop: Some(stop),
             thread: Some(thread),
         })
     }
 }
 
-/// Handles that live as long as the platform.
-type Keep = (
+/// Handles of the running servers, which stop when these are dropped.
+type Handles = (
     object_api::Handle,
     Vec<engine::server::Handle>,
     Vec<service::Handle>,
 );
 
-async fn run(options: Options, reported: Arc<Reported>) -> io::Result<(SocketAddr, Keep)> {
+async fn start_servers(
+    options: Options,
+    report_counters: Arc<ReportCounters>,
+) -> io::Result<(SocketAddr, Handles)> {
     let api = object_api::Api::start(object_api::Options {
-        reads_per_second: RATE,
-        writes_per_second: RATE,
+        reads_per_second: API_CALLS_PER_SECOND,
+        writes_per_second: API_CALLS_PER_SECOND,
         lag: Duration::from_millis(50),
         ..object_api::Options::default()
     })
     .await?;
-    site::seed(api.address, &document()?).await?;
-    let light = light(reported).await?;
-    for i in 0..options.light {
-        put(&api, options, ENGINES, i, light);
+    site::seed(api.address, &config_document()?).await?;
+    let state_address = serve_state(report_counters).await?;
+    for i in 0..options.state_only_engines {
+        put_instance(&api, options, ENGINES, i, state_address);
     }
     let mut engines = Vec::new();
     for i in 0..options.engines {
@@ -140,21 +143,21 @@
             ..engine::server::Options::default()
         })
         .await?;
-        put(&api, options, ENGINES, i, engine.address);
+        put_instance(&api, options, ENGINES, i, engine.address);
         engines.push(engine);
     }
     let mut services = Vec::new();
     for i in 0..options.services {
         let service = service::Service::start(service::Options::default()).await?;
-        put(&api, options, SERVICES, i, service.address);
+        put_instance(&api, options, SERVICES, i, service.address);
         services.push(service);
     }
     api.list_pending_instances();
     Ok((api.address, (api, engines, services)))
 }
 
-/// The configuration of these measurements.
-fn document() -> io::Result<Document> {
+/// Configuration document of the measured site.
+fn config_document() -> io::Result<Document> {
     serde_json::from_value(serde_json::json!({
         "pools": {
             ENGINES: { "kind": "engine", "model": "wording" },
@@ -165,7 +168,13 @@
     .map_err(io::Error::other)
 }
 
-fn put(api: &object_api::Handle, options: Options, pool: &str, i: usize, address: SocketAddr) {
+fn put_instance(
+    api: &object_api::Handle,
+    options: Options,
+    pool: &str,
+    i: usize,
+    address: SocketAddr,
+) {
     let instance = Instance {
         incarnation: 1,
         address: format_compact!("{address}"),
@@ -176,30 +185,35 @@
     api.put_instance(&format!("{pool}-{i}"), instance);
 }
 
-/// Name of the availability zone of the instance number `i`.
+/// Name of the availability zone of instance `i`, if the instances are spread over `zones` in turn.
 pub fn zone(i: usize, zones: usize) -> CompactString {
     format_compact!("zone-{}", i % zones.max(1))
 }
 
-/// A listener that answers every request with the same engine state, and counts the bytes.
-async fn light(reported: Arc<Reported>) -> io::Result<SocketAddr> {
+/// Starts a listener that answers every request with the same engine state, and counts requests and
+/// bytes.
+async fn serve_state(report_counters: Arc<ReportCounters>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
-    let state = engine_state()?;
-    let answer = format!(
+    let state = engine_state_json()?;
+    let response = format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\
          date: Wed, 01 Jan 2025 00:00:00 GMT\r\n\r\n{state}",
         state.len()
     );
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            actix_rt::spawn(answer_all(stream, answer.clone(), Arc::clone(&reported)));
+            actix_rt::spawn(serve_connection(
+                stream,
+                response.clone(),
+                Arc::clone(&report_counters),
+            ));
         }
     });
     Ok(address)
 }
 
-fn engine_state() -> io::Result<String> {
+fn engine_state_json() -> io::Result<String> {
     let state = pinereel_api::engine::State {
         incarnation: 1,
         version: Some(pinereel_core::Version(1)),
@@ -215,21 +229,27 @@
     serde_json::to_string(&state).map_err(io::Error::other)
 }
 
-async fn answer_all(mut stream: TcpStream, answer: String, reported: Arc<Reported>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    response: String,
+    report_counters: Arc<ReportCounters>,
+) {
     let mut buffer = vec![0; 8_192];
-    let mut held = Vec::new();
+    let mut received = Vec::new();
     while let Ok(read) = stream.read(&mut buffer).await {
         if read == 0 {
             return;
         }
-        held.extend_from_slice(&buffer[..read]);
-        // Requests for the state have no body, so a head is a whole request.
-        while let Some(end) = held.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-            held.drain(..end + 4);
-            let size = (end + 4 + answer.len()) as u64;
-            reported.count.fetch_add(1, Ordering::Relaxed);
-            reported.bytes.fetch_add(size, Ordering::Relaxed);
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+        received.extend_from_slice(&buffer[..read]);
+        // Requests for the state have no body, so a request ends where its head ends.
+        while let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+            received.drain(..end + 4);
+            let transferred = (end + 4 + response.len()) as u64;
+            report_counters.reports.fetch_add(1, Ordering::Relaxed);
+            report_counters
+                .bytes
+                .fetch_add(transferred, Ordering::Relaxed);
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
         }
--- a/crates/pinereel_fakes/src/capacity/rollout.rs
+++ b/crates/pinereel_fakes/src/capacity/rollout.rs
@@ -1,6 +1,6 @@
-//! Decisions of a rollout's holder.
+//! Decisions of the rollout controller, which runs at the holder of a lease.
 
-use super::{fit::Slope, meter::micros};
+use super::{fit::Measurement, meter::cpu_micros_per_call};
 use compact_str::format_compact;
 use pinereel_core::{
     Time, Version,
@@ -8,13 +8,13 @@
 };
 use std::time::Duration;
 
-/// Availability zones of the target.
+/// Number of availability zones.
 const ZONES: usize = 9;
-/// Length of the lease.
-const HOUR: Duration = Duration::from_secs(3_600);
+/// Duration of the lease.
+const LEASE_DURATION: Duration = Duration::from_secs(3_600);
 
-/// All engines serve version 1, which is the target.
-fn at_rest(count: usize) -> Controller {
+/// A controller of `count` engines, all of which serve the published version 1.
+fn idle_controller(count: usize) -> Controller {
     let settings = rollout::Settings {
         max_loads: count,
         max_reads: count,
@@ -22,26 +22,26 @@
     };
     let mut controller = Controller::new(settings);
     for i in 0..count {
-        let listed = rollout::Event::Listed {
+        let event = rollout::Event::Listed {
             name: format_compact!("engine-{i}"),
             zone: format_compact!("zone-{}", i % ZONES),
             outstanding: (i % 5) as u32,
             leaving: false,
         };
-        controller.step(Time::ZERO, listed);
+        controller.step(Time::ZERO, event);
     }
     controller.step(Time::ZERO, rollout::Event::Published(Version(1)));
     let lease = rollout::Lease {
         fence: 1,
-        expires_at: Time::ZERO + HOUR,
+        expires_at: Time::ZERO + LEASE_DURATION,
     };
     let reads = controller.step(Time::ZERO, rollout::Event::Lease(Some(lease)));
-    answer(&mut controller, Time::ZERO, &reads, Version(1), None);
+    answer_actions(&mut controller, Time::ZERO, &reads, Version(1), None);
     controller
 }
 
-/// Answers reads and orders; gives how many there were.
-fn answer(
+/// Answers reads and orders with the given state of the engines. Returns their number.
+fn answer_actions(
     controller: &mut Controller,
     now: Time,
     actions: &[rollout::Action],
@@ -54,7 +54,7 @@
         loading,
         failed: false,
     };
-    let mut answered = 0;
+    let mut count = 0;
     for action in actions {
         let event = match action {
             rollout::Action::Read { name } => rollout::Event::Observed {
@@ -68,14 +68,14 @@
             },
             _ => continue,
         };
-        answered += 1;
+        count += 1;
         controller.step(now, event);
     }
-    answered
+    count
 }
 
-/// Two waves from version 1 to 2; gives the messages.
-fn roll(controller: &mut Controller) -> usize {
+/// Runs a rollout from version 1 to 2, in two waves. Returns the number of orders and reads.
+fn run_rollout(controller: &mut Controller) -> usize {
     let mut now = Time::from_millis(1);
     let mut messages = 0;
     let mut actions = controller.step(now, rollout::Event::Published(Version(2)));
@@ -83,8 +83,8 @@
         let (reads, orders): (Vec<_>, Vec<_>) = actions
             .into_iter()
             .partition(|action| matches!(action, rollout::Action::Read { .. }));
-        messages += answer(controller, now, &orders, Version(1), Some(Version(2)));
-        messages += answer(controller, now, &reads, Version(2), None);
+        messages += answer_actions(controller, now, &orders, Version(1), Some(Version(2)));
+        messages += answer_actions(controller, now, &reads, Version(2), None);
         if controller.plan().is_none_or(|plan| plan.pending == 0) {
             break;
         }
@@ -94,25 +94,25 @@
     messages
 }
 
-/// Measures all of it.
-pub fn measure() -> Vec<Slope> {
-    let (mut ticks, mut rolls, mut messages) = (Vec::new(), Vec::new(), Vec::new());
+/// Measures ticks and rollouts as a function of the number of engines.
+pub fn measure() -> Vec<Measurement> {
+    let (mut ticks, mut rollouts, mut messages) = (Vec::new(), Vec::new(), Vec::new());
     for count in [8, 80, 290, 2_900] {
-        let rest = at_rest(count);
+        let idle = idle_controller(count);
         let x = count as f64;
-        let mut resting = rest.clone();
-        let tick = || resting.step(Time::from_millis(1), rollout::Event::Tick);
-        ticks.push((x, micros(tick)));
-        let copy = micros(|| rest.clone());
-        let mut sent = 0;
-        let whole = micros(|| sent = roll(&mut rest.clone()));
-        rolls.push((x, (whole - copy) / 1e3));
-        messages.push((x, sent as f64));
+        let mut controller = idle.clone();
+        let tick = || controller.step(Time::from_millis(1), rollout::Event::Tick);
+        ticks.push((x, cpu_micros_per_call(tick)));
+        let clone_micros = cpu_micros_per_call(|| idle.clone());
+        let mut message_count = 0;
+        let total_micros = cpu_micros_per_call(|| message_count = run_rollout(&mut idle.clone()));
+        rollouts.push((x, (total_micros - clone_micros) / 1e3));
+        messages.push((x, message_count as f64));
     }
     vec![
-        Slope::of("rollout_tick", "µs a tick at rest", "engine", ticks),
-        Slope::of("rollout", "ms a rollout in two waves", "engine", rolls),
-        Slope::of(
+        Measurement::new("rollout_tick", "µs a tick at rest", "engine", ticks),
+        Measurement::new("rollout", "ms a rollout in two waves", "engine", rollouts),
+        Measurement::new(
             "rollout_messages",
             "orders and reads a rollout",
             "engine",
--- a/crates/pinereel_fakes/src/capacity/routing.rs
+++ b/crates/pinereel_fakes/src/capacity/routing.rs
@@ -1,8 +1,8 @@
-//! Decisions of the live path: routing, the set of endpoints, the subset, admission.
+//! Decisions about live requests: routing, the endpoint set, the subset, and admission.
 
 use super::{
-    fit::Slope,
-    meter::{bytes, micros},
+    fit::Measurement,
+    meter::{cpu_micros_per_call, measure_bytes},
 };
 use compact_str::format_compact;
 use pinereel_core::{
@@ -13,32 +13,32 @@
 };
 use std::{io, time::Duration};
 
-/// Availability zones of the target.
+/// Number of availability zones.
 const ZONES: usize = 9;
-/// Endpoints in the sets that memory is measured with.
-const IDLE: [usize; 3] = [5_000, 20_000, 50_000];
-/// The same, with a full history of starts and ends each.
-const BUSY: [usize; 3] = [500, 2_900, 5_000];
-/// Starts and ends that fill an endpoint's history.
-const HISTORY: usize = 256;
+/// Numbers of endpoints in the sets that memory is measured with.
+const IDLE_ENDPOINTS: [usize; 3] = [5_000, 20_000, 50_000];
+/// Numbers of endpoints in the sets whose endpoints have a full history of attempts.
+const BUSY_ENDPOINTS: [usize; 3] = [500, 2_900, 5_000];
+/// Number of attempts that fill an endpoint's history.
+const HISTORY_LENGTH: usize = 256;
 
-/// Measures all of it.
+/// Measures routing, load reports, the subset, memory and admission.
 ///
 /// # Errors
-/// The kernel doesn't tell processor time or memory.
-pub fn measure() -> io::Result<Vec<Slope>> {
+/// Memory could not be measured, see [`measure_bytes`].
+pub fn measure() -> io::Result<Vec<Measurement>> {
     Ok(vec![
-        routing(),
-        reports(),
-        covers(),
-        memory("endpoint_idle", IDLE)?,
-        memory("endpoint_busy", BUSY)?,
-        queue(),
+        measure_choice(),
+        measure_load_reports(),
+        measure_subset(),
+        measure_memory("endpoint_idle", IDLE_ENDPOINTS)?,
+        measure_memory("endpoint_busy", BUSY_ENDPOINTS)?,
+        measure_queue(),
     ])
 }
 
-/// A set of endpoints, each with a load report.
-pub(super) fn set_of(count: usize) -> (Set, Vec<Key>) {
+/// A set of `count` endpoints, each with a load report. Returns it with the keys of the endpoints.
+pub(super) fn endpoint_set(count: usize) -> (Set, Vec<Key>) {
     let mut set = Set::default();
     let keys = (0..count).map(|i| {
         let name = format_compact!("worker-{i}");
@@ -52,18 +52,18 @@
             leaving: false,
         };
         set.step(Time::ZERO, Event::Listed(instance));
-        let (key, _) = set.find(&name).expect("listed just now");
-        set.step(Time::ZERO, reported(key, i));
+        let (key, _) = set.find(&name).expect("the endpoint was just listed");
+        set.step(Time::ZERO, report_event(key, i));
         key
     });
     let keys = keys.collect();
     (set, keys)
 }
 
-fn reported(key: Key, i: usize) -> Event {
+fn report_event(key: Key, index: usize) -> Event {
     let report = LoadReport {
-        at: Time::from_millis(i as u64),
-        running: (i % 5) as u32,
+        at: Time::from_millis(index as u64),
+        running: (index % 5) as u32,
         waiting: 0,
         version: Some(Version(3)),
         loading: None,
@@ -76,12 +76,12 @@
     }
 }
 
-fn routing() -> Slope {
+fn measure_choice() -> Measurement {
     let mut points = Vec::new();
     for count in [8, 64, 256, 800, 2_900] {
-        let (set, _) = set_of(count);
+        let (set, _) = endpoint_set(count);
         let mut seed = 0;
-        let took = micros(|| {
+        let micros = cpu_micros_per_call(|| {
             seed += 1;
             let request = Request {
                 pool: "llm",
@@ -95,27 +95,31 @@
             };
             choose(&set, &request, Time::from_millis(100), &Policy::FULL)
         });
-        points.push((count as f64, took));
+        points.push((count as f64, micros));
     }
-    Slope::of("choose", "µs a choice", "endpoint", points)
+    Measurement::new("choose", "µs a choice", "endpoint", points)
 }
 
-fn reports() -> Slope {
+fn measure_load_reports() -> Measurement {
     let mut points = Vec::new();
     for count in [8, 64, 800, 2_900] {
-        let (mut set, keys) = set_of(count);
+        let (mut set, keys) = endpoint_set(count);
         let mut at = count;
-        let took = micros(|| {
+        let micros = cpu_micros_per_call(|| {
             at += 1;
-            set.step(Time::from_millis(at as u64), reported(keys[at % count], at))
+            set.step(
+                Time::from_millis(at as u64),
+                report_event(keys[at % count], at),
+            )
         });
-        points.push((count as f64, took));
+        points.push((count as f64, micros));
     }
-    Slope::of("report", "µs a load report", "endpoint", points)
+    Measurement::new("report", "µs a load report", "endpoint", points)
 }
 
-/// One look whether an endpoint belongs to an entry's subset.
-fn covers() -> Slope {
+/// CPU time of checking whether an endpoint belongs to an entry's subset, as a function of the
+/// number of entries.
+fn measure_subset() -> Measurement {
     let mut points = Vec::new();
     for count in [9, 90, 180, 350] {
         let names: Vec<_> = (0..count).map(|i| format_compact!("entry-{i}")).collect();
@@ -130,7 +134,7 @@
             .collect();
         let cover = subset::cover(count, 2_900, 64);
         let mut i = 0;
-        let took = micros(|| {
+        let micros = cpu_micros_per_call(|| {
             i += 1;
             let name = format_compact!("worker-{}", i % 2_900);
             subset::contains(
@@ -141,16 +145,16 @@
                 cover,
             )
         });
-        points.push((count as f64, took));
+        points.push((count as f64, micros));
     }
-    Slope::of("subset", "µs an endpoint", "entry", points)
+    Measurement::new("subset", "µs an endpoint", "entry", points)
 }
 
-/// Endpoints whose histories of starts and ends are full.
-pub(super) fn busy_set(count: usize) -> Set {
-    let (mut set, keys) = set_of(count);
+/// A set of `count` endpoints whose histories of attempts are full.
+pub(super) fn busy_endpoint_set(count: usize) -> Set {
+    let (mut set, keys) = endpoint_set(count);
     for key in keys {
-        for i in 0..HISTORY {
+        for i in 0..HISTORY_LENGTH {
             let now = Time::from_millis(1_000_000 + i as u64);
             set.step(now, Event::Started { key, tokens: 1 });
             let end = Event::Finished {
@@ -165,16 +169,16 @@
     set
 }
 
-fn memory(name: &'static str, sizes: [usize; 3]) -> io::Result<Slope> {
+fn measure_memory(name: &'static str, sizes: [usize; 3]) -> io::Result<Measurement> {
     let mut points = Vec::new();
     for count in sizes {
-        points.push((count as f64, bytes(name, count)? / 1e3));
+        points.push((count as f64, measure_bytes(name, count)? / 1e3));
     }
-    Ok(Slope::of(name, "KB", "endpoint", points))
+    Ok(Measurement::new(name, "KB", "endpoint", points))
 }
 
-/// One request from its arrival to its end, behind others that wait.
-fn queue() -> Slope {
+/// CPU time of a request, from its arrival to its end, as a function of the waiting requests.
+fn measure_queue() -> Measurement {
     let mut points = Vec::new();
     for waiting in [0, 64, 256, 1_000] {
         let limits = admit::Limits {
@@ -183,14 +187,14 @@
         };
         let mut queue = Queue::new(limits, 1);
         queue.step(Time::ZERO, admit::Event::Capacity { slots: 8 });
-        let far = Time::from_millis(u64::MAX / 10_000);
+        let deadline = Time::from_millis(u64::MAX / 10_000);
         let mut next = 0;
         let mut arrive = |queue: &mut Queue, now| {
             next += 1;
             let event = admit::Event::Arrived {
                 key: RequestKey(next),
                 priority: Priority::Live,
-                deadline: far,
+                deadline,
             };
             queue.step(now, event);
             next
@@ -198,16 +202,17 @@
         for _ in 0..waiting + 8 {
             arrive(&mut queue, Time::ZERO);
         }
-        // Tickets start in the order of arrival, so the oldest always runs.
+        // Requests of one priority are admitted in the order of their arrival, so the oldest one is
+        // always running.
         let mut oldest = 0;
-        let took = micros(|| {
+        let micros = cpu_micros_per_call(|| {
             oldest += 1;
             let now = Time::from_millis(oldest);
             arrive(&mut queue, now);
             let key = RequestKey(oldest);
             queue.step(now, admit::Event::Finished { key })
         });
-        points.push((waiting as f64, took));
+        points.push((waiting as f64, micros));
     }
-    Slope::of("queue", "µs a request", "request that waits", points)
+    Measurement::new("queue", "µs a request", "request that waits", points)
 }
