--- a/crates/pinereel_fakes/src/load/flags.rs
+++ b/crates/pinereel_fakes/src/load/cli.rs
@@ -1,9 +1,9 @@
-//! The load tool's command line.
+//! Command line of the load tool.
 
 use super::{
     compare,
-    open_loop::{Outcome, Source},
-    target::{Kind, Loopback, Target},
+    open_loop::{Generator, Outcome},
+    target::{Kind, LoopbackAddr, Target},
 };
 use lexopt::{Arg, Parser, ValueExt as _};
 use serde_json::{Value, json};
@@ -25,12 +25,15 @@
   Latency counts from the intended time of each request. Exit code: 0 if every request had its whole
   answer, 1 if not, 2 if a flag is wrong.";
 
+/// Maximum value of `--rate`, in requests per second.
 const MAX_RATE: u32 = 50_000;
+/// Maximum value of `--seconds`.
 const MAX_SECONDS: u64 = 300;
+/// Maximum value of `--connections`.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// What the command line asks for.
-struct Flags {
+/// Options given on the command line.
+struct Options {
     embedded: bool,
     decisions: bool,
     target: Option<SocketAddr>,
@@ -45,17 +48,17 @@
 
 /// Runs the tool as a process.
 pub fn main(parser: Parser) -> ExitCode {
-    let flags = match parse(parser) {
-        Ok(flags) => flags,
+    let options = match parse(parser) {
+        Ok(options) => options,
         Err(error) => {
             eprintln!("load: {error}; see --help");
             return ExitCode::from(2);
         }
     };
     let run = async {
-        match flags.target {
-            Some(target) => Ok(outside(&flags, target).await),
-            None => embedded(&flags).await,
+        match options.target {
+            Some(target) => Ok(load_running(&options, target).await),
+            None => run_embedded(&options).await,
         }
     };
     match actix_rt::System::new().block_on(run) {
@@ -68,54 +71,55 @@
     }
 }
 
-async fn embedded(flags: &Flags) -> std::io::Result<bool> {
-    let comparison = compare::run(flags.decisions).await?;
-    if flags.json {
+async fn run_embedded(options: &Options) -> std::io::Result<bool> {
+    let comparison = compare::run(options.decisions).await?;
+    if options.json {
         println!("{}", json!(comparison));
     } else {
-        print!("{}", comparison.text());
+        print!("{}", comparison.table());
     }
-    Ok(comparison.whole())
+    Ok(comparison.succeeded())
 }
 
-/// Loads what runs already. Returns whether every request had its whole answer.
-async fn outside(flags: &Flags, target: SocketAddr) -> bool {
-    let sides = [("entry", Some(target)), ("direct", flags.direct)];
+/// Loads a running entry, and if given the endpoint behind it. Returns whether every request had a
+/// complete response.
+async fn load_running(options: &Options, target: SocketAddr) -> bool {
+    let sides = [("entry", Some(target)), ("direct", options.direct)];
     let mut sides: Vec<_> = sides
         .into_iter()
         .filter_map(|(name, address)| {
-            Some((name, source(flags, name, address?), Outcome::default()))
+            Some((name, generator(options, name, address?), Outcome::default()))
         })
         .collect();
-    // Second by second in turn, so that both sides see the same machine.
-    for _ in 0..flags.seconds {
-        for (_, source, outcome) in &mut sides {
-            outcome.add(&source.run(flags.rate, Duration::from_secs(1)).await);
+    // The sides take turns every second, so that both are measured under the same conditions.
+    for _ in 0..options.seconds {
+        for (_, generator, outcome) in &mut sides {
+            outcome.add(&generator.run(options.rate, Duration::from_secs(1)).await);
         }
     }
     for (name, _, outcome) in &sides {
-        print(flags.json, name, outcome);
+        print_outcome(options.json, name, outcome);
     }
     sides.iter().all(|(_, _, outcome)| outcome.failed == 0)
 }
 
-fn source(flags: &Flags, name: &str, address: SocketAddr) -> Source {
+fn generator(options: &Options, name: &str, address: SocketAddr) -> Generator {
     let target = Target {
         address,
-        kind: flags.kind,
-        pool: (name == "entry").then(|| flags.pool.clone()),
+        kind: options.kind,
+        pool: (name == "entry").then(|| options.pool.clone()),
     };
-    Source::new(target, flags.connections)
+    Generator::new(target, options.connections)
 }
 
-fn print(as_json: bool, name: &str, outcome: &Outcome) {
+fn print_outcome(as_json: bool, name: &str, outcome: &Outcome) {
     let figures: Value = json!({
         "side": name,
         "answers": outcome.latency.len(),
         "failed": outcome.failed,
         "rate": outcome.rate(),
-        "p50_us": outcome.micros(0.5),
-        "p99_us": outcome.micros(0.99),
+        "p50_us": outcome.latency_us(0.5),
+        "p99_us": outcome.latency_us(0.99),
         "max_us": outcome.latency.max(),
     });
     if as_json {
@@ -127,14 +131,14 @@
         outcome.latency.len(),
         outcome.rate(),
         outcome.failed,
-        outcome.micros(0.5),
-        outcome.micros(0.99),
+        outcome.latency_us(0.5),
+        outcome.latency_us(0.99),
         outcome.latency.max()
     );
 }
 
-fn parse(mut parser: Parser) -> Result<Flags, lexopt::Error> {
-    let mut flags = Flags {
+fn parse(mut parser: Parser) -> Result<Options, lexopt::Error> {
+    let mut options = Options {
         embedded: false,
         decisions: true,
         target: None,
@@ -151,27 +155,27 @@
             return Err(arg.unexpected());
         };
         match name {
-            "embedded" => flags.embedded = true,
-            "no-decisions" => flags.decisions = false,
-            "json" => flags.json = true,
-            "target" => flags.target = Some(parser.value()?.parse::<Loopback>()?.0),
-            "direct" => flags.direct = Some(parser.value()?.parse::<Loopback>()?.0),
-            "kind" => flags.kind = parser.value()?.parse()?,
-            "pool" => flags.pool = parser.value()?.string()?,
-            "rate" => flags.rate = parser.value()?.parse()?,
-            "seconds" => flags.seconds = parser.value()?.parse()?,
-            "connections" => flags.connections = parser.value()?.parse()?,
+            "embedded" => options.embedded = true,
+            "no-decisions" => options.decisions = false,
+            "json" => options.json = true,
+            "target" => options.target = Some(parser.value()?.parse::<LoopbackAddr>()?.0),
+            "direct" => options.direct = Some(parser.value()?.parse::<LoopbackAddr>()?.0),
+            "kind" => options.kind = parser.value()?.parse()?,
+            "pool" => options.pool = parser.value()?.string()?,
+            "rate" => options.rate = parser.value()?.parse()?,
+            "seconds" => options.seconds = parser.value()?.parse()?,
+            "connections" => options.connections = parser.value()?.parse()?,
             _ => return Err(arg.unexpected()),
         }
     }
-    let bounded = (1..=MAX_RATE).contains(&flags.rate)
-        && (1..=MAX_SECONDS).contains(&flags.seconds)
-        && (1..=MAX_CONNECTIONS).contains(&flags.connections);
-    if !bounded {
-        return Err("rate, seconds or connections out of bounds".into());
+    let within_limits = (1..=MAX_RATE).contains(&options.rate)
+        && (1..=MAX_SECONDS).contains(&options.seconds)
+        && (1..=MAX_CONNECTIONS).contains(&options.connections);
+    if !within_limits {
+        return Err("--rate, --seconds or --connections is out of range".into());
     }
-    if flags.embedded == flags.target.is_some() {
-        return Err("either --embedded or --target".into());
+    if options.embedded == options.target.is_some() {
+        return Err("exactly one of --embedded and --target must be given".into());
     }
-    Ok(flags)
+    Ok(options)
 }
--- a/crates/pinereel_fakes/src/load/mod.rs
+++ b/crates/pinereel_fakes/src/load/mod.rs
@@ -1,14 +1,15 @@
-//! Open-loop load on loopback, and the latency that an entry adds.
+//! Open-loop load generation on loopback, and measurement of the latency that an entry adds.
 //!
-//! - [`target::Target`]: what is asked, and where.
-//! - [`open_loop`]: requests at their intended times, whatever the answers do.
-//! - [`stage`]: stand-ins and an entry, each in a thread of its own.
-//! - [`compare`]: an entry next to a direct call, in one run.
+//! - [`target::Target`]: the kind of the requests and their destination.
+//! - [`open_loop`]: requests at a fixed rate, independent of the responses.
+//! - [`testbed`]: fakes on one thread, and an entry on another.
+//! - [`compare`]: requests through an entry compared with direct requests.
+//! - [`cli`]: the command line.
 
+pub mod cli;
 pub mod compare;
-pub mod flags;
 pub mod open_loop;
-pub mod stage;
 pub mod target;
+pub mod testbed;
 
-pub use flags::{HELP, main};
+pub use cli::{HELP, main};
--- a/crates/pinereel_fakes/src/load/open_loop.rs
+++ b/crates/pinereel_fakes/src/load/open_loop.rs
@@ -1,7 +1,7 @@
-//! Requests at their intended times, whatever the answers do.
+//! Open-loop load generator: sends requests at a fixed rate, independent of the responses.
 //!
-//! Latency counts from the intended time, so a server that falls behind is charged for the requests
-//! that had to wait for a free connection.
+//! Latency is measured from the intended time of a request. If the server falls behind, it thus
+//! includes the time for which requests wait for a free connection.
 
 use super::target::Target;
 use hdrhistogram::Histogram;
@@ -13,73 +13,74 @@
     time::{Instant, sleep_until},
 };
 
-/// Longest wait for one answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// The runtime's timer is no finer than a millisecond; the rest is waited out by yielding.
-const SPIN: Duration = Duration::from_millis(2);
-/// How long a connection is used again.
-const REUSE: Duration = Duration::from_secs(60);
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
-/// Longest latency that is told apart, in microseconds.
-const MAX_MICROS: u64 = 60_000_000;
-
-/// What came of it.
+/// Timeout for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time before a request at which the generator stops sleeping and yields instead, as the resolution
+/// of the runtime's timer is a millisecond.
+const YIELD_DURATION: Duration = Duration::from_millis(2);
+/// Maximum idle time and lifetime of a connection that is reused.
+const REUSE_DURATION: Duration = Duration::from_secs(60);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// Maximum latency of the histogram, in microseconds; higher ones are recorded as this one.
+const MAX_LATENCY_US: u64 = 60_000_000;
+
+/// Latency and failures of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Microseconds from the intended time to the end of the answer.
+    /// Time from the intended time of a request to the end of its response, in microseconds.
     pub latency: Histogram<u64>,
-    /// Requests without a whole answer of status 200.
+    /// Number of requests without a complete response of status 200.
     pub failed: u64,
-    /// Time from the first intended time to the last answer.
-    pub took: Duration,
+    /// Time from the first intended time to the end of the last response.
+    pub duration: Duration,
 }
 
 impl Default for Outcome {
     fn default() -> Self {
-        let latency = Histogram::new_with_max(MAX_MICROS, 3).expect("bounds are valid");
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("bounds are valid");
         Self {
             latency,
             failed: 0,
-            took: Duration::ZERO,
+            duration: Duration::ZERO,
         }
     }
 }
 
 impl Outcome {
     /// Latency at `quantile`, in microseconds.
-    pub fn micros(&self, quantile: f64) -> u64 {
+    pub fn latency_us(&self, quantile: f64) -> u64 {
         self.latency.value_at_quantile(quantile)
     }
 
-    /// Answers a second.
+    /// Successful responses per second.
     pub fn rate(&self) -> f64 {
-        self.latency.len() as f64 / self.took.as_secs_f64().max(f64::EPSILON)
+        self.latency.len() as f64 / self.duration.as_secs_f64().max(f64::EPSILON)
     }
 
-    /// Adds another outcome of the same target.
+    /// Adds the outcome of another run with the same target.
     pub fn add(&mut self, other: &Self) {
-        // Both have the same bounds, so nothing is too large to add.
+        // Both histograms have the same bounds, so this cannot fail.
         let _ = self.latency.add(&other.latency);
         self.failed += other.failed;
-        self.took += other.took;
+        self.duration += other.duration;
     }
 }
 
-/// The connections of one target, kept between runs.
-pub struct Source {
+/// Load generator for one target. Its connections are kept between runs.
+pub struct Generator {
     target: Target,
     clients: Vec<awc::Client>,
 }
 
-impl Source {
-    /// Connections to `target`, opened when first used.
+impl Generator {
+    /// A generator with up to `connections` connections, which are opened on first use.
     pub fn new(target: Target, connections: usize) -> Self {
-        Self::build(target, connections, REUSE)
+        Self::build(target, connections, REUSE_DURATION)
     }
 
-    /// As [`Source::new`], but each request opens a connection of its own.
-    pub fn fresh(target: Target, connections: usize) -> Self {
+    /// Like [`Generator::new`], but each request opens a new connection.
+    pub fn without_reuse(target: Target, connections: usize) -> Self {
         Self::build(target, connections, Duration::ZERO)
     }
 
@@ -91,7 +92,7 @@
                 .conn_lifetime(reuse);
             awc::Client::builder()
                 .connector(connector)
-                .timeout(TIMEOUT)
+                .timeout(RESPONSE_TIMEOUT)
                 .disable_redirects()
                 .finish()
         };
@@ -101,54 +102,55 @@
         }
     }
 
-    /// Sends requests at `rate` a second for `time`, and waits for the answers.
-    pub async fn run(&self, rate: u32, time: Duration) -> Outcome {
-        let count = (f64::from(rate) * time.as_secs_f64()) as u64;
+    /// Sends `rate` requests per second for `duration`, and waits for the responses.
+    pub async fn run(&self, rate: u32, duration: Duration) -> Outcome {
+        let count = (f64::from(rate) * duration.as_secs_f64()) as u64;
         let (sender, receiver) = mpsc::unbounded_channel();
         let receiver = Rc::new(Mutex::new(receiver));
         let outcome = Rc::new(RefCell::new(Outcome::default()));
         let start = Instant::now();
-        let workers: Vec<_> = self
+        let tasks: Vec<_> = self
             .clients
             .iter()
             .map(|client| {
-                let worker = work(
+                let task = run_connection(
                     client.clone(),
                     self.target.clone(),
                     Rc::clone(&receiver),
                     Rc::clone(&outcome),
                 );
-                actix_rt::spawn(worker)
+                actix_rt::spawn(task)
             })
             .collect();
         for number in 0..count {
             let intended = start + Duration::from_secs_f64(number as f64 / f64::from(rate));
-            wait(intended).await;
-            // The workers outlive the sender.
+            wait_until(intended).await;
+            // The receiver still exists, as the tasks of the connections outlive the sender.
             let _ = sender.send((number, intended));
         }
         drop(sender);
-        for worker in workers {
-            let _ = worker.await;
+        for task in tasks {
+            let _ = task.await;
         }
         let mut outcome = outcome.take();
-        outcome.took = start.elapsed();
+        outcome.duration = start.elapsed();
         outcome
     }
 }
 
-/// Waits until `time`, finer than the runtime's timer.
-async fn wait(time: Instant) {
-    sleep_until(time - SPIN).await;
+/// Waits until `time`, with a finer resolution than that of the runtime's timer.
+async fn wait_until(time: Instant) {
+    sleep_until(time - YIELD_DURATION).await;
     while Instant::now() < time {
         yield_now().await;
     }
 }
 
+/// Number and intended time of each request to send, shared by the connections.
 type Requests = Rc<Mutex<mpsc::UnboundedReceiver<(u64, Instant)>>>;
 
-/// One connection: one request after the other.
-async fn work(
+/// Sends requests over one connection, one after the other, until the channel is closed.
+async fn run_connection(
     client: awc::Client,
     target: Target,
     requests: Requests,
@@ -160,9 +162,9 @@
         let Some((number, intended)) = next else {
             return;
         };
-        let whole = ask(&client, &url, target.body(number)).await;
+        let succeeded = send_request(&client, &url, target.body(number)).await;
         let mut outcome = outcome.borrow_mut();
-        if whole {
+        if succeeded {
             let micros = intended.elapsed().as_micros() as u64;
             outcome.latency.saturating_record(micros);
         } else {
@@ -171,13 +173,15 @@
     }
 }
 
-/// Whether a whole answer of status 200 came.
-async fn ask(client: &awc::Client, url: &str, body: Option<String>) -> bool {
-    let sent = match body {
+/// Sends a request. Returns whether there was a complete response of status 200.
+async fn send_request(client: &awc::Client, url: &str, body: Option<String>) -> bool {
+    let result = match body {
         Some(body) => client.post(url).send_body(body).await,
         None => client.get(url).send().await,
     };
-    let Ok(mut answer) = sent else { return false };
-    let read = answer.body().limit(MAX_ANSWER).await;
-    answer.status() == 200 && read.is_ok()
+    let Ok(mut response) = result else {
+        return false;
+    };
+    let read = response.body().limit(MAX_RESPONSE_BYTES).await;
+    response.status() == 200 && read.is_ok()
 }
--- a/crates/pinereel_fakes/src/load/target.rs
+++ b/crates/pinereel_fakes/src/load/target.rs
@@ -1,24 +1,24 @@
-//! What the load asks, and where.
+//! Kind and destination of the requests.
 
 use serde_json::json;
 use std::{net::SocketAddr, str::FromStr};
 
-/// Most tokens of a completion: one, so that what is measured is not the engine.
-const TOKENS: u32 = 1;
-/// The lookup that is asked of a plain service.
-const LOOKUP: &str = "/orders/1";
+/// Number of tokens of a completion: one, so that the engine's time does not affect the measurement.
+const COMPLETION_TOKENS: u32 = 1;
+/// Path of the order that is read at a plain service.
+const ORDER_PATH: &str = "/orders/1";
 
-/// The kind of requests.
+/// Kind of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Completions of one token.
     Completion,
-    /// Lookups at a plain service.
+    /// Reads at a plain service.
     Service,
 }
 
 impl Kind {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Completion => "completion",
@@ -39,35 +39,35 @@
     }
 }
 
-/// An address on loopback and what to ask there.
+/// Destination and kind of requests.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Where.
+    /// Address of an entry or of an endpoint.
     pub address: SocketAddr,
-    /// What.
+    /// Kind of the requests.
     pub kind: Kind,
-    /// The pool, if the address is an entry's; none for an endpoint's.
+    /// Name of the pool that an entry is asked for; `None` for direct requests to an endpoint.
     pub pool: Option<String>,
 }
 
 impl Target {
-    /// The URL of its requests.
+    /// URL of the requests.
     pub fn url(&self) -> String {
         let address = self.address;
         match (self.kind, &self.pool) {
             (Kind::Completion, _) => format!("http://{address}/v1/completions"),
-            (Kind::Service, Some(pool)) => format!("http://{address}/services/{pool}{LOOKUP}"),
-            (Kind::Service, None) => format!("http://{address}{LOOKUP}"),
+            (Kind::Service, Some(pool)) => format!("http://{address}/services/{pool}{ORDER_PATH}"),
+            (Kind::Service, None) => format!("http://{address}{ORDER_PATH}"),
         }
     }
 
-    /// The body of request `number`; none where it is a lookup.
+    /// Body of request `number`; `None` for reads at a plain service.
     pub fn body(&self, number: u64) -> Option<String> {
         let pool = self.pool.as_deref().unwrap_or_default();
         let body = json!({
             "model": pool,
             "prompt": format!("slot {number}"),
-            "max_tokens": TOKENS,
+            "max_tokens": COMPLETION_TOKENS,
             "seed": number,
             "stream": true,
         });
@@ -75,17 +75,17 @@
     }
 }
 
-/// An address on loopback; the load goes nowhere else.
+/// Loopback address, parsed from `IP:PORT`. The tool sends load to no other addresses.
 #[derive(Clone, Copy, Debug)]
-pub struct Loopback(pub SocketAddr);
+pub struct LoopbackAddr(pub SocketAddr);
 
-impl FromStr for Loopback {
+impl FromStr for LoopbackAddr {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         let address: SocketAddr = text.parse().map_err(|_| format!("{text} is not IP:PORT"))?;
         if !address.ip().is_loopback() {
-            return Err(format!("{address} is not on loopback"));
+            return Err(format!("{address} is not a loopback address"));
         }
         Ok(Self(address))
     }
--- a/crates/pinereel_fakes/src/load/stage.rs
+++ b/crates/pinereel_fakes/src/load/testbed.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and one entry on loopback, each in a thread with a runtime of its own.
+//! Fakes and one entry on loopback, on two threads with a runtime each.
 
 use crate::{
     engine::batch,
@@ -21,16 +21,16 @@
 pub const ENGINES: &str = "bench-llm";
 /// Name of the pool of plain services.
 pub const SERVICES: &str = "bench-app";
-/// Longest wait for a thread's answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for a reply of a thread.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A thread with a runtime; it ends when this is dropped.
-struct Worker {
+/// A thread with a runtime. Dropping it stops the thread and waits for its end.
+struct ServerThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Drop for Worker {
+impl Drop for ServerThread {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
@@ -39,125 +39,129 @@
     }
 }
 
-/// The running threads.
-pub struct Stage {
-    /// The engine.
+/// Running fakes and an entry, which are stopped when this is dropped.
+pub struct Testbed {
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The plain service.
+    /// Address of the plain service.
     pub service: SocketAddr,
-    /// The entry's callers' listener.
+    /// Address of the entry's listener for callers.
     pub entry: SocketAddr,
-    /// Asks the entry's thread for its processor time.
-    clock: local::UnboundedSender<mpsc::Sender<Duration>>,
-    // In this order: the entry ends before what it talks to.
-    _entry: Worker,
-    _endpoints: Worker,
+    /// Channel that asks the entry's thread for its CPU time.
+    cpu_time_requests: local::UnboundedSender<mpsc::Sender<Duration>>,
+    // Fields are dropped in this order: the entry must stop before the servers that it calls.
+    _entry: ServerThread,
+    _fakes: ServerThread,
 }
 
-/// What the thread of the stand-ins tells when it is up.
-struct Endpoints {
+/// What the thread of the fakes reports when they are ready.
+struct SiteInfo {
     engine: SocketAddr,
     service: SocketAddr,
     settings: Settings,
 }
 
-impl Stage {
-    /// Starts the threads and waits until the entry is ready. The entry logs to a file, with a line
-    /// for each decision if `decisions`.
+impl Testbed {
+    /// Starts the threads and waits until the entry is ready. The entry logs to a file, with
+    /// `decisions` also a line for each decision.
     ///
     /// # Errors
-    /// A listener or the log could not be opened, or a thread was not up in time.
+    /// A listener or the log could not be opened, or a thread was not ready in time.
     pub fn start(decisions: bool) -> io::Result<Self> {
-        let (up, endpoints) = mpsc::channel();
-        let endpoints_worker = spawn(
+        let (ready, site_info) = mpsc::channel();
+        let fakes = start_thread(
             "endpoints",
-            up,
-            async move |up, stopped| match endpoints_site(decisions).await {
-                Ok((site, told)) => {
-                    let _ = up.send(Ok(told));
+            ready,
+            async move |ready, stopped| match start_site(decisions).await {
+                Ok((site, info)) => {
+                    let _ = ready.send(Ok(info));
                     let _ = stopped.await;
                     drop(site);
                 }
-                Err(error) => drop(up.send(Err(error))),
+                Err(error) => drop(ready.send(Err(error))),
             },
         )?;
-        let told: Endpoints = receive(&endpoints)??;
-        let settings = told.settings;
+        let info: SiteInfo = receive(&site_info)??;
+        let settings = info.settings;
         logging::init(&settings.log).map_err(io::Error::other)?;
-        let (clock, mut asked) = local::unbounded_channel::<mpsc::Sender<Duration>>();
-        let (up, entry) = mpsc::channel();
-        let entry_worker = spawn("entry", up, async move |up, mut stopped| {
-            match ready_entry(settings).await {
-                Ok(entry) => drop(up.send(Ok(entry.callers.address))),
-                Err(error) => return drop(up.send(Err(error))),
+        let (cpu_time_requests, mut requests) =
+            local::unbounded_channel::<mpsc::Sender<Duration>>();
+        let (ready, address) = mpsc::channel();
+        let entry = start_thread("entry", ready, async move |ready, mut stopped| {
+            match start_entry(settings).await {
+                Ok(entry) => drop(ready.send(Ok(entry.callers.address))),
+                Err(error) => return drop(ready.send(Err(error))),
             }
             loop {
                 tokio::select! {
                     _ = &mut stopped => return,
-                    Some(reply) = asked.recv() => drop(reply.send(thread_time())),
+                    Some(reply) = requests.recv() => drop(reply.send(thread_cpu_time())),
                 }
             }
         })?;
         Ok(Self {
-            engine: told.engine,
-            service: told.service,
-            entry: receive(&entry)??,
-            clock,
-            _entry: entry_worker,
-            _endpoints: endpoints_worker,
+            engine: info.engine,
+            service: info.service,
+            entry: receive(&address)??,
+            cpu_time_requests,
+            _entry: entry,
+            _fakes: fakes,
         })
     }
 
-    /// Processor time that the entry's thread has used.
+    /// CPU time that the entry's thread has used since its start.
     ///
     /// # Errors
-    /// The thread is gone.
-    pub fn processor_time(&self) -> io::Result<Duration> {
+    /// The thread has ended, or did not reply in time.
+    pub fn entry_cpu_time(&self) -> io::Result<Duration> {
         let (reply, time) = mpsc::channel();
-        self.clock.send(reply).map_err(io::Error::other)?;
+        self.cpu_time_requests
+            .send(reply)
+            .map_err(io::Error::other)?;
         receive(&time)
     }
 }
 
-/// Runs `task` on a runtime in a new thread. `task` ends when the second argument resolves.
-fn spawn<T: Send + 'static>(
+/// Runs `task` on a runtime on a new thread. The task sends its first argument when it is ready, and
+/// must end when its second argument resolves.
+fn start_thread<T: Send + 'static>(
     name: &str,
-    up: mpsc::Sender<T>,
+    ready: mpsc::Sender<T>,
     task: impl AsyncFnOnce(mpsc::Sender<T>, oneshot::Receiver<()>) + Send + 'static,
-) -> io::Result<Worker> {
+) -> io::Result<ServerThread> {
     let (stop, stopped) = oneshot::channel();
     let thread = thread::Builder::new().name(name.into()).spawn(move || {
-        actix_rt::System::new().block_on(async move { task(up, stopped).await });
+        actix_rt::System::new().block_on(async move { task(ready, stopped).await });
     })?;
-    Ok(Worker {
+    Ok(ServerThread {
         stop: Some(stop),
         thread: Some(thread),
     })
 }
 
 fn receive<T>(from: &mpsc::Receiver<T>) -> io::Result<T> {
-    from.recv_timeout(PATIENCE).map_err(io::Error::other)
+    from.recv_timeout(REPLY_TIMEOUT).map_err(io::Error::other)
 }
 
-/// Processor time of the current thread.
-fn thread_time() -> Duration {
+/// CPU time of the current thread since its start.
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// Platform and endpoints, and the settings of an entry before them.
-async fn endpoints_site(decisions: bool) -> io::Result<(Site, Endpoints)> {
-    let options = options(decisions);
+/// Starts the platform and the endpoints. Returns them with the settings of an entry for them.
+async fn start_site(decisions: bool) -> io::Result<(Site, SiteInfo)> {
+    let options = site_options(decisions);
     let site = Site::start(options.clone()).await?;
-    let told = Endpoints {
+    let info = SiteInfo {
         engine: site.engines[0].handle.address,
         service: site.services[0].handle.address,
         settings: site.settings(&options, 0)?,
     };
-    Ok((site, told))
+    Ok((site, info))
 }
 
-async fn ready_entry(settings: Settings) -> io::Result<Entry> {
+async fn start_entry(settings: Settings) -> io::Result<Entry> {
     let entry = Entry::start(settings).await.map_err(io::Error::other)?;
     let shared = &entry.shared;
     until(|| {
@@ -168,27 +172,27 @@
     Ok(entry)
 }
 
-fn options(decisions: bool) -> site::Options {
+fn site_options(decisions: bool) -> site::Options {
     site::Options {
         zones: vec!["bench-hall".into()],
         entries: 0,
         engines: vec![(ENGINES.into(), 1)],
         batch: batch::Options {
             slots: 256,
-            // A step of 10 microseconds: what is measured is not the engine.
+            // A step takes 10 microseconds, so that the engine's time does not affect the measurement.
             tokens_per_second: 100_000.0,
             batch_cost: 0.0,
             prefill_tokens_per_second: 1e9,
             ..batch::Options::default()
         },
         services: vec![(SERVICES.into(), 1)],
-        document: document(),
+        document: config_document(),
         lag: Duration::from_millis(50),
         settings: format!("[log]\nfile = entry.log\ndecisions = {decisions}\n"),
     }
 }
 
-fn document() -> Document {
+fn config_document() -> Document {
     let pool = |kind, model: Option<&str>| Pool {
         kind,
         model: model.map(Into::into),
--- a/crates/pinereel_fakes/tests/load_tool.rs
+++ b/crates/pinereel_fakes/tests/load_tool.rs
@@ -1,10 +1,10 @@
-//! The load tool: bounds, counts, and latency from the intended time.
+//! The load tool: limits of its flags, counts of requests, and latency from the intended time.
 
 #![allow(clippy::unwrap_used)]
 
 use pinereel_fakes::{
     load::{
-        open_loop::Source,
+        open_loop::Generator,
         target::{Kind, Target},
     },
     service::{Faults, Handle, Options, Service},
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-fn load(flags: &[&str]) -> Output {
+fn run_load(flags: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pinereel-fakes"))
         .arg("load")
         .args(flags)
@@ -22,7 +22,7 @@
         .unwrap()
 }
 
-async fn service() -> (Handle, Target) {
+async fn start_service() -> (Handle, Target) {
     let service = Service::start(Options::default()).await.unwrap();
     let target = Target {
         address: service.address,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn goes_nowhere_but_loopback_and_stays_in_bounds() {
+fn addresses_off_loopback_and_invalid_flags_are_rejected() {
     for flags in [
         ["--target", "192.0.2.1:80"].as_slice(),
         &["--target", "127.0.0.1:1", "--direct", "[2001:db8::1]:80"],
@@ -44,19 +44,19 @@
         &["--target", "127.0.0.1:1", "--embedded"],
         &[],
     ] {
-        let output = load(flags);
+        let output = run_load(flags);
         assert_eq!(output.status.code(), Some(2), "{flags:?}");
         assert!(output.stdout.is_empty(), "{flags:?}");
     }
 }
 
 #[test]
-fn requests_without_an_answer_fail_the_run() {
-    // Bound and dropped at once: nobody listens there.
+fn run_fails_if_requests_have_no_response() {
+    // No process listens at the address of a listener that was dropped.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
-    let output = load(&[
+    let output = run_load(&[
         "--target",
         &address,
         "--rate",
@@ -75,28 +75,28 @@
 
 #[actix_rt::test]
 async fn every_request_is_sent_once() {
-    let (service, target) = service().await;
-    let outcome = Source::new(target, 4)
+    let (service, target) = start_service().await;
+    let outcome = Generator::new(target, 4)
         .run(200, Duration::from_millis(500))
         .await;
     assert_eq!((outcome.latency.len(), outcome.failed), (100, 0));
     assert_eq!(service.executions().len(), 100);
 }
 
-/// One connection and answers of 50 ms carry 20 requests a second; of 100 a second the last one
-/// waits for those before it, and is charged for that.
+/// With responses after 50 ms, one connection carries 20 requests per second. At 100 requests per
+/// second, the last request waits for the previous ones, and its latency must include this time.
 #[actix_rt::test]
-async fn latency_counts_from_the_intended_time() {
-    let (service, target) = service().await;
+async fn latency_is_measured_from_the_intended_time() {
+    let (service, target) = start_service().await;
     service.set_faults(Faults {
         delay_ms: Some(50),
         ..Faults::default()
     });
-    let outcome = Source::new(target, 1)
+    let outcome = Generator::new(target, 1)
         .run(100, Duration::from_millis(200))
         .await;
     assert_eq!(outcome.latency.len(), 20);
     let last = Duration::from_micros(outcome.latency.max());
-    // 20 answers of 50 ms, less the 190 ms at which the last one was to leave.
+    // 20 responses take 50 ms each; the last request was to be sent after 190 ms.
     assert!(last >= Duration::from_millis(800), "{last:?}");
 }
