--- a/crates/pinereel_fakes/src/capacity/estimate/rows.rs
+++ b/crates/pinereel_fakes/src/capacity/estimate/rows.rs
@@ -34,7 +34,7 @@
 /// Rate of calls for one lease: two candidates read it, the holder renews it.
 const LEASE_CALL_RATE: f64 = 2.6;
 
-/// How an [`Estimate`](super::Estimate) is computed; the other fields are copied to it.
+/// An [`Estimate`](super::Estimate) and how its value is computed.
 pub(super) struct Row {
     pub(super) component: &'static str,
     pub(super) figure: &'static str,
--- a/crates/pinereel_fakes/src/capacity/meter.rs
+++ b/crates/pinereel_fakes/src/capacity/meter.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// CPU time of one call of `call`, in microseconds.
+/// CPU time of one call of `call`, in microseconds: the lowest average of the rounds.
 pub fn cpu_micros_per_call<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut min_micros = f64::MAX;
     for _ in 0..ROUNDS {
--- a/crates/pinereel_fakes/src/capacity/platform.rs
+++ b/crates/pinereel_fakes/src/capacity/platform.rs
@@ -54,7 +54,7 @@
     pub bytes: AtomicU64,
 }
 
-/// A running platform, which stops when it is dropped.
+/// A running platform, which is stopped when it is dropped.
 pub struct Platform {
     /// Address of the object API.
     pub api: SocketAddr,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Handles of the running servers, which stop when these are dropped.
+/// Handles of the running servers, which must live as long as the platform.
 type Handles = (
     object_api::Handle,
     Vec<engine::server::Handle>,
