--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -146,17 +146,18 @@
         last_read.is_some_and(|read| read.lease.holder == self.id)
     }
 
-    /// Whether a read has shown if there is a lease.
+    /// Whether a read has shown whether a lease exists.
     pub const fn has_read(&self) -> bool {
         self.absent_since.is_some() || self.last_read.is_some()
     }
 
-    /// Other calls of this instance have shown that the store is unreachable.
+    /// Records that other calls of this instance have shown the store to be unreachable.
     pub const fn note_store_unreachable(&mut self) {
         self.store_unreachable = true;
     }
 
-    /// Other calls of this instance have shown that the store became reachable again `ago`.
+    /// Records that the store became reachable again `ago` before `now`, as other calls of this
+    /// instance have shown.
     pub fn note_store_recovered(&mut self, now: Time, ago: Duration) {
         self.store_recovered_at = self.store_recovered_at.max(Some(now.earlier_by(ago)));
     }
@@ -196,7 +197,7 @@
         !self.draining && self.is_last_known_holder()
     }
 
-    /// The store is reachable again: makes the next call due now.
+    /// Records that the store is reachable again, and makes the next call due now.
     pub fn expedite(&mut self, now: Time) {
         self.store_recovered_at = Some(now);
         self.next_call_at = self.next_call_at.min(now);
--- a/crates/pinereel_core/src/lease/candidate/step.rs
+++ b/crates/pinereel_core/src/lease/candidate/step.rs
@@ -89,7 +89,8 @@
         }
     }
 
-    /// The write took effect. The time for which the holder may act counts from when it was sent.
+    /// Records that the write took effect. The time for which the holder may act counts from when the
+    /// write was sent.
     fn confirm_write(&mut self, now: Time, version: u64, sent: SentWrite) {
         if sent.lease.holder == self.id {
             let acting_time = self
