--- a/crates/pinereel_core/src/tree/children.rs
+++ b/crates/pinereel_core/src/tree/children.rs
@@ -11,7 +11,7 @@
     pub struct ChildKey;
 }
 
-/// Most addresses in a referral. More than one, since a child may just have ended.
+/// Most addresses in a referral. More than one, since the first child may just have ended.
 const MAX_REFERRALS: usize = 3;
 
 /// An instance as it introduces itself on a new link.
@@ -64,9 +64,9 @@
     fn refer(&mut self, peer: &Peer) -> Vec<CompactString> {
         let mut by_subtree_size: Vec<_> = self.children.iter().collect();
         by_subtree_size.sort_by_key(|(_, child)| {
-            let below = child.size.count();
-            let full = below as usize > MAX_CHILDREN;
-            (full, child.peer.zone != peer.zone, below)
+            let instances = child.size.count();
+            let full = instances as usize > MAX_CHILDREN;
+            (full, child.peer.zone != peer.zone, instances)
         });
         let chosen: Vec<ChildKey> = by_subtree_size
             .iter()
@@ -123,13 +123,15 @@
     /// The standbys of this instance if it is the root: preferred children first, each in another zone as
     /// far as possible.
     pub fn standbys(&self, own_zone: &str) -> Vec<CompactString> {
-        let mut left: Vec<_> = self.children.values().map(|child| &child.peer).collect();
-        left.sort_by_key(|peer| (!peer.preferred, &peer.address));
+        let mut remaining: Vec<_> = self.children.values().map(|child| &child.peer).collect();
+        remaining.sort_by_key(|peer| (!peer.preferred, &peer.address));
         let mut zones = vec![own_zone];
         let mut standbys = Vec::new();
-        while standbys.len() < MAX_STANDBYS && !left.is_empty() {
-            let elsewhere = left.iter().position(|peer| !zones.contains(&&*peer.zone));
-            let peer = left.remove(elsewhere.unwrap_or(0));
+        while standbys.len() < MAX_STANDBYS && !remaining.is_empty() {
+            let other_zone = remaining
+                .iter()
+                .position(|peer| !zones.contains(&&*peer.zone));
+            let peer = remaining.remove(other_zone.unwrap_or(0));
             zones.push(&peer.zone);
             standbys.push(peer.address.clone());
         }
--- a/crates/pinereel_core/src/tree/mod.rs
+++ b/crates/pinereel_core/src/tree/mod.rs
@@ -38,7 +38,7 @@
 /// the data.
 pub const MAX_CHILDREN: usize = 32;
 
-/// Most standbys of the root. If two of them fail together with it, one is left.
+/// Most standbys of the root. If two of them fail together with the root, one is left.
 pub const MAX_STANDBYS: usize = 3;
 
 /// Longest age of the data with which an instance accepts children or stays with its parent, at the
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -64,7 +64,7 @@
         self.parent_candidates = standbys;
     }
 
-    /// The link to the parent has ended.
+    /// Records that the link to the parent has ended.
     pub fn on_parent_lost(&mut self) {
         self.last_heartbeat = None;
     }
