--- a/crates/pinereel_core/src/admit/queue.rs
+++ b/crates/pinereel_core/src/admit/queue.rs
@@ -27,8 +27,8 @@
     /// comes.
     blocked_up_to: Option<Priority>,
     rate: Rate,
-    /// Time of the last Retry-After of each priority; the next one is at least one completion
-    /// later.
+    /// Time to which the last Retry-After of each priority pointed; the next one points to a time
+    /// at least one completion later.
     last_retry_at: BTreeMap<Priority, Time>,
     seed: u64,
 }
@@ -213,9 +213,9 @@
     /// service times. A request that starts on arrival is never refused here; otherwise an estimate
     /// that is too high would never be corrected.
     fn misses_deadline(&self, now: Time, request: &Request) -> bool {
-        let left = request.deadline.since(now);
+        let remaining = request.deadline.since(now);
         let service = Duration::from_secs_f64(self.rate.service_bound());
-        left < request.time_budget && left < service
+        remaining < request.time_budget && remaining < service
     }
 
     /// Starts as many requests as there are free slots, live before straggler before bulk. Requests
@@ -266,7 +266,7 @@
         for queue in self.waiting.values_mut() {
             queue.retain(|w| w.key != key);
         }
-        self.deadlines.retain(|(_, t)| *t != key);
+        self.deadlines.retain(|(_, other)| *other != key);
     }
 
     fn is_busy(&self) -> bool {
@@ -314,10 +314,10 @@
             .get(&priority)
             .copied()
             .unwrap_or_default();
-        let next_in_line = (previous + one_completion)
+        let next_slot = (previous + one_completion)
             .since(now)
             .min(drain + time_budget);
-        let due = drain.max(one_completion).max(next_in_line);
+        let due = drain.max(one_completion).max(next_slot);
         self.last_retry_at.insert(priority, now + due);
         let jittered = self.jitter(due, key);
         jittered.min(self.limits.max_retry_after)
--- a/crates/pinereel_core/src/admit/rate.rs
+++ b/crates/pinereel_core/src/admit/rate.rs
@@ -19,9 +19,12 @@
 /// used instead.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rate {
+    /// Number of completions in saturated time, decayed by age.
     completions: f64,
+    /// Saturated time, decayed by age like the completions.
     busy_seconds: f64,
     updated_at: Time,
+    /// Moving average of service times, in seconds; `None` before the first one.
     mean_service: Option<f64>,
     /// Mean absolute deviation of service times, in seconds.
     mean_deviation: f64,
--- a/crates/pinereel_core/src/route/mod.rs
+++ b/crates/pinereel_core/src/route/mod.rs
@@ -82,7 +82,7 @@
 }
 
 impl Policy {
-    /// First in, first out to the endpoint with the least outstanding requests.
+    /// All features off: each request goes to the endpoint with the fewest outstanding requests.
     pub const BASELINE: Self = Self {
         affinity: false,
         load_factor: 1.25,
@@ -184,8 +184,8 @@
     if candidates.live.is_empty() {
         return choose_ejected(&candidates);
     }
-    let (near, spilled) = select_zone(candidates, request, policy);
-    let mut selection = pick::pick(&near, request, policy);
+    let (eligible, spilled) = select_zone(candidates, request, policy);
+    let mut selection = pick::pick(&eligible, request, policy);
     let key = selection.order.remove(0);
     Ok(Choice {
         key,
