--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -108,14 +108,14 @@
 
     /// Whether the engine is healthy, serves `oldest_version` or newer and has a free slot.
     pub(super) fn accepts(&self, now: Time, oldest_version: u64) -> bool {
-        let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
+        let has_version = self.listing.version.is_some_and(|v| v >= oldest_version);
         let slots = if self.probe_needed {
             1
         } else {
             self.listing.slots
         };
         let free = self.active_runs < slots;
-        !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
+        !self.delisted && !self.listing.leaving && has_version && free && now >= self.backoff_until
     }
 
     /// Whether an item under which `crashes` engines have crashed may run beside the current runs.
--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -64,16 +64,16 @@
 impl Fleet {
     /// Applies a new endpoint list. Returns `true` if an engine has restarted and its runs are lost.
     pub fn update(&mut self, listings: impl IntoIterator<Item = Listing>) -> bool {
-        let mut left = std::mem::take(&mut self.keys_by_id);
-        let mut lost = false;
+        let mut unlisted = std::mem::take(&mut self.keys_by_id);
+        let mut runs_lost = false;
         for listing in listings {
             let id = listing.id.clone();
-            let known = left.remove(&id);
+            let known = unlisted.remove(&id);
             let same =
                 known.filter(|key| self.engines[*key].listing.incarnation == listing.incarnation);
             if let Some(before) = known.filter(|key| same != Some(*key)) {
                 self.engines[before].restarted = true;
-                lost |= self.engines[before].active_runs > 0;
+                runs_lost |= self.engines[before].active_runs > 0;
                 self.delist(before);
             }
             let key = match same {
@@ -83,10 +83,10 @@
             self.engines[key].listing = listing;
             self.keys_by_id.insert(id, key);
         }
-        for key in left.into_values() {
+        for key in unlisted.into_values() {
             self.delist(key);
         }
-        lost
+        runs_lost
     }
 
     /// Ids of the engines with runs in progress.
@@ -162,12 +162,13 @@
         if self.iter().any(|(_, engine)| is_reserved(engine)) {
             return;
         }
-        let fits = |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
+        let has_version =
+            |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
         let open = self.iter().filter(|(_, engine)| {
-            fits(engine) && !engine.listing.leaving && now >= engine.backoff_until
+            has_version(engine) && !engine.listing.leaving && now >= engine.backoff_until
         });
-        let idle = open.filter(|(_, engine)| engine.suspect_runs == 0);
-        let first = idle.min_by_key(|(_, engine)| engine.last_run_started);
+        let without_suspects = open.filter(|(_, engine)| engine.suspect_runs == 0);
+        let first = without_suspects.min_by_key(|(_, engine)| engine.last_run_started);
         if let Some(key) = first.map(|(key, _)| key) {
             self.engines[key].reserved_until = now + RESERVATION_TIMEOUT;
         }
@@ -239,7 +240,8 @@
         }
     }
 
-    /// Records that a run with a `crashes` above zero ended, in addition to [`Fleet::run_ended`].
+    /// Records the end of a run that started with `crashes` above zero, in addition to
+    /// [`Fleet::run_ended`].
     pub fn suspect_run_ended(&mut self, key: EngineKey) {
         if let Some(engine) = self.engines.get_mut(key) {
             engine.suspect_runs = engine.suspect_runs.saturating_sub(1);
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -16,7 +16,7 @@
     Failed,
     /// The endpoint answered that the item can never succeed; it is not retried.
     Impossible,
-    /// It broke off or found no slot; does not count as an attempt of the item.
+    /// The run or scoring broke off or found no slot; does not count as an attempt of the item.
     Interrupted,
 }
 
@@ -67,7 +67,7 @@
     items: Vec<Item>,
     index_by_id: BTreeMap<CompactString, usize>,
     groups: Vec<Group>,
-    wanted_groups: usize,
+    required_groups: usize,
     commit_log: CommitLog,
     /// Finished samples that are not committed, in the order in which they finished.
     uncommitted: Vec<Sample>,
@@ -111,7 +111,7 @@
             items,
             index_by_id,
             groups,
-            wanted_groups: submission.required_groups,
+            required_groups: submission.required_groups,
             commit_log: CommitLog::default(),
             uncommitted: Vec::new(),
         }
@@ -242,22 +242,22 @@
     /// Whether the trainer has all that it waits for once the uncommitted samples are committed. If
     /// so, they are committed immediately rather than held back for a larger segment.
     pub fn will_satisfy_trainer(&self) -> bool {
-        let mut done: Vec<_> = self
+        let mut finished_items: Vec<_> = self
             .groups
             .iter()
             .map(|group| group.committed_items)
             .collect();
         for sample in &self.uncommitted {
             if let Some(index) = self.index_by_id.get(&sample.item) {
-                done[self.items[*index].group] += 1;
+                finished_items[self.items[*index].group] += 1;
             }
         }
-        let is_complete = |(group, done): &(&Group, &usize)| **done >= group.items;
-        let groups = || self.groups.iter().zip(&done);
+        let is_complete = |(group, finished): &(&Group, &usize)| **finished >= group.items;
+        let groups = || self.groups.iter().zip(&finished_items);
         let resubmitted = groups()
             .filter(|(group, _)| group.resubmitted)
             .all(|g| is_complete(&g));
-        resubmitted && groups().filter(is_complete).count() >= self.wanted_groups
+        resubmitted && groups().filter(is_complete).count() >= self.required_groups
     }
 }
 
--- a/crates/pinereel_core/src/batch/mod.rs
+++ b/crates/pinereel_core/src/batch/mod.rs
@@ -1,4 +1,5 @@
-//! Batch scheduling of lots whose results are stored in the platform's object store.
+//! Batch scheduling of lots for `pinereel hosted`, with results in the platform's object store. The
+//! lots of `pinereel entry` are in [`crate::lot`].
 //!
 //! A lot holds the samples that one trainer wants for one step. Its results have fixed positions
 //! and are committed as segments, each written with a create-if-absent call: the first writer of
