--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -60,11 +60,11 @@
         if known.is_some_and(|lot| lot.spec.digest != spec.digest) {
             return Err(Refusal::Conflict);
         }
-        let same = self
+        let lots_of_trainer = self
             .lots
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
-        let newest = same.map(Lot::step).max().unwrap_or(0);
+        let newest = lots_of_trainer.map(Lot::step).max().unwrap_or(0);
         if spec.step.saturating_add(self.limits.max_steps_ahead) < newest {
             return Err(Refusal::Superseded);
         }
@@ -79,11 +79,11 @@
     /// Drops the trainer's lots that are more than [`Limits::max_steps_ahead`](super::Limits) behind.
     fn drop_superseded(&mut self, spec: &Spec) {
         let ahead = self.limits.max_steps_ahead;
-        let same = self
+        let lots_of_trainer = self
             .lots
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
-        let old = same.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
+        let old = lots_of_trainer.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
         let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
         for lot in old {
             self.drop_lot(&lot, Refusal::Superseded);
@@ -211,8 +211,8 @@
     ranges.sort_unstable();
     let mut end = 0;
     ranges.into_iter().all(|(first, samples)| {
-        let fits = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
+        let is_valid = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
         end = first.saturating_add(samples);
-        fits
+        is_valid
     })
 }
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -42,8 +42,8 @@
         });
     }
 
-    /// Frees a sample that the trainer holds by its token. One that was freed and that the token lacks
-    /// again is queued again: the trainer went back to an older token.
+    /// Frees a sample that the trainer holds according to its token. If a later token lacks a freed
+    /// sample, the trainer went back to an older token, and the sample is queued again.
     fn acknowledge(&mut self, key: SampleKey, token: &Token) {
         let sample_state = &mut self.samples[key];
         let holds = token.contains(sample_state.index);
@@ -93,10 +93,10 @@
             self.actions.push(Action::Ready { lot });
             return;
         }
-        let done = sample_state.finished.iter().map(|f| f.sample.clone());
+        let finished = sample_state.finished.iter().map(|f| f.sample.clone());
         self.actions.push(Action::Handover {
             spec: lot.full_spec(),
-            samples: done.collect(),
+            samples: finished.collect(),
         });
     }
 
@@ -148,9 +148,9 @@
 
     /// Schedules a retry of a failed scoring.
     pub(super) fn score_failed(&mut self, now: Time, ticket: u64) {
-        let again = now + self.limits.rescore_delay;
+        let retry_at = now + self.limits.rescore_delay;
         if let Some((_, due)) = self.scorings.get_mut(&ticket) {
-            *due = Some(again);
+            *due = Some(retry_at);
         }
     }
 
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -39,7 +39,7 @@
 /// A chunk of the output stream of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The attempt.
+    /// Key of the attempt.
     pub attempt: AttemptKey,
     /// Offset, token count and weight versions as stamped by the engine.
     pub stamp: Stamp,
@@ -61,9 +61,9 @@
 /// Why an attempt ended without its last chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
-    /// It certainly did not run; the endpoint gets no new attempts until it is offered again.
+    /// The attempt certainly did not run; the endpoint gets no new attempts until it is offered again.
     NotRun,
-    /// It may have run, or it broke off.
+    /// The attempt may have run, or its stream broke off.
     Lost,
 }
 
@@ -97,26 +97,26 @@
     Chunk(Chunk),
     /// An attempt ended without a last chunk.
     Failed {
-        /// The attempt.
+        /// Key of the attempt.
         attempt: AttemptKey,
         /// Whether it may have run.
         failure: Failure,
     },
     /// An endpoint crashed or left: all attempts on it are lost.
     EndpointLost {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: CompactString,
     },
     /// A version of a model was published.
     Published {
-        /// The model.
+        /// Name of the model.
         model: CompactString,
         /// The version.
         version: Version,
     },
     /// A configuration change set a new staleness bound for a trainer.
     BoundChanged {
-        /// The trainer.
+        /// Name of the trainer.
         trainer: CompactString,
         /// The new bound, in versions.
         bound: u64,
@@ -153,9 +153,9 @@
 pub struct Start {
     /// Key of the attempt, repeated in its chunks.
     pub attempt: AttemptKey,
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: CompactString,
-    /// The lot.
+    /// Id of the lot.
     pub lot: CompactString,
     /// Index of the sample in the lot.
     pub index: u32,
@@ -180,7 +180,7 @@
     Start(Start),
     /// Cancel an attempt; chunks that still arrive are dropped.
     Cancel {
-        /// The attempt.
+        /// Key of the attempt.
         attempt: AttemptKey,
         /// Endpoint on which it runs.
         endpoint: CompactString,
@@ -189,7 +189,7 @@
     Score {
         /// Identifies this scoring in the answer.
         ticket: u64,
-        /// The trainer.
+        /// Name of the trainer.
         trainer: CompactString,
         /// The prompt.
         prompt: String,
@@ -198,12 +198,12 @@
     },
     /// The groups were accepted.
     Assigned {
-        /// The lot.
+        /// Id of the lot.
         lot: CompactString,
     },
     /// The groups were refused.
     Refused {
-        /// The lot.
+        /// Id of the lot.
         lot: CompactString,
         /// Reason of the refusal.
         reason: Refusal,
@@ -226,12 +226,12 @@
     },
     /// A sample finished: waiting collects may be repeated.
     Ready {
-        /// The lot.
+        /// Id of the lot.
         lot: CompactString,
     },
     /// A lot was dropped.
     Dropped {
-        /// The lot.
+        /// Id of the lot.
         lot: CompactString,
         /// Why it was dropped.
         reason: Refusal,
@@ -255,7 +255,7 @@
     #[error("the trainer is too many steps ahead")]
     Superseded,
     /// A limit on lots, samples or text is reached.
-    #[error("too many lots or samples here")]
+    #[error("this runner has reached a limit on lots, samples or text")]
     Full,
     /// The sample ranges of the groups overlap, changed, or exceed the largest lot.
     #[error("malformed groups")]
@@ -264,6 +264,6 @@
     #[error("draining")]
     Draining,
     /// No assign or collect came for long after its deadline.
-    #[error("nobody asked for it long after its deadline")]
+    #[error("no assign or collect for a long time after the deadline")]
     Idle,
 }
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -1,4 +1,5 @@
-//! Distributed batch scheduling of lots: the samples that one trainer wants for one step.
+//! Distributed batch scheduling of lots for `pinereel entry`. A lot holds the samples that one trainer
+//! wants for one step. The lots of `pinereel hosted` are in [`crate::batch`].
 //!
 //! The groups of a lot are partitioned over instances by rendezvous hashing. Each of these
 //! instances drives one [`Runner`], a state machine without I/O that starts attempts on engines and
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -187,7 +187,7 @@
             self.record_cached_prefix(now, chunk.attempt, oldest);
         }
         match chunk.finish {
-            Some(Finish::Complete) => self.finish(now, chunk.attempt),
+            Some(Finish::Complete) => self.finish_attempt(now, chunk.attempt),
             Some(Finish::Cancelled) => self.attempt_lost(now, chunk.attempt),
             // Too old without a newer publication: the engine reuses old prefixes or runs old weights,
             // and may do so on each attempt. The retry budget bounds these attempts.
@@ -251,7 +251,7 @@
         let sample_state = &self.samples[attempt.sample];
         let group = &self.lots[&sample_state.lot].groups[&sample_state.group].group;
         if attempt.progress.record.tokens() >= group.max_tokens.max(1) {
-            self.finish(now, key);
+            self.finish_attempt(now, key);
             return;
         }
         self.stats.lost += 1;
@@ -292,7 +292,7 @@
         }
     }
 
-    fn finish(&mut self, now: Time, key: AttemptKey) {
+    fn finish_attempt(&mut self, now: Time, key: AttemptKey) {
         let Some(attempt) = self.end(key) else { return };
         let Progress { text, record } = attempt.progress;
         let Some(oldest) = record.oldest_version() else {
@@ -325,7 +325,7 @@
         self.store_finished(attempt.sample, sample);
     }
 
-    /// Stores a finished sample and cancels all other attempts at it: the first one wins.
+    /// Stores a finished sample and cancels all other attempts at it: the first that finishes counts.
     pub(super) fn store_finished(&mut self, key: SampleKey, sample: Sample) {
         self.cancel_attempts(key);
         self.unqueue(key);
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -61,16 +61,21 @@
         let free =
             all.filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
         // If all runners preferred the same one of equal endpoints, they would overload it together.
-        let turn = self.stats.started;
+        let seed = self.stats.started;
         let mut free: Vec<_> = free.collect();
         free.sort_by_cached_key(|(key, e)| {
-            let tie = if self.policy.hash_tie_break {
-                hash::rendezvous(turn, key)
+            let tie_break = if self.policy.hash_tie_break {
+                hash::rendezvous(seed, key)
             } else {
                 0
             };
             let slow = slow.contains(*key);
-            (slow, e.running_attempts, Reverse(e.offer.version), tie)
+            (
+                slow,
+                e.running_attempts,
+                Reverse(e.offer.version),
+                tie_break,
+            )
         });
         free.into_iter().map(|(key, _)| key.clone()).collect()
     }
@@ -90,8 +95,8 @@
             return slow;
         }
         let limit = rated[rated.len() / 2].0 * SLOW_FACTOR_TENTHS / 10;
-        let beyond = rated.iter().filter(|(token, _)| *token > limit);
-        slow.extend(beyond.map(|(_, key)| (*key).clone()));
+        let above_limit = rated.iter().filter(|(token, _)| *token > limit);
+        slow.extend(above_limit.map(|(_, key)| (*key).clone()));
         slow
     }
 
@@ -136,8 +141,8 @@
             } else {
                 flows.next()?
             };
-            let mut own = lots.iter().filter(|lot| lot.spec.trainer == flow);
-            let found = own.find_map(|lot| {
+            let mut lots_of_flow = lots.iter().filter(|lot| lot.spec.trainer == flow);
+            let found = lots_of_flow.find_map(|lot| {
                 let mut candidates = lot.queue.iter().take(MAX_CANDIDATES);
                 candidates.find(|queue_key| self.can_start(now, queue_key.2, endpoint))
             });
@@ -172,9 +177,9 @@
             return false;
         }
         let tokens = u64::from(group_state.predicted_tokens());
-        let done = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
+        let completes_at = now + Duration::from_micros(self.sample_token_us.saturating_mul(tokens));
         let rate = self.publication_rates.get(&lot.spec.model);
-        if rate.is_none_or(|rate| rate.stays_fresh(offer.version, done, bound)) {
+        if rate.is_none_or(|rate| rate.stays_fresh(offer.version, completes_at, bound)) {
             return true;
         }
         // If no endpoint serves a newer version, waiting would not help.
@@ -190,16 +195,16 @@
         }
         let model = &self.endpoints[endpoint].offer.model;
         let lots = self.lots.values();
-        let mut same = lots.filter(|lot| lot.spec.model == *model);
-        if same.any(|lot| !lot.queue.is_empty()) {
+        let mut lots_of_model = lots.filter(|lot| lot.spec.model == *model);
+        if lots_of_model.any(|lot| !lot.queue.is_empty()) {
             return None;
         }
         let due = self.attempts.values().filter(|attempt| {
             let sample_state = &self.samples[attempt.sample];
-            let old = now.since(attempt.started_at) >= self.policy.speculate_after;
-            let alone = sample_state.attempts.len() == 1 && attempt.endpoint != endpoint;
-            let fits = self.lots[&sample_state.lot].spec.model == *model;
-            old && alone && fits && self.can_start(now, attempt.sample, endpoint)
+            let is_due = now.since(attempt.started_at) >= self.policy.speculate_after;
+            let is_single = sample_state.attempts.len() == 1 && attempt.endpoint != endpoint;
+            let is_same_model = self.lots[&sample_state.lot].spec.model == *model;
+            is_due && is_single && is_same_model && self.can_start(now, attempt.sample, endpoint)
         });
         let first = due.min_by_key(|attempt| (attempt.started_at, attempt.sample));
         first.map(|attempt| attempt.sample)
@@ -269,16 +274,16 @@
     /// bound and not be newer than that of the endpoint.
     fn resume_point(&mut self, sample: SampleKey, endpoint: &str) -> Option<Progress> {
         let sample_state = &mut self.samples[sample];
-        let lost = sample_state.saved_progress.take();
+        let saved = sample_state.saved_progress.take();
         let running = sample_state
             .attempts
             .first()
             .map(|key| &self.attempts[*key].progress);
-        let from = lost.or_else(|| running.cloned())?;
+        let from = saved.or_else(|| running.cloned())?;
         let spec = &self.lots[&sample_state.lot].spec;
-        let fits = staleness::is_fresh(from.record.oldest_version()?, spec.version, spec.bound);
-        let onward = from.record.last_version()? <= self.endpoints[endpoint].offer.version;
-        let resumable = self.policy.resume && fits && onward;
+        let is_fresh = staleness::is_fresh(from.record.oldest_version()?, spec.version, spec.bound);
+        let is_not_older = from.record.last_version()? <= self.endpoints[endpoint].offer.version;
+        let resumable = self.policy.resume && is_fresh && is_not_older;
         resumable.then(|| Progress {
             record: from.record.resume(),
             text: from.text,
@@ -298,8 +303,8 @@
         let sample = attempt.sample;
         let oldest = attempt.progress.record.oldest_version();
         let spec = &self.lots[&self.samples[sample].lot].spec;
-        let fits = oldest.is_none_or(|o| staleness::is_fresh(o, spec.version, spec.bound));
-        if fits || !self.policy.early_abort {
+        let is_fresh = oldest.is_none_or(|o| staleness::is_fresh(o, spec.version, spec.bound));
+        if is_fresh || !self.policy.early_abort {
             return;
         }
         self.stats.aborted += 1;
@@ -319,9 +324,9 @@
             self.abort_if_stale(key, Self::requeue);
         }
         let all = self.samples.iter();
-        let old = all.filter(|(_, sample_state)| self.is_stale(sample_state));
-        let old: Vec<_> = old.map(|(key, _)| key).collect();
-        for key in old {
+        let stale = all.filter(|(_, sample_state)| self.is_stale(sample_state));
+        let stale: Vec<_> = stale.map(|(key, _)| key).collect();
+        for key in stale {
             self.expire_finished(key);
         }
     }
@@ -374,8 +379,8 @@
     }
 
     pub(super) fn add_retry_credit(&mut self, credit: u64) {
-        let most = u64::from(self.limits.retry_burst).max(1) * RETRY_CREDIT;
-        self.retry_credit = self.retry_credit.saturating_add(credit).min(most);
+        let max_credit = u64::from(self.limits.retry_burst).max(1) * RETRY_CREDIT;
+        self.retry_credit = self.retry_credit.saturating_add(credit).min(max_credit);
     }
 
     /// Moves samples from the retry queue to the queues of their lots as the retry budget allows.
@@ -386,10 +391,10 @@
             };
             let sample_state = &mut self.samples[key];
             sample_state.awaiting_retry = false;
-            let wanted = sample_state.needs_work()
+            let needs_attempt = sample_state.needs_work()
                 && sample_state.attempts.is_empty()
                 && sample_state.queue_key.is_none();
-            if wanted {
+            if needs_attempt {
                 self.retry_credit -= RETRY_CREDIT;
                 self.enqueue(key);
             }
--- a/crates/pinereel_core/src/lot/state.rs
+++ b/crates/pinereel_core/src/lot/state.rs
@@ -23,13 +23,13 @@
     pub lot: CompactString,
     /// Digest of the whole lot.
     pub digest: hash::Digest,
-    /// The trainer.
+    /// Name of the trainer.
     pub trainer: CompactString,
     /// Weight of the trainer in fair sharing, relative to other trainers.
     pub weight: u32,
-    /// The model to sample from.
+    /// Name of the model to sample from.
     pub model: CompactString,
-    /// The step.
+    /// Training step that the lot is for.
     pub step: u64,
     /// Weight version that the trainer is at, by its last collect or as predicted at submission.
     pub version: Version,
@@ -39,7 +39,7 @@
     pub deadline: Time,
     /// Whether finished samples are scored before they are delivered.
     pub scored: bool,
-    /// The groups.
+    /// The groups that the runner gets.
     pub groups: Vec<Group>,
 }
 
@@ -119,7 +119,7 @@
         &self.spec.lot
     }
 
-    /// The step.
+    /// Training step that the lot is for.
     pub const fn step(&self) -> u64 {
         self.spec.step
     }
@@ -162,15 +162,15 @@
     pub(super) index: u32,
     /// Its key in the queue of the lot; `None` while it is not queued.
     pub(super) queue_key: Option<QueueKey>,
-    /// It is in the retry queue, waiting for the retry budget.
+    /// Whether it is in the retry queue, waiting for the retry budget.
     pub(super) awaiting_retry: bool,
-    /// An attempt was started before, so the next one is a retry.
+    /// Whether an attempt was started before, so that the next one is a retry.
     pub(super) was_started: bool,
     /// Output saved from a lost attempt.
     pub(super) saved_progress: Option<Progress>,
     pub(super) attempts: Vec<AttemptKey>,
     pub(super) finished: Option<Finished>,
-    /// The trainer holds it, by its latest cursor token.
+    /// Whether the trainer holds it, by its latest cursor token.
     pub(super) delivered: bool,
 }
 
