--- a/crates/pinereel_core/src/crash/attribution.rs
+++ b/crates/pinereel_core/src/crash/attribution.rs
@@ -112,8 +112,8 @@
     /// Whether the crash of `start` is attributed to a request that `before` crashes counted
     /// against at that time: no other request that ran there had more.
     fn is_cause(&self, start: &EndpointStart, before: usize) -> bool {
-        let most = self.max_before.get(start);
-        before >= most.copied().unwrap_or_default()
+        let max_before = self.max_before.get(start);
+        before >= max_before.copied().unwrap_or_default()
     }
 
     fn find_isolated(&self) -> Vec<Identity> {
@@ -125,8 +125,8 @@
     fn index_crashes(&mut self) {
         self.max_before.clear();
         for (start, before) in self.records.values().flat_map(Record::counted) {
-            let most = self.max_before.entry(start.clone()).or_default();
-            *most = before.max(*most);
+            let max_before = self.max_before.entry(start.clone()).or_default();
+            *max_before = before.max(*max_before);
         }
     }
 
--- a/crates/pinereel_core/src/crash/endpoint_start.rs
+++ b/crates/pinereel_core/src/crash/endpoint_start.rs
@@ -4,7 +4,8 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// One start of an endpoint. It crashes at most once, however many requests it was running.
+/// One start of an endpoint process. A start crashes at most once, however many requests it was
+/// running.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointStart {
     /// Id of the endpoint.
--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -41,9 +41,9 @@
 /// blocked.
 pub const MAX_SHARED_CRASHES: usize = MAX_CRASHES + 2;
 
-/// Time after its last crash for which a request's record is kept. It may then crash three
-/// endpoints again, which is at most 0.3 a minute. A caller that has fixed the request waits this
-/// long or asks an operator.
+/// Time after its last crash for which a request's record is kept. The request may then crash
+/// three more endpoints, which is at most 0.3 crashes a minute. A caller that has fixed the request
+/// waits this long or asks an operator.
 pub const RECORD_TTL: Duration = Duration::from_secs(600);
 
 /// Completed runs per crash from which on a frequent request is not blocked. Runs take a tenth
@@ -77,6 +77,6 @@
 /// endpoint.
 pub const MAX_SUSPECT_RUN_AGE: Duration = Duration::from_millis(300);
 
-/// Requests with a record. By the size of its fields a record takes about 0.3 kB, so all of them
-/// take 0.3 MB of the 160 MB of the smallest instance.
+/// Most requests with a record. By the size of its fields a record takes about 0.3 kB, so all of
+/// them take 0.3 MB of the 160 MB of the smallest instance.
 pub const MAX_RECORDS: usize = 1_024;
--- a/crates/pinereel_core/src/crash/placement.rs
+++ b/crates/pinereel_core/src/crash/placement.rs
@@ -70,8 +70,8 @@
         let Some(max_index) = free.len().checked_sub(1) else {
             return Placement::Wait(ISOLATION_SLICE);
         };
-        let at = hash::stable(identity.to_string().as_bytes()) % (max_index as u64 + 1);
-        let candidate = free[at as usize];
+        let index = hash::stable(identity.to_string().as_bytes()) % (max_index as u64 + 1);
+        let candidate = free[index as usize];
         if occupied.contains(*candidate) {
             return Placement::Wait(OCCUPIED_RETRY_DELAY);
         }
@@ -98,7 +98,7 @@
         let reserved = current.take(reserved_count).enumerate();
         reserved
             .filter(|(_, identity)| is_reservable(identity))
-            .map(|(at, _)| candidates[at].clone())
+            .map(|(index, _)| candidates[index].clone())
             .collect()
     }
 
@@ -114,14 +114,15 @@
         if candidates.len() < 2 && queue.age < SECOND_ENDPOINT_TIMEOUT {
             return Placement::Wait(ISOLATION_SLICE);
         }
-        let own = queue.order.iter().position(|other| other == identity);
-        let own = own.unwrap_or_default();
+        let own_index = queue.order.iter().position(|other| other == identity);
+        let own_index = own_index.unwrap_or_default();
         let reserved_count = reserved_count(candidates);
-        let wait = RoundRobin::of(&queue, reserved_count).wait(own / reserved_count, queue.age);
+        let wait =
+            RoundRobin::of(&queue, reserved_count).wait(own_index / reserved_count, queue.age);
         if wait > Duration::ZERO {
             return Placement::Wait(wait);
         }
-        Placement::Endpoint(candidates[own % reserved_count].clone())
+        Placement::Endpoint(candidates[own_index % reserved_count].clone())
     }
 
     /// The open endpoints that have not crashed, in the same order at all instances.
@@ -169,17 +170,17 @@
     /// run itself ends before the next slice.
     fn wait(self, own: usize, since: Duration) -> Duration {
         let slice = ISOLATION_SLICE.as_micros();
-        let within = since.as_micros() % slice;
+        let offset = since.as_micros() % slice;
         let current = self.current(since);
         let (opens, closes) = (slice / 4, slice / 2);
-        if current == own && within < closes {
-            return micros(opens.saturating_sub(within));
+        if current == own && offset < closes {
+            return micros(opens.saturating_sub(offset));
         }
-        let ahead = match (own + self.slices - current) % self.slices {
+        let slices_ahead = match (own + self.slices - current) % self.slices {
             0 => self.slices,
-            ahead => ahead,
+            slices_ahead => slices_ahead,
         };
-        micros(ahead as u128 * slice + opens - within)
+        micros(slices_ahead as u128 * slice + opens - offset)
     }
 }
 
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -162,11 +162,11 @@
         let known = self.records.len();
         self.records
             .retain(|_, record| record.age(now) < RECORD_TTL);
-        let forgot = self.records.len() < known;
-        if forgot {
+        let any_expired = self.records.len() < known;
+        if any_expired {
             self.reevaluate(now, &BTreeMap::new());
         }
-        forgot
+        any_expired
     }
 
     /// Whether the request may run, and under which restriction.
@@ -198,10 +198,10 @@
         !self.pending.is_empty()
     }
 
-    /// Takes reports of changed requests for the other instances, at most `most`.
-    pub fn take_pending(&mut self, now: Time, most: usize) -> Vec<Report> {
+    /// Takes reports of changed requests for the other instances, at most `max_reports`.
+    pub fn take_pending(&mut self, now: Time, max_reports: usize) -> Vec<Report> {
         let mut reports = Vec::new();
-        while reports.len() < most
+        while reports.len() < max_reports
             && let Some(identity) = self.pending.pop_first()
         {
             let record = self.records.get(&identity);
--- a/crates/pinereel_core/src/crash/status.rs
+++ b/crates/pinereel_core/src/crash/status.rs
@@ -38,7 +38,7 @@
         match self {
             Self::Suspected { age, .. } => PROPAGATION_DELAY
                 .checked_sub(*age)
-                .filter(|left| !left.is_zero()),
+                .filter(|remaining| !remaining.is_zero()),
             Self::Unrestricted | Self::Blocked { .. } => None,
         }
     }
