--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -54,10 +54,13 @@
     let mut quotas = quotas(ordered.len(), demands);
     let mut assigned = BTreeMap::new();
     for (key, engine) in ordered {
-        let with_room = demands.iter().enumerate().filter(|(at, _)| quotas[*at] > 0);
-        let best = with_room.max_by_key(|(_, demand)| hash::rendezvous(key, &demand.model));
-        if let Some((at, demand)) = best {
-            quotas[at] -= 1;
+        let with_quota = demands
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| quotas[*index] > 0);
+        let best = with_quota.max_by_key(|(_, demand)| hash::rendezvous(key, &demand.model));
+        if let Some((index, demand)) = best {
+            quotas[index] -= 1;
             assigned.insert(engine, demand.model.clone());
         }
     }
@@ -90,11 +93,11 @@
     let mut quotas: Vec<usize> = ideal.iter().map(|ideal| (*ideal as usize).max(1)).collect();
     // The remainder goes to the models that are furthest below their ideal quota.
     while quotas.iter().sum::<usize>() < engines {
-        let deficit = |at: &usize| ideal[*at] - quotas[*at] as f64;
+        let deficit = |index: &usize| ideal[*index] - quotas[*index] as f64;
         let most_deficient =
             (0..quotas.len()).max_by(|a, b| deficit(a).total_cmp(&deficit(b)).then(b.cmp(a)));
-        let Some(at) = most_deficient else { break };
-        quotas[at] += 1;
+        let Some(index) = most_deficient else { break };
+        quotas[index] += 1;
     }
     quotas
 }
--- a/crates/pinereel_core/src/rollout/controller.rs
+++ b/crates/pinereel_core/src/rollout/controller.rs
@@ -140,13 +140,13 @@
             counts.2 += usize::from(quarantined);
         }
         let (engines, pending, quarantined) = counts;
-        let (load, settings) = (self.mean_load_time, &self.settings);
+        let (load_time, settings) = (self.mean_load_time, &self.settings);
         Some(Plan::new(
             target,
             engines,
             pending,
             quarantined,
-            load,
+            load_time,
             settings,
         ))
     }
@@ -271,7 +271,7 @@
         let took = now.since(ordered_at);
         let is_done = status.loading.is_none() && status.version == Some(version);
         let is_loading = status.loading == Some(version) && took < settings.load_timeout;
-        let is_not_begun = status.loading.is_none() && !status.failed && took < expected;
+        let has_not_started = status.loading.is_none() && !status.failed && took < expected;
         if is_done {
             let was_loading = engine.status.loading == Some(version);
             engine.note_load_success();
@@ -279,7 +279,7 @@
             if start_observed && was_loading {
                 self.update_load_time(took);
             }
-        } else if is_loading || is_not_begun {
+        } else if is_loading || has_not_started {
             // The load continues.
         } else if status.loading.is_some_and(|other| other != version) {
             // Another holder's order replaced this one, which is not a failure of the engine.
@@ -380,9 +380,9 @@
         }
     }
 
-    fn update_load_time(&mut self, took: Duration) {
+    fn update_load_time(&mut self, load_time: Duration) {
         let mean = self.mean_load_time.as_secs_f64();
-        let next = mean + LOAD_TIME_GAIN * (took.as_secs_f64() - mean);
+        let next = mean + LOAD_TIME_GAIN * (load_time.as_secs_f64() - mean);
         self.mean_load_time = Duration::from_secs_f64(next);
     }
 }
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -205,7 +205,7 @@
             return false;
         }
         let age = self.status_at.map(|at| now.since(at));
-        let older = |limit| age.is_none_or(|age| age >= limit);
+        let is_older_than = |limit| age.is_none_or(|age| age >= limit);
         match self.phase {
             Phase::Unknown { .. } => now >= self.next_read_at,
             Phase::Ordered {
@@ -215,14 +215,14 @@
             } => {
                 let due = now.since(ordered_at) >= mean_load_time.mul_f64(FIRST_POLL_SHARE)
                     || self.report_differs;
-                is_accepted && due && older(settings.poll_interval)
+                is_accepted && due && is_older_than(settings.poll_interval)
             }
             Phase::Idle | Phase::Quarantine
                 if self.status.loading.is_some() || self.report_differs =>
             {
-                older(settings.poll_interval)
+                is_older_than(settings.poll_interval)
             }
-            Phase::Idle | Phase::Quarantine => older(settings.recheck_interval),
+            Phase::Idle | Phase::Quarantine => is_older_than(settings.recheck_interval),
         }
     }
 
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -183,14 +183,14 @@
             .collect();
         capacities.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
         let mut distributed: BTreeMap<CompactString, u32> = BTreeMap::new();
-        let mut left = additional;
-        while left > 0 {
+        let mut remaining = additional;
+        while remaining > 0 {
             let mut placed = false;
             for (_, name, capacity) in &capacities {
                 let assigned = distributed.entry(name.clone()).or_default();
-                if left > 0 && *assigned < *capacity {
+                if remaining > 0 && *assigned < *capacity {
                     *assigned += 1;
-                    left -= 1;
+                    remaining -= 1;
                     placed = true;
                 }
             }
--- a/crates/pinereel_core/src/staleness.rs
+++ b/crates/pinereel_core/src/staleness.rs
@@ -50,27 +50,28 @@
         if version <= self.newest {
             return false;
         }
-        let steps = u32::try_from(version.0 - self.newest.0).unwrap_or(u32::MAX);
-        let latest = now.since(self.published_at) / steps;
+        let versions = u32::try_from(version.0 - self.newest.0).unwrap_or(u32::MAX);
+        let latest = now.since(self.published_at) / versions;
         self.interval = Some(self.interval.map_or(latest, |old| (old * 3 + latest) / 4));
         self.newest = version;
         self.published_at = now;
         true
     }
 
-    /// The newest version expected at the time `then`.
-    pub fn expected_version(&self, then: Time) -> Version {
+    /// The newest version expected at the time `at`.
+    pub fn expected_version(&self, at: Time) -> Version {
         let Some(interval) = self.interval.filter(|i| !i.is_zero()) else {
             return self.newest;
         };
         let elapsed_intervals =
-            then.since(self.published_at).as_micros() / interval.as_micros().max(1);
+            at.since(self.published_at).as_micros() / interval.as_micros().max(1);
         let elapsed_intervals = u64::try_from(elapsed_intervals).unwrap_or(u64::MAX);
         Version(self.newest.0.saturating_add(elapsed_intervals))
     }
 
-    /// Whether a sample whose oldest weights are `oldest` is expected to be fresh at the time `done`.
-    pub fn stays_fresh(&self, oldest: Version, done: Time, bound: u64) -> bool {
-        is_fresh(oldest, self.expected_version(done), bound)
+    /// Whether a sample whose oldest weights are `oldest` is expected to be fresh at the time
+    /// `completes_at`.
+    pub fn stays_fresh(&self, oldest: Version, completes_at: Time, bound: u64) -> bool {
+        is_fresh(oldest, self.expected_version(completes_at), bound)
     }
 }
--- a/crates/pinereel_core/src/usage/ledger.rs
+++ b/crates/pinereel_core/src/usage/ledger.rs
@@ -106,14 +106,14 @@
 
     /// Takes up to `limit` changed reports to send to other instances.
     pub fn take_unsent(&mut self, limit: usize) -> Vec<Report> {
-        let mut taken = Vec::new();
-        while taken.len() < limit
+        let mut reports = Vec::new();
+        while reports.len() < limit
             && let Some((window, source)) = self.unsent.pop_first()
         {
             let report = self.reports.get(&window).and_then(|r| r.get(&source));
-            taken.extend(report.cloned());
+            reports.extend(report.cloned());
         }
-        taken
+        reports
     }
 
     /// All known reports, for an instance that has none of them.
