--- a/crates/pinereel_core/src/claim/key_table.rs
+++ b/crates/pinereel_core/src/claim/key_table.rs
@@ -149,8 +149,8 @@
             if entry.released.len() > MAX_RELEASED_PER_KEY {
                 entry.released.pop_front();
             }
-            let freed = |h: &Holder| h.request == settlement.request && h.response.is_none();
-            if entry.holder.as_ref().is_some_and(freed) {
+            let is_own_claim = |h: &Holder| h.request == settlement.request && h.response.is_none();
+            if entry.holder.as_ref().is_some_and(is_own_claim) {
                 entry.holder = None;
             }
             return;
--- a/crates/pinereel_core/src/claim/log.rs
+++ b/crates/pinereel_core/src/claim/log.rs
@@ -105,8 +105,8 @@
 
     /// Handles one event and returns the actions to carry out.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.expire_claims(now, &mut out);
+        let mut actions = Vec::new();
+        self.expire_claims(now, &mut actions);
         match event {
             Event::Claim {
                 request,
@@ -126,7 +126,7 @@
                     deadline: now + time_left,
                     answered: false,
                 };
-                self.on_claim(now, pending, time_left, &mut out);
+                self.on_claim(now, pending, time_left, &mut actions);
             }
             Event::Settle {
                 request,
@@ -142,19 +142,19 @@
                         digest,
                         outcome,
                     },
-                    &mut out,
+                    &mut actions,
                 );
             }
-            Event::Created => self.on_created(&mut out),
-            Event::NotCreated => self.on_not_created(now, &mut out),
-            Event::Conflict | Event::CreateUnknown => self.on_create_unresolved(&mut out),
-            Event::Read { segments, base } => self.on_read(now, segments, base, &mut out),
-            Event::Base(base) => self.on_base(now, base, &mut out),
-            Event::CallFailed => self.on_failed(now, &mut out),
-            Event::Tick => self.on_tick(now, &mut out),
+            Event::Created => self.on_created(&mut actions),
+            Event::NotCreated => self.on_not_created(now, &mut actions),
+            Event::Conflict | Event::CreateUnknown => self.on_create_unresolved(&mut actions),
+            Event::Read { segments, base } => self.on_read(now, segments, base, &mut actions),
+            Event::Base(base) => self.on_base(now, base, &mut actions),
+            Event::CallFailed => self.on_failed(now, &mut actions),
+            Event::Tick => self.on_tick(now, &mut actions),
         }
-        self.start_next_call(now, &mut out);
-        out
+        self.start_next_call(now, &mut actions);
+        actions
     }
 
     fn on_claim(
@@ -162,7 +162,7 @@
         now: Time,
         pending: PendingClaim,
         time_left: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let stale = self.needs_recheck(now, &pending.claim.key) && self.can_accept(time_left);
         let stored = self.stored_verdict(now, &pending.claim);
@@ -176,7 +176,7 @@
             None => None,
         };
         match verdict {
-            Some(verdict) => out.push(reply(&pending, verdict)),
+            Some(verdict) => actions.push(reply(&pending, verdict)),
             None => self.pending_claims.push_back(pending),
         }
     }
@@ -221,12 +221,12 @@
         verdict_against(open, claim)
     }
 
-    fn on_settle(&mut self, now: Time, settlement: Settlement, out: &mut Vec<Action>) {
+    fn on_settle(&mut self, now: Time, settlement: Settlement, actions: &mut Vec<Action>) {
         if settlement.outcome.is_none() {
-            self.cancel_claim(&settlement.request, out);
+            self.cancel_claim(&settlement.request, actions);
         }
         if self.pending_settlements.len() >= self.limits.max_waiting {
-            out.push(Action::Settled {
+            actions.push(Action::Settled {
                 request: settlement.request,
                 stored: false,
             });
@@ -244,13 +244,13 @@
 
     /// Answers the claim of a request that its sender has given up. It must not be granted any
     /// more.
-    fn cancel_claim(&mut self, request: &CompactString, out: &mut Vec<Action>) {
+    fn cancel_claim(&mut self, request: &CompactString, actions: &mut Vec<Action>) {
         if let Some(at) = self
             .pending_claims
             .iter()
             .position(|pending| pending.claim.request == *request)
         {
-            out.extend(
+            actions.extend(
                 self.pending_claims
                     .remove(at)
                     .map(|pending| reply(&pending, Verdict::NotClaimed)),
@@ -263,16 +263,16 @@
             |pending: &&mut PendingClaim| pending.claim.request == *request && !pending.answered;
         if let Some(pending) = batch.pending_claims.iter_mut().find(is_open) {
             pending.answered = true;
-            out.push(reply(pending, Verdict::NotClaimed));
+            actions.push(reply(pending, Verdict::NotClaimed));
         }
     }
 
     /// Answers the claims and settlements of `batch`, whose segment is stored and was just applied.
-    pub(super) fn on_segment_stored(&mut self, now: Time, batch: Batch, out: &mut Vec<Action>) {
+    pub(super) fn on_segment_stored(&mut self, now: Time, batch: Batch, actions: &mut Vec<Action>) {
         // All earlier segments were read, or the create would have found its number taken.
         self.up_to_date_at = now;
         for settlement in batch.segment.settlements {
-            out.push(Action::Settled {
+            actions.push(Action::Settled {
                 request: settlement.request,
                 stored: true,
             });
@@ -284,9 +284,9 @@
                 .table
                 .is_released(&pending.claim.key, &pending.claim.request)
             {
-                out.push(reply(&pending, Verdict::NotClaimed));
+                actions.push(reply(&pending, Verdict::NotClaimed));
             } else {
-                out.push(reply(&pending, Verdict::Granted));
+                actions.push(reply(&pending, Verdict::Granted));
             }
         }
     }
@@ -331,13 +331,13 @@
 
     /// Refuses claims past their deadline. Only a grant lets a request run and none will follow, so
     /// `NotClaimed` is correct whether or not the segment gets stored.
-    fn expire_claims(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn expire_claims(&mut self, now: Time, actions: &mut Vec<Action>) {
         let (late, open) = mem::take(&mut self.pending_claims)
             .into_iter()
-            .partition(|a| a.deadline <= now);
+            .partition(|pending| pending.deadline <= now);
         self.pending_claims = open;
         let late: VecDeque<PendingClaim> = late;
-        out.extend(
+        actions.extend(
             late.iter()
                 .map(|pending| reply(pending, Verdict::NotClaimed)),
         );
@@ -347,19 +347,19 @@
         for pending in batch
             .pending_claims
             .iter_mut()
-            .filter(|a| !a.answered && a.deadline <= now)
+            .filter(|pending| !pending.answered && pending.deadline <= now)
         {
             pending.answered = true;
-            out.push(reply(pending, Verdict::NotClaimed));
+            actions.push(reply(pending, Verdict::NotClaimed));
         }
     }
 
     /// Answers all queued claims according to the last read; claims of free keys are refused.
-    pub(super) fn refuse_pending(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn refuse_pending(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.recheck_pending = false;
         for pending in mem::take(&mut self.pending_claims) {
             let stored = self.stored_verdict(now, &pending.claim);
-            out.push(reply(&pending, stored.unwrap_or(Verdict::NotClaimed)));
+            actions.push(reply(&pending, stored.unwrap_or(Verdict::NotClaimed)));
         }
     }
 
--- a/crates/pinereel_core/src/claim/next_call.rs
+++ b/crates/pinereel_core/src/claim/next_call.rs
@@ -15,14 +15,14 @@
 impl Log {
     /// Starts the next call if none is in flight. A new segment goes before a trim, and a trim
     /// before a periodic read.
-    pub(super) fn start_next_call(&mut self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn start_next_call(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !matches!(self.phase, Phase::Idle) {
             return;
         }
         if mem::take(&mut self.recheck_pending)
             && now.since(self.up_to_date_at) >= self.limits.max_read_age
         {
-            self.read(out);
+            self.read(actions);
             return;
         }
         let settlements = if self.pending_claims.is_empty() && self.should_linger(now) {
@@ -30,7 +30,7 @@
         } else {
             self.take_settlements()
         };
-        let pending_claims = self.take_claims(now, &settlements, out);
+        let pending_claims = self.take_claims(now, &settlements, actions);
         if !settlements.is_empty() || !pending_claims.is_empty() {
             self.write_count += 1;
             let write_id = format_compact!("{}.{}", self.writer_id, self.write_count);
@@ -50,7 +50,7 @@
                     pending_claims,
                     maybe_stored: false,
                 },
-                out,
+                actions,
             );
             return;
         }
@@ -59,12 +59,12 @@
         if to > self.table.base && trim_due {
             self.last_trim_at = now;
             self.phase = Phase::Trimming;
-            out.push(Action::Trim {
+            actions.push(Action::Trim {
                 from: self.table.base,
                 to,
             });
         } else if now.since(self.last_read_at) >= self.limits.refresh_interval {
-            self.read(out);
+            self.read(actions);
         }
     }
 
@@ -80,20 +80,20 @@
 
     fn take_settlements(&mut self) -> Vec<Settlement> {
         let mut bytes = 0;
-        let mut taken = Vec::new();
+        let mut settlements = Vec::new();
         while let Some(settlement) = self.pending_settlements.front() {
             bytes += settlement
                 .outcome
                 .as_ref()
                 .map_or(0, StoredResponse::body_len);
-            if taken.len() >= self.limits.max_batch
-                || (bytes > self.limits.max_segment_bytes && !taken.is_empty())
+            if settlements.len() >= self.limits.max_batch
+                || (bytes > self.limits.max_segment_bytes && !settlements.is_empty())
             {
                 break;
             }
-            taken.extend(self.pending_settlements.pop_front());
+            settlements.extend(self.pending_settlements.pop_front());
         }
-        taken
+        settlements
     }
 
     /// Takes claims for the next segment from the queue. Claims whose key was taken since they were
@@ -102,24 +102,24 @@
         &mut self,
         now: Time,
         settlements: &[Settlement],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Vec<PendingClaim> {
-        let freed: BTreeSet<_> = settlements
+        let released_requests: BTreeSet<_> = settlements
             .iter()
             .filter(|settlement| settlement.outcome.is_none())
             .map(|settlement| settlement.request.clone())
             .collect();
-        let mut taken = Vec::new();
-        while taken.len() < self.limits.max_batch {
+        let mut claims = Vec::new();
+        while claims.len() < self.limits.max_batch {
             let Some(mut pending) = self.pending_claims.pop_front() else {
                 break;
             };
             pending.claim.left_ms =
                 u64::try_from(pending.deadline.since(now).as_millis()).unwrap_or(u64::MAX);
-            let free = |key: &str| {
+            let becomes_free = |key: &str| {
                 self.table
                     .holder(key)
-                    .is_some_and(|h| h.response.is_none() && freed.contains(&h.request))
+                    .is_some_and(|h| h.response.is_none() && released_requests.contains(&h.request))
             };
             let verdict = if self
                 .table
@@ -128,14 +128,14 @@
                 Some(Verdict::NotClaimed)
             } else {
                 self.stored_verdict(now, &pending.claim)
-                    .filter(|_| !free(&pending.claim.key))
-                    .or_else(|| verdict_against(&taken, &pending.claim))
+                    .filter(|_| !becomes_free(&pending.claim.key))
+                    .or_else(|| verdict_against(&claims, &pending.claim))
             };
             match verdict {
-                Some(verdict) => out.push(reply(&pending, verdict)),
-                None => taken.push(pending),
+                Some(verdict) => actions.push(reply(&pending, verdict)),
+                None => claims.push(pending),
             }
         }
-        taken
+        claims
     }
 }
--- a/crates/pinereel_core/src/config/coordinator.rs
+++ b/crates/pinereel_core/src/config/coordinator.rs
@@ -287,8 +287,8 @@
         }
     }
 
-    /// The patch is no longer pending and is not among the accepted ones. If the list of accepted
-    /// patches no longer reaches back far enough, its result is unknown.
+    /// Finishes a patch that is no longer pending and not among the accepted ones. If the list of
+    /// accepted patches no longer reaches back far enough, the result of the patch is unknown.
     fn on_pending_removed(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         let oldest = self.stored.accepted.first().map_or(u64::MAX, |a| a.number);
         let may_be_forgotten = self.accept_write_sent && oldest > self.proposal.base + 1;
@@ -363,8 +363,8 @@
         }
     }
 
-    /// The coordinator's own patch is pending: aborts it, accepts it, or asks the members to
-    /// prepare.
+    /// Proceeds with the coordinator's own patch, which is pending: aborts it, accepts it, or asks the
+    /// members to prepare.
     fn on_own_pending(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         self.pending_version = self.version;
         self.pending_since.get_or_insert(now);
--- a/crates/pinereel_core/src/config/mod.rs
+++ b/crates/pinereel_core/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' configuration: its document, its validation, and the two-phase commit of a patch.
+//! The operators' configuration of `pinereel entry`: its document, its validation, and the two-phase
+//! commit of a patch. `pinereel hosted` reads a [`pinereel_port::config::Document`] instead.
 //!
 //! All commit state is in one object of the object API, [`StoredConfig`], which changes only by
 //! conditional updates. The proposer's [`Coordinator`] writes the patch as pending, asks the
