--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -15,14 +15,14 @@
 const FAILURES_TO_EJECT: u32 = 5;
 /// Duration of the first ejection; each further one doubles it.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
-/// Upper bound of an ejection.
+/// Upper bound of the duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 /// Consecutive refused connections after which the endpoint's process may have ended.
 const REFUSALS_UNTIL_LEAVING: u32 = 3;
 /// Minimum time between the first and the last of these refusals, so that a short interruption does
 /// not count as leaving.
 const MIN_REFUSAL_SPAN: Duration = Duration::from_secs(1);
-/// Incarnations remembered as leaving after they were removed from the set.
+/// Most incarnations remembered as leaving after they were removed from the set.
 const MAX_LEAVING_HISTORY: usize = 16_384;
 
 /// All endpoints of an entry, including removed ones with attempts still in flight.
@@ -318,8 +318,8 @@
             return;
         };
         // An attempt that started before the ejection says nothing about recovery.
-        let began = Time(now.0.saturating_sub(took.as_micros() as u64));
-        if endpoint.ejected_at.is_some_and(|at| began >= at) {
+        let started_at = Time(now.0.saturating_sub(took.as_micros() as u64));
+        if endpoint.ejected_at.is_some_and(|at| started_at >= at) {
             endpoint.state = State::Live;
             endpoint.slow_start_since = Some(now);
             self.push_change(key, ChangeKind::Restored, changes);
@@ -329,12 +329,12 @@
     fn record_failure(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
         endpoint.failures += 1;
-        let eject = match endpoint.state {
+        let should_eject = match endpoint.state {
             State::Live => endpoint.failures >= FAILURES_TO_EJECT,
             State::Ejected { until } => now >= until,
             State::Leaving | State::Gone => false,
         };
-        if eject {
+        if should_eject {
             self.eject(now, key, changes);
         }
     }
--- a/crates/pinereel_core/src/endpoint/state.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -10,7 +10,7 @@
 const LATENCY_EWMA_WEIGHT: f64 = 0.2;
 /// Factor by which the concurrency limit shrinks after an overload.
 const LIMIT_DECREASE_FACTOR: f64 = 0.7;
-/// Attempt starts and ends kept to correct delayed load reports; older ones are dropped.
+/// Most attempt starts and ends kept to correct delayed load reports; older ones are dropped.
 const MAX_RECENT_CHANGES: usize = 512;
 /// Age at which a load report no longer counts.
 const REPORT_TTL: Duration = Duration::from_secs(5);
@@ -92,12 +92,17 @@
     pub latency: f64,
     pub(super) hash: u64,
     pub(super) slow_start_since: Option<Time>,
+    /// Adaptive concurrency limit; [`Endpoint::limit`] is the value in force.
     pub(super) limit: f64,
     pub(super) limit_decreased_at: Option<Time>,
     pub(super) ejected_at: Option<Time>,
+    /// Requests of other entries at the endpoint, as of the last report.
     pub(super) other_load: u32,
+    /// Starts (+1) and ends (-1) of own attempts after the last report, oldest first.
     pub(super) recent_changes: VecDeque<(Time, i64)>,
+    /// Time of the first of the consecutive refused connections.
     pub(super) refused_since: Option<Time>,
+    /// Consecutive refused connections.
     pub(super) refusals: u32,
 }
 
@@ -160,8 +165,8 @@
         let Some(report) = self.report else {
             return 0.0;
         };
-        let age = now.since(report.at).as_secs_f64() / REPORT_TTL.as_secs_f64();
-        f64::from(self.other_load) * (1.0 - age).max(0.0)
+        let relative_age = now.since(report.at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+        f64::from(self.other_load) * (1.0 - relative_age).max(0.0)
     }
 
     /// Estimated requests at the endpoint: the exact number of own attempts plus the load from
@@ -212,8 +217,8 @@
 
     /// Multiplicative decrease, applied once for attempts that were in flight together.
     pub(super) fn decrease_limit(&mut self, now: Time, took: Duration) {
-        let began = Time(now.0.saturating_sub(took.as_micros() as u64));
-        if self.limit_decreased_at.is_some_and(|at| began < at) {
+        let started_at = Time(now.0.saturating_sub(took.as_micros() as u64));
+        if self.limit_decreased_at.is_some_and(|at| started_at < at) {
             return;
         }
         self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(1.0);
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -201,11 +201,11 @@
             return BTreeSet::new();
         };
         let ring = self.ring(own);
-        let (near, far): (Vec<_>, Vec<_>) = ring
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) = ring
             .into_iter()
             .partition(|name| self.members[*name].object.zone == *zone);
-        let mut links = ring_fingers(&near, n_zone);
-        links.extend(ring_fingers(&far, n_remote));
+        let mut links = ring_fingers(&same_zone, n_zone);
+        links.extend(ring_fingers(&other_zones, n_remote));
         links
     }
 
@@ -213,19 +213,19 @@
     /// through relays in the receivers' availability zones. Each `attempt` picks other relays, so that a
     /// dead relay does not block the message.
     pub fn relay_groups(&self, to: &BTreeSet<CompactString>, attempt: u64) -> Vec<RelayGroup> {
-        let alone = |name: &CompactString| RelayGroup {
+        let without_leaves = |name: &CompactString| RelayGroup {
             relay: name.clone(),
             leaves: BTreeSet::new(),
         };
         if to.len() <= MAX_FULL_MESH_SIZE {
-            return to.iter().map(alone).collect();
+            return to.iter().map(without_leaves).collect();
         }
         let mut zones = BTreeMap::<_, Vec<_>>::new();
         let mut groups = Vec::new();
         for name in to {
             match self.members.get(name) {
                 Some(member) => zones.entry(&member.object.zone).or_default().push(name),
-                None => groups.push(alone(name)),
+                None => groups.push(without_leaves(name)),
             }
         }
         for mut names in zones.into_values() {
