--- a/crates/pinereel_core/src/lib.rs
+++ b/crates/pinereel_core/src/lib.rs
@@ -6,19 +6,27 @@
 //! I/O, no clock, no global state, and the only randomness comes from a seed. The same code runs
 //! under `proptest`, in the experiment tool and in the daemon.
 //!
+//! Both commands of the daemon use `crash`, `endpoint`, `lease`, `rollout` and `route`. The modules
+//! `admit`, `budget`, `claim`, `config`, `cursor`, `drain`, `lot`, `member` and `provenance` serve
+//! `pinereel entry` alone; `batch`, `retry`, `routing_table`, `scale`, `tree` and `usage` serve
+//! `pinereel hosted` alone.
+//!
 //! The main types:
 //! - [`Time`], [`Version`], [`Span`]: shared types for timestamps, weight versions and token spans.
 //! - [`Outcome`]: the outcome of a request, and whether it may have run.
-//! - [`lot::Lot`]: a batch of samples of one trainer step, from submission to delivery.
+//! - [`lot::Lot`]: the part of a lot, which is a trainer's batch of samples for one step, that one
+//!   runner of `pinereel entry` holds.
 //! - [`cursor::Token`]: the set of a lot's samples that a trainer already holds.
 //! - [`config::Document`]: the configuration that operators patch.
 //! - [`crash::Register`]: detection of requests that crash endpoints.
 //! - [`claim::Log`]: idempotency keys of one shard, kept as a log of segments in the object API.
-//! - [`routing_table::RoutingTable`]: routing table, on a platform whose operator writes the routes.
+//! - [`routing_table::RoutingTable`]: finds the route, caller and service of a request to `pinereel
+//!   hosted`.
 //! - [`tree::Children`]: the parent's side of the broadcast tree that distributes what one instance
 //!   reads.
 //! - [`usage::Ledger`]: number of requests of each workspace that began to run.
-//! - [`batch::Lot`]: a batch job of one trainer step, with results in the platform's object store.
+//! - [`batch::Lot`]: a lot of `pinereel hosted`, which one instance runs and whose results are in the
+//!   platform's object store.
 
 pub mod admit;
 pub mod batch;
--- a/crates/pinereel_core/src/routing_table.rs
+++ b/crates/pinereel_core/src/routing_table.rs
@@ -1,4 +1,5 @@
-//! Routing table of one configuration: the route, the caller and the service of a request.
+//! Routing table of one configuration of `pinereel hosted`: finds the route, the caller and the service
+//! of a request.
 
 use crate::hash;
 use compact_str::CompactString;
