--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -58,11 +58,12 @@
     pub(super) consecutive_failures: u32,
     /// No new run starts before this time.
     pub(super) backoff_until: Time,
-    /// Its last run was rejected or failed: a single run must succeed before others may start.
+    /// Whether a single run must succeed before others may start, since the last one was rejected or
+    /// failed.
     pub(super) probe_needed: bool,
-    /// It is no longer in the endpoint list; the state is kept until its last run ends.
+    /// Whether it is no longer in the endpoint list; the state is kept until its last run ends.
     pub(super) delisted: bool,
-    /// The engine has restarted: the runs on this process are lost.
+    /// Whether the engine has restarted, so that the runs on this process are lost.
     pub(super) restarted: bool,
     /// Runs on it of items that are suspected of crashing engines.
     pub(super) suspect_runs: u32,
--- a/crates/pinereel_core/src/batch/lot.rs
+++ b/crates/pinereel_core/src/batch/lot.rs
@@ -57,7 +57,7 @@
 struct Group {
     items: usize,
     committed_items: usize,
-    /// Has items of an earlier lot: the trainer waits for this group in any case.
+    /// Whether it has items of an earlier lot, so that the trainer waits for this group in any case.
     resubmitted: bool,
 }
 
--- a/crates/pinereel_core/src/config/message.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -27,13 +27,14 @@
 /// Answer to the operator about a patch.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Answer {
-    /// Accepted with this number: in force at every instance within 5 s.
+    /// Accepted; the variant holds the new number, which is in force at every instance within 5 s.
     #[error("accepted as {0}")]
     Accepted(u64),
-    /// Refused: the base is not the number in force, which is this one.
+    /// Refused: the base of the patch is not the number in force, which the variant holds.
     #[error("the configuration's number is {0}")]
     Conflict(u64),
-    /// Refused: a patch with this id and different content was accepted with this number.
+    /// Refused: a patch with this id and different content was accepted, with the number that the
+    /// variant holds.
     #[error("the patch id was used with another content, as {0}")]
     Reused(u64),
     /// Refused: the resulting document is not valid or the change is not safe.
@@ -43,7 +44,7 @@
     #[error("not confirmed by {0:?}")]
     NotConfirmed(Vec<CompactString>),
     /// Refused: another coordinator or an in-doubt participant aborted it.
-    #[error("taken back by another instance")]
+    #[error("aborted by another instance")]
     TakenBack,
     /// Refused: the deadline passed, and the patch will not be accepted later.
     #[error("the deadline passed before it could be accepted")]
--- a/crates/pinereel_core/src/config/participant.rs
+++ b/crates/pinereel_core/src/config/participant.rs
@@ -41,8 +41,8 @@
     /// The process was paused and its number has not been confirmed as current since.
     #[error("the process was paused and must confirm its configuration")]
     Paused,
-    /// This higher number is in force.
-    #[error("configuration {0} is in force and not here yet")]
+    /// The configuration with this higher number is in force, but has not reached this instance.
+    #[error("configuration {0} is in force and has not reached this instance yet")]
     Behind(u64),
     /// The patch to this number was prepared and its result is not known.
     #[error("the result of configuration {0} is not known")]
--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -28,9 +28,9 @@
 
 use std::time::Duration;
 
-/// Endpoints that may crash under one request before it is blocked. The platform limits the crashes
-/// after the third. A request that only ran beside another one rarely sees three crashes without
-/// completing a run.
+/// Endpoints that may crash under one request before it is blocked. The platform limits the
+/// crashes that one request causes after its third. A request that only ran beside the cause rarely
+/// sees three crashes without completing a run.
 pub const MAX_CRASHES: usize = 3;
 
 /// Crashes from which on a request runs in isolation: one more blocks it.
--- a/crates/pinereel_core/src/endpoint/event.rs
+++ b/crates/pinereel_core/src/endpoint/event.rs
@@ -115,8 +115,8 @@
 }
 
 impl LeavingSource {
-    /// Whether peers may be told. Hints are not forwarded again, and refused connections may be the
-    /// fault of this entry's own link.
+    /// Whether this entry may pass the information on to peers. Hints are not forwarded again, and
+    /// refused connections may be the fault of this entry's own link.
     pub const fn is_shareable(self) -> bool {
         matches!(self, Self::Listed | Self::Reported)
     }
--- a/crates/pinereel_core/src/lease/poll.rs
+++ b/crates/pinereel_core/src/lease/poll.rs
@@ -34,6 +34,7 @@
     preferred: bool,
     /// Seed of the jitter; must differ between instances.
     seed: u64,
+    /// Number of polls so far, from which the jitter is derived.
     polls: u64,
     /// The version of each duty's lease, and when it was first seen.
     first_seen: BTreeMap<CompactString, (u64, Time)>,
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -48,7 +48,8 @@
     /// A lot from which its trainer has not collected yet starts attempts only on endpoints with fewer
     /// running attempts than this.
     pub prefetch_slots: u32,
-    /// Use endpoints that are much slower than the median last, and move attempts away from them.
+    /// Use endpoints that are much slower than the median only after all others, and move attempts
+    /// away from them.
     pub avoid_slow: bool,
     /// Share slots between trainers by weight instead of in the order in which their lots arrived.
     pub fair_share: bool,
--- a/crates/pinereel_core/src/retry.rs
+++ b/crates/pinereel_core/src/retry.rs
@@ -100,9 +100,9 @@
     failures: u32,
     /// Time of the last send since the start of the request.
     sent_at: Duration,
-    /// No further endpoint is available.
+    /// Whether no further endpoint is available.
     exhausted: bool,
-    /// The request runs at one endpoint at a time.
+    /// Whether the request runs at one endpoint at a time.
     hedging_disabled: bool,
     error_answer: Option<A>,
 }
--- a/crates/pinereel_core/src/rollout/engine.rs
+++ b/crates/pinereel_core/src/rollout/engine.rs
@@ -51,7 +51,9 @@
     pub(super) report_differs: bool,
     /// When the read in flight was sent, if there is one.
     pub(super) read_since: Option<Time>,
+    /// Failed loads since the last completed one.
     pub(super) failures: u32,
+    /// Quarantines since the last completed load.
     pub(super) quarantines: u32,
     /// No order is issued before this time.
     pub(super) next_order_at: Time,
--- a/crates/pinereel_core/src/rollout/schedule.rs
+++ b/crates/pinereel_core/src/rollout/schedule.rs
@@ -10,7 +10,7 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// An engine that may be ordered: the cost of the order, the version that it serves, its
+/// An engine that may be ordered to load: the cost of the order, the version that it serves, its
 /// outstanding requests, its name. The smallest candidate is ordered first: of equal cost, the
 /// engine furthest behind, which is of the least use.
 type Candidate = (Cost, Option<Version>, u32, CompactString);
