--- a/crates/pinereel/src/controllers/lots/runner.rs
+++ b/crates/pinereel/src/controllers/lots/runner.rs
@@ -82,7 +82,7 @@
         token,
         version: request.version,
         bound: request.bound,
-        max: request.max as usize,
+        max_samples: request.max as usize,
     };
     super::step(shared, Event::Collect(request));
     answer.await.ok()
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -70,7 +70,7 @@
             token: token.clone(),
             version: collect.version,
             bound,
-            max: collect.max as usize,
+            max_samples: collect.max as usize,
         };
         let delivery = merge.deliver(collected);
         record_delivery(shared, id, &delivery, collect.version);
--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -225,7 +225,7 @@
     /// The staleness bound of the pinned configuration, in versions.
     pub bound: u64,
     /// Most samples in the answer.
-    pub max: usize,
+    pub max_samples: usize,
 }
 
 /// The answer to a collect.
@@ -239,7 +239,7 @@
     pub remaining: u32,
     /// Number of samples left out because they are too old or have no version.
     pub stale: u32,
-    /// Number of samples left out because they are held, repeated, out of range or beyond `max`.
+    /// Number of samples left out because they are held, repeated, out of range or beyond `max_samples`.
     pub skipped: u32,
 }
 
@@ -256,7 +256,7 @@
                 continue;
             }
             let is_out_of_range = sample.index >= self.token.samples;
-            let is_full = samples.len() >= self.max;
+            let is_full = samples.len() >= self.max_samples;
             let is_skipped = is_out_of_range || is_full || self.token.contains(sample.index);
             if is_skipped || !delivered.insert(sample.index) {
                 skipped += 1;
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -77,7 +77,7 @@
             }
             bytes += ready.sample.text.len();
             let full = bytes > self.limits.max_answer_bytes && !samples.is_empty();
-            if samples.len() < request.max && !full {
+            if samples.len() < request.max_samples && !full {
                 samples.push(ready.sample.clone());
             }
         }
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -83,7 +83,7 @@
     /// Staleness bound by the sender's configuration, in versions.
     pub bound: u64,
     /// Most samples in the answer.
-    pub max: usize,
+    pub max_samples: usize,
 }
 
 /// Input of [`Runner::step`](super::Runner::step).
--- a/crates/pinereel_core/tests/cursor_token.rs
+++ b/crates/pinereel_core/tests/cursor_token.rs
@@ -103,11 +103,11 @@
 fn merge_gives_each_index_once_and_only_fresh() {
     let found = prop::collection::vec((0..20_u32, 0..9_u64), 0..60);
     let held = prop::collection::btree_set(0..16_u32, 0..8);
-    proptest!(config(7), |(found in found, held in held, bound in 0..4_u64, max in 0..20_usize)| {
+    proptest!(config(7), |(found in found, held in held, bound in 0..4_u64, max_samples in 0..20_usize)| {
         let mut token = Token::empty(lot(), 3, 16);
         held.iter().for_each(|index| assert!(token.insert(*index)));
         let version = Version(8);
-        let merge = Merge { token: token.clone(), version, bound, max };
+        let merge = Merge { token: token.clone(), version, bound, max_samples };
         let samples = found.iter().map(|(index, version)| sample(*index, *version));
         let answer = merge.deliver(samples);
         let fresh = found.iter().filter(|(_, version)| version + bound >= 8);
@@ -118,7 +118,7 @@
         let delivered: BTreeSet<u32> = answer.samples.iter().map(|s| s.index).collect();
         prop_assert_eq!(delivered.len(), answer.samples.len());
         prop_assert!(delivered.is_subset(&expected));
-        prop_assert_eq!(delivered.len(), expected.len().min(max));
+        prop_assert_eq!(delivered.len(), expected.len().min(max_samples));
         prop_assert!(answer.samples.iter().all(|s| s.spans[0].version.0 + bound >= 8));
         prop_assert_eq!(answer.remaining as usize, 16 - held.len() - delivered.len());
         let mut cursor = Cursor::new(token.clone());
@@ -137,7 +137,7 @@
         token: token.clone(),
         version: Version(8),
         bound: 100,
-        max: 9,
+        max_samples: 9,
     };
     let answer = merge.deliver([bare]);
     assert_eq!((answer.samples.len(), answer.stale), (0, 1));
--- a/crates/pinereel_core/tests/lot_delivery.rs
+++ b/crates/pinereel_core/tests/lot_delivery.rs
@@ -370,7 +370,7 @@
                 token: token.clone(),
                 version: self.version,
                 bound: self.bound + extra_bound,
-                max: 5,
+                max_samples: 5,
             };
             found.extend(self.send(at, Event::Collect(request)));
         }
@@ -379,7 +379,7 @@
             token: token.clone(),
             version,
             bound,
-            max: 8,
+            max_samples: 8,
         };
         let delivery = merge.deliver(found);
         Answer {
--- a/crates/pinereel_core/tests/lot_runner.rs
+++ b/crates/pinereel_core/tests/lot_runner.rs
@@ -58,7 +58,7 @@
         token,
         version: Version(version),
         bound,
-        max: 100,
+        max_samples: 100,
     })
 }
 
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -200,7 +200,7 @@
             token: token.clone(),
             version: Version(5),
             bound: 1,
-            max: 64,
+            max_samples: 64,
         };
         let actions = runner.step(Time::from_millis(1_000_000), Event::Collect(ask));
         let found = actions.into_iter().find_map(|action| match action {
@@ -260,7 +260,7 @@
                 token: token.clone(),
                 version: Version(5),
                 bound: 1,
-                max: samples as usize,
+                max_samples: samples as usize,
             };
             merge.deliver(found.clone())
         };
--- a/crates/pinereel_fakes/src/experiment/lots.rs
+++ b/crates/pinereel_fakes/src/experiment/lots.rs
@@ -214,7 +214,7 @@
             token,
             version,
             bound: self.trainers[collect.call.trainer].options.staleness_bound,
-            max: MAX_SAMPLES_PER_ANSWER,
+            max_samples: MAX_SAMPLES_PER_ANSWER,
         };
         let entry = &mut self.entries[runner];
         let entry_id = entry.id;
@@ -361,7 +361,7 @@
             token: call.token.clone(),
             version: call.version,
             bound: self.trainers[call.trainer].options.staleness_bound,
-            max: MAX_SAMPLES_PER_ANSWER,
+            max_samples: MAX_SAMPLES_PER_ANSWER,
         };
         let delivery = merge.deliver(found);
         self.recorder.stale_samples += u64::from(delivery.stale);
