--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -63,9 +63,9 @@
         };
         match status {
             RequestStatus::Unrestricted => return Ok(AttemptPlacement::Any),
-            RequestStatus::Blocked { forgotten_in, .. } => {
+            RequestStatus::Blocked { expires_in, .. } => {
                 log::warn!(identity:% = identity; "request refused: blocked for crashing endpoints");
-                return Err(no_endpoint("endpoints crash under it", forgotten_in));
+                return Err(no_endpoint("endpoints crash under it", expires_in));
             }
             RequestStatus::Suspected { .. } => {}
         }
@@ -206,7 +206,7 @@
         log::warn!(
             identity:% = change.identity,
             what:serde = change.kind,
-            endpoints = change.endpoints;
+            endpoints = change.crashes;
             "crash status of a request changed"
         );
     }
--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -230,7 +230,7 @@
     }
 
     fn notify_changed(&self) {
-        let (known, refused) = self.register.borrow().len();
+        let (known, refused) = self.register.borrow().counts();
         self.metrics.set_crash_suspects(known, refused);
         self.change_count.send_modify(|changes| *changes += 1);
     }
@@ -239,7 +239,7 @@
         log::warn!(
             identity:% = change.identity,
             what:serde = change.kind,
-            endpoints = change.endpoints,
+            endpoints = change.crashes,
             age_ms = change.age.as_millis() as u64,
             source = source.as_str();
             "request that crashes endpoints"
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -111,7 +111,7 @@
         let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
         match self.deps.crashes.status(identity) {
             RequestStatus::Unrestricted => Some(0),
-            RequestStatus::Suspected { endpoints, .. } => Some(endpoints),
+            RequestStatus::Suspected { crashes, .. } => Some(crashes),
             RequestStatus::Blocked { .. } => None,
         }
     }
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -125,10 +125,10 @@
             match status {
                 RequestStatus::Unrestricted => {}
                 RequestStatus::Suspected { .. } => state.attempts.disable_hedging(),
-                RequestStatus::Blocked { forgotten_in, .. } => {
+                RequestStatus::Blocked { expires_in, .. } => {
                     self.deps.crashes.count_event("refusal");
                     log_blocked(&request, status);
-                    break blocked_outcome(&state.attempts, forgotten_in);
+                    break blocked_outcome(&state.attempts, expires_in);
                 }
             }
             match state.attempts.next_step(started.elapsed()) {
--- a/crates/pinereel/src/hosted/proxy/request_log.rs
+++ b/crates/pinereel/src/hosted/proxy/request_log.rs
@@ -58,9 +58,9 @@
 /// Logs that a request was refused because it crashes endpoints; does nothing for other statuses.
 pub(super) fn log_blocked(request: &ProxyRequest, status: RequestStatus) {
     let RequestStatus::Blocked {
-        endpoints,
+        crashes,
         age,
-        forgotten_in,
+        expires_in,
     } = status
     else {
         return;
@@ -68,9 +68,9 @@
     log::warn!(
         id = request.id.as_str(),
         identity:% = request.identity(),
-        endpoints,
+        endpoints = crashes,
         age_ms = age.as_millis() as u64,
-        forgotten_in_ms = forgotten_in.as_millis() as u64;
+        forgotten_in_ms = expires_in.as_millis() as u64;
         "refused: endpoints crash under it"
     );
 }
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -68,8 +68,8 @@
 }
 
 /// Outcome of a blocked request. If none of its attempts may have run, the caller may retry when
-/// the record has expired, in `forgotten_in`.
-pub(super) fn blocked_outcome(attempts: &Attempts<Answer>, forgotten_in: Duration) -> Outcome {
+/// the record has expired, in `expires_in`.
+pub(super) fn blocked_outcome(attempts: &Attempts<Answer>, expires_in: Duration) -> Outcome {
     let reason = "endpoints crash under it".into();
     if attempts.may_have_run() {
         return Outcome::Unknown {
@@ -79,6 +79,6 @@
     }
     Outcome::NotRun {
         reason,
-        retry_after: forgotten_in,
+        retry_after: expires_in,
     }
 }
--- a/crates/pinereel_core/src/crash/record.rs
+++ b/crates/pinereel_core/src/crash/record.rs
@@ -26,7 +26,8 @@
     /// Endpoint starts that crashed while the request ran there.
     pub starts: Vec<(EndpointStart, Involvement)>,
     /// Runs completed since the first crash, as far as one instance has seen.
-    pub ends: u32,
+    #[serde(rename = "ends")]
+    pub completions: u32,
     /// Time since the last crash.
     pub age: Duration,
 }
@@ -126,7 +127,7 @@
             starts: starts
                 .map(|(start, involvement)| (start.clone(), *involvement))
                 .collect(),
-            ends: self.completions,
+            completions: self.completions,
             age: self.age(now),
         }
     }
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -37,7 +37,7 @@
     }
 
     /// Number of requests with a record, and of those that are blocked.
-    pub fn len(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.records.len(), self.blocked.len())
     }
 
@@ -74,7 +74,7 @@
         let report = Report {
             identity,
             starts: vec![(start, involvement)],
-            ends: 0,
+            completions: 0,
             age: Duration::ZERO,
         };
         self.merge(now, [report])
@@ -177,14 +177,14 @@
         let age = record.age(now);
         if self.blocked.contains(identity) {
             return RequestStatus::Blocked {
-                endpoints: record.starts.len(),
+                crashes: record.starts.len(),
                 age,
-                forgotten_in: RECORD_TTL.saturating_sub(age),
+                expires_in: RECORD_TTL.saturating_sub(age),
             };
         }
         match self.crash_count(identity) {
             0 => RequestStatus::Unrestricted,
-            endpoints => RequestStatus::Suspected { endpoints, age },
+            crashes => RequestStatus::Suspected { crashes, age },
         }
     }
 
@@ -240,8 +240,8 @@
         for (start, involvement) in report.starts {
             changed |= record.insert(start, involvement);
         }
-        changed |= report.ends == u32::MAX && record.completions != u32::MAX;
-        record.completions = record.completions.max(report.ends);
+        changed |= report.completions == u32::MAX && record.completions != u32::MAX;
+        record.completions = record.completions.max(report.completions);
         if changed {
             record.merged_at = now;
             record.observe_age(now, report.age);
@@ -276,7 +276,7 @@
         Change {
             identity,
             kind,
-            endpoints: record.map_or(0, |record| record.starts.len()),
+            crashes: record.map_or(0, |record| record.starts.len()),
             age: record.map_or(Duration::ZERO, |record| record.age(now)),
         }
     }
--- a/crates/pinereel_core/src/crash/status.rs
+++ b/crates/pinereel_core/src/crash/status.rs
@@ -12,25 +12,25 @@
     /// Endpoints crashed while it ran there. It may be the cause, or have run beside the cause.
     Suspected {
         /// Crashes that count against it.
-        endpoints: usize,
+        crashes: usize,
         /// Time since the last crash.
         age: Duration,
     },
     /// It crashes endpoints and must not run.
     Blocked {
         /// Endpoint starts that crashed under it, including those that no longer count.
-        endpoints: usize,
+        crashes: usize,
         /// Time since the last crash.
         age: Duration,
         /// Time until the record expires and the request may run again.
-        forgotten_in: Duration,
+        expires_in: Duration,
     },
 }
 
 impl RequestStatus {
     /// Whether it may run only where nothing else starts.
     pub const fn requires_isolation(&self) -> bool {
-        matches!(self, Self::Suspected { endpoints, .. } if *endpoints >= ISOLATE_AT_CRASHES)
+        matches!(self, Self::Suspected { crashes, .. } if *crashes >= ISOLATE_AT_CRASHES)
     }
 
     /// How long a suspected request waits until all instances know of the last crash under it.
@@ -70,7 +70,7 @@
     /// How its status changed.
     pub kind: ChangeKind,
     /// Endpoint starts that crashed under it, including those that no longer count.
-    pub endpoints: usize,
+    pub crashes: usize,
     /// Time since the last crash.
     pub age: Duration,
 }
--- a/crates/pinereel_core/tests/crash_propagation.rs
+++ b/crates/pinereel_core/tests/crash_propagation.rs
@@ -260,7 +260,7 @@
     }
     fleet.run();
     assert!(fleet.largest_batch <= MAX_BATCH_REPORTS);
-    let known = fleet.nodes.iter().map(|node| node.register.len().0);
+    let known = fleet.nodes.iter().map(|node| node.register.counts().0);
     assert!(
         known.clone().all(|known| known == 1_000),
         "{:?}",
--- a/crates/pinereel_core/tests/crash_register.rs
+++ b/crates/pinereel_core/tests/crash_register.rs
@@ -105,9 +105,9 @@
     assert_eq!(kinds, [ChangeKind::Blocked, ChangeKind::Suspected]);
     let status = register.status(at(13), &crasher);
     let expected = RequestStatus::Blocked {
-        endpoints: 3,
+        crashes: 3,
         age: Duration::from_millis(10),
-        forgotten_in: RECORD_TTL - Duration::from_millis(10),
+        expires_in: RECORD_TTL - Duration::from_millis(10),
     };
     assert_eq!(status, expected);
 }
@@ -132,7 +132,7 @@
     let status = register.status(at(8), &harmless);
     assert!(matches!(
         status,
-        RequestStatus::Suspected { endpoints: 1, .. }
+        RequestStatus::Suspected { crashes: 1, .. }
     ));
 }
 
@@ -177,7 +177,7 @@
     let crash = |number| Report {
         identity: crasher,
         starts: vec![(start(number), FIRST_CRASH)],
-        ends: 0,
+        completions: 0,
         age: Duration::ZERO,
     };
     local.merge(at(0), (1..=3).map(crash));
@@ -275,7 +275,7 @@
     let crash = |number| Report {
         identity: crasher,
         starts: vec![(start(number), FIRST_CRASH)],
-        ends: 0,
+        completions: 0,
         age: RECORD_TTL - Duration::from_secs(100),
     };
     let (started_at, later) = (Time::from_millis(1_000), Time::from_millis(101_000));
@@ -302,7 +302,7 @@
         let other = request(&format!("once {number}"));
         register.crashed(at(number), other, start(100 + number as usize));
     }
-    assert_eq!(register.len(), (MAX_RECORDS, 1));
+    assert_eq!(register.counts(), (MAX_RECORDS, 1));
     assert!(
         is_blocked(&register, at(6_000), crasher),
         "blocked requests are kept"
--- a/crates/pinereel_fakes/tests/entry_crash.rs
+++ b/crates/pinereel_fakes/tests/entry_crash.rs
@@ -137,7 +137,7 @@
         let report = Report {
             identity,
             starts: vec![(start, mark)],
-            ends: 0,
+            completions: 0,
             age: Duration::ZERO,
         };
         crashes::merge_reports(here, vec![report]);
