--- a/crates/pinereel_core/src/batch/fleet.rs
+++ b/crates/pinereel_core/src/batch/fleet.rs
@@ -69,14 +69,14 @@
         for listing in listings {
             let id = listing.id.clone();
             let known = unlisted.remove(&id);
-            let same =
+            let same_process =
                 known.filter(|key| self.engines[*key].listing.incarnation == listing.incarnation);
-            if let Some(before) = known.filter(|key| same != Some(*key)) {
-                self.engines[before].restarted = true;
-                runs_lost |= self.engines[before].active_runs > 0;
-                self.delist(before);
+            if let Some(replaced) = known.filter(|key| same_process != Some(*key)) {
+                self.engines[replaced].restarted = true;
+                runs_lost |= self.engines[replaced].active_runs > 0;
+                self.delist(replaced);
             }
-            let key = match same {
+            let key = match same_process {
                 Some(key) => key,
                 None => self.engines.insert(Engine::new(listing.clone())),
             };
@@ -122,8 +122,8 @@
 
     /// Number of slots of all engines that may get new runs, and how many are in use.
     pub fn slot_usage(&self) -> (u32, u32) {
-        let open = self.iter().filter(|(_, engine)| !engine.listing.leaving);
-        open.fold((0, 0), |(slots, runs), (_, engine)| {
+        let accepting = self.iter().filter(|(_, engine)| !engine.listing.leaving);
+        accepting.fold((0, 0), |(slots, runs), (_, engine)| {
             (slots + engine.listing.slots, runs + engine.active_runs)
         })
     }
@@ -164,10 +164,10 @@
         }
         let has_version =
             |engine: &Engine| engine.listing.version.is_some_and(|v| v >= oldest_version);
-        let open = self.iter().filter(|(_, engine)| {
+        let available = self.iter().filter(|(_, engine)| {
             has_version(engine) && !engine.listing.leaving && now >= engine.backoff_until
         });
-        let without_suspects = open.filter(|(_, engine)| engine.suspect_runs == 0);
+        let without_suspects = available.filter(|(_, engine)| engine.suspect_runs == 0);
         let first = without_suspects.min_by_key(|(_, engine)| engine.last_run_started);
         if let Some(key) = first.map(|(key, _)| key) {
             self.engines[key].reserved_until = now + RESERVATION_TIMEOUT;
@@ -181,11 +181,12 @@
         oldest_version: u64,
         admits: impl Fn(EngineKey, &Engine) -> bool,
     ) -> Option<EngineKey> {
-        let all = self
+        let candidates = self
             .iter()
             .filter(|(key, engine)| engine.accepts(now, oldest_version) && admits(*key, engine));
-        let min = all.min_by(|(_, a), (_, b)| a.cost(self.avg_ms).total_cmp(&b.cost(self.avg_ms)));
-        min.map(|(key, _)| key)
+        let cheapest =
+            candidates.min_by(|(_, a), (_, b)| a.cost(self.avg_ms).total_cmp(&b.cost(self.avg_ms)));
+        cheapest.map(|(key, _)| key)
     }
 
     /// A faster engine to which a run on `from` with this number of events should move.
--- a/crates/pinereel_core/src/claim/log.rs
+++ b/crates/pinereel_core/src/claim/log.rs
@@ -213,12 +213,12 @@
 
     /// Verdict according to claims that are in flight or queued.
     fn pending_verdict(&self, claim: &Claim) -> Option<Verdict> {
-        let open = self
+        let pending = self
             .batch()
             .into_iter()
             .flat_map(|batch| &batch.pending_claims)
             .chain(&self.pending_claims);
-        verdict_against(open, claim)
+        verdict_against(pending, claim)
     }
 
     fn on_settle(&mut self, now: Time, settlement: Settlement, actions: &mut Vec<Action>) {
--- a/crates/pinereel_core/src/crash/attribution.rs
+++ b/crates/pinereel_core/src/crash/attribution.rs
@@ -100,9 +100,11 @@
 
     /// Whether another request could equally be the cause: it was at two of the same endpoints.
     fn has_co_suspect(&self, identity: &Identity) -> bool {
-        let own: BTreeSet<_> = self.counted(identity).map(|(start, _)| start).collect();
+        let own_starts: BTreeSet<_> = self.counted(identity).map(|(start, _)| start).collect();
         self.records.iter().any(|(other, record)| {
-            let shared = record.counted().filter(|(start, _)| own.contains(start));
+            let shared = record
+                .counted()
+                .filter(|(start, _)| own_starts.contains(start));
             other != identity
                 && !self.blocked.contains(other)
                 && shared.count() >= ISOLATE_AT_CRASHES
@@ -148,10 +150,10 @@
     /// Crashes that are attributed to the request and that no blocked request explains.
     fn attributed_crashes(&self, identity: &Identity) -> usize {
         let counted = self.counted(identity);
-        let own = counted.filter(|(start, before)| {
+        let attributed = counted.filter(|(start, before)| {
             self.is_cause(start, *before) && !self.explained.contains(*start)
         });
-        own.count()
+        attributed.count()
     }
 
     /// Whether this endpoint start is known to have crashed.
--- a/crates/pinereel_core/src/crash/placement.rs
+++ b/crates/pinereel_core/src/crash/placement.rs
@@ -22,7 +22,8 @@
 const OCCUPIED_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// How long after the last crash an isolated request waits for a second endpoint; crashed endpoints
-/// are back by then. Afterwards it runs beside others, since some services have a single endpoint.
+/// have restarted by then. Afterwards the request runs beside others, since some services have a
+/// single endpoint.
 const SECOND_ENDPOINT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Requests that run in isolation, in the order of their time slices.
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -212,9 +212,9 @@
 
     /// Reports of all requests, those with the most counting crashes first.
     pub fn reports(&self, now: Time) -> Vec<Report> {
-        let mut all: Vec<_> = self.records.iter().collect();
-        all.sort_by_key(|(_, record)| Reverse(record.counted().count()));
-        let reports = all.into_iter();
+        let mut records: Vec<_> = self.records.iter().collect();
+        records.sort_by_key(|(_, record)| Reverse(record.counted().count()));
+        let reports = records.into_iter();
         reports
             .map(|(identity, record)| record.report(now, *identity))
             .collect()
@@ -253,11 +253,11 @@
     /// counting crashes, then the oldest.
     fn evict_excess(&mut self, now: Time) {
         while self.records.len() > MAX_RECORDS {
-            let least = self.records.iter().min_by_key(|(identity, record)| {
+            let lowest = self.records.iter().min_by_key(|(identity, record)| {
                 let blocked = self.blocked.contains(*identity);
                 (blocked, record.counted().count(), Reverse(record.age(now)))
             });
-            let Some(identity) = least.map(|(identity, _)| *identity) else {
+            let Some(identity) = lowest.map(|(identity, _)| *identity) else {
                 return;
             };
             self.records.remove(&identity);
--- a/crates/pinereel_core/src/cursor.rs
+++ b/crates/pinereel_core/src/cursor.rs
@@ -239,7 +239,8 @@
     pub remaining: u32,
     /// Number of samples left out because they are too old or have no version.
     pub stale: u32,
-    /// Number of samples left out because they are held, repeated, out of range or beyond `max_samples`.
+    /// Number of samples left out because they are held, repeated, out of range or beyond
+    /// [`Merge::max_samples`].
     pub skipped: u32,
 }
 
--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -164,8 +164,8 @@
         // A lower bound applies immediately; the adaptive limit grows back on its own.
         endpoint.limit = endpoint.limit.min(f64::from(endpoint.slots));
         if endpoint.pool != listing.pool {
-            let old = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
-            self.remove_from_pool(&old, key);
+            let old_pool = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
+            self.remove_from_pool(&old_pool, key);
             self.by_pool.entry(listing.pool).or_default().push(key);
         }
         if listing.leaving {
@@ -200,11 +200,11 @@
         let Some(key) = self.retired.remove(&id) else {
             return self.arena.insert(endpoint);
         };
-        let old = &self.arena[key];
-        endpoint.outstanding = old.outstanding;
-        endpoint.yielding = old.yielding;
-        endpoint.tokens = old.tokens;
-        endpoint.recent_changes = old.recent_changes.clone();
+        let retired = &self.arena[key];
+        endpoint.outstanding = retired.outstanding;
+        endpoint.yielding = retired.yielding;
+        endpoint.tokens = retired.tokens;
+        endpoint.recent_changes = retired.recent_changes.clone();
         self.arena[key] = endpoint;
         key
     }
--- a/crates/pinereel_core/src/endpoint/state.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -232,9 +232,9 @@
         }
         self.recent_changes.retain(|(at, _)| *at > report.at);
         let net_starts: i64 = self.recent_changes.iter().map(|(_, change)| change).sum();
-        let own = (i64::from(self.outstanding) - net_starts).max(0);
+        let own_at_report = (i64::from(self.outstanding) - net_starts).max(0);
         let total = i64::from(report.running) + i64::from(report.waiting);
-        self.other_load = u32::try_from((total - own).max(0)).unwrap_or(u32::MAX);
+        self.other_load = u32::try_from((total - own_at_report).max(0)).unwrap_or(u32::MAX);
         self.version = report.version;
         self.loading = report.loading;
         self.report = Some(report);
--- a/crates/pinereel_core/src/lease/candidate/mod.rs
+++ b/crates/pinereel_core/src/lease/candidate/mod.rs
@@ -146,7 +146,7 @@
         last_read.is_some_and(|read| read.lease.holder == self.id)
     }
 
-    /// Whether a read has shown whether a lease exists.
+    /// Whether a read has been answered, so that it is known whether a lease exists.
     pub const fn has_read(&self) -> bool {
         self.absent_since.is_some() || self.last_read.is_some()
     }
--- a/crates/pinereel_core/src/lease/rank.rs
+++ b/crates/pinereel_core/src/lease/rank.rs
@@ -35,9 +35,9 @@
         if self.number < self.preferred {
             return TAKEOVER_STEP * steps(self.number, self.preferred, duty);
         }
-        let rest = self.total.saturating_sub(self.preferred);
+        let others = self.total.saturating_sub(self.preferred);
         let preferred_steps = self.preferred.min(MAX_TAKEOVER_STEPS + 1);
-        TAKEOVER_STEP * (preferred_steps + steps(self.number - self.preferred, rest, duty))
+        TAKEOVER_STEP * (preferred_steps + steps(self.number - self.preferred, others, duty))
     }
 }
 
--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -83,9 +83,9 @@
             .lots
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
-        let old = lots_of_trainer.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
-        let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
-        for lot in old {
+        let superseded = lots_of_trainer.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
+        let superseded: Vec<_> = superseded.map(|lot| lot.spec.lot.clone()).collect();
+        for lot in superseded {
             self.drop_lot(&lot, Refusal::Superseded);
         }
     }
@@ -168,11 +168,12 @@
 
     /// Drops lots without an assign or a collect for longer than the idle timeout.
     pub(super) fn drop_idle_lots(&mut self, now: Time) {
-        let idle = self.limits.idle_timeout;
-        let all = self.lots.values();
-        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle);
-        let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
-        for lot in old {
+        let idle_timeout = self.limits.idle_timeout;
+        let lots = self.lots.values();
+        let idle_lots =
+            lots.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle_timeout);
+        let idle_lots: Vec<_> = idle_lots.map(|lot| lot.spec.lot.clone()).collect();
+        for lot in idle_lots {
             self.drop_lot(&lot, Refusal::Idle);
         }
     }
@@ -196,18 +197,18 @@
 /// Whether the sample ranges of all groups, new and known, are disjoint, within [`MAX_SAMPLES`] and
 /// unchanged for known groups.
 fn are_ranges_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
-    let mut all = BTreeMap::new();
+    let mut ranges_by_group = BTreeMap::new();
     let known = known
         .into_iter()
         .flatten()
         .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
         let range = (group.first, group.samples);
-        if *all.entry(group.index).or_insert(range) != range {
+        if *ranges_by_group.entry(group.index).or_insert(range) != range {
             return false;
         }
     }
-    let mut ranges: Vec<_> = all.into_values().collect();
+    let mut ranges: Vec<_> = ranges_by_group.into_values().collect();
     ranges.sort_unstable();
     let mut end = 0;
     ranges.into_iter().all(|(first, samples)| {
--- a/crates/pinereel_core/src/lot/collect.rs
+++ b/crates/pinereel_core/src/lot/collect.rs
@@ -156,8 +156,8 @@
 
     /// Requests a score again for each failed scoring whose delay has passed.
     pub(super) fn retry_scores(&mut self, now: Time) {
-        let all = self.scorings.iter();
-        let due = all.filter(|(_, (_, due))| due.is_some_and(|due| due <= now));
+        let scorings = self.scorings.iter();
+        let due = scorings.filter(|(_, (_, due))| due.is_some_and(|due| due <= now));
         let due: Vec<_> = due.map(|(ticket, (key, _))| (*ticket, *key)).collect();
         for (ticket, key) in due {
             self.scorings.remove(&ticket);
--- a/crates/pinereel_core/src/lot/runner.rs
+++ b/crates/pinereel_core/src/lot/runner.rs
@@ -64,7 +64,7 @@
     pub(super) actions: Vec<Action>,
 }
 
-/// Cost of one retry in the units of the retry budget, which are hundredths.
+/// Cost of one retry in the units of the retry budget, which are hundredths of a retry.
 pub(super) const RETRY_CREDIT: u64 = 100;
 
 impl Runner {
@@ -231,8 +231,8 @@
     }
 
     fn endpoint_lost(&mut self, now: Time, endpoint: &str) {
-        let all = self.attempts.iter();
-        let lost = all.filter(|(_, attempt)| attempt.endpoint == endpoint);
+        let attempts = self.attempts.iter();
+        let lost = attempts.filter(|(_, attempt)| attempt.endpoint == endpoint);
         let lost: Vec<_> = lost.map(|(key, _)| key).collect();
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.offer.slots = 0;
--- a/crates/pinereel_core/src/lot/schedule.rs
+++ b/crates/pinereel_core/src/lot/schedule.rs
@@ -57,9 +57,9 @@
         slow: &BTreeSet<CompactString>,
         unusable: &BTreeSet<CompactString>,
     ) -> Vec<CompactString> {
-        let all = self.endpoints.iter();
-        let free =
-            all.filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
+        let endpoints = self.endpoints.iter();
+        let free = endpoints
+            .filter(|(key, e)| e.running_attempts < e.offer.slots && !unusable.contains(*key));
         // If all runners preferred the same one of equal endpoints, they would overload it together.
         let seed = self.stats.started;
         let mut free: Vec<_> = free.collect();
@@ -87,8 +87,8 @@
         if !self.policy.avoid_slow {
             return slow;
         }
-        let all = self.endpoints.iter();
-        let rated = all.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
+        let endpoints = self.endpoints.iter();
+        let rated = endpoints.filter_map(|(key, e)| Some((e.token_time.current(now)?, key)));
         let mut rated: Vec<_> = rated.collect();
         rated.sort_unstable();
         if rated.len() < MIN_RATED_ENDPOINTS {
@@ -106,8 +106,9 @@
         if slow.is_empty() || !self.policy.resume {
             return;
         }
-        let all = self.attempts.iter();
-        let movable = all.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
+        let attempts = self.attempts.iter();
+        let movable =
+            attempts.filter(|(_, a)| slow.contains(&a.endpoint) && a.last_chunk_at.is_some());
         let movable: Vec<_> = movable.map(|(key, _)| key).collect();
         for key in movable {
             self.push_cancel(key);
@@ -183,8 +184,8 @@
             return true;
         }
         // If no endpoint serves a newer version, waiting would not help.
-        let all = self.endpoints.values().map(|e| &e.offer);
-        let mut usable = all.filter(|o| o.model == offer.model && o.slots > 0);
+        let offers = self.endpoints.values().map(|e| &e.offer);
+        let mut usable = offers.filter(|o| o.model == offer.model && o.slots > 0);
         usable.all(|other| other.version <= offer.version)
     }
 
@@ -234,7 +235,7 @@
         sample_state.attempts.push(attempt);
         sample_state.was_started = true;
         let lot = &self.lots[&sample_state.lot];
-        let late = now >= lot.spec.deadline;
+        let is_past_deadline = now >= lot.spec.deadline;
         let group_state = &lot.groups[&sample_state.group];
         let cost = u64::from(
             group_state
@@ -253,7 +254,7 @@
             seed: sampling_seed(lot.spec.digest, sample_state.index),
             resume,
             resume_tokens: resumed_tokens,
-            class: if is_retry || late || self.policy.requested_first && lot.requested {
+            class: if is_retry || is_past_deadline || self.policy.requested_first && lot.requested {
                 Class::Straggler
             } else {
                 Class::Bulk
@@ -323,8 +324,8 @@
         for key in running {
             self.abort_if_stale(key, Self::requeue);
         }
-        let all = self.samples.iter();
-        let stale = all.filter(|(_, sample_state)| self.is_stale(sample_state));
+        let samples = self.samples.iter();
+        let stale = samples.filter(|(_, sample_state)| self.is_stale(sample_state));
         let stale: Vec<_> = stale.map(|(key, _)| key).collect();
         for key in stale {
             self.expire_finished(key);
--- a/crates/pinereel_core/src/member.rs
+++ b/crates/pinereel_core/src/member.rs
@@ -160,12 +160,13 @@
     /// Name and incarnation of the entries whose member objects other entries may remove. The removal must
     /// be conditional on that incarnation.
     pub fn removable(&self, now: Time) -> Vec<(CompactString, u64)> {
-        let gone = self.members.iter().filter(|(_, member)| {
+        let removable = self.members.iter().filter(|(_, member)| {
             member
                 .gone_since
                 .is_some_and(|since| now.since(since) >= REMOVAL_GRACE)
         });
-        gone.map(|(name, member)| (name.clone(), member.object.incarnation))
+        removable
+            .map(|(name, member)| (name.clone(), member.object.incarnation))
             .collect()
     }
 
--- a/crates/pinereel_core/src/provenance.rs
+++ b/crates/pinereel_core/src/provenance.rs
@@ -145,8 +145,8 @@
 
     /// The oldest version of all spans; `None` before the first chunk with a version.
     pub fn oldest_version(&self) -> Option<Version> {
-        let all = self.reused.iter().chain(&self.output);
-        all.map(|span| span.version).min()
+        let spans = self.reused.iter().chain(&self.output);
+        spans.map(|span| span.version).min()
     }
 
     /// The reused spans, then the output spans; within each, adjacent spans of one version are merged.
--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -12,8 +12,8 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// One engine in this many may load at the same time; beyond that, loads take longer in pools of 8
-/// and of 44 engines.
+/// One engine in this many may load at the same time. With more loads at a time, each takes longer,
+/// in pools of 8 as well as of 44 engines.
 const ENGINES_PER_LOAD: usize = 5;
 
 /// Minimum work that a model is counted with, as a fraction of the mean of all models. A model with
@@ -108,7 +108,7 @@
 /// The limit for all models together follows from the number of all `listed` engines and is at
 /// least `min_loads`.
 pub fn max_loads(listed: usize, shared: usize, own: usize, min_loads: usize) -> usize {
-    let all = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
+    let total_loads = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
     // Rounds to the nearest integer.
-    ((2 * all * own + shared) / (2 * shared).max(1)).max(1)
+    ((2 * total_loads * own + shared) / (2 * shared).max(1)).max(1)
 }
--- a/crates/pinereel_core/src/route/mod.rs
+++ b/crates/pinereel_core/src/route/mod.rs
@@ -82,7 +82,8 @@
 }
 
 impl Policy {
-    /// All features off: each request goes to the endpoint with the fewest outstanding requests.
+    /// All features off: first in, first out, each request to the endpoint with the fewest
+    /// outstanding requests.
     pub const BASELINE: Self = Self {
         affinity: false,
         load_factor: 1.25,
