--- a/crates/pinereel_core/src/config/message.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -51,7 +51,7 @@
     Late,
     /// Not known: the patch may or may not be accepted. The operator should send the same patch
     /// again.
-    #[error("the object API did not tell the result; send the patch again")]
+    #[error("the object API did not report the result; send the patch again")]
     Unknown,
 }
 
--- a/crates/pinereel_core/src/lot/mod.rs
+++ b/crates/pinereel_core/src/lot/mod.rs
@@ -43,7 +43,8 @@
     pub prefetch_bound: u64,
     /// Break ties between equally loaded endpoints by hash instead of by name.
     pub hash_tie_break: bool,
-    /// Lots from which their trainer has collected go first, both here and at the engines.
+    /// Prefer lots from which their trainer has collected, at this runner and, by priority class, at
+    /// the engines.
     pub requested_first: bool,
     /// A lot from which its trainer has not collected yet starts attempts only on endpoints with fewer
     /// running attempts than this.
@@ -103,7 +104,8 @@
     /// Bytes of finished text held from which further groups are refused with [`Refusal::Full`];
     /// samples accepted before still finish.
     pub max_text_bytes: usize,
-    /// Most steps between a trainer's newest lot and its other lots here; older ones are dropped.
+    /// Most steps between a trainer's newest lot and its other lots on this runner; older ones are
+    /// dropped.
     pub max_steps_ahead: u64,
     /// Retry budget earned by each first attempt, in percent of a retry.
     pub retry_percent: u32,
--- a/crates/pinereel_core/src/scale.rs
+++ b/crates/pinereel_core/src/scale.rs
@@ -92,7 +92,7 @@
         for (name, zone) in zones {
             let baseline = self.baseline.entry(name.clone()).or_insert(zone.regular);
             if settings.use_spot {
-                // Regular endpoints that crashed come back and are not additions.
+                // Regular endpoints that crashed are restarted and are not additions.
                 *baseline = zone.regular.max(*baseline).min(settings.max_per_zone);
             }
         }
--- a/crates/pinereel_core/src/tree/uplink.rs
+++ b/crates/pinereel_core/src/tree/uplink.rs
@@ -141,7 +141,7 @@
     /// be fresh soon.
     pub fn is_recovering(&self, now: Time, status: StoreStatus, slack: Duration) -> bool {
         let limit = match &self.last_heartbeat {
-            // The children would wait as long again for data that the parent already waits for.
+            // With a limit here as well, the wait of the children would add to that of their parent.
             Some((heartbeat, _)) if heartbeat.age.is_some() => Duration::ZERO,
             Some(_) => return !self.remaining_grace(now, slack).is_zero(),
             None if self.reads_store => return status.age.is_none() && status.is_answering,
