--- a/crates/pinereel_core/src/endpoint/state.rs
+++ b/crates/pinereel_core/src/endpoint/state.rs
@@ -92,7 +92,7 @@
     pub latency: f64,
     pub(super) hash: u64,
     pub(super) slow_start_since: Option<Time>,
-    /// Adaptive concurrency limit; [`Endpoint::limit`] is the value in force.
+    /// Adaptive concurrency limit; `limit()` is the value in force.
     pub(super) limit: f64,
     pub(super) limit_decreased_at: Option<Time>,
     pub(super) ejected_at: Option<Time>,
