--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -218,7 +218,7 @@
         // list.
         let revision = page.revision;
         let mut objects = std::mem::take(&mut page.objects);
-        while page.has_more {
+        while page.more {
             let Some(last) = objects.last().map(|object| object.name.clone()) else {
                 break;
             };
--- a/crates/pinereel_port/src/store.rs
+++ b/crates/pinereel_port/src/store.rs
@@ -27,7 +27,7 @@
     /// The objects of this page.
     pub objects: Vec<Object>,
     /// Whether more objects follow after the last one of this page.
-    pub has_more: bool,
+    pub more: bool,
     /// Revision of the store at the time of the list, from which a watch can start.
     pub revision: u64,
 }
