--- a/crates/pinereel_core/src/batch/engine.rs
+++ b/crates/pinereel_core/src/batch/engine.rs
@@ -58,11 +58,12 @@
     pub(super) consecutive_failures: u32,
     /// No new run starts before this time.
     pub(super) backoff_until: Time,
-    /// Its last run was rejected or failed: a single run must succeed before others may start.
+    /// Whether a single run must succeed before others may start, since the last one was rejected or
+    /// failed.
     pub(super) probe_needed: bool,
-    /// It is no longer in the endpoint list; the state is kept until its last run ends.
+    /// Whether it is no longer in the endpoint list; the state is kept until its last run ends.
     pub(super) delisted: bool,
-    /// The engine has restarted: the runs on this process are lost.
+    /// Whether the engine has restarted, so that the runs on this process are lost.
     pub(super) restarted: bool,
     /// Runs on it of items that are suspected of crashing engines.
     pub(super) suspect_runs: u32,
@@ -108,14 +109,14 @@
 
     /// Whether the engine is healthy, serves `oldest_version` or newer and has a free slot.
     pub(super) fn accepts(&self, now: Time, oldest_version: u64) -> bool {
-        let fits = self.listing.version.is_some_and(|v| v >= oldest_version);
+        let has_version = self.listing.version.is_some_and(|v| v >= oldest_version);
         let slots = if self.probe_needed {
             1
         } else {
             self.listing.slots
         };
         let free = self.active_runs < slots;
-        !self.delisted && !self.listing.leaving && fits && free && now >= self.backoff_until
+        !self.delisted && !self.listing.leaving && has_version && free && now >= self.backoff_until
     }
 
     /// Whether an item under which `crashes` engines have crashed may run beside the current runs.
--- a/crates/pinereel_core/src/crash/attribution.rs
+++ b/crates/pinereel_core/src/crash/attribution.rs
@@ -100,9 +100,11 @@
 
     /// Whether another request could equally be the cause: it was at two of the same endpoints.
     fn has_co_suspect(&self, identity: &Identity) -> bool {
-        let own: BTreeSet<_> = self.counted(identity).map(|(start, _)| start).collect();
+        let own_starts: BTreeSet<_> = self.counted(identity).map(|(start, _)| start).collect();
         self.records.iter().any(|(other, record)| {
-            let shared = record.counted().filter(|(start, _)| own.contains(start));
+            let shared = record
+                .counted()
+                .filter(|(start, _)| own_starts.contains(start));
             other != identity
                 && !self.blocked.contains(other)
                 && shared.count() >= ISOLATE_AT_CRASHES
@@ -112,8 +114,8 @@
     /// Whether the crash of `start` is attributed to a request that `before` crashes counted
     /// against at that time: no other request that ran there had more.
     fn is_cause(&self, start: &EndpointStart, before: usize) -> bool {
-        let most = self.max_before.get(start);
-        before >= most.copied().unwrap_or_default()
+        let max_before = self.max_before.get(start);
+        before >= max_before.copied().unwrap_or_default()
     }
 
     fn find_isolated(&self) -> Vec<Identity> {
@@ -125,8 +127,8 @@
     fn index_crashes(&mut self) {
         self.max_before.clear();
         for (start, before) in self.records.values().flat_map(Record::counted) {
-            let most = self.max_before.entry(start.clone()).or_default();
-            *most = before.max(*most);
+            let max_before = self.max_before.entry(start.clone()).or_default();
+            *max_before = before.max(*max_before);
         }
     }
 
@@ -148,10 +150,10 @@
     /// Crashes that are attributed to the request and that no blocked request explains.
     fn attributed_crashes(&self, identity: &Identity) -> usize {
         let counted = self.counted(identity);
-        let own = counted.filter(|(start, before)| {
+        let attributed = counted.filter(|(start, before)| {
             self.is_cause(start, *before) && !self.explained.contains(*start)
         });
-        own.count()
+        attributed.count()
     }
 
     /// Whether this endpoint start is known to have crashed.
--- a/crates/pinereel_core/src/crash/mod.rs
+++ b/crates/pinereel_core/src/crash/mod.rs
@@ -28,9 +28,9 @@
 
 use std::time::Duration;
 
-/// Endpoints that may crash under one request before it is blocked. The platform limits the crashes
-/// after the third. A request that only ran beside another one rarely sees three crashes without
-/// completing a run.
+/// Endpoints that may crash under one request before it is blocked. The platform limits the
+/// crashes that one request causes after its third. A request that only ran beside the cause rarely
+/// sees three crashes without completing a run.
 pub const MAX_CRASHES: usize = 3;
 
 /// Crashes from which on a request runs in isolation: one more blocks it.
@@ -41,9 +41,9 @@
 /// blocked.
 pub const MAX_SHARED_CRASHES: usize = MAX_CRASHES + 2;
 
-/// Time after its last crash for which a request's record is kept. It may then crash three
-/// endpoints again, which is at most 0.3 a minute. A caller that has fixed the request waits this
-/// long or asks an operator.
+/// Time after its last crash for which a request's record is kept. The request may then crash
+/// three more endpoints, which is at most 0.3 crashes a minute. A caller that has fixed the request
+/// waits this long or asks an operator.
 pub const RECORD_TTL: Duration = Duration::from_secs(600);
 
 /// Completed runs per crash from which on a frequent request is not blocked. Runs take a tenth
@@ -72,11 +72,11 @@
 /// whose caller has given up must not keep an endpoint from others.
 pub const RESERVATION_TTL: Duration = Duration::from_secs(30);
 
-/// Longest run that is suspected of a crash to come. A request that crashes endpoints does so soon
-/// after its run starts: this covers a run of a tenth of a second and the time to reach the
-/// endpoint.
+/// Longest time after the start of a run within which the run may still crash its endpoint. A request
+/// that crashes endpoints does so soon after its run starts: this covers a run of a tenth of a second
+/// and the time to reach the endpoint.
 pub const MAX_SUSPECT_RUN_AGE: Duration = Duration::from_millis(300);
 
-/// Requests with a record. By the size of its fields a record takes about 0.3 kB, so all of them
-/// take 0.3 MB of the 160 MB of the smallest instance.
+/// Most requests with a record. By the size of its fields a record takes about 0.3 kB, so all of
+/// them take 0.3 MB of the 160 MB of the smallest instance.
 pub const MAX_RECORDS: usize = 1_024;
--- a/crates/pinereel_core/src/crash/register.rs
+++ b/crates/pinereel_core/src/crash/register.rs
@@ -37,7 +37,7 @@
     }
 
     /// Number of requests with a record, and of those that are blocked.
-    pub fn len(&self) -> (usize, usize) {
+    pub fn counts(&self) -> (usize, usize) {
         (self.records.len(), self.blocked.len())
     }
 
@@ -74,7 +74,7 @@
         let report = Report {
             identity,
             starts: vec![(start, involvement)],
-            ends: 0,
+            completions: 0,
             age: Duration::ZERO,
         };
         self.merge(now, [report])
@@ -162,11 +162,11 @@
         let known = self.records.len();
         self.records
             .retain(|_, record| record.age(now) < RECORD_TTL);
-        let forgot = self.records.len() < known;
-        if forgot {
+        let any_expired = self.records.len() < known;
+        if any_expired {
             self.reevaluate(now, &BTreeMap::new());
         }
-        forgot
+        any_expired
     }
 
     /// Whether the request may run, and under which restriction.
@@ -177,14 +177,14 @@
         let age = record.age(now);
         if self.blocked.contains(identity) {
             return RequestStatus::Blocked {
-                endpoints: record.starts.len(),
+                crashes: record.starts.len(),
                 age,
-                forgotten_in: RECORD_TTL.saturating_sub(age),
+                expires_in: RECORD_TTL.saturating_sub(age),
             };
         }
         match self.crash_count(identity) {
             0 => RequestStatus::Unrestricted,
-            endpoints => RequestStatus::Suspected { endpoints, age },
+            crashes => RequestStatus::Suspected { crashes, age },
         }
     }
 
@@ -198,10 +198,10 @@
         !self.pending.is_empty()
     }
 
-    /// Takes reports of changed requests for the other instances, at most `most`.
-    pub fn take_pending(&mut self, now: Time, most: usize) -> Vec<Report> {
+    /// Takes reports of changed requests for the other instances, at most `max_reports`.
+    pub fn take_pending(&mut self, now: Time, max_reports: usize) -> Vec<Report> {
         let mut reports = Vec::new();
-        while reports.len() < most
+        while reports.len() < max_reports
             && let Some(identity) = self.pending.pop_first()
         {
             let record = self.records.get(&identity);
@@ -212,9 +212,9 @@
 
     /// Reports of all requests, those with the most counting crashes first.
     pub fn reports(&self, now: Time) -> Vec<Report> {
-        let mut all: Vec<_> = self.records.iter().collect();
-        all.sort_by_key(|(_, record)| Reverse(record.counted().count()));
-        let reports = all.into_iter();
+        let mut records: Vec<_> = self.records.iter().collect();
+        records.sort_by_key(|(_, record)| Reverse(record.counted().count()));
+        let reports = records.into_iter();
         reports
             .map(|(identity, record)| record.report(now, *identity))
             .collect()
@@ -240,8 +240,8 @@
         for (start, involvement) in report.starts {
             changed |= record.insert(start, involvement);
         }
-        changed |= report.ends == u32::MAX && record.completions != u32::MAX;
-        record.completions = record.completions.max(report.ends);
+        changed |= report.completions == u32::MAX && record.completions != u32::MAX;
+        record.completions = record.completions.max(report.completions);
         if changed {
             record.merged_at = now;
             record.observe_age(now, report.age);
@@ -253,11 +253,11 @@
     /// counting crashes, then the oldest.
     fn evict_excess(&mut self, now: Time) {
         while self.records.len() > MAX_RECORDS {
-            let least = self.records.iter().min_by_key(|(identity, record)| {
+            let lowest = self.records.iter().min_by_key(|(identity, record)| {
                 let blocked = self.blocked.contains(*identity);
                 (blocked, record.counted().count(), Reverse(record.age(now)))
             });
-            let Some(identity) = least.map(|(identity, _)| *identity) else {
+            let Some(identity) = lowest.map(|(identity, _)| *identity) else {
                 return;
             };
             self.records.remove(&identity);
@@ -276,7 +276,7 @@
         Change {
             identity,
             kind,
-            endpoints: record.map_or(0, |record| record.starts.len()),
+            crashes: record.map_or(0, |record| record.starts.len()),
             age: record.map_or(Duration::ZERO, |record| record.age(now)),
         }
     }
--- a/crates/pinereel_core/src/endpoint/set.rs
+++ b/crates/pinereel_core/src/endpoint/set.rs
@@ -15,14 +15,14 @@
 const FAILURES_TO_EJECT: u32 = 5;
 /// Duration of the first ejection; each further one doubles it.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(5);
-/// Upper bound of an ejection.
+/// Upper bound of the duration of an ejection.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 /// Consecutive refused connections after which the endpoint's process may have ended.
 const REFUSALS_UNTIL_LEAVING: u32 = 3;
 /// Minimum time between the first and the last of these refusals, so that a short interruption does
 /// not count as leaving.
 const MIN_REFUSAL_SPAN: Duration = Duration::from_secs(1);
-/// Incarnations remembered as leaving after they were removed from the set.
+/// Most incarnations remembered as leaving after they were removed from the set.
 const MAX_LEAVING_HISTORY: usize = 16_384;
 
 /// All endpoints of an entry, including removed ones with attempts still in flight.
@@ -164,8 +164,8 @@
         // A lower bound applies immediately; the adaptive limit grows back on its own.
         endpoint.limit = endpoint.limit.min(f64::from(endpoint.slots));
         if endpoint.pool != listing.pool {
-            let old = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
-            self.remove_from_pool(&old, key);
+            let old_pool = std::mem::replace(&mut endpoint.pool, listing.pool.clone());
+            self.remove_from_pool(&old_pool, key);
             self.by_pool.entry(listing.pool).or_default().push(key);
         }
         if listing.leaving {
@@ -200,11 +200,11 @@
         let Some(key) = self.retired.remove(&id) else {
             return self.arena.insert(endpoint);
         };
-        let old = &self.arena[key];
-        endpoint.outstanding = old.outstanding;
-        endpoint.yielding = old.yielding;
-        endpoint.tokens = old.tokens;
-        endpoint.recent_changes = old.recent_changes.clone();
+        let retired = &self.arena[key];
+        endpoint.outstanding = retired.outstanding;
+        endpoint.yielding = retired.yielding;
+        endpoint.tokens = retired.tokens;
+        endpoint.recent_changes = retired.recent_changes.clone();
         self.arena[key] = endpoint;
         key
     }
@@ -318,8 +318,8 @@
             return;
         };
         // An attempt that started before the ejection says nothing about recovery.
-        let began = Time(now.0.saturating_sub(took.as_micros() as u64));
-        if endpoint.ejected_at.is_some_and(|at| began >= at) {
+        let started_at = Time(now.0.saturating_sub(took.as_micros() as u64));
+        if endpoint.ejected_at.is_some_and(|at| started_at >= at) {
             endpoint.state = State::Live;
             endpoint.slow_start_since = Some(now);
             self.push_change(key, ChangeKind::Restored, changes);
@@ -329,12 +329,12 @@
     fn record_failure(&mut self, now: Time, key: Key, changes: &mut Vec<Change>) {
         let endpoint = &mut self.arena[key];
         endpoint.failures += 1;
-        let eject = match endpoint.state {
+        let should_eject = match endpoint.state {
             State::Live => endpoint.failures >= FAILURES_TO_EJECT,
             State::Ejected { until } => now >= until,
             State::Leaving | State::Gone => false,
         };
-        if eject {
+        if should_eject {
             self.eject(now, key, changes);
         }
     }
--- a/crates/pinereel_core/src/lot/assign.rs
+++ b/crates/pinereel_core/src/lot/assign.rs
@@ -60,11 +60,11 @@
         if known.is_some_and(|lot| lot.spec.digest != spec.digest) {
             return Err(Refusal::Conflict);
         }
-        let same = self
+        let lots_of_trainer = self
             .lots
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
-        let newest = same.map(Lot::step).max().unwrap_or(0);
+        let newest = lots_of_trainer.map(Lot::step).max().unwrap_or(0);
         if spec.step.saturating_add(self.limits.max_steps_ahead) < newest {
             return Err(Refusal::Superseded);
         }
@@ -79,13 +79,13 @@
     /// Drops the trainer's lots that are more than [`Limits::max_steps_ahead`](super::Limits) behind.
     fn drop_superseded(&mut self, spec: &Spec) {
         let ahead = self.limits.max_steps_ahead;
-        let same = self
+        let lots_of_trainer = self
             .lots
             .values()
             .filter(|l| l.spec.trainer == spec.trainer);
-        let old = same.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
-        let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
-        for lot in old {
+        let superseded = lots_of_trainer.filter(|lot| lot.step().saturating_add(ahead) < spec.step);
+        let superseded: Vec<_> = superseded.map(|lot| lot.spec.lot.clone()).collect();
+        for lot in superseded {
             self.drop_lot(&lot, Refusal::Superseded);
         }
     }
@@ -168,11 +168,12 @@
 
     /// Drops lots without an assign or a collect for longer than the idle timeout.
     pub(super) fn drop_idle_lots(&mut self, now: Time) {
-        let idle = self.limits.idle_timeout;
-        let all = self.lots.values();
-        let old = all.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle);
-        let old: Vec<_> = old.map(|lot| lot.spec.lot.clone()).collect();
-        for lot in old {
+        let idle_timeout = self.limits.idle_timeout;
+        let lots = self.lots.values();
+        let idle_lots =
+            lots.filter(|lot| now >= lot.spec.deadline.max(lot.last_activity) + idle_timeout);
+        let idle_lots: Vec<_> = idle_lots.map(|lot| lot.spec.lot.clone()).collect();
+        for lot in idle_lots {
             self.drop_lot(&lot, Refusal::Idle);
         }
     }
@@ -196,23 +197,23 @@
 /// Whether the sample ranges of all groups, new and known, are disjoint, within [`MAX_SAMPLES`] and
 /// unchanged for known groups.
 fn are_ranges_valid(groups: &[Group], known: Option<&BTreeMap<u32, GroupState>>) -> bool {
-    let mut all = BTreeMap::new();
+    let mut ranges_by_group = BTreeMap::new();
     let known = known
         .into_iter()
         .flatten()
         .map(|(_, group_state)| &group_state.group);
     for group in known.chain(groups) {
         let range = (group.first, group.samples);
-        if *all.entry(group.index).or_insert(range) != range {
+        if *ranges_by_group.entry(group.index).or_insert(range) != range {
             return false;
         }
     }
-    let mut ranges: Vec<_> = all.into_values().collect();
+    let mut ranges: Vec<_> = ranges_by_group.into_values().collect();
     ranges.sort_unstable();
     let mut end = 0;
     ranges.into_iter().all(|(first, samples)| {
-        let fits = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
+        let is_valid = first >= end && samples <= MAX_SAMPLES && first <= MAX_SAMPLES - samples;
         end = first.saturating_add(samples);
-        fits
+        is_valid
     })
 }
--- a/crates/pinereel_core/src/rollout/assignment.rs
+++ b/crates/pinereel_core/src/rollout/assignment.rs
@@ -12,8 +12,8 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// One engine in this many may load at the same time; beyond that, loads take longer in pools of 8
-/// and of 44 engines.
+/// One engine in this many may load at the same time. With more loads at a time, each takes longer,
+/// in pools of 8 as well as of 44 engines.
 const ENGINES_PER_LOAD: usize = 5;
 
 /// Minimum work that a model is counted with, as a fraction of the mean of all models. A model with
@@ -54,10 +54,13 @@
     let mut quotas = quotas(ordered.len(), demands);
     let mut assigned = BTreeMap::new();
     for (key, engine) in ordered {
-        let with_room = demands.iter().enumerate().filter(|(at, _)| quotas[*at] > 0);
-        let best = with_room.max_by_key(|(_, demand)| hash::rendezvous(key, &demand.model));
-        if let Some((at, demand)) = best {
-            quotas[at] -= 1;
+        let with_quota = demands
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| quotas[*index] > 0);
+        let best = with_quota.max_by_key(|(_, demand)| hash::rendezvous(key, &demand.model));
+        if let Some((index, demand)) = best {
+            quotas[index] -= 1;
             assigned.insert(engine, demand.model.clone());
         }
     }
@@ -90,11 +93,11 @@
     let mut quotas: Vec<usize> = ideal.iter().map(|ideal| (*ideal as usize).max(1)).collect();
     // The remainder goes to the models that are furthest below their ideal quota.
     while quotas.iter().sum::<usize>() < engines {
-        let deficit = |at: &usize| ideal[*at] - quotas[*at] as f64;
+        let deficit = |index: &usize| ideal[*index] - quotas[*index] as f64;
         let most_deficient =
             (0..quotas.len()).max_by(|a, b| deficit(a).total_cmp(&deficit(b)).then(b.cmp(a)));
-        let Some(at) = most_deficient else { break };
-        quotas[at] += 1;
+        let Some(index) = most_deficient else { break };
+        quotas[index] += 1;
     }
     quotas
 }
@@ -105,7 +108,7 @@
 /// The limit for all models together follows from the number of all `listed` engines and is at
 /// least `min_loads`.
 pub fn max_loads(listed: usize, shared: usize, own: usize, min_loads: usize) -> usize {
-    let all = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
+    let total_loads = listed.div_ceil(ENGINES_PER_LOAD).max(min_loads);
     // Rounds to the nearest integer.
-    ((2 * all * own + shared) / (2 * shared).max(1)).max(1)
+    ((2 * total_loads * own + shared) / (2 * shared).max(1)).max(1)
 }
--- a/crates/pinereel_fakes/src/capacity/lots.rs
+++ b/crates/pinereel_fakes/src/capacity/lots.rs
@@ -205,7 +205,7 @@
             token: token.clone(),
             version: Version(5),
             bound: 1,
-            max: 64,
+            max_samples: 64,
         };
         let actions = runner.step(Time::from_millis(1_000_000), Event::Collect(request));
         let collected = actions.into_iter().find_map(|action| match action {
@@ -272,7 +272,7 @@
                 token: token.clone(),
                 version: Version(5),
                 bound: 1,
-                max: samples as usize,
+                max_samples: samples as usize,
             };
             merge.deliver(finished.clone())
         };
--- a/crates/pinereel_fakes/tests/endpoint_crash_site.rs
+++ b/crates/pinereel_fakes/tests/endpoint_crash_site.rs
@@ -151,7 +151,7 @@
         let report = Report {
             identity,
             starts: vec![(start, involvement)],
-            ends: 0,
+            completions: 0,
             age: Duration::ZERO,
         };
         crashes::merge_reports(reporter, vec![report]);
