--- a/crates/pinereel_core/src/config/message.rs
+++ b/crates/pinereel_core/src/config/message.rs
@@ -44,14 +44,14 @@
     #[error("not confirmed by {0:?}")]
     NotConfirmed(Vec<CompactString>),
     /// Refused: another coordinator or an in-doubt participant aborted it.
-    #[error("aborted by another instance")]
+    #[error("taken back by another instance")]
     TakenBack,
     /// Refused: the deadline passed, and the patch will not be accepted later.
     #[error("the deadline passed before it could be accepted")]
     Late,
     /// Not known: the patch may or may not be accepted. The operator should send the same patch
     /// again.
-    #[error("the object API did not report the result; send the patch again")]
+    #[error("the object API did not tell the result; send the patch again")]
     Unknown,
 }
 
--- a/crates/pinereel_core/src/config/participant.rs
+++ b/crates/pinereel_core/src/config/participant.rs
@@ -42,7 +42,7 @@
     #[error("the process was paused and must confirm its configuration")]
     Paused,
     /// The configuration with this higher number is in force, but has not reached this instance.
-    #[error("configuration {0} is in force and has not reached this instance yet")]
+    #[error("configuration {0} is in force and not here yet")]
     Behind(u64),
     /// The patch to this number was prepared and its result is not known.
     #[error("the result of configuration {0} is not known")]
--- a/crates/pinereel_core/src/lot/message.rs
+++ b/crates/pinereel_core/src/lot/message.rs
@@ -255,7 +255,7 @@
     #[error("the trainer is too many steps ahead")]
     Superseded,
     /// A limit on lots, samples or text is reached.
-    #[error("this runner has reached a limit on lots, samples or text")]
+    #[error("too many lots or samples here")]
     Full,
     /// The sample ranges of the groups overlap, changed, or exceed the largest lot.
     #[error("malformed groups")]
@@ -264,6 +264,6 @@
     #[error("draining")]
     Draining,
     /// No assign or collect came for long after its deadline.
-    #[error("no assign or collect for a long time after the deadline")]
+    #[error("nobody asked for it long after its deadline")]
     Idle,
 }
