--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -95,8 +95,8 @@
         let mut changes = self.changes();
         let mut known = BTreeSet::new();
         loop {
-            let now = self.table().map(|table| names(&table)).unwrap_or_default();
-            for name in now {
+            let current = self.table().map(|table| names(&table)).unwrap_or_default();
+            for name in current {
                 if known.insert(name.clone()) {
                     start(name);
                 }
--- a/crates/pinereel/src/hosted/crashes/mod.rs
+++ b/crates/pinereel/src/hosted/crashes/mod.rs
@@ -1,9 +1,10 @@
 //! Tracks requests that crash endpoints, and shares them among instances.
 //!
-//! [`pinereel_core::crash`] decides whether and where such a request may run. Each instance reports
-//! the crashes that it observes over its links to other instances, and every instance forwards
-//! reports that are new to it. The instance that reads the store for all also saves them there, so
-//! that they survive a restart of all instances. Without crashes this sends and stores nothing.
+//! [`pinereel_core::crash`] decides whether and where such a request may run. An instance sends
+//! reports of the crashes that it observes over its links to other instances, and every instance
+//! forwards reports that are new to it. The instance that reads the store for all others also saves
+//! the reports there, so that they survive a restart of all instances. Without crashes, nothing is
+//! sent or stored.
 
 mod stored;
 
@@ -20,7 +21,7 @@
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 use tokio::{sync::watch, time::sleep};
 
-/// Maximum number of reports in one message, at 200 bytes each.
+/// Maximum number of reports in one message; a report takes about 200 bytes.
 const MAX_REPORTS_PER_MESSAGE: usize = 128;
 /// Delay between two messages, so that reports are batched: 1,000 crashes in a second take 50
 /// messages per link.
@@ -115,7 +116,7 @@
         register.status(self.now(), &identity())
     }
 
-    /// Where a suspected request may run, out of the endpoints `open`.
+    /// Where a suspected request may run; `open` are the endpoints that accept requests.
     pub fn place(&self, identity: &Identity, open: &[EndpointStart]) -> Placement {
         let occupied = self.occupied.borrow();
         let register = self.register.borrow();
@@ -131,7 +132,8 @@
         }
     }
 
-    /// The endpoints, out of `open`, at which only isolated requests may start now.
+    /// The endpoints at which only isolated requests may start now, out of those that accept requests
+    /// (`open`).
     pub fn reserved(&self, open: impl FnOnce() -> Vec<EndpointStart>) -> BTreeSet<EndpointStart> {
         let register = self.register.borrow();
         if !register.has_isolated() {
--- a/crates/pinereel/src/hosted/crashes/stored.rs
+++ b/crates/pinereel/src/hosted/crashes/stored.rs
@@ -1,8 +1,8 @@
 //! Persists crash reports in the object store.
 //!
 //! All reports are in a single object of the same kind as the leases. An instance that starts, or
-//! that reads the store for all, lists that kind anyway, so reading the reports costs no extra
-//! call.
+//! that reads the store for all others, lists that kind anyway, so reading the reports costs no
+//! extra call.
 
 use super::{CrashTracker, Source};
 use crate::{
@@ -15,8 +15,8 @@
 use std::{cell::RefCell, collections::BTreeMap};
 
 /// Name of the object that holds the reports.
-const OBJECT: &str = "requests-that-crash";
-/// Maximum number of reports in the object, which take 40 kB.
+const OBJECT_NAME: &str = "requests-that-crash";
+/// Maximum number of reports in the object; this many take 40 kB.
 const MAX_STORED_REPORTS: usize = 200;
 
 /// Content of the object.
@@ -25,7 +25,8 @@
     reports: Vec<Report>,
 }
 
-/// Saves crash reports to the store, and remembers what the store had when last read or written.
+/// Saves crash reports to the store, and remembers the reports that the store had when it was last
+/// read or written.
 #[derive(Default)]
 pub struct StoredReports {
     last_known: RefCell<Option<StoredState>>,
@@ -41,7 +42,9 @@
 
 /// Removes the object with the reports from a list of leases and returns it.
 pub fn take_reports_object(objects: &mut Vec<Object>) -> Option<Object> {
-    let at = objects.iter().position(|object| object.name == OBJECT)?;
+    let at = objects
+        .iter()
+        .position(|object| object.name == OBJECT_NAME)?;
     Some(objects.remove(at))
 }
 
@@ -104,18 +107,18 @@
             None if own.is_empty() => return Ok(()),
             Some((_, true)) => return Ok(()),
             Some(_) if own.is_empty() => {
-                store.delete(purpose, kind, OBJECT).await?;
+                store.delete(purpose, kind, OBJECT_NAME).await?;
                 self.last_known.replace(None);
                 return Ok(());
             }
             None => {
                 store
-                    .create(purpose, kind, OBJECT, &spec().to_string())
+                    .create(purpose, kind, OBJECT_NAME, &spec().to_string())
                     .await?
             }
             Some((revision, _)) => {
                 store
-                    .update(purpose, kind, OBJECT, revision, &spec())
+                    .update(purpose, kind, OBJECT_NAME, revision, &spec())
                     .await?
             }
         };
--- a/crates/pinereel/src/hosted/demand.rs
+++ b/crates/pinereel/src/hosted/demand.rs
@@ -1,4 +1,5 @@
-//! Demand of the models of a service, and the number of engines that it needs.
+//! The demand of a service's models, and the number of engines that this demand needs. Used where
+//! lots are dispatched and where engines are assigned to models.
 
 use super::{config::Config, duty::Duties, endpoints::Endpoints, lots};
 use compact_str::CompactString;
--- a/crates/pinereel/src/hosted/duty/mod.rs
+++ b/crates/pinereel/src/hosted/duty/mod.rs
@@ -38,8 +38,9 @@
 /// Object kind of the leases; the object name is the duty.
 pub const LEASE_KIND: &str = "pinereel-duties";
 
-/// Timing of all leases. A holder that dies is replaced after 2.2 s to 3 s: a step is due in 7.5 s,
-/// and an item must not wait for 5 s. A holder renews about every 0.7 s, which is one call.
+/// Timing of all leases. A holder that dies is replaced after 2.2 s to 3 s: a training step is due
+/// in 7.5 s, and an item must not wait for 5 s. A holder renews its lease about every 0.7 s, which
+/// takes one call.
 const TIMING: Timing = Timing {
     duration: Duration::from_millis(2_000),
     clock_margin: Duration::from_millis(200),
@@ -50,8 +51,8 @@
 /// spread over the instances. It is about four steps of [`Rank::takeover_delay`], so that the loss
 /// of one instance seldom leaves two duties without a holder.
 const DELAY_PER_HELD_DUTY: Duration = Duration::from_millis(400);
-/// Longest addition to the takeover delay of a small instance. It waits for as large a part of this
-/// time as its cores lack to [`PREFERRED_MIN_CORES`].
+/// Longest addition to the takeover delay of an instance with fewer cores than
+/// [`PREFERRED_MIN_CORES`]. The addition is this time multiplied by the missing share of those cores.
 const MAX_SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(1_000);
 /// Upper bound of the random delay of the first poll, which spreads the polls of instances that
 /// start together.
@@ -291,7 +292,8 @@
         }
         let mut drain_sent = false;
         let mut recoveries = self.store.recoveries();
-        // Instances that should hold the duty read first and find no lease; the others find theirs.
+        // Instances that should hold the duty read first and find no lease; the others then find the
+        // lease that one of these has taken.
         sleep(self.load_delay(duty) + self.start_jitter(duty)).await;
         loop {
             let event = if self.draining.get() && !drain_sent {
--- a/crates/pinereel/src/hosted/duty/poll.rs
+++ b/crates/pinereel/src/hosted/duty/poll.rs
@@ -39,7 +39,7 @@
         let mut schedule = PollSchedule::new(self.is_preferred(), seed);
         let mut recoveries = self.store.recoveries();
         // The first poll happens even if no candidate waits for it: it finds the root of the
-        // broadcast tree. The root is there only once the preferred instances have polled.
+        // broadcast tree. There is a root only once the preferred instances have polled.
         let mut is_receiving = false;
         let mut is_first = true;
         sleep(self.start_delay(seed)).await;
@@ -186,9 +186,9 @@
         }
     }
 
-    /// The lease of `duty` as of the next poll, or as of the last one if it may be taken at
-    /// `takeover_at` before. That is enough to take it, since the write is conditional, and saves
-    /// half a poll interval.
+    /// The lease of `duty` as of the next poll; as of the last poll if `takeover_at`, the time from
+    /// which the lease may be taken over, comes first. The last poll suffices for a takeover, since
+    /// the write is conditional, and using it saves half a poll interval.
     pub(super) async fn next_poll_event(&self, duty: &str, takeover_at: Option<Time>) -> Event {
         let mut poll_count = self.poll_count.subscribe();
         let remaining = takeover_at.map(|takeover_at| takeover_at.since(self.now()));
--- a/crates/pinereel/src/hosted/duty/status.rs
+++ b/crates/pinereel/src/hosted/duty/status.rs
@@ -37,7 +37,7 @@
 }
 
 impl Status {
-    /// Whether this instance may not act as the holder at present.
+    /// Whether this instance holds no lease under which it may act at present.
     pub const fn is_not_held(&self) -> bool {
         self.lease.is_none()
     }
--- a/crates/pinereel/src/hosted/duty/store_call.rs
+++ b/crates/pinereel/src/hosted/duty/store_call.rs
@@ -14,7 +14,7 @@
     /// Mean number of output tokens of a lot; 0 if not known.
     #[serde(rename = "demand")]
     tokens: u64,
-    /// Mean number of items of a lot that were still queued at the check after it was opened.
+    /// Mean number of items of a lot that were still queued at the check that follows its opening.
     #[serde(rename = "short")]
     unplaced_items: u64,
     /// Number of items of the largest recent lot; 0 if not known.
@@ -88,8 +88,8 @@
             Ok(object) => Event::Written(object.revision),
             Err(Error::Conflict | Error::NotFound) => Event::Conflict,
             Err(error) => {
-                // Also if the write certainly had no effect: the candidate reads the lease again in
-                // any case.
+                // `Unknown` is returned even if the write certainly had no effect, since the candidate
+                // reads the lease again in any case.
                 log::debug!(duty, error:% = error; "lease not written");
                 Event::Unknown
             }
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 /// Time for which an entry that disappeared after a store outage still counts as listed. Entries
-/// may reappear within about two seconds (the platform's figure), but an endpoint that is gone must
+/// may reappear within about two seconds (the platform's figure), but an endpoint that has left must
 /// get no request after two seconds, so this is shorter.
 const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(1_800);
 /// Time after the store's return by which all entries that lapsed during the outage have
@@ -39,11 +39,11 @@
                 let present: BTreeSet<_> = objects.iter().map(|o| &o.name).collect();
                 let entries = self.entries.borrow();
                 let known = entries.iter().filter(|(_, l)| scope.contains(&l.entry));
-                let gone = known.filter(|(id, _)| !present.contains(id));
-                let gone: Vec<_> = gone.map(|(id, _)| id.clone()).collect();
+                let removed = known.filter(|(id, _)| !present.contains(id));
+                let removed: Vec<_> = removed.map(|(id, _)| id.clone()).collect();
                 drop(entries);
-                gone.iter().for_each(|id| self.handle_removed(id));
-                log::info!(scope:? = scope, listed = objects.len(), gone = gone.len(); "endpoint list read");
+                removed.iter().for_each(|id| self.handle_removed(id));
+                log::info!(scope:? = scope, listed = objects.len(), gone = removed.len(); "endpoint list read");
                 for object in &objects {
                     self.apply_entry(object, Level::Debug);
                 }
@@ -121,8 +121,8 @@
             let rejected = (id.clone(), object.revision);
             self.rejected.borrow_mut().extend([rejected]);
         }
-        let used = self.entries.borrow_mut().remove(id).is_some();
-        if used {
+        let was_listed = self.entries.borrow_mut().remove(id).is_some();
+        if was_listed {
             self.index.borrow_mut().remove(id);
             self.apply_event(Event::Unlisted { name: id.clone() });
         }
@@ -132,7 +132,7 @@
     /// [`MISSING_ENTRY_GRACE`] if the entry may have lapsed because of a store outage.
     fn handle_removed(self: &Rc<Self>, id: &CompactString) {
         let now = Instant::now();
-        let wait = {
+        let may_return = {
             let mut entries = self.entries.borrow_mut();
             let Some(listed) = entries.get_mut(id) else {
                 return;
@@ -143,8 +143,8 @@
             listed.missing_since = Some(now);
             !listed.entry.draining && self.may_have_lapsed()
         };
-        log::info!(endpoint = id.as_str(), may_return = wait; "endpoint no longer listed");
-        if !wait {
+        log::info!(endpoint = id.as_str(), may_return; "endpoint no longer listed");
+        if !may_return {
             self.remove_if_still_missing(id, now);
             return;
         }
@@ -165,8 +165,8 @@
             && self.deps.feed.store_uptime() < ENTRY_RECOVERY_TIME
     }
 
-    /// Removes engines, which came from a whole list read from the store, while no other instance
-    /// forwarded changes.
+    /// Removes the engines. They are known from a whole list that was read from the store while no
+    /// other instance forwarded changes, and would not be updated any more.
     fn remove_engines(&self) {
         let mut entries = self.entries.borrow_mut();
         let engines = entries.extract_if(.., |_, listed| Scope::Engines.contains(&listed.entry));
@@ -219,8 +219,8 @@
     );
 }
 
-/// All parts of an entry that a change is logged for: neither the versions that it serves nor
-/// whether its endpoint may be taken away at short notice.
+/// All parts of an entry except the versions that its endpoint serves and whether the platform may
+/// remove that endpoint at short notice (spot). Changes of only these two are logged at debug level.
 fn without_versions(entry: &Entry) -> impl PartialEq + '_ {
     let Entry {
         id,
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -39,9 +39,10 @@
     time::Instant,
 };
 
-/// Delay before changes of the list are read, so that several cost one call: with many engines,
-/// their versions change all the time. A fraction of the time after which a leaving endpoint must
-/// get no request; the rest is for the latency of the watch and for requests in flight.
+/// Delay before changes of the list are read, as a fraction of the time after which a leaving
+/// endpoint must get no request. With the delay, several changes cost one call: with many engines,
+/// their versions change all the time. The rest of the time is for the latency of the watch and for
+/// requests in flight.
 const BATCH_DELAY_FRACTION: f64 = 0.45;
 /// The same delay at an instance that runs lots or sends orders to engines.
 const PROMPT_BATCH_DELAY: Duration = Duration::from_millis(80);
@@ -89,7 +90,7 @@
 /// The endpoints that a list or its changes cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scope {
-    /// All.
+    /// All endpoints.
     All,
     /// Only engines: endpoints that serve models.
     Engines,
@@ -138,7 +139,7 @@
         settings: &settings::Store,
         needs_prompt_updates: impl Fn() -> bool + 'static,
     ) -> Rc<Self> {
-        let (wait, gather) = (
+        let (max_wait, batch_delay) = (
             settings.watch,
             settings.leave_after.mul_f64(BATCH_DELAY_FRACTION),
         );
@@ -159,11 +160,11 @@
         actix_rt::spawn(async move {
             let kind = adapter.object_kinds.endpoints;
             let options = || WatchOptions {
-                max_wait: wait,
+                max_wait,
                 batch_delay: if needs_prompt_updates() {
                     PROMPT_BATCH_DELAY
                 } else {
-                    gather
+                    batch_delay
                 },
             };
             let apply = move |update, _, origin| state.apply_update(update, Self::scope(origin));
@@ -182,12 +183,13 @@
         endpoints
     }
 
-    /// Also follows the engines from now on. Called by the modules that send requests to engines.
+    /// Follows the changes of engines, too, from now on. Called by the modules that send requests to
+    /// engines.
     pub fn subscribe_engines(&self) {
         self.deps.feed.subscribe_to_engines();
     }
 
-    /// The endpoints that a list of this origin covers; it leaves the others unchanged.
+    /// The endpoints that a list of this origin covers; the list leaves all others unchanged.
     const fn scope(origin: Origin) -> Scope {
         match origin {
             Origin::Tree => Scope::Others,
@@ -301,7 +303,7 @@
     }
 
     /// The endpoints of a service that may get a suspected request, regardless of their load.
-    pub fn open(&self, service: &str) -> Vec<(Key, EndpointStart)> {
+    pub fn open_endpoints(&self, service: &str) -> Vec<(Key, EndpointStart)> {
         let set = self.set.borrow();
         let listed = set
             .pool(service)
--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -24,8 +24,8 @@
 /// An output that decides when its step completes takes up to 7 s, so a lot costs three writes.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Lowest last event at which a periodic checkpoint includes an output: half a second of an
-/// engine's time.
+/// Lowest number of an output's last event at which a periodic checkpoint includes that output. An
+/// engine takes half a second for this many events.
 pub(super) const MIN_CHECKPOINT_EVENT: u64 = 10;
 /// Upper bound of the text in a checkpoint. The store accepts objects of up to a megabyte, and JSON
 /// escapes may double the size of the text.
@@ -34,8 +34,8 @@
 /// Partial outputs of a lot, by item id.
 pub(super) type PartialOutputs = BTreeMap<CompactString, PartialOutput>;
 
-/// Aborts all runs and writes a checkpoint of each lot. The next runner restarts the items of those
-/// that are not written within [`STOP_WRITE_TIMEOUT`].
+/// Aborts all runs and writes a checkpoint of each lot. The next runner restarts the items of a lot
+/// whose checkpoint is not written within [`STOP_WRITE_TIMEOUT`].
 pub(super) async fn write_all(runner: &Runner) {
     let lots = runner.abort_runs();
     let writes = lots
@@ -89,7 +89,8 @@
     pub(super) revision: Option<u64>,
 }
 
-/// Writes a checkpoint in place of the one before. Returns its revision, or `None` if it failed.
+/// Writes a checkpoint in place of the previous one. Returns its revision, or `None` if the write
+/// failed.
 async fn write(runner: &Runner, lot: &str, checkpoint: &Checkpoint) -> Option<u64> {
     let mut written = try_write(runner, lot, checkpoint).await;
     if matches!(written, Err(Error::Conflict)) {
--- a/crates/pinereel/src/hosted/lots/commit.rs
+++ b/crates/pinereel/src/hosted/lots/commit.rs
@@ -73,16 +73,16 @@
 /// The longest prefix of `samples` that fits into one segment; at least one sample, however large.
 pub(super) fn first_segment(samples: &[Sample]) -> Vec<Sample> {
     let mut bytes = 0;
-    let fits = samples
+    let fitting = samples
         .iter()
         .take(MAX_SEGMENT_SAMPLES)
         .take_while(|sample| {
-            let size = sample.output.as_ref().map_or(0, |made| made.text.len());
+            let size = sample.output.as_ref().map_or(0, |output| output.text.len());
             let is_first = bytes == 0;
             bytes += size;
             is_first || bytes <= MAX_SEGMENT_TEXT_BYTES
         });
-    fits.cloned().collect()
+    fitting.cloned().collect()
 }
 
 /// Creates a segment, or applies the one that exists at its position.
--- a/crates/pinereel/src/hosted/lots/dispatch.rs
+++ b/crates/pinereel/src/hosted/lots/dispatch.rs
@@ -60,7 +60,7 @@
                 continue;
             }
             let fleet = state.fleets.entry(key.clone()).or_default();
-            let read = |entry: &Entry| Listing {
+            let to_listing = |entry: &Entry| Listing {
                 id: entry.id.clone(),
                 incarnation: entry.incarnation,
                 address: entry.address,
@@ -71,7 +71,7 @@
             // Engines with runs stay in the fleet after they leave the working set.
             let listings = deps
                 .endpoints
-                .ranked(&key.service, count, fleet.busy_ids(), read);
+                .ranked(&key.service, count, fleet.busy_ids(), to_listing);
             restarted |= fleet.update(listings);
         }
         drop(state);
@@ -106,7 +106,7 @@
             .for_each(|open| open.lot.requeue_deferred());
     }
 
-    /// Number of engines that have crashed under an item; `None` if it must not run any more.
+    /// Number of engines that have crashed under an item; `None` if the item is blocked.
     fn crash_count(&self, open: &OpenLot, index: usize) -> Option<usize> {
         let identity = || item_identity(&open.caller, &open.host, &open.submission.items[index]);
         match self.deps.crashes.status(identity) {
--- a/crates/pinereel/src/hosted/lots/item_task.rs
+++ b/crates/pinereel/src/hosted/lots/item_task.rs
@@ -52,7 +52,7 @@
     placement: &Placement,
 ) {
     let started = Instant::now();
-    let mut running = ActiveRun {
+    let mut active_run = ActiveRun {
         runner: Rc::clone(runner),
         fleet: task.fleet.clone(),
         placement: placement.clone(),
@@ -63,13 +63,13 @@
         () = runner.wait_for_restart(&task.fleet, placement.key) =>
             RunEnd::Broken(RunError::Restarted),
     };
-    running.outcome = match end {
+    active_run.outcome = match end {
         RunEnd::Complete | RunEnd::Failed | RunEnd::Impossible => RunOutcome::Finished,
         RunEnd::Left => RunOutcome::Cancelled,
         RunEnd::Refused | RunEnd::Outdated => RunOutcome::Rejected,
         RunEnd::Broken(_) => RunOutcome::Failed,
     };
-    drop(running);
+    drop(active_run);
     let metrics = &runner.deps.metrics;
     metrics.count(&metrics.item_runs, &[end.as_str()]);
     log_run(task, placement, end, started, runner.resume_point(task).0);
@@ -151,14 +151,14 @@
         None => None,
     };
     let output = runner.partial_output(task);
-    let made = Output {
+    let scored = Output {
         text: output.text,
         versions: output.versions.into_iter().collect(),
         score,
     };
     let sample = Sample {
         item: item.id.clone(),
-        output: Some(made),
+        output: Some(scored),
     };
     runner.finish_item(task, sample);
 }
--- a/crates/pinereel/src/hosted/lots/lifecycle.rs
+++ b/crates/pinereel/src/hosted/lots/lifecycle.rs
@@ -25,10 +25,10 @@
 
 /// Pause before a failed read of a lot's results is retried.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Time after the opening of a lot at which its queued items are counted as unplaced. Most outputs
-/// take less, so an item that is still queued had to wait for others.
+/// Time after the opening of a lot at which its queued items are counted as unplaced. Most runs take
+/// less, so an item that is still queued had to wait for other items.
 const UNPLACED_CHECK_DELAY: Duration = Duration::from_millis(1_500);
-/// Upper bound of the partial outputs kept from closed lots, for groups that are submitted again.
+/// Upper bound of the partial outputs kept from closed lots, for items that are submitted again.
 const MAX_KEPT_OUTPUTS: usize = 2_048;
 
 impl Runner {
@@ -133,10 +133,10 @@
         let oldest = submission.min_version;
         let mut outputs = Vec::new();
         for item in &submission.items {
-            let known = state
+            let kept = state
                 .kept_outputs
                 .remove(&schema::scoped_id(&caller, &item.id));
-            let output = checkpointed.remove(&item.id).or(known).unwrap_or_default();
+            let output = checkpointed.remove(&item.id).or(kept).unwrap_or_default();
             let is_usable = output.versions.iter().all(|version| *version >= oldest);
             outputs.push(if is_usable {
                 output
@@ -244,7 +244,7 @@
         Ok((objects, outputs))
     }
 
-    /// Stops the runs of a lot and keeps their partial outputs for groups that are submitted again.
+    /// Stops the runs of a lot and keeps their partial outputs for items that are submitted again.
     pub(super) fn close_lot(&self, id: &CompactString, reason: &str) {
         let mut state = self.state.borrow_mut();
         state.closed.insert(id.clone());
--- a/crates/pinereel/src/hosted/lots/runner.rs
+++ b/crates/pinereel/src/hosted/lots/runner.rs
@@ -156,7 +156,7 @@
         let duty = duty_name(model);
         let (runner, duties) = (&self, Rc::clone(&self.deps.duties));
         let work = async || runner.run_lots(model).await;
-        let continues = || {
+        let should_continue = || {
             // While draining, runs in progress finish and their results are still committed.
             let is_draining = runner.draining.get();
             if !is_draining {
@@ -166,7 +166,7 @@
         };
         // Two concurrent runners duplicate work but never corrupt results, so this one continues
         // while the store is unavailable, until another instance is known to hold the lease.
-        duties.run_while_held(&duty, work, continues).await;
+        duties.run_while_held(&duty, work, should_continue).await;
     }
 
     /// Drops the lots of a model and aborts their tasks, after its lease is lost.
@@ -178,7 +178,7 @@
         state.open_lots = remaining;
         state.opening.clear();
         drop(state);
-        // Dropping their tasks borrows the state again.
+        // Dropping the tasks of these lots borrows the state again.
         drop(dropped);
     }
 
@@ -208,7 +208,7 @@
     }
 
     fn apply_update(self: &Rc<Self>, model: &CompactString, update: Update) {
-        // Lots that exist already when this runner starts may have had another one.
+        // Lots that exist already when this runner starts may have had another runner.
         let has_predecessor = matches!(update, Update::All(_));
         let objects: Vec<_> = match update {
             Update::All(objects) => objects,
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -69,7 +69,8 @@
     NoAnswer,
     /// The connection broke before the response head.
     Lost,
-    /// The same on a reused connection, which the engine may have closed while it was idle.
+    /// A reused connection broke before the response head; the engine may have closed it while it was
+    /// idle.
     Stale,
     /// The engine crashed during the run.
     Crashed,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Sends the request and reads the response, without telling a lost connection from a crash.
+/// Sends the request and reads the response, without distinguishing a crash from a lost connection.
 async fn request_events(
     runner: &Rc<Runner>,
     task: &ItemTask,
@@ -148,14 +149,14 @@
     placement: &Placement,
 ) -> RunEnd {
     let (last_event, last_version) = runner.resume_point(task);
-    let exchange = PooledRequest {
+    let request = PooledRequest {
         address: placement.address,
         head: request_head(runner, task, item, placement, last_event),
         body: item.body.clone(),
         // A run may be repeated, so a reused connection that turns out to be closed does no harm.
         reuse: true,
     };
-    let response = match timeout(RESPONSE_TIMEOUT, runner.deps.pool.send(exchange)).await {
+    let response = match timeout(RESPONSE_TIMEOUT, runner.deps.pool.send(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(Error::Stale(_))) => return RunEnd::Broken(RunError::Stale),
         Ok(Err(Error::Lost(_))) => return RunEnd::Broken(RunError::Lost),
--- a/crates/pinereel/src/hosted/lots/trainer_api.rs
+++ b/crates/pinereel/src/hosted/lots/trainer_api.rs
@@ -23,8 +23,8 @@
 use std::{cell::RefCell, collections::BTreeMap, time::Duration};
 use tokio::time::Instant;
 
-/// Upper bound of the lots whose number of items is cached, so that a read of results costs one
-/// call to the store.
+/// Upper bound of the lots whose number of items is cached. With that number cached, a read of
+/// results costs one call to the store.
 const MAX_CACHED_TOTALS: usize = 256;
 /// Delay before a retry that trainers are asked for when the store refuses a call. After an outage,
 /// the store answers again within about this time of its return.
@@ -139,8 +139,8 @@
                 break;
             }
             match self.store.create(Purpose::Lots, LOT_KIND, id, spec).await {
-                // It exists: the trainer submitted it before, or an attempt whose response was lost
-                // took effect.
+                // On a conflict the lot exists: the trainer submitted it before, or an attempt whose
+                // response was lost took effect.
                 Ok(_) | Err(Error::Conflict) => return Reply::Accepted,
                 Err(error) if error.had_no_effect() => {
                     log::warn!(id, error:% = error; "creating the lot failed; nothing was written");
@@ -352,7 +352,8 @@
     let mut remaining_bytes = bytes / 2;
     let mut count = 0;
     for sample in samples {
-        let size = RESULT_OVERHEAD_BYTES + sample.output.as_ref().map_or(0, |made| made.text.len());
+        let size =
+            RESULT_OVERHEAD_BYTES + sample.output.as_ref().map_or(0, |output| output.text.len());
         if count > 0 && size > remaining_bytes {
             break;
         }
--- a/crates/pinereel/src/hosted/metrics.rs
+++ b/crates/pinereel/src/hosted/metrics.rs
@@ -52,7 +52,7 @@
     pub item_runs: IntCounterVec,
     /// Lots by `event` (`opened`, `ended`, `complete`, `removed`).
     pub lot_events: IntCounterVec,
-    /// Seconds from a lot's opening to its end here.
+    /// Seconds from the opening of a lot to its closing at this instance, by `why`.
     pub lot_seconds: HistogramVec,
     /// Results committed, by `whose` (`own`, `found`).
     pub committed_results: IntCounterVec,
--- a/crates/pinereel/src/hosted/orders/engine_call.rs
+++ b/crates/pinereel/src/hosted/orders/engine_call.rs
@@ -17,8 +17,9 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Timeout for an engine's answer. An order without an answer may still be executed later; the number
-/// of accepted loads that the next order carries makes it invalid.
+/// Timeout for an engine's answer. An order without an answer may still reach the engine later. Each order
+/// carries the number of loads that the engine had accepted when its status was read, so the engine
+/// rejects a late order once it has accepted the next one.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why a call to an engine has no usable answer.
@@ -65,14 +66,14 @@
             caller: &Caller::Anonymous,
         };
         (self.deps.adapter.headers.encode_attempt)(&mut head.headers, attempt);
-        let exchange = PooledRequest {
+        let request = PooledRequest {
             address: entry.address,
             head,
             body,
             reuse: true,
         };
         let exchange = async {
-            let response = self.deps.pool.send(exchange).await;
+            let response = self.deps.pool.send(request).await;
             let response = response.map_err(|error| match error {
                 Error::NotOpened(_) => NoAnswer::NotOpened,
                 Error::Lost(_) | Error::Stale(_) => NoAnswer::Lost,
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -127,9 +127,9 @@
         for name in assigned {
             let previous = snapshot.listed.get(name).copied();
             if let Some(entry) = self.entry(name)
-                && let Some(now) = self.update_engine(entry, previous)
+                && let Some(current) = self.update_engine(entry, previous)
             {
-                listed.insert(name.clone(), now);
+                listed.insert(name.clone(), current);
             }
         }
         for name in snapshot.listed.keys() {
--- a/crates/pinereel/src/hosted/orders/scaler.rs
+++ b/crates/pinereel/src/hosted/orders/scaler.rs
@@ -107,7 +107,10 @@
             spot: request.spot,
         };
         // The lease may have expired during the previous call.
-        if self.lease().is_none_or(|now| now.fence != lease.fence) {
+        if self
+            .lease()
+            .is_none_or(|current| current.fence != lease.fence)
+        {
             return false;
         }
         self.orders.note_order(&self.service);
--- a/crates/pinereel/src/hosted/pending.rs
+++ b/crates/pinereel/src/hosted/pending.rs
@@ -1,4 +1,4 @@
-//! Waits until there are reports to send to other instances.
+//! Waits until there are reports to send to other instances: crash reports or usage reports.
 
 use tokio::sync::watch;
 
--- a/crates/pinereel/src/hosted/platform.rs
+++ b/crates/pinereel/src/hosted/platform.rs
@@ -22,15 +22,16 @@
     if let Ok(host) = host {
         head.headers.insert(HOST, host);
     }
-    let exchange = PooledRequest {
+    let request = PooledRequest {
         address,
         head,
         body: call.body,
-        // A reused connection may be broken; a call that fails may be made again.
+        // An idle connection may be broken, so each call opens a new one. A call that fails may be
+        // repeated.
         reuse: false,
     };
     let exchange = async {
-        let response = pool.send(exchange).await.ok()?;
+        let response = pool.send(request).await.ok()?;
         let status = response.status;
         response.body.read_all().await.ok()?;
         Some(status)
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -21,7 +21,7 @@
 /// How one attempt ended.
 pub(super) struct AttemptResult {
     pub(super) selected: SelectedEndpoint,
-    /// Whether the request ran in isolation, where nothing else may start.
+    /// Whether the request ran in isolation: at an endpoint where no other request may start.
     pub(super) isolated: bool,
     pub(super) duration: Duration,
     pub(super) result: Result<Answer, Failure>,
@@ -59,7 +59,8 @@
     }
 
     /// Sends the request and classifies the response. A repeatable request may reuse an idle
-    /// connection; if that one turns out to be closed, it is sent once more over a fresh one.
+    /// connection; if that connection turns out to be closed, the request is sent once more over a
+    /// fresh one.
     async fn exchange(
         &self,
         request: &ProxyRequest,
@@ -72,13 +73,13 @@
         let mut reuse = repeatable;
         let mut resent = false;
         loop {
-            let exchange = PooledRequest {
+            let pooled_request = PooledRequest {
                 address: selected.address,
                 head: head(),
                 body: request.body.clone(),
                 reuse,
             };
-            match self.deps.pool.send(exchange).await {
+            match self.deps.pool.send(pooled_request).await {
                 Ok(response) => {
                     let classified = self.classify_response(request, selected, response).await;
                     return match classified {
@@ -86,7 +87,7 @@
                         classified => classified,
                     };
                 }
-                // The endpoint closed the idle connection: send it again over a fresh one.
+                // The endpoint closed the idle connection: send the request again over a fresh one.
                 Err(Error::Stale(reason)) => {
                     log_connection_loss(request, selected, started, &reason);
                     (reuse, resent) = (false, true);
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -80,7 +80,7 @@
     /// Endpoints of its attempts so far.
     used_endpoints: Vec<Key>,
     in_flight: AttemptsInFlight,
-    /// Its usage count for the workspace, made at the first attempt.
+    /// Count of this request in the usage of its workspace, made at the first attempt.
     usage_record: Option<CountedRequest>,
 }
 
@@ -265,14 +265,14 @@
             crashes, endpoints, ..
         } = &self.deps;
         let starts = || {
-            let open = endpoints.open(service);
+            let open = endpoints.open_endpoints(service);
             open.into_iter().map(|(_, start)| start).collect()
         };
         let reserved = crashes.reserved(starts);
         if reserved.is_empty() {
             return Vec::new();
         }
-        let open = endpoints.open(service).into_iter();
+        let open = endpoints.open_endpoints(service).into_iter();
         open.filter(|(_, start)| reserved.contains(start))
             .map(|(key, _)| key)
             .collect()
--- a/crates/pinereel/src/hosted/proxy/request.rs
+++ b/crates/pinereel/src/hosted/proxy/request.rs
@@ -33,7 +33,7 @@
     pub headers: HeaderMap,
     /// Complete body.
     pub body: Bytes,
-    /// Name of its whole prompt, if it has one.
+    /// Id of the model and the complete prompt; `None` if the request names no prompt.
     pub prompt: Option<CompactString>,
     /// When the request is answered as timed out.
     pub deadline: Instant,
@@ -83,18 +83,18 @@
 pub enum Outcome {
     /// The endpoint's answer.
     Answer(Answer),
-    /// It did not run and will not run.
+    /// The request did not run and will not run.
     NotRun {
         /// Why.
         reason: CompactString,
         /// Delay after which the caller should retry.
         retry_after: Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
         /// Why.
         reason: CompactString,
-        /// Whether its time ran out.
+        /// Whether the deadline of the request passed.
         timed_out: bool,
     },
 }
--- a/crates/pinereel/src/hosted/proxy/suspected.rs
+++ b/crates/pinereel/src/hosted/proxy/suspected.rs
@@ -1,7 +1,7 @@
 //! Routing of suspected requests: those under which endpoints have crashed.
 //!
-//! They run at one endpoint at a time, which `CrashTracker::place` chooses in the same way at
-//! every instance.
+//! Such a request runs at one endpoint at a time, which `CrashTracker::place` chooses in the same
+//! way at every instance.
 
 use super::{Answer, Outcome, Proxy, RETRY_AFTER, RequestState, SelectedEndpoint};
 use pinereel_core::{
@@ -34,15 +34,15 @@
         state: &RequestState<'_>,
         status: RequestStatus,
     ) -> Selection {
-        if let Some(left) = status.propagation_wait() {
-            sleep(left).await;
+        if let Some(remaining) = status.propagation_wait() {
+            sleep(remaining).await;
             return Selection::Recheck;
         }
         let RequestState {
             request, started, ..
         } = state;
         let endpoints = &self.deps.endpoints;
-        let open = endpoints.open(state.service);
+        let open = endpoints.open_endpoints(state.service);
         let starts: Vec<_> = open.iter().map(|(_, start)| start.clone()).collect();
         match self.deps.crashes.place(&request.identity(), &starts) {
             Placement::Endpoint(chosen) => {
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -46,12 +46,12 @@
 
 /// Maximum number of concurrent calls to the object store, watches excluded.
 const MAX_STORE_CALLS: usize = 32;
-/// Idle timeout of a caller's connection. The operator's own limit may change while the connection is
-/// open. This one is longer than any of them, so that a caller never sends a request while the
-/// connection is being closed.
+/// Idle timeout of a caller's connection. The operators' own limit may change while the connection is
+/// open. This timeout is longer than any such limit, so that a caller never sends a request while this
+/// instance is closing the connection.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Interval between log lines with the number of calls to the object store.
-const SUMMARY_INTERVAL: Duration = Duration::from_secs(20);
+const CALL_COUNT_LOG_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Error at the start of an instance.
 #[derive(Debug, thiserror::Error)]
@@ -127,7 +127,7 @@
     callers: Server,
     shutdown: Rc<Shutdown>,
     duties: Rc<Duties>,
-    /// `None` without an address for other instances.
+    /// This instance in the broadcast tree; `None` without an address for other instances.
     tree_node: Option<Rc<Node>>,
     runner: Rc<Runner>,
 }
@@ -355,7 +355,7 @@
 /// for.
 async fn log_store_calls(client: objects::Client) {
     loop {
-        sleep(SUMMARY_INTERVAL).await;
+        sleep(CALL_COUNT_LOG_INTERVAL).await;
         let calls: BTreeMap<_, _> = client
             .call_counts()
             .into_iter()
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -279,8 +279,10 @@
     timeout: Duration,
     received_at: Instant,
 ) -> Instant {
-    let left = metadata.timeout.map_or(timeout, |left| left.min(timeout));
-    received_at + left.saturating_sub(ANSWER_MARGIN)
+    let remaining = metadata
+        .timeout
+        .map_or(timeout, |remaining| remaining.min(timeout));
+    received_at + remaining.saturating_sub(ANSWER_MARGIN)
 }
 
 fn refuse_body(metadata: &headers::RequestHeaders, error: &http::Error) -> Response {
@@ -314,7 +316,7 @@
         }
         Reply::Body(bytes) => Response::new(StatusCode::OK).set_body(BoxBody::new(bytes)),
         Reply::NotFound => http::empty(StatusCode::NOT_FOUND),
-        Reply::Malformed(why) => http::text(StatusCode::BAD_REQUEST, why.as_str()),
+        Reply::Malformed(reason) => http::text(StatusCode::BAD_REQUEST, reason.as_str()),
         Reply::NotDone(retry_after) => not_run(StatusCode::SERVICE_UNAVAILABLE, retry_after),
         Reply::Unknown => http::empty(StatusCode::GATEWAY_TIMEOUT),
     }
--- a/crates/pinereel/src/hosted/shutdown.rs
+++ b/crates/pinereel/src/hosted/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: waits until no request is in flight and no other work is left.
+//! Graceful shutdown: waits until no request is in flight and no other work is in progress.
 
 use std::{
     cell::{Cell, RefCell},
@@ -10,7 +10,7 @@
     time::{Instant, sleep},
 };
 
-/// Interval between checks whether work is left.
+/// Interval between checks whether work is in progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum time without a request in flight before the process exits, as a caller may be sending one on
 /// a kept-alive connection.
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Waits until no work is left, or until shortly before the process is killed. `other_work` returns
+    /// Waits until no work is in progress, or until shortly before the process is killed. `other_work` returns
     /// the number of tasks in flight besides callers' requests.
     pub async fn wait_until_idle(&self, timing: Timing, other_work: impl Fn() -> usize) {
         let started_at = Instant::now();
--- a/crates/pinereel/src/hosted/stall.rs
+++ b/crates/pinereel/src/hosted/stall.rs
@@ -1,8 +1,8 @@
 //! Detects that this process was suspended or stopped for a while.
 //!
 //! After a stall the process still has its old data, and what has arrived since is unread in its
-//! sockets. Requests that arrived before must not be sent by the old data: an endpoint may have
-//! left meanwhile. So nothing is sent until there has been time to read the updates.
+//! sockets. Requests that arrived before must not be routed by the old data: an endpoint may have
+//! left meanwhile. So no request is sent until there has been time to read the updates.
 
 use pinereel_core::Time;
 use std::{cell::Cell, rc::Rc, time::Duration};
@@ -10,9 +10,9 @@
 
 /// Interval between two checks of the clock.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Shortest time between two checks that counts as a stall. Updates are passed on within half of
-/// the two seconds after which an endpoint that leaves must get no request, so that as much again
-/// may be lost before it matters.
+/// Shortest time between two checks that counts as a stall. An endpoint that leaves must get no
+/// request after two seconds. Updates are passed on within half of that, so a shorter stall stays
+/// within the other half.
 const MIN_STALL: Duration = Duration::from_millis(700);
 /// Time to read the updates that arrived during a stall: an open connection is read within
 /// milliseconds, and one that was cut is replaced by a call to the store.
@@ -22,7 +22,7 @@
 pub struct StallDetector {
     clock: Box<dyn Fn() -> Time>,
     checked_at: Cell<Time>,
-    /// Until then the data may be outdated.
+    /// Time until which the data may be outdated.
     catch_up_until: Cell<Time>,
 }
 
--- a/crates/pinereel/src/hosted/store.rs
+++ b/crates/pinereel/src/hosted/store.rs
@@ -15,9 +15,9 @@
 };
 
 /// Interval between two probes while the store is unreachable. Each probe costs a tenth of a call,
-/// 0.7 calls a second. With it, instances notice the recovery within 0.15 s. Behind the back-off of
-/// the circuit breaker it takes up to 0.7 s, and lots are refused whose trainers submit them for
-/// the last time.
+/// which makes 0.7 calls a second. With probes, instances notice the recovery within 0.15 s. Behind
+/// the back-off of the circuit breaker that takes up to 0.7 s, and lots are refused whose trainers
+/// submit them for the last time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Interval between two probes of an instance that gets all changes over the broadcast tree. Its
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 pub struct Store {
     client: Client,
-    dialect: Codec,
+    codec: Codec,
     health: Rc<Health>,
 }
 
@@ -59,8 +59,8 @@
 }
 
 impl Store {
-    /// The store behind `client`, whose calls are encoded by `dialect`.
-    pub fn new(client: Client, dialect: Codec) -> Self {
+    /// The store behind `client`, whose calls are encoded by `codec`.
+    pub fn new(client: Client, codec: Codec) -> Self {
         let health = Health {
             unreachable_since: Cell::new(None),
             started_at: Instant::now(),
@@ -72,7 +72,7 @@
         };
         Self {
             client,
-            dialect,
+            codec,
             health: Rc::new(health),
         }
     }
@@ -83,8 +83,8 @@
     }
 
     /// Whether only urgent calls are sent, until a probe succeeds. The circuit breaker of the
-    /// client cannot decide this: it takes a refusal for the rate as an answer, and an instance
-    /// that is refused gets just these.
+    /// client cannot decide this: it counts a refusal by the rate limit as an answer, and an
+    /// instance beyond its rate limit gets nothing but such refusals.
     fn sends_urgent_only(&self) -> bool {
         let unreachable_since = self.unreachable_since();
         self.health.is_probing.get()
@@ -155,7 +155,7 @@
     /// Sends one probe past the circuit breaker; returns whether the store answered it.
     pub async fn probe(&self, kind: &str, name: &str, freshness: Consistency) -> bool {
         // The object itself is not used and may be old; `record_outcome` records the answer.
-        let call = (self.dialect.read)(kind, name, freshness);
+        let call = (self.codec.read)(kind, name, freshness);
         let client = &self.client;
         let probe = client.exchange(Purpose::Config, Access::Probe, call, Duration::ZERO);
         self.record_outcome(probe.await).is_ok()
@@ -177,9 +177,9 @@
         name: &str,
         freshness: Consistency,
     ) -> Result<Option<Object>, Error> {
-        let call = (self.dialect.read)(kind, name, freshness);
+        let call = (self.codec.read)(kind, name, freshness);
         match self.request(purpose, read_access(freshness), call).await {
-            Ok(body) => decode_body(self.dialect.decode_object, &body).map(Some),
+            Ok(body) => decode_body(self.codec.decode_object, &body).map(Some),
             Err(Error::NotFound) => Ok(None),
             Err(error) => Err(error),
         }
@@ -196,9 +196,9 @@
         after: Option<&str>,
         freshness: Consistency,
     ) -> Result<Page, Error> {
-        let call = (self.dialect.list)(kind, after, freshness);
+        let call = (self.codec.list)(kind, after, freshness);
         let body = self.request(purpose, read_access(freshness), call).await?;
-        decode_body(self.dialect.decode_page, &body)
+        decode_body(self.codec.decode_page, &body)
     }
 
     /// Lists all objects of a kind after the name `after`, and the revision to watch from.
@@ -241,9 +241,9 @@
         after: u64,
         wait: Duration,
     ) -> Result<WatchResponse, Error> {
-        let call = (self.dialect.watch)(kind, after, wait);
+        let call = (self.codec.watch)(kind, after, wait);
         let body = self.exchange(purpose, Access::Watch, call, wait).await?;
-        decode_body(self.dialect.decode_changes, &body)
+        decode_body(self.codec.decode_changes, &body)
     }
 
     /// Creates an object; `spec` is JSON text.
@@ -257,9 +257,9 @@
         name: &str,
         spec: &str,
     ) -> Result<Object, Error> {
-        let call = (self.dialect.create)(kind, name, spec);
+        let call = (self.codec.create)(kind, name, spec);
         let body = self.request(purpose, Access::Write, call).await?;
-        decode_body(self.dialect.decode_object, &body)
+        decode_body(self.codec.decode_object, &body)
     }
 
     /// Replaces the spec of an object whose current revision is `revision`.
@@ -274,9 +274,9 @@
         revision: u64,
         spec: &Value,
     ) -> Result<Object, Error> {
-        let call = (self.dialect.update)(kind, name, revision, spec);
+        let call = (self.codec.update)(kind, name, revision, spec);
         let body = self.request(purpose, Access::Write, call).await?;
-        decode_body(self.dialect.decode_object, &body)
+        decode_body(self.codec.decode_object, &body)
     }
 
     /// Replaces the status of an object.
@@ -290,7 +290,7 @@
         name: &str,
         status: &Value,
     ) -> Result<(), Error> {
-        let call = (self.dialect.update_status)(kind, name, status);
+        let call = (self.codec.update_status)(kind, name, status);
         self.request(purpose, Access::Write, call).await.map(drop)
     }
 
@@ -299,7 +299,7 @@
     /// # Errors
     /// If the store did not answer, or refused the call.
     pub async fn delete(&self, purpose: Purpose, kind: &str, name: &str) -> Result<(), Error> {
-        let call = (self.dialect.delete)(kind, name);
+        let call = (self.codec.delete)(kind, name);
         match self.request(purpose, Access::Write, call).await {
             Ok(_) | Err(Error::NotFound) => Ok(()),
             Err(error) => Err(error),
--- a/crates/pinereel/src/hosted/tree/children.rs
+++ b/crates/pinereel/src/hosted/tree/children.rs
@@ -15,7 +15,7 @@
 };
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, tungstenite::Message};
 
-/// Most frames queued for a child. The link of a child that is slower is dropped.
+/// Most frames queued for a child. The link of a child that is too slow for this queue is dropped.
 const CHILD_QUEUE_FRAMES: usize = 256;
 /// Most handshakes at the same time; further connections are closed, and the newcomers retry. Instances
 /// that start together all connect to the same one.
@@ -62,9 +62,9 @@
         match admission {
             Admission::Child(key) => {
                 log::info!(child = address.as_str(); "broadcast tree: child linked");
-                let why = self.serve_child(socket, key, topics).await;
+                let reason = self.serve_child(socket, key, topics).await;
                 self.remove_child(key);
-                log::info!(child = address.as_str(), why; "broadcast tree: child lost");
+                log::info!(child = address.as_str(), why = reason; "broadcast tree: child lost");
             }
             Admission::Referred(addresses) => reject(socket, &Frame::Referral(addresses)).await,
         }
--- a/crates/pinereel/src/hosted/tree/node.rs
+++ b/crates/pinereel/src/hosted/tree/node.rs
@@ -285,8 +285,8 @@
         state.children.standbys(&self.deps.peer.zone)
     }
 
-    /// The ranks of this instance and all below it, with the number of instances passed to `usage`; `None`
-    /// without data.
+    /// Passes the number of instances in the tree to the usage meter, and returns the ranks of this instance
+    /// and all below it; `None` without data.
     fn update_ranks(&self) -> Option<RankRange> {
         let ranks = self.ranks()?;
         self.deps
--- a/crates/pinereel/src/hosted/tree/parent_search.rs
+++ b/crates/pinereel/src/hosted/tree/parent_search.rs
@@ -22,8 +22,8 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Delay between the attempts at two targets, so that the first one is used if it is available.
 const TARGET_STAGGER: Duration = Duration::from_millis(60);
-/// Most instances that are tried from one target on, by its referrals. Each level refers to three, and four
-/// levels of 32 children reach a million instances.
+/// Most instances that are tried for one target: the target itself, and those that it and the next ones
+/// refer to. Each level refers to three, and four levels of 32 children reach a million instances.
 const MAX_ATTEMPTS_PER_TARGET: usize = 12;
 
 /// An open link to a parent.
@@ -53,7 +53,7 @@
 enum Reply {
     Linked(Box<ParentLink>),
     Referred(Vec<CompactString>),
-    /// It has no fresh data; it may be tried again after this time.
+    /// The instance has no fresh data; it may be tried again after this time.
     RetryAfter(Duration),
 }
 
@@ -102,9 +102,9 @@
         let targets = targets.into_iter().enumerate();
         let mut retry_after = None;
         let mut attempts: FuturesUnordered<_> = targets
-            .map(async |(at, target)| {
-                let at = u32::try_from(at).unwrap_or(u32::MAX);
-                sleep(TARGET_STAGGER.saturating_mul(at)).await;
+            .map(async |(index, target)| {
+                let index = u32::try_from(index).unwrap_or(u32::MAX);
+                sleep(TARGET_STAGGER.saturating_mul(index)).await;
                 self.follow_referrals(target, requirement).await
             })
             .collect();
--- a/crates/pinereel/src/hosted/tree/store_reader.rs
+++ b/crates/pinereel/src/hosted/tree/store_reader.rs
@@ -20,9 +20,10 @@
 impl Node {
     /// Follows all topics in the store and publishes their changes. Ends only when dropped.
     pub(super) async fn read_store(&self) {
-        let places = self.deps.adapter.object_kinds;
-        let config = self.follow_topic(Topic::Config, Purpose::Config, places.config);
-        let endpoints = self.follow_topic(Topic::Endpoints, Purpose::Instances, places.endpoints);
+        let object_kinds = self.deps.adapter.object_kinds;
+        let config = self.follow_topic(Topic::Config, Purpose::Config, object_kinds.config);
+        let endpoints =
+            self.follow_topic(Topic::Endpoints, Purpose::Instances, object_kinds.endpoints);
         tokio::join!(config, endpoints, self.follow_leases());
     }
 
--- a/crates/pinereel/src/hosted/tree/topics.rs
+++ b/crates/pinereel/src/hosted/tree/topics.rs
@@ -1,5 +1,5 @@
-//! Publications of the topics: received from the store or the parent, cached, and forwarded to the children
-//! that have subscribed and to this process.
+//! Publications of the topics. A node receives them from the store or its parent, caches them, and forwards
+//! them to the children that have subscribed and to the other modules of this process.
 
 use super::{Frame, Node, Topic, encoded_object::EncodedObject, node::State};
 use crate::hosted::list_watch::Update;
@@ -13,8 +13,8 @@
 pub(super) struct ChildLink {
     /// Queue of encoded frames.
     pub(super) frames: mpsc::Sender<Bytes>,
-    /// The topics that the child has subscribed to, each with the revision that the child has until it is
-    /// brought up to date, and `None` from then on.
+    /// The topics that the child has subscribed to. The value is the revision that the child has, while it
+    /// still has to be brought up to date, and `None` from then on.
     pub(super) topics: BTreeMap<Topic, Option<u64>>,
 }
 
--- a/crates/pinereel/src/hosted/tree/uplink.rs
+++ b/crates/pinereel/src/hosted/tree/uplink.rs
@@ -27,8 +27,8 @@
 /// Time between two probes with which a standby checks whether the store answers it while it does not
 /// answer the root.
 const STANDBY_PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// The same for all other instances. At the rate of the standbys, 165 instances would send 7 probes a
-/// second each during an outage of the store.
+/// Time between two probes of all other instances. At the rate of the standbys, each of 165 instances
+/// would send 7 probes a second during an outage of the store.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Why a link to a parent ended.
@@ -47,7 +47,7 @@
     /// Reads the store while this instance holds the root duty, and follows a parent otherwise. Never ends.
     pub(super) async fn run_uplink(self: Rc<Self>) {
         let mut status = self.deps.duties.register_candidate(&ROOT_DUTY.into());
-        let mut next = None;
+        let mut next_link = None;
         loop {
             let is_root = status.borrow_and_update().lease.is_some();
             if is_root && !self.is_shutting_down() {
@@ -61,15 +61,15 @@
                 self.read_store_until(end).await;
                 continue;
             }
-            let link = match next.take() {
+            let link = match next_link.take() {
                 Some(link) => Some(link),
                 None => self.find_parent(&mut status).await,
             };
             let Some(link) = link else { continue };
             match self.follow_parent(link, &mut status).await {
                 LinkEnd::ParentLost | LinkEnd::DutyAcquired => {}
-                LinkEnd::FresherParent(link) => next = Some(*link),
-                LinkEnd::StoreAnswers => next = self.run_without_parent(&mut status).await,
+                LinkEnd::FresherParent(link) => next_link = Some(*link),
+                LinkEnd::StoreAnswers => next_link = self.run_without_parent(&mut status).await,
             }
         }
     }
@@ -256,8 +256,8 @@
         } else {
             PROBE_INTERVAL
         };
-        let places = self.deps.adapter.object_kinds;
-        let (kind, name) = (places.config, places.config_object_name);
+        let object_kinds = self.deps.adapter.object_kinds;
+        let (kind, name) = (object_kinds.config, object_kinds.config_object_name);
         while !self.deps.store.probe(kind, name, Consistency::Stale).await {
             sleep(pause).await;
         }
--- a/crates/pinereel/src/hosted/usage/report.rs
+++ b/crates/pinereel/src/hosted/usage/report.rs
@@ -36,7 +36,7 @@
 const KIND: &str = "pinereel-usage";
 /// Name of the only object of that kind.
 const NAME: &str = "sums";
-/// Maximum number of stored sums; more than may still have to be sent.
+/// Maximum number of stored sums. Fewer than this many may still have to be sent.
 const MAX_KEPT_SUMS: usize = 8;
 /// Interval between checks of which window is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
