--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -1,7 +1,7 @@
 //! Detection of requests that crash endpoints: the I/O side of [`pinereel_core::crash`].
 //!
-//! Feeds the [`Register`] with crashes and answers, and decides by it where a suspected request may
-//! run. Reports spread by gossip: they go to the linked entries with the periodic summary, which is
+//! This module feeds the [`Register`] with crashes and answers, and asks it where a suspected request
+//! may run. Reports spread by gossip: they go to the linked entries with the periodic summary, which is
 //! sent immediately when there are any, and each entry forwards those that are new to it.
 
 use crate::{filters::not_run, state::Shared, upstream::probe};
@@ -16,10 +16,10 @@
 
 /// Most reports in one summary.
 const MAX_REPORTS_PER_SUMMARY: usize = 64;
-/// Longest wait of a suspected request for an endpoint; with a longer one it is refused, and the
-/// wait returned as its retry delay.
+/// Longest wait of a suspected request for an endpoint. A request that would have to wait longer is
+/// refused, and the wait is returned as its retry delay.
 const MAX_PLACEMENT_WAIT: Duration = Duration::from_millis(500);
-/// Delay before a blocked sample or scoring is reported as not run, and may be tried again.
+/// Delay before a blocked sample or scoring is reported as not run, after which it may be retried.
 const BLOCKED_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Retry delay of a suspected request that no endpoint may run.
 const UNAVAILABLE_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
             RequestStatus::Suspected { .. } => {}
         }
         let wait = match status.propagation_wait() {
-            Some(left) => left,
+            Some(remaining) => remaining,
             None => match place_suspected(shared, pool, identity) {
                 Ok(key) => return Ok(AttemptPlacement::Only(key)),
                 Err(wait) => wait,
@@ -148,7 +148,7 @@
     let Some((start, address)) = found else {
         return;
     };
-    if !probe::is_gone(&address).await {
+    if !probe::has_no_listener(&address).await {
         return;
     }
     let endpoint = start.endpoint.as_str();
--- a/crates/pinereel/src/hosted/lots/stream.rs
+++ b/crates/pinereel/src/hosted/lots/stream.rs
@@ -131,7 +131,7 @@
     let RunEnd::Broken(RunError::Lost | RunError::Stale | RunError::Cut) = end else {
         return end;
     };
-    if runner.deps.pool.is_gone(placement.address).await {
+    if runner.deps.pool.has_no_listener(placement.address).await {
         return RunEnd::Broken(RunError::Crashed);
     }
     match end {
--- a/crates/pinereel/src/hosted/proxy/attempt.rs
+++ b/crates/pinereel/src/hosted/proxy/attempt.rs
@@ -107,7 +107,7 @@
     /// Distinguishes a crash of the endpoint from a lost connection: an endpoint that still accepts
     /// connections has not crashed.
     async fn loss_cause(&self, selected: &SelectedEndpoint) -> Failure {
-        match self.deps.pool.is_gone(selected.address).await {
+        match self.deps.pool.has_no_listener(selected.address).await {
             true => Failure::Crashed,
             false => Failure::Lost,
         }
--- a/crates/pinereel/src/upstream/direct.rs
+++ b/crates/pinereel/src/upstream/direct.rs
@@ -78,13 +78,14 @@
         .await
         .ok_or_else(|| Error::Lost("no answer".into()))?;
     let head = head.map_err(|e| Error::Lost(e.to_string()))?;
-    let empty = framed.codec_ref().message_type() == MessageType::None;
+    let has_no_framed_body = framed.codec_ref().message_type() == MessageType::None;
     let length = head.headers.get(CONTENT_LENGTH).cloned();
-    if empty && length.is_none() && may_have_body(&method, head.status) {
+    if has_no_framed_body && length.is_none() && may_have_body(&method, head.status) {
         // Only the connection's end would delimit the body, so a truncated one would not be detected.
         return Err(Error::Lost("answer of unknown length".into()));
     }
-    let framed = (!empty).then(|| framed.into_map_codec(ClientCodec::into_payload_codec));
+    let framed =
+        (!has_no_framed_body).then(|| framed.into_map_codec(ClientCodec::into_payload_codec));
     Ok(Response {
         status: head.status,
         length: length.and_then(|value| value.to_str().ok()?.parse().ok()),
@@ -95,8 +96,10 @@
 
 /// Whether a response to the method and with the status may have a body.
 fn may_have_body(method: &Method, status: StatusCode) -> bool {
-    let bare = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-    *method != Method::HEAD && !status.is_informational() && !bare.contains(&status)
+    let statuses_without_body = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
+    *method != Method::HEAD
+        && !status.is_informational()
+        && !statuses_without_body.contains(&status)
 }
 
 fn build_head(uri: Uri, attempt: Attempt) -> RequestHead {
--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -45,7 +45,7 @@
     /// Bytes may have been sent and no response was received: the request may have run.
     #[error("no answer: {0}")]
     Lost(String),
-    /// As [`Error::Lost`], on a reused connection, which the endpoint may just have closed.
+    /// The same as [`Error::Lost`], on a reused connection, which the endpoint may just have closed.
     #[error("no answer on an idle connection: {0}")]
     Stale(String),
 }
@@ -118,9 +118,9 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Whether an endpoint whose connection failed is gone: its host is reachable, and no process
-    /// listens there. The probe's connection is added to the pool.
-    pub async fn is_gone(&self, address: SocketAddr) -> bool {
+    /// Whether no process listens at the address of an endpoint whose connection failed, although its
+    /// host is reachable. The probe's connection is added to the pool.
+    pub async fn has_no_listener(&self, address: SocketAddr) -> bool {
         match probe(address).await {
             Probe::NotListening => true,
             Probe::Reset | Probe::Unknown => false,
@@ -148,7 +148,7 @@
         };
         let result = self.send_on(connection, request).await;
         result.map_err(|error| match error {
-            Error::Lost(why) if reused => Error::Stale(why),
+            Error::Lost(reason) if reused => Error::Stale(reason),
             error => error,
         })
     }
@@ -180,8 +180,8 @@
         } else {
             None
         };
-        let bare = connection.codec_ref().message_type() == MessageType::None;
-        let unframed = bare
+        let has_no_framed_body = connection.codec_ref().message_type() == MessageType::None;
+        let ends_with_connection = has_no_framed_body
             && !head.headers.contains_key(CONTENT_LENGTH)
             && may_have_body(&method, head.status);
         let mut body = Body {
@@ -190,10 +190,10 @@
             address: request.address,
             idle_timeout,
         };
-        if unframed {
+        if ends_with_connection {
             let parts = connection.into_parts();
             body.state = State::UntilClose(parts.io, parts.read_buf.freeze());
-        } else if bare {
+        } else if has_no_framed_body {
             body.return_to_pool(connection);
         } else {
             body.state = State::Framed(connection.into_map_codec(ClientCodec::into_payload_codec));
@@ -266,24 +266,26 @@
 
 /// Reads how long a connection may be idle; `None` if it may not be reused.
 fn parse_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
-    let said = headers.get("keep-alive").and_then(|v| v.to_str().ok());
-    let Some(said) = said else {
+    let header = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+    let Some(header) = header else {
         return Some(DEFAULT_IDLE_TIMEOUT);
     };
-    let mut parameters = said.split(',').map(str::trim);
+    let mut parameters = header.split(',').map(str::trim);
     let seconds = parameters.find_map(|p| p.strip_prefix("timeout="));
     let Some(seconds) = seconds.and_then(|seconds| seconds.parse().ok()) else {
         return Some(DEFAULT_IDLE_TIMEOUT);
     };
     Duration::from_secs(seconds)
         .checked_sub(IDLE_MARGIN)
-        .filter(|left| !left.is_zero())
+        .filter(|timeout| !timeout.is_zero())
 }
 
 /// Whether a response to the method and with the status may have a body.
 fn may_have_body(method: &Method, status: StatusCode) -> bool {
-    let bare = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-    *method != Method::HEAD && !status.is_informational() && !bare.contains(&status)
+    let statuses_without_body = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
+    *method != Method::HEAD
+        && !status.is_informational()
+        && !statuses_without_body.contains(&status)
 }
 
 impl Body {
--- a/crates/pinereel/src/upstream/probe.rs
+++ b/crates/pinereel/src/upstream/probe.rs
@@ -32,7 +32,7 @@
     /// The connection was accepted and reset before it could be used: the process listens, or is
     /// exiting.
     Reset,
-    /// No response in time, so neither is known.
+    /// No response in time, so it is not known whether a process listens.
     Unknown,
 }
 
@@ -43,22 +43,22 @@
 
 /// Probes `address`; repeats the probe while connections are accepted and closed.
 pub async fn probe(address: SocketAddr) -> Probe {
-    let mut found = connect(address).await;
+    let mut result = connect(address).await;
     for pause in RETRY_DELAYS {
-        match &found {
+        match &result {
             Probe::Reset => {}
             Probe::Listening(stream) if is_closed(stream).await => {}
-            _ => return found,
+            _ => return result,
         }
         sleep(pause).await;
-        found = connect(address).await;
+        result = connect(address).await;
     }
-    found
+    result
 }
 
-/// Whether the endpoint at `IP:PORT` is gone: the host is reachable and no process listens there.
-/// False for a malformed address.
-pub async fn is_gone(address: &str) -> bool {
+/// Whether no process listens at `IP:PORT` although the host is reachable. False for a malformed
+/// address.
+pub async fn has_no_listener(address: &str) -> bool {
     match address.parse() {
         Ok(address) => matches!(probe(address).await, Probe::NotListening),
         Err(_) => false,
--- a/crates/pinereel/tests/upstream_probe.rs
+++ b/crates/pinereel/tests/upstream_probe.rs
@@ -14,7 +14,7 @@
 async fn an_endpoint_without_a_listener_is_gone() {
     let (listener, address) = listener().await;
     drop(listener);
-    assert!(Rc::new(Pool::default()).is_gone(address).await);
+    assert!(Rc::new(Pool::default()).has_no_listener(address).await);
 }
 
 /// A lost or truncated response, or a reset, is no crash; the probe's connection enters the pool.
@@ -22,7 +22,7 @@
 async fn an_endpoint_that_listens_is_not_gone() {
     let (listener, address) = listener().await;
     let pool = Rc::new(Pool::default());
-    assert!(!pool.is_gone(address).await);
+    assert!(!pool.has_no_listener(address).await);
     assert!(pool.has_idle(address));
     drop(listener);
 }
@@ -36,7 +36,7 @@
             drop(stream);
         }
     });
-    assert!(!Rc::new(Pool::default()).is_gone(address).await);
+    assert!(!Rc::new(Pool::default()).has_no_listener(address).await);
     closing.abort();
 }
 
@@ -50,7 +50,7 @@
         let accepted = listener.accept().await;
         drop((accepted, listener));
     };
-    let (gone, ()) = tokio::join!(pool.is_gone(address), end);
+    let (gone, ()) = tokio::join!(pool.has_no_listener(address), end);
     assert!(gone);
 }
 
@@ -64,7 +64,7 @@
         let accepted = listener.accept().await;
         drop((accepted, listener));
     };
-    let (gone, ()) = tokio::join!(pool.is_gone(address), end);
+    let (gone, ()) = tokio::join!(pool.has_no_listener(address), end);
     assert!(gone);
 }
 
@@ -88,5 +88,5 @@
         let opened = tokio::time::timeout(Duration::from_millis(200), stream).await;
         streams.extend(opened.ok().and_then(Result::ok));
     }
-    assert!(!Rc::new(Pool::default()).is_gone(address).await);
+    assert!(!Rc::new(Pool::default()).has_no_listener(address).await);
 }
