--- a/crates/pinereel/src/objects/breaker.rs
+++ b/crates/pinereel/src/objects/breaker.rs
@@ -7,7 +7,7 @@
 const FAILURE_THRESHOLD: u32 = 3;
 /// Back-off when the breaker opens; doubled after each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Maximum back-off before jitter. The recovery of an API is noticed within about this time.
+/// Maximum back-off before jitter. The recovery of the API is noticed within about this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Maximum back-off of urgent calls, from the last failure. A trainer resubmits a refused step every
--- a/crates/pinereel/src/objects/client.rs
+++ b/crates/pinereel/src/objects/client.rs
@@ -30,8 +30,8 @@
 /// Maximum size of a response body, in bytes: a list may contain many values.
 const MAX_RESPONSE_BYTES: usize = 16 * MAX_VALUE_BYTES;
 
-/// Maximum wait under the concurrency limit, and under the rate limit; a call that would wait longer
-/// fails.
+/// Maximum wait for a permit under the concurrency limit, and again under the rate limit; a call that
+/// would wait longer fails.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// Options of the client.
--- a/crates/pinereel/src/objects/token_bucket.rs
+++ b/crates/pinereel/src/objects/token_bucket.rs
@@ -11,7 +11,7 @@
     /// Available tokens; negative if callers have reserved future ones.
     tokens: f64,
     /// Time at which `tokens` was computed.
-    updated: Time,
+    updated_at: Time,
 }
 
 impl TokenBucket {
@@ -20,15 +20,15 @@
         Self {
             tokens_per_second,
             tokens: tokens_per_second,
-            updated: now,
+            updated_at: now,
         }
     }
 
     /// Reserves one token and returns how long the caller must wait before it uses the token.
     pub fn reserve(&mut self, now: Time) -> Duration {
-        let passed = now.since(self.updated).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.tokens_per_second).min(self.tokens_per_second);
-        self.updated = now;
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.tokens_per_second).min(self.tokens_per_second);
+        self.updated_at = now;
         self.tokens -= 1.0;
         if self.tokens >= 0.0 {
             return Duration::ZERO;
--- a/crates/pinereel/src/peer/link.rs
+++ b/crates/pinereel/src/peer/link.rs
@@ -150,8 +150,8 @@
 /// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkEnd {
-    /// The peer closed it, or sent no frame within [`HEARTBEAT_TIMEOUT`].
-    Gone,
+    /// The peer closed the link, or sent no frame within [`HEARTBEAT_TIMEOUT`].
+    Disconnected,
     /// The peer violated the protocol.
     Malformed,
 }
@@ -170,7 +170,7 @@
             Ok(Some(Err(SocketError::Capacity(_) | SocketError::Utf8(_)))) => {
                 return Err(LinkEnd::Malformed);
             }
-            _ => return Err(LinkEnd::Gone),
+            _ => return Err(LinkEnd::Disconnected),
         };
         match message {
             Message::Binary(bytes) => {
@@ -178,7 +178,7 @@
                 return Ok((frame, bytes.len()));
             }
             Message::Text(_) => return Err(LinkEnd::Malformed),
-            Message::Close(_) => return Err(LinkEnd::Gone),
+            Message::Close(_) => return Err(LinkEnd::Disconnected),
             // The library handles pings and pongs.
             _ => {}
         }
@@ -190,9 +190,11 @@
 /// # Errors
 /// The link must be closed; also if the peer has another protocol version.
 pub(super) async fn exchange_hello(socket: &mut Socket, own: Hello) -> Result<Hello, LinkEnd> {
-    let bytes = Frame::Hello(own).encode().map_err(|_| LinkEnd::Gone)?;
+    let bytes = Frame::Hello(own)
+        .encode()
+        .map_err(|_| LinkEnd::Disconnected)?;
     if !write_frame(socket, bytes).await {
-        return Err(LinkEnd::Gone);
+        return Err(LinkEnd::Disconnected);
     }
     match read_frame(socket).await? {
         (Frame::Hello(hello), _) if hello.protocol == PROTOCOL => Ok(hello),
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -38,8 +38,8 @@
 
 /// Maximum time to open or accept a link, handshakes included.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay before the next attempt to open a link, or to accept one after an error.
-const DIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Delay before the next attempt to open a link, or to accept a link after an error.
+const LINK_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Path of a persistent link.
 const LINK_PATH: &str = "/peer";
 /// Path of a connection for a single call.
@@ -94,7 +94,7 @@
     });
 }
 
-/// Receives the reason for which a link was refused or closed.
+/// Receives the problem code of each link that was refused, or closed for a protocol violation.
 type RefusalObserver = Rc<dyn Fn(Code)>;
 
 /// Links of this entry, by the peer's name. Clones share them.
@@ -129,21 +129,21 @@
         }
     }
 
-    /// Sets the handler of calls and the observer of summaries. Calls are refused before.
+    /// Sets the handler of calls and the observer of summaries. Until then, calls are refused.
     pub fn set_handlers(&self, handler: CallHandler, observer: SummaryObserver) {
         self.call_handler.replace(Some(handler));
         self.summary_observer.replace(Some(observer));
     }
 
     /// Sets the observer of links that are refused, or closed for a protocol violation.
-    pub fn set_refusal_observer(&self, refusal: impl Fn(Code) + 'static) {
-        self.refusal_observer.replace(Some(Rc::new(refusal)));
+    pub fn set_refusal_observer(&self, observer: impl Fn(Code) + 'static) {
+        self.refusal_observer.replace(Some(Rc::new(observer)));
     }
 
     fn report_refusal(&self, code: Code) {
-        let refusal = self.refusal_observer.borrow().clone();
-        if let Some(refusal) = refusal {
-            refusal(code);
+        let observer = self.refusal_observer.borrow().clone();
+        if let Some(observer) = observer {
+            observer(code);
         }
     }
 
@@ -154,7 +154,7 @@
         actix_rt::spawn(async move {
             while !mesh.closed.get() {
                 let Ok((stream, _)) = listener.accept().await else {
-                    sleep(DIAL_RETRY_DELAY).await;
+                    sleep(LINK_RETRY_DELAY).await;
                     continue;
                 };
                 let Ok(permit) = Arc::clone(&handshakes).try_acquire_owned() else {
@@ -166,7 +166,9 @@
                     let opened = timeout(OPEN_TIMEOUT, mesh.accept(stream)).await;
                     drop(permit);
                     match opened {
-                        Ok(Ok((socket, hello, once))) => mesh.run_link(socket, hello, once).await,
+                        Ok(Ok((socket, hello, single_call))) => {
+                            mesh.run_link(socket, hello, single_call).await
+                        }
                         Ok(Err(code)) => mesh.report_refusal(code),
                         Err(_) => mesh.report_refusal(Code::SlowSender),
                     }
@@ -273,7 +275,7 @@
             {
                 self.run_link(socket, hello, false).await;
             }
-            sleep(DIAL_RETRY_DELAY).await;
+            sleep(LINK_RETRY_DELAY).await;
         }
         self.dialing.borrow_mut().remove(&name);
     }
@@ -331,7 +333,7 @@
             })?;
         let hello = link::exchange_hello(&mut socket, self.hello()).await;
         let hello = hello.map_err(|ended| match ended {
-            LinkEnd::Gone => Code::SlowSender,
+            LinkEnd::Disconnected => Code::SlowSender,
             LinkEnd::Malformed => Code::BadRequest,
         })?;
         Ok((socket, hello, single_call.get()))
@@ -381,14 +383,14 @@
     }
 
     async fn read_all(&self, stream: &mut SplitStream<Socket>, link: &Link) -> LinkEnd {
-        let serving = Arc::new(Semaphore::new(MAX_PEER_CALLS));
+        let call_permits = Arc::new(Semaphore::new(MAX_PEER_CALLS));
         loop {
             let (frame, size) = match link::read_frame(stream).await {
                 Ok(read) => read,
                 Err(ended) => return ended,
             };
             if self.closed.get() {
-                return LinkEnd::Gone;
+                return LinkEnd::Disconnected;
             }
             count_frame(&self.received, size);
             match frame {
@@ -400,15 +402,15 @@
                     }
                 }
                 Frame::Reply { id, body } => link.complete_call(id, body),
-                Frame::Call { id, body } => self.handle_call(link, &serving, id, body),
+                Frame::Call { id, body } => self.handle_call(link, &call_permits, id, body),
             }
         }
     }
 
     /// Executes a call in a task of its own; refuses it immediately if [`MAX_PEER_CALLS`] are
     /// running.
-    fn handle_call(&self, link: &Link, serving: &Arc<Semaphore>, id: u64, body: Call) {
-        let Ok(permit) = Arc::clone(serving).try_acquire_owned() else {
+    fn handle_call(&self, link: &Link, call_permits: &Arc<Semaphore>, id: u64, body: Call) {
+        let Ok(permit) = Arc::clone(call_permits).try_acquire_owned() else {
             send_reply(link, id, Reply::Refused("busy".into()));
             return;
         };
