--- a/crates/pinereel/src/controllers/claims/client.rs
+++ b/crates/pinereel/src/controllers/claims/client.rs
@@ -7,7 +7,8 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a verdict; after it the request is refused and its claim settled as not run.
+/// Longest wait for a verdict; without one by then, the request is refused and its claim settled as
+/// not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of one attempt to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -17,7 +18,7 @@
 const SETTLE_RETRY_MIN_DELAY: Duration = Duration::from_millis(50);
 /// Longest delay between attempts to settle.
 const SETTLE_RETRY_MAX_DELAY: Duration = Duration::from_secs(2);
-/// Most entries to try, in rank order, before this one writes the log itself.
+/// Most other entries to try, in rank order, before this entry writes the log itself.
 const MAX_REMOTE_CANDIDATES: usize = 3;
 
 /// Result of a claim.
@@ -31,8 +32,8 @@
     TimedOut,
 }
 
-/// Claims a key at the owner of its shard. The next entry in rank is tried only if the claim
-/// certainly was not carried out.
+/// Claims a key at the owner of its shard. The next entry in rank is tried only if the previous one
+/// certainly did not carry out the claim.
 pub async fn claim(shared: &Rc<Shared>, claim: &ClaimRequest, time_left: Duration) -> ClaimResult {
     let wait = time_left.min(CLAIM_TIMEOUT);
     match timeout(wait, claim_at_owner(shared, claim, time_left)).await {
@@ -78,7 +79,7 @@
 
 /// Settles a claim with the request's outcome; `None` if it did not run and never will. Tries the
 /// shard's owner, the next entries in rank, and this entry's own log. Returns whether the outcome
-/// is stored; if not, the key reads as in progress and later as unknown.
+/// is stored; if not, further claims of the key get the verdict in progress, and later unknown.
 pub async fn settle(
     shared: &Rc<Shared>,
     claim: &ClaimRequest,
--- a/crates/pinereel/src/controllers/claims/log_store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -1,4 +1,6 @@
 //! Storage of the shards' logs in the object API: creates, reads and trims segments.
+//!
+//! The base of a log is the lowest segment number that is still in use. It has an object of its own.
 
 use super::is_owner;
 use crate::{
@@ -9,7 +11,8 @@
 use pinereel_core::claim::{Action, Event, Segment, base_name, segment_name};
 use std::rc::Rc;
 
-/// Segments that one list call covers: a name prefix that leaves out the last digit of the number.
+/// Number of segments that one list call covers: its name prefix leaves out the last digit of the
+/// segment number.
 const LIST_BLOCK_SIZE: u64 = 10;
 
 /// Carries out one action of a log; returns the event with its result.
@@ -51,8 +54,8 @@
     }
 }
 
-/// Reads the segments from `from` up to the first gap, then the base. There is rarely a new
-/// segment, so only the first one is read before listing any block.
+/// Reads the segments from `from` up to the first gap, then the base. New segments are rare, so the
+/// first one is read alone, and blocks are listed only if it exists.
 async fn read(shared: &Shared, shard: u64, from: u64) -> Result<Event, Error> {
     let mut segments = Vec::new();
     let name = segment_name(shard, from);
@@ -156,7 +159,7 @@
                 .map_or(0, |(base, _)| base);
             Ok(Event::Base(current))
         }
-        // The next read shows whether it took effect, and the trim is retried.
+        // The next read shows whether the write took effect, and the trim is retried.
         Err(e) => Err(e),
     }
 }
--- a/crates/pinereel/src/controllers/config/propose.rs
+++ b/crates/pinereel/src/controllers/config/propose.rs
@@ -67,7 +67,8 @@
             format_compact!("the patch's id is empty or longer than {MAX_PATCH_ID_BYTES} bytes");
         return Err(not_run(Code::BadRequest, message));
     }
-    // Not tried is still "unknown": an earlier submission of the same patch may have been accepted.
+    // A patch that is not tried here is answered as "unknown" all the same: an earlier submission of
+    // it may have been accepted.
     if shared.drain.refuses_requests() {
         return Err(retryable(may_have_run(
             Code::Unavailable,
--- a/crates/pinereel/src/controllers/config/relay.rs
+++ b/crates/pinereel/src/controllers/config/relay.rs
@@ -50,13 +50,13 @@
         write_id: write_id.clone(),
     };
     step(shared, event);
-    let leaf = Call::Commit {
+    let leaf_call = Call::Commit {
         number,
         write: write_id,
         leaves: EntryNames::new(),
     };
     for name in leaves {
-        send_best_effort(shared, name, leaf.clone(), LEAF_TIMEOUT);
+        send_best_effort(shared, name, leaf_call.clone(), LEAF_TIMEOUT);
     }
 }
 
@@ -66,12 +66,12 @@
         write_id: write_id.clone(),
     };
     step(shared, event);
-    let leaf = Call::Abort {
+    let leaf_call = Call::Abort {
         write: write_id,
         leaves: EntryNames::new(),
     };
     for name in leaves {
-        send_best_effort(shared, name, leaf.clone(), LEAF_TIMEOUT);
+        send_best_effort(shared, name, leaf_call.clone(), LEAF_TIMEOUT);
     }
 }
 
--- a/crates/pinereel/src/controllers/drain.rs
+++ b/crates/pinereel/src/controllers/drain.rs
@@ -15,7 +15,7 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time::sleep;
 
-/// Interval between two checks of what is in flight.
+/// Interval between two checks of the number of requests and other work in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time for the last answers to leave the send buffers before connections are closed.
@@ -49,7 +49,7 @@
         self.stop_requested.set(true);
     }
 
-    /// Has new requests refused from now on.
+    /// Refuses new requests from now on.
     pub fn refuse_requests(&self) {
         self.refuses_requests.set(true);
     }
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -1,7 +1,7 @@
 //! State of the endpoints that this entry routes to.
 //!
-//! Feeds the endpoint [`Set`] with the platform's list of instances, the engines' load reports and
-//! the results of attempts. Routing reads the set ([`Endpoints::choose`]); each attempt is counted
+//! This module feeds the endpoint [`Set`] with the platform's list of instances, the engines' load
+//! reports and the results of attempts. Routing reads the set ([`Endpoints::choose`]); each attempt is counted
 //! by an [`AttemptGuard`].
 
 use super::instances;
@@ -53,7 +53,8 @@
     pub capacity_freed: Notify,
 }
 
-/// Counts an attempt as in flight at its endpoint until finished; dropped, it counts as cancelled.
+/// Counts an attempt as in flight at its endpoint until [`AttemptGuard::finish`]. If the guard is
+/// dropped instead, the attempt counts as cancelled.
 pub struct AttemptGuard {
     shared: Rc<Shared>,
     key: Key,
@@ -169,11 +170,11 @@
 pub fn log_choice(
     shared: &Shared,
     request: &str,
-    what: DecisionKind,
+    kind: DecisionKind,
     choice: &Choice,
     config: u64,
 ) {
-    shared.metrics.count_decision(what);
+    shared.metrics.count_decision(kind);
     if !shared.settings.log.decisions {
         return;
     }
@@ -198,7 +199,7 @@
     Decision {
         entry: shared.name(),
         request,
-        kind: what,
+        kind,
         chosen: chosen.map(|(name, _)| name),
         cost: chosen.map(|(_, cost)| cost),
         reason: reason.as_str().unwrap_or_default(),
@@ -218,8 +219,13 @@
 }
 
 fn log_change(shared: &Shared, change: &Change) {
-    let what = serde_json::to_string(&change.kind).unwrap_or_default();
-    shared.log_decision(DecisionKind::Eject, &change.name, Some(&change.name), &what);
+    let reason = serde_json::to_string(&change.kind).unwrap_or_default();
+    shared.log_decision(
+        DecisionKind::Eject,
+        &change.name,
+        Some(&change.name),
+        &reason,
+    );
     shared.endpoints.capacity_freed.notify_waiters();
 }
 
@@ -234,7 +240,7 @@
 
 /// Updates the set whenever the platform's list, the configuration or the membership changes.
 async fn sync_set(shared: &Rc<Shared>) {
-    let mut last = None;
+    let mut last_inputs = None;
     loop {
         let entries = instances::LiveEntries::of(shared);
         let revision = shared.endpoints.list.revision();
@@ -242,10 +248,10 @@
             && revision > 0
         {
             let inputs = (revision, snapshot.number, entries);
-            if last.as_ref() != Some(&inputs) {
+            if last_inputs.as_ref() != Some(&inputs) {
                 apply_list(shared, &snapshot, &inputs.2);
                 shared.endpoints.applied_revision.set(revision);
-                last = Some(inputs);
+                last_inputs = Some(inputs);
             }
         }
         tokio::select! {
@@ -277,12 +283,12 @@
         });
         found.collect()
     };
-    let gone: Vec<_> = {
+    let unlisted: Vec<_> = {
         let set = shared.endpoints.set();
         let names = set.iter().map(|(_, e)| e.name.clone());
         names.filter(|name| !subset.contains_key(name)).collect()
     };
-    for name in gone {
+    for name in unlisted {
         step(shared, Event::Unlisted { name });
     }
     for (name, instance) in subset {
@@ -316,9 +322,10 @@
 
 /// Polls one engine for load reports until it leaves the set.
 async fn poll_engine(shared: &Rc<Shared>, name: CompactString) {
-    // The first interval is shortened by name, so that engines listed together are then polled at
-    // different times.
-    let mut phase = f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
+    // The first interval is shortened to a fraction that depends on the engine's name, so that
+    // engines that are listed together are polled at different times from then on.
+    let mut interval_fraction =
+        f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
     loop {
         let found = shared
             .endpoints
@@ -326,8 +333,8 @@
             .find(&name)
             .map(|(key, e)| (key, e.address.clone()));
         let Some((key, address)) = found else { break };
-        let read = engines::state(&shared.http, &address, LOAD_REPORT_TIMEOUT).await;
-        if let Ok(state) = read {
+        let state = engines::state(&shared.http, &address, LOAD_REPORT_TIMEOUT).await;
+        if let Ok(state) = state {
             let report = LoadReport {
                 at: Time(shared.now().0.saturating_sub(state.lag_ms * 1_000)),
                 running: state.running,
@@ -347,8 +354,8 @@
             );
         }
         send_offer(shared, &name);
-        sleep(report_interval(shared).mul_f64(phase)).await;
-        phase = 1.0;
+        sleep(report_interval(shared).mul_f64(interval_fraction)).await;
+        interval_fraction = 1.0;
     }
     shared.endpoints.polled_engines.borrow_mut().remove(&name);
     withdraw_offer(shared, name);
@@ -363,8 +370,8 @@
     pause.max(MIN_REPORT_INTERVAL)
 }
 
-/// Tells the lots' runner that an engine has left the set. Attempts may finish on one that is still
-/// listed, but now in another entry's subset.
+/// Tells the lots' runner that an engine has left the set. An engine that is still listed has moved
+/// to another entry's subset: it is offered without slots, and its attempts may finish.
 fn withdraw_offer(shared: &Rc<Shared>, name: CompactString) {
     let listed = shared.endpoints.list.endpoints().contains_key(&name);
     let event = if listed {
--- a/crates/pinereel/src/controllers/instances.rs
+++ b/crates/pinereel/src/controllers/instances.rs
@@ -87,7 +87,7 @@
             }
         }
     }
-    // Also without a change: this confirms that the list is current.
+    // Called even if nothing has changed, since the answer confirms that the list is current.
     members::apply_platform_list(shared, &list.entries.borrow());
     if changed {
         list.revision.set(list.revision.get() + 1);
--- a/crates/pinereel/src/controllers/leases.rs
+++ b/crates/pinereel/src/controllers/leases.rs
@@ -79,13 +79,13 @@
     spawn(shared, async move |shared| run(&shared, &duty).await);
 }
 
-/// Starts to release all leases; [`Leases::all_released`] tells when that is done.
+/// Starts to release all leases; [`Leases::all_released`] returns whether that is done.
 pub fn release_all(shared: &Shared) {
     shared.leases.draining.set(true);
 }
 
 async fn run(shared: &Shared, duty: &CompactString) {
-    let mut held = None;
+    let mut last_fence = None;
     let mut drain_sent = false;
     loop {
         if shared.leases.draining.get() && !drain_sent {
@@ -94,15 +94,15 @@
         } else if drain_sent || is_candidate(shared, duty) {
             run_event(shared, duty, Event::Tick).await;
         }
-        let now = shared
+        let fence = shared
             .leases
             .held(duty, shared.now())
             .map(|(fence, _)| fence);
-        if now != held {
-            let reason = now.map_or("lost".into(), |fence| format_compact!("fence {fence}"));
-            let chosen = now.map(|_| shared.name().as_str());
+        if fence != last_fence {
+            let reason = fence.map_or("lost".into(), |fence| format_compact!("fence {fence}"));
+            let chosen = fence.map(|_| shared.name().as_str());
             shared.log_decision(DecisionKind::Lease, duty, chosen, &reason);
-            held = now;
+            last_fence = fence;
         }
         sleep(TICK_INTERVAL).await;
     }
@@ -166,7 +166,8 @@
     match written {
         Ok(version) => Event::Written(version),
         Err(Error::Conflict | Error::NotFound) => Event::Conflict,
-        // Also when the write certainly had no effect: the candidate reads the lease again anyway.
+        // `Unknown` is returned even if the write certainly had no effect, since the candidate reads
+        // the lease again in any case.
         Err(_) => Event::Unknown,
     }
 }
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -39,7 +39,7 @@
     let attempt = start.attempt;
     let Some((key, address)) = found else {
         let shared = Rc::clone(shared);
-        // Not synchronously: the runner's actions are still being carried out.
+        // Reported in a task of its own, since the runner's actions are still being carried out here.
         actix_rt::spawn(async move { report_failure(&shared, attempt, Failure::NotRun) });
         return;
     };
@@ -87,9 +87,9 @@
     id: CompactString,
 ) {
     let attempt = start.attempt;
-    let sent = start.clone();
+    let identity_start = start.clone();
     let identity = || {
-        let request = build_request(&shared, sent.clone(), &CompactString::default());
+        let request = build_request(&shared, identity_start.clone(), &CompactString::default());
         // The salt holds the engine's current version, which is no part of the identity.
         engines::identity(Request {
             cache_salt: CompactString::default(),
@@ -159,9 +159,9 @@
             shared.metrics.late_chunks.inc();
             continue;
         }
-        let last = chunk.finish.is_some();
+        let is_last = chunk.finish.is_some();
         step(shared, Event::Chunk(engines::lot_chunk(attempt, chunk)));
-        if last {
+        if is_last {
             return Ok(());
         }
     }
--- a/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/assign.rs
@@ -83,7 +83,7 @@
 fn build_assignment(shared: &Shared, id: &str, groups: &[u32]) -> Option<Assignment> {
     let submitted = shared.lots.submitted.borrow();
     let submitted_lot = submitted.get(id)?;
-    let left = submitted_lot.deadline.since(shared.now());
+    let remaining = submitted_lot.deadline.since(shared.now());
     let groups = groups.iter().filter_map(|index| {
         let group = submitted_lot.lot.groups.get(*index as usize)?;
         Some((
@@ -98,7 +98,7 @@
         trainer: submitted_lot.lot.trainer.clone(),
         step: submitted_lot.lot.step,
         version: submitted_lot.lot.version,
-        deadline_ms: left.as_millis() as u64,
+        deadline_ms: remaining.as_millis() as u64,
         groups: groups.collect(),
     })
 }
--- a/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/collect.rs
@@ -65,7 +65,7 @@
         )
         .await;
         // The configuration may have tightened the bound during the queries.
-        let bound = self::current_bound(shared, snapshot, id)?.min(bound);
+        let bound = current_bound(shared, snapshot, id)?.min(bound);
         let merge = Merge {
             token: token.clone(),
             version: collect.version,
@@ -76,8 +76,8 @@
         record_delivery(shared, id, &delivery, collect.version);
         // A draining entry answers immediately; the trainer continues at another with the same
         // token.
-        let stop = deadline.since(shared.now()).is_zero() || shared.drain.refuses_requests();
-        if !delivery.samples.is_empty() || delivery.remaining == 0 || stop {
+        let must_answer = deadline.since(shared.now()).is_zero() || shared.drain.refuses_requests();
+        if !delivery.samples.is_empty() || delivery.remaining == 0 || must_answer {
             return Ok(Collected {
                 basis: collect.token,
                 token: delivery.token.to_string(),
@@ -113,7 +113,7 @@
     let submitted_lot = submitted
         .get(id)
         .ok_or_else(|| refuse(Code::LotUnknown, "submit the lot again"))?;
-    let of = |snapshot: &Snapshot| {
+    let bound_in = |snapshot: &Snapshot| {
         snapshot
             .document
             .trainers
@@ -121,12 +121,12 @@
             .map(|t| t.bound)
     };
     let unknown = || refuse(Code::NotFound, "unknown trainer");
-    let pinned = of(snapshot).ok_or_else(unknown)?;
+    let pinned = bound_in(snapshot).ok_or_else(unknown)?;
     let current = shared
         .config
         .snapshot()
         .as_ref()
-        .and_then(of)
+        .and_then(bound_in)
         .ok_or_else(unknown)?;
     Ok(pinned.min(current))
 }
@@ -227,7 +227,7 @@
     }
 }
 
-fn record_delivery(shared: &Shared, id: &str, delivery: &Delivery, at: Version) {
+fn record_delivery(shared: &Shared, id: &str, delivery: &Delivery, version: Version) {
     let submitted = shared.lots.submitted.borrow();
     let Some(lot) = submitted.get(id) else { return };
     let trainer = lot.lot.trainer.as_str();
@@ -237,7 +237,7 @@
     let staleness = shared.metrics.staleness.with_label_values(&[trainer]);
     for sample in &delivery.samples {
         if let Some(oldest) = provenance::oldest_version(&sample.spans) {
-            staleness.observe(oldest.versions_behind(at) as f64);
+            staleness.observe(oldest.versions_behind(version) as f64);
         }
     }
 }
--- a/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/submit.rs
@@ -56,10 +56,10 @@
         return Err(refuse(Code::BadRequest, "a lot without samples"));
     }
     if samples > snapshot.document.limits.max_samples {
-        let most = snapshot.document.limits.max_samples;
+        let max = snapshot.document.limits.max_samples;
         return Err(refuse(
             Code::TooLarge,
-            format_compact!("{samples} samples, at most {most}"),
+            format_compact!("{samples} samples, at most {max}"),
         ));
     }
     let content = (&lot.id, &lot.trainer, lot.step, &lot.groups);
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -37,7 +37,7 @@
 const MAX_CONCURRENT_REPORTS: usize = 64;
 /// Number of entries of each availability zone that watch the configuration's object.
 const CONFIG_WATCHERS_PER_ZONE: usize = 2;
-/// Number of entries that remove the member objects of instances that are gone.
+/// Number of entries that remove the member objects of entries whose instances no longer exist.
 const MAX_REMOVERS: usize = 3;
 /// Links that an entry opens within its availability zone, if there are too many for a full mesh.
 const LINKS_IN_ZONE: usize = 3;
@@ -263,8 +263,8 @@
     }
 }
 
-/// Removes the member objects of instances that are gone, if this entry is one of the removers. The
-/// platform's list lags, so the object of an entry that still answers stays.
+/// Removes the member objects of entries whose instances no longer exist, if this entry is one of the
+/// removers. The platform's list lags, so the object of an entry that still answers stays.
 async fn remove_gone_members(shared: &Shared) {
     // After an outage, wait for a current platform list.
     if shared.now().since(shared.members.platform_listed_at.get()) > MAX_PLATFORM_LIST_AGE {
@@ -275,8 +275,8 @@
     if !removers.contains(shared.name()) {
         return;
     }
-    let gone = shared.members.view().removable(shared.now());
-    for (name, incarnation) in gone {
+    let removable = shared.members.view().removable(shared.now());
+    for (name, incarnation) in removable {
         if name == *shared.name() || is_alive(shared, &name, incarnation).await {
             continue;
         }
@@ -299,11 +299,11 @@
     let view = shared.members.view();
     let key = hash::stable(b"config");
     let own = hash::rendezvous(key, shared.name());
-    let ahead = view.members().values().filter(|entry| {
-        let better = hash::rendezvous(key, &entry.object.name) > own;
-        better && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
+    let higher_ranked = view.members().values().filter(|entry| {
+        let ranks_higher = hash::rendezvous(key, &entry.object.name) > own;
+        ranks_higher && entry.object.zone == *shared.zone() && entry.gone_since.is_none()
     });
-    ahead.count() < CONFIG_WATCHERS_PER_ZONE
+    higher_ranked.count() < CONFIG_WATCHERS_PER_ZONE
 }
 
 /// Calls the entries `names`; returns incarnation and configuration number of each that answers.
@@ -311,7 +311,7 @@
     shared: &Shared,
     names: Vec<CompactString>,
 ) -> BTreeMap<CompactString, (u64, u64)> {
-    let asked = names.into_iter().map(async |name| {
+    let calls = names.into_iter().map(async |name| {
         let reply = call(shared, &name, Call::Report, REPORT_TIMEOUT).await;
         match reply {
             Some(Reply::Report {
@@ -321,7 +321,7 @@
             _ => None,
         }
     });
-    let answers = stream::iter(asked).buffer_unordered(MAX_CONCURRENT_REPORTS);
+    let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_REPORTS);
     answers.filter_map(future::ready).collect().await
 }
 
--- a/crates/pinereel/src/controllers/mod.rs
+++ b/crates/pinereel/src/controllers/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers: the stateful parts of the entry daemon, one task of the daemon per module.
+//! Controllers: the stateful parts of the entry daemon, one area of responsibility per module.
 //!
 //! Most of them wrap a state machine of `pinereel_core`: they feed it events, carry out its actions
 //! with I/O, and offer the calls through which requests use its state.
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -39,17 +39,18 @@
 #[derive(Debug)]
 struct PoolQueue {
     queue: Queue,
+    /// Capacity that was last passed to the queue.
     slots: u32,
     requests: BTreeMap<RequestKey, RequestState>,
-    budget: Bucket,
+    retry_budget: Bucket,
 }
 
 /// State of a request in its pool's queue.
 #[derive(Debug)]
 enum RequestState {
-    /// It waits; the channel gets the decision.
+    /// The request waits; the channel receives the decision on it.
     Waiting(oneshot::Sender<Result<(), Refusal>>),
-    /// It was started and occupies a slot.
+    /// The request was started and occupies a slot.
     Started,
 }
 
@@ -87,7 +88,7 @@
 }
 
 impl Queues {
-    /// Starts without queues; `seed` is that of the jitter of Retry-After.
+    /// Starts without queues; `seed` seeds the jitter of [`Refusal::retry_after`].
     pub fn new(seed: u64) -> Self {
         Self {
             pools: RefCell::default(),
@@ -102,11 +103,11 @@
         pools.get(pool).map_or(0, PoolQueue::waiting)
     }
 
-    /// Whether a request that must be answered within `budget` would be admitted now.
-    pub fn admits(&self, pool: &str, priority: Priority, budget: Duration) -> bool {
+    /// Whether a request that must be answered within `time_budget` would be admitted now.
+    pub fn admits(&self, pool: &str, priority: Priority, time_budget: Duration) -> bool {
         let pools = self.pools.borrow();
         let pool = pools.get(pool);
-        pool.is_none_or(|pool| pool.queue.admits(priority, budget))
+        pool.is_none_or(|pool| pool.queue.admits(priority, time_budget))
     }
 
     /// Number of requests of a pool that were started and have not ended.
@@ -122,7 +123,7 @@
             queue: Queue::new(Limits::default(), seed),
             slots: 0,
             requests: BTreeMap::new(),
-            budget: Bucket::new(budget::Settings::RETRY, now),
+            retry_budget: Bucket::new(budget::Settings::RETRY, now),
         }
     }
 
@@ -194,7 +195,7 @@
     /// Records that the request got its complete answer, which adds to the pool's retry budget.
     pub fn record_success(&self) {
         self.is_successful.set(true);
-        self.update_pool(|pool, now| pool.budget.note_success(now));
+        self.update_pool(|pool, now| pool.retry_budget.note_success(now));
     }
 
     /// Refusal of a request whose deadline passed after its start, but before it was sent.
@@ -222,7 +223,7 @@
 
     /// Feeds the event to the queue and waits for its decision, at most until the deadline.
     async fn wait_in_queue(&self, event: Event) -> Result<(), Refusal> {
-        let (sender, verdict) = oneshot::channel();
+        let (sender, decision) = oneshot::channel();
         let state = RequestState::Waiting(sender);
         self.update_pool(|pool, now| {
             pool.queue.set_limits(Limits {
@@ -232,7 +233,7 @@
             pool.requests.insert(self.key, state);
             pool.step(now, event);
         });
-        let result = self.wait_for_verdict(verdict).await;
+        let result = self.wait_for_decision(decision).await;
         if let Err(refused) = result {
             let reason = format_compact!("{:?}", refused.reason);
             self.shared
@@ -241,20 +242,20 @@
         result
     }
 
-    async fn wait_for_verdict(
+    async fn wait_for_decision(
         &self,
-        verdict: oneshot::Receiver<Result<(), Refusal>>,
+        decision: oneshot::Receiver<Result<(), Refusal>>,
     ) -> Result<(), Refusal> {
-        let mut verdict = pin!(verdict);
+        let mut decision = pin!(decision);
         loop {
-            let left = self.arrival.deadline.since(self.shared.now());
+            let remaining = self.arrival.deadline.since(self.shared.now());
             tokio::select! {
                 biased;
-                result = &mut verdict => {
+                result = &mut decision => {
                     return result.expect("a waiting request is notified before it is removed");
                 }
                 // The queue refuses whatever has waited until its deadline.
-                () = sleep(left) => self.update_pool(|pool, now| pool.step(now, Event::Tick)),
+                () = sleep(remaining) => self.update_pool(|pool, now| pool.step(now, Event::Tick)),
             }
         }
     }
@@ -280,7 +281,9 @@
 /// Takes a retry from the pool's budget and counts it; false if the budget is exhausted.
 pub fn take_retry(shared: &Shared, pool: &CompactString) -> bool {
     let mut granted = false;
-    update_pool(shared, pool, |pool, now| granted = pool.budget.take(now));
+    update_pool(shared, pool, |pool, now| {
+        granted = pool.retry_budget.take(now)
+    });
     if granted {
         shared.metrics.retries.with_label_values(&[pool]).inc();
     }
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -83,15 +83,15 @@
 
 async fn run(shared: &Rc<Shared>, pool: &CompactString) {
     let duty = duty_of(pool);
-    let mut listed = BTreeSet::new();
+    let mut listed_names = BTreeSet::new();
     let mut was_held = false;
     loop {
         let lease = shared.leases.held(&duty, shared.now());
         let lease = lease.map(|(fence, expires_at)| Lease { fence, expires_at });
         if lease.is_some() || was_held {
-            // Once more after the lease is lost, so that the controller stops.
+            // The controller also gets the events once after the lease is lost, so that it stops.
             step(shared, pool, Event::Lease(lease));
-            feed_pool_state(shared, pool, &mut listed);
+            feed_pool_state(shared, pool, &mut listed_names);
             step(shared, pool, Event::Tick);
         }
         was_held = lease.is_some();
@@ -103,7 +103,7 @@
 fn feed_pool_state(
     shared: &Rc<Shared>,
     pool: &CompactString,
-    listed: &mut BTreeSet<CompactString>,
+    listed_names: &mut BTreeSet<CompactString>,
 ) {
     let Some(snapshot) = shared.config.snapshot() else {
         return;
@@ -117,18 +117,18 @@
     if let Some(version) = shared.lots.versions().get(&model) {
         step(shared, pool, Event::Published(*version));
     }
-    let present: Vec<_> = {
+    let subset_events: Vec<_> = {
         let set = shared.endpoints.set();
         set.pool(pool)
             .map(|(_, engine)| engine_events(engine))
             .collect()
     };
     let mut names = BTreeSet::new();
-    for [is_listed, report] in present {
-        if let Event::Listed { name, .. } = &is_listed {
+    for [listed, report] in subset_events {
+        if let Event::Listed { name, .. } = &listed {
             names.insert(name.clone());
         }
-        step(shared, pool, is_listed);
+        step(shared, pool, listed);
         step(shared, pool, report);
     }
     for event in events_outside_subset(shared, pool, &names) {
@@ -137,10 +137,10 @@
         }
         step(shared, pool, event);
     }
-    for name in listed.difference(&names) {
+    for name in listed_names.difference(&names) {
         step(shared, pool, Event::Unlisted { name: name.clone() });
     }
-    *listed = names;
+    *listed_names = names;
 }
 
 /// Events with an engine's listing and its last load report.
@@ -243,7 +243,7 @@
         .config
         .snapshot()
         .and_then(|snapshot| snapshot.document.pools.get(pool)?.model.clone());
-    // Check the lease again right before acting: the process may have been paused in between.
+    // The lease is checked again right before the order is sent: the process may have been paused.
     let held = shared.leases.held(&duty_of(pool), shared.now());
     let (Some(model), Some(address), true) = (
         model,
