--- a/crates/pinereel/src/filters/admit.rs
+++ b/crates/pinereel/src/filters/admit.rs
@@ -66,15 +66,15 @@
 }
 
 /// Builds the problem for a request that the queue rejected.
-pub fn rejection(refused: Refusal) -> Problem {
-    let (code, message) = match refused.reason {
+pub fn rejection(refusal: Refusal) -> Problem {
+    let (code, message) = match refusal.reason {
         Reason::QueueFull => (Code::Overloaded, "the queue is at its bound"),
         Reason::TooLate => (Code::Overloaded, "it would be answered after its deadline"),
         Reason::Expired => (Code::Overloaded, "the deadline passed while it waited"),
         Reason::NoCapacity => (Code::NoEndpoint, "no endpoint of the pool takes requests"),
     };
     // Rounded up, so that no caller retries too early.
-    let millis = refused.retry_after.as_micros().div_ceil(1_000);
+    let millis = refusal.retry_after.as_micros().div_ceil(1_000);
     Problem {
         retry_after_ms: Some(u64::try_from(millis).unwrap_or(u64::MAX)),
         ..not_run(code, message)
--- a/crates/pinereel/src/filters/attempt.rs
+++ b/crates/pinereel/src/filters/attempt.rs
@@ -13,10 +13,12 @@
 /// Minimum timeout for an endpoint that sends nothing, unless the deadline is nearer.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Maximum time without data from an endpoint when `left` remains until the deadline. Bounded so
-/// that another endpoint can still answer.
-pub fn silence_timeout(left: Duration) -> Duration {
-    (left / SILENCE_DIVISOR).max(MIN_SILENCE_TIMEOUT).min(left)
+/// Maximum time without data from an endpoint, for a request whose deadline is `remaining` ahead.
+/// Bounded so that another endpoint can still answer.
+pub fn silence_timeout(remaining: Duration) -> Duration {
+    (remaining / SILENCE_DIVISOR)
+        .max(MIN_SILENCE_TIMEOUT)
+        .min(remaining)
 }
 
 /// Maps an engine's error to the attempt's end that load balancing records for the endpoint.
--- a/crates/pinereel/src/filters/claim.rs
+++ b/crates/pinereel/src/filters/claim.rs
@@ -80,7 +80,7 @@
     key: &str,
 ) -> Result<Response, Problem> {
     let claim_request = ClaimRequest {
-        // No pool's name has a slash in it, so two pools' keys are never the same.
+        // The name of a pool contains no slash, so the keys of two pools are never the same.
         key: format_compact!("{}/{key}", context.pool),
         digest: digest(&request),
         request: context.id.clone(),
@@ -95,8 +95,8 @@
         .unwrap_or_else(|e| Err(may_have_run(Code::Unknown, format_compact!("{e}"))))
 }
 
-/// Digest of method, path and body, by which a repeated request is recognised. The line break
-/// separates them unambiguously: neither method nor path contains one.
+/// Digest of method, path and body, by which a repeated request is recognised. The line break ends
+/// the path unambiguously: neither method nor path contains one.
 fn digest(request: &ServiceRequest) -> Digest {
     let mut content = format!("{} {}\n", request.method, request.path).into_bytes();
     content.extend_from_slice(&request.body);
@@ -134,9 +134,9 @@
     }
 }
 
-/// Requests a verdict from the key's owner. If the link to the owner closes, releases what it may have
-/// claimed and sends the claim to the next owner, under another request id since the first claim
-/// request must never be granted.
+/// Requests a verdict from the key's owner. If the link to the owner closes, releases the claim that
+/// the owner may have stored, and claims the key again, under another request id since the first
+/// claim request must never be granted.
 async fn request_verdict(
     shared: &Rc<Shared>,
     context: &RequestContext,
@@ -249,10 +249,10 @@
         HeaderName::from_static(header::IDEMPOTENT_REPLAY),
         HeaderValue::from_static("true"),
     );
-    if let Ok(kind) = HeaderValue::from_str(&record.content_type)
-        && !kind.is_empty()
+    if let Ok(content_type) = HeaderValue::from_str(&record.content_type)
+        && !content_type.is_empty()
     {
-        headers.insert(CONTENT_TYPE, kind);
+        headers.insert(CONTENT_TYPE, content_type);
     }
     Ok(response)
 }
@@ -266,21 +266,21 @@
         _ => None,
     };
     let mut body = Box::pin(body);
-    let mut first = BytesMut::new();
-    let mut whole = false;
-    while first.len() <= MAX_BODY_BYTES {
+    let mut buffered = BytesMut::new();
+    let mut is_complete = false;
+    while buffered.len() <= MAX_BODY_BYTES {
         match next_chunk(body.as_mut()).await {
-            Some(Ok(part)) => first.extend_from_slice(&part),
+            Some(Ok(part)) => buffered.extend_from_slice(&part),
             Some(Err(e)) => return Err(may_have_run(Code::Unknown, format_compact!("{e}"))),
             None => {
-                whole = true;
+                is_complete = true;
                 break;
             }
         }
     }
-    let first = first.freeze();
-    let kept = if whole {
-        String::from_utf8(first.to_vec()).ok()
+    let buffered = buffered.freeze();
+    let stored_body = if is_complete {
+        String::from_utf8(buffered.to_vec()).ok()
     } else {
         None
     };
@@ -289,9 +289,9 @@
     let outcome = StoredResponse {
         status: head.status().as_u16(),
         content_type: content_type.unwrap_or_default().into(),
-        body: kept,
+        body: stored_body,
     };
-    let response = head.set_body(restore_body(first, whole, body, length));
+    let response = head.set_body(restore_body(buffered, is_complete, body, length));
     Ok((response, outcome.bounded()))
 }
 
@@ -303,19 +303,19 @@
 
 /// Restores the original body: the buffered part followed by the rest.
 fn restore_body(
-    first: Bytes,
-    whole: bool,
+    buffered: Bytes,
+    is_complete: bool,
     body: Pin<Box<BoxBody>>,
     length: Option<u64>,
 ) -> BoxBody {
-    if whole {
-        return BoxBody::new(first);
+    if is_complete {
+        return BoxBody::new(buffered);
     }
     let rest = stream::unfold(body, |mut body| async move {
         let item = next_chunk(body.as_mut()).await?;
         Some((item.map_err(|e| std::io::Error::other(e.to_string())), body))
     });
-    let stream = stream::once(async move { Ok(first) }).chain(rest);
+    let stream = stream::once(async move { Ok(buffered) }).chain(rest);
     match length {
         Some(length) => BoxBody::new(actix_http::body::SizedStream::new(length, Box::pin(stream))),
         None => BoxBody::new(BodyStream::new(Box::pin(stream))),
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -68,19 +68,19 @@
 pub async fn serve(shared: &Rc<Shared>, context: RequestContext, request: Request) -> Response {
     let (sender, chunks) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     if request.stream {
-        let (done, end) = oneshot::channel();
+        let (end_sender, end) = oneshot::channel();
         let work = run(Rc::clone(shared), context.clone(), request, sender);
         actix_rt::spawn(async move {
             // The receiver is dropped when the caller has disconnected.
-            let _ = done.send(work.await);
+            let _ = end_sender.send(work.await);
         });
         return stream_response(shared, context, chunks, end).await;
     }
     let work = run(Rc::clone(shared), context.clone(), request, sender);
     let (answer, end) = future::join(collect_response(&context, chunks), work).await;
     match end.and(answer) {
-        Ok(whole) => {
-            let mut response = http::json(StatusCode::OK, &whole);
+        Ok(body) => {
+            let mut response = http::json(StatusCode::OK, &body);
             respond::add_headers(&context, &mut response);
             response
         }
@@ -121,8 +121,8 @@
     next
 }
 
-/// Streams the chunks as events. Waits for the first chunk, so that a request that fails before it
-/// gets an error status.
+/// Streams the chunks as events. Waits for the first chunk, so that a request that fails before its
+/// first chunk gets an error status.
 async fn stream_response(
     shared: &Rc<Shared>,
     context: RequestContext,
@@ -197,8 +197,8 @@
 impl CompletionRun<'_> {
     async fn run(&self) -> Result<(), Problem> {
         let permit = admit::wait_for_turn(self.shared, self.context).await?;
-        let left = self.context.remaining(self.shared.now());
-        let result = timeout(left, self.attempts(&permit)).await;
+        let remaining = self.context.remaining(self.shared.now());
+        let result = timeout(remaining, self.attempts(&permit)).await;
         match result {
             Ok(Ok(())) => {
                 permit.record_success();
@@ -213,7 +213,7 @@
     async fn attempts(&self, permit: &Permit) -> Result<(), Problem> {
         let mut progress = Progress::default();
         let mut excluded: Vec<Key> = Vec::new();
-        let mut last = None;
+        let mut last_error = None;
         for _ in 0..MAX_ATTEMPTS {
             let current_criteria = criteria(self.request, &excluded);
             let identity = || self.identity();
@@ -225,7 +225,7 @@
                 identity,
             )
             .await;
-            let assignment = match (assignment, last) {
+            let assignment = match (assignment, last_error) {
                 (Ok(assignment), _) => assignment,
                 // The error of an endpoint that was tried is more specific than the routing error.
                 (Err(_), Some(error)) => return Err(self.problem_for(error)),
@@ -246,13 +246,13 @@
             }
             assignment.guard.finish(attempt::attempt_end(&error));
             let criteria = criteria(self.request, &excluded);
-            let over = excluded.len() == MAX_ATTEMPTS;
-            if over || !route::may_retry(self.shared, self.context, criteria) {
+            let is_last_attempt = excluded.len() == MAX_ATTEMPTS;
+            if is_last_attempt || !route::may_retry(self.shared, self.context, criteria) {
                 return Err(self.problem_for(error));
             }
-            last = Some(error);
+            last_error = Some(error);
         }
-        Err(last.map_or_else(
+        Err(last_error.map_or_else(
             || not_run(Code::NoEndpoint, "no attempt"),
             |e| self.problem_for(e),
         ))
@@ -281,7 +281,7 @@
     /// neither gaps nor repeated text.
     async fn attempt(&self, address: &str, progress: &mut Progress) -> Result<(), Error> {
         let id = self.shared.request_id();
-        let before = self.ran.replace(true);
+        let may_have_run_before = self.ran.replace(true);
         let guard = CancelGuard::new(self.shared, address, id.clone());
         let request = Request {
             stream: true,
@@ -295,7 +295,7 @@
         match &result {
             Ok(()) => guard.ended(),
             Err(error) if !attempt::error_may_have_run(error) => {
-                self.ran.set(before);
+                self.ran.set(may_have_run_before);
                 guard.ended();
             }
             // Dropping the guard cancels the attempt at the engine.
@@ -333,11 +333,11 @@
                 .map_err(|e| Error::Malformed(e.to_string()))?;
             progress.text.push_str(&chunk.text);
             progress.record = record.clone();
-            let last = chunk.finish.is_some();
+            let is_last = chunk.finish.is_some();
             if self.sender.send(chunk).await.is_err() {
                 return Err(Error::Lost("the caller is gone".into()));
             }
-            if last {
+            if is_last {
                 return Ok(());
             }
         }
@@ -349,8 +349,8 @@
 /// not resume at the requested token.
 fn is_duplicate(chunk: &Chunk, start: u32, record: &Record) -> bool {
     let end = chunk.offset.saturating_add(chunk.tokens);
-    let repeat = chunk.offset >= start && end <= record.tokens();
-    chunk.tokens > 0 && chunk.finish.is_none() && repeat
+    let is_repeated = chunk.offset >= start && end <= record.tokens();
+    chunk.tokens > 0 && chunk.finish.is_none() && is_repeated
 }
 
 fn criteria<'a>(request: &Request, excluded: &'a [Key]) -> Criteria<'a> {
--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -18,9 +18,9 @@
 }
 
 /// Counts a refused request by its code and logs it.
-pub fn count_refusal(shared: &Shared, code: Code, why: &str) {
+pub fn count_refusal(shared: &Shared, code: Code, reason: &str) {
     shared.metrics.count_refusal(code);
-    log::info!(entry = shared.name().as_str(), code:serde; "refused: {why}");
+    log::info!(entry = shared.name().as_str(), code:serde; "refused: {reason}");
 }
 
 /// Adds the request's id and configuration number to the response's headers.
@@ -44,7 +44,7 @@
 
 /// Counts a request that ended, with its latency. `outcome` is a metric label.
 pub fn count_request(shared: &Shared, context: &RequestContext, outcome: &str) {
-    let took = shared.now().since(context.started).as_secs_f64();
+    let seconds = shared.now().since(context.started).as_secs_f64();
     let metrics = &shared.metrics;
     metrics
         .requests
@@ -53,5 +53,5 @@
     metrics
         .latency
         .with_label_values(&[context.pool.as_str()])
-        .observe(took);
+        .observe(seconds);
 }
--- a/crates/pinereel/src/filters/route.rs
+++ b/crates/pinereel/src/filters/route.rs
@@ -63,17 +63,17 @@
     loop {
         // Registered before the choice, so that a slot that becomes free between the two is not
         // missed.
-        let mut room = pin!(shared.endpoints.capacity_freed.notified());
-        room.as_mut().enable();
+        let mut capacity_freed = pin!(shared.endpoints.capacity_freed.notified());
+        capacity_freed.as_mut().enable();
         let request = request(shared, context, criteria);
         match shared.endpoints.choose(shared, &request) {
             Ok(choice) => {
-                let what = if criteria.excluded.is_empty() {
+                let kind = if criteria.excluded.is_empty() {
                     DecisionKind::Route
                 } else {
                     DecisionKind::Retry
                 };
-                endpoints::log_choice(shared, &context.id, what, &choice, context.snapshot.number);
+                endpoints::log_choice(shared, &context.id, kind, &choice, context.snapshot.number);
                 let guard = endpoints::start_attempt(shared, choice.key, criteria.tokens);
                 if let Some(assignment) = assignment(shared, choice.key, guard) {
                     return Ok(assignment);
@@ -83,8 +83,8 @@
                 permit.requeue().await.map_err(admit::rejection)?;
             }
             Err(Refusal::Full) => {
-                let left = context.remaining(shared.now());
-                if left.is_zero() || timeout(left, room).await.is_err() {
+                let remaining = context.remaining(shared.now());
+                if remaining.is_zero() || timeout(remaining, capacity_freed).await.is_err() {
                     return Err(retryable(
                         Code::Overloaded,
                         "every endpoint is at its limit",
@@ -131,12 +131,12 @@
 }
 
 /// Whether one more attempt may be made: there is an endpoint that was not tried, and the retry
-/// budget allows it. Withdraws the retry from the budget.
+/// budget allows the attempt, which is then withdrawn from the budget.
 pub fn may_retry(shared: &Shared, context: &RequestContext, criteria: Criteria<'_>) -> bool {
     let request = request(shared, context, criteria);
     let choice = shared.endpoints.choose(shared, &request);
-    let left = matches!(choice, Ok(_) | Err(Refusal::Full));
-    left && queues::take_retry(shared, &context.pool)
+    let has_untried_endpoint = matches!(choice, Ok(_) | Err(Refusal::Full));
+    has_untried_endpoint && queues::take_retry(shared, &context.pool)
 }
 
 fn request<'a>(
--- a/crates/pinereel/src/filters/service.rs
+++ b/crates/pinereel/src/filters/service.rs
@@ -139,19 +139,19 @@
 ) -> Result<Response, Problem> {
     let permit = admit::wait_for_turn(shared, context).await?;
     let mut excluded: Vec<Key> = Vec::new();
-    let mut last: Option<Problem> = None;
+    let mut last_problem: Option<Problem> = None;
     for _ in 0..MAX_ATTEMPTS {
         let identity = || request.identity(&context.pool);
         let current_criteria = criteria(request, &excluded);
         let assignment =
             match route::assign_next(shared, context, &permit, current_criteria, identity).await {
                 Ok(assignment) => assignment,
-                Err(problem) => return Err(last.unwrap_or(problem)),
+                Err(problem) => return Err(last_problem.unwrap_or(problem)),
             };
         excluded.push(assignment.key);
         let sent_at = shared.now();
         let sent = direct::send(build_attempt(shared, context, request, &assignment.address)).await;
-        let (end, problem, retry) = match sent {
+        let (end, problem, may_repeat) = match sent {
             Ok(response) => match refusal_end(&response) {
                 Some(end) => (
                     end,
@@ -163,7 +163,7 @@
                         key: assignment.key,
                         request: request.clone(),
                         pool: context.pool.clone(),
-                        at: sent_at,
+                        sent_at,
                     };
                     return Ok(proxy_response(context, response, assignment, permit, sent));
                 }
@@ -178,17 +178,21 @@
         };
         assignment.guard.finish(end);
         // An attempt that did not run proves nothing about an earlier one that may have run.
-        let problem = match last.take() {
+        let problem = match last_problem.take() {
             Some(earlier) if earlier.ran == Ran::Unknown => earlier,
             _ => problem,
         };
-        let over = excluded.len() == MAX_ATTEMPTS || context.remaining(shared.now()).is_zero();
-        if !retry || over || !route::may_retry(shared, context, criteria(request, &excluded)) {
+        let is_last_attempt =
+            excluded.len() == MAX_ATTEMPTS || context.remaining(shared.now()).is_zero();
+        if !may_repeat
+            || is_last_attempt
+            || !route::may_retry(shared, context, criteria(request, &excluded))
+        {
             return Err(problem);
         }
-        last = Some(problem);
+        last_problem = Some(problem);
     }
-    Err(last.unwrap_or_else(|| not_run(Code::NoEndpoint, "no attempt")))
+    Err(last_problem.unwrap_or_else(|| not_run(Code::NoEndpoint, "no attempt")))
 }
 
 const fn criteria<'a>(request: &ServiceRequest, excluded: &'a [Key]) -> Criteria<'a> {
@@ -255,13 +259,13 @@
     sent: SentRequest,
 ) -> Response {
     let headers = ServiceRequest::end_to_end_headers(&response.headers);
-    let left = context.remaining(permit.shared().now());
+    let remaining = context.remaining(permit.shared().now());
     let state = ProxiedBody {
         body: response.body,
         guard: Some(assignment.guard),
         permit,
         sent,
-        deadline: Instant::now() + left,
+        deadline: Instant::now() + remaining,
     };
     let body = stream::unfold(state, |mut state| async move {
         let item = state.next().await?;
@@ -290,7 +294,7 @@
     key: Key,
     request: ServiceRequest,
     pool: CompactString,
-    at: Time,
+    sent_at: Time,
 }
 
 impl SentRequest {
@@ -322,7 +326,12 @@
             Ok(Some(part)) => Some(Ok(part)),
             Ok(None) => {
                 let sent = &self.sent;
-                crashes::record_answer(self.permit.shared(), sent.key, || sent.identity(), sent.at);
+                crashes::record_answer(
+                    self.permit.shared(),
+                    sent.key,
+                    || sent.identity(),
+                    sent.sent_at,
+                );
                 self.end(AttemptEnd::Completed);
                 self.permit.record_success();
                 None
