--- a/crates/pinereel/src/callers.rs
+++ b/crates/pinereel/src/callers.rs
@@ -102,14 +102,14 @@
     if call.repeatable {
         return Ok(service::serve(shared, context, call).await);
     }
-    let owner = Rc::clone(shared);
+    let task_shared = Rc::clone(shared);
     run_detached(shared, async move {
-        Ok(service::serve(&owner, context, call).await)
+        Ok(service::serve(&task_shared, context, call).await)
     })
     .await
 }
 
-/// Runs `work` in a task of its own, so that it is completed even if the caller disconnects.
+/// Runs `work` in a task of its own, so that the work is completed even if the caller disconnects.
 async fn run_detached<T: 'static>(
     shared: &Shared,
     work: impl Future<Output = Result<T, Problem>> + 'static,
@@ -127,8 +127,8 @@
     let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let lot: trainer::Lot = http::read_json(request, MAX_LOT_BYTES, timeout).await?;
-    let owner = Rc::clone(shared);
-    let work = async move { trainer_api::submit(&owner, &snapshot, lot).await };
+    let task_shared = Rc::clone(shared);
+    let work = async move { trainer_api::submit(&task_shared, &snapshot, lot).await };
     json_response(run_detached(shared, work).await)
 }
 
@@ -140,8 +140,8 @@
     let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let collect: trainer::Collect = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
-    let (owner, id) = (Rc::clone(shared), id.to_owned());
-    let work = async move { trainer_api::collect(&owner, &snapshot, &id, collect).await };
+    let (task_shared, id) = (Rc::clone(shared), id.to_owned());
+    let work = async move { trainer_api::collect(&task_shared, &snapshot, &id, collect).await };
     json_response(run_detached(shared, work).await)
 }
 
@@ -153,8 +153,8 @@
     let snapshot = pin::pin(shared)?;
     let timeout = shared.settings.limits.read_timeout;
     let publish: trainer::Publish = http::read_json(request, MAX_CONTROL_BYTES, timeout).await?;
-    let (owner, name) = (Rc::clone(shared), name.to_owned());
-    let work = async move { trainer_api::publish(&owner, &snapshot, &name, publish).await };
+    let (task_shared, name) = (Rc::clone(shared), name.to_owned());
+    let work = async move { trainer_api::publish(&task_shared, &snapshot, &name, publish).await };
     json_response(run_detached(shared, work).await)
 }
 
--- a/crates/pinereel/src/dispatch.rs
+++ b/crates/pinereel/src/dispatch.rs
@@ -98,8 +98,8 @@
 /// Number of summaries after which the full state is sent again.
 const FULL_SUMMARY_INTERVAL: u32 = 12;
 
-/// Versions, leaving endpoints and crash reports. Summaries carry them after a change and at long
-/// intervals only: they grow with the number of models, and a summary is sent every second.
+/// Versions, leaving endpoints and crash reports. Summaries carry these only after a change and at
+/// long intervals, since they grow with the number of models, and a summary is sent every second.
 #[derive(Default)]
 pub struct RecentChanges {
     versions: BTreeMap<CompactString, Version>,
@@ -118,7 +118,7 @@
     pub fn refresh(&mut self, shared: &Shared) {
         let pending_reports = crashes::take_pending_reports(shared);
         let has_new_crashes = !pending_reports.is_empty();
-        let now = Self {
+        let current = Self {
             crashes: match has_new_crashes {
                 true => pending_reports,
                 false => crashes::known_reports(shared),
@@ -129,10 +129,11 @@
             repeats_left: self.repeats_left.saturating_sub(1),
             since_full: self.since_full + 1,
         };
-        let same =
-            now.versions == self.versions && now.leaving == self.leaving && now.links == self.links;
-        *self = now;
-        if has_new_crashes || !same {
+        let unchanged = current.versions == self.versions
+            && current.leaving == self.leaving
+            && current.links == self.links;
+        *self = current;
+        if has_new_crashes || !unchanged {
             self.repeats_left = CHANGE_REPEATS;
         }
         if self.since_full >= FULL_SUMMARY_INTERVAL {
--- a/crates/pinereel/src/engines.rs
+++ b/crates/pinereel/src/engines.rs
@@ -210,17 +210,17 @@
         .chain(end)
         .try_filter_map(|line| async move { Ok(event_data(&line)) })
         .try_take_while(|data| {
-            let more = data != DONE_DATA;
-            async move { Ok(more) }
+            let is_chunk = data != DONE_DATA;
+            async move { Ok(is_chunk) }
         })
         .and_then(|data| async move {
             serde_json::from_str(&data).map_err(|e| Error::Malformed(e.to_string()))
         })
         .scan(false, |failed, item| {
             // The stream ends after an error.
-            let over = *failed;
+            let already_failed = *failed;
             *failed = item.is_err();
-            async move { (!over).then_some(item) }
+            async move { (!already_failed).then_some(item) }
         })
 }
 
--- a/crates/pinereel/src/entry.rs
+++ b/crates/pinereel/src/entry.rs
@@ -160,7 +160,7 @@
     shared: &Rc<Shared>,
     listener: TcpListener,
     handler: fn(Rc<Shared>, http::Request) -> F,
-    half_closed: bool,
+    allow_half_closed: bool,
 ) -> io::Result<Server>
 where
     F: Future<Output = http::Response> + 'static,
@@ -168,7 +168,7 @@
     let options = http::Options {
         head_timeout: shared.settings.limits.read_timeout,
         max_connections: shared.settings.limits.connections,
-        allow_half_closed: half_closed,
+        allow_half_closed,
         ..http::Options::default()
     };
     let state = Rc::clone(shared);
@@ -256,6 +256,6 @@
 
 /// Number that differs between starts of the process; the only use of the wall clock.
 fn incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_micros() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
--- a/crates/pinereel/src/http/activity.rs
+++ b/crates/pinereel/src/http/activity.rs
@@ -1,7 +1,7 @@
 //! Tracks the requests in progress on a connection, to close connections that stay idle.
 //!
-//! The timeouts of `actix-http` cover the first request only: without this it would wait without a
-//! limit for a second request head that never completes.
+//! The timeouts of `actix-http` cover the first request only: without this module, it would wait
+//! without a limit for a second request head that never completes.
 
 use super::Response;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
--- a/crates/pinereel/src/http/server.rs
+++ b/crates/pinereel/src/http/server.rs
@@ -148,7 +148,7 @@
         let service = Rc::new(service);
         let serve_connection = move |stream: TcpStream, activity: Rc<ConnectionActivity>| {
             let service = Rc::clone(&service);
-            // `on_connect_ext` removes it when `actix-http` takes over the connection, so no
+            // `on_connect_ext` removes the entry when `actix-http` takes over the connection, so no
             // descriptor is in the map twice.
             pending
                 .borrow_mut()
--- a/crates/pinereel/src/lib.rs
+++ b/crates/pinereel/src/lib.rs
@@ -1,9 +1,11 @@
-//! The entry daemon of pinereel and its command line.
+//! The daemons of pinereel and their command line ([`cli`]).
 //!
-//! Every instance runs `pinereel entry`. Live requests pass a filter chain ([`filters`]), background
-//! tasks maintain the state ([`controllers`]), and `pinereel_core` makes the decisions of both.
+//! An instance runs `pinereel entry` ([`entry`]), which keeps its state in memory and in the object
+//! API, or `pinereel hosted` ([`hosted`]), which keeps all state in the object store of its platform.
+//! In an entry, live requests pass a filter chain ([`filters`]), background tasks maintain the state
+//! ([`controllers`]), and `pinereel_core` makes the decisions of both.
 //!
-//! The main types:
+//! The main types of an entry:
 //! - [`settings::Settings`]: settings of the process, from its INI file.
 //! - [`entry::Entry`]: the running daemon.
 //! - [`state::Shared`]: state shared by filters and controllers on an entry's single thread.
--- a/crates/pinereel/src/logging/line.rs
+++ b/crates/pinereel/src/logging/line.rs
@@ -14,6 +14,7 @@
 
 /// Keys that every line has; a record's field of the same name gets [`RESERVED_KEY_PREFIX`].
 const RESERVED_KEYS: [&str; 4] = ["ts", "level", "target", "msg"];
+/// Prefix for a field whose key is one of [`RESERVED_KEYS`].
 const RESERVED_KEY_PREFIX: &str = "field_";
 
 const MILLIS_PER_DAY: u128 = 86_400_000;
@@ -63,12 +64,12 @@
 
 /// Formats `time` in UTC as RFC 3339 with milliseconds, such as `1970-01-01T00:00:00.000Z`.
 pub fn timestamp(time: SystemTime) -> CompactString {
-    let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-    let millis = since.as_millis();
+    let elapsed = time.duration_since(UNIX_EPOCH).unwrap_or_default();
+    let millis = elapsed.as_millis();
     let (year, month, day) = civil_date(millis / MILLIS_PER_DAY);
-    let rest = millis % MILLIS_PER_DAY;
-    let (hour, minute) = (rest / 3_600_000, rest / 60_000 % 60);
-    let (second, milli) = (rest / 1_000 % 60, rest % 1_000);
+    let day_millis = millis % MILLIS_PER_DAY;
+    let (hour, minute) = (day_millis / 3_600_000, day_millis / 60_000 % 60);
+    let (second, milli) = (day_millis / 1_000 % 60, day_millis % 1_000);
     format_compact!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
@@ -82,12 +83,12 @@
     let day = day - (365 * year + year / 4 - year / 100);
     let month = (5 * day + 2) / 153;
     let day = day - (153 * month + 2) / 5 + 1;
-    let (month, next) = if month < 10 {
+    let (month, year_offset) = if month < 10 {
         (month + 3, 0)
     } else {
         (month - 9, 1)
     };
-    (era * 400 + year + next, month, day)
+    (era * 400 + year + year_offset, month, day)
 }
 
 struct Line<'a> {
--- a/crates/pinereel/src/logging/rate_limit.rs
+++ b/crates/pinereel/src/logging/rate_limit.rs
@@ -11,6 +11,7 @@
 /// requests per second at the size planned for two years, so lines of normal operation are never
 /// suppressed.
 const MAX_LINES_PER_SECOND: u32 = 200;
+/// Length of a window in which lines are counted.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
 /// Counts lines in windows of one second, by target and constant message text.
@@ -29,10 +30,10 @@
 /// Whether a line may be written.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It may; `suppressed` lines with the same target and message were discarded since the last
-    /// one.
+    /// The line may be written; `suppressed` lines with the same target and message were discarded
+    /// since the last written one.
     Allow { suppressed: u64 },
-    /// It exceeds the rate limit and is discarded.
+    /// The line exceeds the rate limit and is discarded.
     Suppress,
 }
 
--- a/crates/pinereel/src/metrics.rs
+++ b/crates/pinereel/src/metrics.rs
@@ -30,7 +30,7 @@
     pub requests: IntCounterVec,
     /// Seconds from receipt to the end of the response, by `pool`.
     pub latency: HistogramVec,
-    /// Attempts by `pool` and `result` (`answer`, `not_run`, `unknown`).
+    /// Attempts by `pool` and `result`: `whole` for a complete answer, or how the attempt failed.
     pub attempts: IntCounterVec,
     /// Attempts after the first, by `pool`.
     pub retries: IntCounterVec,
@@ -44,13 +44,13 @@
     pub decisions: IntCounterVec,
     /// Dropped chunks: duplicates, and those of another or ended attempt.
     pub late_chunks: IntCounter,
-    /// Lots by `trainer` and `event` (`submitted`, `done`).
+    /// Lots by `trainer` (empty) and `event` (`assigned`, `refused`, `dropped`).
     pub lots: IntCounterVec,
-    /// Samples by `trainer` and `event` (`delivered`, `voided`, `redone`).
+    /// Samples by `trainer` and `event` (`delivered`, `stale`).
     pub samples: IntCounterVec,
     /// Staleness of samples at delivery, in versions behind the newest, by `trainer`.
     pub staleness: HistogramVec,
-    /// Calls to the object API by `purpose` and `kind` (`read`, `write`, `watch`).
+    /// Calls to the object API by `purpose` and `kind` (`read`, `probe`, `watch`, `write`).
     pub object_calls: IntCounterVec,
     /// Number of the configuration in force.
     pub config_number: IntGauge,
@@ -157,8 +157,8 @@
     }
 
     /// Counts a decision by its kind.
-    pub fn count_decision(&self, what: logging::DecisionKind) {
-        self.decisions.with_label_values(&[what.as_str()]).inc();
+    pub fn count_decision(&self, kind: logging::DecisionKind) {
+        self.decisions.with_label_values(&[kind.as_str()]).inc();
     }
 
     /// Renders all metrics in the Prometheus text format.
@@ -188,13 +188,14 @@
 pub(crate) fn cpu_seconds() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
     // The second field, the program's name, may contain spaces and ends with the last `)`.
-    let (_, rest) = stat.rsplit_once(')')?;
-    let mut fields = rest.split_whitespace().skip(11);
+    let (_, fields) = stat.rsplit_once(')')?;
+    let mut fields = fields.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
     Some((user + system) / TICKS_PER_SECOND)
 }
 
+/// Resident memory of the process, in bytes.
 pub(crate) fn resident_bytes() -> Option<f64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     let line = status
--- a/crates/pinereel/src/settings/hosted.rs
+++ b/crates/pinereel/src/settings/hosted.rs
@@ -66,7 +66,7 @@
 pub struct Stop {
     /// How long the load balancer may still send connections after readiness is off.
     pub balancer_lag: Duration,
-    /// Time after which the platform kills the process; it exits by itself before.
+    /// Time after which the platform kills the process, which exits by itself before.
     pub killed_after: Duration,
 }
 
@@ -160,8 +160,9 @@
             ("metrics", metrics),
             ("peers", peers),
         ]);
-        // The other half of the file descriptors is for endpoints, the store and files.
         let cores = section.optional("cores", value::EXPECTED_CORES, value::cores);
+        // Half of the file descriptors are for callers' connections, the other half for endpoints, the
+        // store and files.
         let descriptors = section.count("file_descriptors", 64..=1_000_000, 1_024);
         Some(Self {
             name: name?,
--- a/crates/pinereel/src/settings/value.rs
+++ b/crates/pinereel/src/settings/value.rs
@@ -18,6 +18,7 @@
 pub(super) const EXPECTED_DUTIES: &str = "a list of usage and autoscale, joined by commas";
 pub(super) const EXPECTED_BOOLEAN: &str = "true or false";
 
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
 pub(super) fn name(text: &str) -> Option<CompactString> {
--- a/crates/pinereel/src/state.rs
+++ b/crates/pinereel/src/state.rs
@@ -108,19 +108,19 @@
     /// Logs and counts a decision without costs of alternatives.
     pub fn log_decision(
         &self,
-        what: DecisionKind,
+        kind: DecisionKind,
         request: &str,
         chosen: Option<&str>,
         reason: &str,
     ) {
-        self.metrics.count_decision(what);
+        self.metrics.count_decision(kind);
         if !self.settings.log.decisions {
             return;
         }
         Decision {
             entry: self.name(),
             request,
-            kind: what,
+            kind,
             chosen,
             cost: None,
             reason,
