--- a/crates/pinereel/src/filters/respond.rs
+++ b/crates/pinereel/src/filters/respond.rs
@@ -18,9 +18,9 @@
 }
 
 /// Counts a refused request by its code and logs it.
-pub fn count_refusal(shared: &Shared, code: Code, reason: &str) {
+pub fn count_refusal(shared: &Shared, code: Code, why: &str) {
     shared.metrics.count_refusal(code);
-    log::info!(entry = shared.name().as_str(), code:serde; "refused: {reason}");
+    log::info!(entry = shared.name().as_str(), code:serde; "refused: {why}");
 }
 
 /// Adds the request's id and configuration number to the response's headers.
--- a/crates/pinereel/src/settings/hosted.rs
+++ b/crates/pinereel/src/settings/hosted.rs
@@ -1,6 +1,6 @@
 //! Settings of a hosted instance, whose state is kept by the platform that it runs on.
 
-use super::{Error, Log, ValidationErrors, WAIT_RANGE, reader::Reader, value};
+use super::{DURATION_RANGE, Error, Log, ValidationErrors, reader::Reader, value};
 use compact_str::CompactString;
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -182,9 +182,9 @@
         let mut section = reader.section("store");
         let address = section.required("address", value::EXPECTED_ADDRESS, value::address);
         Some(Self {
-            timeout: section.duration("timeout", WAIT_RANGE, Duration::from_millis(1_500)),
-            watch: section.duration("watch", WAIT_RANGE, Duration::from_secs(20)),
-            leave_after: section.duration("leave_after", WAIT_RANGE, Duration::from_secs(2)),
+            timeout: section.duration("timeout", DURATION_RANGE, Duration::from_millis(1_500)),
+            watch: section.duration("watch", DURATION_RANGE, Duration::from_secs(20)),
+            leave_after: section.duration("leave_after", DURATION_RANGE, Duration::from_secs(2)),
             reads_per_second: section.number("reads_per_second", 1..=10_000, 100),
             writes_per_second: section.number("writes_per_second", 1..=10_000, 50),
             address: address?,
@@ -195,8 +195,8 @@
 impl Stop {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("stop");
-        let lag = section.duration("balancer_lag", WAIT_RANGE, Duration::from_millis(2_500));
-        let killed_after = section.duration("killed_after", WAIT_RANGE, Duration::from_secs(8));
+        let lag = section.duration("balancer_lag", DURATION_RANGE, Duration::from_millis(2_500));
+        let killed_after = section.duration("killed_after", DURATION_RANGE, Duration::from_secs(8));
         if killed_after <= lag {
             section.report_error("killed_after", "longer than balancer_lag");
         }
@@ -211,7 +211,7 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("orders");
         Self {
-            gap: section.duration("gap", WAIT_RANGE, Duration::from_secs(3)),
+            gap: section.duration("gap", DURATION_RANGE, Duration::from_secs(3)),
             loads: section.count("loads", 1..=1_000, 2),
         }
     }
@@ -221,7 +221,7 @@
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("lots");
         Self {
-            kept: section.duration("kept", WAIT_RANGE, Duration::from_secs(120)),
+            kept: section.duration("kept", DURATION_RANGE, Duration::from_secs(120)),
         }
     }
 }
@@ -231,8 +231,8 @@
         let mut section = reader.section("platform");
         let address = section.optional("address", value::EXPECTED_ADDRESS, value::address);
         let duties = section.optional("duties", value::EXPECTED_DUTIES, value::duties);
-        let window = section.duration("usage_window", WAIT_RANGE, Duration::from_secs(5));
-        let late = section.duration("usage_late", WAIT_RANGE, Duration::from_secs(10));
+        let window = section.duration("usage_window", DURATION_RANGE, Duration::from_secs(5));
+        let late = section.duration("usage_late", DURATION_RANGE, Duration::from_secs(10));
         let duties = duties.unwrap_or_default();
         Some(Self {
             address: address?,
--- a/crates/pinereel/src/settings/mod.rs
+++ b/crates/pinereel/src/settings/mod.rs
@@ -24,7 +24,8 @@
 };
 
 /// Accepted range of timeouts and other durations.
-const WAIT_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(3_600);
+const DURATION_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(1)..=Duration::from_secs(3_600);
 /// Accepted range of settings that limit the number of items held in memory.
 const COUNT_RANGE: RangeInclusive<u64> = 1..=1_000_000;
 /// Accepted range of settings that limit the bytes held in memory.
@@ -252,7 +253,7 @@
         let mut section = reader.section("object_api");
         let url = section.required("url", value::EXPECTED_URL, value::url);
         let max_concurrency = section.number("max_concurrency", 1..=1_024, 8);
-        let timeout = section.duration("timeout", WAIT_RANGE, Duration::from_secs(2));
+        let timeout = section.duration("timeout", DURATION_RANGE, Duration::from_secs(2));
         let reads_per_second = section.number("reads_per_second", 1..=10_000, 20);
         let writes_per_second = section.number("writes_per_second", 1..=10_000, 10);
         Some(Self {
@@ -280,9 +281,9 @@
 impl Drain {
     fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("drain");
-        let wait = Duration::ZERO..=Duration::from_secs(3_600);
-        let balancer_lag = section.duration("balancer_lag", wait, Duration::from_secs(3));
-        let longest = section.duration("longest", WAIT_RANGE, Duration::from_secs(30));
+        let lag_range = Duration::ZERO..=Duration::from_secs(3_600);
+        let balancer_lag = section.duration("balancer_lag", lag_range, Duration::from_secs(3));
+        let longest = section.duration("longest", DURATION_RANGE, Duration::from_secs(30));
         if longest < balancer_lag {
             section.report_error("longest", "no shorter than balancer_lag");
         }
@@ -313,7 +314,7 @@
         let mut section = reader.section("limits");
         Self {
             connections: section.count("connections", COUNT_RANGE, 4_096),
-            read_timeout: section.duration("read_timeout", WAIT_RANGE, Duration::from_secs(5)),
+            read_timeout: section.duration("read_timeout", DURATION_RANGE, Duration::from_secs(5)),
             body: section.size("body", MEMORY_BYTES_RANGE, 1 << 20),
             waiting: section.count("waiting", COUNT_RANGE, 1_024),
             peer_queue: section.count("peer_queue", COUNT_RANGE, 256),
