--- a/crates/pinereel/src/controllers/config/mod.rs
+++ b/crates/pinereel/src/controllers/config/mod.rs
@@ -75,8 +75,9 @@
     peer_states: RefCell<BTreeMap<CompactString, PeerState>>,
     reads_in_flight: Cell<u32>,
     fetch_in_flight: Cell<bool>,
+    /// Number of the next commit round that this entry proposes.
     next_round: Cell<u64>,
-    /// Patches whose commit rounds are running at this entry.
+    /// Number of patches whose commit rounds are running at this entry.
     rounds_in_flight: Cell<u32>,
 }
 
--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -1,8 +1,9 @@
 //! Detection of requests that crash endpoints: the I/O side of [`pinereel_core::crash`].
 //!
-//! This module feeds the [`Register`] with crashes and answers, and asks it where a suspected request
-//! may run. Reports spread by gossip: they go to the linked entries with the periodic summary, which is
-//! sent immediately when there are any, and each entry forwards those that are new to it.
+//! This module feeds the [`Register`] with crashes and answers, and asks it where a suspected
+//! request may run. Reports spread by gossip: they go to the linked entries with the periodic
+//! summary, which is sent immediately when there are any, and each entry forwards those that are new
+//! to it.
 
 use crate::{filters::not_run, state::Shared, upstream::probe};
 use pinereel_api::{Problem, problem::Code};
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -1,8 +1,8 @@
 //! State of the endpoints that this entry routes to.
 //!
 //! This module feeds the endpoint [`Set`] with the platform's list of instances, the engines' load
-//! reports and the results of attempts. Routing reads the set ([`Endpoints::choose`]); each attempt is counted
-//! by an [`AttemptGuard`].
+//! reports and the results of attempts. Routing reads the set ([`Endpoints::choose`]); each attempt
+//! is counted by an [`AttemptGuard`].
 
 use super::instances;
 use crate::{
@@ -42,6 +42,7 @@
 /// State of the endpoints controller.
 #[derive(Default)]
 pub struct Endpoints {
+    /// Load and health of the endpoints in this entry's subset.
     set: RefCell<Set>,
     policy: RefCell<Policy>,
     polled_engines: RefCell<BTreeSet<CompactString>>,
--- a/crates/pinereel/src/controllers/lots/mod.rs
+++ b/crates/pinereel/src/controllers/lots/mod.rs
@@ -58,9 +58,13 @@
 pub struct Lots {
     runner: RefCell<Runner>,
     running_attempts: RefCell<BTreeMap<AttemptKey, RunningAttempt>>,
+    /// Lots that trainers submitted to this entry, by id.
     submitted: RefCell<BTreeMap<CompactString, trainer_api::SubmittedLot>>,
+    /// Newest published version by model.
     versions: RefCell<BTreeMap<CompactString, Version>>,
+    /// Collects that wait for the runner, by call number.
     pending_collects: RefCell<BTreeMap<u64, oneshot::Sender<CollectResult>>>,
+    /// Call number of the next collect.
     next_collect: Cell<u64>,
     handovers_in_flight: Cell<usize>,
     samples_ready: Notify,
--- a/crates/pinereel/src/controllers/lots/trainer_api/mod.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/mod.rs
@@ -30,6 +30,7 @@
 pub(super) struct SubmittedLot {
     lot: Lot,
     digest: Digest,
+    /// Number of samples in all groups.
     samples: u32,
     deadline: Time,
     /// Index of the first sample of each group.
--- a/crates/pinereel/src/controllers/queues.rs
+++ b/crates/pinereel/src/controllers/queues.rs
@@ -280,14 +280,12 @@
 
 /// Takes a retry from the pool's budget and counts it; false if the budget is exhausted.
 pub fn take_retry(shared: &Shared, pool: &CompactString) -> bool {
-    let mut granted = false;
-    update_pool(shared, pool, |pool, now| {
-        granted = pool.retry_budget.take(now)
-    });
-    if granted {
+    let mut ok = false;
+    update_pool(shared, pool, |pool, now| ok = pool.retry_budget.take(now));
+    if ok {
         shared.metrics.retries.with_label_values(&[pool]).inc();
     }
-    granted
+    ok
 }
 
 /// Starts the task that ticks pools with waiting requests whenever a slot may have become free.
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -81,6 +81,7 @@
     index: RefCell<ServiceIndex>,
     /// Revision of the last rejected entry by id, so that each is logged once.
     rejected: RefCell<BTreeMap<CompactString, u64>>,
+    /// Load and health of the listed endpoints.
     set: RefCell<Set>,
     /// When the list was last updated here.
     updated_at: RefCell<Option<Instant>>,
--- a/crates/pinereel/src/hosted/list_watch.rs
+++ b/crates/pinereel/src/hosted/list_watch.rs
@@ -185,7 +185,7 @@
 
     /// The next update and its revision; `None` if the state has changed instead.
     ///
-    /// A repeated loss changes nothing. When each one began a new watch, 70 instances made 1,700
+    /// A repeated loss changes nothing. When each loss began a new watch, 70 instances made 1,700
     /// calls in the 3 s between two roots.
     async fn next_update(&mut self) -> Option<(Update, u64)> {
         loop {
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -42,7 +42,7 @@
 /// Time for which hedged attempts may still complete after another attempt has answered, so that
 /// their connections can be reused. Endpoints answer quickly; an attempt that runs longer would be
 /// work whose result nobody uses.
-const LOSER_GRACE_PERIOD: Duration = Duration::from_millis(400);
+const UNNEEDED_ATTEMPT_GRACE: Duration = Duration::from_millis(400);
 
 /// Dependencies of a [`Proxy`].
 pub struct Dependencies {
@@ -188,7 +188,7 @@
         }
         let in_flight = state.in_flight;
         if !in_flight.is_empty() && matches!(outcome, Outcome::Answer(_)) {
-            self.drain_losers(&request, in_flight);
+            self.drain_unneeded_attempts(&request, in_flight);
         }
         self.count_outcome(service, &outcome, started);
         let metrics = &self.deps.metrics;
@@ -321,12 +321,16 @@
         outcome
     }
 
-    /// Lets attempts that are no longer needed complete for up to [`LOSER_GRACE_PERIOD`], and
+    /// Lets attempts that are no longer needed complete for up to [`UNNEEDED_ATTEMPT_GRACE`], and
     /// cancels the rest.
-    fn drain_losers(self: &Rc<Self>, request: &Rc<ProxyRequest>, mut in_flight: AttemptsInFlight) {
+    fn drain_unneeded_attempts(
+        self: &Rc<Self>,
+        request: &Rc<ProxyRequest>,
+        mut in_flight: AttemptsInFlight,
+    ) {
         let (proxy, request) = (Rc::clone(self), Rc::clone(request));
         actix_rt::spawn(async move {
-            let end = Instant::now() + LOSER_GRACE_PERIOD;
+            let end = Instant::now() + UNNEEDED_ATTEMPT_GRACE;
             while let Ok(Some(attempt)) = timeout_at(end, in_flight.next()).await {
                 proxy.record_attempt(&request, &attempt);
             }
--- a/crates/pinereel/src/hosted/run.rs
+++ b/crates/pinereel/src/hosted/run.rs
@@ -149,11 +149,11 @@
         actix_rt::spawn(log_store_calls(store.client().clone()));
         let watch = settings.store.watch;
         let feed = Rc::new(Feed::default());
-        let (probed, probe_feed) = (store.clone(), Rc::clone(&feed));
+        let (probed_store, probe_feed) = (store.clone(), Rc::clone(&feed));
         actix_rt::spawn(async move {
             let (object_kinds, has_tree_parent) =
                 (adapter.object_kinds, || probe_feed.has_parent());
-            let probe = probed.probe_in_outages(
+            let probe = probed_store.probe_in_outages(
                 object_kinds.config,
                 object_kinds.config_object_name,
                 has_tree_parent,
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -39,12 +39,12 @@
             .with_label_values(&[purpose.as_str(), kind]);
         counter.inc_by(count.saturating_sub(counter.get()));
     }
-    let up = i64::try_from(shared.mesh.linked_peers().len()).unwrap_or(i64::MAX);
-    metrics.links_up.set(up);
-    let known = shared.endpoints.set().iter().count();
+    let links = i64::try_from(shared.mesh.linked_peers().len()).unwrap_or(i64::MAX);
+    metrics.links_up.set(links);
+    let endpoints = shared.endpoints.set().iter().count();
     metrics
         .endpoints_known
-        .set(i64::try_from(known).unwrap_or(i64::MAX));
+        .set(i64::try_from(endpoints).unwrap_or(i64::MAX));
     let stats = shared.lots.stats();
     let events = [
         ("started", stats.started),
--- a/crates/pinereel/src/peer/mesh.rs
+++ b/crates/pinereel/src/peer/mesh.rs
@@ -166,9 +166,7 @@
                     let opened = timeout(OPEN_TIMEOUT, mesh.accept(stream)).await;
                     drop(permit);
                     match opened {
-                        Ok(Ok((socket, hello, single_call))) => {
-                            mesh.run_link(socket, hello, single_call).await
-                        }
+                        Ok(Ok((socket, hello, once))) => mesh.run_link(socket, hello, once).await,
                         Ok(Err(code)) => mesh.report_refusal(code),
                         Err(_) => mesh.report_refusal(Code::SlowSender),
                     }
