--- a/crates/pinereel/src/controllers/claims/log_store.rs
+++ b/crates/pinereel/src/controllers/claims/log_store.rs
@@ -133,14 +133,14 @@
 
 /// Raises the base, then deletes the segments below it. Only the shard's owner trims.
 async fn trim(shared: &Shared, shard: u64, from: u64, to: u64) -> Result<Event, Error> {
-    let present = read_base_object(shared, shard).await?;
-    let current = present.map_or(0, |(base, _)| base);
+    let base_object = read_base_object(shared, shard).await?;
+    let current = base_object.map_or(0, |(base, _)| base);
     if current != from || !is_owner(shared, shard) {
         return Ok(Event::Base(current));
     }
     let name = base_name(shard);
     let objects = &shared.objects;
-    let raised = match present {
+    let raised = match base_object {
         Some((_, version)) => {
             objects
                 .update(Purpose::Claims, CLAIMS, &name, version, &to)
--- a/crates/pinereel/src/controllers/crashes.rs
+++ b/crates/pinereel/src/controllers/crashes.rs
@@ -139,14 +139,14 @@
 /// Handles a connection that broke during a request. It counts as a crash under that request if
 /// the endpoint no longer accepts connections and was not leaving.
 pub async fn connection_lost(shared: &Shared, key: Key, identity: Identity) {
-    let found = {
+    let live_endpoint = {
         let set = shared.endpoints.set();
         let live = set
             .get(key)
             .filter(|endpoint| endpoint.state == State::Live);
         live.map(|endpoint| (EndpointStart::from(endpoint), endpoint.address.clone()))
     };
-    let Some((start, address)) = found else {
+    let Some((start, address)) = live_endpoint else {
         return;
     };
     if !probe::has_no_listener(&address).await {
--- a/crates/pinereel/src/controllers/endpoints.rs
+++ b/crates/pinereel/src/controllers/endpoints.rs
@@ -328,12 +328,12 @@
     let mut interval_fraction =
         f64::from(hash::stable(name.as_bytes()) as u32) / f64::from(u32::MAX);
     loop {
-        let found = shared
+        let engine = shared
             .endpoints
             .set()
             .find(&name)
             .map(|(key, e)| (key, e.address.clone()));
-        let Some((key, address)) = found else { break };
+        let Some((key, address)) = engine else { break };
         let state = engines::state(&shared.http, &address, LOAD_REPORT_TIMEOUT).await;
         if let Ok(state) = state {
             let report = LoadReport {
--- a/crates/pinereel/src/controllers/lots/attempt.rs
+++ b/crates/pinereel/src/controllers/lots/attempt.rs
@@ -31,13 +31,13 @@
 
 /// Spawns a task that runs the attempt.
 pub(super) fn start(shared: &Rc<Shared>, start: Start) {
-    let found = {
+    let engine = {
         let set = shared.endpoints.set();
         set.find(&start.endpoint)
             .map(|(key, e)| (key, e.address.clone()))
     };
     let attempt = start.attempt;
-    let Some((key, address)) = found else {
+    let Some((key, address)) = engine else {
         let shared = Rc::clone(shared);
         // Reported in a task of its own, since the runner's actions are still being carried out here.
         actix_rt::spawn(async move { report_failure(&shared, attempt, Failure::NotRun) });
--- a/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
+++ b/crates/pinereel/src/controllers/lots/trainer_api/publish.rs
@@ -61,9 +61,9 @@
 ) -> Result<Version, ObjectError> {
     let objects = &shared.objects;
     loop {
-        let present = objects.read(Purpose::Weights, WEIGHTS, model).await?;
+        let stored_object = objects.read(Purpose::Weights, WEIGHTS, model).await?;
         let weights = LatestWeights { version };
-        let written = match present {
+        let written = match stored_object {
             Some(object) => {
                 let stored: LatestWeights = serde_json::from_value(object.value)
                     .map_err(|e| ObjectError::Malformed(e.to_string()))?;
--- a/crates/pinereel/src/controllers/members.rs
+++ b/crates/pinereel/src/controllers/members.rs
@@ -92,9 +92,9 @@
     };
     let name = shared.name();
     let objects = &shared.objects;
-    let present = objects.read(Purpose::Members, MEMBERS, name).await?;
+    let stored_object = objects.read(Purpose::Members, MEMBERS, name).await?;
     let value = serde_json::to_value(&own).map_err(|e| Error::Malformed(e.to_string()))?;
-    let written = match present {
+    let written = match stored_object {
         Some(object) if object.value == value => return Ok(()),
         Some(object) => {
             objects
--- a/crates/pinereel/src/controllers/rollout.rs
+++ b/crates/pinereel/src/controllers/rollout.rs
@@ -56,8 +56,8 @@
         return;
     };
     for (name, pool) in &snapshot.document.pools {
-        let known = shared.rollout.controllers.borrow().contains_key(name);
-        if known || pool.kind != PoolKind::Engine {
+        let is_joined = shared.rollout.controllers.borrow().contains_key(name);
+        if is_joined || pool.kind != PoolKind::Engine {
             continue;
         }
         let settings = Settings {
--- a/crates/pinereel/src/filters/completion.rs
+++ b/crates/pinereel/src/filters/completion.rs
@@ -156,9 +156,9 @@
         .chain(rest)
         .map(move |chunk| format::chunk_event(&id, &model, chunk));
     // The result has a channel of its own, so that unread chunks do not block it.
-    let last = stream::once(end)
+    let error_event = stream::once(end)
         .filter_map(|end| future::ready(end_problem(end).map(|error| format::error_event(&error))));
-    events.chain(last).map(Ok)
+    events.chain(error_event).map(Ok)
 }
 
 fn end_problem(end: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Option<Problem> {
--- a/crates/pinereel/src/filters/format.rs
+++ b/crates/pinereel/src/filters/format.rs
@@ -83,7 +83,7 @@
         offset: 0,
         ..engines::stamp(&chunk)
     });
-    let last = chunk.finish.is_some();
+    let is_last = chunk.finish.is_some();
     let event = ChunkEvent {
         id: id.clone(),
         object: OBJECT_TYPE,
@@ -92,7 +92,7 @@
         versions: record.spans(),
     };
     let mut bytes = sse_event(&event);
-    if last {
+    if is_last {
         bytes.extend_from_slice(DONE_EVENT);
     }
     bytes.into()
--- a/crates/pinereel/src/hosted/config.rs
+++ b/crates/pinereel/src/hosted/config.rs
@@ -93,11 +93,11 @@
         start: impl Fn(CompactString),
     ) {
         let mut changes = self.changes();
-        let mut known = BTreeSet::new();
+        let mut started_names = BTreeSet::new();
         loop {
-            let current = self.table().map(|table| names(&table)).unwrap_or_default();
-            for name in current {
-                if known.insert(name.clone()) {
+            let current_names = self.table().map(|table| names(&table)).unwrap_or_default();
+            for name in current_names {
+                if started_names.insert(name.clone()) {
                     start(name);
                 }
             }
--- a/crates/pinereel/src/hosted/crashes/stored.rs
+++ b/crates/pinereel/src/hosted/crashes/stored.rs
@@ -42,10 +42,10 @@
 
 /// Removes the object with the reports from a list of leases and returns it.
 pub fn take_reports_object(objects: &mut Vec<Object>) -> Option<Object> {
-    let at = objects
+    let index = objects
         .iter()
         .position(|object| object.name == OBJECT_NAME)?;
-    Some(objects.remove(at))
+    Some(objects.remove(index))
 }
 
 impl CrashTracker {
@@ -72,12 +72,12 @@
             return;
         };
         let revision = object.revision;
-        let known = self
+        let known_revision = self
             .last_known
             .borrow()
             .as_ref()
             .map(|state| state.revision);
-        if known == Some(revision) {
+        if known_revision == Some(revision) {
             return;
         }
         let history = history(&crashes.load(object));
--- a/crates/pinereel/src/hosted/endpoints/listing.rs
+++ b/crates/pinereel/src/hosted/endpoints/listing.rs
@@ -113,8 +113,8 @@
     /// writer may have replaced the entry.
     fn reject_entry(&self, object: &Object, fault: &DecodeError) {
         let id = &object.name;
-        let known = self.rejected.borrow().get(id) == Some(&object.revision);
-        if !known {
+        let already_logged = self.rejected.borrow().get(id) == Some(&object.revision);
+        if !already_logged {
             log::error!(endpoint = id.as_str(), revision = object.revision; "list entry refused: {fault}");
             let metrics = &self.deps.metrics;
             metrics.count(&metrics.endpoint_entries, &["refused"]);
--- a/crates/pinereel/src/hosted/endpoints/mod.rs
+++ b/crates/pinereel/src/hosted/endpoints/mod.rs
@@ -323,8 +323,8 @@
         let entries = self.entries.borrow();
         entries.get(&start.endpoint).is_some_and(|listed| {
             let entry = &listed.entry;
-            let same = entry.incarnation == start.incarnation;
-            same && !entry.draining && listed.missing_since.is_none()
+            let is_same_start = entry.incarnation == start.incarnation;
+            is_same_start && !entry.draining && listed.missing_since.is_none()
         })
     }
 
--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -158,9 +158,9 @@
         match serde_json::from_value::<PartialOutputs>(object.spec) {
             Ok(outputs) => {
                 for (item, output) in outputs {
-                    let known = longest.entry(item).or_default();
-                    if output.last_event > known.last_event {
-                        *known = output;
+                    let longest_output = longest.entry(item).or_default();
+                    if output.last_event > longest_output.last_event {
+                        *longest_output = output;
                     }
                 }
             }
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -239,8 +239,8 @@
                     let revision = object.revision;
                     log::info!(model = model.as_str(), version, revision; "version published");
                     let mut published_versions = self.published_versions.borrow_mut();
-                    let known = published_versions.entry(model).or_default();
-                    *known = version.max(*known);
+                    let newest = published_versions.entry(model).or_default();
+                    *newest = version.max(*newest);
                 }
                 Err(fault) => log::error!(object = object.name.as_str(); "{fault}"),
             }
--- a/crates/pinereel/src/hosted/orders/rollout.rs
+++ b/crates/pinereel/src/hosted/orders/rollout.rs
@@ -80,13 +80,13 @@
     /// Records in the lease when the cooldown ends: `own` is for the next process of this
     /// instance, and the gap after the last order for other instances.
     fn publish_cooldown_ends(&self, own: Time) {
-        let last = self
+        let last_order_at = self
             .orders
             .last_order_times
             .borrow()
             .get(&self.service)
             .copied();
-        let others = last.map_or(own, |last| own.max(last + self.orders.min_gap()));
+        let others = last_order_at.map_or(own, |at| own.max(at + self.orders.min_gap()));
         self.orders
             .deps
             .duties
--- a/crates/pinereel/src/hosted/proxy/mod.rs
+++ b/crates/pinereel/src/hosted/proxy/mod.rs
@@ -206,11 +206,11 @@
         status: RequestStatus,
     ) -> Option<(&'static str, Duration)> {
         self.deps.stall.wait_for_catch_up().await;
-        let next = match status {
+        let selection = match status {
             RequestStatus::Suspected { .. } => self.select_for_suspected(state, status).await,
             RequestStatus::Unrestricted | RequestStatus::Blocked { .. } => self.select(state),
         };
-        match next {
+        match selection {
             Selection::Endpoint(selected) => {
                 let suspected = matches!(status, RequestStatus::Suspected { .. });
                 let occupancy = suspected.then(|| self.deps.crashes.occupy(&selected.start));
--- a/crates/pinereel/src/hosted/serve.rs
+++ b/crates/pinereel/src/hosted/serve.rs
@@ -184,8 +184,8 @@
         let end = Instant::now() + INITIAL_STATE_TIMEOUT;
         loop {
             let table = self.config.table();
-            let known = table.is_some() && self.endpoints.is_loaded();
-            if known || self.store.unreachable_since().is_some() || Instant::now() >= end {
+            let is_loaded = table.is_some() && self.endpoints.is_loaded();
+            if is_loaded || self.store.unreachable_since().is_some() || Instant::now() >= end {
                 return table;
             }
             sleep(INITIAL_STATE_POLL_INTERVAL).await;
--- a/crates/pinereel/src/operators/status.rs
+++ b/crates/pinereel/src/operators/status.rs
@@ -94,9 +94,14 @@
         } else if let Some((_, number)) = report.filter(|r| r.0 == entry.object.incarnation) {
             peer_entry(shared, &entry, *number, Duration::ZERO)
         } else {
-            let last = peer_states.get(&name);
-            let silence = now.since(last.map_or(Time::ZERO, |last| last.received_at));
-            peer_entry(shared, &entry, last.map_or(0, |last| last.number), silence)
+            let last_state = peer_states.get(&name);
+            let silence = now.since(last_state.map_or(Time::ZERO, |state| state.received_at));
+            peer_entry(
+                shared,
+                &entry,
+                last_state.map_or(0, |state| state.number),
+                silence,
+            )
         };
         (name, described)
     };
@@ -109,9 +114,10 @@
     entry: &member::Member,
     peer_states: &'a BTreeMap<CompactString, PeerState>,
 ) -> Option<&'a PeerState> {
-    let last = peer_states.get(&entry.object.name)?;
-    let same = last.incarnation == entry.object.incarnation;
-    (same && now.since(last.received_at) < MAX_PEER_SILENCE).then_some(last)
+    let last_state = peer_states.get(&entry.object.name)?;
+    let is_same_incarnation = last_state.incarnation == entry.object.incarnation;
+    (is_same_incarnation && now.since(last_state.received_at) < MAX_PEER_SILENCE)
+        .then_some(last_state)
 }
 
 fn own_entry(shared: &Shared, entry: &member::Member) -> Entry {
--- a/crates/pinereel/src/settings/value.rs
+++ b/crates/pinereel/src/settings/value.rs
@@ -115,8 +115,8 @@
 /// Formats a number of bytes in the largest unit that gives a whole number.
 pub(super) fn format_size(bytes: u64) -> CompactString {
     let units = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
-    let whole = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
-    match units.into_iter().find(|(shift, _)| whole(*shift)) {
+    let is_whole = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
+    match units.into_iter().find(|(shift, _)| is_whole(*shift)) {
         Some((shift, unit)) => format_compact!("{}{unit}", bytes >> shift),
         None => format_compact!("{bytes}B"),
     }
--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -208,19 +208,19 @@
     /// Takes an idle connection that still appears open.
     fn take_idle(&self, address: SocketAddr) -> Option<Framed<TcpStream, ClientCodec>> {
         let now = Instant::now();
-        let mut all = self.idle.borrow_mut();
-        let idle = all.get_mut(&address)?;
-        let mut found = None;
-        while let Some(connection) = idle.pop() {
+        let mut idle_by_address = self.idle.borrow_mut();
+        let connections = idle_by_address.get_mut(&address)?;
+        let mut open_connection = None;
+        while let Some(connection) = connections.pop() {
             if connection.expires_at > now && is_open_and_empty(connection.framed.io_ref()) {
-                found = Some(connection.framed);
+                open_connection = Some(connection.framed);
                 break;
             }
         }
-        if idle.is_empty() {
-            all.remove(&address);
+        if connections.is_empty() {
+            idle_by_address.remove(&address);
         }
-        found
+        open_connection
     }
 
     fn put_idle(
@@ -231,15 +231,18 @@
     ) {
         let now = Instant::now();
         let expires_at = now + idle_timeout;
-        let mut all = self.idle.borrow_mut();
-        for connections in all.values_mut() {
+        let mut idle_by_address = self.idle.borrow_mut();
+        for connections in idle_by_address.values_mut() {
             connections.retain(|connection| connection.expires_at > now);
         }
-        all.retain(|_, connections| !connections.is_empty());
-        all.entry(address).or_default().push(IdleConnection {
-            framed: connection,
-            expires_at,
-        });
+        idle_by_address.retain(|_, connections| !connections.is_empty());
+        idle_by_address
+            .entry(address)
+            .or_default()
+            .push(IdleConnection {
+                framed: connection,
+                expires_at,
+            });
     }
 }
 
@@ -325,14 +328,14 @@
     /// # Errors
     /// The body is truncated, or longer than 32 MiB.
     pub async fn read_all(mut self) -> io::Result<Bytes> {
-        let mut whole = BytesMut::new();
+        let mut body = BytesMut::new();
         while let Some(part) = self.next_part().await? {
-            if whole.len() + part.len() > MAX_BODY_BYTES {
+            if body.len() + part.len() > MAX_BODY_BYTES {
                 return Err(io::Error::other("body is too long"));
             }
-            whole.extend_from_slice(&part);
+            body.extend_from_slice(&part);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
     fn fail(&mut self, error: io::Error) -> io::Result<Option<Bytes>> {
