--- a/crates/pinereel/src/hosted/duty/status.rs
+++ b/crates/pinereel/src/hosted/duty/status.rs
@@ -11,7 +11,7 @@
     /// Time on the clock of [`Duties::now`](super::Duties::now) from which the holder must not act
     /// any more.
     pub valid_until: Time,
-    /// The cooldown after the previous holder, before which this one must not act.
+    /// The cooldown after the previous holder, before the end of which this holder must not act.
     pub cooldown: Cooldown,
 }
 
--- a/crates/pinereel/src/hosted/lots/checkpoint.rs
+++ b/crates/pinereel/src/hosted/lots/checkpoint.rs
@@ -20,7 +20,8 @@
 /// Timeout of all writes at a planned stop; the release of the lease waits for them.
 const STOP_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Interval between two checkpoints of a lot; a runner that is killed loses half of it on average.
+/// Interval between two checkpoints of a lot; a runner that is killed loses the work of half an
+/// interval on average.
 /// An output that decides when its step completes takes up to 7 s, so a lot costs three writes.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(2_000);
 
--- a/crates/pinereel/src/hosted/metrics.rs
+++ b/crates/pinereel/src/hosted/metrics.rs
@@ -27,7 +27,8 @@
 const AGE_BUCKETS: [f64; 9] = [0.1, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0];
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Path of the list of requests that crash endpoints. A DELETE below it clears one of them.
+/// Path of the list of requests that crash endpoints. A DELETE of the path, a slash and the identity of a
+/// request allows that request to run again.
 const CRASHES_PATH: &str = "/crashes";
 
 /// All metrics of one instance.
--- a/crates/pinereel/src/hosted/mod.rs
+++ b/crates/pinereel/src/hosted/mod.rs
@@ -1,7 +1,7 @@
 //! A stateless instance, which keeps its state in the object store of the platform that it runs on.
 //!
 //! The store holds the configuration, the endpoint list, the leases, the lots and their results. An
-//! instance has nothing in memory that it cannot read from there again, so each may be killed,
+//! instance has nothing in memory that it cannot read from the store again, so each may be killed,
 //! replaced or disconnected. One instance reads the store and publishes the changes to the others over
 //! the broadcast tree (`tree`); an instance without a link to the tree reads the store itself.
 //!
--- a/crates/pinereel/src/hosted/orders/mod.rs
+++ b/crates/pinereel/src/hosted/orders/mod.rs
@@ -121,7 +121,7 @@
     /// The time from which orders may be sent under a lease.
     fn may_order_from(&self, service: &str, lease: &HeldLease) -> Time {
         if self.cooled_down_fences.borrow().get(service) == Some(&lease.fence) {
-            // The lease expired in between, but no other instance has held it.
+            // The lease has expired meanwhile, but no other instance has held it.
             return Time::ZERO;
         }
         lease.may_act_from(self.min_gap())
--- a/crates/pinereel/src/hosted/tree/mod.rs
+++ b/crates/pinereel/src/hosted/tree/mod.rs
@@ -1,7 +1,7 @@
 //! Broadcast tree: one instance, the root, reads the object store, and the data reach all others over
 //! links between instances.
 //!
-//! Each call to the store is paid for, a pending watch as well, and its rate limits grow more slowly
+//! Each call to the store is paid for, also a pending watch, and the store's rate limits grow more slowly
 //! than the fleet. So the holder of [`ROOT_DUTY`] lists and watches the configuration, the endpoint list
 //! and the leases, and publishes each change to at most 32 children, which forward it to theirs. The
 //! decisions are in `pinereel_core::tree`.
