--- a/crates/pinereel/src/hosted/duty/status.rs
+++ b/crates/pinereel/src/hosted/duty/status.rs
@@ -11,7 +11,7 @@
     /// Time on the clock of [`Duties::now`](super::Duties::now) from which the holder must not act
     /// any more.
     pub valid_until: Time,
-    /// The cooldown after the previous holder, before which this one must not act.
+    /// The cooldown after the previous holder, before the end of which this holder must not act.
     pub cooldown: Cooldown,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Status {
-    /// Whether this instance may not act as the holder at present.
+    /// Whether this instance holds no lease under which it may act at present.
     pub const fn is_not_held(&self) -> bool {
         self.lease.is_none()
     }
--- a/crates/pinereel/src/upstream/pool.rs
+++ b/crates/pinereel/src/upstream/pool.rs
@@ -45,7 +45,7 @@
     /// Bytes may have been sent and no response was received: the request may have run.
     #[error("no answer: {0}")]
     Lost(String),
-    /// As [`Error::Lost`], on a reused connection, which the endpoint may just have closed.
+    /// The same as [`Error::Lost`], on a reused connection, which the endpoint may just have closed.
     #[error("no answer on an idle connection: {0}")]
     Stale(String),
 }
@@ -118,9 +118,9 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Whether an endpoint whose connection failed is gone: its host is reachable, and no process
-    /// listens there. The probe's connection is added to the pool.
-    pub async fn is_gone(&self, address: SocketAddr) -> bool {
+    /// Whether no process listens at the address of an endpoint whose connection failed, although its
+    /// host is reachable. The probe's connection is added to the pool.
+    pub async fn has_no_listener(&self, address: SocketAddr) -> bool {
         match probe(address).await {
             Probe::NotListening => true,
             Probe::Reset | Probe::Unknown => false,
@@ -148,7 +148,7 @@
         };
         let result = self.send_on(connection, request).await;
         result.map_err(|error| match error {
-            Error::Lost(why) if reused => Error::Stale(why),
+            Error::Lost(reason) if reused => Error::Stale(reason),
             error => error,
         })
     }
@@ -180,8 +180,8 @@
         } else {
             None
         };
-        let bare = connection.codec_ref().message_type() == MessageType::None;
-        let unframed = bare
+        let has_no_framed_body = connection.codec_ref().message_type() == MessageType::None;
+        let ends_with_connection = has_no_framed_body
             && !head.headers.contains_key(CONTENT_LENGTH)
             && may_have_body(&method, head.status);
         let mut body = Body {
@@ -190,10 +190,10 @@
             address: request.address,
             idle_timeout,
         };
-        if unframed {
+        if ends_with_connection {
             let parts = connection.into_parts();
             body.state = State::UntilClose(parts.io, parts.read_buf.freeze());
-        } else if bare {
+        } else if has_no_framed_body {
             body.return_to_pool(connection);
         } else {
             body.state = State::Framed(connection.into_map_codec(ClientCodec::into_payload_codec));
@@ -208,19 +208,19 @@
     /// Takes an idle connection that still appears open.
     fn take_idle(&self, address: SocketAddr) -> Option<Framed<TcpStream, ClientCodec>> {
         let now = Instant::now();
-        let mut all = self.idle.borrow_mut();
-        let idle = all.get_mut(&address)?;
-        let mut found = None;
-        while let Some(connection) = idle.pop() {
+        let mut idle_by_address = self.idle.borrow_mut();
+        let connections = idle_by_address.get_mut(&address)?;
+        let mut open_connection = None;
+        while let Some(connection) = connections.pop() {
             if connection.expires_at > now && is_open_and_empty(connection.framed.io_ref()) {
-                found = Some(connection.framed);
+                open_connection = Some(connection.framed);
                 break;
             }
         }
-        if idle.is_empty() {
-            all.remove(&address);
+        if connections.is_empty() {
+            idle_by_address.remove(&address);
         }
-        found
+        open_connection
     }
 
     fn put_idle(
@@ -231,15 +231,18 @@
     ) {
         let now = Instant::now();
         let expires_at = now + idle_timeout;
-        let mut all = self.idle.borrow_mut();
-        for connections in all.values_mut() {
+        let mut idle_by_address = self.idle.borrow_mut();
+        for connections in idle_by_address.values_mut() {
             connections.retain(|connection| connection.expires_at > now);
         }
-        all.retain(|_, connections| !connections.is_empty());
-        all.entry(address).or_default().push(IdleConnection {
-            framed: connection,
-            expires_at,
-        });
+        idle_by_address.retain(|_, connections| !connections.is_empty());
+        idle_by_address
+            .entry(address)
+            .or_default()
+            .push(IdleConnection {
+                framed: connection,
+                expires_at,
+            });
     }
 }
 
@@ -266,24 +269,26 @@
 
 /// Reads how long a connection may be idle; `None` if it may not be reused.
 fn parse_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
-    let said = headers.get("keep-alive").and_then(|v| v.to_str().ok());
-    let Some(said) = said else {
+    let header = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+    let Some(header) = header else {
         return Some(DEFAULT_IDLE_TIMEOUT);
     };
-    let mut parameters = said.split(',').map(str::trim);
+    let mut parameters = header.split(',').map(str::trim);
     let seconds = parameters.find_map(|p| p.strip_prefix("timeout="));
     let Some(seconds) = seconds.and_then(|seconds| seconds.parse().ok()) else {
         return Some(DEFAULT_IDLE_TIMEOUT);
     };
     Duration::from_secs(seconds)
         .checked_sub(IDLE_MARGIN)
-        .filter(|left| !left.is_zero())
+        .filter(|timeout| !timeout.is_zero())
 }
 
 /// Whether a response to the method and with the status may have a body.
 fn may_have_body(method: &Method, status: StatusCode) -> bool {
-    let bare = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
-    *method != Method::HEAD && !status.is_informational() && !bare.contains(&status)
+    let statuses_without_body = [StatusCode::NO_CONTENT, StatusCode::NOT_MODIFIED];
+    *method != Method::HEAD
+        && !status.is_informational()
+        && !statuses_without_body.contains(&status)
 }
 
 impl Body {
@@ -323,14 +328,14 @@
     /// # Errors
     /// The body is truncated, or longer than 32 MiB.
     pub async fn read_all(mut self) -> io::Result<Bytes> {
-        let mut whole = BytesMut::new();
+        let mut body = BytesMut::new();
         while let Some(part) = self.next_part().await? {
-            if whole.len() + part.len() > MAX_BODY_BYTES {
+            if body.len() + part.len() > MAX_BODY_BYTES {
                 return Err(io::Error::other("body is too long"));
             }
-            whole.extend_from_slice(&part);
+            body.extend_from_slice(&part);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
     fn fail(&mut self, error: io::Error) -> io::Result<Option<Bytes>> {
