--- a/crates/pinereel_fakes/src/hosting/cli.rs
+++ b/crates/pinereel_fakes/src/hosting/cli.rs
@@ -25,8 +25,8 @@
     log_folder: Option<PathBuf>,
 }
 
-/// Runs the seeds. The exit code is 1 if a seed violated a guarantee or could not run, and 2 if the
-/// flags are invalid.
+/// Runs the soak test with each seed. The exit code is 1 if a seed violated a guarantee or could not
+/// run, and 2 if the flags are invalid.
 pub fn main(parser: Parser) -> ExitCode {
     let flags = match parse_flags(parser) {
         Ok(flags) => flags,
@@ -44,7 +44,7 @@
         match actix_rt::System::new().block_on(run(options)) {
             Ok(report) => {
                 println!("{report}");
-                if !report.broken.is_empty() {
+                if !report.violations.is_empty() {
                     failed.push(seed);
                     if let Err(error) = write_log(&flags, &report) {
                         eprintln!("pinereel-fakes: logs of seed {seed}: {error}");
@@ -71,8 +71,8 @@
         return Ok(());
     };
     fs::create_dir_all(folder)?;
-    let mut text = format!("{report}\n\nbroken:\n{}\n", report.broken.join("\n"));
-    text += &format!("\ninjected:\n{}\n", report.injected.join("\n"));
+    let mut text = format!("{report}\n\nbroken:\n{}\n", report.violations.join("\n"));
+    text += &format!("\ninjected:\n{}\n", report.injected_faults.join("\n"));
     text += &format!("\nlogs:\n{}\n", report.logs.join("\n"));
     fs::write(folder.join(format!("seed-{}.log", report.seed)), text)
 }
@@ -90,7 +90,7 @@
             continue;
         }
         if name == "crashing" {
-            options.crashing = true;
+            options.crashing_requests = true;
             continue;
         }
         let number: u64 = crate::cli::parse_value(&mut parser)?;
@@ -98,12 +98,12 @@
         match name.as_str() {
             "seed" => options.seed = number,
             "runs" => runs = number,
-            "seconds" => options.length = Duration::from_secs(number),
+            "seconds" => options.duration = Duration::from_secs(number),
             "instances" => options.size.instances = count,
             "engines" => options.size.engines = count,
             "services" => options.size.services = count,
-            "callers" => options.callers = count,
-            "pause-ms" => options.pause = Duration::from_millis(number.max(4)),
+            "callers" => options.callers_per_kind = count,
+            "pause-ms" => options.mean_pause = Duration::from_millis(number.max(4)),
             _ => return Err(Long(&name).unexpected()),
         }
     }
--- a/crates/pinereel_fakes/src/hosting/soak/crash.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints that run them, beside all other faults.
+//! Requests that crash the endpoints that run them, sent while all other faults are injected.
 
 use crate::hosting::{
     crashing_endpoint::{CRASH_MARKER, Crashes, Endpoint, Mode},
@@ -13,56 +13,57 @@
 use std::{cell::RefCell, collections::BTreeMap, io, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// Endpoints that such a request can crash, beside those that only answer.
-const ENDPOINTS: usize = 4;
-/// How long they are away.
-const DOWN: Duration = Duration::from_secs(2);
-/// What the platform allows after the third.
-const ALLOWED: usize = 3;
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// This route goes to them under every configuration of the soak.
+/// Number of endpoints that such a request can crash; the others only answer.
+const ENDPOINT_COUNT: usize = 4;
+/// Time until a crashed endpoint is restarted.
+const RESTART_DELAY: Duration = Duration::from_secs(2);
+/// Number of endpoints that the platform allows a request to crash beyond [`MAX_CRASHES`].
+const MAX_FURTHER_CRASHES: usize = 3;
+/// Deadline of a request, and timeout of the call.
+const DEADLINE: Duration = Duration::from_secs(2);
+/// Path whose route leads to the service of these endpoints in every configuration of the soak test.
 const TARGET: &str = "/score/x";
 
 /// Endpoints that may crash, and the requests that crash them.
-pub(super) struct Crashing {
+pub(super) struct CrashingRequests {
     site: Rc<RefCell<Site>>,
     seed: u64,
     _endpoints: Vec<Endpoint>,
     crashes: Crashes,
-    /// Bodies of the requests.
+    /// Bodies of the requests sent so far.
     bodies: Vec<String>,
 }
 
-impl Crashing {
+impl CrashingRequests {
     /// Starts the endpoints.
     pub(super) fn start(site: &Rc<RefCell<Site>>, seed: u64) -> io::Result<Self> {
         let crashes = Crashes::default();
         let store = site.borrow().store.clone();
-        let start = |_| Endpoint::start(&store, ("plain", Mode::Plain), DOWN, &crashes);
+        let start = |_| Endpoint::start(&store, ("plain", Mode::Plain), RESTART_DELAY, &crashes);
         Ok(Self {
             site: Rc::clone(site),
             seed,
-            _endpoints: (0..ENDPOINTS).map(start).collect::<io::Result<_>>()?,
+            _endpoints: (0..ENDPOINT_COUNT).map(start).collect::<io::Result<_>>()?,
             crashes,
             bodies: Vec::new(),
         })
     }
 
-    /// Sends one such request after the other, each again and again, at any instance.
-    pub(super) async fn send(&mut self, stop: Instant) {
-        // Its own chances: what a seed injected before stays as it was.
+    /// Sends such requests until `end`. Each is retried for some seconds, at random instances and under
+    /// new ids, before the next.
+    pub(super) async fn send_until(&mut self, end: Instant) {
+        // A generator of its own: the faults that a seed injects must not depend on these draws.
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x0063_7261_7368);
         let mut number = 0;
-        while Instant::now() < stop {
+        while Instant::now() < end {
             let body = format!("{CRASH_MARKER} {}-{}", self.seed, self.bodies.len());
             self.bodies.push(body.clone());
-            let end = Instant::now() + Duration::from_millis(rng.random_range(1_500..6_000));
-            while Instant::now() < end.min(stop) {
+            let retry_end = Instant::now() + Duration::from_millis(rng.random_range(1_500..6_000));
+            while Instant::now() < retry_end.min(end) {
                 let address = {
                     let site = self.site.borrow();
-                    let at = rng.random_range(0..site.instances.len());
-                    site.instances[at].caller_proxy.address
+                    let index = rng.random_range(0..site.instances.len());
+                    site.instances[index].caller_proxy.address
                 };
                 number += 1;
                 let id = format!("{body}-{number}").replace(' ', "-");
@@ -71,11 +72,11 @@
                     let headers = [
                         ("host", HOST.to_owned()),
                         ("x-request-id", id),
-                        ("x-deadline-ms", PATIENCE.as_millis().to_string()),
+                        ("x-deadline-ms", DEADLINE.as_millis().to_string()),
                         ("authorization", format!("Bearer {API_KEY}")),
                     ];
-                    // What comes back is of no interest.
-                    let _ = call(address, Method::POST, TARGET, &headers, body, PATIENCE).await;
+                    // The answer is not checked, only the crashes and the log lines.
+                    let _ = call(address, Method::POST, TARGET, &headers, body, DEADLINE).await;
                 });
                 sleep(Duration::from_millis(rng.random_range(30..250))).await;
             }
@@ -83,40 +84,43 @@
         }
     }
 
-    /// How many endpoints each request took.
-    pub(super) fn taken(&self) -> BTreeMap<&str, usize> {
+    /// Returns the number of endpoints that each request crashed, by its body.
+    pub(super) fn crash_counts(&self) -> BTreeMap<&str, usize> {
         let crashes = self.crashes.borrow();
-        let taken = self.bodies.iter().map(|body| {
+        let counts = self.bodies.iter().map(|body| {
             let own = crashes.iter().filter(|crash| crash.under == *body);
             (body.as_str(), own.count())
         });
-        taken.collect()
+        counts.collect()
     }
 
-    /// None takes more than the platform allows, and no other request is refused.
+    /// Checks that no request crashed more endpoints than the platform allows, and that no other request
+    /// was refused for crashes.
     pub(super) fn check(&self) {
         let site = self.site.borrow();
-        for (body, taken) in self.taken() {
-            if taken > MAX_CRASHES + ALLOWED {
+        for (body, count) in self.crash_counts() {
+            if count > MAX_CRASHES + MAX_FURTHER_CRASHES {
                 site.recorder
-                    .record_violation(format!("{taken} endpoints crashed under {body}"));
+                    .record_violation(format!("{count} endpoints crashed under {body}"));
             }
         }
-        let culprits: Vec<_> = self.bodies.iter().map(|body| identity(body)).collect();
+        let identities: Vec<_> = self.bodies.iter().map(|body| identity(body)).collect();
         for line in site
             .instances
             .iter()
             .flat_map(|instance| instance.all_lines())
         {
-            let refusal = line.contains("refused: endpoints crash under it");
-            if refusal && !culprits.iter().any(|identity| line.contains(identity)) {
-                site.recorder
-                    .record_violation(format!("refused for others' crashes: {line}"));
+            let is_refusal = line.contains("refused: endpoints crash under it");
+            if is_refusal && !identities.iter().any(|identity| line.contains(identity)) {
+                site.recorder.record_violation(format!(
+                    "a request was refused for crashes of another: {line}"
+                ));
             }
         }
     }
 }
 
+/// Returns the identity of a request as instances log it.
 fn identity(body: &str) -> String {
     let identity = Identity::of(RequestParts {
         caller: WORKSPACE.as_bytes(),
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -1,150 +1,152 @@
-//! A seeded soak: the real processes, faults from outside, and checks from callers' and endpoints'
-//! sides while they happen.
+//! A seeded soak test: injects faults into a site of real processes, and checks what callers,
+//! trainers and endpoints observe.
 //!
-//! Faults come in series and overlap. Whatever a seed does is drawn from it alone; the processes'
-//! own timing is not, so that a seed that failed once may need several runs to fail again.
+//! Faults may overlap. All random draws depend only on the seed, but the timing of the processes
+//! does not, so a seed that failed once may need several runs to fail again.
 
-mod check;
-mod crash;
+mod checks;
+mod crashing_requests;
+mod fault_kind;
 mod inject;
-mod trouble;
 
 use super::{
     caller::{self, Kind, Tally},
     site::{Site, Size, WORKSPACE},
     trainer::{Shape, Trainer},
 };
-use crash::Crashing;
+use crashing_requests::CrashingRequests;
+use fault_kind::{FaultKind, WEIGHTED_FAULT_KINDS};
 use rand::{Rng as _, SeedableRng as _, seq::IndexedRandom as _};
 use rand_chacha::ChaCha8Rng;
 use std::{cell::RefCell, fmt, io, rc::Rc, time::Duration};
 use tokio::time::{Instant, sleep};
-use trouble::{TROUBLES, Trouble};
 
-/// After the end of an unplanned fault its traces may still show for so long.
-const AFTERMATH: Duration = Duration::from_secs(3);
-/// All must be served again so long after the last fault.
-const RECOVERY: Duration = Duration::from_secs(12);
-/// Callers go on until all is checked, and no longer than this. A trainer's last step may end long
-/// after the last fault, so their end is not a time but the check's.
-const LONGEST: Duration = Duration::from_secs(600);
-/// Keys are in force everywhere after so long.
-const KEYS: Duration = Duration::from_secs(1);
-/// Trainers' steps while the site is checked after the last fault.
-const STEPS_AFTER: u64 = 2;
+/// Time after the end of a fault, other than a graceful shutdown, during which it may still have
+/// effects.
+const AFTER_EFFECT_TIME: Duration = Duration::from_secs(3);
+/// Longest time that the steps after the last fault may take. A third of it passes before they start.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(12);
+/// Longest time during which callers send requests. They are ended after the last check and not at
+/// a fixed time, since a trainer's last step may end long after the last fault.
+const MAX_CALLER_TIME: Duration = Duration::from_secs(600);
+/// Time after which API keys are in force at every instance.
+const KEY_PROPAGATION_TIME: Duration = Duration::from_secs(1);
+/// Number of steps that the trainer runs after the last fault.
+const RECOVERY_STEPS: u64 = 2;
 
-/// What a soak does.
+/// Options of a soak test.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Decides everything that is left to chance.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long faults go on.
-    pub length: Duration,
-    /// Sizes of the site.
+    /// Time during which faults are injected.
+    pub duration: Duration,
+    /// Number of processes and endpoints of the site.
     pub size: Size,
-    /// Live callers of each kind.
-    pub callers: usize,
-    /// Mean pause between two faults.
-    pub pause: Duration,
-    /// Whether requests come that crash the endpoints that run them.
-    pub crashing: bool,
+    /// Number of live callers of each [`Kind`].
+    pub callers_per_kind: usize,
+    /// Approximate mean pause between two faults: pauses are drawn between a quarter of it and twice it.
+    pub mean_pause: Duration,
+    /// Whether requests are sent that crash the endpoints that run them.
+    pub crashing_requests: bool,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             seed: 1,
-            length: Duration::from_secs(20),
+            duration: Duration::from_secs(20),
             size: Size {
                 instances: 4,
                 engines: 4,
                 services: 3,
             },
-            callers: 4,
-            pause: Duration::from_millis(900),
-            crashing: false,
+            callers_per_kind: 4,
+            mean_pause: Duration::from_millis(900),
+            crashing_requests: false,
         }
     }
 }
 
-/// What came of a soak.
+/// Result of a soak test.
 #[derive(Debug)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// Faults that were injected, in order, with their time in milliseconds.
-    pub injected: Vec<String>,
-    /// Endpoints that crashed under each request that crashes them.
-    pub taken: Vec<usize>,
-    /// Broken promises.
-    pub broken: Vec<String>,
-    /// Live answers: good, not run, unknown.
-    pub live: [u64; 3],
-    /// Steps: done, given up, refused.
-    pub steps: [u64; 3],
-    /// Orders that engines accepted.
-    pub orders: usize,
-    /// Calls to the store.
-    pub calls: u64,
-    /// Logs of the instances, if a promise was broken.
+    /// Injected faults, each with its time since the start in milliseconds.
+    pub injected_faults: Vec<String>,
+    /// Number of endpoints that each crashing request crashed.
+    pub crash_counts: Vec<usize>,
+    /// Violations of guarantees.
+    pub violations: Vec<String>,
+    /// Number of live requests: answered, refused as not run, and with an unknown outcome.
+    pub live_counts: [u64; 3],
+    /// Number of the trainer's steps: done, given up, and refused.
+    pub step_counts: [u64; 3],
+    /// Number of orders that engines accepted.
+    pub accepted_order_count: usize,
+    /// Number of calls to the store.
+    pub store_call_count: u64,
+    /// Log lines of the instances, if there are violations.
     pub logs: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [good, not_run, unknown] = self.live;
-        let [done, given_up, refused] = self.steps;
+        let [good, not_run, unknown] = self.live_counts;
+        let [done, given_up, refused] = self.step_counts;
         write!(
             f,
             "seed {}: {} faults, live {good} good {not_run} not run {unknown} unknown, \
              steps {done} done {given_up} given up {refused} refused, {} orders, {} calls, crashes under each request {:?}, {} broken",
             self.seed,
-            self.injected.len(),
-            self.orders,
-            self.calls,
-            self.taken,
-            self.broken.len(),
+            self.injected_faults.len(),
+            self.accepted_order_count,
+            self.store_call_count,
+            self.crash_counts,
+            self.violations.len(),
         )
     }
 }
 
-/// When a fault was in force, and where.
+/// The period in which a fault is in force.
 #[derive(Clone, Debug)]
-struct Span {
-    /// The instance, if it was one.
+struct FaultPeriod {
+    /// Index of the affected instance; `None` if the fault may affect all.
     instance: Option<usize>,
-    planned: bool,
+    /// Whether the fault is a graceful shutdown.
+    graceful: bool,
     from: Instant,
     to: Instant,
 }
 
-/// A running soak.
+/// A running soak test.
 struct Soak {
     options: Options,
     rng: ChaCha8Rng,
     site: Rc<RefCell<Site>>,
-    spans: Rc<RefCell<Vec<Span>>>,
-    injected: Vec<String>,
-    /// Endpoints that crashed under each request that crashes them.
-    taken: Vec<usize>,
-    began: Instant,
+    fault_periods: Rc<RefCell<Vec<FaultPeriod>>>,
+    injected_faults: Vec<String>,
+    /// Number of endpoints that each crashing request crashed.
+    crash_counts: Vec<usize>,
+    started: Instant,
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 ///
 /// # Errors
 /// If the site cannot be started.
 pub async fn run(options: Options) -> io::Result<Report> {
     let mut site = Site::start(options.size, options.seed).await?;
-    inject::change_keys(&mut site);
+    inject::change_api_keys(&mut site);
     site.configure("plain", Duration::from_secs(2));
-    sleep(KEYS).await;
+    sleep(KEY_PROPAGATION_TIME).await;
     let load_balancer = site.load_balancer();
     let recorder = Rc::clone(&site.recorder);
     let tally = Rc::new(Tally::default());
-    let end = Instant::now() + LONGEST;
+    let callers_end = Instant::now() + MAX_CALLER_TIME;
     let mut callers = Vec::new();
-    for number in 0..options.callers * 2 {
+    for number in 0..options.callers_per_kind * 2 {
         let kind = if number % 2 == 0 {
             Kind::Repeatable
         } else {
@@ -157,7 +159,7 @@
         );
         callers.push(actix_rt::spawn(async move {
             let name = format!("c{number}");
-            caller::run(load_balancer, kind, &name, end, recorder, tally).await;
+            caller::run(load_balancer, kind, &name, callers_end, recorder, tally).await;
         }));
     }
     let shape = Shape {
@@ -171,75 +173,81 @@
         options,
         rng: ChaCha8Rng::seed_from_u64(options.seed),
         site: Rc::new(RefCell::new(site)),
-        spans: Rc::default(),
-        injected: Vec::new(),
-        taken: Vec::new(),
-        began: Instant::now(),
+        fault_periods: Rc::default(),
+        injected_faults: Vec::new(),
+        crash_counts: Vec::new(),
+        started: Instant::now(),
     };
-    let stop = soak.began + options.length;
-    let start = || Crashing::start(&soak.site, options.seed);
-    let mut crashing = options.crashing.then(start).transpose()?;
+    let end = soak.started + options.duration;
+    let start = || CrashingRequests::start(&soak.site, options.seed);
+    let mut crashing = options.crashing_requests.then(start).transpose()?;
     let crash = async {
         if let Some(crashing) = &mut crashing {
-            crashing.send(stop).await;
+            crashing.send_until(end).await;
         }
     };
-    tokio::join!(soak.faults(stop), trainer.run(stop), crash);
-    soak.heal().await;
+    tokio::join!(soak.inject_faults(end), trainer.run(end), crash);
+    soak.end_faults().await;
     soak.check_recovery(&mut trainer, &tally).await;
-    soak.check_planned_stops();
+    soak.check_graceful_shutdowns();
     if let Some(crashing) = &crashing {
         crashing.check();
-        let taken = crashing.taken();
-        soak.injected.push(format!(
-            "endpoints that crashed under each request: {taken:?}"
+        let crash_counts = crashing.crash_counts();
+        soak.injected_faults.push(format!(
+            "endpoints that crashed under each request: {crash_counts:?}"
         ));
-        soak.taken = taken.into_values().collect();
+        soak.crash_counts = crash_counts.into_values().collect();
     }
     recorder.check_orders();
     recorder.check_callers(WORKSPACE);
     for caller in callers {
         caller.abort();
     }
-    Ok(soak.report(&trainer, &tally, store.call_count()))
+    Ok(soak.into_report(&trainer, &tally, store.call_count()))
 }
 
 impl Soak {
-    async fn faults(&mut self, stop: Instant) {
+    /// Injects faults one after the other until `end`.
+    async fn inject_faults(&mut self, end: Instant) {
         loop {
-            let mean = self.options.pause.as_millis() as u64;
-            let pause = Duration::from_millis(self.rng.random_range(mean / 4..mean * 2));
-            if Instant::now() + pause >= stop {
+            let mean_millis = self.options.mean_pause.as_millis() as u64;
+            let pause =
+                Duration::from_millis(self.rng.random_range(mean_millis / 4..mean_millis * 2));
+            if Instant::now() + pause >= end {
                 return;
             }
             sleep(pause).await;
-            let trouble = *TROUBLES.choose(&mut self.rng).expect("there are some");
+            let kind = *WEIGHTED_FAULT_KINDS
+                .choose(&mut self.rng)
+                .expect("the list is not empty");
             let length = Duration::from_millis(self.rng.random_range(300..4_000));
-            self.inject(trouble, length).await;
+            self.inject(kind, length).await;
         }
     }
 
-    fn note(&mut self, trouble: Trouble, index: usize, length: Duration) {
-        let at = self.began.elapsed().as_millis();
-        self.injected.push(format!(
-            "{at} ms {trouble:?} {index} for {} ms",
+    /// Records an injected fault for the report.
+    fn record_fault(&mut self, kind: FaultKind, index: usize, length: Duration) {
+        let millis = self.started.elapsed().as_millis();
+        self.injected_faults.push(format!(
+            "{millis} ms {kind:?} {index} for {} ms",
             length.as_millis()
         ));
     }
 
-    /// Notes when a fault is in force; without an instance it may touch all.
-    fn span(&self, instance: Option<usize>, planned: bool, length: Duration) {
+    /// Records that a fault is in force from now on for `length`; `instance` is `None` if it may affect
+    /// all instances.
+    fn record_period(&self, instance: Option<usize>, graceful: bool, length: Duration) {
         let from = Instant::now();
-        self.spans.borrow_mut().push(Span {
+        self.fault_periods.borrow_mut().push(FaultPeriod {
             instance,
-            planned,
+            graceful,
             from,
             to: from + length,
         });
     }
 
-    /// Ends a fault after its time.
-    fn later(&self, length: Duration, end: impl FnOnce(&mut Site) + 'static) {
+    /// Ends a fault by `end` after `length`.
+    fn end_after(&self, length: Duration, end: impl FnOnce(&mut Site) + 'static) {
         let site = Rc::clone(&self.site);
         actix_rt::spawn(async move {
             sleep(length).await;
@@ -247,10 +255,10 @@
         });
     }
 
-    fn report(self, trainer: &Trainer, tally: &Tally, calls: u64) -> Report {
+    fn into_report(self, trainer: &Trainer, tally: &Tally, store_call_count: u64) -> Report {
         let site = self.site.borrow();
-        let broken = site.recorder.violations();
-        let logs = if broken.is_empty() {
+        let violations = site.recorder.violations();
+        let logs = if violations.is_empty() {
             Vec::new()
         } else {
             let lines = site.instances.iter().map(|instance| instance.all_lines());
@@ -258,19 +266,20 @@
         };
         Report {
             seed: self.options.seed,
-            injected: self.injected,
-            taken: self.taken,
-            broken,
-            live: [tally.good.get(), tally.not_run.get(), tally.unknown.get()],
-            steps: [trainer.done, trainer.given_up, trainer.refused],
-            orders: site.recorder.accepted_order_count(),
-            calls,
+            injected_faults: self.injected_faults,
+            crash_counts: self.crash_counts,
+            violations,
+            live_counts: [tally.good.get(), tally.not_run.get(), tally.unknown.get()],
+            step_counts: [trainer.done, trainer.given_up, trainer.refused],
+            accepted_order_count: site.recorder.accepted_order_count(),
+            store_call_count,
             logs,
         }
     }
 }
 
-fn start(site: &mut Site, index: usize) {
+/// Starts the process of an instance. Records a violation if the process cannot be started.
+fn start_instance(site: &mut Site, index: usize) {
     if let Err(error) = site.instances[index].start() {
         let name = site.instances[index].name.clone();
         site.recorder
--- a/crates/pinereel_fakes/tests/hosting_soak.rs
+++ b/crates/pinereel_fakes/tests/hosting_soak.rs
@@ -1,83 +1,86 @@
-//! A short seeded run of the fault soak; `pinereel-fakes soak` runs more.
+//! The soak test with some seeds; `pinereel-fakes soak` runs it with others and for longer.
 
 use pinereel_fakes::hosting::soak::{Options, run};
 use std::time::Duration;
 
-/// Runs a seed and tells all that is needed to trace a broken promise.
-async fn soak(seed: u64, length: Duration) {
-    play(Options {
+/// Runs the soak test with a seed, and asserts that no guarantee was violated.
+async fn run_seed(seed: u64, duration: Duration) {
+    assert_no_violation(Options {
         seed,
-        length,
+        duration,
         ..Options::default()
     })
     .await;
 }
 
-async fn play(options: Options) {
+/// Runs the soak test; if a guarantee was violated, panics with the violations, faults and logs.
+async fn assert_no_violation(options: Options) {
     let report = run(options).await.expect("the site starts");
     println!("{report}");
     assert!(
-        report.broken.is_empty(),
+        report.violations.is_empty(),
         "{:#?}\n{:#?}\n{}",
-        report.broken,
-        report.injected,
+        report.violations,
+        report.injected_faults,
         report.logs.join("\n")
     );
 }
 
 #[actix_rt::test]
-async fn seed_1_keeps_every_promise() {
-    soak(1, Duration::from_secs(10)).await;
+async fn seed_1_violates_no_guarantee() {
+    run_seed(1, Duration::from_secs(10)).await;
 }
 
-/// Finding 11: an instance stands still for 3.8 s and then sends a request that had come before.
+/// An instance that is paused for 3.8 s may then send a request that arrived before the pause to an
+/// endpoint that has announced meanwhile that it leaves.
 #[actix_rt::test]
 async fn seed_803_sends_nothing_to_a_leaving_endpoint() {
-    soak(803, Duration::from_secs(20)).await;
+    run_seed(803, Duration::from_secs(20)).await;
 }
 
-/// Finding 7: the stand-in gave a port back before the process took it.
+/// The site once released a free port before the process bound it, and the port could be in use by
+/// then.
 #[actix_rt::test]
-async fn seed_8_binds_its_addresses() {
-    soak(8, Duration::from_secs(20)).await;
+async fn seed_8_starts_every_process_on_its_addresses() {
+    run_seed(8, Duration::from_secs(20)).await;
 }
 
-/// Finding 13: the soak's own callers ended before all was checked.
+/// The callers of the soak test once ended before the last check, which then found no answer.
 #[actix_rt::test]
-async fn seed_1104_is_answered_after_the_last_fault() {
-    soak(1104, Duration::from_secs(20)).await;
+async fn seed_1104_answers_callers_after_the_last_fault() {
+    run_seed(1104, Duration::from_secs(20)).await;
 }
 
-/// Finding 15: an instance that was cut off 0.5 s after its start had no link to the bulletin.
+/// An instance that was cut off 0.5 s after its start had no link to the broadcast tree.
 #[actix_rt::test]
 async fn seed_1214_sends_nothing_to_a_leaving_endpoint() {
-    soak(1214, Duration::from_secs(20)).await;
+    run_seed(1214, Duration::from_secs(20)).await;
 }
 
-/// Finding 20: an endpoint that left during an outage is taken for one whose entry has lapsed.
+/// An endpoint that left during an outage of the store was taken for one whose entry had expired.
 #[actix_rt::test]
 async fn seed_2207_sends_nothing_to_a_leaving_endpoint() {
-    soak(2207, Duration::from_secs(20)).await;
+    run_seed(2207, Duration::from_secs(20)).await;
 }
 
-/// Requests that crash the endpoints that run them, beside all other faults.
+/// Requests that crash the endpoints that run them are sent while all other faults are injected.
 #[actix_rt::test]
-async fn seed_2401_takes_few_endpoints_under_requests_that_crash_them() {
-    play(Options {
+async fn seed_2401_limits_the_endpoints_that_a_request_crashes() {
+    assert_no_violation(Options {
         seed: 2401,
-        crashing: true,
+        crashing_requests: true,
         ..Options::default()
     })
     .await;
 }
 
-/// Finding 28: an instance that stops has sent its children away and has no link yet when it sees three crashes, and is
-/// paused then; the others take four more endpoints.
+/// An instance that shuts down has disconnected its children and has no link itself yet when it
+/// detects three crashes, and is paused then. At the others, the request crashed four more endpoints.
 #[actix_rt::test]
-async fn seed_6007_takes_few_endpoints_beside_an_instance_that_stops() {
-    play(Options {
+async fn seed_6007_limits_the_crashes_while_an_instance_shuts_down() {
+    assert_no_violation(Options {
         seed: 6007,
-        crashing: true,
+        crashing_requests: true,
         ..Options::default()
     })
     .await;
