--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sends live requests and checks each answer.
+//! A fake caller that sends live requests and checks each answer.
 
 use super::{
     http::{Answer, Failure, call},
--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`] and
+//! A fake endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`] and
 //! restarts some seconds later at the same address with a new id.
 //!
 //! The process ([`main`]) aborts, so that the operating system closes its connections and its
@@ -297,7 +297,7 @@
     })
 }
 
-/// Path of the binary of the stand-ins.
+/// Returns the path of the binary that contains the fakes.
 fn binary() -> io::Result<std::path::PathBuf> {
     super::site::binary_path("pinereel-fakes")
 }
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: streams the events of items, loads versions of the weights on orders, and
+//! A fake model engine: streams the events of items, loads versions of the weights on orders, and
 //! registers in the store.
 
 use super::{
@@ -49,7 +49,7 @@
     pub late_orders: bool,
 }
 
-/// A running engine.
+/// A running fake engine.
 #[derive(Clone)]
 pub struct Engine {
     /// Id of the engine.
--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the stand-ins, which uses a new connection for each call.
+//! The HTTP client of the fakes, which uses a new connection for each call.
 
 use actix_http::{
     Method, RequestHead, StatusCode,
--- a/crates/pinereel_fakes/src/hosting/load_balancer.rs
+++ b/crates/pinereel_fakes/src/hosting/load_balancer.rs
@@ -1,4 +1,5 @@
-//! The platform's load balancer: distributes callers' new connections over the ready instances.
+//! A fake of the platform's load balancer: distributes callers' new connections over the ready
+//! instances.
 
 use super::http::call;
 use actix_http::Method;
--- a/crates/pinereel_fakes/src/hosting/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform that hosts pinereel: its object store, its endpoints and its callers.
+//! Fakes of the platform that hosts pinereel: its object store, its endpoints and its callers.
 //!
 //! They implement the platform's published protocol, so that the real binary can be run against
 //! them as separate processes. The connections go through proxies that can delay, drop and reset
@@ -14,7 +14,7 @@
 //! - [`site`]: all of these together.
 //! - [`load_balancer`]: distributes callers' connections over the instances.
 //! - [`caller`], [`trainer`]: clients that check the answers they get.
-//! - [`http`]: the HTTP client of the stand-ins.
+//! - [`http`]: the HTTP client of the fakes.
 //! - [`recorder`]: records what callers and endpoints observed, and checks the guarantees.
 //! - [`cli`]: the command line of the soak test.
 //! - [`soak`]: a soak test, which injects seeded faults while clients send requests.
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's API for the calls of lease holders: accepts usage reports and scale requests, and
-//! checks them.
+//! A fake of the platform's API for the calls of lease holders: accepts usage reports and scale
+//! requests, and checks them.
 
 use super::{engine::header, recorder::Recorder};
 use actix_http::{HttpMessage as _, StatusCode};
@@ -33,7 +33,7 @@
 /// Number of requests of each workspace in a time window.
 pub type RequestCounts = BTreeMap<String, u64>;
 
-/// The running API.
+/// A running fake API.
 #[derive(Clone)]
 pub struct Platform {
     /// Address at which the API is served.
--- a/crates/pinereel_fakes/src/hosting/recorder.rs
+++ b/crates/pinereel_fakes/src/hosting/recorder.rs
@@ -32,7 +32,7 @@
     pub credential: Option<String>,
 }
 
-/// The observations of all stand-ins of a site, and the violations of guarantees.
+/// The observations of all fakes of a site, and the violations of guarantees.
 #[derive(Default)]
 pub struct Recorder {
     inner: RefCell<Inner>,
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,4 +1,4 @@
-//! An endpoint of a plain service: runs requests, stamps its answers and registers in the store.
+//! A fake endpoint of a plain service: runs requests, stamps its answers and registers in the store.
 
 use super::{
     engine::{caller_identity, header, response_stamp, set_header},
@@ -37,7 +37,7 @@
     pub delay: Duration,
 }
 
-/// A running service endpoint.
+/// A running fake endpoint of a plain service.
 #[derive(Clone)]
 pub struct Service {
     /// Id of the endpoint.
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -71,7 +71,7 @@
     pub store: Store,
     /// The platform's API for the calls of lease holders.
     pub platform: Platform,
-    /// What the stand-ins observed.
+    /// What the fakes observed.
     pub recorder: Rc<Recorder>,
     /// The engines, in the order in which they were added.
     pub engines: Vec<Proxied<Engine>>,
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -1,4 +1,4 @@
-//! The platform's object store: revisions, conditional writes, watches, and injected faults.
+//! A fake of the platform's object store: revisions, conditional writes, watches, and injected faults.
 
 use actix_http::{Method, StatusCode};
 use compact_str::CompactString;
@@ -68,7 +68,7 @@
     compacted_revision: u64,
 }
 
-/// A running store.
+/// A running fake store.
 #[derive(Clone)]
 pub struct Store {
     /// Address at which the store serves.
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that submits lots, reads their results at any instance, and checks each result.
+//! A fake trainer that submits lots, reads their results at any instance, and checks each result.
 
 use super::{
     engine,
@@ -38,7 +38,7 @@
     pub wanted_groups: usize,
 }
 
-/// A trainer, which names a new version of the weights after each step.
+/// A fake trainer, which announces a new version of the weights after each step.
 pub struct Trainer {
     load_balancer: Rc<LoadBalancer>,
     store: Store,
@@ -46,7 +46,7 @@
     rng: ChaCha8Rng,
     shape: Shape,
     name: String,
-    /// Newest version of the weights that was named.
+    /// Newest version of the weights that was announced.
     version: u64,
     /// Number of steps that got their groups in time.
     pub done: u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Runs a step: submits a lot, reads its results, ends it and names the next version.
+    /// Runs a step: submits a lot, reads its results, ends it and announces the next version.
     pub async fn step(&mut self, step: u64) {
         let lot = format!("{}-{step}", self.name);
         let oldest = self.version.saturating_sub(1).max(1);
--- a/crates/pinereel_fakes/tests/hosting_list_watch.rs
+++ b/crates/pinereel_fakes/tests/hosting_list_watch.rs
@@ -19,14 +19,14 @@
 /// The numbers in the objects of all updates so far, with the times of the updates.
 type ReceivedNumbers = Rc<RefCell<Vec<(Instant, u64)>>>;
 
-/// Starts a stand-in for the store and a list and watch whose watches wait for `max_wait` at most.
-/// Returns the stand-in, its client, and the numbers received.
+/// Starts a fake store and a list and watch whose watches wait for `max_wait` at most.
+/// Returns the fake store, its client, and the numbers received.
 async fn start(
     max_wait: Duration,
     feed: Option<broadcast::Receiver<FeedEvent>>,
 ) -> (store::Store, Store, ReceivedNumbers) {
-    let stand_in = store::Store::start(1).await.expect("a free port");
-    let client_options = stand_in.client_options();
+    let fake_store = store::Store::start(1).await.expect("a free port");
+    let client_options = fake_store.client_options();
     let store = Store::new(Client::new(client_options, Clock::new()), adapter().store);
     let received = ReceivedNumbers::default();
     let (watched_store, recorded) = (store.clone(), Rc::clone(&received));
@@ -48,7 +48,7 @@
     });
     let probed = store.clone();
     actix_rt::spawn(async move { probed.probe_in_outages(KIND, "a", || false).await });
-    (stand_in, store, received)
+    (fake_store, store, received)
 }
 
 fn record(received: &ReceivedNumbers, update: Update) {
@@ -70,16 +70,16 @@
 /// that watch stayed open.
 #[actix_rt::test]
 async fn a_change_that_a_stale_watch_misses_is_listed() {
-    let (stand_in, store, received) = start(Duration::from_millis(200), None).await;
-    stand_in.put(KIND, "a", json!({"x": 1}));
+    let (fake_store, store, received) = start(Duration::from_millis(200), None).await;
+    fake_store.put(KIND, "a", json!({"x": 1}));
     sleep(Duration::from_millis(300)).await;
-    stand_in.set_faults(Faults::DOWN);
+    fake_store.set_faults(Faults::DOWN);
     // The open watch times out, and the next one is refused.
     sleep(Duration::from_millis(500)).await;
     assert!(store.unreachable_since().is_some());
-    stand_in.put(KIND, "a", json!({"x": 2}));
-    stand_in.compact();
-    stand_in.set_faults(Faults {
+    fake_store.put(KIND, "a", json!({"x": 2}));
+    fake_store.compact();
+    fake_store.set_faults(Faults {
         accept_stale_watches: true,
         ..Faults::default()
     });
@@ -92,12 +92,12 @@
 #[actix_rt::test]
 async fn repeated_losses_of_the_feed_cause_no_call() {
     let (feed, feed_receiver) = broadcast::channel(8);
-    let (stand_in, _, received) = start(Duration::from_secs(10), Some(feed_receiver)).await;
-    stand_in.put(KIND, "a", json!({"x": 1}));
+    let (fake_store, _, received) = start(Duration::from_secs(10), Some(feed_receiver)).await;
+    fake_store.put(KIND, "a", json!({"x": 1}));
     for _ in 0..6 {
         feed.send(FeedEvent::Lost).expect("the receiver is alive");
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(received.borrow().last().map(|(_, x)| *x), Some(1));
-    assert_eq!(stand_in.call_count(), 2, "a list and a watch");
+    assert_eq!(fake_store.call_count(), 2, "a list and a watch");
 }
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -1,5 +1,5 @@
 //! Requests and lots end to end: the real binary, with the deployment's settings template, on the
-//! stand-ins for the platform.
+//! fakes of the platform.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
--- a/crates/pinereel_fakes/tests/hosting_store.rs
+++ b/crates/pinereel_fakes/tests/hosting_store.rs
@@ -1,4 +1,4 @@
-//! The object store client of a hosted instance, against the stand-in for the store.
+//! The object store client of a hosted instance, against a fake store.
 
 use pinereel::{
     hosted::Store,
@@ -12,11 +12,11 @@
 use tokio::time::sleep;
 
 async fn start() -> (store::Store, Store) {
-    let stand_in = store::Store::start(1).await.expect("a free port");
+    let fake_store = store::Store::start(1).await.expect("a free port");
     let clock = Clock::new();
-    let options = stand_in.client_options();
+    let options = fake_store.client_options();
     let client = Client::new(options, clock);
-    (stand_in, Store::new(client, adapter().store))
+    (fake_store, Store::new(client, adapter().store))
 }
 
 async fn can_read(store: &Store) -> bool {
@@ -26,19 +26,19 @@
 
 #[actix_rt::test]
 async fn probes_detect_the_end_of_an_outage_without_other_calls() {
-    let (stand_in, store) = start().await;
-    stand_in.set_faults(store::Faults::DOWN);
+    let (fake_store, store) = start().await;
+    fake_store.set_faults(store::Faults::DOWN);
     assert!(!can_read(&store).await);
     assert!(store.unreachable_since().is_some());
     let probed = store.clone();
     actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
-    stand_in.set_faults(store::Faults::default());
+    fake_store.set_faults(store::Faults::default());
     sleep(Duration::from_secs(2)).await;
     assert_eq!(store.unreachable_since(), None);
-    let calls = stand_in.call_count();
+    let calls = fake_store.call_count();
     sleep(Duration::from_secs(1)).await;
     assert_eq!(
-        stand_in.call_count(),
+        fake_store.call_count(),
         calls,
         "no calls while the store is reachable"
     );
@@ -49,17 +49,17 @@
 /// 0.05 s to 0.7 s late.
 #[actix_rt::test]
 async fn the_end_of_an_outage_is_detected_within_two_probes() {
-    let (stand_in, store) = start().await;
-    stand_in.set_faults(store::Faults::DOWN);
+    let (fake_store, store) = start().await;
+    fake_store.set_faults(store::Faults::DOWN);
     // The backoff of all other calls grows to its maximum, and one of them has just failed.
     let mut sent = 0;
     while sent < 8 {
-        let calls = stand_in.call_count();
+        let calls = fake_store.call_count();
         assert!(!can_read(&store).await);
-        sent += stand_in.call_count() - calls;
+        sent += fake_store.call_count() - calls;
         sleep(Duration::from_millis(if sent < 8 { 20 } else { 0 })).await;
     }
-    stand_in.set_faults(store::Faults::default());
+    fake_store.set_faults(store::Faults::default());
     let probed = store.clone();
     actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
     sleep(Duration::from_millis(330)).await;
@@ -71,13 +71,13 @@
 /// much as others, so their number must be limited.
 #[actix_rt::test]
 async fn only_probes_and_lots_are_sent_during_an_outage() {
-    let (stand_in, store) = start().await;
+    let (fake_store, store) = start().await;
     let probed = store.clone();
     actix_rt::spawn(async move { probed.probe_in_outages("config", "main", || false).await });
-    stand_in.set_faults(store::Faults::DOWN);
+    fake_store.set_faults(store::Faults::DOWN);
     assert!(!can_read(&store).await);
     sleep(Duration::from_millis(1_200)).await;
-    let calls = stand_in.call_count();
+    let calls = fake_store.call_count();
     let mut refused = Vec::new();
     for _ in 0..40 {
         let read = store.read(Purpose::Leases, "leases", "a", Consistency::Linearizable);
@@ -90,37 +90,37 @@
         "{refused:?}"
     );
     assert_eq!(refused.len(), 40);
-    let probes = stand_in.call_count() - calls;
+    let probes = fake_store.call_count() - calls;
     assert!((11..=15).contains(&probes), "{probes} in 2 s");
     let lot = store.create(Purpose::Lots, "lots", "a", "{}").await;
     assert!(
         matches!(lot, Err(Error::Refused(_))),
         "the lot was not sent: {lot:?}"
     );
-    stand_in.set_faults(store::Faults::default());
+    fake_store.set_faults(store::Faults::default());
     sleep(Duration::from_millis(330)).await;
     assert!(can_read(&store).await);
 }
 
 #[actix_rt::test]
 async fn only_a_definite_refusal_counts_as_having_no_effect() {
-    let (stand_in, store) = start().await;
+    let (fake_store, store) = start().await;
     let first = store.create(Purpose::Lots, "lots", "a", r#"{"x":1}"#).await;
     assert_eq!(first.map(|object| object.spec["x"].clone()), Ok(1.into()));
     let again = store.create(Purpose::Lots, "lots", "a", "{}").await;
     assert_eq!(again, Err(pinereel::objects::Error::Conflict));
-    stand_in.set_faults(store::Faults {
+    fake_store.set_faults(store::Faults {
         loss_probability: 1.0,
         ..store::Faults::default()
     });
     let lost = store.create(Purpose::Lots, "lots", "b", "{}").await;
     assert!(lost.is_err_and(|error| !error.had_no_effect()));
-    stand_in.set_faults(store::Faults::DOWN);
+    fake_store.set_faults(store::Faults::DOWN);
     let down = store.create(Purpose::Lots, "lots", "c", "{}").await;
     assert!(down.is_err_and(|error| error.had_no_effect()));
     assert!(
-        stand_in.spec("lots", "b").is_some(),
+        fake_store.spec("lots", "b").is_some(),
         "the write was carried out"
     );
-    assert!(stand_in.spec("lots", "c").is_none());
+    assert!(fake_store.spec("lots", "c").is_none());
 }
--- a/crates/pinereel_fakes/tests/hosting_usage.rs
+++ b/crates/pinereel_fakes/tests/hosting_usage.rs
@@ -75,7 +75,7 @@
 }
 
 /// Asserts that all windows from the first to the last reported one have a report, and that the
-/// stand-ins recorded no violation.
+/// fakes recorded no violation.
 fn assert_no_missing_window(site: &Site) {
     let reports = site.platform.reports();
     let (first, last) = (reports.first_key_value(), reports.last_key_value());
