--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -82,7 +82,7 @@
         ("authorization", format!("Bearer {API_KEY}")),
     ];
     let body = Bytes::from(format!("from {id}"));
-    // The answer should arrive before the deadline, so this leaves it a little more time.
+    // The answer should arrive before the deadline; the timeout leaves it a little more time.
     let timeout = DEADLINE + Duration::from_millis(500);
     match call(address, Method::POST, path, &headers, body, timeout).await {
         Ok(answer) => check_answer(kind, id, &answer, recorder, tally),
@@ -100,12 +100,12 @@
 fn check_answer(kind: Kind, id: &str, answer: &Answer, recorder: &Recorder, tally: &Tally) {
     if answer.status.is_success() {
         increment(&tally.good);
-        let is_whole = answer.body == service::answer_body(id).as_bytes();
+        let is_complete = answer.body == service::answer_body(id).as_bytes();
         let has_stamp = answer.header("x-response-stamp").is_some();
         let has_own_id = answer.header("x-request-id") == Some(id);
-        if !(is_whole && has_stamp && has_own_id) {
+        if !(is_complete && has_stamp && has_own_id) {
             recorder.record_violation(format!(
-                "{id} got an answer that is not its own or not whole"
+                "{id} got an answer that is incomplete or of another request"
             ));
         }
         return;
@@ -114,14 +114,16 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             increment(&tally.not_run);
             if kind == Kind::Once && recorder.run_count(id) > 0 {
-                recorder.record_violation(format!("{id} was refused as not run, and ran"));
+                recorder.record_violation(format!("{id} was refused as not run, but ran"));
             }
             if answer.header("retry-after").is_none() {
-                recorder.record_violation(format!("{id} was refused without a time to come back"));
+                recorder.record_violation(format!("{id} was refused without a Retry-After header"));
             }
         }
-        StatusCode::UNAUTHORIZED => recorder.record_violation(format!("{id} was refused its key")),
-        StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} found no route")),
+        StatusCode::UNAUTHORIZED => {
+            recorder.record_violation(format!("{id} was refused for its API key"))
+        }
+        StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} matched no route")),
         _ => increment(&tally.unknown),
     }
 }
--- a/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
+++ b/crates/pinereel_fakes/src/hosting/crashing_endpoint.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`] and
-//! restarts some seconds later at the same address with a new id.
+//! A fake endpoint in a process of its own, which crashes on requests that contain [`CRASH_MARKER`]
+//! and restarts some seconds later at the same address with a new id.
 //!
 //! The process ([`main`]) aborts, so that the operating system closes its connections and its
 //! listener, as after a real crash. [`Endpoint`] starts and restarts it from the test's process.
@@ -209,8 +209,12 @@
 
     /// Returns the output of all processes of the endpoint.
     fn lines(&self) -> Vec<String> {
-        let now = self.child.borrow().as_ref().map(Child::lines);
-        [self.earlier_lines.borrow().clone(), now.unwrap_or_default()].concat()
+        let current_lines = self.child.borrow().as_ref().map(Child::lines);
+        [
+            self.earlier_lines.borrow().clone(),
+            current_lines.unwrap_or_default(),
+        ]
+        .concat()
     }
 
     /// Starts the process and registers the endpoint.
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -45,7 +45,7 @@
     pub slow_factor: u32,
     /// Number of events after which each stream is aborted.
     pub cut_after: Option<u64>,
-    /// Whether orders are carried out after 1 s and answered only a minute later.
+    /// Whether orders are carried out after 1 s and answered only a minute after that.
     pub late_orders: bool,
 }
 
@@ -72,7 +72,8 @@
     order_count: Cell<u64>,
     /// Highest fencing token of an order since the last start.
     max_fencing_token: Cell<u64>,
-    /// Number of this start, in place of its time in milliseconds: only the order matters.
+    /// Number of this start. It is registered in place of the time of the start in milliseconds, since
+    /// only the order matters.
     incarnation: Cell<u64>,
     /// Number of running requests.
     running: Rc<Cell<u32>>,
@@ -341,14 +342,21 @@
         return Some((aborted, (state, item, u64::MAX, version, sent_count, guard)));
     }
     sleep(EVENT_TIME * faults.slow_factor.max(1)).await;
-    let now = state.version.get();
+    let current_version = state.version.get();
     let mut event = format!("id: {number}\n");
-    if now != version {
-        event.push_str(&format!("x-weight-versions: {now}\n"));
+    if current_version != version {
+        event.push_str(&format!("x-weight-versions: {current_version}\n"));
     }
     event.push_str(&format!("data: {}\n\n", event_data(&item, number)));
-    state.recorder.record_event(&item, now);
-    let next = (state, item, number + 1, now, sent_count + 1, guard);
+    state.recorder.record_event(&item, current_version);
+    let next = (
+        state,
+        item,
+        number + 1,
+        current_version,
+        sent_count + 1,
+        guard,
+    );
     Some((Ok(event.into()), next))
 }
 
--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -41,7 +41,8 @@
 /// Sends a request on a new connection, and reads the complete answer.
 ///
 /// # Errors
-/// If the answer is not complete within `time_limit`.
+/// If no connection can be opened, or the answer is not complete before the connection is closed or
+/// within `time_limit`.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/crates/pinereel_fakes/src/hosting/instance.rs
+++ b/crates/pinereel_fakes/src/hosting/instance.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// The binary under test.
+/// Returns the path of the binary under test.
 fn binary() -> io::Result<PathBuf> {
     binary_path("pinereel")
 }
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -145,19 +145,22 @@
         match path.as_str() {
             "/usage" => self.record_usage(&body),
             "/scale" => self.record_scale_request(&body),
-            _ => self.recorder.record_violation(format!("a call to {path}")),
+            _ => self
+                .recorder
+                .record_violation(format!("unexpected call to {path}")),
         }
         StatusCode::OK
     }
 
-    /// Returns whether no earlier call to `path` had a higher fencing token. If so, records `fence`.
+    /// Returns whether no earlier call to `path` had a higher fencing token than `fence`. If so, records
+    /// `fence` and its holder.
     fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
         let mut max_fences = self.max_fences.borrow_mut();
         let max_of_path = max_fences.entry(path.into()).or_default();
         if fence == max_of_path.0 && holder != max_of_path.1 {
             let other = &max_of_path.1;
             self.recorder.record_violation(format!(
-                "{holder} and {other} both called under fence {fence}"
+                "{holder} and {other} both called with fencing token {fence}"
             ));
         }
         if fence < max_of_path.0 {
@@ -172,7 +175,7 @@
         let count = body["desiredCount"].as_u64().unwrap_or_default();
         if body["spot"] != true {
             self.recorder.record_violation(format!(
-                "endpoints of the usual kind were asked for: {body}"
+                "endpoints other than spot endpoints were requested: {body}"
             ));
         }
         self.desired_spot_counts
--- a/crates/pinereel_fakes/src/hosting/proxy.rs
+++ b/crates/pinereel_fakes/src/hosting/proxy.rs
@@ -20,7 +20,7 @@
 /// The faults in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Delay of each part that is read.
+    /// Delay of each chunk of bytes that is read.
     pub delay: Duration,
     /// Whether the bytes that clients send are dropped; connections stay open.
     pub drop_requests: bool,
@@ -106,7 +106,7 @@
             return;
         };
         let mut resets = self.resets.subscribe();
-        // Without this, the kernel would hold back small parts to join them with later ones.
+        // Without this, the kernel would delay small chunks to join them with later ones.
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let (from_client, to_client) = client.into_split();
         let (from_server, to_server) = server.into_split();
--- a/crates/pinereel_fakes/src/hosting/recorder.rs
+++ b/crates/pinereel_fakes/src/hosting/recorder.rs
@@ -23,7 +23,7 @@
     pub accepted: bool,
 }
 
-/// What an endpoint was told about the caller of a request.
+/// What the headers of a request told an endpoint about the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerIdentity {
     /// Workspace of the caller.
@@ -165,13 +165,15 @@
             if *holder != order.holder {
                 let (fence, other) = (order.fence, &order.holder);
                 self.record_violation(format!(
-                    "{holder} and {other} both ordered under fence {fence}"
+                    "{holder} and {other} both sent orders with fencing token {fence}"
                 ));
             }
             let max_fence = max_fences.entry(&order.engine).or_default();
             if order.accepted && order.fence < *max_fence {
                 let (engine, fence) = (&order.engine, order.fence);
-                self.record_violation(format!("{engine} accepted fence {fence} after {max_fence}"));
+                self.record_violation(format!(
+                    "{engine} accepted fencing token {fence} after {max_fence}"
+                ));
             }
             *max_fence = order.fence.max(*max_fence);
         }
@@ -182,12 +184,14 @@
         let callers = self.inner.borrow().callers.clone();
         for (id, callers) in callers {
             for caller in callers {
-                let is_true = caller
+                let is_expected = caller
                     .workspace
                     .as_deref()
-                    .is_none_or(|told| told == workspace);
-                if !is_true || caller.credential.is_some() {
-                    self.record_violation(format!("{id} came to an endpoint as {caller:?}"));
+                    .is_none_or(|own| own == workspace);
+                if !is_expected || caller.credential.is_some() {
+                    self.record_violation(format!(
+                        "{id} was sent to an endpoint as the request of {caller:?}"
+                    ));
                 }
             }
         }
--- a/crates/pinereel_fakes/src/hosting/site.rs
+++ b/crates/pinereel_fakes/src/hosting/site.rs
@@ -147,7 +147,7 @@
         self.last_number
     }
 
-    /// Writes the next configuration to the store. The live route goes to the service `live`, all
+    /// Writes the next configuration to the store. The live route leads to the service `live`, all
     /// routes get `timeout`, and the route `/only-N/` exists only in version N.
     pub fn configure(&mut self, live: &str, timeout: Duration) {
         self.config_version += 2;
@@ -316,8 +316,8 @@
 ///
 /// Free ports found by binding and closing a listener are not safe: a process that is being started
 /// at the same time holds a copy of the listener until its `exec`, so that the port may still be in
-/// use. With four starters and six busy processes, 107 of 26,667 second binds failed for this
-/// reason; without starters, none of 28,838 did.
+/// use. While four others kept starting processes beside six busy processes, 107 of 26,667 binds of
+/// a released port failed for this reason; without those four, none of 28,838 did.
 pub(super) fn unique_loopback_ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -202,8 +202,8 @@
             status: Value::Null,
         });
         change(&mut stored);
-        let same = before.is_some_and(|b| b.spec == stored.spec && b.status == stored.status);
-        if same {
+        let unchanged = before.is_some_and(|b| b.spec == stored.spec && b.status == stored.status);
+        if unchanged {
             return object_json(name, &stored);
         }
         stored.revision = revision;
@@ -360,8 +360,8 @@
 
     fn update(&self, kind: &str, name: &str, body: &Value) -> Result<Value, WriteError> {
         let stored = self.find(kind, name).ok_or(WriteError::NotFound)?;
-        let wanted = body["metadata"]["revision"].as_u64();
-        if wanted.is_some_and(|wanted| wanted != stored.revision) {
+        let expected_revision = body["metadata"]["revision"].as_u64();
+        if expected_revision.is_some_and(|revision| revision != stored.revision) {
             return Err(WriteError::Conflict(object_json(name, &stored)));
         }
         Ok(self.write(kind, name, |stored| stored.spec = body["spec"].clone()))
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -216,7 +216,7 @@
         let results = page["results"].as_array().cloned().unwrap_or_default();
         if from < next && results.is_empty() {
             self.recorder
-                .record_violation(format!("lot {lot}: position {from} went away"));
+                .record_violation(format!("lot {lot}: position {from} disappeared"));
         }
         for (offset, result) in results.into_iter().enumerate() {
             let previous = known.insert(from + offset, result.clone());
@@ -254,8 +254,9 @@
         for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if !items.contains_key(id) {
-                self.recorder
-                    .record_violation(format!("lot {lot} lists {id}, which is not its item"));
+                self.recorder.record_violation(format!(
+                    "lot {lot} lists {id}, which is not one of its items"
+                ));
             }
             if !ids.insert(id) {
                 self.recorder
@@ -270,13 +271,13 @@
     fn check_completed(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
             self.recorder
-                .record_violation(format!("{id}: the text is not whole"));
+                .record_violation(format!("{id}: the text is incomplete or wrong"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
         let versions: BTreeSet<_> = versions.iter().filter_map(Value::as_u64).collect();
         if versions.is_empty() || !versions.is_subset(&self.recorder.versions(id)) {
             self.recorder
-                .record_violation(format!("{id}: versions {versions:?} did not make it"));
+                .record_violation(format!("{id}: versions {versions:?} did not produce it"));
         }
         if versions.iter().any(|version| *version < oldest) {
             self.recorder.record_violation(format!(
@@ -286,7 +287,7 @@
         let score = result["score"].as_str().unwrap_or_default();
         if !score.ends_with(&format!("{id}.s")) {
             self.recorder
-                .record_violation(format!("{id}: score {score:?} is not its scorer's"));
+                .record_violation(format!("{id}: score {score:?} was not given by its scorer"));
         }
     }
 
@@ -305,7 +306,7 @@
                     sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
                     if recorder.any_arrived_after(&items, last_arrival_by) {
                         recorder.record_violation(format!(
-                            "lot {lot}: an item was run long after its end"
+                            "lot {lot}: an engine received an item long after the end of the lot"
                         ));
                     }
                 });
--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -2,7 +2,7 @@
 //!
 //! The request is retried under new ids at every instance. Without a record of its crashes, each
 //! attempt may use every endpoint again: all four endpoints crashed within 0.3 s, restarted after
-//! 3.5 s and crashed again, 12 and 21 times in a day, while all other callers were refused.
+//! 3.5 s and crashed again, 12 and 21 times in a benchmark run, while all other callers were refused.
 //!
 //! A crash must also count as an attempt that ran. When an idle connection is lost under the
 //! request, it is sent again over a fresh one, which the crashed endpoint refuses. If this counts
@@ -63,9 +63,9 @@
     ((0..count).map(start).collect(), crashes)
 }
 
-/// Starts `count` callers that send other requests for `span`.
-fn start_callers(site: &Site, count: usize, span: Duration) -> Rc<Tally> {
-    let (load_balancer, end) = (site.load_balancer(), Instant::now() + span);
+/// Starts `count` callers that send other requests for `duration`.
+fn start_callers(site: &Site, count: usize, duration: Duration) -> Rc<Tally> {
+    let (load_balancer, end) = (site.load_balancer(), Instant::now() + duration);
     let tally = Rc::new(Tally::default());
     for number in 0..count {
         let (load_balancer, recorder) = (Rc::clone(&load_balancer), Rc::clone(&site.recorder));
@@ -78,9 +78,9 @@
     tally
 }
 
-/// Sends the request at each instance in turn for `span`.
-async fn send_repeatedly(site: &Site, body: &str, span: Duration) {
-    let end = Instant::now() + span;
+/// Sends the request at each instance in turn for `duration`.
+async fn send_repeatedly(site: &Site, body: &str, duration: Duration) {
+    let end = Instant::now() + duration;
     while Instant::now() < end {
         for instance in &site.instances {
             // The test checks the crashes and later answers.
@@ -306,7 +306,7 @@
 }
 
 /// Runs a lot whose first item crashes the engines or scorers that run it. It crashes exactly three
-/// and then stays without a result until its deadline, since no result would be true; the other
+/// and then stays without a result until its deadline, since no result would be correct; the other
 /// items complete.
 async fn run_small_lot(seed: u64, lot: &str, crashing: &serde_json::Value) {
     let (site, _endpoints, crashes) = crashing_site(seed).await;
@@ -346,7 +346,7 @@
 ///
 /// A crash ends every run at the endpoint, 8 at an engine and up to 30 at a scorer. If all of those
 /// run together again, the next crashes cannot be attributed to one request: a request under which
-/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a day of
+/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a benchmark run of
 /// 40 s, and 41 % and 65 % of the callers' work was not done.
 async fn run_large_lot(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
     let (site, _endpoints, crashes) = crashing_site(seed).await;
@@ -402,11 +402,11 @@
     }
     assert!(crashes.borrow().len() >= 10, "{}", crashes.borrow().len());
     let lines: Vec<_> = site.instances.iter().flat_map(Instance::lines).collect();
-    let verdicts: Vec<_> = lines
+    let blocked_requests: Vec<_> = lines
         .iter()
         .filter(|line| line.contains("\"verdict\""))
         .collect();
-    assert_eq!(verdicts, Vec::<&String>::new());
+    assert_eq!(blocked_requests, Vec::<&String>::new());
     assert!(tally.good.get() > 200, "{tally:?}");
     assert_eq!(recorder.violations(), Vec::<String>::new());
 }
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -1,8 +1,8 @@
 //! Callers' API keys and workspaces, end to end with real processes.
 //!
 //! Guards against requests that are forwarded without a check of their key. Without it, 3,617
-//! requests of a day without faults reached endpoints with the caller's key and without its
-//! workspace, one had a key that was never configured, and on days that revoke keys up to 63
+//! requests of a benchmark run without faults reached endpoints with the caller's key and without its
+//! workspace, one had a key that was never configured, and in runs that revoke keys up to 63
 //! requests ran with a key that had been revoked for 4 s.
 
 use actix_http::{Method, StatusCode};
@@ -104,8 +104,8 @@
     set_keys(&mut site, &[A2], &[B1, B2]);
     sleep(CONFIG_PROPAGATION_TIME).await;
     for (number, instance) in site.instances.iter().enumerate() {
-        let gone = live_status(instance, &format!("g-{number}"), Some(A1)).await;
-        assert_eq!(gone, StatusCode::UNAUTHORIZED);
+        let revoked = live_status(instance, &format!("g-{number}"), Some(A1)).await;
+        assert_eq!(revoked, StatusCode::UNAUTHORIZED);
         let new = live_status(instance, &format!("n-{number}"), Some(B2)).await;
         assert_eq!(new, StatusCode::OK);
     }
--- a/crates/pinereel_fakes/tests/hosting_list_watch.rs
+++ b/crates/pinereel_fakes/tests/hosting_list_watch.rs
@@ -87,8 +87,8 @@
     assert_eq!(received.borrow().last().map(|(_, x)| *x), Some(2));
 }
 
-/// When the root of the broadcast tree has failed, every instance tries in vain to connect again four
-/// times a second. Each attempt reported the loss again and started a new watch.
+/// When the root of the broadcast tree has failed, every instance tries to reconnect four times a
+/// second and fails. Each attempt once reported the loss again and started a new watch.
 #[actix_rt::test]
 async fn repeated_losses_of_the_feed_cause_no_call() {
     let (feed, feed_receiver) = broadcast::channel(8);
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -183,8 +183,8 @@
     assert_eq!(page["nextToken"], 1);
 }
 
-/// Dozens of ended lots may still be stored when a runner starts, which lists them all before it
-/// works on the open ones. The store must therefore not keep their items.
+/// A runner that starts lists all stored lots before it works on the open ones, and dozens of them
+/// may have ended. The store must therefore not keep the items of ended lots.
 #[actix_rt::test]
 async fn an_ended_lot_loses_its_items_and_keeps_its_results() {
     let site = Site::start(SITE_SIZE, 121).await.unwrap();
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -15,7 +15,7 @@
     engines: 1,
     services: 1,
 };
-/// Number of items that is too large for one engine to start all within the time of most texts.
+/// Number of items of which one engine cannot start all within the time that most texts take.
 const ITEMS_BEYOND_SLOTS: usize = 120;
 
 async fn submit(site: &Site, lot: &str, items: usize) {
