--- a/crates/pinereel_fakes/src/hosting/caller.rs
+++ b/crates/pinereel_fakes/src/hosting/caller.rs
@@ -120,9 +120,7 @@
                 recorder.record_violation(format!("{id} was refused without a Retry-After header"));
             }
         }
-        StatusCode::UNAUTHORIZED => {
-            recorder.record_violation(format!("{id} was refused for its API key"))
-        }
+        StatusCode::UNAUTHORIZED => recorder.record_violation(format!("{id}: the key was refused")),
         StatusCode::NOT_FOUND => recorder.record_violation(format!("{id} matched no route")),
         _ => increment(&tally.unknown),
     }
--- a/crates/pinereel_fakes/src/hosting/cli.rs
+++ b/crates/pinereel_fakes/src/hosting/cli.rs
@@ -25,8 +25,8 @@
     log_folder: Option<PathBuf>,
 }
 
-/// Runs the soak test with each seed. The exit code is 1 if a seed violated a guarantee or could not
-/// run, and 2 if the flags are invalid.
+/// Runs the soak test with each seed. The exit code is 1 if a seed violated a guarantee or could
+/// not run, and 2 if the flags are invalid.
 pub fn main(parser: Parser) -> ExitCode {
     let flags = match parse_flags(parser) {
         Ok(flags) => flags,
--- a/crates/pinereel_fakes/src/hosting/engine.rs
+++ b/crates/pinereel_fakes/src/hosting/engine.rs
@@ -72,8 +72,8 @@
     order_count: Cell<u64>,
     /// Highest fencing token of an order since the last start.
     max_fencing_token: Cell<u64>,
-    /// Number of this start. It is registered in place of the time of the start in milliseconds, since
-    /// only the order matters.
+    /// Number of this start. It is registered in place of the time of the start in milliseconds,
+    /// since only the order matters.
     incarnation: Cell<u64>,
     /// Number of running requests.
     running: Rc<Cell<u32>>,
@@ -326,8 +326,8 @@
     answer
 }
 
-/// State of the stream of an item: the engine, the item, the number of the next event, the version of
-/// the weights at the last event, the number of events sent, and the guard of the run.
+/// State of the stream of an item: the engine, the item, the number of the next event, the version
+/// of the weights at the last event, the number of events sent, and the guard of the run.
 type StreamState = (Rc<State>, String, u64, u64, u64, RunGuard);
 
 async fn next_event(
--- a/crates/pinereel_fakes/src/hosting/platform.rs
+++ b/crates/pinereel_fakes/src/hosting/platform.rs
@@ -152,8 +152,8 @@
         StatusCode::OK
     }
 
-    /// Returns whether no earlier call to `path` had a higher fencing token than `fence`. If so, records
-    /// `fence` and its holder.
+    /// Returns whether no earlier call to `path` had a higher fencing token than `fence`. If so,
+    /// records `fence` and its holder.
     fn accept_fencing_token(&self, path: &str, fence: u64, holder: &str) -> bool {
         let mut max_fences = self.max_fences.borrow_mut();
         let max_of_path = max_fences.entry(path.into()).or_default();
--- a/crates/pinereel_fakes/src/hosting/service.rs
+++ b/crates/pinereel_fakes/src/hosting/service.rs
@@ -1,4 +1,5 @@
-//! A fake endpoint of a plain service: runs requests, stamps its answers and registers in the store.
+//! A fake endpoint of a plain service: runs requests, stamps its answers and registers in the
+//! store.
 
 use super::{
     engine::{caller_identity, header, response_stamp, set_header},
--- a/crates/pinereel_fakes/src/hosting/soak/checks.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/checks.rs
@@ -69,8 +69,8 @@
         sleep(Duration::from_secs(1)).await;
     }
 
-    /// Checks that an instance that shuts down gracefully answers every request that it has read, unless
-    /// another fault is in force at the same time.
+    /// Checks that an instance that shuts down gracefully answers every request that it has read,
+    /// unless another fault is in force at the same time.
     pub(super) fn check_graceful_shutdowns(&self) {
         let site = self.site.borrow();
         let periods = self.fault_periods.borrow();
--- a/crates/pinereel_fakes/src/hosting/soak/crashing_requests.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/crashing_requests.rs
@@ -21,7 +21,8 @@
 const MAX_FURTHER_CRASHES: usize = 3;
 /// Deadline of a request, and timeout of the call.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Path whose route leads to the service of these endpoints in every configuration of the soak test.
+/// Path whose route leads to the service of these endpoints in every configuration of the soak
+/// test.
 const TARGET: &str = "/score/x";
 
 /// Endpoints that may crash, and the requests that crash them.
@@ -49,8 +50,8 @@
         })
     }
 
-    /// Sends such requests until `end`. Each is retried for some seconds, at random instances and under
-    /// new ids, before the next.
+    /// Sends such requests until `end`. Each is retried for some seconds, at random instances and
+    /// under new ids, before the next.
     pub(super) async fn send_until(&mut self, end: Instant) {
         // A generator of its own: the faults that a seed injects must not depend on these draws.
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x0063_7261_7368);
@@ -94,8 +95,8 @@
         counts.collect()
     }
 
-    /// Checks that no request crashed more endpoints than the platform allows, and that no other request
-    /// was refused for crashes.
+    /// Checks that no request crashed more endpoints than the platform allows, and that no other
+    /// request was refused for crashes.
     pub(super) fn check(&self) {
         let site = self.site.borrow();
         for (body, count) in self.crash_counts() {
--- a/crates/pinereel_fakes/src/hosting/soak/inject.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/inject.rs
@@ -250,8 +250,8 @@
     }
 }
 
-/// Sets the API keys of the next configuration: the key that callers use, and another that is new in
-/// each version.
+/// Sets the API keys of the next configuration: the key that callers use, and another that is new
+/// in each version.
 pub(super) fn change_api_keys(site: &mut Site) {
     let extra_key = format!("key-of-w-{}", site.config_version);
     site.workspaces = Some(json!([
@@ -260,8 +260,8 @@
     ]));
 }
 
-/// Polls `future`, which adds an endpoint, once, and returns whether the endpoint was added. Binding a
-/// loopback port never waits, so one poll completes the future.
+/// Polls `future`, which adds an endpoint, once, and returns whether the endpoint was added.
+/// Binding a loopback port never waits, so one poll completes the future.
 fn add_at_once(future: impl Future<Output = io::Result<()>>) -> bool {
     let result = futures_util::FutureExt::now_or_never(future);
     matches!(result, Some(Ok(())))
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -24,7 +24,8 @@
 /// Time after the end of a fault, other than a graceful shutdown, during which it may still have
 /// effects.
 const AFTER_EFFECT_TIME: Duration = Duration::from_secs(3);
-/// Longest time that the steps after the last fault may take. A third of it passes before they start.
+/// Longest time that the steps after the last fault may take. Before them, the test waits for a
+/// third of this time.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(12);
 /// Longest time during which callers send requests. They are ended after the last check and not at
 /// a fixed time, since a trainer's last step may end long after the last fault.
@@ -45,7 +46,8 @@
     pub size: Size,
     /// Number of live callers of each [`Kind`].
     pub callers_per_kind: usize,
-    /// Approximate mean pause between two faults: pauses are drawn between a quarter of it and twice it.
+    /// Approximate mean pause between two faults: pauses are drawn between a quarter of it and
+    /// twice it.
     pub mean_pause: Duration,
     /// Whether requests are sent that crash the endpoints that run them.
     pub crashing_requests: bool,
@@ -234,8 +236,8 @@
         ));
     }
 
-    /// Records that a fault is in force from now on for `length`; `instance` is `None` if it may affect
-    /// all instances.
+    /// Records that a fault is in force from now on for `length`; `instance` is `None` if it may
+    /// affect all instances.
     fn record_period(&self, instance: Option<usize>, graceful: bool, length: Duration) {
         let from = Instant::now();
         self.fault_periods.borrow_mut().push(FaultPeriod {
--- a/crates/pinereel_fakes/src/hosting/store.rs
+++ b/crates/pinereel_fakes/src/hosting/store.rs
@@ -1,4 +1,5 @@
-//! A fake of the platform's object store: revisions, conditional writes, watches, and injected faults.
+//! A fake of the platform's object store: revisions, conditional writes, watches, and injected
+//! faults.
 
 use actix_http::{Method, StatusCode};
 use compact_str::CompactString;
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -121,8 +121,8 @@
         self.store.put("versions", MODEL, version);
     }
 
-    /// Returns a lot's items with their groups, and the body that submits the lot. Results must have
-    /// version `oldest` of the weights or a newer one.
+    /// Returns a lot's items with their groups, and the body that submits the lot. Results must
+    /// have version `oldest` of the weights or a newer one.
     fn build_lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
--- a/crates/pinereel_fakes/tests/hosting_list.rs
+++ b/crates/pinereel_fakes/tests/hosting_list.rs
@@ -25,8 +25,8 @@
     lines.filter(|line| line.contains(text)).collect()
 }
 
-/// An engine becomes unreachable and restarts meanwhile. Its runs must end as lost when the new entry
-/// is listed, and not only after the 1.5 s timeout for silent runs.
+/// An engine becomes unreachable and restarts meanwhile. Its runs must end as lost when the new
+/// entry is listed, and not only after the 1.5 s timeout for silent runs.
 #[actix_rt::test]
 async fn runs_are_lost_at_once_when_their_engine_restarts() {
     let site = Site::start(SITE_SIZE, 140).await.unwrap();
--- a/crates/pinereel_fakes/tests/hosting_path.rs
+++ b/crates/pinereel_fakes/tests/hosting_path.rs
@@ -335,7 +335,8 @@
     }
 }
 
-/// Returns the index of the first instance that logged that it opened a lot: the runner of the lots.
+/// Returns the index of the first instance that logged that it opened a lot: the runner of the
+/// lots.
 fn find_runner(site: &Site) -> Option<usize> {
     let opened = |lines: Vec<String>| lines.iter().any(|line| line.contains("lot opened"));
     site.instances.iter().position(|i| opened(i.lines()))
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -42,8 +42,8 @@
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
 }
 
-/// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested, within
-/// the operator's limits, and none are requested while all items get a slot in time.
+/// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested,
+/// within the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
 async fn waiting_items_cause_requests_for_spot_endpoints() {
     let site = Site::start(SITE_SIZE, 200).await.expect("the site starts");
--- a/crates/pinereel_fakes/tests/hosting_soak.rs
+++ b/crates/pinereel_fakes/tests/hosting_soak.rs
@@ -75,7 +75,8 @@
 }
 
 /// An instance that shuts down has disconnected its children and has no link itself yet when it
-/// detects three crashes, and is paused then. At the others, the request crashed four more endpoints.
+/// detects three crashes, and is paused then. At the others, the request crashed four more
+/// endpoints.
 #[actix_rt::test]
 async fn seed_6007_limits_the_crashes_while_an_instance_shuts_down() {
     assert_no_violation(Options {
--- a/crates/pinereel_fakes/tests/hosting_topics.rs
+++ b/crates/pinereel_fakes/tests/hosting_topics.rs
@@ -23,7 +23,8 @@
         sleep(Duration::from_secs(2)).await;
         let is_subscribed = |instance: &&Instance| has_log_line(instance, r#""scope":"Engines""#);
         let subscribed = site.instances.iter().filter(is_subscribed).count();
-        // The runner of the lots of the only model, and the lease holder that sends orders to its engines.
+        // The runner of the lots of the only model, and the lease holder that sends orders to its
+        // engines.
         assert!(
             (1..=2).contains(&subscribed),
             "{subscribed} instances received {engines} engines"
--- a/crates/pinereel_fakes/tests/hosting_tree.rs
+++ b/crates/pinereel_fakes/tests/hosting_tree.rs
@@ -1,4 +1,5 @@
-//! The broadcast tree with more instances than one parent can have children, tested with real processes.
+//! The broadcast tree with more instances than one parent can have children, tested with real
+//! processes.
 
 use actix_http::{Method, StatusCode};
 use bytes::Bytes;
@@ -103,7 +104,8 @@
     let calls = site.store.call_count();
     sleep(Duration::from_secs(2)).await;
     let idle_calls = site.store.call_count() - calls;
-    // Renewals of three leases and the root's lists of the leases: no more than with three instances.
+    // Renewals of three leases and the root's lists of the leases: no more than with three
+    // instances.
     assert!(idle_calls <= 24, "{idle_calls} calls in 2 s");
 
     let (root, inner_node) = root_and_inner_node(&site);
