--- a/crates/pinereel_fakes/src/hosting/soak/checks.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/checks.rs
@@ -76,15 +76,14 @@
         let periods = self.fault_periods.borrow();
         for (index, instance) in site.instances.iter().enumerate() {
             for at in instance.caller_proxy.unanswered_closes() {
-                let is_in_force = |period: &FaultPeriod| period.from <= at && at <= period.to;
-                let affects_instance =
-                    |period: &FaultPeriod| period.instance.is_none_or(|i| i == index);
-                let graceful = periods.iter().any(|period| {
-                    period.graceful && period.instance == Some(index) && is_in_force(period)
-                });
-                let excused = periods.iter().any(|period| {
-                    !period.graceful && affects_instance(period) && is_in_force(period)
-                });
+                let is_active = |period: &FaultPeriod| period.from <= at && at <= period.to;
+                let affects = |period: &FaultPeriod| period.instance.is_none_or(|i| i == index);
+                let graceful = periods
+                    .iter()
+                    .any(|p| p.graceful && p.instance == Some(index) && is_active(p));
+                let excused = periods
+                    .iter()
+                    .any(|p| !p.graceful && affects(p) && is_active(p));
                 if graceful && !excused {
                     let millis = at.duration_since(self.started).as_millis();
                     site.recorder.record_violation(format!(
