--- a/crates/pinereel_fakes/src/hosting/soak/checks.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/checks.rs
@@ -65,7 +65,7 @@
                 "an endpoint received a request {max_lateness:?} after it announced that it leaves"
             ));
         }
-        // Trainers check with a delay that no item of an ended lot is sent to an engine.
+        // Orders that arrive late are recorded only after a delay.
         sleep(Duration::from_secs(1)).await;
     }
 
--- a/crates/pinereel_fakes/src/hosting/soak/mod.rs
+++ b/crates/pinereel_fakes/src/hosting/soak/mod.rs
@@ -183,12 +183,12 @@
     let end = soak.started + options.duration;
     let start = || CrashingRequests::start(&soak.site, options.seed);
     let mut crashing = options.crashing_requests.then(start).transpose()?;
-    let crash = async {
+    let sender = async {
         if let Some(crashing) = &mut crashing {
             crashing.send_until(end).await;
         }
     };
-    tokio::join!(soak.inject_faults(end), trainer.run(end), crash);
+    tokio::join!(soak.inject_faults(end), trainer.run(end), sender);
     soak.end_faults().await;
     soak.check_recovery(&mut trainer, &tally).await;
     soak.check_graceful_shutdowns();
