--- a/crates/pinereel_fakes/src/hosting/http.rs
+++ b/crates/pinereel_fakes/src/hosting/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the stand-ins, which uses a new connection for each call.
+//! The HTTP client of the fakes, which uses a new connection for each call.
 
 use actix_http::{
     Method, RequestHead, StatusCode,
@@ -41,7 +41,8 @@
 /// Sends a request on a new connection, and reads the complete answer.
 ///
 /// # Errors
-/// If the answer is not complete within `time_limit`.
+/// If no connection can be opened, or the answer is not complete before the connection is closed or
+/// within `time_limit`.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/crates/pinereel_fakes/src/hosting/trainer.rs
+++ b/crates/pinereel_fakes/src/hosting/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that submits lots, reads their results at any instance, and checks each result.
+//! A fake trainer that submits lots, reads their results at any instance, and checks each result.
 
 use super::{
     engine,
@@ -38,7 +38,7 @@
     pub wanted_groups: usize,
 }
 
-/// A trainer, which names a new version of the weights after each step.
+/// A fake trainer, which announces a new version of the weights after each step.
 pub struct Trainer {
     load_balancer: Rc<LoadBalancer>,
     store: Store,
@@ -46,7 +46,7 @@
     rng: ChaCha8Rng,
     shape: Shape,
     name: String,
-    /// Newest version of the weights that was named.
+    /// Newest version of the weights that was announced.
     version: u64,
     /// Number of steps that got their groups in time.
     pub done: u64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Runs a step: submits a lot, reads its results, ends it and names the next version.
+    /// Runs a step: submits a lot, reads its results, ends it and announces the next version.
     pub async fn step(&mut self, step: u64) {
         let lot = format!("{}-{step}", self.name);
         let oldest = self.version.saturating_sub(1).max(1);
@@ -121,8 +121,8 @@
         self.store.put("versions", MODEL, version);
     }
 
-    /// Returns a lot's items with their groups, and the body that submits the lot. Results must have
-    /// version `oldest` of the weights or a newer one.
+    /// Returns a lot's items with their groups, and the body that submits the lot. Results must
+    /// have version `oldest` of the weights or a newer one.
     fn build_lot(&mut self, lot: &str, oldest: u64) -> (BTreeMap<String, usize>, Bytes) {
         let mut ids = BTreeMap::new();
         let mut items = Vec::new();
@@ -216,7 +216,7 @@
         let results = page["results"].as_array().cloned().unwrap_or_default();
         if from < next && results.is_empty() {
             self.recorder
-                .record_violation(format!("lot {lot}: position {from} went away"));
+                .record_violation(format!("lot {lot}: position {from} disappeared"));
         }
         for (offset, result) in results.into_iter().enumerate() {
             let previous = known.insert(from + offset, result.clone());
@@ -254,8 +254,9 @@
         for result in known.values() {
             let id = result["id"].as_str().unwrap_or_default();
             if !items.contains_key(id) {
-                self.recorder
-                    .record_violation(format!("lot {lot} lists {id}, which is not its item"));
+                self.recorder.record_violation(format!(
+                    "lot {lot} lists {id}, which is not one of its items"
+                ));
             }
             if !ids.insert(id) {
                 self.recorder
@@ -270,13 +271,13 @@
     fn check_completed(&self, id: &str, oldest: u64, result: &Value) {
         if result["output"].as_str() != Some(&engine::text(id)) {
             self.recorder
-                .record_violation(format!("{id}: the text is not whole"));
+                .record_violation(format!("{id}: the text is incomplete or wrong"));
         }
         let versions = result["versions"].as_array().cloned().unwrap_or_default();
         let versions: BTreeSet<_> = versions.iter().filter_map(Value::as_u64).collect();
         if versions.is_empty() || !versions.is_subset(&self.recorder.versions(id)) {
             self.recorder
-                .record_violation(format!("{id}: versions {versions:?} did not make it"));
+                .record_violation(format!("{id}: versions {versions:?} did not produce it"));
         }
         if versions.iter().any(|version| *version < oldest) {
             self.recorder.record_violation(format!(
@@ -286,7 +287,7 @@
         let score = result["score"].as_str().unwrap_or_default();
         if !score.ends_with(&format!("{id}.s")) {
             self.recorder
-                .record_violation(format!("{id}: score {score:?} is not its scorer's"));
+                .record_violation(format!("{id}: score {score:?} was not given by its scorer"));
         }
     }
 
@@ -305,7 +306,7 @@
                     sleep(MAX_CANCEL_TIME + Duration::from_secs(2)).await;
                     if recorder.any_arrived_after(&items, last_arrival_by) {
                         recorder.record_violation(format!(
-                            "lot {lot}: an item was run long after its end"
+                            "lot {lot}: an engine received an item long after the end of the lot"
                         ));
                     }
                 });
--- a/crates/pinereel_fakes/tests/hosting_scale.rs
+++ b/crates/pinereel_fakes/tests/hosting_scale.rs
@@ -15,7 +15,7 @@
     engines: 1,
     services: 1,
 };
-/// Number of items that is too large for one engine to start all within the time of most texts.
+/// Number of items of which one engine cannot start all within the time that most texts take.
 const ITEMS_BEYOND_SLOTS: usize = 120;
 
 async fn submit(site: &Site, lot: &str, items: usize) {
@@ -42,8 +42,8 @@
     assert_eq!(answer.map(|a| a.status), Ok(StatusCode::ACCEPTED));
 }
 
-/// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested, within
-/// the operator's limits, and none are requested while all items get a slot in time.
+/// A trainer submits many items at once, and most wait for a slot. Spot endpoints are requested,
+/// within the operator's limits, and none are requested while all items get a slot in time.
 #[actix_rt::test]
 async fn waiting_items_cause_requests_for_spot_endpoints() {
     let site = Site::start(SITE_SIZE, 200).await.expect("the site starts");
