--- a/crates/pinereel_fakes/tests/hosting_crash.rs
+++ b/crates/pinereel_fakes/tests/hosting_crash.rs
@@ -2,7 +2,7 @@
 //!
 //! The request is retried under new ids at every instance. Without a record of its crashes, each
 //! attempt may use every endpoint again: all four endpoints crashed within 0.3 s, restarted after
-//! 3.5 s and crashed again, 12 and 21 times in a benchmark run, while all other callers were
+//! 3.5 s and crashed again, 12 and 21 times in one run, while all other callers were
 //! refused.
 //!
 //! A crash must also count as an attempt that ran. When an idle connection is lost under the
@@ -347,7 +347,7 @@
 ///
 /// A crash ends every run at the endpoint, 8 at an engine and up to 30 at a scorer. If all of those
 /// run together again, the next crashes cannot be attributed to one request: a request under which
-/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a benchmark
+/// three endpoints had crashed was sent 10 more times, 37 and 38 endpoints crashed in a
 /// run of 40 s, and 41 % and 65 % of the callers' work was not done.
 async fn run_large_lot(seed: u64, change: impl Fn(&mut serde_json::Value, &str)) {
     let (site, _endpoints, crashes) = crashing_site(seed).await;
--- a/crates/pinereel_fakes/tests/hosting_keys.rs
+++ b/crates/pinereel_fakes/tests/hosting_keys.rs
@@ -1,7 +1,7 @@
 //! Callers' API keys and workspaces, end to end with real processes.
 //!
 //! Guards against requests that are forwarded without a check of their key. Without it, 3,617
-//! requests of a benchmark run without faults reached endpoints with the caller's key and without
+//! requests of a run without faults reached endpoints with the caller's key and without
 //! its workspace, one had a key that was never configured, and in runs that revoke keys up to 63
 //! requests ran with a key that had been revoked for 4 s.
 
