--- a/check.sh
+++ b/check.sh
@@ -30,7 +30,7 @@
   printf 'KNOWN RED (listed in KNOWN-RED.txt): %s\n' $failed
 }
 
-# The names of the users' platform stand in platform/ and in the stand-ins alone.
+# The names of the users' platform are used in platform/ and in the fakes alone.
 names() {
   local pattern found
   # Names that the own interface has as well (x-deadline-ms, /v1/lots) are left out.
